--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -20,11 +20,11 @@
 import uvloop
 from scipy import stats
 
-from hollowusher.emulator.copies import CopyNet, storm
-from hollowusher.emulator.copies_check import SETTINGS
-from hollowusher.emulator.copies_model import check
-from hollowusher.emulator.processes.play import Played, ProcessPlay
-from hollowusher.emulator.script import parse
+from hollowusher.scheduler.emulator.log_replication import CopyNet, storm
+from hollowusher.scheduler.emulator.log_replication_check import SETTINGS
+from hollowusher.scheduler.emulator.log_replication_model import check
+from hollowusher.scheduler.emulator.processes.play import Played, ProcessPlay
+from hollowusher.scheduler.emulator.script import parse
 
 CLASSES = """nodes {nodes} cores 4
 class eta-quote    safe  share 57 work 60ms  budget 5s  aim 200ms stretch 2   worth 1 late 0.22
--- a/benchmarks/decoders.py
+++ b/benchmarks/decoders.py
@@ -12,13 +12,13 @@
 
 import click
 
-from hollowusher.net.copies.wire import Frames, frame
-from hollowusher.rules.copies.messages import Append, Entry
-from hollowusher.rules.membership import codec as members
-from hollowusher.rules.membership.messages import Kind, Message, News
-from hollowusher.rules.shared import wire as shared
-from hollowusher.rules.shared.counts import Told
-from hollowusher.rules.shared.judgements import Seen
+from hollowusher.scheduler.net.log_replication.wire import Frames, frame
+from hollowusher.scheduler.rules.log_replication.messages import Append, Entry
+from hollowusher.scheduler.rules.membership import codec as members
+from hollowusher.scheduler.rules.membership.messages import Kind, Message, News
+from hollowusher.scheduler.rules.shared_state import wire as shared
+from hollowusher.scheduler.rules.shared_state.counts import Told
+from hollowusher.scheduler.rules.shared_state.judgements import Seen
 
 HEAD, SUM_AT = 11, 7  # bytes of a datagram's head, and where its checksum stands
 
--- a/benchmarks/false_suspicion.py
+++ b/benchmarks/false_suspicion.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass
 
 from benchmarks.rig import MS, S
-from hazelweir import Discovery, Effect, Group, JobClass, Limits, Rules, Settings, Via
-from hollowusher.emulator.model import Kind
-from hollowusher.emulator.traffic import Demand, Spell, Wanted, draw
-from hollowusher.emulator.virtual import Rehearsal, VirtualNode
+from hollowusher.balancing import Discovery, Effect, Group, JobClass, Limits, Rules, Settings, Via
+from hollowusher.scheduler.emulator.model import Kind
+from hollowusher.scheduler.emulator.traffic import Demand, Spell, Wanted, draw
+from hollowusher.scheduler.emulator.virtual import Rehearsal, VirtualNode
 
 CLASSES = (
     JobClass("eta-quote", 200 * MS, 5 * S, 1.0, 0.22, 2.0, Effect.SAFE),
--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -21,12 +21,12 @@
 
 from benchmarks.false_suspicion import USUAL, settings_for
 from benchmarks.rig import S
-from hazelweir import State
-from hollowusher.core.model import Dispatch, Order, ProbeNode, WatchNodeList
-from hollowusher.emulator.model import Kind
-from hollowusher.emulator.outside import free_port, node_rows, platform_settings
-from hollowusher.emulator.traffic import Spell, draw
-from hollowusher.emulator.virtual import Rehearsal, VirtualNode, VirtualScheduler
+from hollowusher.balancing import State
+from hollowusher.scheduler.dispatch.model import Dispatch, Order, ProbeNode, WatchNodeList
+from hollowusher.scheduler.emulator.model import Kind
+from hollowusher.scheduler.emulator.outside import free_port, node_rows, platform_settings
+from hollowusher.scheduler.emulator.traffic import Spell, draw
+from hollowusher.scheduler.emulator.virtual import Rehearsal, VirtualNode, VirtualScheduler
 
 FLEETS = ((2, 8), (8, 16), (40, 60), (200, 128))  # schedulers, nodes
 RATE = 1.9  # jobs a second and node
--- a/benchmarks/http2_cost.py
+++ b/benchmarks/http2_cost.py
@@ -22,10 +22,10 @@
 import uvloop
 
 from benchmarks.rig import Program, settings_for
-from hollowusher.emulator.http1node import Http1Node
-from hollowusher.emulator.http2node import Http2Node, Plan
-from hollowusher.emulator.outside import Answered, Clients
-from hollowusher.net.http2.settings import Http2Config
+from hollowusher.scheduler.emulator.http1node import Http1Node
+from hollowusher.scheduler.emulator.http2node import Http2Node, Plan
+from hollowusher.scheduler.emulator.outside import Answered, Clients
+from hollowusher.scheduler.net.http2.settings import Http2Config
 
 CLASSES = (("eta-quote", 1.0, 5.0),)
 MEAN_RUN_S = 0.03
--- a/benchmarks/http2_goaway.py
+++ b/benchmarks/http2_goaway.py
@@ -20,9 +20,9 @@
 import uvloop
 
 from benchmarks.rig import Program, settings_for
-from hollowusher.emulator.http2node import ALL_STREAMS, Http2Node, Job, Plan, Session
-from hollowusher.emulator.outside import Clients
-from hollowusher.net.http2.settings import Http2Config
+from hollowusher.scheduler.emulator.http2node import ALL_STREAMS, Http2Node, Job, Plan, Session
+from hollowusher.scheduler.emulator.outside import Clients
+from hollowusher.scheduler.net.http2.settings import Http2Config
 
 CLASSES = (("eta-quote", 0.6, 5.0), ("assign-rider", 0.25, 5.0), ("settle-shift", 0.15, 20.0))
 KEY_MEMORY_S = 7.5
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,10 +17,10 @@
 
 import click
 
-from hollowusher.emulator.peers import Peer, PeerNet, S
-from hollowusher.rules.membership.events import Change, Told
-from hollowusher.rules.membership.messages import Kind, Message, News, message_bytes
-from hollowusher.rules.membership.pace import Pace
+from hollowusher.scheduler.emulator.membership import Peer, PeerNet, S
+from hollowusher.scheduler.rules.membership.events import Change, Told
+from hollowusher.scheduler.rules.membership.messages import Kind, Message, News, message_bytes
+from hollowusher.scheduler.rules.membership.pace import Pace
 
 JOIN_S, WATCH_S, DEATH_S = 15, 20, 12
 CONDITIONS = (("calm", 0.0, 0.0), ("10% lost", 0.1, 0.0), ("30% lost", 0.3, 0.0),
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Iterable
 
-from hazelweir import Discovery, Effect, Group, JobClass, Limits, Settings, Via
-from hollowusher.app import serve
-from hollowusher.config import Config
-from hollowusher.emulator.outside import NodeList, free_port, node_rows
-from hollowusher.log import Log
-from hollowusher.net.http2.settings import Http2Config
+from hollowusher.balancing import Discovery, Effect, Group, JobClass, Limits, Settings, Via
+from hollowusher.scheduler.app import serve
+from hollowusher.scheduler.config import Config
+from hollowusher.scheduler.emulator.outside import NodeList, free_port, node_rows
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.http2.settings import Http2Config
 
 MS, S = 1_000_000, 1_000_000_000
 _EFFECTS = {"eta-quote": Effect.SAFE, "assign-rider": Effect.KEYED, "settle-shift": Effect.UNSAFE}
--- a/hollowusher/__init__.py
+++ b/hollowusher/__init__.py
@@ -1,1 +1,1 @@
-"""hollowusher: the job scheduler, one program round the decisions in `hazelweir`."""
+"""hollowusher: an ingest and dispatch service, and the scheduler in service."""
--- a/hollowusher/__main__.py
+++ b/hollowusher/__main__.py
@@ -15,7 +15,7 @@
     if not given:
         # A SIGHUP that comes while the rest is imported, or as the program ends, must wait and not end it.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-        from hollowusher.app import run  # the scheduler in service
+        from hollowusher.scheduler.app import run  # the scheduler in service
 
         return run()
     if given[0] in ROLES:  # the roles of deploy/system.toml, whose libraries `run` does not need
@@ -27,7 +27,7 @@
         if given[0] in CONSOLE:
             from hollowusher.console.commands import cli
         else:
-            from hollowusher.cli import cli
+            from hollowusher.scheduler.cli import cli
     except ModuleNotFoundError as missing:
         print(f"hollowusher: {missing.name} is not installed: the command line needs what {needs} lists",
               file=sys.stderr)
--- a/hazelweir/__init__.py
+++ b/hollowusher/balancing/__init__.py
@@ -1,7 +1,7 @@
-"""hazelweir: the decisions of a job dispatcher, one integral controller for each worker."""
+"""The decisions of a job dispatcher, one integral controller for each worker."""
 
-from hazelweir.balance import Balancer
-from hazelweir.interface import (
+from hollowusher.balancing.balancer import Balancer
+from hollowusher.balancing.interface import (
     Action,
     Arrival,
     BudgetSpent,
--- a/hazelweir/attempt.py
+++ b/hollowusher/balancing/attempt.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from hazelweir.interface import Outcome
+from hollowusher.balancing.interface import Outcome
 
 if TYPE_CHECKING:
-    from hazelweir.balance import Request, Worker
+    from hollowusher.balancing.balancer import Request, Worker
 
 
 class Attempt:
--- a/hazelweir/balance.py
+++ b/hollowusher/balancing/balancer.py
@@ -1,4 +1,6 @@
-"""Every decision of a dispatcher, in one module.  Its types, events and actions: hazelweir/interface.py.
+"""Every decision of a dispatcher, in one module.
+
+Its types, events and actions: hollowusher/balancing/interface.py.
 
 The ordinary path is the integral controller of Siqueira and Figueiredo (section 3 of their paper): one
 controller for each worker sizes a bundle N from that worker's readings; every t_d the worker's own timer
@@ -14,13 +16,13 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from hazelweir.attempt import Attempt
-from hazelweir.interface import (
+from hollowusher.balancing.attempt import Attempt
+from hollowusher.balancing.interface import (
     FEW_BALANCERS, NS_PER_MS, Action, Arrival, BudgetSpent, Cancel, ClientGone, Discovery, Effect, Ended,
     Event, Fail, Group, JobClass, Limits, Listed, ListKind, Log, Outcome, Probe, Probed, Progress, Reading,
     Refuse, Send, Settings, SettingsChanged, Started, State, Streaming, Via, Wake, Watch, WorkerList, Woken,
 )
-from hazelweir.pace import Pace
+from hollowusher.balancing.worker_speed import Pace
 
 SET_POINT = 0.98  # C*: the busy share each controller steers to; the rest is room for other nodes' surprises
 SAMPLE_NS = 500 * NS_PER_MS  # t_s: a worker whose reading is older is asked by probe when its timer fires
--- a/hazelweir/memory.py
+++ b/hollowusher/balancing/learned_state.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from hazelweir.balance import Balancer, Worker
+from hollowusher.balancing.balancer import Balancer, Worker
 
 
 @dataclass(frozen=True, slots=True)
--- a/hazelweir/adapter.py
+++ b/hollowusher/balancing/simulator_adapter.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable, Iterable
 from typing import TextIO, TypeVar
 
-from hazelweir.balance import Balancer
-from hazelweir.interface import (
+from hollowusher.balancing.balancer import Balancer
+from hollowusher.balancing.interface import (
     NS_PER_MS, NS_PER_S, Action, Arrival, Cancel, ClientGone, Discovery, Effect, Ended, Event, Fail,
     Goal, Group, JobClass, Limits, Listed, ListKind, Log, Order, Outcome, Prices, Probe, Probed, Progress,
     Reading, Refuse, Rules, Send, Settings, Started, State, Streaming, Tenant, Via, Wake, Watch,
     WorkerList, Woken,
 )
-from hazelweir.shares import Shares
+from hollowusher.balancing.tenant_shares import Shares
 
 _OUTCOMES = {
     "ok": Outcome.OK,
--- a/hazelweir/shares.py
+++ b/hollowusher/balancing/tenant_shares.py
@@ -4,7 +4,7 @@
 
 import math
 
-from hazelweir.interface import NS_PER_S, Settings
+from hollowusher.balancing.interface import NS_PER_S, Settings
 
 MEMORY_NS = 4 * NS_PER_S  # over this long what was asked for fades
 SPARE = 2.0  # requests above its share that a tenant may ask for at once: counts this small tell nothing
--- a/hazelweir/pace.py
+++ b/hollowusher/balancing/worker_speed.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from hazelweir.attempt import Attempt
+from hollowusher.balancing.attempt import Attempt
 
 PRIOR = 3.0  # jobs of ordinary pace that a worker is taken to have done before it has shown any
 MOST = 4.0  # expected times that one job counts at most: a heavy job is no slow worker
--- /dev/null
+++ b/hollowusher/coordination/chain/__init__.py
@@ -0,0 +1,1 @@
+"""Chain replication of the control state, its durable store, and the transfer of large records."""
--- a/hollowusher/coordination/chain_owner.py
+++ b/hollowusher/coordination/chain/chain_head.py
@@ -5,9 +5,9 @@
 import asyncio
 from collections.abc import Callable
 
-from hollowusher.coordination.chain import ChainMember
-from hollowusher.coordination.replicator import Replicator
-from hollowusher.coordination.view import shortest_chain
+from hollowusher.coordination.chain.chain_member import ChainMember
+from hollowusher.coordination.chain.chain_replicator import Replicator
+from hollowusher.coordination.consensus.paxos import shortest_chain
 from hollowusher.protocol.control import ControlState
 
 CHANGE_DEADLINE_S = 2.5
--- a/hollowusher/coordination/chain.py
+++ b/hollowusher/coordination/chain/chain_member.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from hollowusher.coordination.view import FIRST_EPOCH, is_voter
+from hollowusher.coordination.consensus.paxos import FIRST_EPOCH, is_voter
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.control import ChainWrite, ControlState, View
 
--- a/hollowusher/coordination/replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -10,11 +10,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from hollowusher.coordination.chain import ChainMember
-from hollowusher.coordination.record_fetch import RecordFetch, Spawn, read_chunk
-from hollowusher.coordination.state_record import INLINE_BYTES, without_record
-from hollowusher.coordination.state_store import SLOWEST_BYTES_PER_S, StateStore
-from hollowusher.coordination.view import find_voter
+from hollowusher.coordination.chain.chain_member import ChainMember
+from hollowusher.coordination.chain.record_fetch import RecordFetch, Spawn, read_chunk
+from hollowusher.coordination.chain.state_record import INLINE_BYTES, without_record
+from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S, StateStore
+from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import (
     ChainWrite,
--- a/hollowusher/coordination/record_fetch.py
+++ b/hollowusher/coordination/chain/record_fetch.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from hollowusher.coordination.state_record import (
+from hollowusher.coordination.chain.state_record import (
     CHUNK_BYTES,
     MOST_RECORD_BYTES,
     StateRecord,
     read_record,
 )
-from hollowusher.coordination.state_store import SLOWEST_BYTES_PER_S, StateStore
+from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S, StateStore
 from hollowusher.protocol.codec import DecodeError
 from hollowusher.protocol.control import ReadRecord, RecordChunk
 from hollowusher.storage.interface import StorageError
--- a/hollowusher/coordination/state_service.py
+++ b/hollowusher/coordination/chain/state_service.py
@@ -7,12 +7,12 @@
 
 from hollowusher.configuration.order_history import CommittedAges
 from hollowusher.configuration.orders import Order, OrderOutcome, apply_order, read_order
-from hollowusher.coordination.agreement import Agreement
-from hollowusher.coordination.chain import ChainMember
-from hollowusher.coordination.chain_owner import ChainOwner
-from hollowusher.coordination.state_store import SLOWEST_BYTES_PER_S
-from hollowusher.coordination.view import find_voter, is_voter
-from hollowusher.coordination.voter_group import VoterGroup
+from hollowusher.coordination.consensus.agreement import Agreement
+from hollowusher.coordination.chain.chain_member import ChainMember
+from hollowusher.coordination.chain.chain_head import ChainOwner
+from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S
+from hollowusher.coordination.consensus.paxos import find_voter, is_voter
+from hollowusher.coordination.consensus.voter_group import VoterGroup
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import (
     ChangeConfiguration,
--- a/hollowusher/coordination/state_store.py
+++ b/hollowusher/coordination/chain/state_store.py
@@ -12,8 +12,8 @@
 
 import attrs
 
-from hollowusher.coordination.chain import EMPTY_STATE
-from hollowusher.coordination.state_record import (
+from hollowusher.coordination.chain.chain_member import EMPTY_STATE
+from hollowusher.coordination.chain.state_record import (
     EMBEDDED_BYTES,
     StateRecord,
     make_record,
--- a/hollowusher/coordination/agreement.py
+++ b/hollowusher/coordination/consensus/agreement.py
@@ -9,9 +9,9 @@
 from contextlib import suppress
 from typing import Any
 
-from hollowusher.coordination import voting
-from hollowusher.coordination.view import Acceptor, majority, voter_id
-from hollowusher.coordination.voting import VotingMachine
+from hollowusher.coordination.consensus import voting
+from hollowusher.coordination.consensus.paxos import Acceptor, majority, voter_id
+from hollowusher.coordination.consensus.voting import VotingMachine
 from hollowusher.protocol.control import (
     Accept,
     Accepted,
--- a/hollowusher/coordination/reconfiguration.py
+++ b/hollowusher/coordination/consensus/reconfiguration.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from hollowusher.coordination.view import find_voter, majority, shortest_chain
+from hollowusher.coordination.consensus.paxos import find_voter, majority, shortest_chain
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import Pong, View, Voter
 
--- a/hollowusher/coordination/voter_group.py
+++ b/hollowusher/coordination/consensus/voter_group.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from hollowusher.coordination.agreement import Agreement
-from hollowusher.coordination.bootstrap import read_view
-from hollowusher.coordination.chain import ChainMember
-from hollowusher.coordination.control_status import UNHEARD, VoterSigns
-from hollowusher.coordination.departure import Departure
-from hollowusher.coordination.reconfiguration import (
+from hollowusher.coordination.consensus.agreement import Agreement
+from hollowusher.coordination.controller.bootstrap import read_view
+from hollowusher.coordination.chain.chain_member import ChainMember
+from hollowusher.coordination.controller.control_status import UNHEARD, VoterSigns
+from hollowusher.coordination.consensus.controller_departure import Departure
+from hollowusher.coordination.consensus.reconfiguration import (
     PROPOSAL_STAGGER_S,
     Presence,
     VoterHealth,
@@ -22,9 +22,9 @@
     presence,
     proposal_rank,
 )
-from hollowusher.coordination.spares import Spares
-from hollowusher.coordination.view import find_voter
-from hollowusher.coordination.voter_plan import VoterStep, next_step
+from hollowusher.coordination.consensus.spare_controllers import Spares
+from hollowusher.coordination.consensus.paxos import find_voter
+from hollowusher.coordination.consensus.voter_set import VoterStep, next_step
 from hollowusher.protocol.control import Decided, Ping, Pong, View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
--- a/hollowusher/coordination/voting.py
+++ b/hollowusher/coordination/consensus/voting.py
@@ -18,7 +18,7 @@
 
 import attrs
 
-from hollowusher.coordination.view import Acceptor, Ballot, Proposer
+from hollowusher.coordination.consensus.paxos import Acceptor, Ballot, Proposer
 from hollowusher.protocol.control import (
     Accept,
     Accepted,
--- a/hollowusher/coordination/bootstrap.py
+++ b/hollowusher/coordination/controller/bootstrap.py
@@ -16,8 +16,8 @@
 import attrs
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.view import first_view, majority, same_cluster, voter_id
-from hollowusher.coordination.voter_plan import choose_voters, voters_wanted
+from hollowusher.coordination.consensus.paxos import first_view, majority, same_cluster, voter_id
+from hollowusher.coordination.consensus.voter_set import choose_voters, voters_wanted
 from hollowusher.protocol.control import (
     Announce,
     Decided,
--- /dev/null
+++ b/hollowusher/coordination/distribution/__init__.py
@@ -0,0 +1,1 @@
+"""Distribution of control values to every process, by version vectors and long polls."""
--- a/hollowusher/coordination/directory.py
+++ b/hollowusher/coordination/membership/directory.py
@@ -19,7 +19,7 @@
 
 import attrs
 
-from hollowusher.coordination.monitor import monitors_of
+from hollowusher.coordination.membership.failure_detector import monitors_of
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import Leaving, Member, Suspicion
 
--- a/hollowusher/coordination/placement_duty.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -9,17 +9,17 @@
 
 import orjson
 
-from hollowusher.coordination.directory import STORE, Directory, StoreCondition
-from hollowusher.coordination.first_placement import PARTITIONS, initial_placement
-from hollowusher.coordination.partition_recovery import (
+from hollowusher.coordination.membership.directory import STORE, Directory, StoreCondition
+from hollowusher.coordination.placement.initial_placement import PARTITIONS, initial_placement
+from hollowusher.coordination.placement.partition_recovery import (
     RecoveryRefused,
     is_lost,
     living_ids,
     partition_statuses,
     recovered_placement,
 )
-from hollowusher.coordination.placement import CAUGHT_UP, enough_would_remain, is_named, replan
-from hollowusher.coordination.store_states import store_name
+from hollowusher.coordination.placement.planner import CAUGHT_UP, enough_would_remain, is_named, replan
+from hollowusher.coordination.placement.replica_states import store_name
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import (
     ControlState,
--- a/hollowusher/coordination/store_states.py
+++ b/hollowusher/coordination/placement/replica_states.py
@@ -17,7 +17,7 @@
 from collections import Counter
 from collections.abc import Collection, Mapping
 
-from hollowusher.coordination.directory import StoreCondition
+from hollowusher.coordination.membership.directory import StoreCondition
 from hollowusher.protocol.control import Placement
 
 STEADY_S = 6.0  # a store that has been there this long gets primaries back
--- a/hollowusher/dispatch/dispatcher.py
+++ b/hollowusher/dispatch/dispatcher.py
@@ -8,14 +8,14 @@
 
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.configuration.model import Configuration, Route, Service
-from hollowusher.coordination.cluster_state import (
+from hollowusher.coordination.distribution.cluster_state import (
     CONFIGURATION,
     MEMBER_PREFIX,
     PLACEMENT,
     WORKERS,
     ClusterState,
 )
-from hollowusher.coordination.placement import homes
+from hollowusher.coordination.placement.planner import homes
 from hollowusher.delivery.callbacks import CallbackDelivery
 from hollowusher.delivery.figures import DeliveryFigures
 from hollowusher.delivery.leasing import Homes, LeaseNetwork
--- a/hollowusher/dispatch/worker_control.py
+++ b/hollowusher/dispatch/worker_control.py
@@ -1,7 +1,7 @@
 """How many jobs one pushed worker may be handed now.  No I/O, no clock: times are seconds that only grow.
 
-The ordinary path is the integral rule of `hazelweir.balance.Controller`: a reading of the worker's busy share
-(one minus its free slots over the most free slots yet seen, known here from the process's own exchanges)
+The ordinary path is the integral rule of `hollowusher.balancing.balancer.Controller`: a reading of the
+worker's busy share (one minus its free slots over the most free slots yet seen, known here from the process's own exchanges)
 resizes its bundle N, and every t_d the worker earns a bundle.  Around it stand limits that a rule or an
 unknown capacity asks for: jobs out stay near the worker's slots, a refusal pauses it, a worker in trouble
 gets single trial jobs, a cold one gets less.
@@ -12,7 +12,7 @@
 import math
 from typing import Final
 
-from hazelweir.balance import GOOD_TRIALS, LEARN, MOST_RATE, Controller
+from hollowusher.balancing.balancer import GOOD_TRIALS, LEARN, MOST_RATE, Controller
 from hollowusher.delivery.outcome import Ending
 
 NS_PER_S: Final = 1_000_000_000
--- a/hollowusher/intake/admission.py
+++ b/hollowusher/intake/admission.py
@@ -10,7 +10,7 @@
 import attrs
 
 from hollowusher.configuration.model import Configuration, Route, Service
-from hollowusher.coordination.zone_homes import needs_one_home
+from hollowusher.coordination.placement.zone_homes import needs_one_home
 from hollowusher.protocol.store import NewMessage
 
 ATTEMPT_ID = "X-Attempt-Id"
--- a/hollowusher/messages/service.py
+++ b/hollowusher/messages/service.py
@@ -13,8 +13,8 @@
 from typing import Any, NamedTuple
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.cluster_state import CONFIGURATION, MEMBER_PREFIX, PLACEMENT, ClusterState
-from hollowusher.coordination.pause_detector import PauseDetector
+from hollowusher.coordination.distribution.cluster_state import CONFIGURATION, MEMBER_PREFIX, PLACEMENT, ClusterState
+from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.messages import records
 from hollowusher.messages.hosting import PartitionHost
 from hollowusher.messages.open_grants import OpenGrants
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -14,11 +14,11 @@
 import attrs
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.bootstrap import SeedService
-from hollowusher.coordination.client import ClusterClient
-from hollowusher.coordination.cluster_state import VIEW
-from hollowusher.coordination.peer_names import present
-from hollowusher.coordination.zone_homes import ZoneHomes
+from hollowusher.coordination.controller.bootstrap import SeedService
+from hollowusher.coordination.distribution.cluster_client import ClusterClient
+from hollowusher.coordination.distribution.cluster_state import VIEW
+from hollowusher.coordination.membership.peer_names import present
+from hollowusher.coordination.placement.zone_homes import ZoneHomes
 from hollowusher.delivery.worker_client import HttpWorkerClient
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.intake.intake import Intake
--- a/hollowusher/app.py
+++ b/hollowusher/scheduler/app.py
@@ -12,26 +12,26 @@
 
 import uvloop
 
-from hazelweir.interface import Discovery, JobClass
-from hollowusher.config import Config, load
-from hollowusher.core.desk import DispatchDesk
-from hollowusher.core.figures import Figures
-from hollowusher.core.roster import Roster
-from hollowusher.floor import Floor
-from hollowusher.fronts.common import JobIds
-from hollowusher.fronts.platform.discovery import NodeListWatch
-from hollowusher.fronts.platform.nodes import PlatformNodes
-from hollowusher.fronts.platform.clients import PlatformClients
-from hollowusher.log import Log
-from hollowusher.net.owner import DeskOwner
-from hollowusher.net.pool import Pool
-from hollowusher.net.ring import ring_bytes
-from hollowusher.operations import NODE_SHARE, SPARE_SOCKETS, Operations
-from hollowusher.parts import Part
-from hollowusher.reload import Reloads
-from hollowusher.retune import Retuning
-from hollowusher.rules.node_list import AskAgain
-from hollowusher.settings.model import ConfigError
+from hollowusher.balancing.interface import Discovery, JobClass
+from hollowusher.scheduler.config import Config, load
+from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
+from hollowusher.scheduler.dispatch.metrics import Figures
+from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.effects import Floor
+from hollowusher.scheduler.fronts.common import JobIds
+from hollowusher.scheduler.fronts.platform.discovery import NodeListWatch
+from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
+from hollowusher.scheduler.fronts.platform.clients import PlatformClients
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.owner import DeskOwner
+from hollowusher.scheduler.net.pool import Pool
+from hollowusher.scheduler.net.ring import ring_bytes
+from hollowusher.scheduler.operations import NODE_SHARE, SPARE_SOCKETS, Operations
+from hollowusher.scheduler.component import Part
+from hollowusher.scheduler.reload import Reloads
+from hollowusher.scheduler.retune import Retuning
+from hollowusher.scheduler.rules.node_list import AskAgain
+from hollowusher.scheduler.settings.model import ConfigError
 
 _READ = partial(load, again=True)
 
@@ -67,8 +67,8 @@
     desk = DispatchDesk(config.settings, config.seed, time.monotonic_ns())
     gate, carry_out = None, floor.carry_out
     if config.copies.listen is not None:  # what is off is not imported either
-        from hollowusher.net.copies.gate import Gate
-        from hollowusher.net.copies.node import CopiesNode
+        from hollowusher.scheduler.net.log_replication.admission import Gate
+        from hollowusher.scheduler.net.log_replication.node import CopiesNode
 
         limits = config.settings.limits
         gate = Gate(config.copies.classes, roster, lambda event: owner.post(event), floor.carry_out,
@@ -92,8 +92,8 @@
     http1 = floor.nodes["platform"] = PlatformNodes(
         roster, pool, config.meanings, post, log, figures)
     if config.http2.enabled:
-        from hollowusher.fronts.platform.http2 import Http2Nodes
-        from hollowusher.net.http2.streams import Carrier
+        from hollowusher.scheduler.fronts.platform.http2 import Http2Nodes
+        from hollowusher.scheduler.net.http2.streams import Carrier
 
         carrier = Carrier(config.http2, pool, log)
         parts.append(carrier)
@@ -105,7 +105,7 @@
     if gate is not None:
         clients.copied = gate.copied
     if config.stomp.enabled:
-        from hollowusher.fronts.stomp.front import StompFront
+        from hollowusher.scheduler.fronts.stomp.front import StompFront
 
         stomp = StompFront(config, roster, floor, ids, post, log)
         fronts.append(stomp.follow)
@@ -117,9 +117,9 @@
         "meanings": lambda new: http1.follow(new.meanings),
     }
     if (peers := config.peers).listen is not None:
-        from hollowusher.net.peers.node import PeerNode
-        from hollowusher.net.peers.words import tell
-        from hollowusher.rules.membership.events import Told
+        from hollowusher.scheduler.net.membership.node import PeerNode
+        from hollowusher.scheduler.net.membership.words import tell
+        from hollowusher.scheduler.rules.membership.events import Told
 
         def changed(what: Told) -> None:
             tell(log, what)
@@ -130,14 +130,14 @@
                         most_per_s=peers.most_messages)
         parts.append(node)
         if config.shared.enabled:
-            from hollowusher.net.shared.node import SharedNode
+            from hollowusher.scheduler.net.shared_state.node import SharedNode
 
             shared = SharedNode(config.shared, node, peers.cluster, roster, config.seed, log)
             owner.taps.append(shared.tap)
             parts.append(shared)
         follow["peers"] = lambda new: node.follow(new.peers)
     if config.reports is not None:
-        from hollowusher.net.reports.listener import Reports
+        from hollowusher.scheduler.net.reports.listener import Reports
 
         parts.append(Reports(config.reports, list(parts)))
 
--- a/hollowusher/cli.py
+++ b/hollowusher/scheduler/cli.py
@@ -14,17 +14,17 @@
 
 import click
 
-from hollowusher.app import run as run_scheduler
-from hollowusher.config import SECTIONS, SETTINGS_FILE
-from hollowusher.emulator.processes.commands import (
+from hollowusher.scheduler.app import run as run_scheduler
+from hollowusher.scheduler.config import SECTIONS, SETTINGS_FILE
+from hollowusher.scheduler.emulator.processes.commands import (
     copies, faults, members, rehearse_members, shared, tell_play,
 )
-from hollowusher.emulator.script import Script, read, stage
-from hollowusher.emulator.virtual import COUNTS, Rehearsal, Report
-from hollowusher.net.http2.settings import read_http2
-from hollowusher.operators.commands import attach, detach, figures, ready
-from hollowusher.settings.model import ConfigError
-from hollowusher.settings.reader import read_file
+from hollowusher.scheduler.emulator.script import Script, read, stage
+from hollowusher.scheduler.emulator.virtual import COUNTS, Rehearsal, Report
+from hollowusher.scheduler.net.http2.settings import read_http2
+from hollowusher.scheduler.operators.commands import attach, detach, figures, ready
+from hollowusher.scheduler.settings.model import ConfigError
+from hollowusher.scheduler.settings.reader import read_file
 
 SLICES = 40  # steps of the progress bar
 LATE_SHARE_S = 25.0  # after the script's end, for what is still open
@@ -116,7 +116,7 @@
               help="The folder of the series.")
 def experiment(script: Path, runs: int, out: Path) -> None:
     """Play a script with many seeds and keep a line of figures for each, to be compared."""
-    from hollowusher.lab.compare import write_series
+    from hollowusher.scheduler.lab.compare import write_series
 
     try:
         plan = read(script)
@@ -141,7 +141,7 @@
 @click.argument("second", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def compare(first: Path, second: Path) -> None:
     """Compare two series of runs, seed by seed, with error bars; what lies within them is a tie."""
-    from hollowusher.lab import compare as lab
+    from hollowusher.scheduler.lab import compare as lab
 
     try:
         findings = lab.compare(lab.read_series(first), lab.read_series(second))
@@ -157,7 +157,7 @@
 @click.argument("run", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def report(run: Path) -> None:
     """Make a page with tables and charts of a run's folder."""
-    from hollowusher.lab.page import make
+    from hollowusher.scheduler.lab.page import make
 
     try:
         click.echo(str(make(run)))
--- a/hollowusher/config.py
+++ b/hollowusher/scheduler/config.py
@@ -13,20 +13,20 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from hazelweir.adapter import WireError, read_settings
-from hazelweir.interface import NS_PER_S, Settings
-from hollowusher.fronts.stomp.settings import STOMP, STOMP_NODE, StompConfig, read_stomp
-from hollowusher.net.copies.settings import COPIES, COPY, CopiesConfig, read_copies
-from hollowusher.net.http2.settings import HTTP2, Http2Config, read_http2
-from hollowusher.net.peers.settings import PEER, PEERS, Allowed, PeersConfig, read_peers
-from hollowusher.net.reports.settings import REPORTS, read_reports
-from hollowusher.net.shared.settings import SHARED, SharedConfig, read_shared
-from hollowusher.settings.platform import faults
-from hollowusher.settings.model import ConfigError, parse_address
-from hollowusher.settings.reader import read_file
+from hollowusher.balancing.simulator_adapter import WireError, read_settings
+from hollowusher.balancing.interface import NS_PER_S, Settings
+from hollowusher.scheduler.fronts.stomp.settings import STOMP, STOMP_NODE, StompConfig, read_stomp
+from hollowusher.scheduler.net.log_replication.settings import COPIES, COPY, CopiesConfig, read_copies
+from hollowusher.scheduler.net.http2.settings import HTTP2, Http2Config, read_http2
+from hollowusher.scheduler.net.membership.settings import PEER, PEERS, Allowed, PeersConfig, read_peers
+from hollowusher.scheduler.net.reports.settings import REPORTS, read_reports
+from hollowusher.scheduler.net.shared_state.settings import SHARED, SharedConfig, read_shared
+from hollowusher.scheduler.settings.platform import faults
+from hollowusher.scheduler.settings.model import ConfigError, parse_address
+from hollowusher.scheduler.settings.reader import read_file
 
 T = TypeVar("T")
-SETTINGS_FILE = Path(__file__).parent.parent / "deploy" / "hollowusher.conf"
+SETTINGS_FILE = Path(__file__).parent.parent.parent / "deploy" / "hollowusher.conf"
 # In the order of docs/settings.md.
 SECTIONS = (STOMP, STOMP_NODE, HTTP2, PEERS, PEER, SHARED, COPIES, COPY, REPORTS)
 
--- a/hollowusher/core/desk.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from hazelweir.balance import Balancer
-from hazelweir.interface import (
+from hollowusher.balancing.balancer import Balancer
+from hollowusher.balancing.interface import (
     Action, Arrival, BudgetSpent, Cancel, ClientGone, Ended, Event, Fail, Log, Outcome, Probe, Probed,
     Progress, Refuse, Send, Settings, SettingsChanged, Started, State, Wake, Watch, WorkerList, Woken,
 )
-from hazelweir.memory import Memory, remember, restore
-from hazelweir.shares import Shares
-from hollowusher.core.model import (
+from hollowusher.balancing.learned_state import Memory, remember, restore
+from hollowusher.balancing.tenant_shares import Shares
+from hollowusher.scheduler.dispatch.model import (
     Answer, Attempt, AttemptEnded, AttemptProgress, AttemptStarted, BudgetShared, DeskEvent, Dispatch, Job,
     JobTaken, MemoryHanded, NodeListTold, NodeProbed, Order, ProbeNode, Remark, Reply, ClientLeft,
     SettingsTold, TimeCame, Verdict, WakeDesk, WatchNodeList, Withdraw,
--- a/hollowusher/core/figures.py
+++ b/hollowusher/scheduler/dispatch/metrics.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from hollowusher.core.model import Verdict
+from hollowusher.scheduler.dispatch.model import Verdict
 
 
 @dataclass(slots=True)
--- a/hollowusher/core/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hazelweir.memory import Memory
-from hazelweir.interface import Listed, ListKind, Outcome, Reading, Settings
+from hollowusher.balancing.learned_state import Memory
+from hollowusher.balancing.interface import Listed, ListKind, Outcome, Reading, Settings
 
 
 class Verdict(Enum):
--- a/hollowusher/core/roster.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from hazelweir.interface import Listed, ListKind, State
-from hollowusher.core.model import NodeListTold
+from hollowusher.balancing.interface import Listed, ListKind, State
+from hollowusher.scheduler.dispatch.model import NodeListTold
 
 MOST_NODES = 4096
 _HEX_NAME = re.compile(r"[a-z]+-([0-9a-f]{1,8})")
--- a/hollowusher/floor.py
+++ b/hollowusher/scheduler/effects.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from hazelweir.interface import Outcome, State
-from hollowusher.core.model import (
+from hollowusher.balancing.interface import Outcome, State
+from hollowusher.scheduler.dispatch.model import (
     Attempt, AttemptEnded, DeskEvent, Dispatch, NodeProbed, Order, ProbeNode, Remark, Reply, WatchNodeList,
     Withdraw,
 )
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.log import Log
-from hollowusher.net.pool import Pool
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.pool import Pool
 
 SWEEP_S = 2.0
 
--- a/hollowusher/emulator/faults/checks.py
+++ b/hollowusher/scheduler/emulator/faults/checks.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from hollowusher.emulator.faults.history import RIG, Act, Entry, pairs
-from hollowusher.emulator.faults.words import Expect
-from hollowusher.rules.membership.events import Change
+from hollowusher.scheduler.emulator.faults.history import RIG, Act, Entry, pairs
+from hollowusher.scheduler.emulator.faults.words import Expect
+from hollowusher.scheduler.rules.membership.events import Change
 
 SETTLED_S = 8.0  # after a trouble of a member, or its start, its place in the views has come right
 _GONE = {Change.DIED.value, Change.LEFT.value}
--- a/hollowusher/emulator/faults/history.py
+++ b/hollowusher/scheduler/emulator/faults/history.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from hollowusher.emulator.faults.words import Mishap
-from hollowusher.settings.model import ConfigError
+from hollowusher.scheduler.emulator.faults.words import Mishap
+from hollowusher.scheduler.settings.model import ConfigError
 
 RIG = "rig"  # who is said to do what the script orders
 
--- a/hollowusher/emulator/faults/virtual.py
+++ b/hollowusher/scheduler/emulator/faults/virtual.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Sequence
 
-from hollowusher.emulator.faults.history import RIG, Act, Entry, acts, pairs, told_of
-from hollowusher.emulator.faults.links import KINDS, NS, Condition
-from hollowusher.emulator.faults.words import Expect, Mishap
-from hollowusher.emulator.peers import PeerNet
-from hollowusher.rules.membership.member import Member
+from hollowusher.scheduler.emulator.faults.history import RIG, Act, Entry, acts, pairs, told_of
+from hollowusher.scheduler.emulator.faults.links import KINDS, NS, Condition
+from hollowusher.scheduler.emulator.faults.words import Expect, Mishap
+from hollowusher.scheduler.emulator.membership import PeerNet
+from hollowusher.scheduler.rules.membership.member import Member
 
 STARVED_SLICE_S = 0.2  # a starved process runs for its share of each of these
 NOT_PLAYED = {"flood", "reset", "fail"}  # what has no meaning without sockets: said in the history
--- a/hollowusher/emulator/faults/words.py
+++ b/hollowusher/scheduler/emulator/faults/words.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from hollowusher.rules.membership.events import Change
-from hollowusher.settings.model import Kind, SettingsError, size, span
+from hollowusher.scheduler.rules.membership.events import Change
+from hollowusher.scheduler.settings.model import Kind, SettingsError, size, span
 
 MOST_MEMBERS = 1_000
 _PART = re.compile(r"([ns])([0-9]{1,4})(?:\.\.\1?([0-9]{1,4}))?")
--- a/hollowusher/emulator/http1node.py
+++ b/hollowusher/scheduler/emulator/http1node.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from hollowusher.emulator.http2node import Plan
+from hollowusher.scheduler.emulator.http2node import Plan
 
 
 class Http1Node:
--- a/hollowusher/emulator/custody.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hazelweir.interface import Effect, Group, JobClass
-from hollowusher.emulator.heap import Heap
-from hollowusher.rules.copies.custody import Act, Custody, Do
-from hollowusher.rules.copies.keeper import Keeper
-from hollowusher.rules.copies.pace import MS, Pace
-from hollowusher.rules.copies.records import Answered, Taken
-from hollowusher.rules.copies.replica import Kept
+from hollowusher.balancing.interface import Effect, Group, JobClass
+from hollowusher.scheduler.emulator.heap import Heap
+from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Do
+from hollowusher.scheduler.rules.log_replication.keeper import Keeper
+from hollowusher.scheduler.rules.log_replication.pace import MS, Pace
+from hollowusher.scheduler.rules.log_replication.records import Answered, Taken
+from hollowusher.scheduler.rules.log_replication.replica import Kept
 
 S = 1000 * MS
 CLASSES = {c.name: c for c in (
--- a/hollowusher/emulator/copies.py
+++ b/hollowusher/scheduler/emulator/log_replication.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from hollowusher.emulator.heap import Heap
-from hollowusher.rules.copies.messages import Entry, Message
-from hollowusher.rules.copies.pace import MS, Pace
-from hollowusher.rules.copies.replica import Kept, Replica, Role
+from hollowusher.scheduler.emulator.heap import Heap
+from hollowusher.scheduler.rules.log_replication.messages import Entry, Message
+from hollowusher.scheduler.rules.log_replication.pace import MS, Pace
+from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role
 
 S = 1000 * MS
 Make = Callable[..., Replica]
--- a/hollowusher/emulator/copies_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -8,13 +8,13 @@
 from itertools import product
 from typing import Any
 
-from hollowusher.emulator.copies import Broken, CopyNet, storm
-from hollowusher.emulator.custody import CustodyNet, S
-from hollowusher.rules.copies.custody import Act, Custody, Do, Seek
-from hollowusher.rules.copies.keeper import Keeper
-from hollowusher.rules.copies.messages import Ask, Entry, Learn, Taught
-from hollowusher.rules.copies.replica import Replica, Role
-from hollowusher.rules.copies.takeover import Next
+from hollowusher.scheduler.emulator.log_replication import Broken, CopyNet, storm
+from hollowusher.scheduler.emulator.job_replication import CustodyNet, S
+from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Do, Seek
+from hollowusher.scheduler.rules.log_replication.keeper import Keeper
+from hollowusher.scheduler.rules.log_replication.messages import Ask, Entry, Learn, Taught
+from hollowusher.scheduler.rules.log_replication.replica import Replica, Role
+from hollowusher.scheduler.rules.log_replication.takeover import Next
 
 SETTINGS: tuple[dict[str, Any], ...] = (
     {"size": 3, "storage": False, "disks": ("kept",), "most_down": 1},
--- a/hollowusher/emulator/copies_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from hollowusher.emulator.explore import Explored, explore
-from hollowusher.rules.copies.messages import Entry, Message
-from hollowusher.rules.copies.pace import Pace
-from hollowusher.rules.copies.replica import Kept, Replica, Role
+from hollowusher.scheduler.emulator.explore import Explored, explore
+from hollowusher.scheduler.rules.log_replication.messages import Entry, Message
+from hollowusher.scheduler.rules.log_replication.pace import Pace
+from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role
 
 T = TypeVar("T")
 NAMES = ("a", "b", "c")
--- a/hollowusher/emulator/peers.py
+++ b/hollowusher/scheduler/emulator/membership.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from hollowusher.emulator.heap import Heap
-from hollowusher.emulator.faults.links import Links
-from hollowusher.rules.membership.events import Change, Told
-from hollowusher.rules.membership.member import Member
-from hollowusher.rules.membership.messages import MOST_LIFE, Message, message_bytes
-from hollowusher.rules.membership.pace import MS, Pace
+from hollowusher.scheduler.emulator.heap import Heap
+from hollowusher.scheduler.emulator.faults.links import Links
+from hollowusher.scheduler.rules.membership.events import Change, Told
+from hollowusher.scheduler.rules.membership.member import Member
+from hollowusher.scheduler.rules.membership.messages import MOST_LIFE, Message, message_bytes
+from hollowusher.scheduler.rules.membership.pace import MS, Pace
 
 S = 1000 * MS
 INBOX = 256  # datagrams that wait for a paused process; a socket drops the rest
--- a/hollowusher/emulator/peers_check.py
+++ b/hollowusher/scheduler/emulator/membership_check.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from hollowusher.emulator.explore import Explored, explore
-from hollowusher.rules.membership.member import Member
-from hollowusher.rules.membership.messages import Kind, Message, News, Standing
-from hollowusher.rules.membership.pace import Pace
+from hollowusher.scheduler.emulator.explore import Explored, explore
+from hollowusher.scheduler.rules.membership.member import Member
+from hollowusher.scheduler.rules.membership.messages import Kind, Message, News, Standing
+from hollowusher.scheduler.rules.membership.pace import Pace
 
 T = TypeVar("T")
 NAMES = ("a", "b", "c")
--- a/hollowusher/emulator/processes/board.py
+++ b/hollowusher/scheduler/emulator/processes/board.py
@@ -10,7 +10,7 @@
 import time
 from typing import cast
 
-from hollowusher.emulator.faults.links import NS, Links, Pair
+from hollowusher.scheduler.emulator.faults.links import NS, Links, Pair
 
 Address = tuple[str, int]
 PIECE = 16 * 1024  # bytes of a stream that are under way in one direction of a link
--- a/hollowusher/emulator/processes/child.py
+++ b/hollowusher/scheduler/emulator/processes/child.py
@@ -8,7 +8,7 @@
 import sys
 import time
 
-from hollowusher.app import run
+from hollowusher.scheduler.app import run
 
 CLOCK = "HOLLOWUSHER_RIG_CLOCK"  # seconds
 
--- a/hollowusher/emulator/processes/commands.py
+++ b/hollowusher/scheduler/emulator/processes/commands.py
@@ -14,16 +14,16 @@
 import click
 import uvloop
 
-from hollowusher.config import SECTIONS, SETTINGS_FILE
-from hollowusher.emulator.faults import history
-from hollowusher.emulator.faults.checks import check
-from hollowusher.emulator.faults.virtual import VirtualPlay
-from hollowusher.emulator.processes.play import Played, ProcessPlay
-from hollowusher.emulator.script import Script, read
-from hollowusher.net.reports.listener import ask
-from hollowusher.net.reports.settings import read_reports
-from hollowusher.settings.model import ConfigError, parse_address
-from hollowusher.settings.reader import read_file
+from hollowusher.scheduler.config import SECTIONS, SETTINGS_FILE
+from hollowusher.scheduler.emulator.faults import history
+from hollowusher.scheduler.emulator.faults.checks import check
+from hollowusher.scheduler.emulator.faults.virtual import VirtualPlay
+from hollowusher.scheduler.emulator.processes.play import Played, ProcessPlay
+from hollowusher.scheduler.emulator.script import Script, read
+from hollowusher.scheduler.net.reports.listener import ask
+from hollowusher.scheduler.net.reports.settings import read_reports
+from hollowusher.scheduler.settings.model import ConfigError, parse_address
+from hollowusher.scheduler.settings.reader import read_file
 
 _FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
@@ -155,7 +155,7 @@
 
 def keep(folder: Path, plan: Script, seed: int, played: Played) -> None:
     """Write a play's folder: the script, its history, the findings, and the page."""
-    from hollowusher.lab.faults_page import make
+    from hollowusher.scheduler.lab.faults_page import make
 
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "script.rehearsal").write_text(plan.text)
--- a/hollowusher/emulator/processes/fleet.py
+++ b/hollowusher/scheduler/emulator/processes/fleet.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 from typing import Any
 
-from hollowusher.emulator.faults.history import Entry
-from hollowusher.emulator.outside import platform_settings
-from hollowusher.emulator.processes.child import CLOCK
-from hollowusher.net.reports.listener import ask
-from hollowusher.settings.model import ConfigError
+from hollowusher.scheduler.emulator.faults.history import Entry
+from hollowusher.scheduler.emulator.outside import platform_settings
+from hollowusher.scheduler.emulator.processes.child import CLOCK
+from hollowusher.scheduler.net.reports.listener import ask
+from hollowusher.scheduler.settings.model import ConfigError
 
 Address = tuple[str, int]
 READY_S, END_S = 20.0, 12.0
@@ -78,7 +78,7 @@
         """Start its process; returns once it takes jobs."""
         one.bidden, one.paused, one.ready = False, False, asyncio.Event()
         one.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hollowusher.emulator.processes.child", stderr=asyncio.subprocess.PIPE,
+            sys.executable, "-m", "hollowusher.scheduler.emulator.processes.child", stderr=asyncio.subprocess.PIPE,
             stdin=asyncio.subprocess.DEVNULL, env={
                 **os.environ, "PROXY_CONFIG": str(one.folder / "config.json"), CLOCK: str(clock_s),
                 "HOLLOWUSHER_CONF": str(one.folder / "hollowusher.conf")})
--- a/hollowusher/emulator/processes/play.py
+++ b/hollowusher/scheduler/emulator/processes/play.py
@@ -11,19 +11,19 @@
 from functools import partial
 from pathlib import Path
 
-from hollowusher.emulator.faults.checks import Finding, check
-from hollowusher.emulator.faults.history import RIG, Act, Entry, acts, pairs, told_of
-from hollowusher.emulator.faults.links import KINDS, NS, Condition
-from hollowusher.emulator.http1node import Http1Node
-from hollowusher.emulator.http2node import Plan
-from hollowusher.emulator.outside import NodeList, Clients, free_port, node_rows
-from hollowusher.emulator.processes.board import Board
-from hollowusher.emulator.processes.fleet import (
+from hollowusher.scheduler.emulator.faults.checks import Finding, check
+from hollowusher.scheduler.emulator.faults.history import RIG, Act, Entry, acts, pairs, told_of
+from hollowusher.scheduler.emulator.faults.links import KINDS, NS, Condition
+from hollowusher.scheduler.emulator.http1node import Http1Node
+from hollowusher.scheduler.emulator.http2node import Plan
+from hollowusher.scheduler.emulator.outside import NodeList, Clients, free_port, node_rows
+from hollowusher.scheduler.emulator.processes.board import Board
+from hollowusher.scheduler.emulator.processes.fleet import (
     Fleet, Scheduler, cpu_s, now_s, platform_config,
 )
-from hollowusher.emulator.script import Script
-from hollowusher.emulator.traffic import Demand, draw
-from hollowusher.settings.model import ConfigError
+from hollowusher.scheduler.emulator.script import Script
+from hollowusher.scheduler.emulator.traffic import Demand, draw
+from hollowusher.scheduler.settings.model import ConfigError
 
 MOST_PROCESSES = 40  # on one machine
 SETTLE_S = 3.0  # after the script's end, for what is still open
--- a/hollowusher/emulator/script.py
+++ b/hollowusher/scheduler/emulator/script.py
@@ -12,16 +12,16 @@
 from pathlib import Path
 from typing import Any
 
-from hazelweir.interface import (
+from hollowusher.balancing.interface import (
     Discovery, Effect, Group, JobClass, Limits, Rules, Settings, State, Via,
 )
-from hollowusher.emulator.faults.words import (
+from hollowusher.scheduler.emulator.faults.words import (
     MOST_MEMBERS, ON_LINKS, ON_MEMBERS, ON_NODES, Expect, Mishap, read_expect, read_mishap,
 )
-from hollowusher.emulator.model import Kind
-from hollowusher.emulator.traffic import Demand, Spell, draw
-from hollowusher.emulator.virtual import Rehearsal, VirtualNode
-from hollowusher.settings.model import ConfigError, SettingsError, count, number, span, word, words
+from hollowusher.scheduler.emulator.model import Kind
+from hollowusher.scheduler.emulator.traffic import Demand, Spell, draw
+from hollowusher.scheduler.emulator.virtual import Rehearsal, VirtualNode
+from hollowusher.scheduler.settings.model import ConfigError, SettingsError, count, number, span, word, words
 
 MS, NS_PER_S = 1_000_000, 1_000_000_000
 MOST_NODES, MOST_LENGTH_S = 1_000, 86_400.0
--- a/hollowusher/emulator/shared.py
+++ b/hollowusher/scheduler/emulator/shared_state.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hollowusher.emulator.heap import Heap
-from hollowusher.rules.shared.budgets import Ask, Budgets, Grant
+from hollowusher.scheduler.emulator.heap import Heap
+from hollowusher.scheduler.rules.shared_state.budgets import Ask, Budgets, Grant
 
 MS, S = 1_000_000, 1_000_000_000
 Make = Callable[[str, list[str], int, int], Budgets]
--- a/hollowusher/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -12,16 +12,16 @@
 from functools import partial
 
 
-from hazelweir.interface import Effect, Listed, ListKind, Outcome, Reading, Settings, State
-from hollowusher.core.desk import DispatchDesk
-from hollowusher.core.model import (
+from hollowusher.balancing.interface import Effect, Listed, ListKind, Outcome, Reading, Settings, State
+from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
+from hollowusher.scheduler.dispatch.model import (
     Answer, Attempt, AttemptEnded, AttemptProgress, AttemptStarted, DeskEvent, Dispatch, Job, JobTaken,
     NodeListTold, NodeProbed, Order, ProbeNode, Remark, Reply, ClientLeft, TimeCame, Verdict, WakeDesk,
     WatchNodeList, Withdraw,
 )
-from hollowusher.emulator.heap import Heap
-from hollowusher.emulator.model import Kind, NodeModel, Told, What
-from hollowusher.emulator.traffic import Wanted, streams
+from hollowusher.scheduler.emulator.heap import Heap
+from hollowusher.scheduler.emulator.model import Kind, NodeModel, Told, What
+from hollowusher.scheduler.emulator.traffic import Wanted, streams
 
 MS, NS_PER_S = 1_000_000, 1_000_000_000
 COUNTS = ("jobs", "in_time", "late", "refused", "failed", "gone", "runs")
--- a/hollowusher/fronts/common.py
+++ b/hollowusher/scheduler/fronts/common.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from hazelweir.interface import Outcome, Reading
+from hollowusher.balancing.interface import Outcome, Reading
 
 PROBE_TIMEOUT_S = 0.5
 FIRST_S = 2.0  # how long a connection may say nothing from its accept on: a client opens one to use it
--- a/hollowusher/fronts/platform/answers.py
+++ b/hollowusher/scheduler/fronts/platform/answers.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hazelweir.interface import Outcome
-from hollowusher.core.model import AttemptProgress, AttemptStarted, DeskEvent, Dispatch
-from hollowusher.fronts.common import Ending, read_load
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.dispatch.model import AttemptProgress, AttemptStarted, DeskEvent, Dispatch
+from hollowusher.scheduler.fronts.common import Ending, read_load
 
 MOST_LINE = 512 * 1024  # a result of 64 KiB in JSON, each byte escaped
 
--- a/hollowusher/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -12,16 +12,16 @@
 from enum import IntEnum
 from typing import Any
 
-from hazelweir.interface import Effect, JobClass
-from hollowusher.core.model import Answer, DeskEvent, Job, JobTaken, ClientLeft, Verdict
-from hollowusher.fronts.common import (
+from hollowusher.balancing.interface import Effect, JobClass
+from hollowusher.scheduler.dispatch.model import Answer, DeskEvent, Job, JobTaken, ClientLeft, Verdict
+from hollowusher.scheduler.fronts.common import (
     FIRST_S, MOST_NAME, REQUEST_S, TRAVEL_NS, JobIds, printable, read_budget_ns,
 )
-from hollowusher.fronts.platform.http import BadInput, Request, RequestReader, answer_head
-from hollowusher.core.figures import Figures
-from hollowusher.log import Log
-from hollowusher.net.link import BACKLOG, Link
-from hollowusher.net.ring import MOST_BYTES
+from hollowusher.scheduler.fronts.platform.http import BadInput, Request, RequestReader, answer_head
+from hollowusher.scheduler.dispatch.metrics import Figures
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import BACKLOG, Link
+from hollowusher.scheduler.net.ring import MOST_BYTES
 
 IDLE_S = 300.0  # an idle connection is kept, since opening one costs the client time
 SEND_S = 10.0  # how long one answer may take to be read
--- a/hollowusher/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hazelweir.interface import Limits, ListCalls, ListKind, Rules
-from hollowusher.core.model import DeskEvent, NodeListTold
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.fronts.platform.http import AnswerReader
-from hollowusher.log import Log
-from hollowusher.net.link import Link, connect, out_of_descriptors
-from hollowusher.parts import Plain
-from hollowusher.rules.node_list import AskAgain, ListLines, ListRead, one_front, read_list
+from hollowusher.balancing.interface import Limits, ListCalls, ListKind, Rules
+from hollowusher.scheduler.dispatch.model import DeskEvent, NodeListTold
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.fronts.platform.http import AnswerReader
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
+from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.rules.node_list import AskAgain, ListLines, ListRead, one_front, read_list
 
 CONNECT_TIMEOUT_S = 1.0
 SILENT_S = 3.5  # an empty line comes every 2 s: after this the watch is broken, whatever the socket says
--- a/hollowusher/fronts/platform/http.py
+++ b/hollowusher/scheduler/fronts/platform/http.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from hollowusher.fronts.platform.answers import LineSplitter
+from hollowusher.scheduler.fronts.platform.answers import LineSplitter
 
 MOST_BODY = 64 * 1024
 MOST_HEAD = 16 * 1024
--- a/hollowusher/fronts/platform/http2.py
+++ b/hollowusher/scheduler/fronts/platform/http2.py
@@ -11,17 +11,17 @@
 
 from hpack import NeverIndexedHeaderTuple
 
-from hazelweir.interface import Outcome, Reading
-from hollowusher.core.model import AttemptEnded, DeskEvent, Dispatch, NodeProbed
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
-from hollowusher.fronts.platform.answers import MOST_LINE, LineSplitter, read_line, settled
-from hollowusher.fronts.platform.nodes import PlatformNodes
-from hollowusher.log import Log
-from hollowusher.net.http2.exchange import Exchange, Headers
-from hollowusher.net.http2.streams import Carrier
-from hollowusher.rules.stream_ends import Cause
-from hollowusher.rules.streams import Why
+from hollowusher.balancing.interface import Outcome, Reading
+from hollowusher.scheduler.dispatch.model import AttemptEnded, DeskEvent, Dispatch, NodeProbed
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
+from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, LineSplitter, read_line, settled
+from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.http2.exchange import Exchange, Headers
+from hollowusher.scheduler.net.http2.streams import Carrier
+from hollowusher.scheduler.rules.stream_ends import Cause
+from hollowusher.scheduler.rules.streams import Why
 
 TRAILER_S = 0.02  # how long a result may be held for the load report that the head says will follow it
 # A job that is still waiting goes back this long before its time is over: while the desk has it as unsent, it
--- a/hollowusher/fronts/platform/nodes.py
+++ b/hollowusher/scheduler/fronts/platform/nodes.py
@@ -6,16 +6,16 @@
 import time
 from collections.abc import Callable, Mapping
 
-from hazelweir.interface import Outcome
-from hollowusher.core.figures import Figures
-from hollowusher.core.model import AttemptEnded, DeskEvent, Dispatch, NodeProbed
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
-from hollowusher.fronts.platform.answers import MOST_LINE, read_line, settled
-from hollowusher.fronts.platform.http import AnswerReader
-from hollowusher.log import Log
-from hollowusher.net.link import Link
-from hollowusher.net.pool import NoRoom, Pool
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.dispatch.metrics import Figures
+from hollowusher.scheduler.dispatch.model import AttemptEnded, DeskEvent, Dispatch, NodeProbed
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
+from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, read_line, settled
+from hollowusher.scheduler.fronts.platform.http import AnswerReader
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import Link
+from hollowusher.scheduler.net.pool import NoRoom, Pool
 
 TAIL_TIMEOUT_S = 1.0  # how long the end of an answer may take before its connection is given up
 TAIL_BYTES = 4 * 1024  # and how much it may be: a last chunk, perhaps with trailers
--- a/hollowusher/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -16,17 +16,17 @@
 from dataclasses import dataclass
 from functools import partial
 
-from hazelweir.interface import Effect, JobClass
-from hollowusher.fronts.stomp.settings import StompConfig
-from hollowusher.core.model import Answer, DeskEvent, Job, JobTaken, ClientLeft, Verdict
-from hollowusher.fronts.common import (
+from hollowusher.balancing.interface import Effect, JobClass
+from hollowusher.scheduler.fronts.stomp.settings import StompConfig
+from hollowusher.scheduler.dispatch.model import Answer, DeskEvent, Job, JobTaken, ClientLeft, Verdict
+from hollowusher.scheduler.fronts.common import (
     FIRST_S, REQUEST_S, TRAVEL_NS, JobIds, printable, read_budget_ns,
 )
-from hollowusher.fronts.stomp.frames import FROM_CLIENT, Frame, FrameError
-from hollowusher.fronts.stomp.ledger import Entry, Finding, Ledger, fingerprint
-from hollowusher.fronts.stomp.wire import StompLink, read_beat
-from hollowusher.log import Log
-from hollowusher.net.link import Link
+from hollowusher.scheduler.fronts.stomp.frames import FROM_CLIENT, Frame, FrameError
+from hollowusher.scheduler.fronts.stomp.job_table import Entry, Finding, Ledger, fingerprint
+from hollowusher.scheduler.fronts.stomp.wire import StompLink, read_beat
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import Link
 
 JOBS, ANSWERS = "/queue/jobs", "/queue/answers"
 FLUSH_S = 2.0  # how long the last frames to a client may take
--- a/hollowusher/fronts/stomp/front.py
+++ b/hollowusher/scheduler/fronts/stomp/front.py
@@ -5,16 +5,16 @@
 import asyncio
 from collections.abc import Callable, Mapping
 
-from hazelweir.interface import JobClass, Listed
-from hollowusher.config import Config
-from hollowusher.core.model import DeskEvent
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.floor import Floor
-from hollowusher.fronts.common import JobIds
-from hollowusher.fronts.stomp.nodes import StompNodes
-from hollowusher.fronts.stomp.clients import StompClients
-from hollowusher.log import Log
-from hollowusher.net.link import listen
+from hollowusher.balancing.interface import JobClass, Listed
+from hollowusher.scheduler.config import Config
+from hollowusher.scheduler.dispatch.model import DeskEvent
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.effects import Floor
+from hollowusher.scheduler.fronts.common import JobIds
+from hollowusher.scheduler.fronts.stomp.nodes import StompNodes
+from hollowusher.scheduler.fronts.stomp.clients import StompClients
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import listen
 
 
 class StompFront:
--- a/hollowusher/fronts/stomp/ledger.py
+++ b/hollowusher/scheduler/fronts/stomp/job_table.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import Any
 
-from hazelweir.interface import Effect
-from hollowusher.core.model import Answer, Job, Verdict
+from hollowusher.balancing.interface import Effect
+from hollowusher.scheduler.dispatch.model import Answer, Job, Verdict
 
 ENTRY_BYTES = 768  # what an entry takes besides its texts and its answer
 
--- a/hollowusher/fronts/stomp/nodes.py
+++ b/hollowusher/scheduler/fronts/stomp/nodes.py
@@ -14,16 +14,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hazelweir.interface import Outcome, State
-from hollowusher.core.model import (
+from hollowusher.balancing.interface import Outcome, State
+from hollowusher.scheduler.dispatch.model import (
     AttemptEnded, AttemptProgress, AttemptStarted, DeskEvent, Dispatch, NodeProbed,
 )
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
-from hollowusher.fronts.stomp.frames import FROM_SERVER, Frame, FrameError
-from hollowusher.fronts.stomp.wire import Fate, Outgoing, StompLink, read_beat
-from hollowusher.log import Log
-from hollowusher.net.link import connect
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
+from hollowusher.scheduler.fronts.stomp.frames import FROM_SERVER, Frame, FrameError
+from hollowusher.scheduler.fronts.stomp.wire import Fate, Outgoing, StompLink, read_beat
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import connect
 
 NODE_JOBS, NODE_WITHDRAWN, NODE_LOAD = "/queue/jobs", "/queue/withdrawn", "/queue/load"
 NODE_REPORTS = "/queue/reports"
--- a/hollowusher/fronts/stomp/settings.py
+++ b/hollowusher/scheduler/fronts/stomp/settings.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from hollowusher.settings.model import (
+from hollowusher.scheduler.settings.model import (
     Directive, Section, address, count, number, size, span, switch, word,
 )
-from hollowusher.settings.reader import Sheet
+from hollowusher.scheduler.settings.reader import Sheet
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollowusher/fronts/stomp/wire.py
+++ b/hollowusher/scheduler/fronts/stomp/wire.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from hollowusher.fronts.stomp.frames import Frame, FrameError, FrameReader, encode
-from hollowusher.net.link import Link
+from hollowusher.scheduler.fronts.stomp.frames import Frame, FrameError, FrameReader, encode
+from hollowusher.scheduler.net.link import Link
 
 WRITE_S = 10.0  # how long the other side may take to read one frame
 BEAT_GRACE = 2.0  # times the promised span that the other side may be silent: its beats may come late
--- a/hollowusher/lab/compare.py
+++ b/hollowusher/scheduler/lab/compare.py
@@ -15,7 +15,7 @@
 
 from scipy.stats import t as student
 
-from hollowusher.settings.model import ConfigError
+from hollowusher.scheduler.settings.model import ConfigError
 
 SERIES = "series.csv"
 BETTER_HIGH = {"share": True, "worst_10_s": True, "suspicions": False, "second_runs": False,
--- a/hollowusher/lab/faults_page.py
+++ b/hollowusher/scheduler/lab/faults_page.py
@@ -8,11 +8,11 @@
 
 from matplotlib.figure import Figure
 
-from hollowusher.emulator.faults.checks import Course, Finding
-from hollowusher.emulator.faults.history import RIG, Entry, acts
-from hollowusher.emulator.script import Script
-from hollowusher.lab.page import STYLE, csv_rows, svg, table
-from hollowusher.rules.membership.events import Change
+from hollowusher.scheduler.emulator.faults.checks import Course, Finding
+from hollowusher.scheduler.emulator.faults.history import RIG, Entry, acts
+from hollowusher.scheduler.emulator.script import Script
+from hollowusher.scheduler.lab.page import STYLE, csv_rows, svg, table
+from hollowusher.scheduler.rules.membership.events import Change
 
 _MOST_ROWS = 60
 _COLOURS = {"kill": "#999", "stop": "#bbb", "pause": "#e8a33d", "starve": "#f3cf8a", "twin": "#b48ad6",
--- a/hollowusher/lab/page.py
+++ b/hollowusher/scheduler/lab/page.py
@@ -16,7 +16,7 @@
 matplotlib.use("svg")  # no display, and no window that a person must close
 from matplotlib.figure import Figure
 
-from hollowusher.settings.model import ConfigError
+from hollowusher.scheduler.settings.model import ConfigError
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 MOST_US = 3_600_000_000  # an hour
--- a/hollowusher/log.py
+++ b/hollowusher/scheduler/log.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from datetime import UTC, datetime
 
-from hollowusher.logs.outlet import Later, Outlet
+from hollowusher.scheduler.logs.outlet import Later, Outlet
 
 _FACILITY = 16  # local0
 _ERROR, _WARNING, _NOTICE, _INFO = 3, 4, 5, 6
--- a/hollowusher/net/accept.py
+++ b/hollowusher/scheduler/net/accept.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable, Coroutine
 
-from hollowusher.net.link import Link, listen
-from hollowusher.net.ring import MOST_BYTES
+from hollowusher.scheduler.net.link import Link, listen
+from hollowusher.scheduler.net.ring import MOST_BYTES
 
 AGAIN_S = 0.2  # where no descriptor is left: those who wait are served when there is one
 
--- a/hollowusher/net/http2/exchange.py
+++ b/hollowusher/scheduler/net/http2/exchange.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable
 from typing import Generic, Protocol, TypeVar
 
-from hazelweir.interface import Outcome
-from hollowusher.rules.streams import Why
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.rules.streams import Why
 
 T = TypeVar("T")
 T_co = TypeVar("T_co", covariant=True)
--- a/hollowusher/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -19,13 +19,13 @@
 )
 from h2.exceptions import H2Error, NoAvailableStreamIDError, TooManyStreamsError
 
-from hazelweir.interface import Outcome
-from hollowusher.net.http2.exchange import MOST_INTERIM, Exchange
-from hollowusher.net.http2.guarded import GuardedConnection
-from hollowusher.net.http2.settings import Http2Config
-from hollowusher.rules.pulse import Beat, FrameBudget, Pulse
-from hollowusher.rules.stream_ends import Cause, outcome
-from hollowusher.rules.streams import Why
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.net.http2.exchange import MOST_INTERIM, Exchange
+from hollowusher.scheduler.net.http2.guarded import GuardedConnection
+from hollowusher.scheduler.net.http2.settings import Http2Config
+from hollowusher.scheduler.rules.pulse import Beat, FrameBudget, Pulse
+from hollowusher.scheduler.rules.stream_ends import Cause, outcome
+from hollowusher.scheduler.rules.streams import Why
 
 PIECE = 16 * 1024  # what is made for one write; a frame may go over it
 ACKNOWLEDGE = 32 * 1024  # bytes taken before the node is told that its windows are open again
--- a/hollowusher/net/http2/settings.py
+++ b/hollowusher/scheduler/net/http2/settings.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from fnmatch import fnmatchcase
 
-from hollowusher.settings.model import Directive, Section, count, size, span, switch, words
-from hollowusher.settings.reader import Sheet
+from hollowusher.scheduler.settings.model import Directive, Section, count, size, span, switch, words
+from hollowusher.scheduler.settings.reader import Sheet
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollowusher/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from hazelweir.interface import Outcome
-from hollowusher.log import Log
-from hollowusher.net.http2.exchange import Exchange
-from hollowusher.net.http2.session import Session
-from hollowusher.net.http2.settings import Http2Config
-from hollowusher.net.http2.wire import Wire
-from hollowusher.net.pool import NoRoom, Pool
-from hollowusher.parts import Plain
-from hollowusher.rules.stream_ends import Cause, outcome
-from hollowusher.rules.streams import Act, Close, Give, Open, StreamBook, StreamLimits, TurnBack, Why
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.http2.exchange import Exchange
+from hollowusher.scheduler.net.http2.session import Session
+from hollowusher.scheduler.net.http2.settings import Http2Config
+from hollowusher.scheduler.net.http2.wire import Wire
+from hollowusher.scheduler.net.pool import NoRoom, Pool
+from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.rules.stream_ends import Cause, outcome
+from hollowusher.scheduler.rules.streams import Act, Close, Give, Open, StreamBook, StreamLimits, TurnBack, Why
 
 T = TypeVar("T")
 BEAT_S = 0.1  # between two looks at what is open or waits
--- a/hollowusher/net/http2/wire.py
+++ b/hollowusher/scheduler/net/http2/wire.py
@@ -9,9 +9,9 @@
 
 from h2.exceptions import ProtocolError
 
-from hollowusher.net.http2.session import Owner, Session
-from hollowusher.net.http2.settings import Http2Config
-from hollowusher.net.link import Link
+from hollowusher.scheduler.net.http2.session import Owner, Session
+from hollowusher.scheduler.net.http2.settings import Http2Config
+from hollowusher.scheduler.net.link import Link
 
 STUCK_S = 0.14  # a write that takes longer could carry a new job past the 250 ms after its node's drain
 PARTING_S = 0.2  # how long our own GOAWAY may take
--- a/hollowusher/net/link.py
+++ b/hollowusher/scheduler/net/link.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Callable
 
-from hollowusher.net.ring import MOST_BYTES, RingBuffer
+from hollowusher.scheduler.net.ring import MOST_BYTES, RingBuffer
 
 BACKLOG = 512  # connections that the kernel accepts ahead of us
 LINGER_PACE_S = 0.001  # between two receives of bytes that nobody wants
--- a/hollowusher/net/copies/gate.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -5,15 +5,15 @@
 import time
 from collections.abc import Callable
 
-from hazelweir.interface import Outcome
-from hollowusher.core.model import (
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.dispatch.model import (
     Answer, Attempt, AttemptEnded, DeskEvent, Dispatch, Job, JobTaken, Order, Reply, ClientLeft, Verdict,
     Withdraw,
 )
-from hollowusher.core.roster import Roster
-from hollowusher.net.copies.node import CopiesNode
-from hollowusher.rules.copies.custody import Act, Do
-from hollowusher.rules.copies.records import Answered, Taken
+from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.net.log_replication.node import CopiesNode
+from hollowusher.scheduler.rules.log_replication.job_replication import Act, Do
+from hollowusher.scheduler.rules.log_replication.records import Answered, Taken
 
 
 class Gate:
--- a/hollowusher/net/copies/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -12,17 +12,17 @@
 from collections.abc import Callable, Hashable, Mapping
 from dataclasses import dataclass, field
 
-from hazelweir.interface import JobClass
-from hollowusher.log import Log
-from hollowusher.net.copies.settings import CopiesConfig
-from hollowusher.net.copies.storage import Folder, Nowhere, Storage
-from hollowusher.net.copies.wire import Incoming, Message, Outgoing, frame
-from hollowusher.parts import Plain
-from hollowusher.rules.copies.custody import Act, Custody, Found, Seek
-from hollowusher.rules.copies.keeper import Keeper
-from hollowusher.rules.copies.pace import Pace
-from hollowusher.rules.copies.records import Answered, Taken
-from hollowusher.rules.copies.replica import Store
+from hollowusher.balancing.interface import JobClass
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.log_replication.settings import CopiesConfig
+from hollowusher.scheduler.net.log_replication.storage import Folder, Nowhere, Storage
+from hollowusher.scheduler.net.log_replication.wire import Incoming, Message, Outgoing, frame
+from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Found, Seek
+from hollowusher.scheduler.rules.log_replication.keeper import Keeper
+from hollowusher.scheduler.rules.log_replication.pace import Pace
+from hollowusher.scheduler.rules.log_replication.records import Answered, Taken
+from hollowusher.scheduler.rules.log_replication.replica import Store
 
 TICK_S = 0.1
 REOPEN_S = 1.0  # after a failed write; nothing is promised meanwhile
--- a/hollowusher/net/copies/settings.py
+++ b/hollowusher/scheduler/net/log_replication/settings.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from hollowusher.settings.model import Directive, Section, address, count, span, switch, word, words
-from hollowusher.settings.reader import Sheet
+from hollowusher.scheduler.settings.model import Directive, Section, address, count, span, switch, word, words
+from hollowusher.scheduler.settings.reader import Sheet
 
 Address = tuple[str, int]
 
--- a/hollowusher/net/copies/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -17,8 +17,8 @@
 import xxhash
 from msgspec import Struct
 
-from hollowusher.rules.copies.messages import Entry
-from hollowusher.rules.copies.replica import Kept, Store
+from hollowusher.scheduler.rules.log_replication.messages import Entry
+from hollowusher.scheduler.rules.log_replication.replica import Kept, Store
 
 MAGIC = b"hollowusher copies 1\n"
 _HEAD = struct.Struct(">IQ")
--- a/hollowusher/net/copies/wire.py
+++ b/hollowusher/scheduler/net/log_replication/wire.py
@@ -11,10 +11,10 @@
 import msgspec
 import xxhash
 
-from hollowusher.net.accept import Acceptor
-from hollowusher.net.link import Link, connect
-from hollowusher.rules.copies.custody import Found, Seek
-from hollowusher.rules.copies.messages import (
+from hollowusher.scheduler.net.accept import Acceptor
+from hollowusher.scheduler.net.link import Link, connect
+from hollowusher.scheduler.rules.log_replication.job_replication import Found, Seek
+from hollowusher.scheduler.rules.log_replication.messages import (
     Append, Appended, Ask, HandBack, Image, Imaged, Learn, TakeOver, Taught, Vote,
 )
 
--- a/hollowusher/net/peers/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -15,14 +15,14 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from hollowusher.net.peers.settings import PeersConfig
-from hollowusher.parts import Plain
-from hollowusher.rules.membership.budget import Budget
-from hollowusher.rules.membership.codec import MAGIC, Codec
-from hollowusher.rules.membership.events import Told
-from hollowusher.rules.membership.member import Member
-from hollowusher.rules.membership.messages import MOST_LIFE, Message
-from hollowusher.rules.membership.pace import Pace
+from hollowusher.scheduler.net.membership.settings import PeersConfig
+from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.rules.membership.budget import Budget
+from hollowusher.scheduler.rules.membership.codec import MAGIC, Codec
+from hollowusher.scheduler.rules.membership.events import Told
+from hollowusher.scheduler.rules.membership.member import Member
+from hollowusher.scheduler.rules.membership.messages import MOST_LIFE, Message
+from hollowusher.scheduler.rules.membership.pace import Pace
 
 Address = tuple[str, int]
 MOST_HEARD = 1024  # names whose address is remembered from their datagrams
--- a/hollowusher/net/peers/settings.py
+++ b/hollowusher/scheduler/net/membership/settings.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from hollowusher.settings.model import ConfigError, Directive, Section, address, count, switch, word
-from hollowusher.settings.reader import Sheet
+from hollowusher.scheduler.settings.model import ConfigError, Directive, Section, address, count, switch, word
+from hollowusher.scheduler.settings.reader import Sheet
 
 Address = tuple[str, int]
 
--- a/hollowusher/net/peers/words.py
+++ b/hollowusher/scheduler/net/membership/words.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hollowusher.log import Log
-from hollowusher.rules.membership.events import Change, Told
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.rules.membership.events import Change, Told
 
 _GRAVE = {Change.DIED, Change.TWIN, Change.DEAF, Change.MINORITY, Change.PAUSED}
 
--- a/hollowusher/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -7,10 +7,10 @@
 import time
 from collections.abc import Callable
 
-from hazelweir.memory import Memory
-from hollowusher.core.desk import DispatchDesk
-from hollowusher.core.model import DeskEvent, Order, TimeCame, WakeDesk
-from hollowusher.log import Log
+from hollowusher.balancing.learned_state import Memory
+from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
+from hollowusher.scheduler.dispatch.model import DeskEvent, Order, TimeCame, WakeDesk
+from hollowusher.scheduler.log import Log
 
 _NS_PER_MS = 1_000_000
 
--- a/hollowusher/net/pool.py
+++ b/hollowusher/scheduler/net/pool.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from hollowusher.net.link import Link, connect, out_of_descriptors
-from hollowusher.net.ring import MOST_BYTES
+from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
+from hollowusher.scheduler.net.ring import MOST_BYTES
 
 IDLE_SHARE = 0.7  # of the node's idle time: a request written once the node has closed ends as a reset
 
--- a/hollowusher/net/reports/settings.py
+++ b/hollowusher/scheduler/net/reports/settings.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hollowusher.settings.model import Directive, Section, address
-from hollowusher.settings.reader import Sheet
+from hollowusher.scheduler.settings.model import Directive, Section, address
+from hollowusher.scheduler.settings.reader import Sheet
 
 REPORTS = Section("reports", "Reports of a running scheduler (docs/membership.md). Off on the platform.", (
     Directive("listen", address(), None, "where they are asked for, by `members` and others; loopback only"),
--- a/hollowusher/net/shared/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -7,16 +7,16 @@
 import time
 from collections.abc import Mapping
 
-from hollowusher.core.model import AttemptEnded, DeskEvent, JobTaken
-from hollowusher.core.roster import Roster
-from hollowusher.log import Log
-from hollowusher.net.peers.node import PeerNode
-from hollowusher.net.shared.settings import SharedConfig
-from hollowusher.parts import Plain
-from hollowusher.rules.membership.budget import Budget
-from hollowusher.rules.shared.judgements import tells
-from hollowusher.rules.shared.sharer import Sharer
-from hollowusher.rules.shared.wire import Codec, Message
+from hollowusher.scheduler.dispatch.model import AttemptEnded, DeskEvent, JobTaken
+from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.membership.node import PeerNode
+from hollowusher.scheduler.net.shared_state.settings import SharedConfig
+from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.rules.membership.budget import Budget
+from hollowusher.scheduler.rules.shared_state.judgements import tells
+from hollowusher.scheduler.rules.shared_state.sharer import Sharer
+from hollowusher.scheduler.rules.shared_state.wire import Codec, Message
 
 PERMIT_NS = 80_000_000
 MOST_LETTERS = 2  # to one member at a time
--- a/hollowusher/net/shared/settings.py
+++ b/hollowusher/scheduler/net/shared_state/settings.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from hollowusher.settings.model import Directive, Section, count, span, switch
-from hollowusher.settings.reader import Sheet
+from hollowusher.scheduler.settings.model import Directive, Section, count, span, switch
+from hollowusher.scheduler.settings.reader import Sheet
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollowusher/operations.py
+++ b/hollowusher/scheduler/operations.py
@@ -11,25 +11,25 @@
 from collections.abc import Iterable, Iterator
 from typing import TYPE_CHECKING
 
-from hazelweir.memory import Memory
-from hollowusher.config import Config
-from hollowusher.core.figures import Figures
-from hollowusher.core.model import MemoryHanded
-from hollowusher.core.roster import Roster
-from hollowusher.floor import Floor
-from hollowusher.fronts.common import JobIds
-from hollowusher.fronts.platform.clients import PlatformClients
-from hollowusher.fronts.platform.discovery import NodeListWatch
-from hollowusher.log import Log
-from hollowusher.net.link import bind
-from hollowusher.net.owner import DeskOwner
-from hollowusher.net.pool import Pool
-from hollowusher.parts import Part
+from hollowusher.balancing.learned_state import Memory
+from hollowusher.scheduler.config import Config
+from hollowusher.scheduler.dispatch.metrics import Figures
+from hollowusher.scheduler.dispatch.model import MemoryHanded
+from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.effects import Floor
+from hollowusher.scheduler.fronts.common import JobIds
+from hollowusher.scheduler.fronts.platform.clients import PlatformClients
+from hollowusher.scheduler.fronts.platform.discovery import NodeListWatch
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import bind
+from hollowusher.scheduler.net.owner import DeskOwner
+from hollowusher.scheduler.net.pool import Pool
+from hollowusher.scheduler.component import Part
 
 if TYPE_CHECKING:
-    from hollowusher.operators.detached import DetachedWorkers
-    from hollowusher.replacement.directory import SharedDirectory
-    from hollowusher.replacement.process import Replacement
+    from hollowusher.scheduler.operators.detached import DetachedWorkers
+    from hollowusher.scheduler.replacement.directory import SharedDirectory
+    from hollowusher.scheduler.replacement.process import Replacement
 
 SPARE_SOCKETS = 72  # for the log, the list, operators, the listeners and the loop itself
 NODE_SHARE = 0.45  # of the other sockets, for connections to nodes
@@ -52,8 +52,8 @@
         self.replacement: Replacement | None = None
         self._detached: DetachedWorkers | None = None
         if config.shared_directory is not None:
-            from hollowusher.replacement.directory import SharedDirectory
-            from hollowusher.replacement.process import Replacement
+            from hollowusher.scheduler.replacement.directory import SharedDirectory
+            from hollowusher.scheduler.replacement.process import Replacement
 
             directory = SharedDirectory(config.shared_directory, config.listen)
             try:
@@ -99,9 +99,9 @@
         """The part that answers operators, where the configuration has an address for it."""
         if self._config.operators is None:
             return
-        from hollowusher.operators.detached import DetachedWorkers
-        from hollowusher.operators.figures import lines
-        from hollowusher.operators.server import OperatorsServer
+        from hollowusher.scheduler.operators.detached import DetachedWorkers
+        from hollowusher.scheduler.operators.figures import lines
+        from hollowusher.scheduler.operators.server import OperatorsServer
 
         self._detached = DetachedWorkers(
             self._roster, self._directory, self._owner.post, self._floor.leaving, self._log)
@@ -123,7 +123,7 @@
         """Take over what another process of this scheduler hands over, if one runs."""
         if self.replacement is None:
             return
-        from hollowusher.replacement.workers import from_records
+        from hollowusher.scheduler.replacement.workers import from_records
 
         handover = await self.replacement.arrive()
         if handover is not None:
--- a/hollowusher/operators/detached.py
+++ b/hollowusher/scheduler/operators/detached.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from hollowusher.core.model import DeskEvent
-from hollowusher.core.roster import Roster
-from hollowusher.log import Log
-from hollowusher.replacement.directory import SharedDirectory
+from hollowusher.scheduler.dispatch.model import DeskEvent
+from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.replacement.directory import SharedDirectory
 
 
 class DetachedWorkers:
--- a/hollowusher/operators/figures.py
+++ b/hollowusher/scheduler/operators/figures.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from hollowusher.core.figures import Figures
+from hollowusher.scheduler.dispatch.metrics import Figures
 
 PREFIX = "proxy"
 
--- a/hollowusher/reload.py
+++ b/hollowusher/scheduler/reload.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import fields
 
-from hollowusher.config import Config
-from hollowusher.core.figures import Figures
-from hollowusher.log import Log
-from hollowusher.settings.model import ConfigError
-from hollowusher.settings.platform import lost_keys
+from hollowusher.scheduler.config import Config
+from hollowusher.scheduler.dispatch.metrics import Figures
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.settings.model import ConfigError
+from hollowusher.scheduler.settings.platform import lost_keys
 
 TOLD_ONCE = ("known", "seed", "table")  # news at a start only: a running scheduler knows better
 
--- a/hollowusher/replacement/directory.py
+++ b/hollowusher/scheduler/replacement/directory.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from hollowusher.replacement.records import (
+from hollowusher.scheduler.replacement.records import (
     Handover, Phase, ProcessRecord, RecordError, read_record, write_record,
 )
 
--- a/hollowusher/replacement/process.py
+++ b/hollowusher/scheduler/replacement/process.py
@@ -5,15 +5,15 @@
 import asyncio
 from collections.abc import Callable, Mapping
 
-from hazelweir.memory import Memory
-from hollowusher.core.model import BudgetShared, DeskEvent
-from hollowusher.core.roster import Roster
-from hollowusher.fronts.common import JobIds
-from hollowusher.log import Log
-from hollowusher.replacement.directory import Other, SharedDirectory
-from hollowusher.replacement.records import Handover, Phase, RecordError
-from hollowusher.replacement.workers import to_records
-from hollowusher.parts import Plain
+from hollowusher.balancing.learned_state import Memory
+from hollowusher.scheduler.dispatch.model import BudgetShared, DeskEvent
+from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.fronts.common import JobIds
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.replacement.directory import Other, SharedDirectory
+from hollowusher.scheduler.replacement.records import Handover, Phase, RecordError
+from hollowusher.scheduler.replacement.workers import to_records
+from hollowusher.scheduler.component import Plain
 
 POLL_S = 0.05  # between two looks at the shared directory
 HANDOVER_S = 2.0  # how long a process that starts waits for what an older one hands over
--- a/hollowusher/replacement/records.py
+++ b/hollowusher/scheduler/replacement/records.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from hazelweir.memory import Memory
+from hollowusher.balancing.learned_state import Memory
 
 VERSION = 1
 MOST_BYTES = 8 * 1024 * 1024
--- a/hollowusher/replacement/workers.py
+++ b/hollowusher/scheduler/replacement/workers.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from hazelweir.interface import Listed, State
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.replacement.records import WorkerRecord
+from hollowusher.balancing.interface import Listed, State
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.replacement.records import WorkerRecord
 
 
 def to_records(roster: Roster) -> list[WorkerRecord]:
--- a/hollowusher/retune.py
+++ b/hollowusher/scheduler/retune.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from hazelweir.interface import JobClass, Settings
-from hollowusher.core.model import DeskEvent, SettingsTold
-from hollowusher.log import Log
+from hollowusher.balancing.interface import JobClass, Settings
+from hollowusher.scheduler.dispatch.model import DeskEvent, SettingsTold
+from hollowusher.scheduler.log import Log
 
 DROPPED_S = 1.2  # clients go on using a class for so long after it was dropped
 
--- a/hollowusher/rules/copies/custody.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -12,10 +12,10 @@
 
 from msgspec import Struct
 
-from hazelweir.interface import Effect, JobClass
-from hollowusher.rules.copies.keeper import Adopted, Keeper
-from hollowusher.rules.copies.records import Answered, Ended, Forgotten, Held, Intent, Taken
-from hollowusher.rules.copies.takeover import Next
+from hollowusher.balancing.interface import Effect, JobClass
+from hollowusher.scheduler.rules.log_replication.keeper import Adopted, Keeper
+from hollowusher.scheduler.rules.log_replication.records import Answered, Ended, Forgotten, Held, Intent, Taken
+from hollowusher.scheduler.rules.log_replication.takeover import Next
 
 SEEK_AGAIN_MS = 200  # between two questions about a job that another scheduler is working on
 SEEK_MS = 600  # how long a job that comes again may stay unknown before its client is told to come later
--- a/hollowusher/rules/copies/keeper.py
+++ b/hollowusher/scheduler/rules/log_replication/keeper.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from hazelweir.interface import JobClass
-from hollowusher.rules.copies.groups import group_of, kept_by
-from hollowusher.rules.copies.messages import HandBack, Message
-from hollowusher.rules.copies.pace import Pace
-from hollowusher.rules.copies.records import Answered, Book, Forgotten, Held, Intent, Record, pack, unpack
-from hollowusher.rules.copies.replica import Kept, Replica, Role, Store
-from hollowusher.rules.copies.takeover import Bound, Next, allowed, next_of
+from hollowusher.balancing.interface import JobClass
+from hollowusher.scheduler.rules.log_replication.groups import group_of, kept_by
+from hollowusher.scheduler.rules.log_replication.messages import HandBack, Message
+from hollowusher.scheduler.rules.log_replication.pace import Pace
+from hollowusher.scheduler.rules.log_replication.records import Answered, Book, Forgotten, Held, Intent, Record, pack, unpack
+from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role, Store
+from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
 
 COMPACT_ENTRIES = 4_096  # beyond this many, a log's entries give way to an image of its book
 FORGET_BATCH = 256
--- a/hollowusher/rules/copies/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hollowusher.rules.copies.messages import (
+from hollowusher.scheduler.rules.log_replication.messages import (
     MOST_ENTRIES, PIECE, Append, Appended, Ask, Entry, HandBack, Image, Imaged, Learn, Message, Standing,
     TakeOver, Taught, Vote,
 )
-from hollowusher.rules.copies.pace import Pace
+from hollowusher.scheduler.rules.log_replication.pace import Pace
 
 
 class Role(Enum):
--- a/hollowusher/rules/copies/takeover.py
+++ b/hollowusher/scheduler/rules/log_replication/takeover.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from hazelweir.interface import Effect, Group, JobClass
-from hollowusher.rules.copies.records import Held
+from hollowusher.balancing.interface import Effect, Group, JobClass
+from hollowusher.scheduler.rules.log_replication.records import Held
 
 SPARE_MS = 50  # less than this before its client gives up, nothing is begun
 
--- a/hollowusher/rules/membership/codec.py
+++ b/hollowusher/scheduler/rules/membership/codec.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from hollowusher.rules.membership.messages import HEAD_BYTES, MOST_DATAGRAM, Message
+from hollowusher.scheduler.rules.membership.messages import HEAD_BYTES, MOST_DATAGRAM, Message
 
 MAGIC, VERSION = b"hu", 1
 MOST_NEWS, MOST_HASHES = 64, 64
--- a/hollowusher/rules/membership/gossip.py
+++ b/hollowusher/scheduler/rules/membership/gossip.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from itertools import count
 
-from hollowusher.rules.membership.messages import News, news_bytes
+from hollowusher.scheduler.rules.membership.messages import News, news_bytes
 
 SPREAD = 4  # lambda of SWIM's section 4.1: times log of the members that one news is sent by each
 
--- a/hollowusher/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -15,12 +15,12 @@
 
 from msgspec.structs import replace
 
-from hollowusher.rules.membership.events import Change, Told
-from hollowusher.rules.membership.gossip import Gossip
-from hollowusher.rules.membership.messages import (
+from hollowusher.scheduler.rules.membership.events import Change, Told
+from hollowusher.scheduler.rules.membership.gossip import Gossip
+from hollowusher.scheduler.rules.membership.messages import (
     MOST_LIFE, Kind, Message, News, Standing, message_bytes, news_bytes,
 )
-from hollowusher.rules.membership.pace import Pace
+from hollowusher.scheduler.rules.membership.pace import Pace
 
 BUCKETS = 12  # parts of a digest: what differs is sent by the part
 MOST_PAGES = 32  # datagrams that answer one digest
--- a/hollowusher/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from hazelweir.interface import Listed, State
-from hollowusher.core.roster import MOST_NODES, Roster, RouteNode
+from hollowusher.balancing.interface import Listed, State
+from hollowusher.scheduler.dispatch.worker_registry import MOST_NODES, Roster, RouteNode
 
 _STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 _TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
--- a/hollowusher/rules/shared/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -16,7 +16,7 @@
 
 from msgspec import Struct
 
-from hazelweir.interface import Outcome
+from hollowusher.balancing.interface import Outcome
 
 HALF_NS = 3_000_000_000  # in which a score fades by half
 GOOD_HALF_NS = 700_000_000  # and one for a node, sooner: what was good may have failed since
--- a/hollowusher/rules/shared/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -11,10 +11,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from hollowusher.rules.shared.budgets import Ask, Budgets, Grant
-from hollowusher.rules.shared.counts import Counts, Told
-from hollowusher.rules.shared.judgements import Judgements, Seen
-from hollowusher.rules.shared.wire import Message
+from hollowusher.scheduler.rules.shared_state.budgets import Ask, Budgets, Grant
+from hollowusher.scheduler.rules.shared_state.counts import Counts, Told
+from hollowusher.scheduler.rules.shared_state.judgements import Judgements, Seen
+from hollowusher.scheduler.rules.shared_state.wire import Message
 
 BEAT_NS = 200_000_000
 FANOUT = 3  # members that are told in each beat
--- a/hollowusher/rules/shared/wire.py
+++ b/hollowusher/scheduler/rules/shared_state/wire.py
@@ -9,9 +9,9 @@
 import msgspec
 import xxhash
 
-from hollowusher.rules.shared.budgets import Ask, Grant
-from hollowusher.rules.shared.counts import Told
-from hollowusher.rules.shared.judgements import Seen
+from hollowusher.scheduler.rules.shared_state.budgets import Ask, Grant
+from hollowusher.scheduler.rules.shared_state.counts import Told
+from hollowusher.scheduler.rules.shared_state.judgements import Seen
 
 MAGIC, VERSION = b"hs", 1
 MOST_DATAGRAM = 256
--- a/hollowusher/rules/stream_ends.py
+++ b/hollowusher/scheduler/rules/stream_ends.py
@@ -9,7 +9,7 @@
 
 from enum import Enum
 
-from hazelweir.interface import Outcome
+from hollowusher.balancing.interface import Outcome
 
 
 class Cause(Enum):
--- a/hollowusher/settings/page.py
+++ b/hollowusher/scheduler/settings/page.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from hollowusher.settings.model import Directive, Section
+from hollowusher.scheduler.settings.model import Directive, Section
 
 
 def tables(sections: Iterable[Section]) -> str:
--- a/hollowusher/settings/reader.py
+++ b/hollowusher/scheduler/settings/reader.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from hollowusher.settings.model import ConfigError, Section, SettingsError
+from hollowusher.scheduler.settings.model import ConfigError, Section, SettingsError
 
 MOST_FILE = 1024 * 1024  # bytes; a larger one is some other file
 
--- a/hollowusher/simulation/__main__.py
+++ b/hollowusher/simulation/__main__.py
@@ -91,7 +91,7 @@
 def play_script(file: str, seeds: Sequence[int], rate: float, go_on: bool, verbose: bool) -> bool:
     """Whether the days of a script kept all rules, with the given seeds or its own."""
     from hollowusher.simulation.day import scripted
-    from hollowusher.simulation.troubles.script import read_script
+    from hollowusher.simulation.faults.script import read_script
 
     script = read_script(Path(file))
     return play_seeds(seeds or script.seeds, scripted(script, rate), float("inf"), go_on, verbose)
--- a/hollowusher/simulation/day.py
+++ b/hollowusher/simulation/day.py
@@ -18,9 +18,9 @@
 from hollowusher.simulation.invariants import Broken, Rules, broken
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.simulation.observations import Trouble, Unwell
-from hollowusher.simulation.troubles.disks import FULL_DISK
-from hollowusher.simulation.troubles.script import Script, ScriptedTrouble
-from hollowusher.simulation.troubles.troublemaker import Troublemaker
+from hollowusher.simulation.faults.disks import FULL_DISK
+from hollowusher.simulation.faults.script import Script, ScriptedTrouble
+from hollowusher.simulation.faults.injector import Troublemaker
 from hollowusher.simulation.world import Builder, Size, World
 
 FINAL_READ_S = 8.0
--- a/hollowusher/simulation/troubles/disks.py
+++ b/hollowusher/simulation/faults/disks.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hollowusher.simulation.troubles.stage import Stage, Wanted, trouble
+from hollowusher.simulation.faults.stage import Stage, Wanted, trouble
 
 STALL_STEP_S = 0.05
 SLOW_FACTOR = 30.0
--- a/hollowusher/simulation/troubles/troublemaker.py
+++ b/hollowusher/simulation/faults/injector.py
@@ -10,9 +10,15 @@
 import random
 from collections.abc import Sequence
 
-from hollowusher.simulation.troubles import disks, links, machines, orders, power, processes, workers
-from hollowusher.simulation.troubles.script import ScriptedTrouble
-from hollowusher.simulation.troubles.stage import (
+from hollowusher.simulation.faults import disks
+from hollowusher.simulation.faults import links
+from hollowusher.simulation.faults import machines
+from hollowusher.simulation.faults import orders
+from hollowusher.simulation.faults import power
+from hollowusher.simulation.faults import processes
+from hollowusher.simulation.faults import workers
+from hollowusher.simulation.faults.script import ScriptedTrouble
+from hollowusher.simulation.faults.stage import (
     KINDS,
     Kind,
     OperatorActions,
--- a/hollowusher/simulation/troubles/links.py
+++ b/hollowusher/simulation/faults/links.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hollowusher.simulation.troubles.stage import Stage, Wanted, trouble
+from hollowusher.simulation.faults.stage import Stage, Wanted, trouble
 from hollowusher.simulation.world import Machine
 
 LENGTHS = (0.3, 1.5, 4.0, 7.0, 20.0)
--- a/hollowusher/simulation/troubles/power.py
+++ b/hollowusher/simulation/faults/power.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from hollowusher.simulation.troubles.stage import Stage, Wanted, trouble
+from hollowusher.simulation.faults.stage import Stage, Wanted, trouble
 from hollowusher.simulation.world import Machine
 
 End = Callable[[Machine], None]
--- a/hollowusher/simulation/troubles/processes.py
+++ b/hollowusher/simulation/faults/processes.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from hollowusher.simulation.observations import StopSeen
-from hollowusher.simulation.troubles.stage import GRACE_S, Stage, Wanted, trouble
+from hollowusher.simulation.faults.stage import GRACE_S, Stage, Wanted, trouble
 from hollowusher.simulation.world import CATCH_UP_S, Machine
 
 READY_STILL_S = 4.0  # a process that was told to stop should not count as ready after this
@@ -90,8 +90,8 @@
     """A store and a controller are lost at once, each within its own group's tolerance."""
     store = stage.chance.choice(stage.counting("store"))
     controller = stage.chance.choice(stage.counting("edge"))
-    from hollowusher.simulation.troubles.disks import lose
-    from hollowusher.simulation.troubles.links import cut_one_way
+    from hollowusher.simulation.faults.disks import lose
+    from hollowusher.simulation.faults.links import cut_one_way
 
     events = (kill, freeze, cut_one_way, reset, lose)
     await asyncio.gather(
--- a/hollowusher/simulation/troubles/script.py
+++ b/hollowusher/simulation/faults/script.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from hollowusher.simulation.troubles.stage import KINDS, Wanted
+from hollowusher.simulation.faults.stage import KINDS, Wanted
 from hollowusher.simulation.world import Size
 
 
--- a/hollowusher/simulation/troubles/workers.py
+++ b/hollowusher/simulation/faults/workers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hollowusher.simulation.troubles.stage import Stage, Wanted, trouble
+from hollowusher.simulation.faults.stage import Stage, Wanted, trouble
 
 USUAL_S = 10.0
 
--- a/hollowusher/simulation/model_check/agreement_model.py
+++ b/hollowusher/simulation/model_check/agreement_model.py
@@ -21,9 +21,9 @@
 
 import attrs
 
-from hollowusher.coordination import voting
-from hollowusher.coordination.view import Acceptor, as_ballot, first_view, majority, voter_id
-from hollowusher.coordination.voting import VotingMachine
+from hollowusher.coordination.consensus import voting
+from hollowusher.coordination.consensus.paxos import Acceptor, as_ballot, first_view, majority, voter_id
+from hollowusher.coordination.consensus.voting import VotingMachine
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.control import Accept, FirstTaken, Prepare, View, Voter
 from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint
--- a/hollowusher/simulation/model_check/commands.py
+++ b/hollowusher/simulation/model_check/commands.py
@@ -7,8 +7,8 @@
 
 import click
 
-from hollowusher.coordination.chain import ChainMember
-from hollowusher.coordination.voting import VotingMachine
+from hollowusher.coordination.chain.chain_member import ChainMember
+from hollowusher.coordination.consensus.voting import VotingMachine
 from hollowusher.simulation.model_check.agreement_model import AgreementBounds, AgreementModel
 from hollowusher.simulation.model_check.chain_model import ChainBounds, ChainModel
 from hollowusher.simulation.model_check.explorer import Bounds, Model, explore
--- a/hollowusher/simulation/model_check/partition_head.py
+++ b/hollowusher/simulation/model_check/partition_head.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from hollowusher.coordination.directory import StoreCondition
-from hollowusher.coordination.placement import CAUGHT_UP, replan
+from hollowusher.coordination.membership.directory import StoreCondition
+from hollowusher.coordination.placement.planner import CAUGHT_UP, replan
 from hollowusher.protocol.control import Member, Placement
 from hollowusher.simulation.model_check.partition_store import TOLERANCE
 
--- a/hollowusher/simulation/model_check/partition_planted.py
+++ b/hollowusher/simulation/model_check/partition_planted.py
@@ -6,7 +6,8 @@
 from contextlib import contextmanager
 from typing import Any
 
-from hollowusher.coordination import placement, store_states
+from hollowusher.coordination.placement import planner as placement
+from hollowusher.coordination.placement import replica_states as store_states
 from hollowusher.messages.hosting import PartitionHost
 from hollowusher.simulation.model_check import partition_head
 
--- a/hollowusher/simulation/model_check/planted.py
+++ b/hollowusher/simulation/model_check/planted.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from hollowusher.coordination.chain import ChainMember
-from hollowusher.coordination.voting import Answer, VotingMachine
+from hollowusher.coordination.chain.chain_member import ChainMember
+from hollowusher.coordination.consensus.voting import Answer, VotingMachine
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import Accepted, Prepare, Promise, View
 
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -4,22 +4,20 @@
 
 from typing import Any
 
-from hollowusher.coordination import (
-    agreement,
-    placement,
-    placement_duty,
-    reconfiguration,
-    view,
-    voter_group,
-    voter_plan,
-    voting,
-)
-from hollowusher.coordination.bootstrap import SeedService
-from hollowusher.coordination.chain import ChainMember
-from hollowusher.coordination.client import ClusterClient
-from hollowusher.coordination.replicator import Replicator
-from hollowusher.coordination.view import Acceptor
-from hollowusher.coordination.voting import VotingMachine
+from hollowusher.coordination.consensus import agreement
+from hollowusher.coordination.placement import planner as placement
+from hollowusher.coordination.placement import placement_manager as placement_duty
+from hollowusher.coordination.consensus import reconfiguration
+from hollowusher.coordination.consensus import paxos as view
+from hollowusher.coordination.consensus import voter_group
+from hollowusher.coordination.consensus import voter_set as voter_plan
+from hollowusher.coordination.consensus import voting
+from hollowusher.coordination.controller.bootstrap import SeedService
+from hollowusher.coordination.chain.chain_member import ChainMember
+from hollowusher.coordination.distribution.cluster_client import ClusterClient
+from hollowusher.coordination.chain.chain_replicator import Replicator
+from hollowusher.coordination.consensus.paxos import Acceptor
+from hollowusher.coordination.consensus.voting import VotingMachine
 from hollowusher.messages.hosting import PartitionHost
 from hollowusher.messages.service import StoreService
 from hollowusher.protocol.codec import evolve
@@ -59,12 +57,12 @@
     patches.set(VotingMachine, "_when_durable", when_durable)
 
 
-@planted(test="tests/control/test_agreement.py")
+@planted(test="tests/coordination/consensus/test_agreement.py")
 def _ballot_used_again(patches: Patches) -> None:
     _released_at_once(patches, voting._OwnVote)
 
 
-@planted(test="tests/control/test_agreement.py")
+@planted(test="tests/coordination/consensus/test_agreement.py")
 def _promise_sent_before_it_is_saved(patches: Patches) -> None:
     _released_at_once(patches, voting.Answer)
 
@@ -159,7 +157,7 @@
     _passed_on(patches, retiring={})
 
 
-@planted(test="tests/test_chain.py")
+@planted(test="tests/coordination/chain/test_chain.py")
 def _state_of_an_older_epoch_installed(patches: Patches) -> None:
     def keep(member: ChainMember, write: ChainWrite) -> None:
         member.state, member.state_epoch = write.state, member.epoch
@@ -247,7 +245,7 @@
     patches.set(PartitionHost, "place", place)
 
 
-@planted(test="tests/test_store_service.py")
+@planted(test="tests/messages/test_store_service.py")
 def _lease_given_without_followers(patches: Patches) -> None:
     async def committed(service: StoreService, host: Any, grant: Any) -> bool:
         return True
--- a/hollowusher/simulation/planted/partitions.py
+++ b/hollowusher/simulation/planted/partitions.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-from hollowusher.coordination import replicator as chain_replicator
+from hollowusher.coordination.chain import chain_replicator
 from hollowusher.intake import store_client
 from hollowusher.messages import records
 from hollowusher.messages.hosting import PartitionHost
@@ -66,12 +66,12 @@
     patches.set(PartitionHost, "place", place)
 
 
-@planted(test="tests/test_replication.py")
+@planted(test="tests/messages/test_replication.py")
 def _fence_not_checked(patches: Patches) -> None:
     patches.set(PartitionTable, "promise", lambda table, epoch: None)
 
 
-@planted(test="tests/test_replication.py")
+@planted(test="tests/messages/test_replication.py")
 def _old_primary_serves_on(patches: Patches) -> None:
     patches.set(PartitionHost, "resign", lambda host: None)
 
--- a/hollowusher/simulation/planted/registry.py
+++ b/hollowusher/simulation/planted/registry.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from hollowusher.simulation.day import DayPlan
-from hollowusher.simulation.troubles.script import ScriptedTrouble
-from hollowusher.simulation.troubles.stage import Wanted
+from hollowusher.simulation.faults.script import ScriptedTrouble
+from hollowusher.simulation.faults.stage import Wanted
 from hollowusher.simulation.world import Size
 
 HERDS = ("herd_kill", "herd_power", "herd_disk")
--- /dev/null
+++ b/tests/balancing/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the balancing module."""
--- a/tests/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from hazelweir import (
+from hollowusher.balancing import (
     Arrival, Discovery, Effect, JobClass, ListKind, Outcome, Prices, Probe, Probed, Reading, Refuse, Send,
     Wake, Watch, Woken,
 )
-from tests.support import MS, SAFE, SITE, UNSAFE, Crew, S, Node, only, sends, site, workers
+from tests.support.balancer import MS, SAFE, SITE, UNSAFE, Crew, S, Node, only, sends, site, workers
 
 # --- the node itself --------------------------------------------------------------------------------
 
--- a/tests/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from hazelweir.balance import COLD_MARGIN, Gate, Request, Worker
-from hazelweir.interface import (
+from hollowusher.balancing.balancer import COLD_MARGIN, Gate, Request, Worker
+from hollowusher.balancing.interface import (
     Arrival, Cancel, Discovery, Group, JobClass, Listed, ListKind, Outcome, Probe, Rules, Send, Wake, Watch,
 )
-from tests.support import KEYED, LIMITS, MS, SAFE, SITE, UNSAFE, Node, S, only, sends, workers
+from tests.support.balancer import KEYED, LIMITS, MS, SAFE, SITE, UNSAFE, Node, S, only, sends, workers
 
 
 class ListService:
--- a/tests/test_controller.py
+++ b/tests/balancing/test_integral_controller.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from hazelweir.balance import SET_POINT, WINDOW_NS, Controller
-from tests.support import MS
+from hollowusher.balancing.balancer import SET_POINT, WINDOW_NS, Controller
+from tests.support.balancer import MS
 
 T_D, T_P, MANY = 50 * MS, 25.0 * MS, 1000.0
 
--- a/tests/test_properties.py
+++ b/tests/balancing/test_properties.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelweir import (
+from hollowusher.balancing import (
     Action,
     Arrival,
     Balancer,
@@ -46,8 +46,8 @@
     WorkerList,
     Woken,
 )
-from hazelweir.interface import Goal
-from tests.support import MS, S
+from hollowusher.balancing.interface import Goal
+from tests.support.balancer import MS, S
 
 RULES = Rules(drain_grace_ns=500 * MS, fall_multiple=2.5, fall_span_ns=2 * S, cold_share=0.2,
               warm_after_ns=10 * S, answer_grace_ns=20 * MS, ask_within_ns=10 * S)
--- a/tests/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hazelweir import (
+from hollowusher.balancing import (
     Cancel,
     ClientGone,
     Discovery,
@@ -25,7 +25,7 @@
     Started,
     Watch,
 )
-from tests.support import KEYED, LIMITS, MS, S, SAFE, Node, draining, only, sends, site, workers
+from tests.support.balancer import KEYED, LIMITS, MS, S, SAFE, Node, draining, only, sends, site, workers
 
 NEVER_RAN = [Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED]
--- a/tests/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from hazelweir import Limits, Rules, Settings
-from tests.support import SAFE, SITE
+from hollowusher.balancing import Limits, Rules, Settings
+from tests.support.balancer import SAFE, SITE
 
 
 @pytest.mark.parametrize(
--- a/tests/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -19,7 +19,7 @@
     order_digest,
     read_order,
 )
-from hollowusher.coordination.chain import EMPTY_STATE
+from hollowusher.coordination.chain.chain_member import EMPTY_STATE
 from hollowusher.protocol.control import ControlState
 
 Document = dict[str, Any]
--- a/tests/control/test_orders.py
+++ b/tests/configuration/test_order_history.py
@@ -10,9 +10,9 @@
 from hollowusher.configuration import order_history, orders
 from hollowusher.configuration.order_history import REPEATED_FOR_S, CommittedAges, pruned
 from hollowusher.configuration.orders import MOST_HISTORY, OrderOutcome, apply_order, read_order
-from hollowusher.coordination.chain import EMPTY_STATE
+from hollowusher.coordination.chain.chain_member import EMPTY_STATE
 from hollowusher.protocol.control import ControlState
-from tests.controller_cluster import document
+from tests.support.controller_cluster import document
 
 
 def send(state: ControlState, generation: int, if_match: int, forgettable: int | None = None) -> OrderOutcome:
--- a/tests/control/test_operator_commands.py
+++ b/tests/console/test_operator_commands.py
@@ -18,7 +18,7 @@
 from hollowusher.console.views import lacks, status_tables, survey_document
 from hollowusher.protocol.codec import as_document, evolve
 from hollowusher.protocol.status import ControlStatus, PartitionStatus, VoterStatus
-from tests.test_console import Admin
+from tests.console.test_console import Admin
 
 PATH = "/recover-partition/2"
 
--- /dev/null
+++ b/tests/coordination/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of coordination."""
--- a/tests/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -7,8 +7,8 @@
 import attrs
 import pytest
 
-from hollowusher.coordination.chain import EMPTY_STATE, ChainMember, dump_write
-from hollowusher.coordination.reconfiguration import (
+from hollowusher.coordination.chain.chain_member import EMPTY_STATE, ChainMember, dump_write
+from hollowusher.coordination.consensus.reconfiguration import (
     Presence,
     VoterHealth,
     lost_member,
@@ -17,8 +17,8 @@
     presence,
     proposal_rank,
 )
-from hollowusher.coordination.view import first_view, majority, shortest_chain
-from hollowusher.coordination.voter_plan import VoterStep, next_step
+from hollowusher.coordination.consensus.paxos import first_view, majority, shortest_chain
+from hollowusher.coordination.consensus.voter_set import VoterStep, next_step
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import ChainWrite, ControlState, Pong, View, Voter
 
--- a/tests/control/test_snapshots.py
+++ b/tests/coordination/chain/test_snapshots.py
@@ -17,7 +17,7 @@
     OperatorAnswer,
     Placement,
 )
-from tests.controller_cluster import Cluster, Node, document, run_virtual
+from tests.support.controller_cluster import Cluster, Node, document, run_virtual
 
 LINK_BYTES_PER_S = 60_000_000.0
 DISK_BYTES_PER_S = 60_000_000.0
--- a/tests/control/test_snapshots_bad_input.py
+++ b/tests/coordination/chain/test_snapshots_bad_input.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from hollowusher.coordination.record_fetch import RecordBuffer, RecordFetch, read_chunk
-from hollowusher.coordination.state_record import (
+from hollowusher.coordination.chain.record_fetch import RecordBuffer, RecordFetch, read_chunk
+from hollowusher.coordination.chain.state_record import (
     CHUNK_BYTES,
     MOST_RECORD_BYTES,
     StateRecord,
     make_record,
     without_record,
 )
-from hollowusher.coordination.state_store import StateStore
+from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import (
     ChainWrite,
@@ -25,8 +25,8 @@
     RecordChunk,
 )
 from hollowusher.storage.memory import MemorySlot
-from tests.control.test_snapshots import large_body, member, send_until_taken, sized_cluster, virtual
-from tests.controller_cluster import Cluster
+from tests.coordination.chain.test_snapshots import large_body, member, send_until_taken, sized_cluster, virtual
+from tests.support.controller_cluster import Cluster
 
 LARGE = 3 * CHUNK_BYTES + 100
 
--- a/tests/control/test_snapshots_disks.py
+++ b/tests/coordination/chain/test_snapshots_disks.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.control.test_snapshots import caught_up, large_body, send_until_taken, sized_cluster, virtual
-from tests.controller_cluster import FULL, STUCK
+from tests.coordination.chain.test_snapshots import caught_up, large_body, send_until_taken, sized_cluster, virtual
+from tests.support.controller_cluster import FULL, STUCK
 
 TROUBLE_S = 10.0
 SLOWEST_ORDER_S = 3.5  # the first machine asked may be the stuck head, which answers after 3 s
--- a/tests/control/test_agreement.py
+++ b/tests/coordination/consensus/test_agreement.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from hollowusher.coordination.agreement import Agreement
-from hollowusher.coordination.view import Acceptor, first_view
+from hollowusher.coordination.consensus.agreement import Agreement
+from hollowusher.coordination.consensus.paxos import Acceptor, first_view
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.control import (
     Accept,
@@ -26,7 +26,7 @@
 )
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import Handler, PeerError
-from tests.controller_cluster import run_virtual
+from tests.support.controller_cluster import run_virtual
 
 CLUSTER = "cluster-1"
 VOTERS = [Voter(name, f"disk-{name}", f"{name}:1") for name in "abc"]
--- a/tests/control/test_agreement_cluster.py
+++ b/tests/coordination/consensus/test_agreement_cluster.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hollowusher.coordination.view import Acceptor, Proposer, first_view, same_cluster, voter_id
+from hollowusher.coordination.consensus.paxos import Acceptor, Proposer, first_view, same_cluster, voter_id
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import Accept, ConfirmEpoch, Prepare, View, Voter
 
--- a/tests/control/test_finding_the_view.py
+++ b/tests/coordination/consensus/test_finding_the_view.py
@@ -10,13 +10,13 @@
 import pytest
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.bootstrap import SeedService
-from hollowusher.coordination.client import ClusterClient
-from hollowusher.coordination.cluster_state import VIEW, ClusterState
-from hollowusher.coordination.view_bearer import SeedContacts
-from hollowusher.coordination.view_keeper import ViewKeeper
+from hollowusher.coordination.controller.bootstrap import SeedService
+from hollowusher.coordination.distribution.cluster_client import ClusterClient
+from hollowusher.coordination.distribution.cluster_state import VIEW, ClusterState
+from hollowusher.coordination.consensus.view_publisher import SeedContacts
+from hollowusher.coordination.consensus.view_cache import ViewKeeper
 from hollowusher.protocol.control import Announce, Decided, Member, OfferView, View, ViewAnswer, Voter
-from tests.controller_cluster import Cluster, VirtualSlot, VirtualTransport, run_virtual
+from tests.support.controller_cluster import Cluster, VirtualSlot, VirtualTransport, run_virtual
 
 SEEDS = ("10.0.9.1", "10.0.9.2", "10.0.9.3")
 FOUND_WITHIN_S = 2.5
--- a/tests/test_view.py
+++ b/tests/coordination/consensus/test_paxos.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from hollowusher.coordination.view import (
+from hollowusher.coordination.consensus.paxos import (
     NO_BALLOT,
     Acceptor,
     Proposer,
--- a/tests/control/test_voters_leaving.py
+++ b/tests/coordination/consensus/test_voters_leaving.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hollowusher.protocol.control import View
-from tests.controller_cluster import Cluster, Node, run_virtual
+from tests.support.controller_cluster import Cluster, Node, run_virtual
 
 
 def view_of(node: Node) -> View:
--- a/tests/control/test_voters_replaced.py
+++ b/tests/coordination/consensus/test_voters_replaced.py
@@ -7,8 +7,8 @@
 import pytest
 
 from hollowusher.protocol.control import Announce, Ping, Pong, Prepare, Promise, View, Voter
-from tests.control.voter_hunt import CATCH_UP_S, run_hunt
-from tests.controller_cluster import STUCK, Cluster, Node, run_virtual
+from tests.coordination.consensus.voter_hunt import CATCH_UP_S, run_hunt
+from tests.support.controller_cluster import STUCK, Cluster, Node, run_virtual
 
 NEXT_LOSS_S = 5.0
 
--- a/tests/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from hollowusher.coordination.bootstrap import propose_first
-from hollowusher.coordination.view import first_view
+from hollowusher.coordination.controller.bootstrap import propose_first
+from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import (
     ChainWrite,
@@ -22,7 +22,7 @@
     StateAnswer,
     Voter,
 )
-from tests.controller_cluster import FULL, STUCK, Cluster, run_virtual
+from tests.support.controller_cluster import FULL, STUCK, Cluster, run_virtual
 
 
 def virtual(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
--- a/tests/control/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from hollowusher.coordination.cluster_state import WORKERS
+from hollowusher.coordination.distribution.cluster_state import WORKERS
 from hollowusher.protocol.control import Retire
-from tests.control.core import Core, play
+from tests.support.controllers import Core, play
 
 SHAPES = ("all", "in", "out", "one")
 CUT_S = 20.0
--- a/tests/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -12,8 +12,8 @@
 from aiohttp.test_utils import TestClient, TestServer
 
 from hollowusher.configuration.orders import MOST_BODY_BYTES
-from hollowusher.coordination import operator_api
-from hollowusher.coordination.operator_api import OperatorApi
+from hollowusher.coordination.controller import operator_api
+from hollowusher.coordination.controller.operator_api import OperatorApi
 from hollowusher.protocol.control import ChangeConfiguration, OperatorAnswer, ReadConfiguration, Retire
 from hollowusher.transport.interface import PeerError
 
--- a/tests/control/test_orders_races.py
+++ b/tests/coordination/controller/test_orders_races.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hollowusher.protocol.control import ChangeConfiguration, OperatorAnswer, ReadConfiguration
-from tests.controller_cluster import Cluster, Node, document, run_virtual
+from tests.support.controller_cluster import Cluster, Node, document, run_virtual
 
 SEEDS = 40
 JITTERS_S = (0.0, 0.02, 0.05, 0.1)  # longer ones exceed the time limits of the calls
--- a/tests/test_platform_list.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollowusher.coordination.platform_list import (
+from hollowusher.coordination.controller.worker_list_reader import (
     MOST_BACKOFF_S, ListKeeper, Pacer, PlatformError, PlatformReader, parse_page,
 )
 from hollowusher.protocol.control import Worker, WorkerList
--- a/tests/control/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from hollowusher.coordination.client import CONNECTED_S, PULL_WAIT_MS
-from hollowusher.coordination.updates import Feed, LongPoll
+from hollowusher.coordination.distribution.cluster_client import CONNECTED_S, PULL_WAIT_MS
+from hollowusher.coordination.distribution.feed import Feed, LongPoll
 from hollowusher.intake.intake import Intake
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.control import PullUpdates, ReadState, Updates
-from tests.test_cluster_client import DOCUMENT, Cluster, play
-from tests.test_intake import World, request
-from tests.test_intake import play as play_intake
+from tests.coordination.distribution.test_cluster_client import DOCUMENT, Cluster, play
+from tests.intake.test_intake import World, request
+from tests.intake.test_intake import play as play_intake
 
 CORES = ("10.0.0.1", "10.1.0.1", "10.2.0.1")
 SLACK_S = 0.05  # for the way of an answer
--- a/tests/control/test_calls_probe.py
+++ b/tests/coordination/membership/test_calls_probe.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hollowusher.protocol.control import Done, ProbeLife
-from tests.test_cluster_client import Cluster, play
+from tests.coordination.distribution.test_cluster_client import Cluster, play
 
 
 async def probe(cluster: Cluster, name: str, incarnation: int) -> object:
--- a/tests/control/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -7,8 +7,8 @@
 import orjson
 import pytest
 
-from hollowusher.coordination.directory import StoreCondition
-from hollowusher.coordination.partition_recovery import (
+from hollowusher.coordination.membership.directory import StoreCondition
+from hollowusher.coordination.placement.partition_recovery import (
     RecoveryRefused,
     partition_statuses,
     recovered_placement,
@@ -16,7 +16,7 @@
 )
 from hollowusher.protocol.control import Member, PartitionPlacement, Placement
 from hollowusher.protocol.status import RecoverPartition
-from tests.control.store_world import StoreWorld, play
+from tests.support.store_world import StoreWorld, play
 
 PLACEMENT = Placement(
     7,
--- a/tests/test_placement.py
+++ b/tests/coordination/placement/test_placement.py
@@ -10,8 +10,8 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from hollowusher.coordination.directory import StoreCondition
-from hollowusher.coordination.placement import (
+from hollowusher.coordination.membership.directory import StoreCondition
+from hollowusher.coordination.placement.planner import (
     GONE_S,
     MISSING_S,
     PARTITIONS,
--- a/tests/control/test_store_epochs.py
+++ b/tests/coordination/placement/test_store_epochs.py
@@ -7,10 +7,10 @@
 import attrs
 import pytest
 
-from hollowusher.coordination.directory import StoreCondition
-from hollowusher.coordination.placement import replan
+from hollowusher.coordination.membership.directory import StoreCondition
+from hollowusher.coordination.placement.planner import replan
 from hollowusher.protocol.control import Member, PartitionPlacement, Placement
-from tests.message_store import EPOCH_MS, StoreCluster, message, play
+from tests.support.message_store import EPOCH_MS, StoreCluster, message, play
 
 
 def test_a_restarted_primary_does_not_lead_the_epoch_of_its_earlier_life() -> None:
--- a/tests/control/test_store_replacement.py
+++ b/tests/coordination/placement/test_store_replacement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.control.store_world import CATCH_UP_S, StoreWorld, play
+from tests.support.store_world import CATCH_UP_S, StoreWorld, play
 
 
 async def lose_the_next(system: StoreWorld, victim: str) -> None:
--- a/tests/control/test_store_retire.py
+++ b/tests/coordination/placement/test_store_retire.py
@@ -7,8 +7,8 @@
 import orjson
 import pytest
 
-from hollowusher.coordination.placement import is_named
-from tests.control.store_world import StoreWorld, play
+from hollowusher.coordination.placement.planner import is_named
+from tests.support.store_world import StoreWorld, play
 
 DURATION_S = 10.0
 
--- a/tests/test_zone_homes.py
+++ b/tests/coordination/placement/test_zone_homes.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from hollowusher.configuration.model import Configuration, Route, Service
-from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.placement import homes
-from hollowusher.coordination.zone_homes import ZoneHomes, needs_one_home
+from hollowusher.coordination.distribution.cluster_state import ClusterState
+from hollowusher.coordination.placement.planner import homes
+from hollowusher.coordination.placement.zone_homes import ZoneHomes, needs_one_home
 from hollowusher.protocol.control import Item, Member, PartitionPlacement, Placement
 
 ZONES = {"s1": "a", "s2": "b", "s3": "b", "s4": "c"}
--- a/tests/test_callbacks.py
+++ b/tests/delivery/test_callbacks.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hollowusher.coordination.placement import homes
+from hollowusher.coordination.placement.planner import homes
 from hollowusher.delivery.callbacks import MOST_CONNECTIONS, CallbackDelivery, HttpCallbackClient
 from hollowusher.delivery.figures import DeliveryFigures
 from hollowusher.delivery.leasing import LeaseNetwork
@@ -17,7 +17,7 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.store import Job, JobsWaiting
 from hollowusher.simulation.loop import VirtualLoop
-from tests.dispatch_support import (
+from tests.support.dispatch import (
     SETTINGS,
     STORE_1,
     STORE_2,
@@ -28,7 +28,7 @@
     job,
     play,
 )
-from tests.test_delivery import Exchange, real, serving
+from tests.delivery.test_delivery import Exchange, real, serving
 
 RECEIVER = "callback:10.20.0.4:8080"
 
--- a/tests/control/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.coordination.distribution.cluster_state import ClusterState
 from hollowusher.delivery.figures import DeliveryFigures
 from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
 from hollowusher.messages.open_grants import MOST_ASKERS, OpenGrants
@@ -15,8 +15,8 @@
 from hollowusher.protocol.control import Member
 from hollowusher.protocol.store import Job, Leased, LeaseRequest
 from hollowusher.simulation.network import host_of
-from tests.control.call_support import message
-from tests.message_store import EDGE_ADDRESS, StoreCluster, play
+from tests.support.calls import message
+from tests.support.message_store import EDGE_ADDRESS, StoreCluster, play
 
 SOON_S = 0.5
 
--- a/tests/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -19,7 +19,7 @@
 from hollowusher.protocol.store import Finish, LeaseAnswer
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.transport.interface import PeerError
-from tests.dispatch_support import job, play
+from tests.support.dispatch import job, play
 
 TIMEOUT_S = 0.5
 VERY_SHORT_S = 0.05 - LATE_ANSWER_S
--- a/tests/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from hazelweir.balance import GOOD_TRIALS
+from hollowusher.balancing.balancer import GOOD_TRIALS
 from hollowusher.configuration.model import Service
 from hollowusher.coordination.rendezvous import choose
 from hollowusher.delivery.outcome import DeliveryOutcome, Ending
@@ -21,7 +21,7 @@
 from hollowusher.protocol.control import Member
 from hollowusher.protocol.store import JobsWaiting
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
-from tests.dispatch_support import (
+from tests.support.dispatch import (
     ADDRESSES,
     STORE_1,
     STORE_2,
--- a/tests/control/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hollowusher.configuration.model import Service
-from hollowusher.coordination.placement import homes
+from hollowusher.coordination.placement.planner import homes
 from hollowusher.delivery.callbacks import MOST_CONNECTIONS, CallbackDelivery
 from hollowusher.delivery.connection import Answer
 from hollowusher.delivery.figures import DeliveryFigures
@@ -23,7 +23,7 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.store import Job, JobsWaiting
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
-from tests.dispatch_support import (
+from tests.support.dispatch import (
     STORE_1,
     STORE_2,
     Cluster,
--- a/tests/test_pull_desk.py
+++ b/tests/dispatch/test_pull_desk.py
@@ -12,7 +12,7 @@
 from hollowusher.intake.pull_desk import PullDesk
 from hollowusher.protocol.store import Job, JobsWaiting
 from hollowusher.simulation.loop import VirtualLoop
-from tests.dispatch_support import (
+from tests.support.dispatch import (
     ADDRESSES,
     SETTINGS,
     STORE_1,
--- a/tests/control/test_wire_rules_keys.py
+++ b/tests/intake/test_wire_rules_keys.py
@@ -10,7 +10,7 @@
 from hollowusher.messages import records
 from hollowusher.messages.records import Put
 from hollowusher.protocol.store import Job, NewMessage
-from tests.test_intake import INDEX, admitted, request
+from tests.intake.test_intake import INDEX, admitted, request
 
 
 def delivered_key(kept: NewMessage) -> str | None:
--- a/tests/control/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -7,7 +7,7 @@
 import pytest
 from multidict import CIMultiDict
 
-from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.coordination.distribution.cluster_state import ClusterState
 from hollowusher.intake.admission import IntakeRequest
 from hollowusher.intake.intake import Intake
 from hollowusher.intake.store_client import StoreClient
@@ -15,7 +15,7 @@
 from hollowusher.protocol.store import Job
 from hollowusher.simulation.loop import SimulatedProcess
 from hollowusher.simulation.network import host_of
-from tests.message_store import StoreCluster, message, play
+from tests.support.message_store import StoreCluster, message, play
 
 RESULTS = ["200", "500", "422", "503", "429", "400", "504"]
 SIGNATURE = "3e1b.07"
--- /dev/null
+++ b/tests/messages/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of partitions of messages."""
--- a/tests/control/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from hollowusher.coordination.pause_detector import PauseDetector
+from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.protocol.control import Member
 from hollowusher.protocol.store import Extend, Leased, LeaseRequest, StatusRequest
-from tests.message_store import EDGE_ADDRESS, StoreCluster, message, play
+from tests.support.message_store import EDGE_ADDRESS, StoreCluster, message, play
 
 RECEIVER = "callback:10.9.0.1:8080"
 CALLBACK_URL = "http://10.9.0.1:8080/done"
--- a/tests/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -24,7 +24,7 @@
 )
 from hollowusher.storage.interface import StorageError
 from hollowusher.storage.memory import MemoryLog
-from tests.message_store import EPOCH_MS, configuration, message
+from tests.support.message_store import EPOCH_MS, configuration, message
 
 URL = "http://10.9.0.1:8080/done"
 CALLBACKS = "callback:10.9.0.1:8080"
--- a/tests/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -17,7 +17,7 @@
 from hollowusher.protocol.store import Records, Replicate, Replicated, Summary
 from hollowusher.storage.memory import MemoryLog
 from hollowusher.transport.interface import PeerError
-from tests.message_store import EPOCH_MS, StoreCluster, message, play
+from tests.support.message_store import EPOCH_MS, StoreCluster, message, play
 
 KEPT_MS = 60_000 + CLOCK_MARGIN_MS
 
--- a/tests/test_store_service.py
+++ b/tests/messages/test_store_service.py
@@ -8,7 +8,7 @@
 
 from hollowusher.protocol.control import Member
 from hollowusher.protocol.store import Extend, LeaseRequest, StatusAnswer
-from tests.message_store import EDGE_ADDRESS, SYNC_S, StoreCluster, configuration, message, play
+from tests.support.message_store import EDGE_ADDRESS, SYNC_S, StoreCluster, configuration, message, play
 
 
 class TestLifeOfAMessage:
--- a/tests/control/test_calls_orders.py
+++ b/tests/roles/test_calls_orders.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.coordination.distribution.cluster_state import ClusterState
 from hollowusher.protocol.control import (
     ChangeConfiguration,
     Item,
@@ -19,7 +19,7 @@
 from hollowusher.protocol.identity import Identity
 from hollowusher.roles.operator_site import OperatorForward
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
-from tests.controller_cluster import Cluster, run_virtual
+from tests.support.controller_cluster import Cluster, run_virtual
 
 HEAD, TAIL = "10.0.0.1:7780", "10.0.0.2:7780"
 ORDER = ChangeConfiguration("PUT", 3, b"{}")
--- /dev/null
+++ b/tests/scheduler/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the scheduler in service."""
--- a/tests/test_desk.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -11,10 +11,10 @@
 from typing import Any
 from unittest import mock
 
-from hazelweir import Effect, Limits, Listed, ListKind, Outcome
-from hollowusher.config import flatten, load
-from hollowusher.core.desk import DispatchDesk
-from hollowusher.core.model import (
+from hollowusher.balancing import Effect, Limits, Listed, ListKind, Outcome
+from hollowusher.scheduler.config import flatten, load
+from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
+from hollowusher.scheduler.dispatch.model import (
     Answer,
     AttemptEnded,
     AttemptStarted,
@@ -33,13 +33,13 @@
     WatchNodeList,
     Withdraw,
 )
-from hollowusher.emulator.outside import platform_settings
-from hollowusher.fronts.stomp.ledger import Finding, Ledger, fingerprint
-from hollowusher.log import Log
-from hollowusher.settings.model import ConfigError
-from hollowusher.net.owner import DeskOwner
-from tests.standins import SETTINGS
-from tests.support import MS, S
+from hollowusher.scheduler.emulator.outside import platform_settings
+from hollowusher.scheduler.fronts.stomp.job_table import Finding, Ledger, fingerprint
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.settings.model import ConfigError
+from hollowusher.scheduler.net.owner import DeskOwner
+from tests.support.standins import SETTINGS
+from tests.support.balancer import MS, S
 
 
 class Desk(unittest.TestCase):
--- a/tests/test_emulator_model.py
+++ b/tests/scheduler/test_emulator_model.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollowusher.emulator.model import Kind, NodeModel, What
-from tests.support import MS, S
+from hollowusher.scheduler.emulator.model import Kind, NodeModel, What
+from tests.support.balancer import MS, S
 
 
 def played(node: NodeModel, arrivals: list[tuple[int, float]]) -> tuple[dict[int, int], dict[int, int]]:
--- a/tests/test_http2_process.py
+++ b/tests/scheduler/test_http2_process.py
@@ -11,9 +11,9 @@
 import uvloop
 
 from benchmarks.http2_goaway import play
-from hollowusher.emulator.http2node import Http2Node, Plan
-from tests.standins import post, read_http
-from tests.test_reload import Process
+from hollowusher.scheduler.emulator.http2node import Http2Node, Plan
+from tests.support.standins import post, read_http
+from tests.scheduler.test_reload import Process
 
 
 class InService(Process):
--- a/tests/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -20,13 +20,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from hyperframe.frame import GoAwayFrame
 
-from hazelweir.interface import Outcome
-from hollowusher.net.http2.exchange import Exchange, Headers
-from hollowusher.net.http2.session import Session
-from hollowusher.net.http2.settings import Http2Config
-from hollowusher.rules.stream_ends import Cause
-from hollowusher.rules.streams import Act, Close, Give, Open, StreamBook, StreamLimits, TurnBack, Why
-from tests.support import MS, S
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.net.http2.exchange import Exchange, Headers
+from hollowusher.scheduler.net.http2.session import Session
+from hollowusher.scheduler.net.http2.settings import Http2Config
+from hollowusher.scheduler.rules.stream_ends import Cause
+from hollowusher.scheduler.rules.streams import Act, Close, Give, Open, StreamBook, StreamLimits, TurnBack, Why
+from tests.support.balancer import MS, S
 
 CONFIG = Http2Config(True, ("*",), control_frames=1000, used_most=10)
 LIMITS = StreamLimits(connections=2, streams=3, waiting=8, wait_ns=S, idle_ns=5 * S, used_most=10)
--- a/tests/test_http2_session.py
+++ b/tests/scheduler/test_http2_session.py
@@ -10,13 +10,13 @@
 from h2.connection import H2Connection
 from hyperframe.frame import GoAwayFrame
 
-from hazelweir.interface import Outcome
-from hollowusher.net.http2.exchange import Exchange
-from hollowusher.net.http2.session import Session
-from hollowusher.net.http2.settings import Http2Config
-from hollowusher.rules.stream_ends import Cause
-from tests.support import S
-from tests.test_http2_property import Reply
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.net.http2.exchange import Exchange
+from hollowusher.scheduler.net.http2.session import Session
+from hollowusher.scheduler.net.http2.settings import Http2Config
+from hollowusher.scheduler.rules.stream_ends import Cause
+from tests.support.balancer import S
+from tests.scheduler.test_http2_property import Reply
 
 HEADERS = [(b":method", b"POST"), (b":scheme", b"http"), (b":authority", b"n"), (b":path", b"/")]
 
--- a/tests/test_http2_sockets.py
+++ b/tests/scheduler/test_http2_sockets.py
@@ -13,18 +13,18 @@
 )
 from hpack import Encoder
 
-from hazelweir import Listed, ListKind
-from hollowusher.core.model import Attempt, AttemptEnded, Dispatch, Job
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.emulator.http2node import ALL_STREAMS, Http2Node, Plan
-from hollowusher.fronts.platform.http2 import Http2Nodes
-from hollowusher.fronts.platform.nodes import PlatformNodes
-from hollowusher.log import Log
-from hollowusher.net.http2.settings import Http2Config
-from hollowusher.net.http2.streams import Carrier
-from hollowusher.net.pool import Pool
-from tests.standins import MEANINGS, HttpNode, SocketCase, post
-from tests.support import S
+from hollowusher.balancing import Listed, ListKind
+from hollowusher.scheduler.dispatch.model import Attempt, AttemptEnded, Dispatch, Job
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.emulator.http2node import ALL_STREAMS, Http2Node, Plan
+from hollowusher.scheduler.fronts.platform.http2 import Http2Nodes
+from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.http2.settings import Http2Config
+from hollowusher.scheduler.net.http2.streams import Carrier
+from hollowusher.scheduler.net.pool import Pool
+from tests.support.standins import MEANINGS, HttpNode, SocketCase, post
+from tests.support.balancer import S
 
 
 class Http2Case(SocketCase):
--- a/tests/control/test_listener_end.py
+++ b/tests/scheduler/test_listener_end.py
@@ -10,12 +10,12 @@
 import pytest
 import uvloop
 
-from hollowusher.core.model import DeskEvent, JobTaken
-from hollowusher.fronts.common import JobIds
-from hollowusher.fronts.platform.clients import PlatformClients
-from hollowusher.log import Log
-from hollowusher.net.link import listen
-from tests.standins import CLASSES, free_port, post
+from hollowusher.scheduler.dispatch.model import DeskEvent, JobTaken
+from hollowusher.scheduler.fronts.common import JobIds
+from hollowusher.scheduler.fronts.platform.clients import PlatformClients
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.link import listen
+from tests.support.standins import CLASSES, free_port, post
 
 MOST_TURNS = 6  # of the loop, between a connection and the stop
 PATIENCE_S = 5.0
--- a/tests/test_log_outlet.py
+++ b/tests/scheduler/test_log_outlet.py
@@ -11,9 +11,9 @@
 import unittest
 from collections.abc import Callable
 
-from hollowusher.logs.outlet import Outlet
-from tests.standins import post, read_http
-from tests.test_reload import Process
+from hollowusher.scheduler.logs.outlet import Outlet
+from tests.support.standins import post, read_http
+from tests.scheduler.test_reload import Process
 
 
 def stalled_pipe() -> tuple[int, int]:
--- a/tests/test_copies.py
+++ b/tests/scheduler/test_log_replication.py
@@ -15,33 +15,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelweir import Outcome
-from hollowusher.core.model import Attempt, AttemptEnded, DeskEvent, Dispatch, Job, Order, Withdraw
-from hollowusher.core.roster import Roster
-from hollowusher.emulator import copies_check
-from hollowusher.emulator.copies import Broken, CopyNet, S, storm
-from hollowusher.emulator.copies_check import REPLICAS, SETTINGS, find, find_in_jobs, jobs_storm
-from hollowusher.emulator.copies_model import check
-from hollowusher.emulator.custody import CLASSES, CustodyNet
-from hollowusher.log import Log
-from hollowusher.net.copies.gate import Gate
-from hollowusher.net.copies.node import CopiesNode
-from hollowusher.net.copies.settings import COPIES, COPY, CopiesConfig, read_copies
-from hollowusher.net.copies.storage import MAGIC, Files, Folder, parse
-from hollowusher.net.copies.wire import Frames, frame
-from hollowusher.rules.copies.custody import Act, Do
-from hollowusher.rules.copies.groups import group_of, kept_by
-from hollowusher.rules.copies.keeper import Keeper
-from hollowusher.rules.copies.messages import Append, Entry, Learn
-from hollowusher.rules.copies.pace import Pace
-from hollowusher.rules.copies.records import (
+from hollowusher.balancing import Outcome
+from hollowusher.scheduler.dispatch.model import Attempt, AttemptEnded, DeskEvent, Dispatch, Job, Order, Withdraw
+from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.emulator import log_replication_check as copies_check
+from hollowusher.scheduler.emulator.log_replication import Broken, CopyNet, S, storm
+from hollowusher.scheduler.emulator.log_replication_check import REPLICAS, SETTINGS, find, find_in_jobs, jobs_storm
+from hollowusher.scheduler.emulator.log_replication_model import check
+from hollowusher.scheduler.emulator.job_replication import CLASSES, CustodyNet
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.log_replication.admission import Gate
+from hollowusher.scheduler.net.log_replication.node import CopiesNode
+from hollowusher.scheduler.net.log_replication.settings import COPIES, COPY, CopiesConfig, read_copies
+from hollowusher.scheduler.net.log_replication.storage import MAGIC, Files, Folder, parse
+from hollowusher.scheduler.net.log_replication.wire import Frames, frame
+from hollowusher.scheduler.rules.log_replication.job_replication import Act, Do
+from hollowusher.scheduler.rules.log_replication.groups import group_of, kept_by
+from hollowusher.scheduler.rules.log_replication.keeper import Keeper
+from hollowusher.scheduler.rules.log_replication.messages import Append, Entry, Learn
+from hollowusher.scheduler.rules.log_replication.pace import Pace
+from hollowusher.scheduler.rules.log_replication.records import (
     Answered, Book, Ended, Forgotten, Held, Intent, Record, Taken, pack, unpack,
 )
-from hollowusher.rules.copies.replica import Kept, Replica, Role, Store
-from hollowusher.rules.copies.takeover import Bound, Next, allowed, next_of
-from hollowusher.settings.model import ConfigError
-from hollowusher.settings.reader import read_text
-from tests.standins import free_port
+from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role, Store
+from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
+from hollowusher.scheduler.settings.model import ConfigError
+from hollowusher.scheduler.settings.reader import read_text
+from tests.support.standins import free_port
 
 MS = 1_000_000
 
--- a/tests/test_membership.py
+++ b/tests/scheduler/test_membership.py
@@ -8,16 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollowusher.emulator.peers import PeerNet, S
-from hollowusher.emulator.peers_check import CHANCE
-from hollowusher.rules.membership.codec import Codec
-from hollowusher.rules.membership.events import Change
-from hollowusher.rules.membership.member import Member
-from hollowusher.rules.membership.messages import (
+from hollowusher.scheduler.emulator.membership import PeerNet, S
+from hollowusher.scheduler.emulator.membership_check import CHANCE
+from hollowusher.scheduler.rules.membership.codec import Codec
+from hollowusher.scheduler.rules.membership.events import Change
+from hollowusher.scheduler.rules.membership.member import Member
+from hollowusher.scheduler.rules.membership.messages import (
     MOST_DATAGRAM, Kind, Message, News, Standing, message_bytes,
 )
 
-from hollowusher.rules.membership.pace import Pace
+from hollowusher.scheduler.rules.membership.pace import Pace
 
 
 def names(count: int) -> list[str]:
--- a/tests/test_membership_check.py
+++ b/tests/scheduler/test_membership_check.py
@@ -6,9 +6,9 @@
 
 from msgspec.structs import replace
 
-from hollowusher.emulator.peers_check import check
-from hollowusher.rules.membership.member import Member, Record
-from hollowusher.rules.membership.messages import News, Standing
+from hollowusher.scheduler.emulator.membership_check import check
+from hollowusher.scheduler.rules.membership.member import Member, Record
+from hollowusher.scheduler.rules.membership.messages import News, Standing
 
 
 class Resigned(Member):
--- a/tests/test_peers_process.py
+++ b/tests/scheduler/test_membership_process.py
@@ -11,11 +11,11 @@
 import unittest
 
 
-from hollowusher.net.peers.settings import PEER, PEERS, read_peers
-from hollowusher.settings.model import ConfigError
-from hollowusher.settings.reader import read_text
-from tests.standins import free_port
-from tests.test_reload import Process
+from hollowusher.scheduler.net.membership.settings import PEER, PEERS, read_peers
+from hollowusher.scheduler.settings.model import ConfigError
+from hollowusher.scheduler.settings.reader import read_text
+from tests.support.standins import free_port
+from tests.scheduler.test_reload import Process
 
 NAMES = ("n1", "n2", "n3")
 
--- a/tests/test_peers.py
+++ b/tests/scheduler/test_membership_sockets.py
@@ -8,10 +8,10 @@
 import unittest
 from collections.abc import Callable
 
-from hollowusher.net.peers.node import PeerNode
-from hollowusher.rules.membership.events import Change, Told
-from hollowusher.rules.membership.messages import Kind, Message, News
-from tests.standins import free_port
+from hollowusher.scheduler.net.membership.node import PeerNode
+from hollowusher.scheduler.rules.membership.events import Change, Told
+from hollowusher.scheduler.rules.membership.messages import Kind, Message, News
+from tests.support.standins import free_port
 
 PATIENCE_S = 15.0
 
--- a/tests/test_operators.py
+++ b/tests/scheduler/test_operators.py
@@ -11,10 +11,10 @@
 
 from click.testing import CliRunner
 
-from hollowusher.cli import cli
-from hollowusher.operators.server import MOST_CALLERS, call
-from tests.standins import HttpNode, post, read_http, free_port
-from tests.test_replacement import Beside
+from hollowusher.scheduler.cli import cli
+from hollowusher.scheduler.operators.server import MOST_CALLERS, call
+from tests.support.standins import HttpNode, post, read_http, free_port
+from tests.scheduler.test_replacement import Beside
 
 
 class Operators(Beside):
--- a/tests/test_parsers.py
+++ b/tests/scheduler/test_parsers.py
@@ -10,20 +10,20 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from hazelweir import ListKind, Outcome, Reading, State
-from hollowusher.core.roster import MOST_NODES, Roster
-from hollowusher.fronts.common import read_load
-from hollowusher.rules.node_list import read_list
-from hollowusher.fronts.platform.http import AnswerReader, BadInput, RequestReader
-from hollowusher.fronts.platform.answers import settled
-from hollowusher.fronts.stomp.frames import FROM_CLIENT, FROM_SERVER, Frame, FrameError, FrameReader, encode
-from hollowusher.fronts.stomp.wire import read_beat
-from hollowusher.logs.outlet import Outlet
-from hollowusher.log import Log, escape, message
-from hollowusher.net.link import Link
-from hollowusher.net.ring import RingBuffer, ring_bytes
-from tests.standins import MEANINGS, post
-from tests.support import S
+from hollowusher.balancing import ListKind, Outcome, Reading, State
+from hollowusher.scheduler.dispatch.worker_registry import MOST_NODES, Roster
+from hollowusher.scheduler.fronts.common import read_load
+from hollowusher.scheduler.rules.node_list import read_list
+from hollowusher.scheduler.fronts.platform.http import AnswerReader, BadInput, RequestReader
+from hollowusher.scheduler.fronts.platform.answers import settled
+from hollowusher.scheduler.fronts.stomp.frames import FROM_CLIENT, FROM_SERVER, Frame, FrameError, FrameReader, encode
+from hollowusher.scheduler.fronts.stomp.wire import read_beat
+from hollowusher.scheduler.logs.outlet import Outlet
+from hollowusher.scheduler.log import Log, escape, message
+from hollowusher.scheduler.net.link import Link
+from hollowusher.scheduler.net.ring import RingBuffer, ring_bytes
+from tests.support.standins import MEANINGS, post
+from tests.support.balancer import S
 
 SEND = b"SEND\ndestination:/queue/jobs\nx:1\nx:2\ncontent-length:3\n\na\0b\0"
 
--- a/tests/test_rehearsal.py
+++ b/tests/scheduler/test_rehearsal.py
@@ -6,12 +6,12 @@
 import unittest
 
 from benchmarks.false_suspicion import USUAL, burst, quick, settings_for, usual
-from hazelweir import State
-from hollowusher.emulator.model import Kind
-from hollowusher.emulator.traffic import Demand, Spell, draw
-from hollowusher.emulator.heap import Heap
-from hollowusher.emulator.virtual import Rehearsal, Report, VirtualNode
-from tests.support import MS, S
+from hollowusher.balancing import State
+from hollowusher.scheduler.emulator.model import Kind
+from hollowusher.scheduler.emulator.traffic import Demand, Spell, draw
+from hollowusher.scheduler.emulator.heap import Heap
+from hollowusher.scheduler.emulator.virtual import Rehearsal, Report, VirtualNode
+from tests.support.balancer import MS, S
 
 
 def fleet(nodes: int, schedulers: int, rate: float, span_s: float, seed: int) -> Rehearsal:
--- a/tests/test_replacement.py
+++ b/tests/scheduler/test_replacement.py
@@ -10,17 +10,17 @@
 import unittest
 from pathlib import Path
 
-from hazelweir import BudgetSpent, Listed, ListKind, Send
-from hazelweir.memory import remember, restore
-from hollowusher.fronts.common import JobIds
-from hollowusher.operators.server import call
-from hollowusher.replacement.directory import SharedDirectory
-from hollowusher.replacement.records import (
+from hollowusher.balancing import BudgetSpent, Listed, ListKind, Send
+from hollowusher.balancing.learned_state import remember, restore
+from hollowusher.scheduler.fronts.common import JobIds
+from hollowusher.scheduler.operators.server import call
+from hollowusher.scheduler.replacement.directory import SharedDirectory
+from hollowusher.scheduler.replacement.records import (
     Handover, Phase, ProcessRecord, RecordError, read_record, write_record,
 )
-from tests.standins import free_port, post, read_http
-from tests.support import MS, SITE, Crew, Node, S, sends, site, workers
-from tests.test_reload import Process
+from tests.support.standins import free_port, post, read_http
+from tests.support.balancer import MS, SITE, Crew, Node, S, sends, site, workers
+from tests.scheduler.test_reload import Process
 
 HERE = ("127.0.0.1", 7)
 
--- a/tests/test_reports.py
+++ b/tests/scheduler/test_reports.py
@@ -5,13 +5,13 @@
 import asyncio
 import unittest
 
-from hollowusher.net.peers.settings import PEER, PEERS, Allowed, read_peers
-from hollowusher.net.reports.listener import MOST_ASKERS, Reports, ask
-from hollowusher.net.reports.settings import REPORTS, read_reports
-from hollowusher.parts import Plain
-from hollowusher.settings.model import ConfigError
-from hollowusher.settings.reader import read_text
-from tests.standins import free_port
+from hollowusher.scheduler.net.membership.settings import PEER, PEERS, Allowed, read_peers
+from hollowusher.scheduler.net.reports.listener import MOST_ASKERS, Reports, ask
+from hollowusher.scheduler.net.reports.settings import REPORTS, read_reports
+from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.settings.model import ConfigError
+from hollowusher.scheduler.settings.reader import read_text
+from tests.support.standins import free_port
 
 TWO = (("127.0.0.1", 7), ("127.0.0.1", 8))
 
--- a/tests/test_retune.py
+++ b/tests/scheduler/test_retune.py
@@ -9,13 +9,13 @@
 from dataclasses import replace
 from typing import Any
 
-from hazelweir import Effect, Fail, JobClass, Outcome, Refuse, SettingsChanged
-from hollowusher.emulator.outside import platform_settings
-from hollowusher.operators.server import call
-from hollowusher.settings.platform import lost_keys
-from tests.standins import post, read_http
-from tests.support import LIMITS, MS, S, SAFE, SITE, Node, sends, site, workers
-from tests.test_replacement import Beside
+from hollowusher.balancing import Effect, Fail, JobClass, Outcome, Refuse, SettingsChanged
+from hollowusher.scheduler.emulator.outside import platform_settings
+from hollowusher.scheduler.operators.server import call
+from hollowusher.scheduler.settings.platform import lost_keys
+from tests.support.standins import post, read_http
+from tests.support.balancer import LIMITS, MS, S, SAFE, SITE, Node, sends, site, workers
+from tests.scheduler.test_replacement import Beside
 
 GRADE = {"name": "settle-shift", "effect": "fragile", "late_share": 0.5, "goal_time_ns": 4 * S,
          "deadline_ns": 10 * S}
--- a/tests/test_stomp_sockets.py
+++ b/tests/scheduler/test_stomp_sockets.py
@@ -5,12 +5,12 @@
 import asyncio
 import time
 
-from hazelweir import Listed, Outcome
-from hollowusher.core.model import Attempt, AttemptEnded, Dispatch, Job
-from hollowusher.core.roster import Roster, RouteNode
-from hollowusher.fronts.stomp.nodes import StompNodes
-from tests.standins import MEANINGS, HttpNode, SocketCase, Stomp, StompNodeStandIn, post, stomp
-from tests.support import S
+from hollowusher.balancing import Listed, Outcome
+from hollowusher.scheduler.dispatch.model import Attempt, AttemptEnded, Dispatch, Job
+from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.fronts.stomp.nodes import StompNodes
+from tests.support.standins import MEANINGS, HttpNode, SocketCase, Stomp, StompNodeStandIn, post, stomp
+from tests.support.balancer import S
 
 
 class OneAnswerEach(SocketCase):
--- a/tests/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -4,11 +4,11 @@
 
 import unittest
 
-from hazelweir.interface import Outcome
-from hollowusher.rules.pulse import Beat, FrameBudget, Pulse
-from hollowusher.rules.stream_ends import Cause, outcome
-from hollowusher.rules.streams import Act, Close, Give, Open, StreamBook, StreamLimits, TurnBack, Why
-from tests.support import MS, S
+from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.rules.pulse import Beat, FrameBudget, Pulse
+from hollowusher.scheduler.rules.stream_ends import Cause, outcome
+from hollowusher.scheduler.rules.streams import Act, Close, Give, Open, StreamBook, StreamLimits, TurnBack, Why
+from tests.support.balancer import MS, S
 
 LIMITS = StreamLimits(connections=2, streams=3, waiting=4, wait_ns=S, idle_ns=5 * S, used_most=100)
 
