--- a/tests/control/test_planted_faults.py
+++ b/tests/simulation/test_planted_faults.py
@@ -10,12 +10,12 @@
 
 REPOSITORY = Path(__file__).parent.parent.parent
 FOUND_BY = {
-    "delay-lost-at-takeover": "tests/test_partition.py::test_agrees_with_a_plain_partition_while_all_is_calm",
-    "emptied-too-early": "tests/control/test_store_retire.py",
-    "learner-promoted-early": "tests/test_placement.py",
-    "moved-primary-serves-on": "tests/test_replication.py::test_random_troubles_lose_nothing",
-    "seed-forgets-the-view": "tests/test_cluster_client.py",
-    "unknown-put-answered-503": "tests/test_store_client.py",
+    "delay-lost-at-takeover": "tests/messages/test_partition.py::test_agrees_with_a_plain_partition_while_all_is_calm",
+    "emptied-too-early": "tests/coordination/placement/test_store_retire.py",
+    "learner-promoted-early": "tests/coordination/placement/test_placement.py",
+    "moved-primary-serves-on": "tests/messages/test_replication.py::test_random_troubles_lose_nothing",
+    "seed-forgets-the-view": "tests/coordination/distribution/test_cluster_client.py",
+    "unknown-put-answered-503": "tests/intake/test_store_client.py",
 }
 RUN_WITH_FAULT = """
 import sys, pytest
--- a/tests/control/test_simulated_tolerance.py
+++ b/tests/simulation/test_simulated_tolerance.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hollowusher.simulation.troubles.tolerance import FOR_GOOD, Tolerance
+from hollowusher.simulation.faults.tolerance import FOR_GOOD, Tolerance
 
 CATCH_UP_S = 4.2
 
--- a/tests/test_ring_log.py
+++ b/tests/storage/test_ring_log.py
@@ -25,7 +25,7 @@
     decode_header,
     encode_frame,
 )
-from tests.simulated_disk import InlineWorker, SimulatedDisk
+from tests.support.simulated_disk import InlineWorker, SimulatedDisk
 
 FOLDER = Path("/disk")
 SEGMENT_BYTES = 400
--- a/tests/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -13,7 +13,7 @@
 from hollowusher.storage.interface import StorageError
 from hollowusher.storage.memory import MemorySlot
 from hollowusher.storage.slots import SlotFile, decode_value, encode_value
-from tests.simulated_disk import InlineWorker, SimulatedDisk
+from tests.support.simulated_disk import InlineWorker, SimulatedDisk
 
 FOLDER = Path("/disk")
 SLOT = FOLDER / "state"
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Clusters, disks, networks and stand-ins that tests share."""
--- a/tests/support.py
+++ b/tests/support/balancer.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from hazelweir import (
+from hollowusher.balancing import (
     Action,
     Arrival,
     Balancer,
--- a/tests/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -12,9 +12,9 @@
 import orjson
 
 from hollowusher.configuration.boot import Bind, BootSettings, FaultTolerance
-from hollowusher.coordination.bootstrap import SeedService
-from hollowusher.coordination.controller import Controller
-from hollowusher.coordination.state_store import StateStore
+from hollowusher.coordination.controller.bootstrap import SeedService
+from hollowusher.coordination.controller.controller import Controller
+from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.control import (
     ChangeConfiguration,
--- a/tests/control/core.py
+++ b/tests/support/controllers.py
@@ -1,6 +1,6 @@
 """Controllers with all their parts in virtual time, over links that are cut one way or both, for the tests.
 
-Unlike `tests.controller_cluster` a process can be frozen here, and a link cut in one direction.
+Unlike `tests.support.controller_cluster` a process can be frozen here, and a link cut in one direction.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 import orjson
 
 from hollowusher.configuration.boot import Bind, BootSettings
-from hollowusher.coordination.client import ClusterClient
-from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.controller import Controller
-from hollowusher.coordination.directory import Directory
-from hollowusher.coordination.duties import HeadDuties
-from hollowusher.coordination.state_store import StateStore
-from hollowusher.coordination.updates import Feed
+from hollowusher.coordination.distribution.cluster_client import ClusterClient
+from hollowusher.coordination.distribution.cluster_state import ClusterState
+from hollowusher.coordination.controller.controller import Controller
+from hollowusher.coordination.membership.directory import Directory
+from hollowusher.coordination.controller.head_roles import HeadDuties
+from hollowusher.coordination.chain.state_store import StateStore
+from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.protocol.control import (
     ChangeConfiguration,
     Item,
--- a/tests/control/order_model.py
+++ b/tests/support/order_model.py
@@ -15,9 +15,9 @@
 import orjson
 
 from hollowusher.configuration.orders import read_order
-from hollowusher.coordination.controller import Controller
+from hollowusher.coordination.controller.controller import Controller
 from hollowusher.protocol.control import ChangeConfiguration, ControlState, OperatorAnswer, ReadConfiguration
-from tests.controller_cluster import Cluster, document
+from tests.support.controller_cluster import Cluster, document
 
 CALL_TIMEOUT_S = 1.0
 GIVE_UP_S = 12.0
--- a/tests/control/order_traffic.py
+++ b/tests/support/order_traffic.py
@@ -9,7 +9,7 @@
 
 from hollowusher.protocol.codec import encode
 from hollowusher.protocol.control import ChangeConfiguration, OperatorAnswer, ReadConfiguration
-from tests.controller_cluster import Cluster, document
+from tests.support.controller_cluster import Cluster, document
 
 PATIENCE_S = 1.0
 TRIES = 4
--- a/tests/standins.py
+++ b/tests/support/standins.py
@@ -13,13 +13,13 @@
 
 import uvloop
 
-from hazelweir import Discovery, Effect, Group, JobClass, Limits, Settings, Via
-from hollowusher.app import serve
-from hollowusher.config import Config, load
-from hollowusher.fronts.stomp.settings import StompConfig, StompNode
-from hollowusher.log import Log
-from hollowusher.net.http2.settings import Http2Config
-from tests.support import MS, S
+from hollowusher.balancing import Discovery, Effect, Group, JobClass, Limits, Settings, Via
+from hollowusher.scheduler.app import serve
+from hollowusher.scheduler.config import Config, load
+from hollowusher.scheduler.fronts.stomp.settings import StompConfig, StompNode
+from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.net.http2.settings import Http2Config
+from tests.support.balancer import MS, S
 
 asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())
 PATIENCE_S = 10.0
--- a/tests/control/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.peer_names import present
+from hollowusher.coordination.distribution.cluster_state import ClusterState
+from hollowusher.coordination.membership.peer_names import present
 from hollowusher.protocol.codec import MOST_TAG, encode, evolve, tag_of
 from hollowusher.protocol.control import (
     ConfirmEpoch,
@@ -31,8 +31,8 @@
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
 from hollowusher.transport.peers import PeerDirectory
 from hollowusher.transport.tcp import ANSWER, LENGTH, TcpTransport
-from tests.control.call_support import message, store_member
-from tests.standins import free_port
+from tests.support.calls import message, store_member
+from tests.support.standins import free_port
 
 WITHIN_S = 20.0  # only a test that hangs takes this long
 OWN = Identity("c1", "store-2", 7, "d2")
--- a/tests/control/test_calls_late.py
+++ b/tests/transport/test_calls_late.py
@@ -12,7 +12,7 @@
 from hollowusher.simulation.network import Network
 from hollowusher.transport.interface import PeerError, fail_call
 from hollowusher.transport.tcp import TcpTransport
-from tests.standins import free_port
+from tests.support.standins import free_port
 
 TIMEOUT_S = 5.0
 FROZEN_S = 8.0
--- a/tests/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -13,7 +13,7 @@
 from hollowusher.transport import tcp
 from hollowusher.transport.interface import Handler, PeerError
 from hollowusher.transport.tcp import ANSWER, LENGTH, ONE_WAY, REQUEST, TcpTransport, split_address
-from tests.standins import free_port
+from tests.support.standins import free_port
 
 WITHIN_S = 20.0  # only a test that hangs takes this long
 SHORT_S = 0.05
