--- a/tests/support/dispatch.py
+++ b/tests/support/dispatch.py
@@ -50,8 +50,14 @@
     return Member(name, "store", ADDRESSES[store_id], "z1", "r", 1, disk_id=disk)
 
 
-def listed(number: int, service: str = "svc", capacity: int = 4, state: str = "ready",
-           warm_in_ms: int = 0, zone: str = "z1") -> Worker:
+def listed(
+    number: int,
+    service: str = "svc",
+    capacity: int = 4,
+    state: str = "ready",
+    warm_in_ms: int = 0,
+    zone: str = "z1",
+) -> Worker:
     return Worker(f"i-{number}", service, f"10.2.0.{number}:8080", zone, capacity, state, warm_in_ms)
 
 
@@ -59,8 +65,14 @@
     return Route(name, f"{name}.example", "/", upstream, timeout_ms=timeout_ms)
 
 
-def job(number: int, service: str = "svc", route_name: str = "r1", start_within_ms: int = 500,
-        body: bytes = b"x", **fields: Any) -> Job:
+def job(
+    number: int,
+    service: str = "svc",
+    route_name: str = "r1",
+    start_within_ms: int = 500,
+    body: bytes = b"x",
+    **fields: Any,
+) -> Job:
     message = NewMessage(f"m{number}", route_name, service, "POST", "/p", "r1.example", body, **fields)
     return Job(f"0-1-{number}-1", message, 0, start_within_ms)
 
@@ -68,8 +80,14 @@
 class Cluster:
     """A cluster's state whose items grow in version with each change."""
 
-    def __init__(self, members: list[Member], services: list[Service], routes: list[Route],
-                 workers: list[Worker], primary: str = STORE_1) -> None:
+    def __init__(
+        self,
+        members: list[Member],
+        services: list[Service],
+        routes: list[Route],
+        workers: list[Worker],
+        primary: str = STORE_1,
+    ) -> None:
         self.state = ClusterState()
         self._version = 0
         for member in [*members, store(STORE_1), store(STORE_2)]:
@@ -206,8 +224,9 @@
                 await asyncio.sleep(self.run_s)
         finally:
             self.out[address] -= 1
-        return DeliveryOutcome("success", Ending.DONE, f"s-{job.message.id}", started=began,
-                               took=loop.time() - began)
+        return DeliveryOutcome(
+            "success", Ending.DONE, f"s-{job.message.id}", started=began, took=loop.time() - began
+        )
 
     def forget(self, endpoint: Endpoint) -> None:
         self.forgotten.append(endpoint)
@@ -219,7 +238,8 @@
 SETTINGS = BootSettings(node_name="e1", machine_class="edge", ip="10.0.0.1")
 
 
-def dispatcher(cluster: Cluster, stores: LeasingStores, workers: ModelWorkers,
-               name: str = "e1") -> Dispatcher:
+def dispatcher(
+    cluster: Cluster, stores: LeasingStores, workers: ModelWorkers, name: str = "e1"
+) -> Dispatcher:
     me = cluster.state.members[name]
     return Dispatcher(me, stores, cluster.state, stores, SETTINGS, workers, random.Random(1))
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -10,7 +10,7 @@
 import attrs
 import orjson
 
-from hollowusher.configuration.boot import Bounds, BootSettings, FaultTolerance
+from hollowusher.configuration.boot import BootSettings, Bounds, FaultTolerance
 from hollowusher.coordination.distribution.cluster_state import CONFIGURATION, PLACEMENT, VIEW, ClusterState
 from hollowusher.messages.service import StoreService
 from hollowusher.protocol.control import (
@@ -50,8 +50,17 @@
 def message(message_id: str, **changes: Any) -> NewMessage:
     """A message with plain fields."""
     plain = NewMessage(
-        id=message_id, route="r", service="s", method="POST", path="/x/1", host="a.example",
-        body=message_id.encode(), max_attempts=3, retention_ms=60_000, timeout_ms=1_000)
+        id=message_id,
+        route="r",
+        service="s",
+        method="POST",
+        path="/x/1",
+        host="a.example",
+        body=message_id.encode(),
+        max_attempts=3,
+        retention_ms=60_000,
+        timeout_ms=1_000,
+    )
     return attrs.evolve(cast(Any, plain), **changes)  # type: ignore[no-any-return]
 
 
@@ -94,11 +103,21 @@
         self.state = ClusterState()
         cluster.tell(self.state)
         settings = BootSettings(
-            self.name, "storage", fault_tolerance=FaultTolerance(cluster.tolerated),
-            bounds=Bounds(status_s=60))
+            self.name,
+            "storage",
+            fault_tolerance=FaultTolerance(cluster.tolerated),
+            bounds=Bounds(status_s=60),
+        )
         self.service = StoreService(
-            self.member(), self.store_id, transport, self.log, self.state, settings, cluster.chance.random,
-            cluster.wall_ms)
+            self.member(),
+            self.store_id,
+            transport,
+            self.log,
+            self.state,
+            settings,
+            cluster.chance.random,
+            cluster.wall_ms,
+        )
         await transport.start(self.service.handle)
         await self.service.start()
 
@@ -129,8 +148,9 @@
 class StoreCluster:
     """Some stores, and an edge process that calls them."""
 
-    def __init__(self, loop: VirtualLoop, stores: int = 3, tolerated: int = 1, seed: int = 1,
-                 segments: int = 256) -> None:
+    def __init__(
+        self, loop: VirtualLoop, stores: int = 3, tolerated: int = 1, seed: int = 1, segments: int = 256
+    ) -> None:
         self.loop = loop
         self.chance = random.Random(seed)
         self.network = Network(loop, random.Random(seed + 1))
@@ -161,13 +181,20 @@
         for store in self.stores:
             await store.start()
 
-    def entry(self, partition: int, epoch: int, primary: int, replicas: list[int] | None = None,
-              learners: list[int] | None = None) -> PartitionPlacement:
+    def entry(
+        self,
+        partition: int,
+        epoch: int,
+        primary: int,
+        replicas: list[int] | None = None,
+        learners: list[int] | None = None,
+    ) -> PartitionPlacement:
         """A placement by the stores' numbers."""
         ids = [store.store_id for store in self.stores]
         chosen = list(range(len(ids))) if replicas is None else replicas
         return PartitionPlacement(
-            partition, epoch, ids[primary], [ids[n] for n in chosen], [ids[n] for n in learners or []])
+            partition, epoch, ids[primary], [ids[n] for n in chosen], [ids[n] for n in learners or []]
+        )
 
     def place(self, entries: list[PartitionPlacement]) -> None:
         """A new placement of all partitions."""
@@ -214,15 +241,24 @@
         assert answer.status == "stored", answer
         return answer.reference
 
-    async def lease(self, store: int = 0, most: int = 1, wait_ms: int = 0, service: str = "s",
-                    pull: bool = False, visibility_ms: int = 0, incarnation: int = 1) -> list[Job]:
+    async def lease(
+        self,
+        store: int = 0,
+        most: int = 1,
+        wait_ms: int = 0,
+        service: str = "s",
+        pull: bool = False,
+        visibility_ms: int = 0,
+        incarnation: int = 1,
+    ) -> list[Job]:
         request = LeaseRequest("edge-1", incarnation, service, most, wait_ms, pull, visibility_ms)
         answer = await self.call(store, request, timeout=wait_ms / 1000 + 10)
         assert isinstance(answer, Leased)
         return answer.jobs
 
-    async def finish(self, lease: str, result: str, store: int = 0, signature: str = "",
-                     retry_ms: int = 0) -> str:
+    async def finish(
+        self, lease: str, result: str, store: int = 0, signature: str = "", retry_ms: int = 0
+    ) -> str:
         answer = await self.call(store, Finish(lease, result, signature, retry_ms))
         assert isinstance(answer, LeaseAnswer)
         return answer.status
@@ -233,8 +269,13 @@
         return answer
 
 
-def play(work: Callable[[StoreCluster], Coroutine[Any, Any, None]], stores: int = 3, tolerated: int = 1,
-         seed: int = 1, segments: int = 256) -> StoreCluster:
+def play(
+    work: Callable[[StoreCluster], Coroutine[Any, Any, None]],
+    stores: int = 3,
+    tolerated: int = 1,
+    seed: int = 1,
+    segments: int = 256,
+) -> StoreCluster:
     """Run a scenario on a new cluster; errors that nobody caught fail it."""
     loop = VirtualLoop()
     cluster = StoreCluster(loop, stores, tolerated, seed, segments)
--- a/tests/support/simulated_disk.py
+++ b/tests/support/simulated_disk.py
@@ -63,7 +63,7 @@
 def overwrite(content: bytearray, data: bytes, offset: int) -> None:
     if len(content) < offset:
         resize(content, offset)
-    content[offset:offset + len(data)] = data
+    content[offset : offset + len(data)] = data
 
 
 def apply_change(content: bytearray, offset: int, data: bytes) -> None:
@@ -141,13 +141,13 @@
         self._changed()
 
     def read(self, descriptor: int, length: int, offset: int) -> bytes:
-        return bytes(self.open_files[descriptor].current[offset:offset + length])
+        return bytes(self.open_files[descriptor].current[offset : offset + length])
 
     def write(self, descriptor: int, data: bytes, offset: int) -> None:
         self._check_space()
         if self.failing_writes:
             self.failing_writes -= 1
-            self.open_files[descriptor].write(data[:len(data) // 2], offset)
+            self.open_files[descriptor].write(data[: len(data) // 2], offset)
             raise OSError(errno.EIO, "Input/output error")
         self.open_files[descriptor].write(data, offset)
         self._changed()
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -30,8 +30,14 @@
     JobClass("settle-shift", 800 * MS, 20 * S, 3.0, 0.25, 2.0, Effect.UNSAFE),
 )
 SETTINGS = Settings(
-    classes=CLASSES, zone="a", tick_ns=2 * MS, discovery=Discovery.ASK, readings=Via.ANSWERS,
-    tells_start=True, progress_ns=2 * S, limits=Limits(True, True, True, True, 2 * S, 3),
+    classes=CLASSES,
+    zone="a",
+    tick_ns=2 * MS,
+    discovery=Discovery.ASK,
+    readings=Via.ANSWERS,
+    tells_start=True,
+    progress_ns=2 * S,
+    limits=Limits(True, True, True, True, 2 * S, 3),
 )
 MEANINGS = {"x0": "free_slots"}
 
@@ -100,8 +106,18 @@
         self.asked: asyncio.Queue[str] = asyncio.Queue()
 
     def add(self, name: str, port: int, state: str = "SERVING") -> None:
-        self.rows.append({"id": name, "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "k", "cell": 0,
-                          "state": state, "weight": 1.0, "started_ms": 0})
+        self.rows.append(
+            {
+                "id": name,
+                "addr": f"127.0.0.1:{port}",
+                "zone": "a",
+                "kind": "k",
+                "cell": 0,
+                "state": state,
+                "weight": 1.0,
+                "started_ms": 0,
+            }
+        )
 
     def tell(self, rows: list[dict[str, Any]], full: bool = False) -> None:
         for writer in self.writers:
@@ -184,8 +200,10 @@
 
 def post(job: str, job_class: str = "eta-quote", budget: str = "3", body: bytes = b"parcel") -> bytes:
     """A job as a client sends it by HTTP."""
-    return (f"POST /jobs/x HTTP/1.1\r\nHost: h\r\nX-Call-Id: {job}\r\nX-Call-Class: {job_class}\r\n"
-            f"X-Budget: {budget}\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
+    return (
+        f"POST /jobs/x HTTP/1.1\r\nHost: h\r\nX-Call-Id: {job}\r\nX-Call-Class: {job_class}\r\n"
+        f"X-Budget: {budget}\r\nContent-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
 def stomp(command: str, body: bytes, /, **headers: str) -> bytes:
@@ -212,8 +230,14 @@
         self.writer.write(stomp(command, body, **headers))
 
     def job(self, job: str, job_class: str = "settle-shift", body: bytes = b"pay", /, **headers: str) -> None:
-        fields = {"destination": "/queue/jobs", "job_id": job, "job_class": job_class, "budget": "5",
-                  "receipt": f"taken-{job}", **headers}
+        fields = {
+            "destination": "/queue/jobs",
+            "job_id": job,
+            "job_class": job_class,
+            "budget": "5",
+            "receipt": f"taken-{job}",
+            **headers,
+        }
         self.writer.write(stomp("SEND", body, **fields))
 
     async def answer(self) -> tuple[str, str, bytes]:
@@ -275,8 +299,9 @@
         self.report(f"r:{headers['job-id']}".encode(), attempt=headers["attempt"], state=state)
 
     def report(self, body: bytes = b"", /, **headers: str) -> None:
-        self.sessions[-1].put("MESSAGE", body, subscription="reports", message_id="1",
-                              destination="/queue/reports", **headers)
+        self.sessions[-1].put(
+            "MESSAGE", body, subscription="reports", message_id="1", destination="/queue/reports", **headers
+        )
 
 
 class SocketCase(unittest.IsolatedAsyncioTestCase):
@@ -295,19 +320,36 @@
             await server.start()
             self.addAsyncCleanup(server.close)
 
-    async def run_program(self, *nodes: HttpNode, stomp_nodes: tuple[StompNodeStandIn, ...] = (),
-                          again: asyncio.Event | None = None, read: Callable[[], Config] = load,
-                          **stomp_config: Any) -> None:
+    async def run_program(
+        self,
+        *nodes: HttpNode,
+        stomp_nodes: tuple[StompNodeStandIn, ...] = (),
+        again: asyncio.Event | None = None,
+        read: Callable[[], Config] = load,
+        **stomp_config: Any,
+    ) -> None:
         await self.started(*nodes, *stomp_nodes)
         for index, node in enumerate(nodes):
             self.list.add(f"s-{index + 1:x}", node.port)
         self.port, self.stomp_port = free_port(), free_port()
-        listed = tuple(StompNode(f"stomp-{i}", ("127.0.0.1", n.port), "a", "k", 0, 1.0)
-                       for i, n in enumerate(stomp_nodes))
+        listed = tuple(
+            StompNode(f"stomp-{i}", ("127.0.0.1", n.port), "a", "k", 0, 1.0)
+            for i, n in enumerate(stomp_nodes)
+        )
         fields: dict[str, Any] = {"heart_beat_ms": 1000, **stomp_config}
         self.config = Config(
-            "n0", ("127.0.0.1", self.port), ("127.0.0.1", self.list.port), 1, 512, self.settings, MEANINGS,
-            0.25, 30.0, {}, None, StompConfig(True, ("127.0.0.1", self.stomp_port), nodes=listed, **fields),
+            "n0",
+            ("127.0.0.1", self.port),
+            ("127.0.0.1", self.list.port),
+            1,
+            512,
+            self.settings,
+            MEANINGS,
+            0.25,
+            30.0,
+            {},
+            None,
+            StompConfig(True, ("127.0.0.1", self.stomp_port), nodes=listed, **fields),
             http2=self.http2,
         )
         self.stop = asyncio.Event()
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -16,9 +16,21 @@
 
 
 def test_the_platforms_line_imports_nothing_that_is_off() -> None:
-    off = ("h2", "hpack", "hyperframe", "hollowusher.scheduler.fronts.stomp.front", "hollowusher.scheduler.net.http2.streams",
-           "msgspec", "xxhash", "hollowusher.scheduler.emulator", "difflib", "tomllib")
-    code = ("import sys, hollowusher.__main__, hollowusher.scheduler.app; "
-            f"print([m for m in {off!r} if m in sys.modules])")
+    off = (
+        "h2",
+        "hpack",
+        "hyperframe",
+        "hollowusher.scheduler.fronts.stomp.front",
+        "hollowusher.scheduler.net.http2.streams",
+        "msgspec",
+        "xxhash",
+        "hollowusher.scheduler.emulator",
+        "difflib",
+        "tomllib",
+    )
+    code = (
+        "import sys, hollowusher.__main__, hollowusher.scheduler.app; "
+        f"print([m for m in {off!r} if m in sys.modules])"
+    )
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert told.stdout.strip() == "[]"
