--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -22,7 +22,8 @@
 )
 from hollowusher.configuration.order_history import LARGEST_HISTORY, pruned
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import ControlState, OperatorAnswer
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.operator_orders import OperatorAnswer
 
 PUT = "PUT"
 PATCH = "PATCH"
--- a/hollowusher/console/control_report.py
+++ b/hollowusher/console/control_report.py
@@ -7,7 +7,7 @@
 from hollowusher.console.client import Answer, CallError
 from hollowusher.console.tables import Cell, table
 from hollowusher.protocol.codec import from_document
-from hollowusher.protocol.status import ControlStatus, PartitionStatus, VoterStatus
+from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
 
 NONE = "-"
 
--- a/hollowusher/console/report.py
+++ b/hollowusher/console/report.py
@@ -12,7 +12,9 @@
 from dataclasses import dataclass, field
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.control import Member, PartitionPlacement, Worker
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement
+from hollowusher.protocol.worker_list import Worker
 
 MOST_MEMBERS = 512
 MOST_PARTITIONS = 256
--- a/hollowusher/console/status_api.py
+++ b/hollowusher/console/status_api.py
@@ -15,9 +15,9 @@
 
 from hollowusher.coordination.cluster_state import WORKERS, ClusterState
 from hollowusher.protocol.codec import as_document
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.status import ControlStatus
-from hollowusher.protocol.store import StatusAnswer
+from hollowusher.protocol.control_status import ControlStatus
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import StatusAnswer
 
 STATUS_PATH = "/status"
 MESSAGE_PATH = "/messages/{reference}"
--- a/hollowusher/console/survey.py
+++ b/hollowusher/console/survey.py
@@ -13,7 +13,7 @@
 from hollowusher.console.control_report import read_control
 from hollowusher.console.report import MemberReport, ProcessReport, StatusReport
 from hollowusher.console.store_report import StoreReport
-from hollowusher.protocol.status import ControlStatus
+from hollowusher.protocol.control_status import ControlStatus
 
 STATUS_PATH = "/status"
 CONTROL_PATH = "/control"
--- a/hollowusher/console/views.py
+++ b/hollowusher/console/views.py
@@ -27,7 +27,7 @@
 from hollowusher.console.survey import Survey
 from hollowusher.console.tables import Cell, table
 from hollowusher.protocol.codec import as_document
-from hollowusher.protocol.status import ControlStatus
+from hollowusher.protocol.control_status import ControlStatus
 
 NONE = "-"
 NO_ANSWER = "no answer"
--- a/hollowusher/coordination/chain/chain_head.py
+++ b/hollowusher/coordination/chain/chain_head.py
@@ -8,7 +8,7 @@
 from hollowusher.coordination.chain.chain_member import ChainMember
 from hollowusher.coordination.chain.chain_replicator import Replicator
 from hollowusher.coordination.consensus.paxos import shortest_chain
-from hollowusher.protocol.control import ControlState
+from hollowusher.protocol.control_chain import ControlState
 
 CHANGE_DEADLINE_S = 2.5
 CHANGE_RETRY_S = 0.1
--- a/hollowusher/coordination/chain/chain_member.py
+++ b/hollowusher/coordination/chain/chain_member.py
@@ -14,7 +14,8 @@
 
 from hollowusher.coordination.consensus.paxos import FIRST_EPOCH, is_voter
 from hollowusher.protocol.codec import decode, encode, evolve
-from hollowusher.protocol.control import ChainWrite, ControlState, View
+from hollowusher.protocol.control_chain import ChainWrite, ControlState
+from hollowusher.protocol.view import View
 
 EMPTY_STATE = ControlState(sequence=0, generation=0, document=b"", history=[])
 
--- a/hollowusher/coordination/chain/chain_replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -16,15 +16,8 @@
 from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S, StateStore
 from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ChainWrite,
-    ChainWritten,
-    ControlState,
-    ReadRecord,
-    RecordChunk,
-    View,
-    Voter,
-)
+from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, RecordChunk
+from hollowusher.protocol.view import View, Voter
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import PeerError, Transport
 
--- a/hollowusher/coordination/chain/record_fetch.py
+++ b/hollowusher/coordination/chain/record_fetch.py
@@ -21,7 +21,7 @@
 )
 from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S, StateStore
 from hollowusher.protocol.codec import DecodeError
-from hollowusher.protocol.control import ReadRecord, RecordChunk
+from hollowusher.protocol.control_chain import ReadRecord, RecordChunk
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import PeerError, Transport
 
--- a/hollowusher/coordination/chain/state_record.py
+++ b/hollowusher/coordination/chain/state_record.py
@@ -12,7 +12,7 @@
 import attrs
 
 from hollowusher.protocol.codec import decode, encode, evolve
-from hollowusher.protocol.control import ControlState
+from hollowusher.protocol.control_chain import ControlState
 
 DIGEST_BYTES = 16
 EMBEDDED_BYTES = 16 * 1024  # a record up to this size is saved together with the state
--- a/hollowusher/coordination/chain/state_store.py
+++ b/hollowusher/coordination/chain/state_store.py
@@ -21,7 +21,7 @@
     without_record,
 )
 from hollowusher.protocol.codec import decode, encode
-from hollowusher.protocol.control import ControlState
+from hollowusher.protocol.control_chain import ControlState
 from hollowusher.storage.interface import Slot, StorageError
 
 SLOWEST_BYTES_PER_S = 1_000_000  # slowest link and disk that a large state is to get through in its time
--- a/hollowusher/coordination/cluster_state.py
+++ b/hollowusher/coordination/cluster_state.py
@@ -10,7 +10,11 @@
 from typing import Any
 
 from hollowusher.configuration.model import Configuration, read_document
-from hollowusher.protocol.control import Item, Member, PartitionPlacement, Placement, View, WorkerList
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
+from hollowusher.protocol.view import View
+from hollowusher.protocol.worker_list import WorkerList
 
 CONFIGURATION = "configuration"
 PLACEMENT = "placement"
--- a/hollowusher/coordination/consensus/agreement.py
+++ b/hollowusher/coordination/consensus/agreement.py
@@ -12,7 +12,7 @@
 from hollowusher.coordination.consensus import voting
 from hollowusher.coordination.consensus.paxos import Acceptor, majority, voter_id
 from hollowusher.coordination.consensus.voting import VotingMachine
-from hollowusher.protocol.control import (
+from hollowusher.protocol.consensus import (
     Accept,
     Accepted,
     ConfirmEpoch,
@@ -22,9 +22,8 @@
     Prepare,
     Promise,
     ProposeFirst,
-    View,
-    Voter,
 )
+from hollowusher.protocol.view import View, Voter
 from hollowusher.storage.interface import Slot, StorageError
 from hollowusher.transport.interface import PeerError, Transport
 
--- a/hollowusher/coordination/consensus/bootstrap.py
+++ b/hollowusher/coordination/consensus/bootstrap.py
@@ -18,17 +18,8 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.consensus.paxos import first_view, majority, same_cluster, voter_id
 from hollowusher.coordination.consensus.voter_set import choose_voters, voters_wanted
-from hollowusher.protocol.control import (
-    Announce,
-    Decided,
-    FirstTaken,
-    OfferView,
-    ProposeFirst,
-    ReadView,
-    View,
-    ViewAnswer,
-    Voter,
-)
+from hollowusher.protocol.consensus import Decided, FirstTaken, ProposeFirst
+from hollowusher.protocol.view import Announce, OfferView, ReadView, View, ViewAnswer, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 GATHER_S = 1.5
--- a/hollowusher/coordination/consensus/paxos.py
+++ b/hollowusher/coordination/consensus/paxos.py
@@ -10,15 +10,8 @@
 from collections.abc import Iterable
 
 from hollowusher.protocol.codec import decode, encode, evolve
-from hollowusher.protocol.control import (
-    Accept,
-    Accepted,
-    ConfirmEpoch,
-    Prepare,
-    Promise,
-    View,
-    Voter,
-)
+from hollowusher.protocol.consensus import Accept, Accepted, ConfirmEpoch, Prepare, Promise
+from hollowusher.protocol.view import View, Voter
 
 Ballot = tuple[int, str]  # round, name of the proposer
 NO_BALLOT: Ballot = (0, "")
--- a/hollowusher/coordination/consensus/reconfiguration.py
+++ b/hollowusher/coordination/consensus/reconfiguration.py
@@ -11,7 +11,8 @@
 
 from hollowusher.coordination.consensus.paxos import find_voter, majority, shortest_chain
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Pong, View, Voter
+from hollowusher.protocol.consensus import Pong
+from hollowusher.protocol.view import View, Voter
 
 SUSPECT_AFTER_S = 1.2
 REFUSALS_OF_A_DEAD_PROCESS = 2
--- a/hollowusher/coordination/consensus/spare_controllers.py
+++ b/hollowusher/coordination/consensus/spare_controllers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from hollowusher.protocol.control import Voter
+from hollowusher.protocol.view import Voter
 
 SPARE_LIFE_S = 2.5  # an announcement counts for so long; spares announce themselves every second
 
--- a/hollowusher/coordination/consensus/view_acquisition.py
+++ b/hollowusher/coordination/consensus/view_acquisition.py
@@ -8,7 +8,7 @@
 
 from hollowusher.coordination.consensus.agreement import Agreement
 from hollowusher.coordination.consensus.bootstrap import SeedService, call_all, propose_first
-from hollowusher.protocol.control import Announce, ReadView, View, ViewAnswer, Voter
+from hollowusher.protocol.view import Announce, ReadView, View, ViewAnswer, Voter
 from hollowusher.transport.interface import Transport
 
 SEEK_INTERVAL_S = 0.3
--- a/hollowusher/coordination/consensus/view_cache.py
+++ b/hollowusher/coordination/consensus/view_cache.py
@@ -9,7 +9,8 @@
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
 from hollowusher.coordination.consensus.view_discovery import SOLICITED
 from hollowusher.protocol.codec import DecodeError, decode, encode
-from hollowusher.protocol.control import Item, View
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.view import View
 from hollowusher.storage.interface import Slot, StorageError
 
 SPREAD_S = 0.1  # views that follow each other at once are saved as one
--- a/hollowusher/coordination/consensus/view_discovery.py
+++ b/hollowusher/coordination/consensus/view_discovery.py
@@ -10,7 +10,8 @@
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
 from hollowusher.coordination.consensus.paxos import same_cluster
 from hollowusher.coordination.controller_choice import ControllerChoice
-from hollowusher.protocol.control import Item, ReadView, View, ViewAnswer
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.view import ReadView, View, ViewAnswer
 from hollowusher.transport.interface import PeerError, Transport
 
 ASK_TIMEOUT_S = 0.6
--- a/hollowusher/coordination/consensus/view_publisher.py
+++ b/hollowusher/coordination/consensus/view_publisher.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from hollowusher.protocol.control import OfferView, View, ViewAnswer
+from hollowusher.protocol.view import OfferView, View, ViewAnswer
 from hollowusher.transport.interface import PeerError, Transport
 
 OFFER_TIMEOUT_S = 0.6
--- a/hollowusher/coordination/consensus/voter_set.py
+++ b/hollowusher/coordination/consensus/voter_set.py
@@ -18,7 +18,7 @@
 
 from hollowusher.coordination.consensus.paxos import find_voter, shortest_chain
 from hollowusher.coordination.consensus.reconfiguration import VoterHealth
-from hollowusher.protocol.control import View, Voter
+from hollowusher.protocol.view import View, Voter
 
 REPLACE_AFTER_S = 1.6  # a voter that gives no sign for this long is replaced if a spare is there
 
--- a/hollowusher/coordination/consensus/voting.py
+++ b/hollowusher/coordination/consensus/voting.py
@@ -19,16 +19,8 @@
 import attrs
 
 from hollowusher.coordination.consensus.paxos import Acceptor, Ballot, Proposer
-from hollowusher.protocol.control import (
-    Accept,
-    Accepted,
-    FirstTaken,
-    Prepare,
-    Promise,
-    ProposeFirst,
-    View,
-    Voter,
-)
+from hollowusher.protocol.consensus import Accept, Accepted, FirstTaken, Prepare, Promise, ProposeFirst
+from hollowusher.protocol.view import View, Voter
 
 PHASE_TIMEOUT_S = 1.1  # for each of: the own promise on disk, a majority's promises, its acceptances
 
--- a/hollowusher/coordination/controller/control_status.py
+++ b/hollowusher/coordination/controller/control_status.py
@@ -14,8 +14,9 @@
 
 from hollowusher.coordination.consensus.paxos import majority
 from hollowusher.coordination.placement.partition_recovery import store_losses_borne
-from hollowusher.protocol.control import ControlState, View
-from hollowusher.protocol.status import ControlStatus, PartitionStatus, VoterStatus
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
+from hollowusher.protocol.view import View
 
 NOT_SERVED = -1  # as a margin: a majority is lacking already
 
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -29,28 +29,11 @@
 from hollowusher.coordination.controller.state_service import StateService
 from hollowusher.coordination.controller.voter_group import VoterGroup
 from hollowusher.coordination.membership.pause_detector import PauseDetector
-from hollowusher.protocol.control import (
-    Accept,
-    Announce,
-    ChainWrite,
-    ChainWritten,
-    ChangeConfiguration,
-    ConfirmEpoch,
-    ControlState,
-    Decided,
-    Member,
-    OfferView,
-    Ping,
-    Prepare,
-    ProposeFirst,
-    ReadConfiguration,
-    ReadRecord,
-    ReadState,
-    ReadView,
-    View,
-    ViewAnswer,
-    Voter,
-)
+from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Decided, Ping, Prepare, ProposeFirst
+from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, ReadState
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.operator_orders import ChangeConfiguration, ReadConfiguration
+from hollowusher.protocol.view import Announce, OfferView, ReadView, View, ViewAnswer, Voter
 from hollowusher.storage.interface import Slot
 from hollowusher.transport.interface import Transport
 
--- a/hollowusher/coordination/controller/departure.py
+++ b/hollowusher/coordination/controller/departure.py
@@ -17,7 +17,8 @@
 from hollowusher.coordination.consensus.paxos import find_voter, is_voter
 from hollowusher.coordination.consensus.reconfiguration import Presence, plan_chain
 from hollowusher.coordination.consensus.spare_controllers import Spares
-from hollowusher.protocol.control import Decided, Ping, Pong, View, Voter
+from hollowusher.protocol.consensus import Decided, Ping, Pong
+from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 TIMEOUT_S = 1.5  # without a spare
--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -26,23 +26,15 @@
 from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.coordination.placement.placement_manager import ControlChain, LogLine, PlacementDuty, no_log
 from hollowusher.coordination.placement.placement_manager import Update as Update
+from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ControlState,
-    Done,
-    Item,
-    Leaving,
-    Member,
-    OperatorAnswer,
-    ProbeLife,
-    Register,
-    Registered,
-    Suspicion,
-    View,
-    Worker,
-    WorkerList,
-)
-from hollowusher.protocol.status import PartitionStatus
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.control_status import PartitionStatus
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Leaving, Member, ProbeLife, Register, Registered, Suspicion
+from hollowusher.protocol.operator_orders import OperatorAnswer
+from hollowusher.protocol.view import View
+from hollowusher.protocol.worker_list import Worker, WorkerList
 from hollowusher.transport.interface import PeerError, Transport
 
 TICK_S = 0.1
--- a/hollowusher/coordination/controller/operator_api.py
+++ b/hollowusher/coordination/controller/operator_api.py
@@ -15,8 +15,13 @@
 from aiohttp import web
 
 from hollowusher.configuration.orders import MOST_BODY_BYTES, Refusal
-from hollowusher.protocol.control import ChangeConfiguration, OperatorAnswer, ReadConfiguration, Retire
-from hollowusher.protocol.status import RecoverPartition
+from hollowusher.protocol.operator_orders import (
+    ChangeConfiguration,
+    OperatorAnswer,
+    ReadConfiguration,
+    RecoverPartition,
+    Retire,
+)
 from hollowusher.transport.interface import PeerError
 
 QUESTION_TIMEOUT_S = 0.9
--- a/hollowusher/coordination/controller/state_service.py
+++ b/hollowusher/coordination/controller/state_service.py
@@ -14,15 +14,9 @@
 from hollowusher.coordination.consensus.paxos import find_voter, is_voter
 from hollowusher.coordination.controller.voter_group import VoterGroup
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ChangeConfiguration,
-    ControlState,
-    OperatorAnswer,
-    ReadConfiguration,
-    ReadState,
-    StateAnswer,
-    Voter,
-)
+from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.view import Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 FORWARD_CHANGE_TIMEOUT_S = 2.8
--- a/hollowusher/coordination/controller/voter_group.py
+++ b/hollowusher/coordination/controller/voter_group.py
@@ -25,7 +25,8 @@
 from hollowusher.coordination.consensus.voter_set import VoterStep, next_step
 from hollowusher.coordination.controller.control_status import UNHEARD, VoterSigns
 from hollowusher.coordination.controller.departure import Departure
-from hollowusher.protocol.control import Decided, Ping, Pong, View, Voter
+from hollowusher.protocol.consensus import Decided, Ping, Pong
+from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 PING_INTERVAL_S = 0.2
--- a/hollowusher/coordination/controller/worker_list_reader.py
+++ b/hollowusher/coordination/controller/worker_list_reader.py
@@ -14,7 +14,7 @@
 import attrs
 import orjson
 
-from hollowusher.protocol.control import Worker, WorkerList
+from hollowusher.protocol.worker_list import Worker, WorkerList
 
 CALL_TIMEOUT_S = 1.0
 MOST_PAGES = 10_000
--- a/hollowusher/coordination/controller_choice.py
+++ b/hollowusher/coordination/controller_choice.py
@@ -10,7 +10,8 @@
 import attrs
 
 from hollowusher.coordination.rendezvous import rank
-from hollowusher.protocol.control import Member, Voter
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.view import Voter
 
 AVOID_S = 3.0  # a controller that has failed is not chosen for this long, if there is another one ...
 MOST_AVOID_S = 12.0  # ... twice as long after each further failure, up to this
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -32,28 +32,12 @@
 from hollowusher.coordination.membership.directory import version_of
 from hollowusher.coordination.membership.failure_detector import Monitor
 from hollowusher.coordination.membership.pause_detector import PauseDetector
+from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ControlState,
-    Done,
-    Heartbeat,
-    Item,
-    Leaving,
-    Member,
-    OfferView,
-    ProbeLife,
-    PullUpdates,
-    ReadState,
-    ReadView,
-    Register,
-    Registered,
-    Repair,
-    StateAnswer,
-    Updates,
-    View,
-    ViewAnswer,
-    Voter,
-)
+from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
+from hollowusher.protocol.distribution import Item, PullUpdates, Repair, Updates
+from hollowusher.protocol.membership import Heartbeat, Leaving, Member, ProbeLife, Register, Registered
+from hollowusher.protocol.view import OfferView, ReadView, View, ViewAnswer, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 PULL_WAIT_MS = 1_000
--- a/hollowusher/coordination/distribution/feed.py
+++ b/hollowusher/coordination/distribution/feed.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from hollowusher.protocol.control import Item, PullUpdates, Updates
+from hollowusher.protocol.distribution import Item, PullUpdates, Updates
 
 LONGEST_AGE_S = 1e6  # told for "never" and for all that is older
 BATCH_S = 0.02  # a waiting pull is answered this long after the first news, so that news travel together
--- a/hollowusher/coordination/distribution/peer_names.py
+++ b/hollowusher/coordination/distribution/peer_names.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from hollowusher.coordination.cluster_state import MEMBER_PREFIX, VIEW, ClusterState
-from hollowusher.protocol.control import Member
 from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.membership import Member
 from hollowusher.transport.peers import PeerDirectory
 
 
--- a/hollowusher/coordination/membership/directory.py
+++ b/hollowusher/coordination/membership/directory.py
@@ -21,7 +21,7 @@
 
 from hollowusher.coordination.membership.failure_detector import monitors_of
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Leaving, Member, Suspicion
+from hollowusher.protocol.membership import Leaving, Member, Suspicion
 
 SUSPICION_COUNTS_S = 1.5  # three times the interval at which a monitor repeats a suspicion
 DOUBT_S = 1.0  # a suspicion has to stand this long without a majority before the head tries the member
--- a/hollowusher/coordination/membership/failure_detector.py
+++ b/hollowusher/coordination/membership/failure_detector.py
@@ -14,7 +14,7 @@
 import attrs
 
 from hollowusher.coordination.rendezvous import weight
-from hollowusher.protocol.control import Heartbeat, Member, Suspicion
+from hollowusher.protocol.membership import Heartbeat, Member, Suspicion
 
 MONITORS = 3
 HEARTBEAT_S = 0.2
--- a/hollowusher/coordination/placement/initial_placement.py
+++ b/hollowusher/coordination/placement/initial_placement.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from hollowusher.coordination.rendezvous import rank, weight
-from hollowusher.protocol.control import Member, PartitionPlacement, Placement
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 
 PARTITIONS = 16
 
--- a/hollowusher/coordination/placement/partition_recovery.py
+++ b/hollowusher/coordination/placement/partition_recovery.py
@@ -15,8 +15,8 @@
 from hollowusher.coordination.membership.directory import StoreCondition
 from hollowusher.coordination.rendezvous import weight
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import PartitionPlacement, Placement
-from hollowusher.protocol.status import PartitionStatus
+from hollowusher.protocol.control_status import PartitionStatus
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 
 
 @attrs.frozen
--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -20,19 +20,14 @@
 )
 from hollowusher.coordination.placement.planner import CAUGHT_UP, enough_would_remain, is_named, replan
 from hollowusher.coordination.placement.replica_states import store_name
+from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ControlState,
-    Done,
-    LearnerLost,
-    LearnerReady,
-    Member,
-    OperatorAnswer,
-    Placement,
-    Retire,
-    View,
-)
-from hollowusher.protocol.status import PartitionStatus, RecoverPartition
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.control_status import PartitionStatus
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.operator_orders import OperatorAnswer, RecoverPartition, Retire
+from hollowusher.protocol.placement import LearnerLost, LearnerReady, Placement
+from hollowusher.protocol.view import View
 
 TICK_S = 0.1
 REPLAN_S = 0.5  # the placement is looked at this often even when no member has changed
--- a/hollowusher/coordination/placement/planner.py
+++ b/hollowusher/coordination/placement/planner.py
@@ -33,7 +33,7 @@
 from hollowusher.coordination.placement.replica_states import store_name as store_name
 from hollowusher.coordination.rendezvous import weight
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import PartitionPlacement, Placement
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 
 LEAST_GAIN = 2  # a move for balance has to bring two stores closer by so many replicas or primaries
 RETIRING_GAIN = 1_000_000  # a primary leaves a machine that is being emptied before any move for balance
--- a/hollowusher/coordination/placement/replica_states.py
+++ b/hollowusher/coordination/placement/replica_states.py
@@ -18,7 +18,7 @@
 from collections.abc import Collection, Mapping
 
 from hollowusher.coordination.membership.directory import StoreCondition
-from hollowusher.protocol.control import Placement
+from hollowusher.protocol.placement import Placement
 
 STEADY_S = 6.0  # a store that has been there this long gets primaries back
 MISSING_S = 1.5  # a store that was judged dead is awaited this long before copies of its replicas are begun
--- a/hollowusher/delivery/callbacks.py
+++ b/hollowusher/delivery/callbacks.py
@@ -16,7 +16,7 @@
 from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
 from hollowusher.delivery.pool import ConnectionPool
 from hollowusher.delivery.reports import EndReporter
-from hollowusher.protocol.store import Finish, Job, JobsWaiting
+from hollowusher.protocol.leases import Finish, Job, JobsWaiting
 
 MOST_CONNECTIONS = 4  # of one receiver: they accept few
 TIMEOUT_S = 3.0
--- a/hollowusher/delivery/leasing.py
+++ b/hollowusher/delivery/leasing.py
@@ -12,8 +12,9 @@
 from hollowusher.configuration.model import Configuration
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.protocol.control import Member, Placement
-from hollowusher.protocol.store import Job, Leased, LeaseRequest
+from hollowusher.protocol.leases import Job, Leased, LeaseRequest
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import Placement
 from hollowusher.transport.interface import PeerError, Transport
 
 POLL_S = 1.0  # how long a store may wait for jobs to come
--- a/hollowusher/delivery/pull.py
+++ b/hollowusher/delivery/pull.py
@@ -11,7 +11,7 @@
 from hollowusher.coordination.cluster_state import MEMBER_PREFIX, PLACEMENT
 from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
 from hollowusher.delivery.reports import EndReporter
-from hollowusher.protocol.store import Job, JobsWaiting
+from hollowusher.protocol.leases import Job, JobsWaiting
 
 SOURCE_KEPT_S = 3.0
 SPARE_KEPT_S = 0.15  # a job whose call has ended is offered to the next call for so long
--- a/hollowusher/delivery/reports.py
+++ b/hollowusher/delivery/reports.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.protocol.store import Finish, LeaseAnswer
+from hollowusher.protocol.leases import Finish, LeaseAnswer
 from hollowusher.transport.interface import PeerError
 
 ANSWER_TIMEOUT_S = 10.0  # of one call, within which the store client repeats by itself
--- a/hollowusher/delivery/worker_client.py
+++ b/hollowusher/delivery/worker_client.py
@@ -10,7 +10,8 @@
 from hollowusher.delivery.connection import Answer, ExchangeError
 from hollowusher.delivery.outcome import DeliveryOutcome, Ending
 from hollowusher.delivery.pool import ConnectionPool, NoFreeConnection
-from hollowusher.protocol.store import Job, NewMessage
+from hollowusher.protocol.leases import Job
+from hollowusher.protocol.messages import NewMessage
 
 LATE_ANSWER_S = 0.4  # a worker's answer may be under way when the time of its message is over
 RUNNING_RETRY_MS = 300  # the message is being run elsewhere
--- a/hollowusher/dispatch/dispatcher.py
+++ b/hollowusher/dispatch/dispatcher.py
@@ -24,8 +24,10 @@
 from hollowusher.delivery.worker_client import Endpoint, WorkerClient
 from hollowusher.dispatch.ownership import Destination, assign, fixed_destination, owner, worker_destination
 from hollowusher.dispatch.service_dispatch import DispatchContext, ServiceDispatch, WorkerSpec
-from hollowusher.protocol.control import Member, Worker
-from hollowusher.protocol.store import CALLBACK_PREFIX, JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import CALLBACK_PREFIX
+from hollowusher.protocol.worker_list import Worker
 from hollowusher.transport.interface import Transport
 
 READY = "ready"
--- a/hollowusher/dispatch/ownership.py
+++ b/hollowusher/dispatch/ownership.py
@@ -13,7 +13,7 @@
 import attrs
 
 from hollowusher.coordination.rendezvous import choose, rank
-from hollowusher.protocol.control import Member
+from hollowusher.protocol.membership import Member
 
 LOAD_BOUND = 1.25  # most destinations of one process, in even shares
 ROUNDING = 1e-9  # of sums of shares
--- a/hollowusher/dispatch/service_dispatch.py
+++ b/hollowusher/dispatch/service_dispatch.py
@@ -16,7 +16,7 @@
 from hollowusher.delivery.reports import EndReporter
 from hollowusher.delivery.worker_client import Endpoint, WorkerClient
 from hollowusher.dispatch.worker_control import WorkerControl
-from hollowusher.protocol.store import Finish, Job
+from hollowusher.protocol.leases import Finish, Job
 
 SOURCE_KEPT_S = 3.0  # a store that is not the home is asked for so long after its last job
 FROZEN_S = 1.0  # a timer this late means that the process stood still
--- a/hollowusher/intake/admission.py
+++ b/hollowusher/intake/admission.py
@@ -11,7 +11,7 @@
 
 from hollowusher.configuration.model import Configuration, Route, Service
 from hollowusher.coordination.placement.zone_homes import needs_one_home
-from hollowusher.protocol.store import NewMessage
+from hollowusher.protocol.messages import NewMessage
 
 ATTEMPT_ID = "X-Attempt-Id"
 DEADLINE = "X-Deadline-Ms"
--- a/hollowusher/intake/intake.py
+++ b/hollowusher/intake/intake.py
@@ -47,8 +47,8 @@
     store_lease_id,
     worker_lease_id,
 )
-from hollowusher.protocol.control import Placement
-from hollowusher.protocol.store import Extend, Finish, Job, LeaseAnswer
+from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer
+from hollowusher.protocol.placement import Placement
 
 SPARE_S = 0.05  # an answer leaves this long before its client gives up
 REFUSE_AFTER_SHARE = 0.4  # of the client's time: then a message that was sent nowhere is refused
--- a/hollowusher/intake/pull_desk.py
+++ b/hollowusher/intake/pull_desk.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from hollowusher.protocol.store import Job
+from hollowusher.protocol.leases import Job
 
 
 class PullDesk(Protocol):
--- a/hollowusher/intake/store_client.py
+++ b/hollowusher/intake/store_client.py
@@ -15,17 +15,10 @@
 
 from hollowusher.coordination.cluster_state import MEMBER_PREFIX, PLACEMENT, ClusterState
 from hollowusher.intake.peer_health import PeerHealth
-from hollowusher.protocol.control import Member, PartitionPlacement
-from hollowusher.protocol.store import (
-    Extend,
-    Finish,
-    LeaseAnswer,
-    NewMessage,
-    Put,
-    PutAnswer,
-    StatusAnswer,
-    StatusRequest,
-)
+from hollowusher.protocol.leases import Extend, Finish, LeaseAnswer
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.placement import PartitionPlacement
 from hollowusher.transport.interface import PeerError, Transport
 
 CALL_TIMEOUT_S = 0.5  # a single call; a silent connection is dropped then and the call repeated on a new one
--- a/hollowusher/messages/active.py
+++ b/hollowusher/messages/active.py
@@ -11,7 +11,8 @@
 from hollowusher.messages.queue import QueuedMessage
 from hollowusher.messages.records import State, Status
 from hollowusher.messages.table import Entry
-from hollowusher.protocol.store import CALLBACK_PREFIX, Job, LeaseAnswer
+from hollowusher.protocol.leases import Job, LeaseAnswer
+from hollowusher.protocol.messages import CALLBACK_PREFIX
 
 START_WITHIN_MS = 500
 TAKEN = LeaseAnswer("taken")
--- a/hollowusher/messages/callback_jobs.py
+++ b/hollowusher/messages/callback_jobs.py
@@ -22,7 +22,8 @@
 from hollowusher.messages.record_writer import RecordWriter
 from hollowusher.messages.records import Key, LeaseId, State
 from hollowusher.messages.table import PartitionTable
-from hollowusher.protocol.store import Finish, Job, LeaseAnswer, LeaseRequest, NewMessage
+from hollowusher.protocol.leases import Finish, Job, LeaseAnswer, LeaseRequest
+from hollowusher.protocol.messages import NewMessage
 
 CALLBACK_LEASE_S = 12.0
 CALLBACK_FIRST_S, CALLBACK_MOST_S = 0.3, 3.0
--- a/hollowusher/messages/comparing.py
+++ b/hollowusher/messages/comparing.py
@@ -7,7 +7,7 @@
 
 from hollowusher.messages.records import Key
 from hollowusher.messages.table import PartitionTable
-from hollowusher.protocol.store import Difference, Records, Replicate, Replicated, Summary
+from hollowusher.protocol.replication import Difference, Records, Replicate, Replicated, Summary
 from hollowusher.storage.interface import Log
 from hollowusher.transport.interface import PeerError, Transport
 
--- a/hollowusher/messages/hosting.py
+++ b/hollowusher/messages/hosting.py
@@ -7,7 +7,7 @@
 from hollowusher.messages.primary import PartitionPrimary
 from hollowusher.messages.proposal import Proposal
 from hollowusher.messages.table import PartitionTable
-from hollowusher.protocol.control import PartitionPlacement
+from hollowusher.protocol.placement import PartitionPlacement
 
 FORMER_WAIT_S = 1.0
 
--- a/hollowusher/messages/leases.py
+++ b/hollowusher/messages/leases.py
@@ -25,7 +25,7 @@
 from hollowusher.messages.records import LeaseId, State, Status
 from hollowusher.messages.routing import Routing
 from hollowusher.messages.table import Entry, PartitionTable
-from hollowusher.protocol.store import Finish, Job, LeaseAnswer, LeaseRequest
+from hollowusher.protocol.leases import Finish, Job, LeaseAnswer, LeaseRequest
 from hollowusher.storage.interface import StorageError
 
 PULL_GRACE_S = 0.3
--- a/hollowusher/messages/lifecycle.py
+++ b/hollowusher/messages/lifecycle.py
@@ -13,7 +13,7 @@
 from hollowusher.messages.records import Key, Put, Status
 from hollowusher.messages.routing import Routing
 from hollowusher.messages.table import PartitionTable
-from hollowusher.protocol.store import NewMessage
+from hollowusher.protocol.messages import NewMessage
 from hollowusher.storage.interface import StorageError
 
 STORAGE_RETRY_S = 1.0  # when the disk took no record
--- a/hollowusher/messages/open_grants.py
+++ b/hollowusher/messages/open_grants.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from hollowusher.protocol.store import Job, LeaseRequest
+from hollowusher.protocol.leases import Job, LeaseRequest
 
 MOST_ASKERS = 4_096
 
--- a/hollowusher/messages/primary.py
+++ b/hollowusher/messages/primary.py
@@ -34,15 +34,8 @@
 from hollowusher.messages.records import Key, LeaseId, Put, Status
 from hollowusher.messages.routing import Routing
 from hollowusher.messages.table import PartitionTable
-from hollowusher.protocol.store import (
-    CALLBACK_PREFIX,
-    Finish,
-    LeaseAnswer,
-    LeaseRequest,
-    NewMessage,
-    PutAnswer,
-    StatusAnswer,
-)
+from hollowusher.protocol.leases import Finish, LeaseAnswer, LeaseRequest
+from hollowusher.protocol.messages import CALLBACK_PREFIX, NewMessage, PutAnswer, StatusAnswer
 
 __all__ = [
     "CALLBACK_LEASE_S",
--- a/hollowusher/messages/records.py
+++ b/hollowusher/messages/records.py
@@ -14,7 +14,7 @@
 import attrs
 import ormsgpack
 
-from hollowusher.protocol.store import NewMessage
+from hollowusher.protocol.messages import NewMessage
 
 Version = tuple[int, int]  # (epoch, sequence)
 Key = Version  # the version of the record that put the message
--- a/hollowusher/messages/recovery.py
+++ b/hollowusher/messages/recovery.py
@@ -14,8 +14,8 @@
 from hollowusher.messages.records import Key
 from hollowusher.messages.replication import Outgoing
 from hollowusher.messages.replicator import Replicator
-from hollowusher.protocol.control import LearnerLost, LearnerReady
-from hollowusher.protocol.store import Records, Replicate, Replicated
+from hollowusher.protocol.placement import LearnerLost, LearnerReady
+from hollowusher.protocol.replication import Records, Replicate, Replicated
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import PeerError
 
--- a/hollowusher/messages/replication.py
+++ b/hollowusher/messages/replication.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from hollowusher.messages.proposal import Proposal
-from hollowusher.protocol.store import Records, Replicate, Replicated
+from hollowusher.protocol.replication import Records, Replicate, Replicated
 from hollowusher.transport.interface import PeerError, Transport
 
 ANSWER_TIMEOUT_S = 1.0
--- a/hollowusher/messages/replicator.py
+++ b/hollowusher/messages/replicator.py
@@ -17,8 +17,8 @@
 from hollowusher.messages.proposal import Proposal
 from hollowusher.messages.replication import GATHER_S, Outgoing, ReplicationStream, StreamOwner
 from hollowusher.messages.table import PartitionTable, RecordCache
-from hollowusher.protocol.control import PartitionPlacement
-from hollowusher.protocol.store import Difference, Replicate, Replicated, Summary
+from hollowusher.protocol.placement import PartitionPlacement
+from hollowusher.protocol.replication import Difference, Replicate, Replicated, Summary
 from hollowusher.storage.interface import Log, Position, StorageError
 from hollowusher.transport.interface import Transport
 
--- a/hollowusher/messages/service.py
+++ b/hollowusher/messages/service.py
@@ -29,21 +29,10 @@
 from hollowusher.messages.replicator import Replicator
 from hollowusher.messages.time_of_day import TimeOfDay
 from hollowusher.messages.waiting import JobWaiters
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import (
-    Extend,
-    Finish,
-    Job,
-    LeaseAnswer,
-    Leased,
-    LeaseRequest,
-    Put,
-    PutAnswer,
-    Replicate,
-    StatusAnswer,
-    StatusRequest,
-    Summary,
-)
+from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer, Leased, LeaseRequest
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.replication import Replicate, Summary
 from hollowusher.storage.interface import Log, StorageError
 from hollowusher.transport.interface import Transport
 
--- a/hollowusher/messages/waiting.py
+++ b/hollowusher/messages/waiting.py
@@ -9,7 +9,8 @@
 
 from hollowusher.coordination import rendezvous
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.store import CALLBACK_PREFIX, JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting
+from hollowusher.protocol.messages import CALLBACK_PREFIX
 from hollowusher.transport.interface import Transport
 
 NOTIFY_AFTER_S = 0.06
--- /dev/null
+++ b/hollowusher/protocol/acknowledgement.py
@@ -0,0 +1,10 @@
+"""The answer to messages that only need to be acknowledged."""
+
+from __future__ import annotations
+
+from hollowusher.protocol.codec import message
+
+
+@message(7)
+class Done:
+    """A plain acknowledgement."""
--- a/hollowusher/protocol/call_rules.py
+++ b/hollowusher/protocol/call_rules.py
@@ -11,7 +11,22 @@
 
 import attrs
 
-from hollowusher.protocol import control, status, store
+from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Decided, Ping, Prepare, ProposeFirst
+from hollowusher.protocol.control_chain import ChainWrite, ReadRecord, ReadState
+from hollowusher.protocol.control_status import ReadControlStatus
+from hollowusher.protocol.distribution import PullUpdates, Repair
+from hollowusher.protocol.leases import Extend, Finish, JobsWaiting, LeaseRequest
+from hollowusher.protocol.membership import Heartbeat, Leaving, ProbeLife, Register, Suspicion
+from hollowusher.protocol.messages import Put, StatusRequest
+from hollowusher.protocol.operator_orders import (
+    ChangeConfiguration,
+    ReadConfiguration,
+    RecoverPartition,
+    Retire,
+)
+from hollowusher.protocol.placement import LearnerLost, LearnerReady
+from hollowusher.protocol.replication import Replicate, Summary
+from hollowusher.protocol.view import Announce, OfferView, ReadView
 
 
 class Addressee(enum.Enum):
@@ -50,45 +65,45 @@
 
 CALL_RULES: dict[type, CallRule] = {
     # finding the system
-    control.ReadView: CallRule(Addressee.ANYBODY, Repeat.READ),
-    control.Announce: CallRule(Addressee.ANYBODY, Repeat.LATEST),
-    control.OfferView: CallRule(Addressee.ANYBODY, Repeat.BY_VERSION),
+    ReadView: CallRule(Addressee.ANYBODY, Repeat.READ),
+    Announce: CallRule(Addressee.ANYBODY, Repeat.LATEST),
+    OfferView: CallRule(Addressee.ANYBODY, Repeat.BY_VERSION),
     # agreement and chain
-    control.ProposeFirst: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    control.Prepare: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
-    control.Accept: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
-    control.ConfirmEpoch: CallRule(Addressee.VOTER_DISK, Repeat.READ),
-    control.Decided: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    control.Ping: CallRule(Addressee.VOTER, Repeat.READ),
-    control.ChainWrite: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
-    control.ReadRecord: CallRule(Addressee.VOTER, Repeat.READ),
+    ProposeFirst: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
+    Prepare: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
+    Accept: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
+    ConfirmEpoch: CallRule(Addressee.VOTER_DISK, Repeat.READ),
+    Decided: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
+    Ping: CallRule(Addressee.VOTER, Repeat.READ),
+    ChainWrite: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
+    ReadRecord: CallRule(Addressee.VOTER, Repeat.READ),
     # members and distributed values
-    control.Register: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    control.Leaving: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    control.Heartbeat: CallRule(Addressee.MEMBER, Repeat.LATEST),
-    control.Suspicion: CallRule(Addressee.VOTER, Repeat.LATEST),
-    control.ProbeLife: CallRule(Addressee.MEMBER, Repeat.READ),
-    control.PullUpdates: CallRule(Addressee.VOTER, Repeat.READ),
-    control.Repair: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    control.ReadState: CallRule(Addressee.VOTER, Repeat.READ),
+    Register: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
+    Leaving: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
+    Heartbeat: CallRule(Addressee.MEMBER, Repeat.LATEST),
+    Suspicion: CallRule(Addressee.VOTER, Repeat.LATEST),
+    ProbeLife: CallRule(Addressee.MEMBER, Repeat.READ),
+    PullUpdates: CallRule(Addressee.VOTER, Repeat.READ),
+    Repair: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
+    ReadState: CallRule(Addressee.VOTER, Repeat.READ),
     # the operator, forwarded
-    control.ChangeConfiguration: CallRule(Addressee.VOTER, Repeat.NEVER),
-    control.Retire: CallRule(Addressee.VOTER, Repeat.NEVER),
-    status.RecoverPartition: CallRule(Addressee.VOTER, Repeat.NEVER),
-    control.ReadConfiguration: CallRule(Addressee.VOTER, Repeat.READ),
-    status.ReadControlStatus: CallRule(Addressee.VOTER, Repeat.READ),
+    ChangeConfiguration: CallRule(Addressee.VOTER, Repeat.NEVER),
+    Retire: CallRule(Addressee.VOTER, Repeat.NEVER),
+    RecoverPartition: CallRule(Addressee.VOTER, Repeat.NEVER),
+    ReadConfiguration: CallRule(Addressee.VOTER, Repeat.READ),
+    ReadControlStatus: CallRule(Addressee.VOTER, Repeat.READ),
     # messages
-    store.Put: CallRule(Addressee.STORE, Repeat.BY_ID),
-    store.LeaseRequest: CallRule(Addressee.STORE, Repeat.LEASED_TWICE),
-    store.Finish: CallRule(Addressee.STORE, Repeat.BY_ID),
-    store.Extend: CallRule(Addressee.STORE, Repeat.BY_ID),
-    store.StatusRequest: CallRule(Addressee.STORE, Repeat.READ),
-    store.JobsWaiting: CallRule(Addressee.MEMBER, Repeat.LATEST),
+    Put: CallRule(Addressee.STORE, Repeat.BY_ID),
+    LeaseRequest: CallRule(Addressee.STORE, Repeat.LEASED_TWICE),
+    Finish: CallRule(Addressee.STORE, Repeat.BY_ID),
+    Extend: CallRule(Addressee.STORE, Repeat.BY_ID),
+    StatusRequest: CallRule(Addressee.STORE, Repeat.READ),
+    JobsWaiting: CallRule(Addressee.MEMBER, Repeat.LATEST),
     # replicas
-    store.Replicate: CallRule(Addressee.STORE, Repeat.BY_VERSION),
-    store.Summary: CallRule(Addressee.STORE, Repeat.BY_VERSION),
-    control.LearnerReady: CallRule(Addressee.VOTER, Repeat.LATEST),
-    control.LearnerLost: CallRule(Addressee.VOTER, Repeat.LATEST),
+    Replicate: CallRule(Addressee.STORE, Repeat.BY_VERSION),
+    Summary: CallRule(Addressee.STORE, Repeat.BY_VERSION),
+    LearnerReady: CallRule(Addressee.VOTER, Repeat.LATEST),
+    LearnerLost: CallRule(Addressee.VOTER, Repeat.LATEST),
 }
 STRICTEST = CallRule(Addressee.MEMBER, Repeat.NEVER)  # of a message that has no rule
 
--- a/hollowusher/protocol/status.py
+++ b/hollowusher/protocol/control_status.py
@@ -1,4 +1,4 @@
-"""How control and placement stand, as an operator is shown it, and the order to go on after a loss."""
+"""The state of the control plane as an operator is shown it."""
 
 from __future__ import annotations
 
@@ -57,13 +57,3 @@
     store_losses_borne: int  # the same for the worst partition; -1: a partition cannot serve now
     partitions: list[PartitionStatus] = attrs.Factory(list)
     worker_list_age_s: float = -1.0  # since the head last read the platform's whole list; -1: not the head
-
-
-@message(84)
-class RecoverPartition:
-    """Operator's order, forwarded to the head: go on with the replicas that are left of a partition whose
-    majority is lost for good.  What only the lost replicas held is lost with them."""
-
-    partition: int
-    accept_loss_of: list[str]  # the store ids given up; all replicas that do not live have to be named
-    forwarded: bool = False
--- a/hollowusher/protocol/identity.py
+++ b/hollowusher/protocol/identity.py
@@ -14,3 +14,12 @@
     name: str
     incarnation: int
     disk_id: str = ""
+
+
+@message(116)
+class Hello:
+    """The first frame on a connection, and again when the caller has learnt more: who calls, and whom it
+    means to reach.  Empty fields of `meant` are not known to the caller."""
+
+    caller: Identity
+    meant: Identity
--- /dev/null
+++ b/hollowusher/protocol/worker_list.py
@@ -0,0 +1,26 @@
+"""The list of workers as the platform gives it."""
+
+from __future__ import annotations
+
+from hollowusher.protocol.codec import message
+
+
+@message(34)
+class Worker:
+    """One worker of the platform's list."""
+
+    id: str
+    service: str
+    address: str
+    zone: str
+    capacity: int
+    state: str  # "ready" | "draining"
+    warm_in_ms: int = 0  # how much longer it stays slow
+    generation: str = ""
+
+
+@message(35)
+class WorkerList:
+    """The whole list as read by the duty holder."""
+
+    workers: list[Worker]
--- a/hollowusher/roles/change_log.py
+++ b/hollowusher/roles/change_log.py
@@ -15,7 +15,7 @@
     VIEW,
     ClusterState,
 )
-from hollowusher.protocol.control import Placement
+from hollowusher.protocol.placement import Placement
 from hollowusher.roles.logs import log
 
 
--- a/hollowusher/roles/control.py
+++ b/hollowusher/roles/control.py
@@ -14,8 +14,10 @@
 from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.coordination.membership.directory import Directory
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import ControlState, Member, View
-from hollowusher.protocol.status import ControlStatus, ReadControlStatus
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.control_status import ControlStatus, ReadControlStatus
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.view import View
 from hollowusher.roles.change_log import ChangeLog
 from hollowusher.roles.logs import log
 from hollowusher.roles.margin_log import MarginLog
--- a/hollowusher/roles/control_question.py
+++ b/hollowusher/roles/control_question.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.status import ControlStatus, ReadControlStatus
+from hollowusher.protocol.control_status import ControlStatus, ReadControlStatus
 from hollowusher.transport.interface import PeerError, Transport
 
 HEAD_TIMEOUT_S = 0.8
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -24,8 +24,8 @@
 from hollowusher.intake.intake import Intake
 from hollowusher.intake.server import EdgeFrontend
 from hollowusher.intake.store_client import StoreClient
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting
+from hollowusher.protocol.membership import Member
 from hollowusher.roles.logs import log
 from hollowusher.roles.process import Process, describe
 
--- a/hollowusher/roles/margin_log.py
+++ b/hollowusher/roles/margin_log.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from hollowusher.protocol.status import ControlStatus, PartitionStatus
+from hollowusher.protocol.control_status import ControlStatus, PartitionStatus
 
 CONTROLLERS = "controllers"
 STORES = "stores"
--- a/hollowusher/roles/operator_site.py
+++ b/hollowusher/roles/operator_site.py
@@ -14,7 +14,8 @@
 from hollowusher.console.status_api import StatusApi
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.controller.operator_api import OperatorApi
-from hollowusher.protocol.control import OperatorAnswer, ReadConfiguration, View, Voter
+from hollowusher.protocol.operator_orders import OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 from hollowusher.transport.tcp import split_address
 
--- a/hollowusher/roles/process.py
+++ b/hollowusher/roles/process.py
@@ -11,8 +11,8 @@
 
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.control import Member
 from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.membership import Member
 from hollowusher.roles.logs import log, start_logs
 from hollowusher.roles.signals import SettingsWatch, on_signals
 from hollowusher.storage.identity import claim_incarnation, disk_identity, next_incarnation
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -12,7 +12,7 @@
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.peer_names import present
 from hollowusher.messages.service import StoreService
-from hollowusher.protocol.control import Member
+from hollowusher.protocol.membership import Member
 from hollowusher.roles.change_log import ChangeLog
 from hollowusher.roles.logs import log
 from hollowusher.roles.process import Process, describe, wall_ms
--- a/hollowusher/roles/store_site.py
+++ b/hollowusher/roles/store_site.py
@@ -13,7 +13,7 @@
 from hollowusher.console.store_report import DiskReport, StoreReport, kept_partitions
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.messages.service import StoreService
-from hollowusher.protocol.control import Member
+from hollowusher.protocol.membership import Member
 from hollowusher.roles.status_site import StatusSite
 from hollowusher.storage.ring_log import RingLog
 
--- a/hollowusher/simulation/health.py
+++ b/hollowusher/simulation/health.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterator
 
-from hollowusher.protocol.control import Placement, View
+from hollowusher.protocol.placement import Placement
+from hollowusher.protocol.view import View
 from hollowusher.simulation.observations import Unwell
 from hollowusher.simulation.world import Machine, World
 
--- a/hollowusher/simulation/model_check/agreement_model.py
+++ b/hollowusher/simulation/model_check/agreement_model.py
@@ -25,7 +25,8 @@
 from hollowusher.coordination.consensus.paxos import Acceptor, as_ballot, first_view, majority, voter_id
 from hollowusher.coordination.consensus.voting import VotingMachine
 from hollowusher.protocol.codec import decode, encode, evolve
-from hollowusher.protocol.control import Accept, FirstTaken, Prepare, View, Voter
+from hollowusher.protocol.consensus import Accept, FirstTaken, Prepare
+from hollowusher.protocol.view import View, Voter
 from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint
 
 MakeMachine = Callable[[str, str, bytes | None], VotingMachine]
--- a/hollowusher/simulation/model_check/chain_model.py
+++ b/hollowusher/simulation/model_check/chain_model.py
@@ -36,15 +36,9 @@
 )
 from hollowusher.coordination.consensus.voting import VotingMachine
 from hollowusher.protocol.codec import decode, encode, evolve
-from hollowusher.protocol.control import (
-    Accept,
-    ChainWrite,
-    ConfirmEpoch,
-    ControlState,
-    Prepare,
-    View,
-    Voter,
-)
+from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Prepare
+from hollowusher.protocol.control_chain import ChainWrite, ControlState
+from hollowusher.protocol.view import View, Voter
 from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint
 
 MakeMember = Callable[[str, str, bytes | None], ChainMember]
--- a/hollowusher/simulation/model_check/partition.py
+++ b/hollowusher/simulation/model_check/partition.py
@@ -28,7 +28,8 @@
 from hollowusher.messages.proposal import Proposal
 from hollowusher.messages.records import Key
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Member, PartitionPlacement, Placement
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.simulation.model_check.partition_head import LONG_AGO, TICK_S, HeadModel
 from hollowusher.simulation.model_check.partition_store import (
     PARTITION,
--- a/hollowusher/simulation/model_check/partition_head.py
+++ b/hollowusher/simulation/model_check/partition_head.py
@@ -7,7 +7,8 @@
 
 from hollowusher.coordination.membership.directory import StoreCondition
 from hollowusher.coordination.placement.planner import CAUGHT_UP, replan
-from hollowusher.protocol.control import Member, Placement
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import Placement
 from hollowusher.simulation.model_check.partition_store import TOLERANCE
 
 TICK_S = 0.5
--- a/hollowusher/simulation/model_check/partition_store.py
+++ b/hollowusher/simulation/model_check/partition_store.py
@@ -13,7 +13,7 @@
 from hollowusher.messages.proposal import Proposal
 from hollowusher.messages.records import Key, Kind
 from hollowusher.messages.table import PartitionTable, RecordCache
-from hollowusher.protocol.store import NewMessage
+from hollowusher.protocol.messages import NewMessage
 from hollowusher.storage.interface import Log, MoveRecord, Position
 
 PARTITION = 0
--- a/hollowusher/simulation/model_check/planted.py
+++ b/hollowusher/simulation/model_check/planted.py
@@ -7,7 +7,8 @@
 from hollowusher.coordination.chain.chain_member import ChainMember
 from hollowusher.coordination.consensus.voting import Answer, VotingMachine
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Accepted, Prepare, Promise, View
+from hollowusher.protocol.consensus import Accepted, Prepare, Promise
+from hollowusher.protocol.view import View
 
 
 class AsksBeforeItsOwnPromise(VotingMachine):
--- a/hollowusher/simulation/network.py
+++ b/hollowusher/simulation/network.py
@@ -16,8 +16,7 @@
 from typing import Any
 
 from hollowusher.protocol.codec import MOST_TAG, decode, encode, tag_of
-from hollowusher.protocol.control import Hello
-from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.identity import Hello, Identity
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer, fail_call
 from hollowusher.transport.peers import PeerDirectory
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -13,7 +13,7 @@
 from hollowusher.messages.primary import PartitionPrimary
 from hollowusher.messages.records import Status
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.store import LeaseAnswer
+from hollowusher.protocol.leases import LeaseAnswer
 from hollowusher.roles import edge
 from hollowusher.simulation import stand_ins
 from hollowusher.simulation.http import HttpRequest
--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -14,7 +14,7 @@
 from hollowusher.messages.primary import PartitionPrimary
 from hollowusher.messages.records import Status
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import ChainWritten
+from hollowusher.protocol.control_chain import ChainWritten
 from hollowusher.simulation.planted.registry import HERDS, Patches, attack, planted
 from hollowusher.simulation.stand_ins import ProcessParts
 
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -19,7 +19,8 @@
 from hollowusher.messages.hosting import PartitionHost
 from hollowusher.messages.service import StoreService
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import ChainWrite, ReadView, ViewAnswer
+from hollowusher.protocol.control_chain import ChainWrite
+from hollowusher.protocol.view import ReadView, ViewAnswer
 from hollowusher.simulation.planted.registry import NEVER_S, Patches, attack, planted
 from hollowusher.simulation.world import Size
 
--- a/hollowusher/simulation/planted/partitions.py
+++ b/hollowusher/simulation/planted/partitions.py
@@ -12,7 +12,8 @@
 from hollowusher.messages.primary import PartitionPrimary
 from hollowusher.messages.service import StoreService
 from hollowusher.messages.table import PartitionTable
-from hollowusher.protocol.store import LeaseAnswer, PutAnswer
+from hollowusher.protocol.leases import LeaseAnswer
+from hollowusher.protocol.messages import PutAnswer
 from hollowusher.simulation.planted.registry import HERDS, MOVES, Patches, attack, planted
 from hollowusher.storage.memory import MemoryLog, MemorySlot
 from hollowusher.transport.interface import PeerError
--- a/hollowusher/simulation/planted/queues.py
+++ b/hollowusher/simulation/planted/queues.py
@@ -13,7 +13,7 @@
 from hollowusher.messages.primary import ActiveMessage, PartitionPrimary
 from hollowusher.messages.queue import MessageQueue, Stage, TokenBucket
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.store import Finish, LeaseAnswer
+from hollowusher.protocol.leases import Finish, LeaseAnswer
 from hollowusher.simulation.planted.registry import MOVES, NEVER_S, Patches, attack, planted
 from hollowusher.simulation.stand_ins import SimulatedCallbackClient
 
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -22,8 +22,8 @@
 from hollowusher.delivery.worker_client import LATE_ANSWER_S, Endpoint, belongs, judge, request_bytes
 from hollowusher.intake.admission import IntakeRequest
 from hollowusher.intake.intake import Intake
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import Job
+from hollowusher.protocol.leases import Job
+from hollowusher.protocol.membership import Member
 from hollowusher.simulation.http import Exchange, HttpAnswer, HttpFailure, HttpNetwork, HttpRequest
 from hollowusher.simulation.world import Seams
 from hollowusher.storage.identity import claim_incarnation, next_incarnation
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -13,8 +13,9 @@
 
 from hollowusher.protocol.call_rules import Addressee, rule_of
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Hello, Member, View
-from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.identity import Hello, Identity
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.view import View
 
 UNKNOWN = Identity("", "", 0)
 OF_VOTERS = (Addressee.VOTER, Addressee.VOTER_DISK)
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -21,8 +21,7 @@
 from typing import Any, cast
 
 from hollowusher.protocol.codec import MOST_TAG, DecodeError, decode, encode, tag_of
-from hollowusher.protocol.control import Hello
-from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.identity import Hello, Identity
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer, fail_call
 from hollowusher.transport.peers import PeerDirectory, names_exactly
 
--- a/tests/configuration/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -20,7 +20,7 @@
     read_order,
 )
 from hollowusher.coordination.chain.chain_member import EMPTY_STATE
-from hollowusher.protocol.control import ControlState
+from hollowusher.protocol.control_chain import ControlState
 
 Document = dict[str, Any]
 
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -11,7 +11,7 @@
 from hollowusher.configuration.order_history import REPEATED_FOR_S, CommittedAges, pruned
 from hollowusher.configuration.orders import MOST_HISTORY, OrderOutcome, apply_order, read_order
 from hollowusher.coordination.chain.chain_member import EMPTY_STATE
-from hollowusher.protocol.control import ControlState
+from hollowusher.protocol.control_chain import ControlState
 from tests.support.controller_cluster import document
 
 
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -36,17 +36,12 @@
 from hollowusher.console.tables import table
 from hollowusher.console.views import configuration_tables, lacks, members_table, message_table, status_tables
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.control import (
-    Item,
-    Member,
-    PartitionPlacement,
-    Placement,
-    View,
-    Voter,
-    Worker,
-    WorkerList,
-)
-from hollowusher.protocol.store import StatusAnswer
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import StatusAnswer
+from hollowusher.protocol.placement import PartitionPlacement, Placement
+from hollowusher.protocol.view import View, Voter
+from hollowusher.protocol.worker_list import Worker, WorkerList
 
 CONFIGURATION = traffic.configuration("127.0.0.9:8080") | {"generation": 7}
 DOCUMENT = orjson.dumps(CONFIGURATION)
--- a/tests/console/test_operator_commands.py
+++ b/tests/console/test_operator_commands.py
@@ -17,7 +17,7 @@
 from hollowusher.console.survey import Survey, read_store
 from hollowusher.console.views import lacks, status_tables, survey_document
 from hollowusher.protocol.codec import as_document, evolve
-from hollowusher.protocol.status import ControlStatus, PartitionStatus, VoterStatus
+from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
 from tests.console.test_console import Admin
 
 PATH = "/recover-partition/2"
--- a/tests/coordination/chain/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -20,7 +20,9 @@
 )
 from hollowusher.coordination.consensus.voter_set import VoterStep, next_step
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import ChainWrite, ControlState, Pong, View, Voter
+from hollowusher.protocol.consensus import Pong
+from hollowusher.protocol.control_chain import ChainWrite, ControlState
+from hollowusher.protocol.view import View, Voter
 
 
 def voters(names: str) -> list[Voter]:
--- a/tests/coordination/chain/test_snapshots.py
+++ b/tests/coordination/chain/test_snapshots.py
@@ -11,12 +11,9 @@
 import pytest
 
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ChangeConfiguration,
-    ControlState,
-    OperatorAnswer,
-    Placement,
-)
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer
+from hollowusher.protocol.placement import Placement
 from tests.support.controller_cluster import Cluster, Node, document, run_virtual
 
 LINK_BYTES_PER_S = 60_000_000.0
--- a/tests/coordination/chain/test_snapshots_bad_input.py
+++ b/tests/coordination/chain/test_snapshots_bad_input.py
@@ -17,13 +17,7 @@
 )
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ChainWrite,
-    ChainWritten,
-    ControlState,
-    ReadRecord,
-    RecordChunk,
-)
+from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, RecordChunk
 from hollowusher.storage.memory import MemorySlot
 from tests.coordination.chain.test_snapshots import (
     large_body,
--- a/tests/coordination/chain/test_snapshots_store.py
+++ b/tests/coordination/chain/test_snapshots_store.py
@@ -17,7 +17,8 @@
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.protocol.codec import encode, evolve
-from hollowusher.protocol.control import ChainWrite, ControlState, View, Voter
+from hollowusher.protocol.control_chain import ChainWrite, ControlState
+from hollowusher.protocol.view import View, Voter
 from hollowusher.storage.interface import StorageError
 
 SEEDS = 300
--- a/tests/coordination/consensus/test_agreement.py
+++ b/tests/coordination/consensus/test_agreement.py
@@ -12,7 +12,7 @@
 from hollowusher.coordination.consensus.agreement import Agreement
 from hollowusher.coordination.consensus.paxos import Acceptor, first_view
 from hollowusher.protocol.codec import decode, encode
-from hollowusher.protocol.control import (
+from hollowusher.protocol.consensus import (
     Accept,
     Accepted,
     ConfirmEpoch,
@@ -21,9 +21,8 @@
     Prepare,
     Promise,
     ProposeFirst,
-    View,
-    Voter,
 )
+from hollowusher.protocol.view import View, Voter
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import Handler, PeerError
 from tests.support.controller_cluster import run_virtual
--- a/tests/coordination/consensus/test_agreement_cluster.py
+++ b/tests/coordination/consensus/test_agreement_cluster.py
@@ -6,7 +6,8 @@
 
 from hollowusher.coordination.consensus.paxos import Acceptor, Proposer, first_view, same_cluster, voter_id
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Accept, ConfirmEpoch, Prepare, View, Voter
+from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Prepare
+from hollowusher.protocol.view import View, Voter
 
 VOTERS = [Voter(name, f"disk-{name}", f"10.0.0.{number}:1") for number, name in enumerate("abc")]
 BASE = first_view(VOTERS, "cluster-1")
--- a/tests/coordination/consensus/test_calls_reused_voter.py
+++ b/tests/coordination/consensus/test_calls_reused_voter.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
-from hollowusher.protocol.control import Member, Ping, View, Voter
+from hollowusher.protocol.consensus import Ping
 from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.peers import PeerDirectory
 
 ADDRESS = "10.0.0.1:7780"
--- a/tests/coordination/consensus/test_finding_the_view.py
+++ b/tests/coordination/consensus/test_finding_the_view.py
@@ -15,7 +15,9 @@
 from hollowusher.coordination.consensus.view_cache import ViewKeeper
 from hollowusher.coordination.consensus.view_publisher import SeedContacts
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
-from hollowusher.protocol.control import Announce, Decided, Member, OfferView, View, ViewAnswer, Voter
+from hollowusher.protocol.consensus import Decided
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.view import Announce, OfferView, View, ViewAnswer, Voter
 from tests.support.controller_cluster import Cluster, VirtualSlot, VirtualTransport, run_virtual
 
 SEEDS = ("10.0.9.1", "10.0.9.2", "10.0.9.3")
--- a/tests/coordination/consensus/test_paxos.py
+++ b/tests/coordination/consensus/test_paxos.py
@@ -16,7 +16,8 @@
     majority,
     shortest_chain,
 )
-from hollowusher.protocol.control import Accept, Prepare, View, Voter
+from hollowusher.protocol.consensus import Accept, Prepare
+from hollowusher.protocol.view import View, Voter
 
 VOTERS = [Voter(name, f"disk-{name}", f"10.0.0.{number}:1") for number, name in enumerate("abc")]
 BASE = first_view(VOTERS)
--- a/tests/coordination/consensus/test_voter_plan.py
+++ b/tests/coordination/consensus/test_voter_plan.py
@@ -7,7 +7,8 @@
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.coordination.consensus.reconfiguration import Presence, VoterHealth, plan_chain, plan_voters
 from hollowusher.coordination.consensus.voter_set import VoterStep, choose_voters, next_step, voters_wanted
-from hollowusher.protocol.control import Pong, View, Voter
+from hollowusher.protocol.consensus import Pong
+from hollowusher.protocol.view import View, Voter
 
 NOW = 100.0
 
--- a/tests/coordination/consensus/voters_model.py
+++ b/tests/coordination/consensus/voters_model.py
@@ -14,7 +14,8 @@
 from hollowusher.coordination.consensus.reconfiguration import VoterHealth, plan_chain, plan_voters, presence
 from hollowusher.coordination.consensus.voter_set import VoterStep, next_step, voters_wanted
 from hollowusher.protocol.codec import decode, encode
-from hollowusher.protocol.control import Pong, View, Voter
+from hollowusher.protocol.consensus import Pong
+from hollowusher.protocol.view import View, Voter
 
 NAMES = "abcdefgh"
 NOW = 100.0  # far behind every time-out since the last sign of a lost voter
--- a/tests/coordination/controller/test_control_status.py
+++ b/tests/coordination/controller/test_control_status.py
@@ -14,8 +14,9 @@
     controller_losses_borne,
 )
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import ControlState, View, Voter
-from hollowusher.protocol.status import ControlStatus, PartitionStatus
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.control_status import ControlStatus, PartitionStatus
+from hollowusher.protocol.view import View, Voter
 from hollowusher.roles.margin_log import MarginLog
 
 WELL = VoterSigns(True, True, [1, 7])
--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -13,15 +13,9 @@
 from hollowusher.coordination.consensus.bootstrap import propose_first
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ChainWrite,
-    ControlState,
-    Prepare,
-    Promise,
-    ReadState,
-    StateAnswer,
-    Voter,
-)
+from hollowusher.protocol.consensus import Prepare, Promise
+from hollowusher.protocol.control_chain import ChainWrite, ControlState, ReadState, StateAnswer
+from hollowusher.protocol.view import Voter
 from tests.support.controller_cluster import FULL, STUCK, Cluster, run_virtual
 
 
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import WORKERS
-from hollowusher.protocol.control import Retire
+from hollowusher.protocol.operator_orders import Retire
 from tests.support.controllers import Core, play
 
 SHAPES = ("all", "in", "out", "one")
--- a/tests/coordination/controller/test_fencing_head_roles.py
+++ b/tests/coordination/controller/test_fencing_head_roles.py
@@ -9,7 +9,11 @@
 from hollowusher.coordination.controller.head_roles import HeadDuties
 from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.coordination.membership.directory import Directory
-from hollowusher.protocol.control import ControlState, Item, Member, Suspicion, View, WorkerList
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Member, Suspicion
+from hollowusher.protocol.view import View
+from hollowusher.protocol.worker_list import WorkerList
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.transport.interface import PeerError
 
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -14,7 +14,12 @@
 from hollowusher.configuration.orders import MOST_BODY_BYTES
 from hollowusher.coordination.controller import operator_api
 from hollowusher.coordination.controller.operator_api import OperatorApi
-from hollowusher.protocol.control import ChangeConfiguration, OperatorAnswer, ReadConfiguration, Retire
+from hollowusher.protocol.operator_orders import (
+    ChangeConfiguration,
+    OperatorAnswer,
+    ReadConfiguration,
+    Retire,
+)
 from hollowusher.transport.interface import PeerError
 
 Client = TestClient[web.Request, web.Application]
--- a/tests/coordination/controller/test_orders_races.py
+++ b/tests/coordination/controller/test_orders_races.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from hollowusher.protocol.control import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
 from tests.support.controller_cluster import Cluster, Node, document, run_virtual
 
 SEEDS = 40
--- a/tests/coordination/controller/test_voters_leaving.py
+++ b/tests/coordination/controller/test_voters_leaving.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hollowusher.protocol.control import View
+from hollowusher.protocol.view import View
 from tests.support.controller_cluster import Cluster, Node, run_virtual
 
 
--- a/tests/coordination/controller/test_voters_replaced.py
+++ b/tests/coordination/controller/test_voters_replaced.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from hollowusher.protocol.control import Announce, Ping, Pong, Prepare, Promise, View, Voter
+from hollowusher.protocol.consensus import Ping, Pong, Prepare, Promise
+from hollowusher.protocol.view import Announce, View, Voter
 from tests.coordination.controller.voter_hunt import CATCH_UP_S, run_hunt
 from tests.support.controller_cluster import STUCK, Cluster, Node, run_virtual
 
--- a/tests/coordination/controller/test_worker_list_reader.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -20,7 +20,7 @@
     PlatformReader,
     parse_page,
 )
-from hollowusher.protocol.control import Worker, WorkerList
+from hollowusher.protocol.worker_list import Worker, WorkerList
 
 ENTRY: dict[str, Any] = {
     "upstream": "huvo11a",
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -22,28 +22,13 @@
 from hollowusher.coordination.membership.failure_detector import monitors_of
 from hollowusher.coordination.placement.planner import PARTITIONS, is_named
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import (
-    ControlState,
-    Heartbeat,
-    Item,
-    LearnerReady,
-    Leaving,
-    Member,
-    OperatorAnswer,
-    Placement,
-    ProbeLife,
-    PullUpdates,
-    ReadState,
-    ReadView,
-    Retire,
-    StateAnswer,
-    Updates,
-    View,
-    ViewAnswer,
-    Voter,
-    Worker,
-    WorkerList,
-)
+from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
+from hollowusher.protocol.distribution import Item, PullUpdates, Updates
+from hollowusher.protocol.membership import Heartbeat, Leaving, Member, ProbeLife
+from hollowusher.protocol.operator_orders import OperatorAnswer, Retire
+from hollowusher.protocol.placement import LearnerReady, Placement
+from hollowusher.protocol.view import ReadView, View, ViewAnswer, Voter
+from hollowusher.protocol.worker_list import Worker, WorkerList
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
 
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -11,7 +11,8 @@
 from hollowusher.coordination.distribution.feed import Feed, LongPoll
 from hollowusher.intake.intake import Intake
 from hollowusher.protocol.codec import decode, encode, evolve
-from hollowusher.protocol.control import PullUpdates, ReadState, Updates
+from hollowusher.protocol.control_chain import ReadState
+from hollowusher.protocol.distribution import PullUpdates, Updates
 from tests.coordination.distribution.test_cluster_client import DOCUMENT, Cluster, play
 from tests.intake.test_intake import World, request
 from tests.intake.test_intake import play as play_intake
--- a/tests/coordination/distribution/test_feed.py
+++ b/tests/coordination/distribution/test_feed.py
@@ -11,7 +11,8 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.distribution.feed import Feed, LongPoll
 from hollowusher.protocol.codec import decode, encode
-from hollowusher.protocol.control import Item, Member, PullUpdates, Updates
+from hollowusher.protocol.distribution import Item, PullUpdates, Updates
+from hollowusher.protocol.membership import Member
 from hollowusher.simulation.loop import VirtualLoop
 
 
--- a/tests/coordination/membership/test_calls_probe.py
+++ b/tests/coordination/membership/test_calls_probe.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from hollowusher.protocol.control import Done, ProbeLife
+from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.membership import ProbeLife
 from tests.coordination.distribution.test_cluster_client import Cluster, play
 
 
--- a/tests/coordination/membership/test_directory.py
+++ b/tests/coordination/membership/test_directory.py
@@ -17,7 +17,8 @@
     monitors_of,
 )
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Heartbeat, Leaving, Member, Suspicion, Voter
+from hollowusher.protocol.membership import Heartbeat, Leaving, Member, Suspicion
+from hollowusher.protocol.view import Voter
 
 
 def edge(name: str, incarnation: int = 1, status: int = 0) -> Member:
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -14,8 +14,9 @@
     recovered_placement,
     store_losses_borne,
 )
-from hollowusher.protocol.control import Member, PartitionPlacement, Placement
-from hollowusher.protocol.status import RecoverPartition
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.operator_orders import RecoverPartition
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 from tests.support.store_world import StoreWorld, play
 
 PLACEMENT = Placement(
--- a/tests/coordination/placement/test_placement.py
+++ b/tests/coordination/placement/test_placement.py
@@ -26,7 +26,8 @@
     store_name,
 )
 from hollowusher.protocol.codec import decode, encode
-from hollowusher.protocol.control import Member, PartitionPlacement, Placement
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 
 LONG = 100.0
 Conditions = dict[str, StoreCondition]
--- a/tests/coordination/placement/test_store_epochs.py
+++ b/tests/coordination/placement/test_store_epochs.py
@@ -9,7 +9,8 @@
 
 from hollowusher.coordination.membership.directory import StoreCondition
 from hollowusher.coordination.placement.planner import replan
-from hollowusher.protocol.control import Member, PartitionPlacement, Placement
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 from tests.support.message_store import EPOCH_MS, StoreCluster, message, play
 
 
--- a/tests/coordination/placement/test_zone_homes.py
+++ b/tests/coordination/placement/test_zone_homes.py
@@ -6,7 +6,9 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.placement.planner import homes
 from hollowusher.coordination.placement.zone_homes import ZoneHomes, needs_one_home
-from hollowusher.protocol.control import Item, Member, PartitionPlacement, Placement
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 
 ZONES = {"s1": "a", "s2": "b", "s3": "b", "s4": "c"}
 
--- a/tests/coordination/test_cluster_state.py
+++ b/tests/coordination/test_cluster_state.py
@@ -8,7 +8,11 @@
 from hypothesis import strategies as st
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.control import Item, Member, PartitionPlacement, Placement, View, WorkerList
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
+from hollowusher.protocol.view import View
+from hollowusher.protocol.worker_list import WorkerList
 
 DOCUMENT = b'{"generation":%d,"routes":[],"upstreams":[],"limits":{}}'
 
--- a/tests/delivery/test_callbacks.py
+++ b/tests/delivery/test_callbacks.py
@@ -15,7 +15,7 @@
 from hollowusher.delivery.reports import EndReporter
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.store import Job, JobsWaiting
+from hollowusher.protocol.leases import Job, JobsWaiting
 from hollowusher.simulation.loop import VirtualLoop
 from tests.delivery.test_delivery import Exchange, real, serving
 from tests.support.dispatch import (
--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -12,8 +12,8 @@
 from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
 from hollowusher.messages.open_grants import MOST_ASKERS, OpenGrants
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import Job, Leased, LeaseRequest
+from hollowusher.protocol.leases import Job, Leased, LeaseRequest
+from hollowusher.protocol.membership import Member
 from hollowusher.simulation.network import host_of
 from tests.support.calls import message
 from tests.support.message_store import EDGE_ADDRESS, StoreCluster, play
--- a/tests/delivery/test_calls_workers.py
+++ b/tests/delivery/test_calls_workers.py
@@ -9,7 +9,7 @@
 
 from hollowusher.delivery.outcome import DeliveryOutcome
 from hollowusher.delivery.worker_client import Endpoint, HttpWorkerClient
-from hollowusher.protocol.store import Job
+from hollowusher.protocol.leases import Job
 from tests.delivery.test_delivery import Exchange, answer, serving
 from tests.support.calls import message
 
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -16,7 +16,7 @@
 from hollowusher.delivery.outcome import Ending
 from hollowusher.delivery.reports import PATIENCE_S, EndReporter
 from hollowusher.delivery.worker_client import LATE_ANSWER_S, Endpoint, HttpWorkerClient, belongs, judge
-from hollowusher.protocol.store import Finish, LeaseAnswer
+from hollowusher.protocol.leases import Finish, LeaseAnswer
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.transport.interface import PeerError
 from tests.support.dispatch import job, play
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -18,8 +18,8 @@
 from hollowusher.dispatch.ownership import Destination, assign, fixed_destination, owner, worker_destination
 from hollowusher.dispatch.worker_control import TIMER_S, WorkerControl
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting
+from hollowusher.protocol.membership import Member
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from tests.support.dispatch import (
     ADDRESSES,
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -21,7 +21,7 @@
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.dispatch.worker_control import WorkerControl
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.store import Job, JobsWaiting
+from hollowusher.protocol.leases import Job, JobsWaiting
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from tests.support.dispatch import (
     STORE_1,
--- a/tests/dispatch/test_pull_desk.py
+++ b/tests/dispatch/test_pull_desk.py
@@ -10,7 +10,7 @@
 from hollowusher.delivery.pull import SPARE_KEPT_S, LeasingPullDesk
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.intake.pull_desk import PullDesk
-from hollowusher.protocol.store import Job, JobsWaiting
+from hollowusher.protocol.leases import Job, JobsWaiting
 from hollowusher.simulation.loop import VirtualLoop
 from tests.support.dispatch import (
     ADDRESSES,
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -28,16 +28,10 @@
 from hollowusher.intake.intake import DRAINING_PULL_S, SPARE_S, Intake, IntakeAnswer, IntakeLimits
 from hollowusher.intake.load import LoadGate
 from hollowusher.intake.worker_calls import finish_result, store_lease_id, worker_lease_id
-from hollowusher.protocol.control import Item, PartitionPlacement, Placement
-from hollowusher.protocol.store import (
-    Extend,
-    Finish,
-    Job,
-    LeaseAnswer,
-    NewMessage,
-    PutAnswer,
-    StatusAnswer,
-)
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer
+from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.simulation.loop import VirtualLoop
 
 HOST = "boye61.example"
--- a/tests/intake/test_intake_http.py
+++ b/tests/intake/test_intake_http.py
@@ -14,16 +14,10 @@
 from hollowusher.intake.intake import Intake, IntakeLimits
 from hollowusher.intake.server import EdgeFrontend
 from hollowusher.intake.worker_calls import worker_lease_id
-from hollowusher.protocol.control import Item, PartitionPlacement, Placement
-from hollowusher.protocol.store import (
-    Extend,
-    Finish,
-    Job,
-    LeaseAnswer,
-    NewMessage,
-    PutAnswer,
-    StatusAnswer,
-)
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer
+from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.transport.tcp import split_address
 
 HOST = "boye61.example"
--- a/tests/intake/test_store_client.py
+++ b/tests/intake/test_store_client.py
@@ -12,17 +12,11 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.intake.peer_health import PROBE_PAUSE_S, SILENCE_S, PeerHealth
 from hollowusher.intake.store_client import CALL_TIMEOUT_S, StoreClient, partition_of
-from hollowusher.protocol.control import Item, Member, PartitionPlacement, Placement
-from hollowusher.protocol.store import (
-    Extend,
-    Finish,
-    LeaseAnswer,
-    NewMessage,
-    Put,
-    PutAnswer,
-    StatusAnswer,
-    StatusRequest,
-)
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.leases import Extend, Finish, LeaseAnswer
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.transport.interface import Handler, PeerError
 
--- a/tests/intake/test_wire_rules_keys.py
+++ b/tests/intake/test_wire_rules_keys.py
@@ -9,7 +9,8 @@
 from hollowusher.intake.intake import _job_answer
 from hollowusher.messages import records
 from hollowusher.messages.records import Put
-from hollowusher.protocol.store import Job, NewMessage
+from hollowusher.protocol.leases import Job
+from hollowusher.protocol.messages import NewMessage
 from tests.intake.test_intake import INDEX, admitted, request
 
 
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -12,7 +12,7 @@
 from hollowusher.intake.intake import Intake
 from hollowusher.intake.store_client import StoreClient
 from hollowusher.intake.worker_calls import worker_lease_id
-from hollowusher.protocol.store import Job
+from hollowusher.protocol.leases import Job
 from hollowusher.simulation.loop import SimulatedProcess
 from hollowusher.simulation.network import host_of
 from tests.support.message_store import StoreCluster, message, play
--- a/tests/messages/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -7,8 +7,9 @@
 import pytest
 
 from hollowusher.coordination.membership.pause_detector import PauseDetector
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import Extend, Leased, LeaseRequest, StatusRequest
+from hollowusher.protocol.leases import Extend, Leased, LeaseRequest
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import StatusRequest
 from tests.support.message_store import EDGE_ADDRESS, StoreCluster, message, play
 
 RECEIVER = "callback:10.9.0.1:8080"
--- a/tests/messages/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -14,14 +14,8 @@
 from hollowusher.messages.proposal import Proposal
 from hollowusher.messages.records import Key, LeaseId, State, Status
 from hollowusher.messages.table import CLOCK_MARGIN_MS, PartitionTable, RecordCache
-from hollowusher.protocol.store import (
-    Finish,
-    LeaseAnswer,
-    LeaseRequest,
-    NewMessage,
-    PutAnswer,
-    StatusAnswer,
-)
+from hollowusher.protocol.leases import Finish, LeaseAnswer, LeaseRequest
+from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
 from hollowusher.storage.interface import StorageError
 from hollowusher.storage.memory import MemoryLog
 from tests.support.message_store import EPOCH_MS, configuration, message
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -13,8 +13,8 @@
 from hollowusher.messages.records import Key, State, Status
 from hollowusher.messages.replication import MOST_QUEUED_BYTES, Outgoing
 from hollowusher.messages.table import BUCKETS, CLOCK_MARGIN_MS, PartitionTable, RecordCache
-from hollowusher.protocol.control import PartitionPlacement
-from hollowusher.protocol.store import Records, Replicate, Replicated, Summary
+from hollowusher.protocol.placement import PartitionPlacement
+from hollowusher.protocol.replication import Records, Replicate, Replicated, Summary
 from hollowusher.storage.memory import MemoryLog
 from hollowusher.transport.interface import PeerError
 from tests.support.message_store import EPOCH_MS, StoreCluster, message, play
--- a/tests/messages/test_store_service.py
+++ b/tests/messages/test_store_service.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import Extend, LeaseRequest, StatusAnswer
+from hollowusher.protocol.leases import Extend, LeaseRequest
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import StatusAnswer
 from tests.support.message_store import EDGE_ADDRESS, SYNC_S, StoreCluster, configuration, message, play
 
 
--- a/tests/protocol/test_calls_rules.py
+++ b/tests/protocol/test_calls_rules.py
@@ -4,50 +4,64 @@
 
 import pytest
 
-from hollowusher.protocol import codec, control, identity, status, store
+from hollowusher.protocol import codec, identity
+from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.call_rules import CALL_RULES, STRICTEST, Addressee, Repeat, rule_of
+from hollowusher.protocol.consensus import Accepted, EpochConfirmed, FirstTaken, Pong, Promise
+from hollowusher.protocol.control_chain import ChainWritten, ControlState, RecordChunk, StateAnswer
+from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
+from hollowusher.protocol.distribution import Item, Updates
+from hollowusher.protocol.identity import Hello
+from hollowusher.protocol.leases import Job, LeaseAnswer, Leased
+from hollowusher.protocol.membership import Member, Registered
+from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, RecoverPartition, Retire
+from hollowusher.protocol.placement import PartitionPlacement, Placement
+from hollowusher.protocol.replication import Difference, Records, Replicated
+from hollowusher.protocol.view import Announce, OfferView, ReadView, View, ViewAnswer, Voter
+from hollowusher.protocol.worker_list import Worker, WorkerList
 
 ANSWERS = {
-    control.Registered,
-    control.Done,
-    control.ViewAnswer,
-    control.Promise,
-    control.Accepted,
-    control.ChainWritten,
-    control.OperatorAnswer,
-    control.StateAnswer,
-    control.Updates,
-    control.FirstTaken,
-    control.Pong,
-    control.EpochConfirmed,
-    control.RecordChunk,
-    status.ControlStatus,
-    store.PutAnswer,
-    store.Leased,
-    store.LeaseAnswer,
-    store.StatusAnswer,
-    store.Replicated,
-    store.Difference,
+    Registered,
+    Done,
+    ViewAnswer,
+    Promise,
+    Accepted,
+    ChainWritten,
+    OperatorAnswer,
+    StateAnswer,
+    Updates,
+    FirstTaken,
+    Pong,
+    EpochConfirmed,
+    RecordChunk,
+    ControlStatus,
+    PutAnswer,
+    Leased,
+    LeaseAnswer,
+    StatusAnswer,
+    Replicated,
+    Difference,
 }
 PARTS = {  # only sent inside others
     identity.Identity,
-    control.Hello,
-    control.Member,
-    control.Voter,
-    control.View,
-    control.PartitionPlacement,
-    control.Placement,
-    control.ControlState,
-    control.Item,
-    control.Worker,
-    control.WorkerList,
-    status.VoterStatus,
-    status.PartitionStatus,
-    store.NewMessage,
-    store.Job,
-    store.Records,
+    Hello,
+    Member,
+    Voter,
+    View,
+    PartitionPlacement,
+    Placement,
+    ControlState,
+    Item,
+    Worker,
+    WorkerList,
+    VoterStatus,
+    PartitionStatus,
+    NewMessage,
+    Job,
+    Records,
 }
-ORDERS = {control.ChangeConfiguration, control.Retire, status.RecoverPartition}
+ORDERS = {ChangeConfiguration, Retire, RecoverPartition}
 
 
 def production_types() -> list[type]:
@@ -67,7 +81,7 @@
 
 def test_only_those_that_look_for_the_system_mean_whoever_is_there() -> None:
     anybody = {kind for kind, rule in CALL_RULES.items() if rule.addressee is Addressee.ANYBODY}
-    assert anybody == {control.ReadView, control.Announce, control.OfferView}
+    assert anybody == {ReadView, Announce, OfferView}
 
 
 def test_a_message_without_a_rule_is_held_to_the_strictest() -> None:
--- a/tests/protocol/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -12,14 +12,46 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hollowusher.protocol import codec, control, identity, status, store
+from hollowusher.protocol import (
+    acknowledgement,
+    codec,
+    consensus,
+    control_chain,
+    control_status,
+    distribution,
+    identity,
+    leases,
+    membership,
+    messages,
+    operator_orders,
+    placement,
+    replication,
+    view,
+    worker_list,
+)
 from hollowusher.protocol.codec import DecodeError, decode, encode, evolve, message
-
-TAGS = {  # the numbers that each module may give to its messages
-    control: [*range(1, 50), *range(100, 128)],
-    store: list(range(50, 80)),
-    status: list(range(80, 90)),
-    identity: list(range(90, 100)),
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.membership import Member, Registered
+from hollowusher.protocol.messages import NewMessage
+from hollowusher.protocol.placement import PartitionPlacement, Placement
+from hollowusher.protocol.replication import Replicated
+from hollowusher.protocol.view import View, Voter
+
+TAGS: dict[ModuleType, set[int]] = {  # the tag numbers of the messages that each module defines
+    acknowledgement: {7},
+    consensus: {14, 15, 16, 17, 18, 37, 38, 39, 40, 41, 42},
+    control_chain: {22, 23, 24, 29, 30, 108, 109},
+    control_status: {80, 81, 82, 83},
+    distribution: {31, 32, 33, 46},
+    identity: {90, 116},
+    leases: {53, 54, 55, 56, 57, 58, 61},
+    membership: {1, 2, 3, 4, 5, 6, 117},
+    messages: {50, 51, 52, 59, 60},
+    operator_orders: {25, 26, 27, 28, 84},
+    placement: {20, 21, 45, 104},
+    replication: {62, 63, 64, 65, 66},
+    view: {10, 11, 12, 13, 36, 100},
+    worker_list: {34, 35},
 }
 
 
@@ -40,12 +72,12 @@
     "float": 1.5,
     "bytes": b"\x00\xff",
     "Any": None,
-    "Member": control.Member("n", "edge", "a:1", "z", "r", 5),
-    "Voter": control.Voter("n", "d", "a:1"),
-    "View": control.View(1, [control.Voter("n", "d", "a:1")], ["n"], {"n": 1}),
-    "ControlState": control.ControlState(3, 7, b"{}", [[7, b"digest"]]),
-    "NewMessage": store.NewMessage("id", "r", "s", "POST", "/p", "h", b"body", headers=[["A", "b"]]),
-    "Placement": control.Placement(2, [control.PartitionPlacement(0, 1, "s/d", ["s/d"])]),
+    "Member": Member("n", "edge", "a:1", "z", "r", 5),
+    "Voter": Voter("n", "d", "a:1"),
+    "View": View(1, [Voter("n", "d", "a:1")], ["n"], {"n": 1}),
+    "ControlState": ControlState(3, 7, b"{}", [[7, b"digest"]]),
+    "NewMessage": NewMessage("id", "r", "s", "POST", "/p", "h", b"body", headers=[["A", "b"]]),
+    "Placement": Placement(2, [PartitionPlacement(0, 1, "s/d", ["s/d"])]),
 }
 
 
@@ -89,10 +121,9 @@
     assert decode(ormsgpack.packb(short)) == made
 
 
-def test_numbers_of_messages_are_those_of_their_part() -> None:
+def test_each_module_defines_exactly_the_messages_of_its_numbers() -> None:
     for module, tags in TAGS.items():
-        for kind in messages_of(module):
-            assert codec._tags[kind] in tags, kind.__name__
+        assert {codec._tags[kind] for kind in messages_of(module)} == tags, module.__name__
     assert sum(len(tags) for tags in TAGS.values()) == len({tag for tags in TAGS.values() for tag in tags})
 
 
@@ -106,11 +137,11 @@
 
 
 def test_messages_do_not_change() -> None:
-    done = control.Registered(3)
+    done = Registered(3)
     with pytest.raises(attrs.exceptions.FrozenInstanceError):
         done.epoch = 4  # type: ignore[misc]
-    assert evolve(done, epoch=4) == control.Registered(4)
-    assert done == control.Registered(3)
+    assert evolve(done, epoch=4) == Registered(4)
+    assert done == Registered(3)
 
 
 def test_only_registered_types_are_sent() -> None:
@@ -119,7 +150,7 @@
 
 
 def test_keys_of_maps_may_be_numbers() -> None:
-    assert decode(encode(store.Replicated({3: 9}))) == store.Replicated({3: 9})
+    assert decode(encode(Replicated({3: 9}))) == Replicated({3: 9})
 
 
 @pytest.mark.parametrize(
--- a/tests/protocol/test_handlers.py
+++ b/tests/protocol/test_handlers.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from hollowusher.protocol.control import Ping, ReadView
+from hollowusher.protocol.consensus import Ping
 from hollowusher.protocol.handlers import HandlerTable
+from hollowusher.protocol.view import ReadView
 
 
 def make_table() -> HandlerTable:
--- a/tests/roles/test_calls_orders.py
+++ b/tests/roles/test_calls_orders.py
@@ -7,16 +7,15 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.control import (
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.operator_orders import (
     ChangeConfiguration,
-    Item,
     OperatorAnswer,
     ReadConfiguration,
     Retire,
-    View,
-    Voter,
 )
-from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.view import View, Voter
 from hollowusher.roles.operator_site import OperatorForward
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
 from tests.support.controller_cluster import Cluster, run_virtual
--- a/tests/roles/test_change_log.py
+++ b/tests/roles/test_change_log.py
@@ -7,7 +7,10 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.control import Item, Member, PartitionPlacement, Placement, View, Voter
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.placement import PartitionPlacement, Placement
+from hollowusher.protocol.view import View, Voter
 from hollowusher.roles import change_log
 from hollowusher.roles.change_log import ChangeLog
 
--- a/tests/roles/test_control_question.py
+++ b/tests/roles/test_control_question.py
@@ -8,8 +8,9 @@
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Item, Voter
-from hollowusher.protocol.status import ControlStatus, ReadControlStatus, VoterStatus
+from hollowusher.protocol.control_status import ControlStatus, ReadControlStatus, VoterStatus
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.view import Voter
 from hollowusher.roles.control_question import ControlQuestion
 from hollowusher.transport.interface import Handler, PeerError, Transport
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from hollowusher.protocol.control import Done, Heartbeat
+from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.membership import Heartbeat
 from hollowusher.simulation.invariants import Rules, broken
 from hollowusher.simulation.loop import DeadlockError, LivelockError, SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network, SimulatedTransport
--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control import Member
-from hollowusher.protocol.store import NewMessage
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import NewMessage
 
 
 def message(identifier: str, **changes: Any) -> NewMessage:
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -16,16 +16,11 @@
 from hollowusher.coordination.consensus.bootstrap import SeedService
 from hollowusher.coordination.controller.controller import Controller
 from hollowusher.protocol.codec import decode, encode
-from hollowusher.protocol.control import (
-    ChangeConfiguration,
-    ControlState,
-    Hello,
-    Member,
-    OperatorAnswer,
-    ReadConfiguration,
-    View,
-)
-from hollowusher.protocol.identity import Identity
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.identity import Hello, Identity
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.view import View
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
 from hollowusher.transport.peers import PeerDirectory
--- a/tests/support/controllers.py
+++ b/tests/support/controllers.py
@@ -21,15 +21,10 @@
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.coordination.membership.directory import Directory
-from hollowusher.protocol.control import (
-    ChangeConfiguration,
-    Item,
-    Member,
-    OperatorAnswer,
-    ReadConfiguration,
-    Worker,
-    WorkerList,
-)
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.worker_list import Worker, WorkerList
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
 from hollowusher.storage.memory import MemorySlot
--- a/tests/support/dispatch.py
+++ b/tests/support/dispatch.py
@@ -16,8 +16,12 @@
 from hollowusher.delivery.outcome import DeliveryOutcome, Ending
 from hollowusher.delivery.worker_client import Endpoint
 from hollowusher.dispatch.dispatcher import Dispatcher
-from hollowusher.protocol.control import Item, Member, PartitionPlacement, Placement, Worker, WorkerList
-from hollowusher.protocol.store import Finish, Job, LeaseAnswer, Leased, LeaseRequest, NewMessage
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.leases import Finish, Job, LeaseAnswer, Leased, LeaseRequest
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import NewMessage
+from hollowusher.protocol.placement import PartitionPlacement, Placement
+from hollowusher.protocol.worker_list import Worker, WorkerList
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.transport.interface import PeerError
 
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -13,30 +13,13 @@
 from hollowusher.configuration.boot import BootSettings, Bounds, FaultTolerance
 from hollowusher.coordination.cluster_state import CONFIGURATION, PLACEMENT, VIEW, ClusterState
 from hollowusher.messages.service import StoreService
-from hollowusher.protocol.control import (
-    Done,
-    Item,
-    LearnerLost,
-    LearnerReady,
-    Member,
-    PartitionPlacement,
-    Placement,
-    View,
-    Voter,
-)
-from hollowusher.protocol.store import (
-    Finish,
-    Job,
-    JobsWaiting,
-    LeaseAnswer,
-    Leased,
-    LeaseRequest,
-    NewMessage,
-    Put,
-    PutAnswer,
-    StatusAnswer,
-    StatusRequest,
-)
+from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.leases import Finish, Job, JobsWaiting, LeaseAnswer, Leased, LeaseRequest
+from hollowusher.protocol.membership import Member
+from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.placement import LearnerLost, LearnerReady, PartitionPlacement, Placement
+from hollowusher.protocol.view import View, Voter
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network, SimulatedTransport, host_of
 from hollowusher.storage.memory import MemoryLog
--- a/tests/support/order_model.py
+++ b/tests/support/order_model.py
@@ -16,7 +16,8 @@
 
 from hollowusher.configuration.orders import read_order
 from hollowusher.coordination.controller.controller import Controller
-from hollowusher.protocol.control import ChangeConfiguration, ControlState, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.control_chain import ControlState
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
 from tests.support.controller_cluster import Cluster, document
 
 CALL_TIMEOUT_S = 1.0
--- a/tests/support/order_traffic.py
+++ b/tests/support/order_traffic.py
@@ -8,7 +8,7 @@
 import orjson
 
 from hollowusher.protocol.codec import encode
-from hollowusher.protocol.control import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
 from tests.support.controller_cluster import Cluster, document
 
 PATIENCE_S = 1.0
--- a/tests/support/store_world.py
+++ b/tests/support/store_world.py
@@ -11,8 +11,9 @@
 
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.placement.replica_states import store_name
-from hollowusher.protocol.control import OperatorAnswer, PartitionPlacement, Placement, Retire
-from hollowusher.protocol.store import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.operator_orders import OperatorAnswer, Retire
+from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.programs import build_program
 from hollowusher.simulation.world import Disk, Machine, Size, World
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -11,21 +11,14 @@
 
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.distribution.peer_names import present
+from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import MOST_TAG, encode, evolve, tag_of
-from hollowusher.protocol.control import (
-    ConfirmEpoch,
-    Done,
-    Hello,
-    Item,
-    Member,
-    Ping,
-    ReadView,
-    Register,
-    View,
-    Voter,
-)
-from hollowusher.protocol.identity import Identity
-from hollowusher.protocol.store import Put, StatusRequest
+from hollowusher.protocol.consensus import ConfirmEpoch, Ping
+from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.identity import Hello, Identity
+from hollowusher.protocol.membership import Member, Register
+from hollowusher.protocol.messages import Put, StatusRequest
+from hollowusher.protocol.view import ReadView, View, Voter
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
--- a/tests/transport/test_calls_late.py
+++ b/tests/transport/test_calls_late.py
@@ -7,7 +7,8 @@
 import random
 from typing import Any
 
-from hollowusher.protocol.control import Done, ReadView
+from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.view import ReadView
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
 from hollowusher.transport.interface import PeerError, fail_call
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -8,8 +8,11 @@
 
 import pytest
 
+from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import encode
-from hollowusher.protocol.control import Done, ReadState, ReadView, Registered
+from hollowusher.protocol.control_chain import ReadState
+from hollowusher.protocol.membership import Registered
+from hollowusher.protocol.view import ReadView
 from hollowusher.transport import tcp
 from hollowusher.transport.interface import Handler, PeerError
 from hollowusher.transport.tcp import ANSWER, LENGTH, ONE_WAY, REQUEST, TcpTransport, split_address
