--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -24,8 +24,9 @@
 from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.coordination.membership.directory import EDGE, Directory, version_of
 from hollowusher.coordination.membership.pause_detector import PauseDetector
-from hollowusher.coordination.placement.placement_manager import ControlChain, LogLine, PlacementDuty, no_log
+from hollowusher.coordination.placement.placement_manager import ControlChain, PlacementDuty
 from hollowusher.coordination.placement.placement_manager import Update as Update
+from hollowusher.log_events import LogFunction, no_log
 from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
@@ -74,7 +75,7 @@
         reader: ListReader,
         transport: Transport,
         clock: Callable[[], float],
-        log_line: LogLine = no_log,
+        log_line: LogFunction = no_log,
         is_newest: Callable[[], Awaitable[bool]] = _always,
     ) -> None:
         self._me = me
--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -20,6 +20,7 @@
 )
 from hollowusher.coordination.placement.planner import CAUGHT_UP, enough_would_remain, is_named, replan
 from hollowusher.coordination.placement.replica_states import store_name
+from hollowusher.log_events import LogFunction, PartitionLost, PartitionRecovered, PartitionRestored, no_log
 from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
@@ -40,7 +41,6 @@
 RUNNING = "running"
 COMPLETED = "completed"
 Update = Callable[[ControlState], ControlState | None]
-LogLine = Callable[..., None]
 
 
 class ControlChain(Protocol):
@@ -62,10 +62,6 @@
         """Commit what `update` makes of the newest state (None: leave it); True once that is committed."""
 
 
-def no_log(event: str, **fields: Any) -> None:
-    """Where no log is wanted."""
-
-
 class PlacementDuty:
     """The placement's part of one controller's duties; it acts while its process is the chain's head."""
 
@@ -77,7 +73,7 @@
         directory: Directory,
         tolerance: int,
         clock: Callable[[], float],
-        log: LogLine = no_log,
+        log: LogFunction = no_log,
     ) -> None:
         self._controller = controller
         self._directory = directory
@@ -220,9 +216,9 @@
         }
         for number in sorted(lost.keys() - self._told_lost):
             missing = [replica for replica in lost[number].replicas if replica not in living]
-            self._log("partition_lost", partition=number, epoch=lost[number].epoch, missing=missing)
+            self._log(PartitionLost(partition=number, epoch=lost[number].epoch, missing_replicas=missing))
         for number in sorted(self._told_lost - lost.keys()):
-            self._log("partition_back", partition=number)
+            self._log(PartitionRestored(partition=number))
         self._told_lost = set(lost)
 
     async def _recover_partition(self, order: RecoverPartition) -> OperatorAnswer:
@@ -250,7 +246,7 @@
         if not await self._controller.change(update) or not answers:
             return OperatorAnswer(503)
         if answers[0].status == 200:
-            self._log("partition_recovered", partition=order.partition, given_up=order.accept_loss_of)
+            self._log(PartitionRecovered(partition=order.partition, abandoned_replicas=order.accept_loss_of))
         return answers[0]
 
     # ---- emptying machines
--- a/hollowusher/roles/change_log.py
+++ b/hollowusher/roles/change_log.py
@@ -15,6 +15,15 @@
     VIEW,
     ClusterState,
 )
+from hollowusher.log_events import (
+    ConfigurationCommitted,
+    MemberChanged,
+    MemberCondition,
+    PlacementCommitted,
+    PrimariesAssigned,
+    ViewDecided,
+)
+from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import Placement
 from hollowusher.roles.logs import log
 
@@ -35,23 +44,29 @@
         if key == PLACEMENT and state.placement is not None:
             self._placement_changed(state.placement)
         elif key == VIEW and state.view is not None and self._is_head():
-            log("view", epoch=state.view.epoch, chain=state.view.chain)
+            log(ViewDecided(epoch=state.view.epoch, chain=state.view.chain))
         elif key == CONFIGURATION and state.configuration is not None and self._is_head():
-            log("configuration", generation=state.configuration.generation)
+            log(ConfigurationCommitted(generation=state.configuration.generation))
         elif key.startswith(MEMBER_PREFIX) and self._is_head():
             self._member_changed(key.removeprefix(MEMBER_PREFIX))
 
     def _member_changed(self, name: str) -> None:
         member = self._state.members[name]
-        condition = "alive" if member.alive else "leaving" if member.leaving else "dead"
-        log("member", name=name, condition=condition, incarnation=member.incarnation, status=member.status)
+        log(
+            MemberChanged(
+                peer=name,
+                condition=_condition(member),
+                incarnation=member.incarnation,
+                status_version=member.status,
+            )
+        )
 
     def _placement_changed(self, placement: Placement) -> None:
         primaries = {entry.partition: entry.primary for entry in placement.partitions}
         if self._store_id:
             led = {number for number, primary in primaries.items() if primary == self._store_id}
             if led != self._led:
-                log("primary_of", partitions=sorted(led), version=placement.version)
+                log(PrimariesAssigned(partitions=sorted(led), version=placement.version))
             self._led = led
         elif self._is_head():
             moved = {
@@ -60,5 +75,15 @@
                 if self._primaries.get(number) != primary
             }
             learning = sum(1 for entry in placement.partitions if entry.learners)
-            log("placement", version=placement.version, moved=moved, with_learners=learning)
+            log(
+                PlacementCommitted(
+                    version=placement.version, moved_primaries=moved, partitions_with_learners=learning
+                )
+            )
         self._primaries = primaries
+
+
+def _condition(member: Member) -> MemberCondition:
+    if member.alive:
+        return MemberCondition.ALIVE
+    return MemberCondition.DEPARTING if member.leaving else MemberCondition.DEAD
--- a/hollowusher/roles/control.py
+++ b/hollowusher/roles/control.py
@@ -19,8 +19,8 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.view import View
 from hollowusher.roles.change_log import ChangeLog
+from hollowusher.roles.fault_tolerance_log import FaultToleranceLog
 from hollowusher.roles.logs import log
-from hollowusher.roles.margin_log import MarginLog
 from hollowusher.roles.process import Process
 from hollowusher.storage.slots import SlotFile
 
@@ -28,7 +28,7 @@
 STATE_SLOT = "control-state"
 RECORD_SLOTS = ("control-record-a", "control-record-b")
 MESSAGES = (ReadControlStatus, *HeadDuties.MESSAGES, *Controller.MESSAGES)
-MARGIN_LOOK_S = 0.5  # between two looks at how many further losses are borne
+FAULT_TOLERANCE_CHECK_S = 0.5  # between two checks of how many further losses are tolerated
 
 
 class ControlPart:
@@ -64,14 +64,14 @@
             self.controller.is_newest,
         )
         self._tolerance = settings.fault_tolerance.machines
-        self._margin = MarginLog(log)
+        self._fault_tolerance_log = FaultToleranceLog(log)
         ChangeLog(process.state, "", lambda: self.controller.is_head)
 
     async def start(self) -> None:
         """Take part in views and chain, and be ready for the head's duties."""
         await self.controller.start()
         self._process.spawn(self.duties.run())
-        self._process.spawn(self._watch_margin())
+        self._process.spawn(self._watch_fault_tolerance())
 
     async def stop(self) -> None:
         """Leave the chain in order."""
@@ -100,10 +100,10 @@
         status = control_status(standing, self.duties.partition_statuses(), self._tolerance)
         return evolve(status, worker_list_age_s=self.duties.seconds_since_list())
 
-    async def _watch_margin(self) -> None:
+    async def _watch_fault_tolerance(self) -> None:
         while True:
-            self._margin.take(self.status())
-            await asyncio.sleep(MARGIN_LOOK_S)
+            self._fault_tolerance_log.update(self.status())
+            await asyncio.sleep(FAULT_TOLERANCE_CHECK_S)
 
     def _publish_view(self, view: View) -> None:
         self.duties.publish_view(view)
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -24,10 +24,11 @@
 from hollowusher.intake.intake import Intake
 from hollowusher.intake.server import EdgeFrontend
 from hollowusher.intake.store_client import StoreClient
+from hollowusher.log_events import EdgeStarted, RequestFailed, ShutdownCompleted, ShutdownStarted
 from hollowusher.protocol.leases import JobsWaiting
 from hollowusher.protocol.membership import Member
-from hollowusher.roles.logs import log
-from hollowusher.roles.process import Process, describe
+from hollowusher.roles.logs import describe_error, log
+from hollowusher.roles.process import Process
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -100,7 +101,7 @@
         await self.frontend.readiness.start()
         starting = [process.spawn(self._serve()), process.spawn(self._serve_operator())]
         await process.stopping.wait()
-        log("stopping")
+        log(ShutdownStarted())
         for task in starting:
             task.cancel()
         with suppress(TimeoutError):
@@ -109,7 +110,7 @@
         if self._operator_site is not None:
             await self._operator_site.cleanup()
         await process.close()
-        log("stopped")
+        log(ShutdownCompleted())
 
     async def handle(self, message: Any) -> Any:
         """Answer a message from another process."""
@@ -127,7 +128,7 @@
         self.dispatcher.start()
         await self.frontend.frontend.start()
         self.serving.set()
-        log("serving", incarnation=self.me.incarnation, controller=self.me.controller)
+        log(EdgeStarted(incarnation=self.me.incarnation, controller=self.me.controller))
 
     async def _stop(self) -> None:
         """Be unready until no new connection comes, hand duties over, end what is under way."""
@@ -193,7 +194,7 @@
             self.seed.learn(view)
 
     def _report(self, error: Exception) -> None:
-        log("request_failed", error=describe(error))
+        log(RequestFailed(reason=describe_error(error)))
 
 
 async def serve_edge(settings: BootSettings, path: str) -> int:
--- a/hollowusher/roles/fault_tolerance_log.py
+++ b/hollowusher/roles/fault_tolerance_log.py
@@ -1,51 +1,63 @@
-"""Log lines for the moments in which no further loss is borne any more, and in which one is again.
+"""Logs each change between tolerating a further loss, tolerating none, and having lost too many.
 
-The head of the control chain alone tells: it knows most, and every incident then stands once in the logs.
+The head of the control chain alone writes these lines: it knows most, and every incident then stands once in
+the logs.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
-from typing import Any
+from hollowusher.log_events import (
+    FaultToleranceChange,
+    FaultToleranceExceeded,
+    FaultToleranceExhausted,
+    FaultToleranceRestored,
+    LogFunction,
+    RedundantGroup,
+)
+from hollowusher.protocol.control_status import ControlStatus
 
-from hollowusher.protocol.control_status import ControlStatus, PartitionStatus
 
-CONTROLLERS = "controllers"
-STORES = "stores"
-EVENTS = ("margin_broken", "margin_none", "margin_back")  # by the margin: -1, 0, more
+class FaultToleranceLog:
+    """Follows the losses that the controllers and the stores still tolerate, as their head reports them."""
 
-LogLine = Callable[..., None]
-
-
-class MarginLog:
-    """Follows the margins of one system as its head reports them."""
-
-    def __init__(self, log: LogLine) -> None:
+    def __init__(self, log: LogFunction) -> None:
         self._log = log
-        self._told: dict[str, str] = {}  # what -> the event told last
+        self._logged: dict[RedundantGroup, type[FaultToleranceChange]] = {}  # the class logged last
 
-    def take(self, status: ControlStatus) -> None:
-        """A newer status.  That of a controller which does not lead says nothing: the next head tells."""
+    def update(self, status: ControlStatus) -> None:
+        """Log what a newer status changes; one that does not come from the leading head is not logged."""
         if not status.leads:
-            self._told.clear()
+            self._logged.clear()
             return
-        unheard = [voter.name for voter in status.voters if not voter.heard]
-        self._tell(CONTROLLERS, status.controller_losses_borne, {"epoch": status.epoch, "unheard": unheard})
+        self._log_change(
+            _event_class(status.controller_losses_borne)(
+                group=RedundantGroup.CONTROLLERS,
+                losses_borne=status.controller_losses_borne,
+                epoch=status.epoch,
+                unreachable_voters=[voter.name for voter in status.voters if not voter.heard],
+            )
+        )
         if status.partitions:
-            self._tell(STORES, status.store_losses_borne, _worst(status.partitions))
-
-    def _tell(self, what: str, borne: int, fields: Mapping[str, Any]) -> None:
-        event = EVENTS[min(max(borne, -1), 1) + 1]
-        before = self._told.get(what, EVENTS[-1])  # a system that is whole from the start needs no line
-        self._told[what] = event
-        if event != before:
-            self._log(event, of=what, losses_borne=borne, **fields)
-
-
-def _worst(partitions: list[PartitionStatus]) -> dict[str, Any]:
-    """The partitions that lack replicas, and how many are catching up."""
-    return {
-        "lost": [status.partition for status in partitions if status.lost],
-        "lacking": sum(status.living < status.replicas for status in partitions),
-        "learning": sum(bool(status.learners) for status in partitions),
-    }
+            partitions = status.partitions
+            self._log_change(
+                _event_class(status.store_losses_borne)(
+                    group=RedundantGroup.STORES,
+                    losses_borne=status.store_losses_borne,
+                    lost_partitions=[entry.partition for entry in partitions if entry.lost],
+                    degraded_partitions=sum(entry.living < entry.replicas for entry in partitions),
+                    partitions_with_learners=sum(bool(entry.learners) for entry in partitions),
+                )
+            )
+
+    def _log_change(self, event: FaultToleranceChange) -> None:
+        # A system that tolerates a loss from the start needs no line.
+        before = self._logged.get(event.group, FaultToleranceRestored)
+        self._logged[event.group] = type(event)
+        if type(event) is not before:
+            self._log(event)
+
+
+def _event_class(losses_borne: int) -> type[FaultToleranceChange]:
+    if losses_borne < 0:
+        return FaultToleranceExceeded
+    return FaultToleranceRestored if losses_borne > 0 else FaultToleranceExhausted
--- a/hollowusher/roles/process.py
+++ b/hollowusher/roles/process.py
@@ -11,9 +11,10 @@
 
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.log_events import HandlerFailed, MessageRejected, TaskFailed
 from hollowusher.protocol.identity import Identity
 from hollowusher.protocol.membership import Member
-from hollowusher.roles.logs import log, start_logs
+from hollowusher.roles.logs import describe_error, log, start_logs
 from hollowusher.roles.signals import SettingsWatch, on_signals
 from hollowusher.storage.identity import claim_incarnation, disk_identity, next_incarnation
 from hollowusher.storage.slots import SlotFile
@@ -92,29 +93,18 @@
             return
         error = task.exception()
         if error is not None:
-            log("part_failed", error=describe(error))
+            log(TaskFailed(reason=describe_error(error)))
             self.stopping.set()
 
     def _handler_failed(self, message: Any, error: Exception) -> None:
-        log("handler_failed", message=type(message).__name__, error=describe(error))
+        log(HandlerFailed(message=type(message).__name__, reason=describe_error(error)))
 
     @staticmethod
     def _message_refused(caller: Identity, meant: Identity, reason: str) -> None:
-        log("message_refused", caller=caller.name, meant=meant.name, reason=reason)
+        log(MessageRejected(peer=caller.name, intended_for=meant.name, reason=reason))
 
     def _settings_changed(self, settings: BootSettings) -> None:
         self.settings = settings
 
 
-def describe(error: BaseException) -> str:
-    """An error with the place where it arose, in one line."""
-    if isinstance(error, BaseExceptionGroup):
-        return "; ".join(describe(inner) for inner in error.exceptions)
-    trace = error.__traceback__
-    while trace is not None and trace.tb_next is not None:
-        trace = trace.tb_next
-    place = "" if trace is None else f" at {trace.tb_frame.f_code.co_filename}:{trace.tb_lineno}"
-    return f"{type(error).__name__}: {error}{place}"
-
-
 Handler = Callable[[Any], Awaitable[Any]]
--- a/hollowusher/roles/signals.py
+++ b/hollowusher/roles/signals.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable
 
 from hollowusher.configuration.boot import BootSettings, SettingsError, read_settings
+from hollowusher.log_events import SettingsRejected, SettingsReloaded
 from hollowusher.roles.logs import log
 
 WATCH_EVERY_S = 2.0
@@ -34,11 +35,11 @@
             settings = read_settings(self._path)
         except SettingsError as error:
             self.refused += 1
-            log("settings_refused", reason=str(error))
+            log(SettingsRejected(reason=str(error)))
             return
         if settings != self.settings:
             self.settings = settings
-            log("settings_taken")
+            log(SettingsReloaded())
             self._changed(settings)
 
     async def run(self) -> None:
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -11,11 +11,19 @@
 from hollowusher.coordination.consensus.view_cache import ViewKeeper
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.peer_names import present
+from hollowusher.log_events import (
+    SettingsRejected,
+    ShutdownCompleted,
+    ShutdownStarted,
+    ShutdownTimedOut,
+    StatusListenFailed,
+    StoreStarted,
+)
 from hollowusher.messages.service import StoreService
 from hollowusher.protocol.membership import Member
 from hollowusher.roles.change_log import ChangeLog
-from hollowusher.roles.logs import log
-from hollowusher.roles.process import Process, describe, wall_ms
+from hollowusher.roles.logs import describe_error, log
+from hollowusher.roles.process import Process, wall_ms
 from hollowusher.storage.ring_log import RingLog, ring_size
 from hollowusher.storage.slots import SlotFile
 
@@ -46,7 +54,7 @@
     try:
         site = await serve_status(me.admin, status)
     except OSError as error:
-        log("status_not_served", address=me.admin, error=describe(error))
+        log(StatusListenFailed(address=me.admin, reason=describe_error(error)))
         return
     try:
         await asyncio.Event().wait()
@@ -58,7 +66,7 @@
     """Run a store until it is stopped; the exit code."""
     process = Process(settings, path, "store")
     if process.folder is None:
-        log("settings_refused", reason="dataDir: a store needs a folder for its data")
+        log(SettingsRejected(reason="dataDir: a store needs a folder for its data"))
         return 2
     me = await process.identify(controller=False)
     present(process.transport.peers, me, process.state)
@@ -92,18 +100,18 @@
     process.spawn(client.run())
     process.spawn(client.bear_view())
     process.spawn(keeper.run())
-    log("started", incarnation=me.incarnation, disk=me.disk_id)
+    log(StoreStarted(incarnation=me.incarnation, disk_id=me.disk_id))
     telling = process.spawn(_tell_status(process, me, service, ring_log))
     await process.stopping.wait()
-    log("stopping")
+    log(ShutdownStarted())
     telling.cancel()
     try:
         async with asyncio.timeout(max(1.0, settings.bounds.grace_s - STOP_MARGIN_S)):
             await client.leave()
             await service.stop()
     except TimeoutError:
-        log("stop_cut_short", grace_s=settings.bounds.grace_s)
+        log(ShutdownTimedOut(grace_s=settings.bounds.grace_s))
     await process.close()
     ring_log.close()
-    log("stopped")
+    log(ShutdownCompleted())
     return 0
--- a/hollowusher/simulation/programs.py
+++ b/hollowusher/simulation/programs.py
@@ -16,6 +16,7 @@
 from hollowusher.coordination.controller.operator_api import OperatorApi
 from hollowusher.delivery.callbacks import CallbackDelivery
 from hollowusher.dispatch import dispatcher as dispatcher_module
+from hollowusher.log_events import HandlerFailed, LogEvent, RequestFailed, TaskFailed
 from hollowusher.roles import control as control_module
 from hollowusher.roles import edge as edge_module
 from hollowusher.roles import logs as logs_module
@@ -32,7 +33,7 @@
 )
 from hollowusher.simulation.world import Program, Seams
 
-LOGGED_FAILURES = ("part_failed", "handler_failed", "request_failed")
+LOGGED_FAILURES = (HandlerFailed, RequestFailed, TaskFailed)
 _seams: contextvars.ContextVar[Seams] = contextvars.ContextVar("seams")
 
 
@@ -47,9 +48,9 @@
     setattr(module, name, choose)
 
 
-def _log(seams: Seams, event: str, **fields: Any) -> None:
-    if event in LOGGED_FAILURES:
-        seams.note(f"{event} {fields}")
+def _log(seams: Seams, event: LogEvent) -> None:
+    if isinstance(event, LOGGED_FAILURES):
+        seams.note(f"{event.name} {event.fields()}")
 
 
 async def _serve_operator(seams: Seams, address: str, forward: Any, status: Any) -> SimulatedOperatorSite:
--- a/tests/configuration/test_boot_settings.py
+++ b/tests/configuration/test_boot_settings.py
@@ -185,7 +185,7 @@
 @pytest.fixture
 def watched(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Watched:
     events: list[Any] = []
-    monkeypatch.setattr("hollowusher.roles.signals.log", lambda event, **fields: events.append(event))
+    monkeypatch.setattr("hollowusher.roles.signals.log", events.append)
     return Watched(tmp_path)
 
 
--- a/tests/coordination/controller/test_control_status.py
+++ b/tests/coordination/controller/test_control_status.py
@@ -1,4 +1,4 @@
-"""What an operator is told of voters, margins and partitions, and the log lines about margins."""
+"""What an operator is told of voters, margins and partitions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,6 @@
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus
 from hollowusher.protocol.view import View, Voter
-from hollowusher.roles.margin_log import MarginLog
 
 WELL = VoterSigns(True, True, [1, 7])
 CATCHING_UP = VoterSigns(True, False, [1, 3])
@@ -76,42 +75,3 @@
 def test_without_a_view_nothing_is_borne() -> None:
     told = status(None, [])
     assert (told.epoch, told.controller_losses_borne, told.voters) == (0, -1, [])
-
-
-class Lines:
-    """The log lines written, as (event, what, margin)."""
-
-    def __init__(self) -> None:
-        self.told: list[tuple[str, str, int]] = []
-
-    def __call__(self, event: str, *, of: str, losses_borne: int, **_: Any) -> None:
-        self.told.append((event, of, losses_borne))
-
-
-def test_a_line_tells_when_the_margin_falls_to_none_and_when_it_is_back() -> None:
-    lines = Lines()
-    log = MarginLog(lines)
-    view = view_of("a", "b", "c")
-    whole = [partition(0, 3), partition(1, 3)]
-    log.take(status(view, whole))
-    assert lines.told == []
-    log.take(status(view, whole, b=SILENT))
-    log.take(status(view, whole, b=SILENT))
-    assert lines.told == [("margin_none", "controllers", 0)]
-    log.take(status(view, [partition(0, 2), partition(1, 3)]))
-    assert lines.told[1:] == [("margin_back", "controllers", 1), ("margin_none", "stores", 0)]
-    log.take(status(view, [partition(0, 1, lost=True), partition(1, 3)]))
-    log.take(status(view, whole))
-    assert lines.told[3:] == [("margin_broken", "stores", -1), ("margin_back", "stores", 1)]
-
-
-def test_a_new_head_tells_what_it_finds_and_others_are_silent() -> None:
-    lines = Lines()
-    log = MarginLog(lines)
-    lacking = status(view_of("a", "b", "c"), [partition(0, 3)], b=SILENT)
-    log.take(evolve(lacking, leads=False))
-    assert lines.told == []
-    log.take(lacking)
-    log.take(evolve(lacking, leads=False))
-    log.take(lacking)
-    assert lines.told == [("margin_none", "controllers", 0)] * 2
--- a/tests/roles/test_change_log.py
+++ b/tests/roles/test_change_log.py
@@ -7,6 +7,7 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.log_events import LogEvent
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
@@ -19,7 +20,11 @@
 def lines(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
     """The lines logged, as dictionaries."""
     logged: list[dict[str, Any]] = []
-    monkeypatch.setattr(change_log, "log", lambda event, **fields: logged.append({"event": event, **fields}))
+
+    def log(event: LogEvent) -> None:
+        logged.append({"event": event.name, **event.fields()})
+
+    monkeypatch.setattr(change_log, "log", log)
     return logged
 
 
@@ -49,8 +54,8 @@
         ],
         {},
     )
-    assert [line["condition"] for line in lines if line["event"] == "member"][-1] == "leaving"
-    assert [line["chain"] for line in lines if line["event"] == "view"] == [["a"]]
+    assert [line["condition"] for line in lines if line["event"] == "member_changed"][-1] == "departing"
+    assert [line["chain"] for line in lines if line["event"] == "view_decided"] == [["a"]]
 
 
 def test_each_change_is_told_as_it_comes(lines: list[dict[str, Any]]) -> None:
@@ -59,7 +64,7 @@
     for item in (member(0), member(1), placement(1, "a/1"), placement(2, "b/1")):
         state.apply([item], {})
     assert [line.get("condition") for line in lines[:2]] == ["alive", "dead"]
-    assert [line["moved"] for line in lines[2:]] == [{"3": "a/1"}, {"3": "b/1"}]
+    assert [line["moved_primaries"] for line in lines[2:]] == [{"3": "a/1"}, {"3": "b/1"}]
 
 
 def test_others_than_the_head_are_silent(lines: list[dict[str, Any]]) -> None:
--- a/tests/test_layering.py
+++ b/tests/test_layering.py
@@ -15,6 +15,7 @@
 # that stand directly in that package.
 ALLOWED: dict[str, set[str]] = {
     "__main__": {"console", "roles", "scheduler"},
+    "log_events": set(),
     "balancing": set(),
     "protocol": set(),
     "storage": set(),
@@ -24,7 +25,13 @@
     "coordination.consensus": {"configuration", "coordination", "protocol", "storage", "transport"},
     "coordination.chain": {"coordination", "coordination.consensus", "protocol", "storage", "transport"},
     "coordination.membership": {"coordination", "protocol"},
-    "coordination.placement": {"configuration", "coordination", "coordination.membership", "protocol"},
+    "coordination.placement": {
+        "configuration",
+        "coordination",
+        "coordination.membership",
+        "log_events",
+        "protocol",
+    },
     "coordination.distribution": {
         "configuration",
         "coordination",
@@ -41,6 +48,7 @@
         "coordination.distribution",
         "coordination.membership",
         "coordination.placement",
+        "log_events",
         "protocol",
         "storage",
         "transport",
@@ -79,6 +87,7 @@
         "delivery",
         "dispatch",
         "intake",
+        "log_events",
         "messages",
         "protocol",
         "storage",
@@ -96,6 +105,7 @@
         "delivery",
         "dispatch",
         "intake",
+        "log_events",
         "messages",
         "protocol",
         "roles",
