--- a/hollowusher/console/status_api.py
+++ b/hollowusher/console/status_api.py
@@ -55,7 +55,7 @@
         self._clock = clock
         self._ask_control = control
         self._started = self._workers_changed = clock()
-        state.listen(self._on_change)
+        state.add_listener(self._on_change)
 
     def add_routes(self, application: web.Application) -> None:
         """Serve the paths from an application."""
@@ -111,7 +111,9 @@
     def _place(self, reference: str) -> dict[str, object]:
         """The partition that keeps a message, as far as it is known here."""
         number = reference.partition("-")[0]
-        entry = self._state.partition(int(number)) if number.isascii() and number.isdigit() else None
+        entry = (
+            self._state.partition_placement(int(number)) if number.isascii() and number.isdigit() else None
+        )
         if entry is None:
             return {}
         return {
--- a/hollowusher/coordination/cluster_state.py
+++ b/hollowusher/coordination/cluster_state.py
@@ -25,10 +25,10 @@
 
 
 class ClusterState:
-    """The newest known values.  `have` is the version vector of what was received."""
+    """The newest known values.  `version_vector` is the version vector of what was received."""
 
     def __init__(self) -> None:
-        self.have: dict[str, int] = {}
+        self.version_vector: dict[str, int] = {}
         self.versions: dict[str, list[int]] = {}
         self._sources: dict[str, tuple[str, int]] = {}  # key -> origin and counter of the item
         self.configuration: Configuration | None = None
@@ -36,18 +36,21 @@
         self.view: View | None = None
         self.members: dict[str, Member] = {}
         self.workers: WorkerList | None = None
-        self._partitions: dict[int, PartitionPlacement] = {}
+        self._placements: dict[int, PartitionPlacement] = {}
         self._listeners: list[Listener] = []
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Have `listener` called after each change, with the item's key."""
         self._listeners.append(listener)
 
-    def apply(self, items: Iterable[Item], have: dict[str, int]) -> list[str]:
+    def apply(self, items: Iterable[Item], version_vector: dict[str, int]) -> list[str]:
         """Take what a controller sent; the keys that have changed."""
         changed = [item.key for item in items if self._apply(item)]
-        if have:  # origins that the controller has forgotten are forgotten here too
-            self.have = {origin: max(counter, self.have.get(origin, 0)) for origin, counter in have.items()}
+        if version_vector:  # origins that the controller has forgotten are forgotten here too
+            self.version_vector = {
+                origin: max(counter, self.version_vector.get(origin, 0))
+                for origin, counter in version_vector.items()
+            }
         for key in changed:
             for listener in list(self._listeners):
                 listener(key)
@@ -62,15 +65,15 @@
         if version == known:
             return False
         self.versions[item.key] = version
-        self._set(item.key, item.value)
+        self._store_value(item.key, item.value)
         return True
 
-    def _set(self, key: str, value: Any) -> None:
+    def _store_value(self, key: str, value: Any) -> None:
         if key == CONFIGURATION:
             self.configuration = read_document(value)
         elif key == PLACEMENT:
             self.placement = value
-            self._partitions = {entry.partition: entry for entry in value.partitions}
+            self._placements = {entry.partition: entry for entry in value.partitions}
         elif key == VIEW:
             self.view = value
         elif key == WORKERS:
@@ -78,17 +81,17 @@
         elif key.startswith(MEMBER_PREFIX):
             self.members[key.removeprefix(MEMBER_PREFIX)] = value
 
-    def lacking(self, have: dict[str, int]) -> list[Item]:
+    def items_missing_from(self, version_vector: dict[str, int]) -> list[Item]:
         """The members' items known here that the holder of a version vector has not seen."""
         found = []
         for name, member in self.members.items():
             key = MEMBER_PREFIX + name
             origin, counter = self._sources[key]
-            if counter > have.get(origin, 0):
+            if counter > version_vector.get(origin, 0):
                 found.append(Item(key, self.versions[key], origin, counter, member))
         return found
 
-    def alive(self, role: str | None = None) -> list[Member]:
+    def live_members(self, role: str | None = None) -> list[Member]:
         """The members that are there, of one role or all, by name."""
         return [
             member
@@ -96,13 +99,13 @@
             if member.alive and role in (None, member.role)
         ]
 
-    def partition(self, number: int) -> PartitionPlacement | None:
+    def partition_placement(self, number: int) -> PartitionPlacement | None:
         """Where a partition is kept."""
-        return self._partitions.get(number)
+        return self._placements.get(number)
 
-    def partitions(self) -> list[int]:
+    def partition_numbers(self) -> list[int]:
         """All partition numbers."""
-        return sorted(self._partitions)
+        return sorted(self._placements)
 
     def store_address(self, store_id: str) -> str | None:
         """The internal address of a replica, None where that machine or disk is not known."""
@@ -111,5 +114,5 @@
 
     def primary_address(self, number: int) -> str | None:
         """The internal address of a partition's primary."""
-        entry = self._partitions.get(number)
+        entry = self._placements.get(number)
         return None if entry is None else self.store_address(entry.primary)
--- a/hollowusher/coordination/consensus/view_cache.py
+++ b/hollowusher/coordination/consensus/view_cache.py
@@ -33,7 +33,7 @@
             view = decode(saved) if saved is not None else None
         if isinstance(view, View):
             self._state.apply([Item(VIEW, [view.epoch], SOLICITED, 0, view)], {})
-        self._state.listen(self._on_change)
+        self._state.add_listener(self._on_change)
 
     async def run(self) -> None:
         """Save each newer view; runs until cancelled."""
--- a/hollowusher/coordination/consensus/view_discovery.py
+++ b/hollowusher/coordination/consensus/view_discovery.py
@@ -9,7 +9,7 @@
 from hollowusher.coordination.backoff import Backoff
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
 from hollowusher.coordination.consensus.paxos import same_cluster
-from hollowusher.coordination.controller_choice import ControllerChoice
+from hollowusher.coordination.controller_selector import ControllerSelector
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.view import ReadView, View, ViewAnswer
 from hollowusher.transport.interface import PeerError, Transport
@@ -29,7 +29,7 @@
         transport: Transport,
         state: ClusterState,
         seeds: Callable[[], list[str]],
-        choice: ControllerChoice,
+        choice: ControllerSelector,
         chance: random.Random,
     ) -> None:
         self.foreign = 0  # views of another cluster: not taken
@@ -67,7 +67,7 @@
             return
         if not isinstance(answer, ViewAnswer):
             return
-        self._choice.health(address).reached()
+        self._choice.health(address).record_answer()
         if answer.view is not None:
             self.take(answer.view)
 
@@ -75,6 +75,6 @@
         view = self._state.view
         sources = [*self._seeds(), *(voter.address for voter in view.voters)] if view else self._seeds()
         for role in ROLES:
-            members = [member.address for member in self._state.alive(role)]
+            members = [member.address for member in self._state.live_members(role)]
             sources += self._chance.sample(members, min(MOST_HELPERS, len(members)))
         return [address for address in dict.fromkeys(sources) if address != self._transport.address]
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -236,16 +236,16 @@
         )
 
     def _notice_pause(self) -> None:
-        if self._pauses.step(asyncio.get_running_loop().time()) and not self._asking_after_pause:
+        if self._pauses.tick(asyncio.get_running_loop().time()) and not self._asking_after_pause:
             self._asking_after_pause = True
             self._spawn(self._ask_after_pause())
 
     async def _ask_after_pause(self) -> None:
         while True:
-            pauses = self._pauses.count
+            pauses = self._pauses.pause_count
             confirmed = await self.is_newest()
             self._notice_pause()
-            if confirmed and self._pauses.count == pauses:
+            if confirmed and self._pauses.pause_count == pauses:
                 break
             await asyncio.sleep(TICK_S)
         self._asking_after_pause = False
--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -2,7 +2,7 @@
 
 Every controller takes registrations and suspicions and publishes decided views and committed states.  The
 head of the control chain alone judges deaths, reads the platform's list of workers, and keeps the placement
-(`coordination/placement_duty`).
+(`coordination/placement/placement_manager`).
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 )
 from hollowusher.coordination.controller.worker_list_reader import PlatformError
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.membership.directory import EDGE, Directory, version_of
+from hollowusher.coordination.membership.member_directory import EDGE, MemberDirectory, member_version
 from hollowusher.coordination.membership.pause_detector import PauseDetector
-from hollowusher.coordination.placement.placement_manager import ControlChain, PlacementDuty
+from hollowusher.coordination.placement.placement_manager import ControlChain, PlacementManager
 from hollowusher.coordination.placement.placement_manager import Update as Update
 from hollowusher.log_events import LogFunction, no_log
 from hollowusher.protocol.acknowledgement import Done
@@ -63,14 +63,14 @@
 class HeadDuties:
     """The duties of one controller.  `is_newest` asks a majority whether its view is the newest still."""
 
-    MESSAGES: tuple[type, ...] = (Register, Leaving, Suspicion, *PlacementDuty.MESSAGES)
+    MESSAGES: tuple[type, ...] = (Register, Leaving, Suspicion, *PlacementManager.MESSAGES)
 
     def __init__(
         self,
         me: Member,
         controller: ControlChain,
         feed: Feed,
-        directory: Directory,
+        directory: MemberDirectory,
         settings: BootSettings,
         reader: ListReader,
         transport: Transport,
@@ -86,7 +86,7 @@
         self._reader = reader
         self._transport = transport
         self._clock = clock
-        self._placement = PlacementDuty(
+        self._placement = PlacementManager(
             controller, directory, settings.fault_tolerance.machines, clock, log_line
         )
         self._probing: set[str] = set()
@@ -108,11 +108,11 @@
             self._feed.publish(PLACEMENT, [state.placement.version], state.placement)
 
     def _publish_member(self, member: Member) -> None:
-        self._feed.publish(MEMBER_PREFIX + member.name, version_of(member), member)
+        self._feed.publish(MEMBER_PREFIX + member.name, member_version(member), member)
 
     def _on_item(self, item: Item) -> None:
         if item.key.startswith(MEMBER_PREFIX):
-            self._directory.take(item.value, self._clock())
+            self._directory.update(item.value, self._clock())
 
     # ---- what an operator is told
 
@@ -122,7 +122,7 @@
 
     def controllers(self) -> list[str]:
         """The living controllers, voters or not."""
-        return [member.name for member in self._directory.alive(EDGE) if member.controller]
+        return [member.name for member in self._directory.live_members(EDGE) if member.controller]
 
     def seconds_since_list(self) -> float:
         """How long ago this process last read the platform's whole list, -1 where it is not its reader."""
@@ -139,14 +139,14 @@
             view = self._controller.view
             return Registered(0 if view is None else view.epoch)
         if isinstance(message, Leaving):
-            dead = self._directory.left(message)
+            dead = self._directory.leaving_state(message)
             if dead is not None:
                 self._publish_member(dead)
             return Done()
         if isinstance(message, Suspicion):
             self._take_suspicion(message)
             return None
-        if isinstance(message, PlacementDuty.MESSAGES):
+        if isinstance(message, PlacementManager.MESSAGES):
             return await self._certain(await self._placement.handle(message))
         return None
 
@@ -161,11 +161,11 @@
         now = self._clock()
         self._notice_pause(now)
         if not self._pauses.paused_since(now - UNREAD_S):
-            self._directory.suspect(suspicion, now)
+            self._directory.record_suspicion(suspicion, now)
 
     def _notice_pause(self, now: float) -> None:
-        if self._pauses.step(now):
-            self._directory.forget_suspicions()
+        if self._pauses.tick(now):
+            self._directory.clear_suspicions()
 
     # ---- the loops
 
@@ -186,9 +186,9 @@
     def _judge(self, tasks: asyncio.TaskGroup) -> None:
         """Publish the deaths that the monitors agree on, and try those that they do not agree on."""
         now = self._clock()
-        for dead in self._directory.condemned(now):
+        for dead in self._directory.confirmed_dead(now):
             self._publish_member(dead)
-        for member in self._directory.doubtful(now):
+        for member in self._directory.unconfirmed_suspects(now):
             if member.name not in self._probing and member.name != self._me.name:
                 self._probing.add(member.name)
                 tasks.create_task(self._probe(member))
@@ -199,10 +199,10 @@
             answer = await self._transport.call(member.address, probe, PROBE_TIMEOUT_S)
             if not isinstance(answer, Done):
                 raise PeerError("ProbeLife", member.address, "another life is there")
-            self._directory.reached(member)
+            self._directory.clear_suspicion(member)
         except PeerError:
             self._notice_pause(self._clock())
-            dead = self._directory.unreachable(member, self._clock())
+            dead = self._directory.unreachable_state(member, self._clock())
             if dead is not None and self._controller.is_head:
                 self._publish_member(dead)
         finally:
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -27,10 +27,10 @@
 )
 from hollowusher.coordination.consensus.view_discovery import SOLICITED, START_PAUSE_S, ViewFinder
 from hollowusher.coordination.consensus.view_publisher import ViewBearer
-from hollowusher.coordination.controller_choice import ControllerChoice
+from hollowusher.coordination.controller_selector import ControllerSelector
 from hollowusher.coordination.distribution.feed import Feed, LongPoll
-from hollowusher.coordination.membership.directory import version_of
-from hollowusher.coordination.membership.failure_detector import Monitor
+from hollowusher.coordination.membership.failure_detector import FailureDetector
+from hollowusher.coordination.membership.member_directory import member_version
 from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.codec import evolve
@@ -74,12 +74,12 @@
         self._transport = transport
         self._feed = feed
         self._chance = chance
-        self._monitor = Monitor(me.name)
+        self._monitor = FailureDetector(me.name)
         self._members_changed = True
         self._registered_at: set[str] = set()  # the controllers that know this registration
         self._registration_seen = False  # the cluster has this life of this process
         self._leaving = False
-        self._choice = ControllerChoice(me.name, me.zone)
+        self._choice = ControllerSelector(me.name, me.zone)
         present_seeds = settings.seed_addresses if seeds is None else seeds
         self._finder = ViewFinder(transport, state, present_seeds, self._choice, chance)
         self._bearer = ViewBearer(
@@ -92,7 +92,7 @@
         self._view_changed = asyncio.Event()
         self._pauses = PauseDetector(LONGEST_STEP_S)
         self._long_poll = LongPoll(feed, self._is_connected, self._age_s) if feed is not None else None
-        state.listen(self._on_change)
+        state.add_listener(self._on_change)
         if feed is not None:
             feed.listen(lambda item: self._apply([item]))
 
@@ -187,7 +187,7 @@
     async def handle(self, message: Any) -> Any:
         """Answer one of `MESSAGES`."""
         if isinstance(message, Heartbeat):
-            self._monitor.heard(message, self._now())
+            self._monitor.record_heartbeat(message, self._now())
         elif isinstance(message, ReadView):
             return ViewAnswer(self.state.view)
         elif isinstance(message, OfferView):
@@ -220,7 +220,7 @@
         return sorted(self._voters(), key=lambda voter: voter.name != tail)
 
     def _voters_by_preference(self) -> list[Voter]:
-        return self._choice.order(self._voters(), self.state.members, self._now())
+        return self._choice.rank_controllers(self._voters(), self.state.members, self._now())
 
     # ---- following one controller
 
@@ -232,10 +232,12 @@
                 await self._finder.find()
                 continue
             address = voters[0].address
-            last_choice = len(voters) == 1 or self._choice.health(address).avoided(self._now())
+            last_choice = len(voters) == 1 or self._choice.health(address).is_avoided(self._now())
             try:
                 await self._register_at(address)
-                connected = await self._pull(address, dict(self.state.have), partial(self._take, address))
+                connected = await self._pull(
+                    address, dict(self.state.version_vector), partial(self._take, address)
+                )
                 backoff.reset()
             except PeerError:
                 self._failed(address)
@@ -248,7 +250,7 @@
 
     def _failed(self, address: str) -> None:
         self._registered_at.discard(address)
-        self._choice.health(address).failed(self._now())
+        self._choice.health(address).record_failure(self._now())
 
     async def _register_at(self, address: str) -> None:
         if address in self._registered_at or self._leaving:
@@ -270,10 +272,10 @@
             raise PeerError("PullUpdates", address, "no updates there")
         changed = take(answer)
         now = self._now()
-        self._pauses.step(now)
+        self._pauses.tick(now)
         heard_at = started if self._pauses.paused_since(started) else now  # it may have lain unread since
         self._heard_at[address] = max(heard_at, self._heard_at.get(address, -math.inf))
-        self._choice.health(address).answered(now, answer.connected)
+        self._choice.health(address).record_pull(now, answer.connected)
         if answer.connected:
             self._connected_at = max(heard_at - answer.age_ms / 1000, self._connected_at)
         if not changed and now - started < IDLE_PAUSE_S:
@@ -282,7 +284,7 @@
 
     def _take(self, address: str, updates: Updates) -> list[str]:
         changed = self.state.apply(updates.items, updates.have)
-        lacking = self.state.lacking(updates.have)
+        lacking = self.state.items_missing_from(updates.have)
         if lacking:
             self._transport.send(address, Repair(lacking))
         return changed
@@ -317,7 +319,7 @@
                 self._failed(address)
                 await backoff.wait()
                 now = self._now()
-                if all(self._choice.health(voter.address).avoided(now) for voter in self._other_voters()):
+                if all(self._choice.health(voter.address).is_avoided(now) for voter in self._other_voters()):
                     await self._finder.ask()
 
     def _have_of(self, address: str) -> dict[str, int]:
@@ -344,7 +346,7 @@
     def _publish(self, member: Member) -> None:
         assert self._feed is not None
         self.me = member
-        self._feed.publish(MEMBER_PREFIX + member.name, version_of(member), member)
+        self._feed.publish(MEMBER_PREFIX + member.name, member_version(member), member)
 
     # ---- applying what was learnt
 
@@ -374,9 +376,9 @@
     def _on_own_state(self, seen: Member) -> None:
         """Refute one's own death.  A greater incarnation seen at the start is that of an earlier life whose
         clock was ahead; seen later, it is a successor's, which is left alone."""
-        if version_of(seen) == version_of(self.me):
+        if member_version(seen) == member_version(self.me):
             self._registration_seen = True
-        if self._leaving or version_of(seen) <= version_of(self.me):
+        if self._leaving or member_version(seen) <= member_version(self.me):
             return
         if seen.incarnation == self.me.incarnation:
             self._announce(evolve(self.me, status=seen.status + seen.status % 2))
@@ -394,16 +396,16 @@
     async def _beat(self) -> None:
         while True:
             now = self._now()
-            self._pauses.step(now)
+            self._pauses.tick(now)
             if self._members_changed:
                 self._members_changed = False
-                self._monitor.update(self.state.alive(), now)
+                self._monitor.update_members(self.state.live_members(), now)
             for suspicion in self._monitor.tick(now):
                 for voter in self._voters():
                     self._transport.send(voter.address, suspicion)
-            if not self._leaving and self._monitor.heartbeat_due(now):
+            if not self._leaving and self._monitor.start_due_heartbeat(now):
                 heartbeat = Heartbeat(self.me.name, self.me.incarnation)
-                for member in self._monitor.my_monitors:
+                for member in self._monitor.own_monitors:
                     self._transport.send(member.address, heartbeat)
             await asyncio.sleep(BEAT_S)
 
--- a/hollowusher/coordination/distribution/peer_names.py
+++ b/hollowusher/coordination/distribution/peer_names.py
@@ -18,4 +18,4 @@
         elif key.startswith(MEMBER_PREFIX):
             directory.learn_member(state.members[key.removeprefix(MEMBER_PREFIX)])
 
-    state.listen(learn)
+    state.add_listener(learn)
--- a/hollowusher/coordination/placement/initial_placement.py
+++ b/hollowusher/coordination/placement/initial_placement.py
@@ -9,16 +9,18 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 
-PARTITIONS = 16
+PARTITION_COUNT = 16
 
 
-def homes(service: str, partitions: Iterable[int]) -> list[int]:
+def rank_partitions(service: str, partitions: Iterable[int]) -> list[int]:
     """The partitions in the order of preference for a service's messages; the first is its home."""
     key = f"home/{service}"
     return sorted(partitions, key=lambda number: (weight(key, str(number)), number), reverse=True)
 
 
-def initial_placement(stores: Sequence[Member], tolerance: int, partitions: int = PARTITIONS) -> Placement:
+def plan_initial_placement(
+    stores: Sequence[Member], tolerance: int, partitions: int = PARTITION_COUNT
+) -> Placement:
     """The placement of a new system on these stores."""
     size = min(len(stores), 2 * tolerance + 1)
     load: Counter[str] = Counter()
@@ -27,7 +29,7 @@
         chosen = _choose_replicas(number, stores, size, load)
         load.update(chosen)
         replicas[number] = chosen
-    primaries = balanced_primaries(replicas, -(-partitions // len(stores)))
+    primaries = balance_primaries(replicas, -(-partitions // len(stores)))
     incarnations = {store.store_id: store.incarnation for store in stores}
     entries = [
         PartitionPlacement(number, 1, primaries[number], chosen, [], incarnations[primaries[number]])
@@ -52,7 +54,7 @@
     return chosen
 
 
-def balanced_primaries(replicas: Mapping[int, Sequence[str]], most: int) -> dict[int, str]:
+def balance_primaries(replicas: Mapping[int, Sequence[str]], most: int) -> dict[int, str]:
     """A primary for each partition among its replicas, at most `most` to a store where that can be done
     (augmenting paths in the graph of partitions and stores), and no store two ahead of another replica."""
     assigned: dict[int, str] = {}
--- a/hollowusher/coordination/placement/partition_recovery.py
+++ b/hollowusher/coordination/placement/partition_recovery.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from hollowusher.coordination.membership.directory import StoreCondition
+from hollowusher.coordination.membership.member_directory import StoreCondition
 from hollowusher.coordination.rendezvous import weight
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_status import PartitionStatus
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class RecoveryRefused:
+class RecoveryRejected:
     """Why an order to go on without some replicas is not taken; `status` is that of the HTTP answer."""
 
     status: int
@@ -38,9 +38,9 @@
     return max(quorum, replicas - quorum + 1)
 
 
-def living_ids(stores: Mapping[str, StoreCondition]) -> set[str]:
+def live_store_ids(stores: Mapping[str, StoreCondition]) -> set[str]:
     """The store ids whose process and disk are there."""
-    return {condition.store_id for condition in stores.values() if condition.living}
+    return {condition.store_id for condition in stores.values() if condition.is_alive}
 
 
 def is_lost(entry: PartitionPlacement, living: Collection[str], tolerance: int) -> bool:
@@ -53,7 +53,7 @@
     placement: Placement, stores: Mapping[str, StoreCondition], tolerance: int
 ) -> list[PartitionStatus]:
     """How each partition stands."""
-    living = living_ids(stores)
+    living = live_store_ids(stores)
     return [
         PartitionStatus(
             entry.partition,
@@ -78,35 +78,35 @@
     return max(-1, min(margins, default=-1))
 
 
-def recovered_placement(
+def plan_recovery(
     placement: Placement,
     stores: Mapping[str, StoreCondition],
     tolerance: int,
     partition: int,
     accept_loss_of: Collection[str],
-) -> Placement | RecoveryRefused:
+) -> Placement | RecoveryRejected:
     """The placement in which what is left of a partition goes on, or why there is none."""
     entry = next((each for each in placement.partitions if each.partition == partition), None)
     if entry is None:
-        return RecoveryRefused(404, "there is no such partition")
-    living = living_ids(stores)
+        return RecoveryRejected(404, "there is no such partition")
+    living = live_store_ids(stores)
     if not is_lost(entry, living, tolerance):
-        return RecoveryRefused(409, "enough replicas of this partition live")
+        return RecoveryRejected(409, "enough replicas of this partition live")
     if unknown := sorted(set(accept_loss_of) - set(entry.replicas)):
-        return RecoveryRefused(409, f"{unknown[0]} is no replica of this partition")
+        return RecoveryRejected(409, f"{unknown[0]} is no replica of this partition")
     if alive := sorted(set(accept_loss_of) & living):
-        return RecoveryRefused(409, f"{alive[0]} lives")
+        return RecoveryRejected(409, f"{alive[0]} lives")
     left = [replica for replica in entry.replicas if replica in living]
     if unnamed := sorted(set(entry.replicas) - set(left) - set(accept_loss_of)):
-        return RecoveryRefused(409, f"{unnamed[0]} does not live and is not named")
+        return RecoveryRejected(409, f"{unnamed[0]} does not live and is not named")
     if not left:
-        return RecoveryRefused(409, "no replica of this partition is left")
-    going_on = _going_on(entry, left, stores)
-    entries = [going_on if each.partition == partition else each for each in placement.partitions]
+        return RecoveryRejected(409, "no replica of this partition is left")
+    recovered = _recovered_entry(entry, left, stores)
+    entries = [recovered if each.partition == partition else each for each in placement.partitions]
     return Placement(placement.version + 1, entries)
 
 
-def _going_on(
+def _recovered_entry(
     entry: PartitionPlacement, left: list[str], stores: Mapping[str, StoreCondition]
 ) -> PartitionPlacement:
     key = f"primary/{entry.partition}"
--- a/hollowusher/coordination/placement/zone_homes.py
+++ b/hollowusher/coordination/placement/partitioner.py
@@ -12,11 +12,11 @@
 
 from hollowusher.configuration.model import Configuration
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.placement.planner import homes
+from hollowusher.coordination.placement.initial_placement import rank_partitions
 from hollowusher.coordination.rendezvous import weight
 
 
-def needs_one_home(service: str, configuration: Configuration | None) -> bool:
+def has_single_home(service: str, configuration: Configuration | None) -> bool:
     """Whether all messages of a service must be in one partition; also where the service is not known."""
     found = configuration.service(service) if configuration is not None else None
     if configuration is None or found is None or found.rate_per_s > 0:
@@ -24,7 +24,7 @@
     return any(route.ordered for route in configuration.routes if route.upstream == service)
 
 
-class ZoneHomes:
+class ZonePartitioner:
     """The partitions of a service in the order of preference, for processes of one zone."""
 
     def __init__(self, state: ClusterState, zone: str) -> None:
@@ -33,12 +33,12 @@
 
     def __call__(self, service: str, partitions: Iterable[int]) -> list[int]:
         """The ranking; for a service without one home, a partition of each store, those of the zone first."""
-        ranking = homes(service, partitions)
-        if needs_one_home(service, self._state.configuration):
+        ranking = rank_partitions(service, partitions)
+        if has_single_home(service, self._state.configuration):
             return ranking
         best: dict[str, int] = {}
         for number in ranking:
-            entry = self._state.partition(number)
+            entry = self._state.partition_placement(number)
             if entry is not None:
                 best.setdefault(entry.primary, number)
         key = f"zone/{self._zone}/{service}"
--- a/hollowusher/coordination/placement/replica_states.py
+++ b/hollowusher/coordination/placement/replica_states.py
@@ -17,16 +17,22 @@
 from collections import Counter
 from collections.abc import Collection, Mapping
 
-from hollowusher.coordination.membership.directory import StoreCondition
+from hollowusher.coordination.membership.member_directory import StoreCondition
 from hollowusher.protocol.placement import Placement
 
-STEADY_S = 6.0  # a store that has been there this long gets primaries back
-MISSING_S = 1.5  # a store that was judged dead is awaited this long before copies of its replicas are begun
-MISSING_LEAVING_S = 2.5  # ... and one that left in order, whose restart begins with its end
-GONE_S = 2.5  # a store that has been away this long is replaced
-UNKNOWN_S = 2.0  # a store that this head has never seen is awaited this long before it counts as away
-FRESH_SHARE = 0.5  # a store with at most this part of its share of the replicas has come lately
-UNKNOWN_GONE_S = 8.0  # ... and this long before it is replaced: after a loss of power machines come late
+STABLE_AFTER_S = 6.0  # a store that has been there this long gets primaries back
+MISSING_AFTER_S = (
+    1.5  # a store that was judged dead is awaited this long before copies of its replicas are begun
+)
+MISSING_AFTER_LEAVING_S = 2.5  # ... and one that left in order, whose restart begins with its end
+GONE_AFTER_S = 2.5  # a store that has been away this long is replaced
+UNKNOWN_DOWN_AFTER_S = (
+    2.0  # a store that this head has never seen is awaited this long before it counts as away
+)
+UNDERLOADED_SHARE = 0.5  # a store with at most this part of its share of the replicas has come lately
+UNKNOWN_GONE_AFTER_S = (
+    8.0  # ... and this long before it is replaced: after a loss of power machines come late
+)
 
 
 def store_name(store_id: str) -> str:
@@ -34,7 +40,7 @@
     return store_id.partition("/")[0]
 
 
-class StoreStates:
+class ReplicaStates:
     """The states of all stores at one moment."""
 
     def __init__(
@@ -45,61 +51,61 @@
     ) -> None:
         self._stores = stores
         self._retiring = retiring
-        self.living = {condition.store_id: condition for condition in stores.values() if condition.living}
-        self.usable = {store_id for store_id in self.living if store_name(store_id) not in retiring}
-        self.fresh = self._fresh(placement)
+        self.live = {condition.store_id: condition for condition in stores.values() if condition.is_alive}
+        self.usable = {store_id for store_id in self.live if store_name(store_id) not in retiring}
+        self.underloaded = self._underloaded_stores(placement)
 
-    def _fresh(self, placement: Placement) -> set[str]:
+    def _underloaded_stores(self, placement: Placement) -> set[str]:
         """The stores that hold much less than their share: just added, or successors of one that is away."""
         held = Counter(replica for entry in placement.partitions for replica in entry.replicas)
         share = held.total() / max(1, len(self.usable | held.keys()))
-        return {store_id for store_id in self.usable if held[store_id] <= FRESH_SHARE * share}
+        return {store_id for store_id in self.usable if held[store_id] <= UNDERLOADED_SHARE * share}
 
     def is_retiring(self, store_id: str) -> bool:
         """Whether its machine is being emptied."""
         return store_name(store_id) in self._retiring
 
-    def disk_lost(self, store_id: str) -> bool:
+    def has_lost_disk(self, store_id: str) -> bool:
         """Whether the machine has come with another disk: this one never returns."""
         condition = self._stores.get(store_name(store_id))
         return condition is not None and condition.member is not None and condition.store_id != store_id
 
-    def away(self, store_id: str) -> bool:
+    def is_down(self, store_id: str) -> bool:
         """Whether the replica is known to be away now."""
-        if store_id in self.living:
+        if store_id in self.live:
             return False
         condition = self._stores.get(store_name(store_id))
         if condition is None:
             return True
-        return condition.member is not None or condition.for_s >= UNKNOWN_S
+        return condition.member is not None or condition.state_age_s >= UNKNOWN_DOWN_AFTER_S
 
-    def missing(self, store_id: str) -> bool:
+    def is_missing(self, store_id: str) -> bool:
         """Whether a copy of the replica is to be begun.  A store with few replicas that is there while
         another is away is taken for its successor: nothing is waited for then."""
-        if store_id in self.living:
+        if store_id in self.live:
             return False
-        if self.gone(store_id):
+        if self.is_gone(store_id):
             return True
         condition = self._stores.get(store_name(store_id))
         if condition is None or condition.member is None:
             return False
-        awaited_s = MISSING_LEAVING_S if condition.member.leaving else MISSING_S
-        return bool(self.fresh) or condition.for_s >= awaited_s
+        awaited_s = MISSING_AFTER_LEAVING_S if condition.member.leaving else MISSING_AFTER_S
+        return bool(self.underloaded) or condition.state_age_s >= awaited_s
 
-    def gone(self, store_id: str) -> bool:
+    def is_gone(self, store_id: str) -> bool:
         """Whether the replica has been away for so long that it is replaced."""
-        if store_id in self.living:
+        if store_id in self.live:
             return False
         condition = self._stores.get(store_name(store_id))
         if condition is None:
             return False
         if condition.member is None:
-            return condition.for_s >= UNKNOWN_GONE_S
-        return self.disk_lost(store_id) or condition.for_s >= GONE_S
+            return condition.state_age_s >= UNKNOWN_GONE_AFTER_S
+        return self.has_lost_disk(store_id) or condition.state_age_s >= GONE_AFTER_S
 
     def must_be_replaced(self, store_id: str) -> bool:
         """Whether the replica has no future in its place."""
-        return self.gone(store_id) or self.is_retiring(store_id)
+        return self.is_gone(store_id) or self.is_retiring(store_id)
 
     def may_be_replaced(self, store_id: str) -> bool:
         """Whether a learner that has caught up takes its place now."""
@@ -108,16 +114,16 @@
     def _has_left(self, store_id: str) -> bool:
         condition = self._stores.get(store_name(store_id))
         leaving = condition is not None and condition.member is not None and condition.member.leaving
-        return leaving and store_id not in self.living
+        return leaving and store_id not in self.live
 
-    def steady(self, store_id: str) -> bool:
+    def is_stable(self, store_id: str) -> bool:
         """Whether the replica has been there for a while."""
-        condition = self.living.get(store_id)
-        return condition is not None and condition.for_s >= STEADY_S
+        condition = self.live.get(store_id)
+        return condition is not None and condition.state_age_s >= STABLE_AFTER_S
 
     def incarnation(self, store_id: str) -> int:
         """The life of a living replica's process."""
-        member = self.living[store_id].member
+        member = self.live[store_id].member
         assert member is not None
         return member.incarnation
 
--- a/hollowusher/delivery/leasing.py
+++ b/hollowusher/delivery/leasing.py
@@ -43,8 +43,8 @@
 
     def home_store(self, service: str) -> str | None:
         """The store that is the primary of the service's home partition."""
-        ranking = self.homes(service, self.state.partitions())
-        entry = self.state.partition(ranking[0]) if ranking else None
+        ranking = self.homes(service, self.state.partition_numbers())
+        entry = self.state.partition_placement(ranking[0]) if ranking else None
         return entry.primary if entry is not None else None
 
     def address(self, store: str) -> str | None:
--- a/hollowusher/delivery/pull.py
+++ b/hollowusher/delivery/pull.py
@@ -45,7 +45,7 @@
         self._desks: dict[str, _ServiceDesk] = {}
         self._given: dict[str, float] = {}  # lease of a job given to a call -> until when it may go out
         self._stopping = False
-        network.state.listen(self._changed)
+        network.state.add_listener(self._changed)
 
     async def pull(self, service: str, instance: str, wait_s: float) -> Job | None:
         """A leased job for one free slot of a worker, None where none came within `wait_s` seconds."""
--- a/hollowusher/dispatch/dispatcher.py
+++ b/hollowusher/dispatch/dispatcher.py
@@ -15,7 +15,7 @@
     WORKERS,
     ClusterState,
 )
-from hollowusher.coordination.placement.planner import homes
+from hollowusher.coordination.placement.initial_placement import rank_partitions
 from hollowusher.delivery.callbacks import CallbackDelivery
 from hollowusher.delivery.figures import DeliveryFigures
 from hollowusher.delivery.leasing import Homes, LeaseNetwork
@@ -49,7 +49,7 @@
         worker_client: WorkerClient,
         chance: random.Random,
         *,
-        homes: Homes = homes,
+        homes: Homes = rank_partitions,
         figures: DeliveryFigures | None = None,
     ) -> None:
         self.figures = figures or DeliveryFigures()
@@ -74,7 +74,7 @@
         """Begin to lease and deliver; changes of the cluster's state are followed from now on."""
         self._started = True
         self._listed_at = asyncio.get_running_loop().time()
-        self._state.listen(self._changed)
+        self._state.add_listener(self._changed)
         self._refresh()
 
     async def stop(self, grace_s: float) -> None:
@@ -114,7 +114,7 @@
         return self._routes.get(name)
 
     def _owns_receiver(self, service: str) -> bool:
-        return owner(Destination(service), self._state.alive(EDGE)) == self._me.name
+        return owner(Destination(service), self._state.live_members(EDGE)) == self._me.name
 
     def _changed(self, key: str) -> None:
         if key == WORKERS:
@@ -156,7 +156,7 @@
             return {}
         pushed = {service.name: service for service in configuration.upstreams if not service.pull}
         workers = self._listed(pushed)
-        members = self._state.alive(EDGE)
+        members = self._state.live_members(EDGE)
         owners = assign(_destinations(pushed.values(), workers), members)
         owned: dict[str, list[WorkerSpec]] = {}
         for service in pushed.values():
--- a/hollowusher/intake/admission.py
+++ b/hollowusher/intake/admission.py
@@ -10,7 +10,7 @@
 import attrs
 
 from hollowusher.configuration.model import Configuration, Route, Service
-from hollowusher.coordination.placement.zone_homes import needs_one_home
+from hollowusher.coordination.placement.partitioner import has_single_home
 from hollowusher.protocol.messages import NewMessage
 
 ATTEMPT_ID = "X-Attempt-Id"
@@ -82,7 +82,9 @@
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
         self.generation = configuration.generation
         self.home_only = {
-            service.name for service in configuration.upstreams if needs_one_home(service.name, configuration)
+            service.name
+            for service in configuration.upstreams
+            if has_single_home(service.name, configuration)
         }
 
     def find(self, host: str, target: str) -> Route | None:
--- a/hollowusher/intake/intake.py
+++ b/hollowusher/intake/intake.py
@@ -242,7 +242,7 @@
         service = admission.message.service
         ranking = self._candidates.get(service)
         if ranking is None:
-            ranking = self._homes(service, self._state.partitions())[:MOST_CANDIDATES]
+            ranking = self._homes(service, self._state.partition_numbers())[:MOST_CANDIDATES]
             self._candidates[service] = ranking
         return ranking[:1] if admission.home_only else ranking
 
--- a/hollowusher/intake/store_client.py
+++ b/hollowusher/intake/store_client.py
@@ -93,7 +93,7 @@
         self._probes: set[asyncio.Task[None]] = set()
         self._placed = self._placed_partitions()
         self._incarnations = {name: member.incarnation for name, member in state.members.items()}
-        state.listen(self._on_change)
+        state.add_listener(self._on_change)
 
     async def put(
         self, message: NewMessage, candidates: Sequence[int], deadline: float, refuse_at: float | None = None
@@ -176,7 +176,7 @@
             return absent
         backoff = _Backoff()
         while self._clock() < deadline:
-            if self._state.placement is not None and self._state.partition(partition) is None:
+            if self._state.placement is not None and self._state.partition_placement(partition) is None:
                 return absent
             target = self._primary(partition)
             if target is not None:
--- a/hollowusher/messages/service.py
+++ b/hollowusher/messages/service.py
@@ -124,11 +124,11 @@
         """Read the log, and take up what the placement says."""
         self._replicator.replay()
         now = self._now()
-        self._pauses.step(now)
+        self._pauses.tick(now)
         self._running_since = now
         self._next_forget, self._next_scrub = now + FORGET_EVERY_S, now + SCRUB_EVERY_S
         self._started = True
-        self._state.listen(self._changed)
+        self._state.add_listener(self._changed)
         self._replicator.place()
         self._replicator.run(self._tick())
 
@@ -480,7 +480,7 @@
     def _notice_pause(self, now: float) -> None:
         """While this process did not run, words of lease holders may have come that are still unread, and
         another primary may have begun."""
-        pause_s = self._pauses.step(now)
+        pause_s = self._pauses.tick(now)
         if not pause_s:
             return
         self._running_since = now
--- a/hollowusher/messages/waiting.py
+++ b/hollowusher/messages/waiting.py
@@ -95,7 +95,7 @@
         self._notify_later(service, NOTIFY_EVERY_S)
 
     def _dispatchers(self, service: str) -> list[str]:
-        edges = {member.name: member.address for member in self._state.alive("edge")}
+        edges = {member.name: member.address for member in self._state.live_members("edge")}
         if not service.startswith(CALLBACK_PREFIX):
             return list(edges.values())
         owner = rendezvous.choose(service, edges)
--- a/hollowusher/roles/change_log.py
+++ b/hollowusher/roles/change_log.py
@@ -37,7 +37,7 @@
         self._is_head = is_head
         self._led: set[int] = set()
         self._primaries: dict[int, str] = {}
-        state.listen(self._changed)
+        state.add_listener(self._changed)
 
     def _changed(self, key: str) -> None:
         state = self._state
--- a/hollowusher/roles/control.py
+++ b/hollowusher/roles/control.py
@@ -12,7 +12,7 @@
 from hollowusher.coordination.controller.head_roles import HeadDuties
 from hollowusher.coordination.controller.worker_list_reader import PlatformReader
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.membership.directory import Directory
+from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.control_status import ControlStatus, ReadControlStatus
@@ -55,7 +55,7 @@
             me,
             self.controller,
             self.feed,
-            Directory(clock()),
+            MemberDirectory(clock()),
             settings,
             self.reader,
             process.transport,
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -18,7 +18,7 @@
 from hollowusher.coordination.consensus.bootstrap import SeedService
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.peer_names import present
-from hollowusher.coordination.placement.zone_homes import ZoneHomes
+from hollowusher.coordination.placement.partitioner import ZonePartitioner
 from hollowusher.delivery.worker_client import HttpWorkerClient
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.intake.intake import Intake
@@ -63,7 +63,7 @@
             me, transport, settings, state, feed, process.chance, lambda: process.settings.seed_addresses()
         )
         self.store_client = StoreClient(transport, state, loop.time)
-        homes = ZoneHomes(state, settings.zone)
+        homes = ZonePartitioner(state, settings.zone)
         self.dispatcher = Dispatcher(
             me, transport, state, self.store_client, settings, HttpWorkerClient(), process.chance, homes=homes
         )
@@ -96,7 +96,7 @@
             await self.control.start()
         elif self.seed is not None:
             await self.seed.start()
-        process.state.listen(self._view_known)
+        process.state.add_listener(self._view_known)
         process.spawn(self.client.run())
         await self.frontend.readiness.start()
         starting = [process.spawn(self._serve()), process.spawn(self._serve_operator())]
--- a/hollowusher/simulation/model_check/partition_head.py
+++ b/hollowusher/simulation/model_check/partition_head.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from hollowusher.coordination.membership.directory import StoreCondition
-from hollowusher.coordination.placement.planner import CAUGHT_UP, replan
+from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.placement.planner import LearnerReport, plan_placement
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import Placement
 from hollowusher.simulation.model_check.partition_store import TOLERANCE
@@ -25,8 +25,8 @@
     members: dict[str, Member] = attrs.Factory(dict)
     since: dict[str, int] = attrs.Factory(dict)  # member -> tick of its last change
     retiring: set[str] = attrs.Factory(set)
-    caught_up: dict[CAUGHT_UP, int] = attrs.Factory(dict)  # report -> tick
-    lost_learners: dict[CAUGHT_UP, int] = attrs.Factory(dict)
+    caught_up: dict[LearnerReport, int] = attrs.Factory(dict)  # report -> tick
+    lost_learners: dict[LearnerReport, int] = attrs.Factory(dict)
 
     def learn(self, member: Member, tick: int) -> None:
         """A store has registered, left or been judged dead."""
@@ -52,9 +52,9 @@
         }
         arguments = (self.placement, conditions, TOLERANCE, self.retiring, set(self.caught_up))
         lost = set(self.lost_learners)
-        found = replan(*arguments, may_move=False, lost_learners=lost)
+        found = plan_placement(*arguments, allow_moves=False, lost_learners=lost)
         if found is None and self.retiring:
-            found = replan(*arguments, may_move=True, lost_learners=lost)
+            found = plan_placement(*arguments, allow_moves=True, lost_learners=lost)
         return found
 
     def forget_old_reports(self, tick: int) -> None:
--- a/hollowusher/simulation/model_check/partition_planted.py
+++ b/hollowusher/simulation/model_check/partition_planted.py
@@ -6,8 +6,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from hollowusher.coordination.placement import planner as placement
-from hollowusher.coordination.placement import replica_states as store_states
+from hollowusher.coordination.placement import planner, replica_states
 from hollowusher.messages.hosting import PartitionHost
 from hollowusher.simulation.model_check import partition_head
 
@@ -17,23 +16,23 @@
 def _old_planner() -> dict[tuple[Any, str], Any]:
     """A store that is away is copied and replaced after 8 s, whatever else is known (issue 40, C)."""
     return {
-        (store_states, "MISSING_S"): OLD_GONE_S,
-        (store_states, "MISSING_LEAVING_S"): OLD_GONE_S,
-        (store_states, "GONE_S"): OLD_GONE_S,
-        (store_states, "FRESH_SHARE"): -1.0,
-        (store_states.StoreStates, "_has_left"): lambda self, store_id: False,
+        (replica_states, "MISSING_AFTER_S"): OLD_GONE_S,
+        (replica_states, "MISSING_AFTER_LEAVING_S"): OLD_GONE_S,
+        (replica_states, "GONE_AFTER_S"): OLD_GONE_S,
+        (replica_states, "UNDERLOADED_SHARE"): -1.0,
+        (replica_states.ReplicaStates, "_has_left"): lambda self, store_id: False,
     }
 
 
 def _early_promotion() -> dict[tuple[Any, str], Any]:
     """A learner takes a replica's place before it is reported."""
-    promote = placement._Planner.promote_learners
+    promote = planner.PlacementPlanner.promote_learners
 
     def promote_at_once(self: Any, number: int, caught_up: Any) -> None:
         entry = self.entries[number]
         promote(self, number, {(number, entry.epoch, learner) for learner in entry.learners})
 
-    return {(placement._Planner, "promote_learners"): promote_at_once}
+    return {(planner.PlacementPlanner, "promote_learners"): promote_at_once}
 
 
 def _commit_without_learner() -> dict[tuple[Any, str], Any]:
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -14,8 +14,8 @@
 from hollowusher.coordination.consensus.voting import VotingMachine
 from hollowusher.coordination.controller import voter_group
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
-from hollowusher.coordination.placement import placement_manager as placement_duty
-from hollowusher.coordination.placement import planner as placement
+from hollowusher.coordination.placement import placement_manager
+from hollowusher.coordination.placement import planner as placement_planner
 from hollowusher.messages.hosting import PartitionHost
 from hollowusher.messages.service import StoreService
 from hollowusher.protocol.codec import evolve
@@ -196,39 +196,39 @@
 
 @planted("LIVENESS", script=(attack(3, "disk", "store-1", for_s=1.0),))
 def _lost_disk_not_replaced(patches: Patches) -> None:
-    real = placement._Planner._needs_copy
+    real = placement_planner.PlacementPlanner._needs_copy
 
     def needs(planner: Any, replica: str) -> bool:
-        return real(planner, replica) and not planner._states.disk_lost(replica)
+        return real(planner, replica) and not planner._states.has_lost_disk(replica)
 
-    patches.set(placement._Planner, "_needs_copy", needs)
+    patches.set(placement_planner.PlacementPlanner, "_needs_copy", needs)
 
 
 @planted("LIVENESS", script=(attack(3, "replace", "store-1", for_s=1.0, how="lost"),))
 def _gone_store_not_replaced(patches: Patches) -> None:
-    patches.set(placement._Planner, "_needs_copy", lambda planner, replica: False)
+    patches.set(placement_planner.PlacementPlanner, "_needs_copy", lambda planner, replica: False)
 
 
 @planted("LOST", "UNSERVED", "LIVENESS", kinds=("disk", "replace"))
 def _learner_promoted_early(patches: Patches) -> None:
-    real = placement._Planner.promote_learners
+    real = placement_planner.PlacementPlanner.promote_learners
 
     def promote(planner: Any, number: int, caught_up: Any) -> None:
         entry = planner.entries[number]
         real(planner, number, [(number, entry.epoch, learner) for learner in entry.learners])
 
-    patches.set(placement._Planner, "promote_learners", promote)
+    patches.set(placement_planner.PlacementPlanner, "promote_learners", promote)
 
 
 @planted("LOST", "LIVENESS", "UNSERVED", kinds=("retire",), size=Size(3, 1, 4))
 def _emptied_too_early(patches: Patches) -> None:
-    patches.set(placement_duty, "is_named", lambda planned, name: False)
-    patches.set(placement_duty, "EMPTIED_S", 0.0)
+    patches.set(placement_manager, "is_store_placed", lambda planned, name: False)
+    patches.set(placement_manager, "RETIRED_AFTER_S", 0.0)
 
 
 @planted("LIVENESS", "RETIRE", kinds=("retire",), size=Size(3, 1, 4))
 def _emptied_never(patches: Patches) -> None:
-    patches.set(placement_duty, "EMPTIED_S", NEVER_S)
+    patches.set(placement_manager, "RETIRED_AFTER_S", NEVER_S)
 
 
 @planted(
--- a/tests/coordination/consensus/test_finding_the_view.py
+++ b/tests/coordination/consensus/test_finding_the_view.py
@@ -46,7 +46,7 @@
             self.keeper.load()
         else:
             self.seed = SeedService(settings, self.transport, self.client.take_view)
-            self.state.listen(self._view_known)
+            self.state.add_listener(self._view_known)
         self.tasks: list[asyncio.Task[Any]] = []
 
     def addresses(self) -> list[str]:
--- a/tests/coordination/controller/test_fencing_head_roles.py
+++ b/tests/coordination/controller/test_fencing_head_roles.py
@@ -8,7 +8,7 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.controller.head_roles import HeadDuties
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.membership.directory import Directory
+from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.membership import Member, Suspicion
@@ -66,7 +66,7 @@
             members[0],
             _Chain(),
             self.feed,
-            Directory(loop.time()),
+            MemberDirectory(loop.time()),
             BootSettings(node_name="a", machine_class="edge", ip="10.0.0.1"),
             _Reader(),
             _Transport(),
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -18,9 +18,10 @@
 from hollowusher.coordination.controller.worker_list_reader import PlatformError
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.membership.directory import Directory
-from hollowusher.coordination.membership.failure_detector import monitors_of
-from hollowusher.coordination.placement.planner import PARTITIONS, is_named
+from hollowusher.coordination.membership.failure_detector import choose_monitors
+from hollowusher.coordination.membership.member_directory import MemberDirectory
+from hollowusher.coordination.placement.initial_placement import PARTITION_COUNT
+from hollowusher.coordination.placement.planner import is_store_placed
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
 from hollowusher.protocol.distribution import Item, PullUpdates, Updates
@@ -143,7 +144,7 @@
             self.feed = Feed(f"{self.name}/{self.me.incarnation}")
             access = ChainAccess(self.cluster.chain, self.name)
             self.duties = HeadDuties(
-                self.me, access, self.feed, Directory(clock()), settings, access, self.transport, clock
+                self.me, access, self.feed, MemberDirectory(clock()), settings, access, self.transport, clock
             )
         self.client = ClusterClient(
             self.me, self.transport, settings, self.state, self.feed, random.Random(self.name)
@@ -282,7 +283,7 @@
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         placement = cluster.chain.state.placement
-        assert placement is not None and len(placement.partitions) == PARTITIONS
+        assert placement is not None and len(placement.partitions) == PARTITION_COUNT
         assert {len(entry.replicas) for entry in placement.partitions} == {3}
         assert cluster.all_have(lambda state: state.placement == placement and state.view == cluster.view(1))
         now = cluster.loop.time()
@@ -635,7 +636,7 @@
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         edges = [name for name in cluster.nodes if not name.startswith("store")]
-        deaf = next(name for name in monitors_of("store1", edges) if not name.startswith("core0"))
+        deaf = next(name for name in choose_monitors("store1", edges) if not name.startswith("core0"))
         cluster.network.cut(cluster.nodes["store1"].host, cluster.nodes[deaf].host, both=False)
         probes: list[str] = []
 
@@ -861,7 +862,7 @@
         unnamed_since = math.inf
         for _ in range(200):
             await asyncio.sleep(0.1)
-            if not is_named(cluster.chain.state.placement or Placement(0, []), "store0"):
+            if not is_store_placed(cluster.chain.state.placement or Placement(0, []), "store0"):
                 unnamed_since = min(unnamed_since, cluster.loop.time())
             if (await retire(cluster, "store0", None)) == (200, b'{"state":"completed"}'):
                 break
--- a/tests/coordination/distribution/test_feed.py
+++ b/tests/coordination/distribution/test_feed.py
@@ -92,7 +92,7 @@
     state.apply(
         *(lambda answer: (answer.items, answer.have))(feed.answer(PullUpdates("reader", {"old/1": 4}, 0)))
     )
-    assert set(state.have) <= {"a/49", "z/1"}
+    assert set(state.version_vector) <= {"a/49", "z/1"}
 
 
 def test_the_same_version_from_two_controllers_is_not_sent_for_ever() -> None:
@@ -112,7 +112,7 @@
     ahead.publish("member/x", [1, 1], member("x", status=1))
     state = ClusterState()
     for feed in (ahead, behind, ahead):
-        answer = feed.answer(PullUpdates("reader", state.have, 0))
+        answer = feed.answer(PullUpdates("reader", state.version_vector, 0))
         state.apply(answer.items, answer.have)
     assert state.members["x"].status == 1
 
@@ -137,7 +137,7 @@
 
     def read(feed: Feed) -> None:
         before = {key: list(version) for key, version in state.versions.items()}
-        answer = feed.answer(PullUpdates("reader", state.have, 0))
+        answer = feed.answer(PullUpdates("reader", state.version_vector, 0))
         state.apply(answer.items, answer.have)
         assert all(state.versions[key] >= version for key, version in before.items())
 
--- a/tests/coordination/membership/test_calls_probe.py
+++ b/tests/coordination/membership/test_calls_probe.py
@@ -38,7 +38,9 @@
         assert duties is not None
         before = cluster.nodes["store1"].me
         reached: list[int] = []
-        monkeypatch.setattr(duties._directory, "reached", lambda member: reached.append(member.incarnation))
+        monkeypatch.setattr(
+            duties._directory, "clear_suspicion", lambda member: reached.append(member.incarnation)
+        )
         await duties._probe(before)
         assert reached == [1]
         after = cluster.restart("store1").me
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -7,11 +7,11 @@
 import orjson
 import pytest
 
-from hollowusher.coordination.membership.directory import StoreCondition
+from hollowusher.coordination.membership.member_directory import StoreCondition
 from hollowusher.coordination.placement.partition_recovery import (
-    RecoveryRefused,
+    RecoveryRejected,
     partition_statuses,
-    recovered_placement,
+    plan_recovery,
     store_losses_borne,
 )
 from hollowusher.protocol.membership import Member
@@ -72,14 +72,14 @@
 def test_a_recovery_that_is_not_to_be_is_refused(
     dead: set[int], named: list[str], partition: int, status: int
 ) -> None:
-    found = recovered_placement(PLACEMENT, conditions(dead), 1, partition, named)
-    assert isinstance(found, RecoveryRefused) and found.status == status
+    found = plan_recovery(PLACEMENT, conditions(dead), 1, partition, named)
+    assert isinstance(found, RecoveryRejected) and found.status == status
 
 
 @pytest.mark.parametrize(("dead", "new_disks"), [({0, 1}, set()), ({0}, {1}), (set(), {0, 1})])
 def test_what_is_left_goes_on_in_the_next_epoch(dead: set[int], new_disks: set[int]) -> None:
     """A machine that has come back with another disk counts as lost, too."""
-    found = recovered_placement(PLACEMENT, conditions(dead, new_disks), 1, 0, ["s1/d", "s0/d"])
+    found = plan_recovery(PLACEMENT, conditions(dead, new_disks), 1, 0, ["s1/d", "s0/d"])
     assert isinstance(found, Placement) and found.version == 8
     assert found.partitions == [
         PartitionPlacement(0, 5, "s2/d", ["s2/d"], [], 5),
--- a/tests/coordination/placement/test_placement.py
+++ b/tests/coordination/placement/test_placement.py
@@ -10,19 +10,19 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from hollowusher.coordination.membership.directory import StoreCondition
-from hollowusher.coordination.placement.planner import (
-    GONE_S,
-    MISSING_S,
-    PARTITIONS,
-    STEADY_S,
-    UNKNOWN_S,
-    balanced_primaries,
-    enough_would_remain,
-    homes,
-    initial_placement,
-    is_named,
-    replan,
+from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.placement.initial_placement import (
+    PARTITION_COUNT,
+    balance_primaries,
+    plan_initial_placement,
+    rank_partitions,
+)
+from hollowusher.coordination.placement.planner import can_retire, is_store_placed, plan_placement
+from hollowusher.coordination.placement.replica_states import (
+    GONE_AFTER_S,
+    MISSING_AFTER_S,
+    STABLE_AFTER_S,
+    UNKNOWN_DOWN_AFTER_S,
     store_name,
 )
 from hollowusher.protocol.codec import decode, encode
@@ -43,12 +43,12 @@
     return [store(number, zones) for number in range(count)]
 
 
-def calm(count: int, for_s: float = LONG) -> Conditions:
-    return {member.name: StoreCondition(member, for_s) for member in stores(count)}
+def calm(count: int, state_age_s: float = LONG) -> Conditions:
+    return {member.name: StoreCondition(member, state_age_s) for member in stores(count)}
 
 
-def with_store(conditions: Conditions, member: Member, for_s: float = 0.0) -> Conditions:
-    return {**conditions, member.name: StoreCondition(member, for_s)}
+def with_store(conditions: Conditions, member: Member, state_age_s: float = 0.0) -> Conditions:
+    return {**conditions, member.name: StoreCondition(member, state_age_s)}
 
 
 def dead(number: int) -> Member:
@@ -60,10 +60,10 @@
     conditions: Conditions,
     tolerance: int = 1,
     retiring: Collection[str] = (),
-    caught_up: Collection[tuple[int, int, str]] = (),
-    may_move: bool = False,
+    ready_learners: Collection[tuple[int, int, str]] = (),
+    allow_moves: bool = False,
 ) -> Placement:
-    found = replan(placement, conditions, tolerance, retiring, caught_up, may_move)
+    found = plan_placement(placement, conditions, tolerance, retiring, ready_learners, allow_moves)
     assert found is not None and found.version == placement.version + 1
     return found
 
@@ -73,16 +73,16 @@
     conditions: Conditions,
     tolerance: int = 1,
     retiring: Collection[str] = (),
-    may_move: bool = False,
+    allow_moves: bool = False,
 ) -> Placement:
     """The placement after as many rounds as it takes, all learners catching up at once."""
     for _ in range(300):
-        caught_up = {
+        ready_learners = {
             (entry.partition, entry.epoch, learner)
             for entry in placement.partitions
             for learner in entry.learners
         }
-        following = replan(placement, conditions, tolerance, retiring, caught_up, may_move)
+        following = plan_placement(placement, conditions, tolerance, retiring, ready_learners, allow_moves)
         if following is None:
             return placement
         placement = following
@@ -103,33 +103,33 @@
 @pytest.mark.parametrize("count", range(1, 12))
 @pytest.mark.parametrize("tolerance", [0, 1, 2])
 def test_first_placement(count: int, tolerance: int) -> None:
-    placement = initial_placement(stores(count), tolerance)
+    placement = plan_initial_placement(stores(count), tolerance)
     size = min(count, 2 * tolerance + 1)
-    assert [entry.partition for entry in placement.partitions] == list(range(PARTITIONS))
+    assert [entry.partition for entry in placement.partitions] == list(range(PARTITION_COUNT))
     for entry in placement.partitions:
         assert len(set(entry.replicas)) == size and entry.primary in entry.replicas
         assert (entry.epoch, entry.learners, entry.primary_incarnation) == (1, [], 1)
         used = {int(store_name(replica)[1:]) % 3 for replica in entry.replicas}
         assert len(used) == min(size, 3, count)  # spread over the zones
-    assert max(primaries(placement).values()) <= -(-PARTITIONS // count)
+    assert max(primaries(placement).values()) <= -(-PARTITION_COUNT // count)
 
 
 def test_first_placement_does_not_depend_on_the_order_of_stores() -> None:
-    assert initial_placement(stores(7), 1) == initial_placement(stores(7)[::-1], 1)
+    assert plan_initial_placement(stores(7), 1) == plan_initial_placement(stores(7)[::-1], 1)
 
 
 def test_replicas_are_bounded_where_zones_are_even() -> None:
-    placement = initial_placement(stores(6), 1)
+    placement = plan_initial_placement(stores(6), 1)
     load = Counter(replica for entry in placement.partitions for replica in entry.replicas)
     assert max(load.values()) - min(load.values()) <= 1
 
 
 def test_balanced_primaries_reassigns_earlier_choices() -> None:
     replicas = {0: ["a", "b"], 1: ["a", "c"], 2: ["a"], 3: ["b", "c"]}
-    assigned = balanced_primaries(replicas, 2)
+    assigned = balance_primaries(replicas, 2)
     assert assigned[2] == "a" and max(Counter(assigned.values()).values()) <= 2
     assert all(assigned[number] in options for number, options in replicas.items())
-    assert set(balanced_primaries({0: ["a"], 1: ["a"], 2: ["a"]}, 1).values()) == {"a"}
+    assert set(balance_primaries({0: ["a"], 1: ["a"], 2: ["a"]}, 1).values()) == {"a"}
 
 
 @settings(max_examples=200, deadline=None)
@@ -139,7 +139,7 @@
     """Compared with trying everything: a bound that can be kept is kept."""
     replicas = dict(enumerate(options))
     possible = any(max(Counter(choice).values(), default=0) <= most for choice in product(*options))
-    assigned = balanced_primaries(replicas, most)
+    assigned = balance_primaries(replicas, most)
     held = Counter(assigned.values())
     assert all(assigned[number] in replicas[number] for number in replicas)
     assert not possible or max(held.values(), default=0) <= most
@@ -147,14 +147,16 @@
 
 
 def test_homes_rank_all_partitions_and_spread_services() -> None:
-    ranking = homes("huvo11a", range(PARTITIONS))
-    assert sorted(ranking) == list(range(PARTITIONS)) and ranking == homes("huvo11a", range(PARTITIONS)[::-1])
-    first = Counter(homes(f"service{number}", range(PARTITIONS))[0] for number in range(1600))
-    assert len(first) == PARTITIONS and max(first.values()) < 160
+    ranking = rank_partitions("huvo11a", range(PARTITION_COUNT))
+    assert sorted(ranking) == list(range(PARTITION_COUNT)) and ranking == rank_partitions(
+        "huvo11a", range(PARTITION_COUNT)[::-1]
+    )
+    first = Counter(rank_partitions(f"service{number}", range(PARTITION_COUNT))[0] for number in range(1600))
+    assert len(first) == PARTITION_COUNT and max(first.values()) < 160
 
 
 def test_a_placement_travels() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     assert decode(encode(placement)) == placement
 
 
@@ -163,12 +165,12 @@
 
 @pytest.mark.parametrize("count", range(1, 14))
 def test_nothing_changes_while_all_is_well(count: int) -> None:
-    placement = initial_placement(stores(count), 1)
-    assert replan(placement, calm(count), 1, (), (), True) is None
+    placement = plan_initial_placement(stores(count), 1)
+    assert plan_placement(placement, calm(count), 1, (), (), True) is None
 
 
 def test_a_dead_primary_is_replaced_at_once_by_living_replicas_evenly() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     after = changed(placement, with_store(calm(3), dead(0)))
     for old, new in zip(placement.partitions, after.partitions, strict=True):
         if old.primary == "s0/d":
@@ -181,74 +183,74 @@
 
 
 def test_a_primary_without_living_replica_stays() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     conditions = {f"s{number}": StoreCondition(dead(number), 1.0) for number in range(3)}
-    assert replan(placement, conditions, 1) is None
+    assert plan_placement(placement, conditions, 1) is None
 
 
 def test_a_store_never_seen_by_this_head_is_awaited_a_while() -> None:
-    placement = initial_placement(stores(3), 1)
-    conditions = {**calm(3), "s0": StoreCondition(None, UNKNOWN_S - 0.1)}
-    assert replan(placement, conditions, 1) is None
-    conditions["s0"] = StoreCondition(None, UNKNOWN_S)
+    placement = plan_initial_placement(stores(3), 1)
+    conditions = {**calm(3), "s0": StoreCondition(None, UNKNOWN_DOWN_AFTER_S - 0.1)}
+    assert plan_placement(placement, conditions, 1) is None
+    conditions["s0"] = StoreCondition(None, UNKNOWN_DOWN_AFTER_S)
     assert primaries(changed(placement, conditions))["s0"] == 0
 
 
 def test_a_restarted_primary_loses_its_partitions_to_steady_replicas() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     after = changed(placement, with_store(calm(3), store(0, incarnation=2)))
     assert primaries(after)["s0"] == 0
     assert all(entry.primary_incarnation == 1 for entry in after.partitions)
 
 
 def test_when_all_have_restarted_each_keeps_its_partitions_in_new_epochs() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     conditions = {f"s{number}": StoreCondition(store(number, incarnation=7), 0.1) for number in range(3)}
     after = changed(placement, conditions)
     assert [entry.primary for entry in after.partitions] == [entry.primary for entry in placement.partitions]
     assert set(epochs(after).values()) == {2}
     assert all(entry.primary_incarnation == 7 for entry in after.partitions)
-    assert replan(after, conditions, 1) is None
+    assert plan_placement(after, conditions, 1) is None
 
 
 def test_primaries_drift_back_one_by_one_once_the_store_is_steady() -> None:
-    before = changed(initial_placement(stores(3), 1), with_store(calm(3), dead(0)))
+    before = changed(plan_initial_placement(stores(3), 1), with_store(calm(3), dead(0)))
     back = store(0, incarnation=2)
-    assert replan(before, with_store(calm(3), back, STEADY_S - 0.1), 1, (), (), True) is None
-    assert replan(before, with_store(calm(3), back, STEADY_S), 1, (), (), False) is None
-    placement, conditions, moves = before, with_store(calm(3), back, STEADY_S), 0
-    while (following := replan(placement, conditions, 1, (), (), True)) is not None:
+    assert plan_placement(before, with_store(calm(3), back, STABLE_AFTER_S - 0.1), 1, (), (), True) is None
+    assert plan_placement(before, with_store(calm(3), back, STABLE_AFTER_S), 1, (), (), False) is None
+    placement, conditions, moves = before, with_store(calm(3), back, STABLE_AFTER_S), 0
+    while (following := plan_placement(placement, conditions, 1, (), (), True)) is not None:
         grown = [number for number, epoch in epochs(following).items() if epoch > epochs(placement)[number]]
         assert len(grown) == 1
         placement, moves = following, moves + 1
-    assert moves == PARTITIONS // 3
-    assert max(primaries(placement).values()) <= -(-PARTITIONS // 3)
+    assert moves == PARTITION_COUNT // 3
+    assert max(primaries(placement).values()) <= -(-PARTITION_COUNT // 3)
     assert all(entry.primary_incarnation == 2 for entry in placement.partitions if entry.primary == "s0/d")
 
 
 def test_no_primary_moves_for_balance_while_a_replica_is_away() -> None:
-    before = changed(initial_placement(stores(3), 1), with_store(calm(3), dead(0)))
-    not_steady = with_store(with_store(calm(3), store(0, incarnation=2), STEADY_S - 1), dead(1))
-    after = changed(before, not_steady, may_move=True)
-    assert primaries(after)["s2"] == PARTITIONS
-    steady = with_store(with_store(calm(3), store(0, incarnation=2), STEADY_S), dead(1), 1.0)
-    assert replan(after, steady, 1, (), (), True) is None
+    before = changed(plan_initial_placement(stores(3), 1), with_store(calm(3), dead(0)))
+    not_steady = with_store(with_store(calm(3), store(0, incarnation=2), STABLE_AFTER_S - 1), dead(1))
+    after = changed(before, not_steady, allow_moves=True)
+    assert primaries(after)["s2"] == PARTITION_COUNT
+    steady = with_store(with_store(calm(3), store(0, incarnation=2), STABLE_AFTER_S), dead(1), 1.0)
+    assert plan_placement(after, steady, 1, (), (), True) is None
     returned = with_store(steady, store(1, incarnation=2))
-    assert primaries(changed(after, returned, may_move=True))["s0"] == 1
+    assert primaries(changed(after, returned, allow_moves=True))["s0"] == 1
 
 
 # ---- lost disks, machines that are gone
 
 
 def test_a_lost_disk_is_replaced_by_the_same_machine_after_it_has_caught_up() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     conditions = with_store(calm(3), store(0, incarnation=2, disk_id="new"))
     learning = changed(placement, conditions)
     for entry in learning.partitions:
         assert entry.primary != "s0/d" and entry.learners == ["s0/new"] and "s0/d" in entry.replicas
-    assert replan(learning, conditions, 1) is None
+    assert plan_placement(learning, conditions, 1) is None
     entry = learning.partitions[0]
-    after = changed(learning, conditions, caught_up={(0, entry.epoch, "s0/new")})
+    after = changed(learning, conditions, ready_learners={(0, entry.epoch, "s0/new")})
     assert sorted(after.partitions[0].replicas) == ["s0/new", "s1/d", "s2/d"]
     assert after.partitions[0].learners == [] and after.partitions[0].epoch == entry.epoch + 1
     assert after.partitions[1:] == learning.partitions[1:]
@@ -261,49 +263,49 @@
 
 
 def test_reports_of_an_older_epoch_or_of_strangers_promote_nobody() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     conditions = with_store(calm(3), store(0, incarnation=2, disk_id="new"))
     learning = changed(placement, conditions)
     epoch = learning.partitions[0].epoch
     wrong = {(0, epoch - 1, "s0/new"), (0, epoch, "s9/d")}
-    assert replan(learning, conditions, 1, (), wrong) is None
+    assert plan_placement(learning, conditions, 1, (), wrong) is None
 
 
 def test_no_replica_gives_way_while_more_than_f_would_be_missing() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     conditions = with_store(calm(3), store(0, incarnation=2, disk_id="new"))
     learning = changed(placement, conditions)
     entry = learning.partitions[0]
     worse = with_store(with_store(conditions, dead(1), 1.0), dead(2), 1.0)
-    after = replan(learning, worse, 1, (), {(0, entry.epoch, "s0/new")})
+    after = plan_placement(learning, worse, 1, (), {(0, entry.epoch, "s0/new")})
     assert after is None or after.partitions[0].replicas == entry.replicas
 
 
 def test_a_store_that_is_gone_for_long_is_replaced_where_another_is_free() -> None:
-    placement = initial_placement(stores(4), 1)
-    short = changed(placement, with_store(calm(4), dead(0), MISSING_S - 0.1))
+    placement = plan_initial_placement(stores(4), 1)
+    short = changed(placement, with_store(calm(4), dead(0), MISSING_AFTER_S - 0.1))
     assert all(entry.learners == [] for entry in short.partitions)
-    missing = with_store(calm(4), dead(0), MISSING_S)
+    missing = with_store(calm(4), dead(0), MISSING_AFTER_S)
     learning = changed(short, missing)
     for entry in learning.partitions:
         assert len(entry.learners) == ("s0/d" in entry.replicas)
         assert not set(entry.learners) & {"s0/d", *entry.replicas}
-    still_awaited = with_store(calm(4), dead(0), GONE_S - 0.1)
+    still_awaited = with_store(calm(4), dead(0), GONE_AFTER_S - 0.1)
     assert settled(learning, still_awaited) == learning
-    gone = with_store(calm(4), dead(0), GONE_S)
+    gone = with_store(calm(4), dead(0), GONE_AFTER_S)
     after = settled(learning, gone)
-    assert not is_named(after, "s0") and all(len(entry.replicas) == 3 for entry in after.partitions)
+    assert not is_store_placed(after, "s0") and all(len(entry.replicas) == 3 for entry in after.partitions)
 
 
 def test_without_a_free_store_a_gone_one_keeps_its_place() -> None:
-    placement = initial_placement(stores(3), 1)
+    placement = plan_initial_placement(stores(3), 1)
     after = settled(placement, with_store(calm(3), dead(0), LONG))
     assert all("s0/d" in entry.replicas and entry.learners == [] for entry in after.partitions)
 
 
 def test_a_learner_is_given_up_when_the_gone_store_returns() -> None:
-    placement = initial_placement(stores(4), 1)
-    learning = changed(placement, with_store(calm(4), dead(0), GONE_S))
+    placement = plan_initial_placement(stores(4), 1)
+    learning = changed(placement, with_store(calm(4), dead(0), GONE_AFTER_S))
     after = changed(learning, with_store(calm(4), store(0, incarnation=2), 0.5))
     assert all(entry.learners == [] for entry in after.partitions)
     assert all(
@@ -312,47 +314,47 @@
 
 
 def test_a_system_that_began_with_too_few_stores_grows_to_its_replicas() -> None:
-    placement = initial_placement(stores(2), 1)
-    after = settled(placement, calm(3), may_move=True)
+    placement = plan_initial_placement(stores(2), 1)
+    after = settled(placement, calm(3), allow_moves=True)
     assert all(len(entry.replicas) == 3 for entry in after.partitions)
-    assert max(primaries(after).values()) <= -(-PARTITIONS // 3)
+    assert max(primaries(after).values()) <= -(-PARTITION_COUNT // 3)
 
 
 # ---- emptying machines
 
 
 def test_an_emptied_machine_loses_primaries_one_by_one_and_then_its_replicas() -> None:
-    placement = initial_placement(stores(4), 1)
+    placement = plan_initial_placement(stores(4), 1)
     learning = changed(placement, calm(4), retiring=["s0"])
     assert primaries(learning)["s0"] == primaries(placement)["s0"]
     assert all(len(entry.learners) == ("s0/d" in entry.replicas) for entry in learning.partitions)
-    one_less = changed(learning, calm(4), retiring=["s0"], may_move=True)
+    one_less = changed(learning, calm(4), retiring=["s0"], allow_moves=True)
     assert primaries(one_less)["s0"] == primaries(learning)["s0"] - 1
-    after = settled(learning, calm(4), retiring=["s0"], may_move=True)
-    assert not is_named(after, "s0") and all(len(entry.replicas) == 3 for entry in after.partitions)
+    after = settled(learning, calm(4), retiring=["s0"], allow_moves=True)
+    assert not is_store_placed(after, "s0") and all(len(entry.replicas) == 3 for entry in after.partitions)
 
 
 def test_an_emptied_primary_is_not_dropped_before_another_one_has_taken_over() -> None:
-    placement = initial_placement(stores(4), 1)
+    placement = plan_initial_placement(stores(4), 1)
     learning = changed(placement, calm(4), retiring=["s0"])
     entry = next(entry for entry in learning.partitions if entry.primary == "s0/d")
-    after = replan(learning, calm(4), 1, ["s0"], {(entry.partition, entry.epoch, entry.learners[0])})
+    after = plan_placement(learning, calm(4), 1, ["s0"], {(entry.partition, entry.epoch, entry.learners[0])})
     assert after is None
 
 
 def test_an_emptied_machine_is_no_learner_and_no_new_primary() -> None:
-    placement = initial_placement(stores(5), 1)
+    placement = plan_initial_placement(stores(5), 1)
     conditions = with_store(calm(5), dead(1), LONG)
-    after = settled(placement, conditions, retiring=["s0"], may_move=True)
-    assert not is_named(after, "s0") and not is_named(after, "s1")
+    after = settled(placement, conditions, retiring=["s0"], allow_moves=True)
+    assert not is_store_placed(after, "s0") and not is_store_placed(after, "s1")
 
 
 def test_retirement_needs_2f_plus_1_other_living_stores() -> None:
-    assert not enough_would_remain("s0", calm(3), [], 1)
-    assert enough_would_remain("s0", calm(4), [], 1)
-    assert not enough_would_remain("s0", calm(4), ["s1"], 1)
-    assert not enough_would_remain("s0", with_store(calm(4), dead(2)), [], 1)
-    assert enough_would_remain("s0", with_store(calm(4), dead(0)), [], 1)
+    assert not can_retire("s0", calm(3), [], 1)
+    assert can_retire("s0", calm(4), [], 1)
+    assert not can_retire("s0", calm(4), ["s1"], 1)
+    assert not can_retire("s0", with_store(calm(4), dead(2)), [], 1)
+    assert can_retire("s0", with_store(calm(4), dead(0)), [], 1)
 
 
 # ---- any course of events
@@ -374,7 +376,7 @@
     members = {f"s{number}": store(number) for number in range(5)}
     since = dict.fromkeys(members, -LONG)
     retiring: set[str] = set()
-    placement = initial_placement(list(members.values()), tolerance)
+    placement = plan_initial_placement(list(members.values()), tolerance)
     now = 0.0
     for number, event, reports in course:
         now += 3.0
@@ -382,7 +384,7 @@
         member = members[name]
         if event == "retire":
             conditions = {name: StoreCondition(member, now) for name, member in members.items()}
-            if enough_would_remain(name, conditions, retiring, tolerance):
+            if can_retire(name, conditions, retiring, tolerance):
                 retiring.add(name)
         else:
             alive = event != "die"
@@ -392,7 +394,7 @@
             )
             since[name] = now
         conditions = {name: StoreCondition(member, now - since[name]) for name, member in members.items()}
-        caught_up = (
+        ready_learners = (
             {
                 (entry.partition, entry.epoch, learner)
                 for entry in placement.partitions
@@ -401,7 +403,7 @@
             if reports
             else set()
         )
-        following = replan(placement, conditions, tolerance, retiring, caught_up, True)
+        following = plan_placement(placement, conditions, tolerance, retiring, ready_learners, True)
         if following is not None:
             for old, new in zip(placement.partitions, following.partitions, strict=True):
                 check_step(old, new, conditions, tolerance)
@@ -426,11 +428,11 @@
         missing = [
             replica
             for replica in new.replicas
-            if not conditions[store_name(replica)].living
+            if not conditions[store_name(replica)].is_alive
             or conditions[store_name(replica)].store_id != replica
         ]
         assert len(missing) <= tolerance
     if new.primary != old.primary or new.primary_incarnation != old.primary_incarnation:
         condition = conditions[store_name(new.primary)]
-        assert condition.living and condition.store_id == new.primary
+        assert condition.is_alive and condition.store_id == new.primary
         assert condition.member is not None and condition.member.incarnation == new.primary_incarnation
--- a/tests/coordination/placement/test_store_epochs.py
+++ b/tests/coordination/placement/test_store_epochs.py
@@ -7,8 +7,8 @@
 import attrs
 import pytest
 
-from hollowusher.coordination.membership.directory import StoreCondition
-from hollowusher.coordination.placement.planner import replan
+from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.placement.planner import plan_placement
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from tests.support.message_store import EPOCH_MS, StoreCluster, message, play
@@ -74,15 +74,15 @@
         return {f"s{n}": StoreCondition(member(n, int(n in dead)), 2.0) for n in range(4)}
 
     placement = Placement(1, [PartitionPlacement(0, 1, "s1/d", ["s0/d", "s1/d", "s2/d"], [], 1)])
-    learning = replan(placement, conditions({0}), 1)
+    learning = plan_placement(placement, conditions({0}), 1)
     assert learning is not None and learning.partitions[0].learners == ["s3/d"]
-    let_go = replan(learning, conditions({0, 3}), 1)
+    let_go = plan_placement(learning, conditions({0, 3}), 1)
     assert let_go is not None and let_go.partitions[0].learners == []
-    again = replan(let_go, conditions({0}), 1)
+    again = plan_placement(let_go, conditions({0}), 1)
     assert again is not None and again.partitions[0].learners == ["s3/d"]
-    gone = {name: attrs.evolve(each, for_s=9.0) for name, each in conditions({0}).items()}
-    assert replan(again, gone, 1, (), {(0, 1, "s3/d")}) is None
-    assert replan(again, gone, 1, (), {(0, again.partitions[0].epoch, "s3/d")}) is not None
+    gone = {name: attrs.evolve(each, state_age_s=9.0) for name, each in conditions({0}).items()}
+    assert plan_placement(again, gone, 1, (), {(0, 1, "s3/d")}) is None
+    assert plan_placement(again, gone, 1, (), {(0, again.partitions[0].epoch, "s3/d")}) is not None
 
 
 def test_a_learner_that_its_primary_cannot_reach_is_let_go() -> None:
@@ -93,6 +93,6 @@
         for n in range(4)
     }
     entry = PartitionPlacement(0, 7, "s1/d", ["s0/d", "s1/d", "s2/d"], ["s3/d"], 1)
-    let_go = replan(Placement(1, [entry]), conditions, 1, lost_learners={(0, 7, "s3/d")})
+    let_go = plan_placement(Placement(1, [entry]), conditions, 1, lost_learners={(0, 7, "s3/d")})
     assert let_go is not None
     assert (let_go.partitions[0].epoch, let_go.partitions[0].learners) == (8, [])
--- a/tests/coordination/placement/test_store_retire.py
+++ b/tests/coordination/placement/test_store_retire.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from hollowusher.coordination.placement.planner import is_named
+from hollowusher.coordination.placement.planner import is_store_placed
 from tests.support.store_world import StoreWorld, play
 
 DURATION_S = 10.0
@@ -27,7 +27,7 @@
 
 async def check_emptied(system: StoreWorld, name: str) -> None:
     """Nothing names it, it is switched off for good, and every message is found."""
-    await system.until(lambda: not is_named(system.placement, name), 1.0)
+    await system.until(lambda: not is_store_placed(system.placement, name), 1.0)
     system.lose_for_good(name)
     assert await system.lost() == []
     assert await system.put()
--- a/tests/coordination/placement/test_zone_homes.py
+++ b/tests/coordination/placement/test_zone_homes.py
@@ -4,8 +4,8 @@
 
 from hollowusher.configuration.model import Configuration, Route, Service
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.placement.planner import homes
-from hollowusher.coordination.placement.zone_homes import ZoneHomes, needs_one_home
+from hollowusher.coordination.placement.initial_placement import rank_partitions
+from hollowusher.coordination.placement.partitioner import ZonePartitioner, has_single_home
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
@@ -35,7 +35,7 @@
 def zones_of(state: ClusterState, ranking: list[int]) -> list[str]:
     found = []
     for number in ranking:
-        entry = state.partition(number)
+        entry = state.partition_placement(number)
         assert entry is not None
         found.append(ZONES[entry.primary.partition("/")[0]])
     return found
@@ -43,30 +43,32 @@
 
 def test_one_partition_of_each_store_those_of_the_own_zone_first() -> None:
     state = state_of(configuration())
-    ranking = ZoneHomes(state, "b")("jobs", state.partitions())
+    ranking = ZonePartitioner(state, "b")("jobs", state.partition_numbers())
     assert len(ranking) == len(ZONES)
     assert zones_of(state, ranking)[:2] == ["b", "b"]
 
 
 def test_intake_and_dispatch_of_a_zone_agree() -> None:
     state, other = state_of(configuration()), state_of(configuration())
-    first = ZoneHomes(state, "a")("jobs", state.partitions())
-    assert first == ZoneHomes(other, "a")("jobs", list(reversed(other.partitions())))
+    first = ZonePartitioner(state, "a")("jobs", state.partition_numbers())
+    assert first == ZonePartitioner(other, "a")("jobs", list(reversed(other.partition_numbers())))
 
 
 def test_services_with_order_or_a_ceiling_have_the_same_home_everywhere() -> None:
     for settings in (configuration(ordered=True), configuration(rate=2.0)):
         state = state_of(settings)
         for zone in "abc":
-            assert ZoneHomes(state, zone)("jobs", state.partitions()) == homes("jobs", range(16))
+            assert ZonePartitioner(state, zone)("jobs", state.partition_numbers()) == rank_partitions(
+                "jobs", range(16)
+            )
 
 
 def test_what_is_not_known_has_one_home() -> None:
-    assert needs_one_home("jobs", None)
-    assert needs_one_home("other", configuration())
-    assert not needs_one_home("jobs", configuration())
+    assert has_single_home("jobs", None)
+    assert has_single_home("other", configuration())
+    assert not has_single_home("jobs", configuration())
 
 
 def test_a_zone_without_a_store_uses_the_others() -> None:
     state = state_of(configuration())
-    assert len(ZoneHomes(state, "z")("jobs", state.partitions())) == len(ZONES)
+    assert len(ZonePartitioner(state, "z")("jobs", state.partition_numbers())) == len(ZONES)
--- a/tests/coordination/test_cluster_state.py
+++ b/tests/coordination/test_cluster_state.py
@@ -28,7 +28,7 @@
 def test_a_value_is_known_once_it_has_come() -> None:
     state = ClusterState()
     assert state.configuration is None
-    assert state.partitions() == []
+    assert state.partition_numbers() == []
     changed = state.apply([item("configuration", 7, DOCUMENT % 7), item("view", 1, View(1, [], ["n"]))], {})
     assert changed == ["configuration", "view"]
     assert state.configuration is not None
@@ -48,7 +48,7 @@
 def test_listeners_hear_of_each_change_after_it() -> None:
     state = ClusterState()
     heard: list[tuple[str, int]] = []
-    state.listen(lambda key: heard.append((key, len(state.members))))
+    state.add_listener(lambda key: heard.append((key, len(state.members))))
     state.apply([item("member/s1", 1, store("s1", "d")), item("member/s2", 1, store("s2", "d"))], {})
     state.apply([item("member/s1", 1, store("s1", "d"))], {})
     assert heard == [("member/s1", 2), ("member/s2", 2)]
@@ -58,16 +58,16 @@
     state = ClusterState()
     state.apply([], {"a/1": 5, "b/1": 2})
     state.apply([], {"a/1": 3, "c/1": 1})
-    assert state.have == {"a/1": 5, "c/1": 1}
+    assert state.version_vector == {"a/1": 5, "c/1": 1}
     state.apply([item("workers", 1, WorkerList([]))], {})  # items asked for otherwise say nothing of it
-    assert state.have == {"a/1": 5, "c/1": 1}
+    assert state.version_vector == {"a/1": 5, "c/1": 1}
 
 
 def test_a_copy_is_reached_only_on_the_disk_that_holds_it() -> None:
     state = ClusterState()
     placed = Placement(1, [PartitionPlacement(3, 1, "s1/old", ["s1/old", "s2/d"])])
     state.apply([item("placement", 1, placed), item("member/s1", 1, store("s1", "old"))], {})
-    assert state.partitions() == [3]
+    assert state.partition_numbers() == [3]
     assert state.primary_address(3) == "s1:7780"
     assert state.store_address("s2/d") is None
     state.apply([item("member/s1", 2, store("s1", "new"))], {})
@@ -80,8 +80,8 @@
     edge = Member("e1", "edge", "e1:7780", "z", "r", 1)
     members = [edge, store("s2", "d"), store("s1", "d"), store("s3", "d", status=1)]
     state.apply([item(f"member/{member.name}", 1, member) for member in members], {})
-    assert [member.name for member in state.alive()] == ["e1", "s1", "s2"]
-    assert [member.name for member in state.alive("store")] == ["s1", "s2"]
+    assert [member.name for member in state.live_members()] == ["e1", "s1", "s2"]
+    assert [member.name for member in state.live_members("store")] == ["s1", "s2"]
 
 
 def test_members_that_another_has_not_seen_are_given_back() -> None:
@@ -89,9 +89,9 @@
     first = item("member/s1", 1, store("s1", "d"), "a/1", 4)
     second = item("member/s2", 1, store("s2", "d"), "b/1", 2)
     state.apply([first, second, item("view", 1, View(1, [], ["n"]), "c/1", 9)], {})
-    assert state.lacking({"a/1": 4}) == [second]
-    assert state.lacking({"a/1": 3, "b/1": 2}) == [first]
-    assert state.lacking({"a/1": 4, "b/1": 2}) == []
+    assert state.items_missing_from({"a/1": 4}) == [second]
+    assert state.items_missing_from({"a/1": 3, "b/1": 2}) == [first]
+    assert state.items_missing_from({"a/1": 4, "b/1": 2}) == []
 
 
 versions = st.tuples(st.sampled_from(["view", "placement", "workers"]), st.integers(1, 6))
--- a/tests/delivery/test_callbacks.py
+++ b/tests/delivery/test_callbacks.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hollowusher.coordination.placement.planner import homes
+from hollowusher.coordination.placement.initial_placement import rank_partitions
 from hollowusher.delivery.callbacks import MOST_CONNECTIONS, CallbackDelivery, HttpCallbackClient
 from hollowusher.delivery.figures import DeliveryFigures
 from hollowusher.delivery.leasing import LeaseNetwork
@@ -69,7 +69,7 @@
     receiver: ModelReceiver, owns: bool = True
 ) -> tuple[LeasingStores, CallbackDelivery, DeliveryFigures]:
     cluster, stores, figures = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryFigures()
-    network = LeaseNetwork(cluster.state.members["e1"], stores, cluster.state, homes, figures)
+    network = LeaseNetwork(cluster.state.members["e1"], stores, cluster.state, rank_partitions, figures)
     reporter = EndReporter(stores, figures)
     return stores, CallbackDelivery(network, reporter, lambda service: owns, receiver.client), figures
 
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hollowusher.configuration.model import Service
-from hollowusher.coordination.placement.planner import homes
+from hollowusher.coordination.placement.initial_placement import rank_partitions
 from hollowusher.delivery.callbacks import MOST_CONNECTIONS, CallbackDelivery
 from hollowusher.delivery.connection import Answer
 from hollowusher.delivery.figures import DeliveryFigures
@@ -226,7 +226,9 @@
     def test_call_backs_leased_before_a_long_freeze_are_given_back(self) -> None:
         async def work(loop: VirtualLoop) -> None:
             cluster, stores, figures = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryFigures()
-            network = LeaseNetwork(cluster.state.members["e1"], stores, cluster.state, homes, figures)
+            network = LeaseNetwork(
+                cluster.state.members["e1"], stores, cluster.state, rank_partitions, figures
+            )
             receiver, process = _SlowReceiver(), SimulatedProcess("e1")
             stores.add(STORE_1, [owed(n) for n in range(4)])
             stores.add(STORE_2, [owed(n) for n in range(4, 8)])
--- a/tests/messages/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -27,14 +27,14 @@
 class TestPauseDetector:
     def test_steps_close_together_are_no_pause(self) -> None:
         pauses = PauseDetector(0.5)
-        assert [pauses.step(now) for now in (1.0, 1.5, 1.9)] == [0.0, 0.0, 0.0]
+        assert [pauses.tick(now) for now in (1.0, 1.5, 1.9)] == [0.0, 0.0, 0.0]
         assert not pauses.paused_since(0.0)
 
     def test_whoever_comes_first_notices_a_pause_once(self) -> None:
         pauses = PauseDetector(0.5)
-        pauses.step(1.0)
-        assert pauses.step(4.0) == 3.0
-        assert pauses.step(4.0) == 0.0
+        pauses.tick(1.0)
+        assert pauses.tick(4.0) == 3.0
+        assert pauses.tick(4.0) == 0.0
         assert pauses.paused_since(2.0) and pauses.paused_since(4.0)
         assert not pauses.paused_since(4.1)
 
--- a/tests/support/controllers.py
+++ b/tests/support/controllers.py
@@ -20,7 +20,7 @@
 from hollowusher.coordination.controller.head_roles import HeadDuties
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.membership.directory import Directory
+from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
@@ -102,7 +102,7 @@
             self.me,
             self.controller,
             self.feed,
-            Directory(loop.time()),
+            MemberDirectory(loop.time()),
             settings,
             self.platform,
             transport,
