--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -22,7 +22,8 @@
 )
 from hollowusher.coordination.controller.worker_list_reader import PlatformError
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.membership.member_directory import EDGE, MemberDirectory, member_version
+from hollowusher.coordination.member_role import MemberRole
+from hollowusher.coordination.membership.member_directory import MemberDirectory, member_version
 from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.coordination.placement.placement_manager import ControlChain, PlacementManager
 from hollowusher.coordination.placement.placement_manager import Update as Update
@@ -122,7 +123,7 @@
 
     def controllers(self) -> list[str]:
         """The living controllers, voters or not."""
-        return [member.name for member in self._directory.live_members(EDGE) if member.controller]
+        return [member.name for member in self._directory.live_members(MemberRole.EDGE) if member.controller]
 
     def seconds_since_list(self) -> float:
         """How long ago this process last read the platform's whole list, -1 where it is not its reader."""
--- a/hollowusher/coordination/membership/failure_detector.py
+++ b/hollowusher/coordination/membership/failure_detector.py
@@ -1,60 +1,68 @@
 """Failure detection by heartbeats to a few monitors.  No I/O, no clock.
 
-Every member has up to three monitors, which rendezvous hashing picks among the other living edge processes;
-each process computes them alike.  A member sends a heartbeat to each; so the cost of a process does not grow
-with the system.  A monitor that hears nothing for `HEARTBEAT_TIMEOUT_S` suspects the member, and repeats that
-until the member is dead, heard of, or no longer monitored here.
+A member sends a heartbeat to each of its monitors, so that the cost for a process does not grow with the
+cluster.  A monitor that has received none for `HEARTBEAT_TIMEOUT_S` suspects the member.  It reports that to
+the controllers, and repeats the report until the member is dead, sends a heartbeat, or gets other monitors.
+Controllers confirm deaths: see `member_directory`.
+
+This is an unreliable failure detector in the sense of Chandra and Toueg ("Unreliable failure detectors for
+reliable distributed systems", 1996): a suspicion may be wrong.  SWIM's probes in turn are not used, because
+a death would then be known only after the period times the number of members.
+
+All times are seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Iterable
 
 import attrs
 
-from hollowusher.coordination.rendezvous import weight
+from hollowusher.coordination.member_role import MemberRole
+from hollowusher.coordination.membership.monitor_assignment import MonitorAssignment
 from hollowusher.protocol.membership import Heartbeat, Member, Suspicion
 
-MONITOR_COUNT = 3
 HEARTBEAT_INTERVAL_S = 0.2
 HEARTBEAT_TIMEOUT_S = 0.7
 SUSPICION_REPEAT_S = 0.4
-MAX_TICK_INTERVAL_S = 0.4  # a monitor that did not run for this long judges nobody by what it missed
-EDGE = "edge"
-
-
-def _rendezvous_key(name: str) -> str:
-    return f"monitor/{name}"
-
-
-def choose_monitors(name: str, edges: Iterable[str]) -> list[str]:
-    """The monitors of a member among the names of the living edge processes, best first."""
-    key = _rendezvous_key(name)
-    others = (edge for edge in edges if edge != name)
-    return heapq.nlargest(MONITOR_COUNT, others, key=lambda edge: (weight(key, edge), edge))
+MAX_TICK_INTERVAL_S = 0.4  # a monitor that did not run for longer may have missed heartbeats itself
+TIMER_TOLERANCE_S = 0.001  # a timer may fire this much early
 
 
 @attrs.define
 class _MonitoredMember:
-    """A member that this process monitors."""
+    """The last signs of one monitored member."""
 
     incarnation: int
-    last_heard: float
-    last_report: float | None = None
+    last_heartbeat_at: float  # or the time at which monitoring began
+    last_report_at: float | None = None  # of a suspicion; None while there is none
+
+    def record_heartbeat(self, incarnation: int, now: float) -> None:
+        """Start the heartbeat timeout again and end the suspicion."""
+        self.incarnation = incarnation
+        self.last_heartbeat_at = now
+        self.last_report_at = None
+
+    def is_report_due(self, now: float) -> bool:
+        """Return whether the member is to be reported as suspect now."""
+        if now - self.last_heartbeat_at < HEARTBEAT_TIMEOUT_S:
+            return False
+        return self.last_report_at is None or now - self.last_report_at >= SUSPICION_REPEAT_S
 
 
 class FailureDetector:
-    """The monitoring part of one process: whom it watches, and who watches it."""
+    """The failure detector of one process: whom it monitors, and who monitors it.
+
+    Invariant: `monitored` holds exactly the live members that have this process among their monitors.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.own_monitors: list[Member] = []
-        self._edges: set[str] = set()
-        self._monitors_by_member: dict[str, list[str]] = {}  # member -> its monitors
+        self._assignment = MonitorAssignment()
         self._monitored: dict[str, _MonitoredMember] = {}
         self._last_tick: float | None = None
-        self._last_heartbeat: float | None = None
+        self._last_heartbeat_sent_at: float | None = None
 
     @property
     def monitored(self) -> list[str]:
@@ -62,74 +70,52 @@
         return sorted(self._monitored)
 
     def update_members(self, members: Iterable[Member], now: float) -> None:
-        """Take the living members, this process among them."""
-        living = {member.name: member for member in members if member.alive}
-        self._reassign_monitors(
-            {name for name, member in living.items() if member.role == EDGE}, living.keys()
-        )
-        mine = self._monitors_by_member.get(self.name, [])
-        self.own_monitors = [living[name] for name in mine]
-        for name in [
-            name for name in self._monitored if name not in living or not self._is_monitored_here(name)
-        ]:
-            del self._monitored[name]
-        for name, member in living.items():
-            if self._is_monitored_here(name):
-                monitored = self._monitored.get(name)
-                if monitored is None or monitored.incarnation < member.incarnation:
-                    self._monitored[name] = _MonitoredMember(member.incarnation, now)
+        """Adopt the present members, this process among them; dead ones are ignored."""
+        live = {member.name: member for member in members if member.alive}
+        edges = {name for name, member in live.items() if member.role == MemberRole.EDGE}
+        self._assignment.update(edges, live.keys())
+        self.own_monitors = [live[name] for name in self._assignment.monitors_of(self.name)]
+        self._update_monitored(live, now)
+
+    def _update_monitored(self, live: dict[str, Member], now: float) -> None:
+        previous = self._monitored
+        self._monitored = {}
+        for name, member in live.items():
+            if self.name not in self._assignment.monitors_of(name):
+                continue
+            monitored = previous.get(name)
+            if monitored is None or monitored.incarnation < member.incarnation:
+                monitored = _MonitoredMember(member.incarnation, now)
+            self._monitored[name] = monitored
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """A sign of life has come; one of an earlier life does not count."""
+        """Record a heartbeat; one of a former incarnation does not count."""
         monitored = self._monitored.get(heartbeat.name)
         if monitored is not None and heartbeat.incarnation >= monitored.incarnation:
-            monitored.incarnation = heartbeat.incarnation
-            monitored.last_heard = now
-            monitored.last_report = None
+            monitored.record_heartbeat(heartbeat.incarnation, now)
 
     def start_due_heartbeat(self, now: float) -> bool:
-        """Whether this process has to send its heartbeat now; True counts as sent."""
-        if self._last_heartbeat is not None and now - self._last_heartbeat < HEARTBEAT_INTERVAL_S - 0.001:
+        """Return whether the caller has to send heartbeats now; True counts as sent."""
+        last = self._last_heartbeat_sent_at
+        if last is not None and now - last < HEARTBEAT_INTERVAL_S - TIMER_TOLERANCE_S:
             return False
-        self._last_heartbeat = now
+        self._last_heartbeat_sent_at = now
         return True
 
     def tick(self, now: float) -> list[Suspicion]:
-        """The suspicions to report now.  To be called several times within `MAX_TICK_INTERVAL_S`."""
-        paused = self._last_tick is not None and now - self._last_tick > MAX_TICK_INTERVAL_S
+        """Return the suspicions to report now.  To be called several times within `MAX_TICK_INTERVAL_S`."""
+        was_paused = self._last_tick is not None and now - self._last_tick > MAX_TICK_INTERVAL_S
         self._last_tick = now
-        if paused:
+        if was_paused:
             for monitored in self._monitored.values():
-                monitored.last_heard = now
+                monitored.last_heartbeat_at = now
             return []
         return [
-            Suspicion(name, monitored.incarnation, self.name)
+            self._report(name, monitored, now)
             for name, monitored in sorted(self._monitored.items())
-            if self._report_if_due(monitored, now)
+            if monitored.is_report_due(now)
         ]
 
-    @staticmethod
-    def _report_if_due(monitored: _MonitoredMember, now: float) -> bool:
-        if now - monitored.last_heard < HEARTBEAT_TIMEOUT_S:
-            return False
-        if monitored.last_report is not None and now - monitored.last_report < SUSPICION_REPEAT_S:
-            return False
-        monitored.last_report = now
-        return True
-
-    def _is_monitored_here(self, name: str) -> bool:
-        return self.name in self._monitors_by_member.get(name, ())
-
-    def _reassign_monitors(self, edges: set[str], members: Iterable[str]) -> None:
-        """Bring the members' monitors up to date, computing anew only those that may have changed."""
-        came, gone = edges - self._edges, self._edges - edges
-        self._edges = edges
-        known = self._monitors_by_member
-        self._monitors_by_member = {}
-        for name in members:
-            monitors = known.get(name)
-            if monitors is None or not gone.isdisjoint(monitors):
-                monitors = choose_monitors(name, edges)
-            elif came:
-                monitors = choose_monitors(name, {*monitors, *came})
-            self._monitors_by_member[name] = monitors
+    def _report(self, name: str, monitored: _MonitoredMember, now: float) -> Suspicion:
+        monitored.last_report_at = now
+        return Suspicion(name, monitored.incarnation, self.name)
--- a/hollowusher/coordination/membership/member_directory.py
+++ b/hollowusher/coordination/membership/member_directory.py
@@ -1,179 +1,147 @@
-"""The members of the system as a controller knows them, and the judgement of deaths.  No I/O, no clock.
+"""The members of the cluster as one controller knows them, and the confirmation of deaths.  No I/O, no clock.
 
-A member's version is [incarnation, status]: a new life of a process replaces the old one at once, and within
-one life an even status means alive and an odd one dead or leaving.  A process that is alive and finds itself
-called dead registers with the next even status.
+Incarnation numbers and suspicion follow SWIM (Das, Gupta, Motivala: "SWIM: scalable weakly-consistent
+infection-style process group membership protocol", 2002).  A member's version is [incarnation, status]: a
+new incarnation of a process replaces the former one at once.  Within one incarnation an even status means
+alive, an odd one dead or leaving.  A live process that finds itself called dead refutes it: it registers
+with the next even status.
 
-Deaths are judged from the suspicions of a member's monitors.  A suspicion counts for `SUSPICION_VALIDITY_S`;
-most of the monitors have to agree.  Where some suspect a member and a majority does not come together (the
-other monitors may have failed with it), the head tries to reach the member itself, and its failure to do so
-counts as a vote.
+A death is confirmed when a majority of the member's monitors suspects it.  Where some suspect a member
+without a majority (the other monitors may have failed together with it), the head of the control chain
+checks the member itself; if it gets no answer, that confirms the death.
 
 A dead member's last item stays in the feed as a tombstone of some hundred bytes; nothing more is published
-of it.
+about it.
+
+All times are seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
-import attrs
-
-from hollowusher.coordination.membership.failure_detector import choose_monitors
+from hollowusher.coordination.member_role import MemberRole
+from hollowusher.coordination.membership.monitor_assignment import choose_monitors
+from hollowusher.coordination.membership.store_condition import StoreCondition
+from hollowusher.coordination.membership.suspicion_table import SuspicionTable
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.membership import Leaving, Member, Suspicion
 
-SUSPICION_VALIDITY_S = 1.5  # three times the interval at which a monitor repeats a suspicion
-HEALTH_CHECK_AFTER_S = (
-    1.0  # a suspicion has to stand this long without a majority before the head tries the member
-)
-EDGE = "edge"
-STORE = "store"
+HEALTH_CHECK_AFTER_S = 1.0  # a suspicion without a majority is this old before the head checks the member
 
 
 def member_version(member: Member) -> list[int]:
-    """The version of a member's item."""
+    """Return the version of a member's item."""
     return [member.incarnation, member.status]
 
 
-@attrs.define
-class _SuspicionRecord:
-    """Who suspects one life of a member: reporter -> when last said."""
-
-    incarnation: int
-    first_reported_at: float
-    reporters: dict[str, float] = attrs.Factory(dict)
-
-
-@attrs.frozen
-class StoreCondition:
-    """A store's newest registration (None: never seen here), and for how long it has been in that state."""
-
-    member: Member | None
-    state_age_s: float
-
-    @property
-    def is_alive(self) -> bool:
-        """Whether its process is there."""
-        return self.member is not None and self.member.alive
-
-    @property
-    def store_id(self) -> str:
-        """Name and disk of the newest life; empty where it was never seen."""
-        return "" if self.member is None else self.member.store_id
+class MemberDirectory:
+    """All members known to one controller, with the suspicions about them.
 
+    It changes only by `update`: the methods that confirm a death return the state that is to be published,
+    which comes back through the feed.
 
-class MemberDirectory:
-    """All members known to one controller.  Times are those of the caller's steady clock."""
+    Invariants: a member's version never decreases; a suspicion is about the present incarnation of a live
+    member.
+    """
 
     def __init__(self, now: float) -> None:
         self.started_at = now
-        self.change_count = 0  # grows with each change, so that others need not compare
+        self.change_count = 0  # grows with each change, so that readers need not compare
         self.members: dict[str, Member] = {}
-        self._since: dict[str, float] = {}
-        self._suspicions: dict[str, _SuspicionRecord] = {}
+        self._changed_at: dict[str, float] = {}
+        self._suspicions = SuspicionTable()
+
+    # ---- members
 
     def update(self, member: Member, now: float) -> bool:
-        """Learn of a member's state; False if it is not newer than the known one."""
+        """Store a member's state; return False if it is not newer than the known one."""
         known = self.members.get(member.name)
         if known is not None and member_version(member) <= member_version(known):
             return False
         self.members[member.name] = member
-        self._since[member.name] = now
-        self._suspicions.pop(member.name, None)
+        self._changed_at[member.name] = now
+        self._suspicions.remove(member.name)
         self.change_count += 1
         return True
 
+    def live_members(self, role: str) -> list[Member]:
+        """Return the live members of a role, sorted by name."""
+        return [member for _, member in sorted(self.members.items()) if member.alive and member.role == role]
+
+    def state_since(self, name: str) -> float:
+        """Return when the member's present state was learnt.
+
+        For a member that has never registered here this is the time at which the directory was created.
+        """
+        return self._changed_at.get(name, self.started_at)
+
+    def store_conditions(self, placed: Iterable[str], now: float) -> Mapping[str, StoreCondition]:
+        """Return the conditions by name of all known stores and of the stores that are `placed`."""
+        names = {name for name, member in self.members.items() if member.role == MemberRole.STORE}
+        names.update(placed)
+        return {
+            name: StoreCondition(self.members.get(name), now - self.state_since(name))
+            for name in sorted(names)
+        }
+
     def leaving_state(self, leaving: Leaving) -> Member | None:
-        """The state to publish for a member that stops; None if that life is no longer present."""
+        """Return the state to publish for a member that stops; None if that incarnation is not alive."""
         dead = self._dead_state(leaving.name, leaving.incarnation)
         return None if dead is None else evolve(dead, leaving=True)
 
+    # ---- suspicions
+
     def record_suspicion(self, suspicion: Suspicion, now: float) -> None:
-        """Note that a monitor has not heard of a member."""
+        """Record a monitor's report; one about a dead or former incarnation changes nothing."""
         member = self.members.get(suspicion.name)
-        if member is None or not member.alive or member.incarnation != suspicion.incarnation:
-            return
-        record = self._suspicions.get(suspicion.name)
-        if (
-            record is None
-            or record.incarnation != suspicion.incarnation
-            or not self._current_reporters(record, now)
-        ):
-            record = self._suspicions[suspicion.name] = _SuspicionRecord(suspicion.incarnation, now)
-        record.reporters[suspicion.reporter] = now
+        if member is not None and member.alive and member.incarnation == suspicion.incarnation:
+            self._suspicions.record(suspicion, now)
+
+    def clear_suspicion(self, member: Member) -> None:
+        """Drop the suspicions about a member that has answered this controller."""
+        self._suspicions.remove(member.name)
 
     def clear_suspicions(self) -> None:
-        """What the monitors said is old: they say it again while it stands."""
+        """Drop all suspicions; monitors repeat those that still stand."""
         self._suspicions.clear()
 
     def confirmed_dead(self, now: float) -> list[Member]:
-        """The states to publish for the members that most of their monitors suspect."""
-        verdicts = []
-        for name, record in list(self._suspicions.items()):
-            reporters = self._current_reporters(record, now)
-            if not reporters:
-                del self._suspicions[name]
-                continue
-            monitors = self._monitors_of(name)
-            agreeing = sum(monitor in reporters for monitor in monitors)
-            dead = self._dead_state(name, record.incarnation)
-            if dead is not None and 2 * agreeing > len(monitors):
-                verdicts.append(dead)
-        return verdicts
-
-    def unconfirmed_suspects(self, now: float) -> list[Member]:
-        """The members that a monitor has suspected for a while without a majority."""
+        """Return the states to publish for the members that a majority of their monitors suspects."""
+        self._suspicions.remove_expired(now)
+        dead = (
+            self._dead_state(name, self._suspicions.incarnation(name)) for name in self._suspicions.suspects()
+        )
         return [
-            self.members[name] for name, record in self._suspicions.items() if self._is_check_due(record, now)
+            member for member in dead if member is not None and self._has_majority_against(member.name, now)
         ]
 
+    def unconfirmed_suspects(self, now: float) -> list[Member]:
+        """Return the members that have been suspected for `HEALTH_CHECK_AFTER_S`: the head checks them."""
+        return [self.members[name] for name in self._suspicions.suspects() if self._is_check_due(name, now)]
+
     def unreachable_state(self, member: Member, now: float) -> Member | None:
-        """The state to publish for a doubtful member that this controller could not reach either; None if
-        it is no longer doubtful."""
-        record = self._suspicions.get(member.name)
-        if record is None or record.incarnation != member.incarnation:
+        """Return the state to publish for a suspect that did not answer this controller's health check.
+
+        None if that incarnation is no longer suspected.
+        """
+        if self._suspicions.incarnation(member.name) != member.incarnation:
             return None
-        if not self._is_check_due(record, now):
+        if not self._is_check_due(member.name, now):
             return None
         return self._dead_state(member.name, member.incarnation)
 
-    def clear_suspicion(self, member: Member) -> None:
-        """This controller has had an answer of a doubtful member: doubt starts anew."""
-        self._suspicions.pop(member.name, None)
-
-    def live_members(self, role: str) -> list[Member]:
-        """The members of a role that are there, by name."""
-        return [member for _, member in sorted(self.members.items()) if member.alive and member.role == role]
-
-    def state_since(self, name: str) -> float:
-        """When the member's present state was learnt; for a member never seen, when this directory began."""
-        return self._since.get(name, self.started_at)
-
-    def store_conditions(self, named: Iterable[str], now: float) -> Mapping[str, StoreCondition]:
-        """The condition of all stores, and of those `named` elsewhere though never seen here."""
-        names = {name for name, member in self.members.items() if member.role == STORE}
-        names.update(named)
-        return {
-            name: StoreCondition(self.members.get(name), now - self.state_since(name))
-            for name in sorted(names)
-        }
-
-    def _dead_state(self, name: str, incarnation: int) -> Member | None:
+    def _dead_state(self, name: str, incarnation: int | None) -> Member | None:
         member = self.members.get(name)
         if member is None or member.incarnation != incarnation or not member.alive:
             return None
         return evolve(member, status=member.status + 1)
 
-    def _monitors_of(self, name: str) -> list[str]:
-        return choose_monitors(name, (member.name for member in self.live_members(EDGE)))
-
-    def _is_check_due(self, record: _SuspicionRecord, now: float) -> bool:
-        return (
-            bool(self._current_reporters(record, now))
-            and now - record.first_reported_at >= HEALTH_CHECK_AFTER_S
-        )
+    def _has_majority_against(self, name: str, now: float) -> bool:
+        edges = (member.name for member in self.live_members(MemberRole.EDGE))
+        monitors = choose_monitors(name, edges)
+        reporters = self._suspicions.reporters(name, now)
+        return 2 * sum(monitor in reporters for monitor in monitors) > len(monitors)
 
-    @staticmethod
-    def _current_reporters(record: _SuspicionRecord, now: float) -> set[str]:
-        return {name for name, said in record.reporters.items() if now - said <= SUSPICION_VALIDITY_S}
+    def _is_check_due(self, name: str, now: float) -> bool:
+        return self._suspicions.is_suspected_for(name, HEALTH_CHECK_AFTER_S, now)
--- a/hollowusher/coordination/membership/pause_detector.py
+++ b/hollowusher/coordination/membership/pause_detector.py
@@ -1,9 +1,12 @@
-"""Noticing that this process did not run for a while.  No I/O, no clock.
+"""Detection of pauses of this process.  No I/O, no clock.
 
-A process that was frozen, or starved of the processor, goes on with what it had before: leases, lists,
-answers that lay unread.  Nothing of that may be used before it has been asked about again.  Whoever acts on
-such things calls `tick` with the steady clock, regularly and before each act; whichever comes first after
-a pause notices it.
+A process that was frozen, or got no processor time, resumes with the state it had before: leases, worker
+lists, answers that lie unread.  None of it may be used before it has been confirmed again.  A user of such
+state calls `tick` with the monotonic clock, regularly and before each use; whichever call comes first after
+a pause detects it.
+
+Compare Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
+consistency" (1989): a lease is safe only as long as its owner knows how much time has passed.
 """
 
 from __future__ import annotations
@@ -12,16 +15,19 @@
 
 
 class PauseDetector:
-    """Steps further apart than `threshold_s` are a pause."""
+    """Detects a pause as two ticks that are further apart than a threshold."""
 
     def __init__(self, threshold_s: float) -> None:
-        self.pause_count = 0  # pauses noticed so far
+        self.pause_count = 0
         self._threshold_s = threshold_s
         self._last_tick: float | None = None
         self._last_pause_end = -math.inf
 
     def tick(self, now: float) -> float:
-        """Note that the process runs; the length of the pause that has just ended, 0 where there was none."""
+        """Record that the process runs; return the length in seconds of the pause that has just ended.
+
+        The length is 0 where there was no pause.
+        """
         last, self._last_tick = self._last_tick, now
         if last is None or now - last <= self._threshold_s:
             return 0.0
@@ -30,5 +36,5 @@
         return now - last
 
     def paused_since(self, moment: float) -> bool:
-        """Whether a pause has been noticed at or after that moment."""
+        """Return whether a pause was detected at or after that moment."""
         return self._last_pause_end >= moment
--- a/hollowusher/coordination/placement/partition_recovery.py
+++ b/hollowusher/coordination/placement/partition_recovery.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.rendezvous import weight
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_status import PartitionStatus
--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -9,7 +9,9 @@
 
 import orjson
 
-from hollowusher.coordination.membership.member_directory import STORE, MemberDirectory, StoreCondition
+from hollowusher.coordination.member_role import MemberRole
+from hollowusher.coordination.membership.member_directory import MemberDirectory
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.placement.initial_placement import PARTITION_COUNT, plan_initial_placement
 from hollowusher.coordination.placement.partition_recovery import (
     RecoveryRejected,
@@ -199,7 +201,7 @@
     def _initial_stores(self) -> list[Member]:
         """The stores for the first placement, none while more may come."""
         now = self._clock()
-        stores = self._directory.live_members(STORE)
+        stores = self._directory.live_members(MemberRole.STORE)
         if not stores or self._head_since is None:
             return []
         newest = max(self._directory.state_since(store.name) for store in stores)
--- a/hollowusher/coordination/placement/planner.py
+++ b/hollowusher/coordination/placement/planner.py
@@ -20,7 +20,7 @@
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
 
-from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.placement.replica_states import ReplicaStates, store_name
 from hollowusher.coordination.rendezvous import weight
 from hollowusher.protocol.codec import evolve
--- a/hollowusher/coordination/placement/replica_states.py
+++ b/hollowusher/coordination/placement/replica_states.py
@@ -17,7 +17,7 @@
 from collections import Counter
 from collections.abc import Collection, Mapping
 
-from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.protocol.placement import Placement
 
 STABLE_AFTER_S = 6.0  # a store that has been there this long gets primaries back
--- a/hollowusher/simulation/model_check/partition_head.py
+++ b/hollowusher/simulation/model_check/partition_head.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.placement.planner import LearnerReport, plan_placement
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import Placement
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -18,8 +18,8 @@
 from hollowusher.coordination.controller.worker_list_reader import PlatformError
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.membership.failure_detector import choose_monitors
 from hollowusher.coordination.membership.member_directory import MemberDirectory
+from hollowusher.coordination.membership.monitor_assignment import choose_monitors
 from hollowusher.coordination.placement.initial_placement import PARTITION_COUNT
 from hollowusher.coordination.placement.planner import is_store_placed
 from hollowusher.protocol.codec import evolve
--- a/tests/coordination/membership/test_calls_probe.py
+++ b/tests/coordination/membership/test_health_check.py
@@ -1,4 +1,4 @@
-"""The head calls a member whose monitors disagree: only that life of that member counts as being there."""
+"""The head checks a suspect that has no majority against it: only that incarnation's answer counts."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from tests.coordination.distribution.test_cluster_client import Cluster, play
 
 
-async def probe(cluster: Cluster, name: str, incarnation: int) -> object:
-    """The answer of whoever is at the place of a node, asked for one life."""
+async def check(cluster: Cluster, name: str, incarnation: int) -> object:
+    """Return the answer of the process at a node's address when it is asked for one incarnation."""
     node = cluster.nodes[name]
     return await cluster.nodes["core0"].transport.call(node.address, ProbeLife(name, incarnation), 0.5)
 
 
-def test_a_life_that_is_over_does_not_answer_for_the_one_after() -> None:
+def test_a_process_does_not_answer_for_a_former_incarnation() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
-        assert await probe(cluster, "store1", 1) == Done()
+        assert await check(cluster, "store1", 1) == Done()
         cluster.restart("store1")
         await asyncio.sleep(1.0)
-        assert await probe(cluster, "store1", 1) is None
-        assert await probe(cluster, "store1", 2) == Done()
+        assert await check(cluster, "store1", 1) is None
+        assert await check(cluster, "store1", 2) == Done()
 
     play(work)
 
 
-def test_the_head_takes_a_later_life_at_the_address_for_no_sign_of_the_one_before(
+def test_an_answer_of_a_later_incarnation_does_not_clear_the_suspicion(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(cluster: Cluster) -> None:
--- /dev/null
+++ b/tests/coordination/membership/test_suspicion_table.py
@@ -0,0 +1,47 @@
+"""Reports of monitors are kept for one incarnation of a member, and only while they are repeated."""
+
+from __future__ import annotations
+
+from hollowusher.coordination.membership.suspicion_table import SUSPICION_VALIDITY_S, SuspicionTable
+from hollowusher.protocol.membership import Suspicion
+
+
+def test_a_report_is_valid_for_its_time_and_each_monitor_for_itself() -> None:
+    table = SuspicionTable()
+    table.record(Suspicion("s", 1, "e0"), 0.0)
+    table.record(Suspicion("s", 1, "e1"), 1.0)
+    assert table.reporters("s", SUSPICION_VALIDITY_S) == {"e0", "e1"}
+    assert table.reporters("s", SUSPICION_VALIDITY_S + 0.1) == {"e1"}
+    table.remove_expired(SUSPICION_VALIDITY_S + 0.1)
+    assert list(table.suspects()) == ["s"]
+    table.remove_expired(1.1 + SUSPICION_VALIDITY_S)
+    assert list(table.suspects()) == []
+    assert table.incarnation("s") is None
+
+
+def test_the_first_report_counts_as_long_as_some_monitor_repeats() -> None:
+    table = SuspicionTable()
+    for now in (0.0, 1.0, 2.0):
+        table.record(Suspicion("s", 1, "e0"), now)
+    assert table.is_suspected_for("s", 2.0, 2.0)
+    table.record(Suspicion("s", 1, "e0"), 2.1 + SUSPICION_VALIDITY_S)  # all former reports have expired
+    assert not table.is_suspected_for("s", 0.1, 2.1 + SUSPICION_VALIDITY_S)
+
+
+def test_a_report_about_another_incarnation_starts_anew() -> None:
+    table = SuspicionTable()
+    table.record(Suspicion("s", 1, "e0"), 0.0)
+    table.record(Suspicion("s", 2, "e1"), 1.0)
+    assert table.incarnation("s") == 2
+    assert table.reporters("s", 1.0) == {"e1"}
+    assert not table.is_suspected_for("s", 1.0, 1.0)
+
+
+def test_removed_members_are_suspected_by_nobody() -> None:
+    table = SuspicionTable()
+    table.record(Suspicion("s", 1, "e0"), 0.0)
+    table.record(Suspicion("t", 1, "e0"), 0.0)
+    table.remove("s")
+    assert table.reporters("s", 0.0) == set()
+    table.clear()
+    assert table.reporters("t", 0.0) == set()
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.placement.partition_recovery import (
     RecoveryRejected,
     partition_statuses,
--- a/tests/coordination/placement/test_placement.py
+++ b/tests/coordination/placement/test_placement.py
@@ -10,7 +10,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.placement.initial_placement import (
     PARTITION_COUNT,
     balance_primaries,
--- a/tests/coordination/placement/test_store_epochs.py
+++ b/tests/coordination/placement/test_store_epochs.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-from hollowusher.coordination.membership.member_directory import StoreCondition
+from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.placement.planner import plan_placement
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
--- a/tests/messages/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.protocol.leases import Extend, Leased, LeaseRequest
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.messages import StatusRequest
@@ -24,21 +23,6 @@
     await asyncio.sleep(1.0)
 
 
-class TestPauseDetector:
-    def test_steps_close_together_are_no_pause(self) -> None:
-        pauses = PauseDetector(0.5)
-        assert [pauses.tick(now) for now in (1.0, 1.5, 1.9)] == [0.0, 0.0, 0.0]
-        assert not pauses.paused_since(0.0)
-
-    def test_whoever_comes_first_notices_a_pause_once(self) -> None:
-        pauses = PauseDetector(0.5)
-        pauses.tick(1.0)
-        assert pauses.tick(4.0) == 3.0
-        assert pauses.tick(4.0) == 0.0
-        assert pauses.paused_since(2.0) and pauses.paused_since(4.0)
-        assert not pauses.paused_since(4.1)
-
-
 class TestReadsOfAMessage:
     def test_a_deposed_primary_does_not_tell_an_old_state(self) -> None:
         async def work(cluster: StoreCluster) -> None:
