--- a/hollowusher/coordination/backoff.py
+++ b/hollowusher/coordination/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between tries."""
+"""Exponential backoff between attempts."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 
 INITIAL_DELAY_S = 0.1
 MAX_DELAY_S = 0.5
+GROWTH = 1.5
+MIN_JITTER = 0.7  # a delay is shortened to this part of its length at most
 
 
 class Backoff:
-    """Growing pauses between tries, with some chance so that processes do not try in step."""
+    """Growing delays between attempts, with jitter so that processes do not retry in step."""
 
     def __init__(self, random_source: random.Random, initial_delay_s: float = INITIAL_DELAY_S) -> None:
         self._random_source = random_source
@@ -18,10 +20,10 @@
         self._delay_s = 0.0
 
     def reset(self) -> None:
-        """A try has succeeded."""
+        """Start again with the initial delay, after an attempt has succeeded."""
         self._delay_s = 0.0
 
     async def wait(self) -> None:
-        """Pause after a failed try."""
-        self._delay_s = min(MAX_DELAY_S, max(self._initial_delay_s, 1.5 * self._delay_s))
-        await asyncio.sleep(self._delay_s * self._random_source.uniform(0.7, 1.0))
+        """Sleep after a failed attempt."""
+        self._delay_s = min(MAX_DELAY_S, max(self._initial_delay_s, GROWTH * self._delay_s))
+        await asyncio.sleep(self._delay_s * self._random_source.uniform(MIN_JITTER, 1.0))
--- a/hollowusher/coordination/cluster_state.py
+++ b/hollowusher/coordination/cluster_state.py
@@ -1,13 +1,12 @@
-"""What a process knows of the whole system, from the items that controllers distribute.  No I/O, no clock.
+"""The state of the cluster as one process knows it, from the items that controllers distribute.  No I/O.
 
-Every value comes as an `Item` with a version; an older one never replaces a newer one, so that nothing goes
-back within a life of the process.
+Every value comes as an `Item` with a version, and an older value never replaces a newer one: within one
+incarnation of the process no value goes back.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import Any
 
 from hollowusher.configuration.model import Configuration, read_document
 from hollowusher.protocol.distribution import Item
@@ -25,10 +24,13 @@
 
 
 class ClusterState:
-    """The newest known values.  `version_vector` is the version vector of what was received."""
+    """The newest known value of each item; it owns them, and readers must not change them.
+
+    Invariant: for each key `versions` holds the greatest version that was received.
+    """
 
     def __init__(self) -> None:
-        self.version_vector: dict[str, int] = {}
+        self.version_vector: dict[str, int] = {}  # origin -> counter up to which its items were received
         self.versions: dict[str, list[int]] = {}
         self._sources: dict[str, tuple[str, int]] = {}  # key -> origin and counter of the item
         self.configuration: Configuration | None = None
@@ -36,15 +38,21 @@
         self.view: View | None = None
         self.members: dict[str, Member] = {}
         self.workers: WorkerList | None = None
-        self._placements: dict[int, PartitionPlacement] = {}
+        self._partition_placements: dict[int, PartitionPlacement] = {}
         self._listeners: list[Listener] = []
 
+    # ---- updates
+
     def add_listener(self, listener: Listener) -> None:
-        """Have `listener` called after each change, with the item's key."""
+        """Have `listener` called after each change, with the key of the item."""
         self._listeners.append(listener)
 
     def apply(self, items: Iterable[Item], version_vector: dict[str, int]) -> list[str]:
-        """Take what a controller sent; the keys that have changed."""
+        """Store the newer ones of the items and return their keys.
+
+        `version_vector` is that of the controller that sent the items; it is empty for items that were
+        received in any other way.
+        """
         changed = [item.key for item in items if self._apply(item)]
         if version_vector:  # origins that the controller has forgotten are forgotten here too
             self.version_vector = {
@@ -65,54 +73,58 @@
         if version == known:
             return False
         self.versions[item.key] = version
-        self._store_value(item.key, item.value)
+        self._store_value(item)
         return True
 
-    def _store_value(self, key: str, value: Any) -> None:
-        if key == CONFIGURATION:
-            self.configuration = read_document(value)
-        elif key == PLACEMENT:
-            self.placement = value
-            self._placements = {entry.partition: entry for entry in value.partitions}
-        elif key == VIEW:
-            self.view = value
-        elif key == WORKERS:
-            self.workers = value
-        elif key.startswith(MEMBER_PREFIX):
-            self.members[key.removeprefix(MEMBER_PREFIX)] = value
+    def _store_value(self, item: Item) -> None:
+        if item.key == CONFIGURATION:
+            self.configuration = read_document(item.value)
+        elif item.key == PLACEMENT:
+            self.placement = item.value
+            self._partition_placements = {entry.partition: entry for entry in item.value.partitions}
+        elif item.key == VIEW:
+            self.view = item.value
+        elif item.key == WORKERS:
+            self.workers = item.value
+        elif item.key.startswith(MEMBER_PREFIX):
+            self.members[item.key.removeprefix(MEMBER_PREFIX)] = item.value
+
+    # ---- members
 
     def items_missing_from(self, version_vector: dict[str, int]) -> list[Item]:
-        """The members' items known here that the holder of a version vector has not seen."""
-        found = []
+        """Return the known items of members that a process with this version vector has not received."""
+        missing = []
         for name, member in self.members.items():
             key = MEMBER_PREFIX + name
             origin, counter = self._sources[key]
             if counter > version_vector.get(origin, 0):
-                found.append(Item(key, self.versions[key], origin, counter, member))
-        return found
+                missing.append(Item(key, self.versions[key], origin, counter, member))
+        return missing
 
     def live_members(self, role: str | None = None) -> list[Member]:
-        """The members that are there, of one role or all, by name."""
+        """Return the live members of one role or of all, sorted by name."""
         return [
             member
             for _, member in sorted(self.members.items())
             if member.alive and role in (None, member.role)
         ]
 
-    def partition_placement(self, number: int) -> PartitionPlacement | None:
-        """Where a partition is kept."""
-        return self._placements.get(number)
+    # ---- partitions
+
+    def partition_placement(self, partition: int) -> PartitionPlacement | None:
+        """Return which stores hold a partition, None for a partition that is not known."""
+        return self._partition_placements.get(partition)
 
     def partition_numbers(self) -> list[int]:
-        """All partition numbers."""
-        return sorted(self._placements)
+        """Return the numbers of all partitions in increasing order."""
+        return sorted(self._partition_placements)
 
     def store_address(self, store_id: str) -> str | None:
-        """The internal address of a replica, None where that machine or disk is not known."""
+        """Return the internal address of a replica, None where that machine or disk is not known."""
         member = self.members.get(store_id.partition("/")[0])
         return member.address if member is not None and member.store_id == store_id else None
 
-    def primary_address(self, number: int) -> str | None:
-        """The internal address of a partition's primary."""
-        entry = self._placements.get(number)
-        return None if entry is None else self.store_address(entry.primary)
+    def primary_address(self, partition: int) -> str | None:
+        """Return the internal address of a partition's primary, None where it is not known."""
+        placement = self.partition_placement(partition)
+        return None if placement is None else self.store_address(placement.primary)
--- a/hollowusher/coordination/controller_selector.py
+++ b/hollowusher/coordination/controller_selector.py
@@ -1,5 +1,9 @@
-"""Which controller a process pulls from: one that answers, in its own zone where possible, picked by
-rendezvous.  No I/O, no clock.
+"""The choice of the controller that a process pulls updates from.  No I/O, no clock.
+
+Healthy controllers go first, among them those of the own zone; rendezvous hashing spreads the processes over
+equal ones.
+
+All times are seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,48 +17,51 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.view import Voter
 
-FAILURE_BACKOFF_S = (
-    3.0  # a controller that has failed is not chosen for this long, if there is another one ...
-)
-MAX_FAILURE_BACKOFF_S = 12.0  # ... twice as long after each further failure, up to this
+FAILURE_BACKOFF_S = 3.0  # after a failure another controller goes first for this long, if there is one ...
+MAX_FAILURE_BACKOFF_S = 12.0  # ... and twice as long after each further failure, up to this
+MAX_DOUBLINGS = 8
 
 
 @attrs.define
 class ControllerHealth:
     """How one controller has answered lately."""
 
-    avoid_until: float = -math.inf  # no answers came
-    lagging_until: float = -math.inf  # it answered that it has lost most of the others
-    failures: int = 0
+    avoid_until: float = -math.inf  # it did not answer
+    lagging_until: float = -math.inf  # it answered that it does not hear a majority
+    failures: int = 0  # calls without an answer since its last answer to a pull
 
     def record_failure(self, now: float) -> None:
-        """A call got no answer."""
-        self.avoid_until = now + min(MAX_FAILURE_BACKOFF_S, FAILURE_BACKOFF_S * 2 ** min(self.failures, 8))
+        """Record a call without an answer."""
+        backoff_s = FAILURE_BACKOFF_S * 2 ** min(self.failures, MAX_DOUBLINGS)
+        self.avoid_until = now + min(MAX_FAILURE_BACKOFF_S, backoff_s)
         self.failures += 1
 
-    def record_pull(self, now: float, connected: bool) -> None:
-        """A pull was answered."""
+    def record_pull(self, now: float, *, connected: bool) -> None:
+        """Record the answer to a pull; `connected` says whether the controller hears a majority."""
         self.failures = 0
         self.avoid_until = -math.inf
         self.lagging_until = -math.inf if connected else now + FAILURE_BACKOFF_S
 
     def record_answer(self) -> None:
-        """It answered something."""
+        """Record the answer to any other call."""
         self.avoid_until = -math.inf
 
     def is_avoided(self, now: float) -> bool:
-        """Whether others go first because it gave no answer."""
+        """Return whether others go first because this one did not answer."""
         return now < self.avoid_until
 
     def sort_key(self, now: float) -> tuple[bool, float, bool]:
-        """The smaller, the better: those that answer, else that which failed longest ago; those that hear
-        the others."""
+        """Return a key by which healthier controllers sort first.
+
+        Those that answer go first, among them those that hear a majority.  The others follow in the order
+        in which their backoff ends.
+        """
         is_avoided = self.is_avoided(now)
         return (is_avoided, self.avoid_until if is_avoided else 0.0, now < self.lagging_until)
 
 
 class ControllerSelector:
-    """The order in which one process tries the controllers."""
+    """The order in which one process tries the controllers; it owns their health as seen from here."""
 
     def __init__(self, name: str, zone: str) -> None:
         self._name = name
@@ -62,20 +69,20 @@
         self._health: dict[str, ControllerHealth] = {}  # by address
 
     def health(self, address: str) -> ControllerHealth:
-        """How the controller at an address has answered."""
+        """Return the health of the controller at an address."""
         return self._health.setdefault(address, ControllerHealth())
 
     def rank_controllers(
         self, voters: Iterable[Voter], members: Mapping[str, Member], now: float
     ) -> list[Voter]:
-        """The voters, best first: without trouble lately, then alive, then in the own zone."""
+        """Return the voters, best first: healthy, then not known to be dead, then in the own zone."""
         by_name = {voter.name: voter for voter in voters}
 
         def sort_key(name: str) -> tuple[tuple[bool, float, bool], bool, bool]:
             member = members.get(name)
-            dead = member is not None and not member.alive
-            in_zone = member is not None and member.zone == self._zone
-            return self.health(by_name[name].address).sort_key(now), dead, not in_zone
+            is_dead = member is not None and not member.alive
+            is_in_zone = member is not None and member.zone == self._zone
+            return self.health(by_name[name].address).sort_key(now), is_dead, not is_in_zone
 
         ranked = rank(f"controller/{self._name}", by_name)
         return [by_name[name] for name in sorted(ranked, key=sort_key)]
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -275,7 +275,7 @@
         self._pauses.tick(now)
         heard_at = started if self._pauses.paused_since(started) else now  # it may have lain unread since
         self._heard_at[address] = max(heard_at, self._heard_at.get(address, -math.inf))
-        self._choice.health(address).record_pull(now, answer.connected)
+        self._choice.health(address).record_pull(now, connected=answer.connected)
         if answer.connected:
             self._connected_at = max(heard_at - answer.age_ms / 1000, self._connected_at)
         if not changed and now - started < IDLE_PAUSE_S:
--- a/hollowusher/coordination/rendezvous.py
+++ b/hollowusher/coordination/rendezvous.py
@@ -11,15 +11,15 @@
 
 
 def weight(key: str, name: str) -> int:
-    """The weight of `name` for `key`."""
+    """Return the weight of `name` for `key`."""
     return xxhash.xxh64_intdigest(f"{key}\0{name}".encode())
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """The names in the order of preference for a key, best first."""
+    """Return the names by decreasing weight for `key`, the chosen one first."""
     return sorted(names, key=lambda name: (weight(key, name), name), reverse=True)
 
 
 def choose(key: str, names: Iterable[str]) -> str | None:
-    """The best name for a key, None where there is none."""
+    """Return the name with the greatest weight for `key`, None where there are no names."""
     return max(names, key=lambda name: (weight(key, name), name), default=None)
--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -98,7 +98,7 @@
         if state.versions.get(item.key) == list(item.version):
             return False
         state.versions[item.key] = list(item.version)
-        state._store_value(item.key, item.value)
+        state._store_value(item)
         return True
 
     patches.set(ClusterState, "_apply", apply)
--- a/tests/coordination/test_cluster_state.py
+++ b/tests/coordination/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""What a process knows of the system: nothing goes back, whatever order items come in."""
+"""The state that a process knows never goes back, in whatever order items are received."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return Member(name, "store", f"{name}:7780", "z", "r", 1, disk, status=status)
 
 
-def test_a_value_is_known_once_it_has_come() -> None:
+def test_a_value_is_known_once_it_was_received() -> None:
     state = ClusterState()
     assert state.configuration is None
     assert state.partition_numbers() == []
@@ -45,7 +45,7 @@
     assert state.configuration.generation == 7
 
 
-def test_listeners_hear_of_each_change_after_it() -> None:
+def test_listeners_are_called_after_each_change() -> None:
     state = ClusterState()
     heard: list[tuple[str, int]] = []
     state.add_listener(lambda key: heard.append((key, len(state.members))))
@@ -63,7 +63,7 @@
     assert state.version_vector == {"a/1": 5, "c/1": 1}
 
 
-def test_a_copy_is_reached_only_on_the_disk_that_holds_it() -> None:
+def test_a_replica_is_reached_only_on_the_disk_that_holds_it() -> None:
     state = ClusterState()
     placed = Placement(1, [PartitionPlacement(3, 1, "s1/old", ["s1/old", "s2/d"])])
     state.apply([item("placement", 1, placed), item("member/s1", 1, store("s1", "old"))], {})
@@ -75,7 +75,7 @@
     assert state.primary_address(4) is None
 
 
-def test_who_is_alive_by_role() -> None:
+def test_live_members_by_role() -> None:
     state = ClusterState()
     edge = Member("e1", "edge", "e1:7780", "z", "r", 1)
     members = [edge, store("s2", "d"), store("s1", "d"), store("s3", "d", status=1)]
@@ -84,7 +84,7 @@
     assert [member.name for member in state.live_members("store")] == ["s1", "s2"]
 
 
-def test_members_that_another_has_not_seen_are_given_back() -> None:
+def test_member_items_that_another_process_has_not_received() -> None:
     state = ClusterState()
     first = item("member/s1", 1, store("s1", "d"), "a/1", 4)
     second = item("member/s2", 1, store("s2", "d"), "b/1", 2)
