--- a/hollowusher/coordination/chain/chain_member.py
+++ b/hollowusher/coordination/chain/chain_member.py
@@ -31,7 +31,7 @@
         self.state_epoch = 0
         self.committed: ControlState | None = None  # the newest state known to be committed
         self.committed_epoch = 0  # the epoch of the chain whose tail had it
-        self._harmed = False  # what it once saved is not whole any more
+        self._is_damaged = False  # what it once saved is not whole any more
         if saved is not None:
             self.state_epoch, self.state = decode(saved)
 
@@ -39,7 +39,7 @@
         """Take what was found on disk; not `whole`: a part of it is missing, so it counts for nothing."""
         if whole:
             self.state_epoch, self.state = epoch, state
-        self._harmed = not whole
+        self._is_damaged = not whole
 
     @property
     def epoch(self) -> int:
@@ -65,7 +65,7 @@
     @property
     def complete(self) -> bool:
         """Whether it holds every state committed up to its view."""
-        if self.view is None or not self.in_chain or self._harmed:
+        if self.view is None or not self.in_chain or self._is_damaged:
             return False
         since = self.view.since.get(self.name, self.view.epoch)
         return since == FIRST_EPOCH or self.state_epoch >= since
@@ -77,28 +77,28 @@
         return self.is_head and self.complete and self.state_epoch <= self.epoch
 
     @property
-    def in_force(self) -> bool:
+    def is_in_force(self) -> bool:
         """Whether it knows of a state committed in its view's own epoch."""
         return self.in_chain and self.committed_epoch == self.epoch
 
     @property
-    def readable(self) -> bool:
+    def is_readable(self) -> bool:
         """Whether it is the tail and `committed` is the newest committed state of the chain."""
-        return self.is_tail and self.in_force
+        return self.is_tail and self.is_in_force
 
     @property
-    def settled(self) -> bool:
+    def is_committed(self) -> bool:
         """Whether the newest state it holds is known to be committed in this epoch."""
-        return self.in_force and self.committed is self.state
+        return self.is_in_force and self.committed is self.state
 
-    def next_name(self) -> str | None:
+    def successor(self) -> str | None:
         """The member after this one, None for the tail."""
         if self.view is None or not self.in_chain:
             return None
         position = self.view.chain.index(self.name) + 1
         return self.view.chain[position] if position < len(self.view.chain) else None
 
-    def previous_name(self) -> str | None:
+    def predecessor(self) -> str | None:
         """The member before this one, None for the head."""
         if self.view is None or not self.in_chain:
             return None
@@ -119,7 +119,7 @@
         """Whether a state from the member before is to be saved, kept and passed on: it is of this epoch and
         not older than the one held."""
         follows = self.in_chain and not self.is_head
-        return follows and write.epoch == self.epoch and self._version(write) >= self._held_version()
+        return follows and write.epoch == self.epoch and self._version(write) >= self._saved_version()
 
     def begin(self, state: ControlState | None = None) -> ChainWrite:
         """Head: a new state, or the present one in this epoch, to be saved, kept and passed on."""
@@ -129,17 +129,17 @@
             return ChainWrite(self.epoch, self.state)
         return ChainWrite(self.epoch, evolve(state, sequence=self.state.sequence + 1))
 
-    def holds(self, write: ChainWrite) -> bool:
+    def has_saved(self, write: ChainWrite) -> bool:
         """Whether this very state of this epoch has been saved here."""
-        same_version = self._version(write) == self._held_version()
-        return same_version and not self._harmed and self.state == write.state
+        same_version = self._version(write) == self._saved_version()
+        return same_version and not self._is_damaged and self.state == write.state
 
     def keep(self, write: ChainWrite) -> None:
         """A state has been saved."""
-        if self._harmed or self._version(write) > self._held_version():
+        if self._is_damaged or self._version(write) > self._saved_version():
             self.state = write.state
             self.state_epoch = write.epoch
-            self._harmed = False
+            self._is_damaged = False
 
     def commit(self, write: ChainWrite) -> ControlState | None:
         """The tail has this state: it is committed.  The state, where that is news."""
@@ -152,7 +152,7 @@
         self.committed_epoch = max(write.epoch, self.committed_epoch)
         return self.committed if news else None
 
-    def _held_version(self) -> tuple[int, int]:
+    def _saved_version(self) -> tuple[int, int]:
         return self.state_epoch, self.state.sequence
 
     @staticmethod
@@ -160,6 +160,6 @@
         return write.epoch, write.state.sequence
 
 
-def dump_write(write: ChainWrite) -> bytes:
+def encode_write(write: ChainWrite) -> bytes:
     """What a member saves for a state: it is loaded by `ChainMember`."""
     return encode([write.epoch, write.state])
--- a/hollowusher/coordination/chain/chain_replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -1,7 +1,7 @@
 """Runs the control chain over the network: saves each state, then passes it on to the next member.
 
 A document and history that the next member holds are not sent again.  Where they are small they travel inside
-the `ChainWrite`; otherwise the next member fetches them (`RecordFetch`) and the head sends the write again.
+the `ChainWrite`; otherwise the next member fetches them (`RecordFetcher`) and the head sends the write again.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.chain.record_fetch import RecordFetch, Spawn, read_chunk
-from hollowusher.coordination.chain.state_record import INLINE_BYTES, without_record
-from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S, StateStore
+from hollowusher.coordination.chain.record_fetcher import RecordFetcher, Spawn, read_chunk
+from hollowusher.coordination.chain.state_record import MAX_INLINE_BYTES, strip_record
+from hollowusher.coordination.chain.state_store import MIN_THROUGHPUT_BYTES_PER_S, StateStore
 from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, RecordChunk
@@ -24,7 +24,7 @@
 HOP_TIMEOUT_S = 0.8
 
 
-class Replicator:
+class ChainReplicator:
     """One controller's place in the chain.  `on_state` is called with each newly committed state; `spawn`
     runs a coroutine for as long as the controller lives; `refused` counts messages by why they were not
     taken."""
@@ -43,21 +43,25 @@
         self._store = store
         self._on_state = on_state
         self._lock = asyncio.Lock()
-        self._fetch = RecordFetch(transport, store, spawn, self.refused)
-        self._held_by: dict[str, bytes] = {}  # member after this one -> digest of the record it has saved
+        self._fetch = RecordFetcher(transport, store, spawn, self.refused)
+        self._records_at_successor: dict[
+            str, bytes
+        ] = {}  # member after this one -> digest of the record it has saved
 
     def install(self, view: View) -> None:
         """Use a decided view from now on."""
         known = self.member.committed
         self.member.install(view)
-        self._held_by.clear()
+        self._records_at_successor.clear()
         committed = self.member.committed
         if committed is not None and committed is not known:
             self._on_state(committed)
 
     # -- states ----------------------------------------------------------------------------------------
 
-    async def push(self, state: ControlState | None = None, base: ControlState | None = None) -> ChainWritten:
+    async def replicate(
+        self, state: ControlState | None = None, base: ControlState | None = None
+    ) -> ChainWritten:
         """Head: keep a new state, or the present one, and have the whole chain keep it.  A new state is
         refused where `base`, which it was made from, is not the newest one any more."""
         async with self._lock:
@@ -67,52 +71,52 @@
             write = self.member.begin(state)
             if not await self._save(write):
                 return ChainWritten(False, self.member.epoch, self.member.name)
-        return await self._pass_on(write)
+        return await self._forward_to_successor(write)
 
     async def receive(self, write: ChainWrite) -> ChainWritten:
         """Take a state from the member before."""
         async with self._lock:
-            reason = self._reason_to_refuse(write)
+            reason = self._rejection_reason(write)
             if reason:
                 self.refused[reason] += 1
                 return ChainWritten(False, self.member.epoch)
-            whole = self._whole(write)
+            whole = self._fill_record(write)
             if whole is None:
                 return ChainWritten(False, self.member.epoch, lacking=self.member.name)
             if not await self._save(whole):
                 return ChainWritten(False, self.member.epoch, self.member.name)
-        return await self._pass_on(whole)
+        return await self._forward_to_successor(whole)
 
-    def _reason_to_refuse(self, write: ChainWrite) -> str:
+    def _rejection_reason(self, write: ChainWrite) -> str:
         """Why a write is not to be taken, empty where it is."""
         view = self.member.view
-        if view is None or _differ(write.cluster, view.cluster):
+        if view is None or _conflict(write.cluster, view.cluster):
             return "write: another cluster"
-        if _differ(write.receiver_disk, self.member.disk_id):
+        if _conflict(write.receiver_disk, self.member.disk_id):
             return "write: another disk"
         if write.epoch != self.member.epoch:
             return "write: another epoch"
-        before = self.member.previous_name()
-        if before is None or _differ(write.sender, before):
+        before = self.member.predecessor()
+        if before is None or _conflict(write.sender, before):
             return "write: not from the member before"
         return "" if self.member.accepts(write) else "write: older than the state held"
 
-    def _whole(self, write: ChainWrite) -> ChainWrite | None:
+    def _fill_record(self, write: ChainWrite) -> ChainWrite | None:
         """The write with document and history; None where they are not held: then they are fetched."""
         if not write.record:
             return write
         record = self._store.record(write.record)
         if record is not None:
             return evolve(write, state=record.fill(write.state), record=b"")
-        before = self._voter(self.member.previous_name())
+        before = self._voter(self.member.predecessor())
         if before is not None and self.member.view is not None:
-            self._fetch.want(write.record, before.address, self.member.view.cluster)
+            self._fetch.fetch(write.record, before.address, self.member.view.cluster)
         return None
 
-    async def _pass_on(self, write: ChainWrite) -> ChainWritten:
+    async def _forward_to_successor(self, write: ChainWrite) -> ChainWritten:
         if self.member.epoch != write.epoch:
             return ChainWritten(False, self.member.epoch)
-        following = self.member.next_name()
+        following = self.member.successor()
         if following is not None:
             answer = await self._call(following, write)
             if not answer.ok:
@@ -130,8 +134,8 @@
         message, digest = self._for_member(write, voter, view)
         sent_bytes = len(message.state.document)
         hops = len(view.chain) - view.chain.index(name)
-        timeout = hops * (HOP_TIMEOUT_S + sent_bytes / SLOWEST_BYTES_PER_S)
-        self._held_by.pop(name, None)
+        timeout = hops * (HOP_TIMEOUT_S + sent_bytes / MIN_THROUGHPUT_BYTES_PER_S)
+        self._records_at_successor.pop(name, None)
         try:
             answer = await self._transport.call(voter.address, message, timeout)
         except PeerError:
@@ -139,16 +143,19 @@
         if not isinstance(answer, ChainWritten):
             return ChainWritten(False, self.member.epoch)
         if answer.ok and self.member.epoch == write.epoch:
-            self._held_by[name] = digest
+            self._records_at_successor[name] = digest
         return answer
 
     def _for_member(self, write: ChainWrite, voter: Voter, view: View) -> tuple[ChainWrite, bytes]:
         """The message to the next member, and the digest of the record that the state has."""
         record = self._store.record_of(write.state)
         addressed = evolve(write, cluster=view.cluster, sender=self.member.name, receiver_disk=voter.disk_id)
-        if len(record.encoded) <= INLINE_BYTES and self._held_by.get(voter.name) != record.digest:
+        if (
+            len(record.encoded) <= MAX_INLINE_BYTES
+            and self._records_at_successor.get(voter.name) != record.digest
+        ):
             return addressed, record.digest
-        return evolve(addressed, state=without_record(write.state), record=record.digest), record.digest
+        return evolve(addressed, state=strip_record(write.state), record=record.digest), record.digest
 
     def _voter(self, name: str | None) -> Voter | None:
         view = self.member.view
@@ -159,7 +166,7 @@
     def read_record(self, message: ReadRecord) -> RecordChunk:
         """A part of a document and history that are held here."""
         view = self.member.view
-        if view is None or _differ(message.cluster, view.cluster):
+        if view is None or _conflict(message.cluster, view.cluster):
             self.refused["record: another cluster"] += 1
             return read_chunk(None, message.offset)
         if message.digest:
@@ -174,7 +181,7 @@
 
     async def _save(self, write: ChainWrite) -> bool:
         """Have a whole state on disk; it is not written again if it stands there already."""
-        if self.member.holds(write):
+        if self.member.has_saved(write):
             return True
         try:
             await self._store.save(write.epoch, write.state)
@@ -184,6 +191,6 @@
         return True
 
 
-def _differ(said: str, known: str) -> bool:
+def _conflict(said: str, known: str) -> bool:
     """Whether two marks contradict each other; an empty one says nothing."""
     return bool(said) and bool(known) and said != known
--- a/hollowusher/coordination/chain/record_fetch.py
+++ b/hollowusher/coordination/chain/record_fetcher.py
@@ -15,19 +15,19 @@
 
 from hollowusher.coordination.chain.state_record import (
     CHUNK_BYTES,
-    MOST_RECORD_BYTES,
+    MAX_RECORD_BYTES,
     StateRecord,
-    read_record,
+    decode_record,
 )
-from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S, StateStore
+from hollowusher.coordination.chain.state_store import MIN_THROUGHPUT_BYTES_PER_S, StateStore
 from hollowusher.protocol.codec import DecodeError
 from hollowusher.protocol.control_chain import ReadRecord, RecordChunk
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import PeerError, Transport
 
-CHUNK_TIMEOUT_S = 0.4 + CHUNK_BYTES / SLOWEST_BYTES_PER_S
+CHUNK_TIMEOUT_S = 0.4 + CHUNK_BYTES / MIN_THROUGHPUT_BYTES_PER_S
 SAVE_RETRY_S = 1.0
-MOST_FAILURES = 3  # in a row; then the fetch ends until it is wanted again
+MAX_CONSECUTIVE_FAILURES = 3  # in a row; then the fetch ends until it is wanted again
 
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
@@ -46,7 +46,7 @@
         return len(self._data)
 
     @property
-    def full(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether as many bytes are there as the record has."""
         return self._size is not None and len(self._data) == self._size
 
@@ -54,7 +54,7 @@
         """Add the next chunk; the reason why it is not taken, empty where it is."""
         if chunk.digest != self.digest:
             return "not held"
-        if not 0 < chunk.size <= MOST_RECORD_BYTES or self._size not in (None, chunk.size):
+        if not 0 < chunk.size <= MAX_RECORD_BYTES or self._size not in (None, chunk.size):
             return "wrong size"
         if chunk.offset != self.offset or not 0 < len(chunk.data) <= chunk.size - self.offset:
             return "cut short"
@@ -66,7 +66,7 @@
         """The whole record, None where it is not what its digest says: then all of it is dropped."""
         encoded = bytes(self._data)
         try:
-            record = read_record(encoded)
+            record = decode_record(encoded)
         except (DecodeError, TypeError, ValueError):
             record = None
         if record is None or record.digest != self.digest:
@@ -76,7 +76,7 @@
         return record
 
 
-class RecordFetch:
+class RecordFetcher:
     """Brings one record at a time to this controller's disk.  `counts` tells what was refused, and why."""
 
     def __init__(self, transport: Transport, store: StateStore, spawn: Spawn, counts: Counter[str]) -> None:
@@ -90,7 +90,7 @@
         self._running = False
         self._save_failed_at: float | None = None
 
-    def want(self, digest: bytes, source: str, cluster: str) -> None:
+    def fetch(self, digest: bytes, source: str, cluster: str) -> None:
         """Fetch this record from the controller at `source`, in place of any other one."""
         if self._buffer is None or self._buffer.digest != digest:
             self._buffer = RecordBuffer(digest)
@@ -107,44 +107,44 @@
     async def _run(self) -> None:
         try:
             failures = 0
-            while self._buffer is not None and failures < MOST_FAILURES:
+            while self._buffer is not None and failures < MAX_CONSECUTIVE_FAILURES:
                 buffer = self._buffer
-                if buffer.full:
+                if buffer.is_complete:
                     if not await self._finish(buffer):
                         return
                 else:
-                    failures = 0 if await self._get_chunk(buffer) else failures + 1
+                    failures = 0 if await self._fetch_chunk(buffer) else failures + 1
         finally:
             self._running = False
 
-    async def _get_chunk(self, buffer: RecordBuffer) -> bool:
+    async def _fetch_chunk(self, buffer: RecordBuffer) -> bool:
         """Ask for the next chunk; whether it came."""
         question = ReadRecord(buffer.digest, buffer.offset, self._cluster)
         try:
             answer = await self._transport.call(self._source, question, CHUNK_TIMEOUT_S)
         except PeerError:
-            return self._refuse("no answer")
+            return self._count_failure("no answer")
         if not isinstance(answer, RecordChunk):
-            return self._refuse("no chunk")
+            return self._count_failure("no chunk")
         refused = buffer.take(answer)
-        return self._refuse(refused) if refused else True
+        return self._count_failure(refused) if refused else True
 
     async def _finish(self, buffer: RecordBuffer) -> bool:
         """Check and save the whole record; whether that is done."""
         record = buffer.finish()
         if record is None:
-            return self._refuse("wrong digest")
+            return self._count_failure("wrong digest")
         try:
             await self._store.save_record(record)
         except StorageError:
             self._save_failed_at = asyncio.get_running_loop().time()
-            return self._refuse("not saved")
+            return self._count_failure("not saved")
         self._save_failed_at = None
         if self._buffer is buffer:
             self._buffer = None
         return True
 
-    def _refuse(self, reason: str) -> bool:
+    def _count_failure(self, reason: str) -> bool:
         self._counts[f"record: {reason}"] += 1
         return False
 
--- a/hollowusher/coordination/chain/state_record.py
+++ b/hollowusher/coordination/chain/state_record.py
@@ -15,10 +15,10 @@
 from hollowusher.protocol.control_chain import ControlState
 
 DIGEST_BYTES = 16
-EMBEDDED_BYTES = 16 * 1024  # a record up to this size is saved together with the state
-INLINE_BYTES = 256 * 1024  # a record up to this size travels inside a `ChainWrite`
+MAX_EMBEDDED_BYTES = 16 * 1024  # a record up to this size is saved together with the state
+MAX_INLINE_BYTES = 256 * 1024  # a record up to this size travels inside a `ChainWrite`
 CHUNK_BYTES = 256 * 1024  # the most that one `RecordChunk` carries
-MOST_RECORD_BYTES = 16 * 1024 * 1024  # a document of 8 MB and the longest history, with room to spare
+MAX_RECORD_BYTES = 16 * 1024 * 1024  # a document of 8 MB and the longest history, with room to spare
 
 
 @attrs.frozen(eq=False)
@@ -42,20 +42,20 @@
 def make_record(state: ControlState) -> StateRecord:
     """The record of a state."""
     encoded = encode([state.document, state.history])
-    return StateRecord(record_digest(encoded), encoded, state.document, state.history)
+    return StateRecord(compute_digest(encoded), encoded, state.document, state.history)
 
 
-def read_record(encoded: bytes) -> StateRecord:
+def decode_record(encoded: bytes) -> StateRecord:
     """The record of such bytes; `DecodeError` for others."""
     document, history = decode(encoded)
-    return StateRecord(record_digest(encoded), encoded, document, history)
+    return StateRecord(compute_digest(encoded), encoded, document, history)
 
 
-def record_digest(encoded: bytes) -> bytes:
+def compute_digest(encoded: bytes) -> bytes:
     """What a record is known by."""
     return hashlib.blake2b(encoded, digest_size=DIGEST_BYTES).digest()
 
 
-def without_record(state: ControlState) -> ControlState:
+def strip_record(state: ControlState) -> ControlState:
     """The state without its document and history."""
     return evolve(state, document=b"", history=[])
--- a/hollowusher/coordination/chain/state_store.py
+++ b/hollowusher/coordination/chain/state_store.py
@@ -14,19 +14,21 @@
 
 from hollowusher.coordination.chain.chain_member import EMPTY_STATE
 from hollowusher.coordination.chain.state_record import (
-    EMBEDDED_BYTES,
+    MAX_EMBEDDED_BYTES,
     StateRecord,
+    decode_record,
     make_record,
-    read_record,
-    without_record,
+    strip_record,
 )
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.storage.interface import Slot, StorageError
 
-SLOWEST_BYTES_PER_S = 1_000_000  # slowest link and disk that a large state is to get through in its time
+MIN_THROUGHPUT_BYTES_PER_S = (
+    1_000_000  # slowest link and disk that a large state is to get through in its time
+)
 STALLED_AFTER_S = 0.8
-FAILED_COUNTS_S = 2.0  # after a save that failed, the others do without this member for so long
+FAILURE_PENALTY_S = 2.0  # after a save that failed, the others do without this member for so long
 
 
 @attrs.frozen
@@ -48,18 +50,20 @@
         self._records: list[StateRecord | None] = [None] * len(self._record_slots)  # durable, by slot
         self._current: StateRecord | None = None  # of the durable state, where it is held in memory
         self._state_bytes: bytes | None = None  # the durable state, as it was saved
-        self._named: bytes = b""  # the digest that the durable state names
-        self._unsure = False  # a save of the state has failed: either state may be found after a crash
+        self._referenced_digest: bytes = b""  # the digest that the durable state names
+        self._save_outcome_unknown = (
+            False  # a save of the state has failed: either state may be found after a crash
+        )
         self._lock = asyncio.Lock()
-        self._busy_since: float | None = None  # the save under way
-        self._busy_bytes = 0
+        self._saving_since: float | None = None  # the save under way
+        self._saving_bytes = 0
         self._failed_at: float | None = None
 
     def load(self) -> SavedState | None:
         """The state saved last, None where there is none."""
         for place, slot in enumerate(self._record_slots):
             encoded = slot.load()
-            self._records[place] = read_record(encoded) if encoded is not None else None
+            self._records[place] = decode_record(encoded) if encoded is not None else None
         self._state_bytes = self._state_slot.load()
         if self._state_bytes is None:
             return None
@@ -67,8 +71,8 @@
         if not named:
             self._current = make_record(state)
             return SavedState(epoch, state)
-        self._named = named[0]
-        record = self.record(self._named)
+        self._referenced_digest = named[0]
+        record = self.record(self._referenced_digest)
         if record is None:
             return SavedState(epoch, state, whole=False)
         self._current = record
@@ -96,16 +100,16 @@
         """Replace the state durably; its record first, where that is large and not durable yet."""
         async with self._lock:
             record = self.record_of(state)
-            if len(record.encoded) <= EMBEDDED_BYTES:
+            if len(record.encoded) <= MAX_EMBEDDED_BYTES:
                 named = b""
                 saved = encode([epoch, state])
             else:
                 await self._save_record(record)
                 named = record.digest
-                saved = encode([epoch, without_record(state), named])
+                saved = encode([epoch, strip_record(state), named])
             await self._save_state(saved)
             self._current = record
-            self._named = named
+            self._referenced_digest = named
 
     async def save_record(self, record: StateRecord) -> None:
         """Hold a record durably that no saved state names yet."""
@@ -115,40 +119,40 @@
     async def _save_record(self, record: StateRecord) -> None:
         if self.is_durable(record.digest):
             return
-        if self._unsure:  # save the known state again: then no state names the other record
+        if self._save_outcome_unknown:  # save the known state again: then no state names the other record
             await self._save_state(self._state_bytes or encode([0, EMPTY_STATE]))
-        place = self._free_place()
+        place = self._free_slot()
         self._records[place] = None
         await self._save(self._record_slots[place], record.encoded)
         self._records[place] = record
 
-    def _free_place(self) -> int:
+    def _free_slot(self) -> int:
         """The slot whose record the durable state does not name."""
         for place, record in enumerate(self._records):
-            if record is None or not self._named or record.digest != self._named:
+            if record is None or not self._referenced_digest or record.digest != self._referenced_digest:
                 return place
         raise AssertionError("both slots hold the record of the durable state")
 
     async def _save_state(self, saved: bytes) -> None:
-        self._unsure = True
+        self._save_outcome_unknown = True
         await self._save(self._state_slot, saved)
-        self._unsure = False
+        self._save_outcome_unknown = False
         self._state_bytes = saved
 
     async def _save(self, slot: Slot, value: bytes) -> None:
-        self._busy_since = asyncio.get_running_loop().time()
-        self._busy_bytes = len(value)
+        self._saving_since = asyncio.get_running_loop().time()
+        self._saving_bytes = len(value)
         try:
             await slot.save(value)
         except StorageError:
             self._failed_at = asyncio.get_running_loop().time()
             raise
         finally:
-            self._busy_since = None
+            self._saving_since = None
 
     def stalled(self, now: float) -> bool:
         """Whether the disk has been busy with one save for too long, or has just failed to take one."""
-        if self._failed_at is not None and now - self._failed_at < FAILED_COUNTS_S:
+        if self._failed_at is not None and now - self._failed_at < FAILURE_PENALTY_S:
             return True
-        allowed = STALLED_AFTER_S + self._busy_bytes / SLOWEST_BYTES_PER_S
-        return self._busy_since is not None and now - self._busy_since > allowed
+        allowed = STALLED_AFTER_S + self._saving_bytes / MIN_THROUGHPUT_BYTES_PER_S
+        return self._saving_since is not None and now - self._saving_since > allowed
--- a/hollowusher/coordination/consensus/bootstrap.py
+++ b/hollowusher/coordination/consensus/bootstrap.py
@@ -16,23 +16,23 @@
 import attrs
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.consensus.paxos import first_view, majority, same_cluster, voter_id
-from hollowusher.coordination.consensus.voter_set import choose_voters, voters_wanted
+from hollowusher.coordination.consensus.paxos import first_view, is_same_cluster, quorum_size, voter_id
+from hollowusher.coordination.consensus.voter_set import choose_voters, required_voters
 from hollowusher.protocol.consensus import Decided, FirstTaken, ProposeFirst
 from hollowusher.protocol.view import Announce, OfferView, ReadView, View, ViewAnswer, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 GATHER_S = 1.5
-LONGEST_GATHER_S = 4.0  # while fewer than `USUAL_CONTROLLERS` have announced themselves
-USUAL_CONTROLLERS = 3
+MAX_GATHER_S = 4.0  # while fewer than `EXPECTED_CONTROLLERS` have announced themselves
+EXPECTED_CONTROLLERS = 3
 SEED_STAGGER_S = 1.0
-ASK_TIMEOUT_S = 0.4
+QUERY_TIMEOUT_S = 0.4
 RETRY_S = 0.3
 CLUSTER_NAME_BYTES = 8
 
 
 @attrs.frozen
-class FirstOutcome:
+class FirstViewOutcome:
     """What the proposed voters answered."""
 
     decided: View | None
@@ -50,28 +50,28 @@
     return [answer for answer in answers if not isinstance(answer, BaseException)]
 
 
-async def read_view(transport: Transport, addresses: Iterable[str]) -> View | None:
+async def fetch_newest_view(transport: Transport, addresses: Iterable[str]) -> View | None:
     """The newest decided view known at these addresses."""
-    answers = await call_all(transport, addresses, ReadView(), ASK_TIMEOUT_S)
+    answers = await call_all(transport, addresses, ReadView(), QUERY_TIMEOUT_S)
     views = [answer.view for answer in answers if isinstance(answer, ViewAnswer) and answer.view is not None]
     return max(views, key=lambda view: view.epoch, default=None)
 
 
-async def propose_first(transport: Transport, view: View) -> FirstOutcome:
+async def propose_first_view(transport: Transport, view: View) -> FirstViewOutcome:
     """Offer a first view to its voters."""
     addresses = [voter.address for voter in view.voters]
-    answers = await call_all(transport, addresses, ProposeFirst(view), ASK_TIMEOUT_S)
+    answers = await call_all(transport, addresses, ProposeFirst(view), QUERY_TIMEOUT_S)
     taken = [answer for answer in answers if isinstance(answer, FirstTaken)]
     known = [answer.decided for answer in taken if answer.decided is not None]
     if known:
-        return FirstOutcome(max(known, key=lambda decided: decided.epoch), None)
+        return FirstViewOutcome(max(known, key=lambda decided: decided.epoch), None)
     held = [answer.taken for answer in taken if answer.taken is not None]
-    if sum(1 for other in held if other == view) >= majority(view):
-        return FirstOutcome(view, None)
-    return FirstOutcome(None, _most_held(held))
+    if sum(1 for other in held if other == view) >= quorum_size(view):
+        return FirstViewOutcome(view, None)
+    return FirstViewOutcome(None, _most_accepted(held))
 
 
-def _most_held(views: list[View]) -> View | None:
+def _most_accepted(views: list[View]) -> View | None:
     """The view that most hold; among equals the one whose voters' names come first."""
     counts = Counter(tuple(view.chain) for view in views)
     ordered = sorted(views, key=lambda view: (-counts[tuple(view.chain)], view.chain))
@@ -98,7 +98,7 @@
     ) -> None:
         self._settings = settings
         self._on_view = on_view  # called with each newer view that others brought
-        self.foreign = 0  # views and announcements of another cluster: not taken
+        self.foreign_rejections = 0  # views and announcements of another cluster: not taken
         self._transport = transport
         self._announced: dict[str, Voter] = {}
         self._task: asyncio.Task[None] | None = None
@@ -118,8 +118,8 @@
 
     def learn(self, view: View) -> None:
         """Take a decided view; one of another cluster never replaces the known one, nor does an older one."""
-        if self.view is not None and not same_cluster(self.view.cluster, view.cluster):
-            self.foreign += 1
+        if self.view is not None and not is_same_cluster(self.view.cluster, view.cluster):
+            self.foreign_rejections += 1
         elif self.view is None or view.epoch > self.view.epoch:
             self.view = view
             self._on_view(view)
@@ -145,7 +145,7 @@
         offered: View | None = None
         while self.view is None:
             others = {voter.address for voter in self._announced.values()} | set(seeds)
-            existing = await read_view(self._transport, sorted(others - {self._transport.address}))
+            existing = await fetch_newest_view(self._transport, sorted(others - {self._transport.address}))
             if existing is not None:
                 self.learn(existing)
                 return
@@ -157,7 +157,7 @@
 
     def _first_view(self) -> View:
         """View 1 of as many of those announced as vote; the rest are spares."""
-        wanted = voters_wanted(self._settings.fault_tolerance.machines)
+        wanted = required_voters(self._settings.fault_tolerance.machines)
         voters = choose_voters(self._announced.values(), wanted)
         return first_view(voters, cluster_name(voters))
 
@@ -166,14 +166,14 @@
         started = loop.time()
         while self.view is None:
             waited = loop.time() - started
-            enough = len(self._announced) >= USUAL_CONTROLLERS
-            if waited >= LONGEST_GATHER_S or (enough and waited >= GATHER_S):
+            enough = len(self._announced) >= EXPECTED_CONTROLLERS
+            if waited >= MAX_GATHER_S or (enough and waited >= GATHER_S):
                 return
             await asyncio.sleep(GATHER_S / 10)
 
     async def _offer(self, view: View) -> View:
         """Offer a view; the one to be offered next."""
-        outcome = await propose_first(self._transport, view)
+        outcome = await propose_first_view(self._transport, view)
         if outcome.decided is not None:
             self.learn(outcome.decided)
             addresses = {voter.address for voter in [*outcome.decided.voters, *self._announced.values()]}
--- a/hollowusher/coordination/consensus/monitored_slot.py
+++ b/hollowusher/coordination/consensus/monitored_slot.py
@@ -10,7 +10,7 @@
 STALLED_AFTER_S = 0.8
 
 
-class WatchedSlot:
+class MonitoredSlot:
     """A `Slot` around another one."""
 
     def __init__(self, slot: Slot) -> None:
--- a/hollowusher/coordination/consensus/paxos.py
+++ b/hollowusher/coordination/consensus/paxos.py
@@ -18,14 +18,14 @@
 FIRST_EPOCH = 1
 
 
-def majority(view: View) -> int:
+def quorum_size(view: View) -> int:
     """How many voters decide."""
     return len(view.voters) // 2 + 1
 
 
-def shortest_chain(view: View) -> int:
+def min_chain_length(view: View) -> int:
     """The least chain length: any majority of the voters then holds a chain member."""
-    return len(view.voters) - majority(view) + 1
+    return len(view.voters) - quorum_size(view) + 1
 
 
 def find_voter(view: View, name: str) -> Voter | None:
@@ -46,7 +46,7 @@
     return View(FIRST_EPOCH, ordered, names, dict.fromkeys(names, FIRST_EPOCH), cluster)
 
 
-def same_cluster(one: str, other: str) -> bool:
+def is_same_cluster(one: str, other: str) -> bool:
     """Whether two cluster names may be those of one system; data of older processes has none."""
     return one == other or not one or not other
 
@@ -66,14 +66,14 @@
         self.promised = NO_BALLOT
         self.accepted_ballot = NO_BALLOT
         self.accepted: View | None = None  # of the epoch after `decided`
-        self.foreign = 0  # messages of another cluster, or meant for another voter: refused
+        self.foreign_rejections = 0  # messages of another cluster, or meant for another voter: refused
         if saved is not None:
             self._load(saved)
 
     def _load(self, saved: bytes) -> None:
         self.decided, promised, accepted_ballot, self.accepted = decode(saved)
-        self.promised = as_ballot(promised)
-        self.accepted_ballot = as_ballot(accepted_ballot)
+        self.promised = decode_ballot(promised)
+        self.accepted_ballot = decode_ballot(accepted_ballot)
 
     def dump(self) -> bytes:
         """What is to be saved."""
@@ -89,7 +89,7 @@
         """What it has promised and accepted."""
         return self.promised, self.accepted_ballot, self.accepted
 
-    def votes(self, epoch: int) -> bool:
+    def may_vote(self, epoch: int) -> bool:
         """Whether it may vote on the view of this epoch."""
         decided = self.decided
         return (
@@ -98,17 +98,17 @@
 
     def confirms(self, epoch: int) -> bool:
         """Whether it votes in view `epoch` and has accepted no later one."""
-        return self.epoch == epoch and self.accepted is None and self.votes(epoch + 1)
+        return self.epoch == epoch and self.accepted is None and self.may_vote(epoch + 1)
 
     def confirm(self, message: ConfirmEpoch) -> bool:
         """The answer to another voter's question whether its view is still the newest."""
-        if not self._meant_for_it(message.voter) or not self._of_its_cluster(message.cluster):
+        if not self._is_addressee(message.voter) or not self._is_of_own_cluster(message.cluster):
             return False
         return self.confirms(message.epoch)
 
     def learn(self, view: View) -> bool:
         """Take a decided view; whether it is a newer one."""
-        if not self._fits(view) or view.epoch <= self.epoch:
+        if not self._is_compatible(view) or view.epoch <= self.epoch:
             return False
         self.decided = view
         self.promised = NO_BALLOT
@@ -116,7 +116,7 @@
         self.accepted = None
         return True
 
-    def take_first(self, view: View) -> View | None:
+    def accept_first_view(self, view: View) -> View | None:
         """Hold the first proposed view 1 and return the one held; None where view 1 is long decided."""
         if self.decided is not None:
             return None
@@ -126,53 +126,53 @@
 
     def prepare(self, message: Prepare) -> Promise:
         """First phase; the base view that comes along has been learned before."""
-        if not self._meant_for_it(message.voter) or not self._fits(message.base):
+        if not self._is_addressee(message.voter) or not self._is_compatible(message.base):
             return Promise(False, list(self.promised))
-        ballot = as_ballot(message.ballot)
-        if not self.votes(message.epoch) or ballot < self.promised:
-            return Promise(False, list(self.promised), decided=self._newer(message.epoch))
+        ballot = decode_ballot(message.ballot)
+        if not self.may_vote(message.epoch) or ballot < self.promised:
+            return Promise(False, list(self.promised), decided=self._decided_since(message.epoch))
         self.promised = ballot
         accepted_ballot = list(self.accepted_ballot) if self.accepted is not None else None
         return Promise(True, list(ballot), accepted_ballot, self.accepted)
 
     def accept(self, message: Accept) -> Accepted:
         """Second phase."""
-        if not self._meant_for_it(message.voter) or not self._fits(message.view):
+        if not self._is_addressee(message.voter) or not self._is_compatible(message.view):
             return Accepted(False, list(self.promised))
-        ballot = as_ballot(message.ballot)
+        ballot = decode_ballot(message.ballot)
         follows = message.view.epoch == message.epoch
-        if not follows or not self.votes(message.epoch) or ballot < self.promised:
-            return Accepted(False, list(self.promised), self._newer(message.epoch))
+        if not follows or not self.may_vote(message.epoch) or ballot < self.promised:
+            return Accepted(False, list(self.promised), self._decided_since(message.epoch))
         self.promised = ballot
         self.accepted_ballot = ballot
         self.accepted = message.view
         return Accepted(True, list(ballot))
 
-    def _meant_for_it(self, addressee: str) -> bool:
+    def _is_addressee(self, addressee: str) -> bool:
         """Whether a message was sent to this voter; older processes do not name the addressee."""
         if addressee in ("", f"{self.name}/{self.disk_id}"):
             return True
-        self.foreign += 1
+        self.foreign_rejections += 1
         return False
 
-    def _of_its_cluster(self, cluster: str) -> bool:
-        if self.decided is None or same_cluster(self.decided.cluster, cluster):
+    def _is_of_own_cluster(self, cluster: str) -> bool:
+        if self.decided is None or is_same_cluster(self.decided.cluster, cluster):
             return True
-        self.foreign += 1
+        self.foreign_rejections += 1
         return False
 
-    def _fits(self, view: View | None) -> bool:
+    def _is_compatible(self, view: View | None) -> bool:
         """Whether a view is of the own cluster; two decided views of one epoch cannot be of one cluster."""
         if view is None or self.decided is None:
             return True
-        if not self._of_its_cluster(view.cluster):
+        if not self._is_of_own_cluster(view.cluster):
             return False
         if view.epoch == self.epoch and view != self.decided:
-            self.foreign += 1
+            self.foreign_rejections += 1
             return False
         return True
 
-    def _newer(self, epoch: int) -> View | None:
+    def _decided_since(self, epoch: int) -> View | None:
         return self.decided if self.epoch >= epoch else None
 
 
@@ -191,7 +191,7 @@
     @property
     def promised(self) -> bool:
         """Whether a majority has promised: from then on the value stands."""
-        return len(self._promises) >= majority(self.base)
+        return len(self._promises) >= quorum_size(self.base)
 
     def prepare(self, voter: Voter | None = None) -> Prepare:
         """What a voter of the base view is asked first."""
@@ -205,8 +205,8 @@
 
     def on_promise(self, voter: str, answer: Promise) -> bool:
         """Take an answer; True once, when a majority has promised."""
-        self._note(answer.ballot, answer.decided)
-        if not answer.granted or as_ballot(answer.ballot) != self.ballot or self.promised:
+        self._observe(answer.ballot, answer.decided)
+        if not answer.granted or decode_ballot(answer.ballot) != self.ballot or self.promised:
             return False
         self._promises[voter] = answer
         if not self.promised:
@@ -216,11 +216,11 @@
 
     def on_accepted(self, voter: str, answer: Accepted) -> bool:
         """Take an answer; True once the value is decided."""
-        self._note(answer.ballot, answer.decided)
-        if not answer.granted or as_ballot(answer.ballot) != self.ballot:
+        self._observe(answer.ballot, answer.decided)
+        if not answer.granted or decode_ballot(answer.ballot) != self.ballot:
             return False
         self._acceptances.add(voter)
-        if len(self._acceptances) < majority(self.base):
+        if len(self._acceptances) < quorum_size(self.base):
             return False
         self.decided = self.value
         return True
@@ -229,18 +229,18 @@
         """A value that may have been decided already goes before the wanted one."""
         best = NO_BALLOT
         for promise in self._promises.values():
-            ballot = as_ballot(promise.accepted_ballot or NO_BALLOT)
+            ballot = decode_ballot(promise.accepted_ballot or NO_BALLOT)
             if promise.accepted is not None and ballot > best:
                 best = ballot
                 self.value = promise.accepted
 
-    def _note(self, ballot: Iterable[object], decided: View | None) -> None:
-        self.highest_round = max(self.highest_round, as_ballot(ballot)[0])
+    def _observe(self, ballot: Iterable[object], decided: View | None) -> None:
+        self.highest_round = max(self.highest_round, decode_ballot(ballot)[0])
         if decided is not None and decided.epoch > self.base.epoch:
             self.decided = decided
 
 
-def as_ballot(value: Iterable[object]) -> Ballot:
+def decode_ballot(value: Iterable[object]) -> Ballot:
     """A ballot from its form on the wire."""
     number, name = value
     return int(str(number)), str(name)
--- a/hollowusher/coordination/consensus/reconfiguration.py
+++ b/hollowusher/coordination/consensus/reconfiguration.py
@@ -9,13 +9,13 @@
 
 import attrs
 
-from hollowusher.coordination.consensus.paxos import find_voter, majority, shortest_chain
+from hollowusher.coordination.consensus.paxos import find_voter, min_chain_length, quorum_size
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Pong
 from hollowusher.protocol.view import View, Voter
 
 SUSPECT_AFTER_S = 1.2
-REFUSALS_OF_A_DEAD_PROCESS = 2
+DEAD_AFTER_REFUSALS = 2
 PROPOSAL_STAGGER_S = 0.3
 
 
@@ -62,7 +62,7 @@
             if not pong.stalled:
                 peer.last_well = now
 
-    def other_disk(self, name: str) -> None:
+    def on_disk_replaced(self, name: str) -> None:
         """At the voter's address its name answers with another disk: the one that votes is lost."""
         peer = self._peers.get(name)
         if peer is not None:
@@ -79,7 +79,7 @@
         pong = self.pong(name)
         return pong is not None and pong.leaving
 
-    def unwell_for(self, name: str, now: float) -> float:
+    def seconds_since_healthy(self, name: str, now: float) -> float:
         """Seconds since a voter last answered with its disk working."""
         peer = self._peers.get(name)
         return now - peer.last_well if peer is not None else 0.0
@@ -97,13 +97,13 @@
         if peer is not None:
             peer.avoid_until = until
 
-    def dead(self, name: str, now: float) -> bool:
+    def is_dead(self, name: str, now: float) -> bool:
         """Whether a voter is not there: it can neither vote nor be in the chain."""
         peer = self._peers.get(name)
         if peer is None:
             return False
         silent = now - peer.last_sign > SUSPECT_AFTER_S
-        refused = peer.refusals >= REFUSALS_OF_A_DEAD_PROCESS and now - self._started > SUSPECT_AFTER_S
+        refused = peer.refusals >= DEAD_AFTER_REFUSALS and now - self._started > SUSPECT_AFTER_S
         stalled = peer.pong is not None and peer.pong.stalled
         return silent or refused or stalled or peer.disk_lost
 
@@ -113,21 +113,21 @@
         peer = self._peers.get(name)
         return peer is not None and now < peer.avoid_until
 
-    def hears(self, name: str, now: float) -> bool:
+    def is_reachable(self, name: str, now: float) -> bool:
         """Whether a voter has answered lately."""
         if name == self.name:
             return True
         peer = self._peers.get(name)
-        return peer is not None and peer.pong is not None and not self.dead(name, now)
+        return peer is not None and peer.pong is not None and not self.is_dead(name, now)
 
     def heard(self, now: float) -> list[str]:
         """The other voters that have answered lately."""
-        return [name for name in self._peers if self.hears(name, now)]
+        return [name for name in self._peers if self.is_reachable(name, now)]
 
-    def hears_majority(self, view: View, now: float) -> bool:
+    def has_quorum(self, view: View, now: float) -> bool:
         """Whether the voters that are there, this one included, can decide."""
-        present = [voter for voter in view.voters if self.hears(voter.name, now)]
-        return len(present) >= majority(view)
+        present = [voter for voter in view.voters if self.is_reachable(voter.name, now)]
+        return len(present) >= quorum_size(view)
 
     def pong(self, name: str) -> Pong | None:
         """The newest answer of a voter."""
@@ -136,20 +136,22 @@
 
 
 @attrs.frozen
-class Presence:
+class LivenessSnapshot:
     """What the proposer of a view knows of the voters, itself included."""
 
     alive: frozenset[str]
     complete: frozenset[str]  # chain members that hold every committed state
     heard: Mapping[str, frozenset[str]]  # whom each of them hears
-    spared: frozenset[str] = frozenset()  # there too, but to be left out if the others are enough
+    avoided_members: frozenset[str] = frozenset()  # there too, but to be left out if the others are enough
 
-    def linked(self, one: str, other: str) -> bool:
+    def are_connected(self, one: str, other: str) -> bool:
         """Whether two of them hear each other."""
         return other in self.heard.get(one, ()) and one in self.heard.get(other, ())
 
 
-def presence(health: VoterHealth, view: View, self_complete: bool, now: float) -> Presence:
+def take_liveness_snapshot(
+    health: VoterHealth, view: View, self_complete: bool, now: float
+) -> LivenessSnapshot:
     """The presence as one voter sees it."""
     alive = {health.name}
     complete = {health.name} if self_complete else set()
@@ -157,17 +159,17 @@
     spared: set[str] = set()
     for voter in view.voters:
         pong = health.pong(voter.name)
-        if pong is None or not health.hears(voter.name, now):
+        if pong is None or not health.is_reachable(voter.name, now):
             continue
         leave_out = pong.leaving or health.avoided(voter.name, now)
         (spared if leave_out else alive).add(voter.name)
         if pong.complete and pong.epoch == view.epoch:
             complete.add(voter.name)
         heard[voter.name] = frozenset(pong.heard)
-    return Presence(frozenset(alive), frozenset(complete), heard, frozenset(spared))
+    return LivenessSnapshot(frozenset(alive), frozenset(complete), heard, frozenset(spared))
 
 
-def plan_chain(view: View, present: Presence, leave: str = "") -> View | None:
+def plan_chain(view: View, present: LivenessSnapshot, leave: str = "") -> View | None:
     """The next view with the same voters whose chain is of those that are there: first the members that hold
     every committed state, in their order, last those that join.  None where that is the present chain, or
     where no chain would be safe.
@@ -175,21 +177,21 @@
     A member that is there is left out, because it leaves or its neighbour does not reach it, only while
     enough of the others hold every committed state: else the next loss might take the last copy, though the
     member that was left out still has one."""
-    planned = _arrange(view, present, present.alive - {leave})
-    if planned is not None and _copies(planned, present) >= shortest_chain(view):
+    planned = _arrange_chain(view, present, present.alive - {leave})
+    if planned is not None and _count_complete_members(planned, present) >= min_chain_length(view):
         return planned
     if leave:
         return None
-    spared = present.spared & set(view.chain)
-    return _arrange(view, present, present.alive | spared) if spared else planned
+    spared = present.avoided_members & set(view.chain)
+    return _arrange_chain(view, present, present.alive | spared) if spared else planned
 
 
-def _copies(view: View, present: Presence) -> int:
+def _count_complete_members(view: View, present: LivenessSnapshot) -> int:
     """How many members of a chain hold every committed state."""
     return sum(name in present.complete for name in view.chain)
 
 
-def _arrange(view: View, present: Presence, members: Collection[str]) -> View | None:
+def _arrange_chain(view: View, present: LivenessSnapshot, members: Collection[str]) -> View | None:
     """The next view with the chain of these voters."""
     kept = [name for name in view.chain if name in members]
     chain = [name for name in kept if name in present.complete]
@@ -197,14 +199,14 @@
     joiners = []
     for voter in view.voters:
         may_join = voter.name in members and voter.name not in view.chain
-        if may_join and chain and present.linked(chain[-1], voter.name):
+        if may_join and chain and present.are_connected(chain[-1], voter.name):
             joiners.append(voter.name)
             chain.append(voter.name)
     if not chain or chain[0] not in present.complete or chain == view.chain:
         return None
-    if len(chain) < shortest_chain(view):
+    if len(chain) < min_chain_length(view):
         return None
-    return evolve(view, epoch=view.epoch + 1, chain=chain, since=_since(view, kept, joiners))
+    return evolve(view, epoch=view.epoch + 1, chain=chain, since=_membership_epochs(view, kept, joiners))
 
 
 def plan_voters(view: View, add: Voter | None, remove: str | None) -> View | None:
@@ -224,24 +226,24 @@
         return None
     chain = [*kept, *joiners]
     planned = evolve(
-        view, epoch=view.epoch + 1, voters=voters, chain=chain, since=_since(view, kept, joiners)
+        view, epoch=view.epoch + 1, voters=voters, chain=chain, since=_membership_epochs(view, kept, joiners)
     )
-    return planned if len(chain) >= shortest_chain(planned) else None
+    return planned if len(chain) >= min_chain_length(planned) else None
 
 
-def _since(view: View, kept: list[str], joiners: list[str]) -> dict[str, int]:
+def _membership_epochs(view: View, kept: list[str], joiners: list[str]) -> dict[str, int]:
     since = {name: view.since.get(name, view.epoch) for name in kept}
     since.update(dict.fromkeys(joiners, view.epoch + 1))
     return since
 
 
-def lost_member(view: View, health: VoterHealth, now: float) -> bool:
+def has_lost_chain_member(view: View, health: VoterHealth, now: float) -> bool:
     """Whether a member of the chain is dead, or to be avoided."""
     others = [name for name in view.chain if name != health.name]
-    return any(health.dead(name, now) or health.avoided(name, now) for name in others)
+    return any(health.is_dead(name, now) or health.avoided(name, now) for name in others)
 
 
-def proposal_rank(view: View, present: Presence, name: str) -> int | None:
+def proposal_rank(view: View, present: LivenessSnapshot, name: str) -> int | None:
     """How many live chain members propose before this one; None for a voter outside the chain."""
     members = [member for member in view.chain if member in present.alive]
     return members.index(name) if name in members else None
--- a/hollowusher/coordination/consensus/view_cache.py
+++ b/hollowusher/coordination/consensus/view_cache.py
@@ -7,23 +7,23 @@
 from contextlib import suppress
 
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
-from hollowusher.coordination.consensus.view_discovery import SOLICITED
+from hollowusher.coordination.consensus.view_discovery import SOLICITED_ORIGIN
 from hollowusher.protocol.codec import DecodeError, decode, encode
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.view import View
 from hollowusher.storage.interface import Slot, StorageError
 
-SPREAD_S = 0.1  # views that follow each other at once are saved as one
+SAVE_DELAY_S = 0.1  # views that follow each other at once are saved as one
 
 
-class ViewKeeper:
+class ViewCache:
     """Loads the view that was kept, and keeps each newer one.  A view may be lost again: it only tells where
     to ask."""
 
     def __init__(self, slot: Slot, state: ClusterState) -> None:
         self._slot = slot
         self._state = state
-        self._newer = asyncio.Event()
+        self._decided_since = asyncio.Event()
 
     def load(self) -> None:
         """Begin with the kept view, if there is one that can be read."""
@@ -32,18 +32,18 @@
             saved = self._slot.load()
             view = decode(saved) if saved is not None else None
         if isinstance(view, View):
-            self._state.apply([Item(VIEW, [view.epoch], SOLICITED, 0, view)], {})
+            self._state.apply([Item(VIEW, [view.epoch], SOLICITED_ORIGIN, 0, view)], {})
         self._state.add_listener(self._on_change)
 
     async def run(self) -> None:
         """Save each newer view; runs until cancelled."""
         while True:
-            await self._newer.wait()
-            await asyncio.sleep(SPREAD_S)
-            self._newer.clear()
+            await self._decided_since.wait()
+            await asyncio.sleep(SAVE_DELAY_S)
+            self._decided_since.clear()
             with suppress(StorageError):
                 await self._slot.save(encode(self._state.view))
 
     def _on_change(self, key: str) -> None:
         if key == VIEW:
-            self._newer.set()
+            self._decided_since.set()
--- a/hollowusher/coordination/consensus/agreement.py
+++ b/hollowusher/coordination/consensus/view_consensus.py
@@ -1,4 +1,4 @@
-"""Runs the agreement on views over the network: carries out what `VotingMachine` says, in its order."""
+"""Runs the agreement on views over the network: carries out what `VoterStateMachine` says, in its order."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from contextlib import suppress
 from typing import Any
 
-from hollowusher.coordination.consensus import voting
-from hollowusher.coordination.consensus.paxos import Acceptor, majority, voter_id
-from hollowusher.coordination.consensus.voting import VotingMachine
+from hollowusher.coordination.consensus import voter_state_machine
+from hollowusher.coordination.consensus.paxos import Acceptor, quorum_size, voter_id
+from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
 from hollowusher.protocol.consensus import (
     Accept,
     Accepted,
@@ -29,10 +29,10 @@
 
 VOTE_TIMEOUT_S = 1.0
 CONFIRM_TIMEOUT_S = 0.4
-MOST_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 0.2
 
 
-class Agreement:
+class ViewConsensus:
     """One controller's share in deciding views.  `on_view` is called with each newer decided view."""
 
     def __init__(
@@ -48,11 +48,11 @@
         self._slot = slot
         self._chance = chance
         self._on_view = on_view
-        self._machine = VotingMachine(me.name, me.disk_id, slot.load())
-        self._askers = itertools.count()
-        self._answers: dict[int, asyncio.Future[Any]] = {}
+        self._machine = VoterStateMachine(me.name, me.disk_id, slot.load())
+        self._request_ids = itertools.count()
+        self._responses: dict[int, asyncio.Future[Any]] = {}
         self._used_epoch = self.acceptor.epoch  # of the newest view that `on_view` has been told of
-        self._learning: list[tuple[int, asyncio.Future[None]]] = []
+        self._waiting_for_view: list[tuple[int, asyncio.Future[None]]] = []
         self._finished: asyncio.Future[bool] | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
 
@@ -69,16 +69,16 @@
     async def learn(self, view: View) -> bool:
         """Take a decided view; whether it was a newer one.  It is in use when this returns."""
         newer = self._machine.learn(view)
-        self._perform()
+        self._execute()
         if self._used_epoch < view.epoch <= self.acceptor.epoch:
             used: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self._learning.append((view.epoch, used))
+            self._waiting_for_view.append((view.epoch, used))
             await used
         return newer
 
-    async def take_first(self, message: ProposeFirst) -> FirstTaken:
+    async def accept_first_view(self, message: ProposeFirst) -> FirstTaken:
         """Hold the first proposed view 1."""
-        answer: FirstTaken = await self._request(self._machine.take_first, message)
+        answer: FirstTaken = await self._request(self._machine.accept_first_view, message)
         return answer
 
     async def prepare(self, message: Prepare) -> Promise:
@@ -101,15 +101,15 @@
         if view is None or view.epoch != epoch:
             return False
         confirmed = {self._me.name} if self.acceptor.confirms(epoch) else set()
-        pending = {self._spawn(self._confirmed_by(voter, view)) for voter in view.voters}
+        pending = {self._start_task(self._confirmed_by(voter, view)) for voter in view.voters}
         loop = asyncio.get_running_loop()
         deadline = loop.time() + CONFIRM_TIMEOUT_S
-        while len(confirmed) < majority(view) and pending and loop.time() < deadline:
+        while len(confirmed) < quorum_size(view) and pending and loop.time() < deadline:
             done, pending = await asyncio.wait(
                 pending, timeout=deadline - loop.time(), return_when=asyncio.FIRST_COMPLETED
             )
             confirmed |= {task.result() for task in done} - {""}
-        return len(confirmed) >= majority(view)
+        return len(confirmed) >= quorum_size(view)
 
     async def propose(self, wanted: Callable[[View], View | None]) -> bool:
         """Try once to have the view `wanted` makes of the present one decided; whether a newer view than
@@ -119,18 +119,18 @@
             return False
         finished: asyncio.Future[bool] = loop.create_future()
         self._finished = finished
-        self._perform()
+        self._execute()
         try:
             while not finished.done():
-                await asyncio.wait({finished}, timeout=self._left(loop.time()))
+                await asyncio.wait({finished}, timeout=self._seconds_left(loop.time()))
                 self._machine.tick(loop.time())
-                self._perform()
+                self._execute()
         finally:
             if not finished.done():  # whoever wanted it has gone
                 self._machine.abandon()
-                self._perform()
+                self._execute()
         if not finished.result():
-            await asyncio.sleep(self._chance.uniform(0.0, MOST_BACKOFF_S))
+            await asyncio.sleep(self._chance.uniform(0.0, MAX_BACKOFF_S))
         return finished.result()
 
     def announce(self, view: View, further: Iterable[Voter] = ()) -> None:
@@ -139,39 +139,39 @@
         for address in sorted(addresses):
             self._transport.send(address, Decided(view))
 
-    def _left(self, now: float) -> float:
+    def _seconds_left(self, now: float) -> float:
         deadline = self._machine.deadline
         return max(0.0, deadline - now) if deadline is not None else 0.0
 
     async def _request(self, take: Callable[[int, Any], None], message: Any) -> Any:
         """Have the machine answer a request; `StorageError` where the disk does not take the vote."""
-        asker = next(self._askers)
+        asker = next(self._request_ids)
         answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._answers[asker] = answer
+        self._responses[asker] = answer
         take(asker, message)
-        self._perform()
+        self._execute()
         return await answer
 
     # -- the machine's outputs ---------------------------------------------------------------------------
 
-    def _perform(self) -> None:
+    def _execute(self) -> None:
         """Carry out what the machine says, in its order."""
-        for output in self._machine.take_outputs():
-            if isinstance(output, voting.Save):
-                self._spawn(self._save(output.value))
-            elif isinstance(output, voting.Answer):
-                self._give_answer(output)
-            elif isinstance(output, voting.Ask):
-                self._spawn(self._ask(output))
-            elif isinstance(output, voting.Learned):
-                self._use(output.view)
-            elif isinstance(output, voting.Announce):
+        for output in self._machine.take_instructions():
+            if isinstance(output, voter_state_machine.SaveAcceptor):
+                self._start_task(self._save(output.value))
+            elif isinstance(output, voter_state_machine.SendResponse):
+                self._deliver_response(output)
+            elif isinstance(output, voter_state_machine.SendRequest):
+                self._start_task(self._query(output))
+            elif isinstance(output, voter_state_machine.InstallView):
+                self._install_view(output.view)
+            elif isinstance(output, voter_state_machine.BroadcastDecision):
                 self.announce(output.view, output.base.voters)
             elif self._finished is not None and not self._finished.done():
                 self._finished.set_result(output.newer)
 
-    def _give_answer(self, answer: voting.Answer) -> None:
-        future = self._answers.pop(answer.asker)
+    def _deliver_response(self, answer: voter_state_machine.SendResponse) -> None:
+        future = self._responses.pop(answer.request_id)
         if future.done():  # whoever asked has gone
             return
         if answer.message is None:
@@ -179,11 +179,11 @@
         else:
             future.set_result(answer.message)
 
-    def _use(self, view: View) -> None:
+    def _install_view(self, view: View) -> None:
         self._used_epoch = view.epoch
         self._on_view(view)
-        used = [future for epoch, future in self._learning if epoch <= view.epoch]
-        self._learning = [entry for entry in self._learning if entry[0] > view.epoch]
+        used = [future for epoch, future in self._waiting_for_view if epoch <= view.epoch]
+        self._waiting_for_view = [entry for entry in self._waiting_for_view if entry[0] > view.epoch]
         for future in used:
             if not future.done():
                 future.set_result(None)
@@ -195,15 +195,15 @@
         except StorageError:
             taken = False
         self._machine.saved(taken, asyncio.get_running_loop().time())
-        self._perform()
+        self._execute()
 
-    async def _ask(self, ask: voting.Ask) -> None:
+    async def _query(self, ask: voter_state_machine.SendRequest) -> None:
         """Ask another voter; None stands for no answer."""
         answer = None
         with suppress(PeerError):
             answer = await self._transport.call(ask.voter.address, ask.message, VOTE_TIMEOUT_S)
         self._machine.answered(ask, answer, asyncio.get_running_loop().time())
-        self._perform()
+        self._execute()
 
     async def _confirmed_by(self, voter: Voter, view: View) -> str:
         """The voter's name if it confirms the epoch, else nothing."""
@@ -216,7 +216,7 @@
             return ""
         return voter.name if isinstance(answer, EpochConfirmed) and answer.ok else ""
 
-    def _spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def _start_task(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/hollowusher/coordination/consensus/view_discovery.py
+++ b/hollowusher/coordination/consensus/view_discovery.py
@@ -8,20 +8,20 @@
 
 from hollowusher.coordination.backoff import Backoff
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
-from hollowusher.coordination.consensus.paxos import same_cluster
+from hollowusher.coordination.consensus.paxos import is_same_cluster
 from hollowusher.coordination.controller_selector import ControllerSelector
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.view import ReadView, View, ViewAnswer
 from hollowusher.transport.interface import PeerError, Transport
 
-ASK_TIMEOUT_S = 0.6
-START_PAUSE_S = 0.03  # of a process that starts: all wait for the same controllers
-MOST_HELPERS = 3  # living members of each role asked for the view besides the seeds and the voters
-SOLICITED = ""  # the origin of items that were asked for and not pulled
+QUERY_TIMEOUT_S = 0.6
+INITIAL_BACKOFF_S = 0.03  # of a process that starts: all wait for the same controllers
+MAX_PEERS_PER_ROLE = 3  # living members of each role asked for the view besides the seeds and the voters
+SOLICITED_ORIGIN = ""  # the origin of items that were asked for and not pulled
 ROLES = ("edge", "store")
 
 
-class ViewFinder:
+class ViewDiscovery:
     """One process's search for views.  `seeds` tells the seeds that the settings name at present."""
 
     def __init__(
@@ -32,7 +32,7 @@
         choice: ControllerSelector,
         chance: random.Random,
     ) -> None:
-        self.foreign = 0  # views of another cluster: not taken
+        self.foreign_rejections = 0  # views of another cluster: not taken
         self._transport = transport
         self._state = state
         self._seeds = seeds
@@ -41,7 +41,7 @@
 
     async def find(self) -> None:
         """Ask for a newer view than the known one; without any, go on until there is one."""
-        backoff = Backoff(self._chance, START_PAUSE_S)
+        backoff = Backoff(self._chance, INITIAL_BACKOFF_S)
         while True:
             await self.ask()
             if self._state.view is not None:
@@ -50,19 +50,19 @@
 
     async def ask(self) -> None:
         """Ask once for a newer view."""
-        await asyncio.gather(*(self._ask_one(address) for address in self._sources()))
+        await asyncio.gather(*(self._query_address(address) for address in self._query_addresses()))
 
     def take(self, view: View) -> None:
         """Use a decided view, unless a newer one is known or it is of another cluster."""
         known = self._state.view
-        if known is not None and not same_cluster(known.cluster, view.cluster):
-            self.foreign += 1
+        if known is not None and not is_same_cluster(known.cluster, view.cluster):
+            self.foreign_rejections += 1
             return
-        self._state.apply([Item(VIEW, [view.epoch], SOLICITED, 0, view)], {})
+        self._state.apply([Item(VIEW, [view.epoch], SOLICITED_ORIGIN, 0, view)], {})
 
-    async def _ask_one(self, address: str) -> None:
+    async def _query_address(self, address: str) -> None:
         try:
-            answer = await self._transport.call(address, ReadView(), ASK_TIMEOUT_S)
+            answer = await self._transport.call(address, ReadView(), QUERY_TIMEOUT_S)
         except PeerError:
             return
         if not isinstance(answer, ViewAnswer):
@@ -71,10 +71,10 @@
         if answer.view is not None:
             self.take(answer.view)
 
-    def _sources(self) -> list[str]:
+    def _query_addresses(self) -> list[str]:
         view = self._state.view
         sources = [*self._seeds(), *(voter.address for voter in view.voters)] if view else self._seeds()
         for role in ROLES:
             members = [member.address for member in self._state.live_members(role)]
-            sources += self._chance.sample(members, min(MOST_HELPERS, len(members)))
+            sources += self._chance.sample(members, min(MAX_PEERS_PER_ROLE, len(members)))
         return [address for address in dict.fromkeys(sources) if address != self._transport.address]
--- a/hollowusher/coordination/consensus/view_publisher.py
+++ b/hollowusher/coordination/consensus/view_publisher.py
@@ -18,9 +18,9 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 OFFER_TIMEOUT_S = 0.6
-FIRST_PAUSE_S = 0.2
-MOST_PAUSE_S = 2.0
-VOTER_REFRESH_S = 2.0  # a seed that has answered is called again after this long
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 2.0
+REFRESH_INTERVAL_S = 2.0  # a seed that has answered is called again after this long
 TICK_S = 0.1
 
 
@@ -33,7 +33,7 @@
     pause: float = 0.0
 
 
-class SeedContacts:
+class SeedSchedule:
     """Which seeds are to be called when.  No I/O, no clock."""
 
     def __init__(self, refresh_s: float) -> None:
@@ -49,11 +49,11 @@
             if now >= seed.next_call or (0 < seed.epoch < epoch and seed.pause == 0.0)
         ]
 
-    def called(self, address: str, now: float) -> None:
-        """A call has begun: no other one until it has ended, or for `MOST_PAUSE_S`."""
+    def on_call_started(self, address: str, now: float) -> None:
+        """A call has begun: no other one until it has ended, or for `MAX_BACKOFF_S`."""
         seed = self._seeds.get(address)
         if seed is not None:
-            seed.next_call = now + MOST_PAUSE_S
+            seed.next_call = now + MAX_BACKOFF_S
 
     def answered(self, address: str, epoch: int, now: float) -> None:
         """A seed has answered with the view of this epoch."""
@@ -63,16 +63,16 @@
             seed.pause = 0.0
             seed.next_call = now + self._refresh_s
 
-    def silent(self, address: str, now: float) -> None:
+    def on_no_answer(self, address: str, now: float) -> None:
         """A seed has not answered, or without a view."""
         seed = self._seeds.get(address)
         if seed is not None:
             seed.epoch = 0
-            seed.pause = min(MOST_PAUSE_S, max(FIRST_PAUSE_S, 1.5 * seed.pause))
+            seed.pause = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 1.5 * seed.pause))
             seed.next_call = now + seed.pause
 
 
-class ViewBearer:
+class ViewPublisher:
     """One process's calls to the seeds.  `seeds` and `view` tell the present ones; `learn` is called with a
     newer view that a seed knows."""
 
@@ -83,14 +83,14 @@
         view: Callable[[], View | None],
         learn: Callable[[View], Awaitable[object]],
         chance: random.Random,
-        refresh_s: float = VOTER_REFRESH_S,
+        refresh_s: float = REFRESH_INTERVAL_S,
     ) -> None:
         self._transport = transport
         self._seeds = seeds
         self._view = view
         self._learn = learn
         self._chance = chance
-        self._contacts = SeedContacts(refresh_s)
+        self._schedule = SeedSchedule(refresh_s)
         self._calls: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
@@ -98,14 +98,14 @@
         while True:
             view = self._view()
             if view is not None:
-                self._call_due(view)
+                self._call_due_seeds(view)
             await asyncio.sleep(TICK_S * self._chance.uniform(0.7, 1.3))
 
-    def _call_due(self, view: View) -> None:
+    def _call_due_seeds(self, view: View) -> None:
         now = _now()
         seeds = [address for address in self._seeds() if address != self._transport.address]
-        for address in self._contacts.due(seeds, view.epoch, now):
-            self._contacts.called(address, now)
+        for address in self._schedule.due(seeds, view.epoch, now):
+            self._schedule.on_call_started(address, now)
             call = asyncio.get_running_loop().create_task(self._offer(address, view))
             self._calls.add(call)  # each ends by itself within its time-out
             call.add_done_callback(self._calls.discard)
@@ -117,9 +117,9 @@
             answer = None
         known = answer.view if isinstance(answer, ViewAnswer) else None
         if known is None or known.epoch < view.epoch:
-            self._contacts.silent(address, _now())
+            self._schedule.on_no_answer(address, _now())
             return
-        self._contacts.answered(address, known.epoch, _now())
+        self._schedule.answered(address, known.epoch, _now())
         if known.epoch > view.epoch:
             await self._learn(known)
 
--- a/hollowusher/coordination/consensus/voting.py
+++ b/hollowusher/coordination/consensus/voter_state_machine.py
@@ -28,23 +28,23 @@
 
 
 @attrs.frozen
-class Save:
-    """To be saved durably; `VotingMachine.saved` is called with the result."""
+class SaveAcceptor:
+    """To be saved durably; `VoterStateMachine.saved` is called with the result."""
 
     value: bytes
 
 
 @attrs.frozen
-class Answer:
-    """The answer to the request `asker`; None where the disk has not taken it: no answer is given."""
+class SendResponse:
+    """The answer to the request `request_id`; None where the disk has not taken it: no answer is given."""
 
-    asker: int
+    request_id: int
     message: Promise | Accepted | FirstTaken | None
 
 
 @attrs.frozen
-class Ask:
-    """To be asked of another voter; `VotingMachine.answered` is called with this and with its answer."""
+class SendRequest:
+    """To be asked of another voter; `VoterStateMachine.answered` is called with this and with its answer."""
 
     voter: Voter
     message: Prepare | Accept
@@ -52,14 +52,14 @@
 
 
 @attrs.frozen
-class Learned:
+class InstallView:
     """A newer decided view is to be used."""
 
     view: View
 
 
 @attrs.frozen
-class Announce:
+class BroadcastDecision:
     """The voters of a decided view and of the one before are to be told of it."""
 
     view: View
@@ -67,13 +67,13 @@
 
 
 @attrs.frozen
-class Finished:
+class EndProposal:
     """The proposal under way has ended; `newer`: a newer view than its base is known."""
 
     newer: bool
 
 
-Output = Save | Answer | Ask | Learned | Announce | Finished
+Instruction = SaveAcceptor | SendResponse | SendRequest | InstallView | BroadcastDecision | EndProposal
 
 
 @attrs.frozen
@@ -84,7 +84,7 @@
     message: Promise | Accepted
 
 
-_Held = Answer | Learned | _OwnVote  # what leaves once the acceptor is on disk
+_Deferred = SendResponse | InstallView | _OwnVote  # what leaves once the acceptor is on disk
 
 
 @attrs.define
@@ -98,16 +98,18 @@
     own_vote: bool = True  # the own vote of this phase waits for the disk
 
 
-class VotingMachine:
+class VoterStateMachine:
     """The acceptor of one controller, its disk, and its proposals.  No I/O, no clock."""
 
     def __init__(self, name: str, disk_id: str, saved: bytes | None = None) -> None:
         self.acceptor = Acceptor(name, disk_id, saved)
         self._name = name
-        self._unsaved = False  # the acceptor has changed since the last save began, or that save has failed
-        self._saving: list[_Held] | None = None  # what leaves with the end of the save under way
-        self._next: list[_Held] = []  # what leaves with the end of the save after it
-        self._outputs: list[Output] = []
+        self._has_unsaved_vote = (
+            False  # the acceptor has changed since the last save began, or that save has failed
+        )
+        self._saving: list[_Deferred] | None = None  # what leaves with the end of the save under way
+        self._next: list[_Deferred] = []  # what leaves with the end of the save after it
+        self._outputs: list[Instruction] = []
         self._now = 0.0
         self._highest_round = 0
         self._proposal: _Proposal | None = None
@@ -118,7 +120,7 @@
         return self._proposal is not None
 
     @property
-    def own_vote_waits(self) -> bool:
+    def has_unsaved_own_vote(self) -> bool:
         """Whether an own promise or acceptance waits for the disk."""
         return any(isinstance(held, _OwnVote) for held in [*(self._saving or ()), *self._next])
 
@@ -127,7 +129,7 @@
         """When the present phase of the proposal under way ends without success."""
         return self._proposal.deadline if self._proposal is not None else None
 
-    def take_outputs(self) -> list[Output]:
+    def take_instructions(self) -> list[Instruction]:
         """What is to be done now, in this order."""
         outputs, self._outputs = self._outputs, []
         return outputs
@@ -139,48 +141,48 @@
         if it has refused: a decided view can be learned again, only votes must not be forgotten."""
         if not self.acceptor.learn(view):
             return False
-        self._unsaved = True
-        self._when_durable(Learned(view))
+        self._has_unsaved_vote = True
+        self._send_when_durable(InstallView(view))
         return True
 
-    def take_first(self, asker: int, message: ProposeFirst) -> None:
+    def accept_first_view(self, asker: int, message: ProposeFirst) -> None:
         """Hold the first proposed view 1."""
         held = self.acceptor.accepted
-        taken = self.acceptor.take_first(message.view)
+        taken = self.acceptor.accept_first_view(message.view)
         if taken is not held:
-            self._unsaved = True
-        self._when_durable(Answer(asker, FirstTaken(taken, self.acceptor.decided)))
+            self._has_unsaved_vote = True
+        self._send_when_durable(SendResponse(asker, FirstTaken(taken, self.acceptor.decided)))
 
     def prepare(self, asker: int, message: Prepare) -> None:
         """Vote in the first phase."""
-        promise = self._promise(message)
-        self._answer(asker, promise, promise.granted)
+        promise = self._handle_prepare(message)
+        self._respond(asker, promise, promise.granted)
 
     def accept(self, asker: int, message: Accept) -> None:
         """Vote in the second phase."""
-        accepted = self._accept(message)
-        self._answer(asker, accepted, accepted.granted)
+        accepted = self._handle_accept(message)
+        self._respond(asker, accepted, accepted.granted)
 
-    def _promise(self, message: Prepare) -> Promise:
+    def _handle_prepare(self, message: Prepare) -> Promise:
         if message.base is not None:
             self.learn(message.base)
         before = self.acceptor.vote
         promise = self.acceptor.prepare(message)
-        self._unsaved = self._unsaved or self.acceptor.vote != before
+        self._has_unsaved_vote = self._has_unsaved_vote or self.acceptor.vote != before
         return promise
 
-    def _accept(self, message: Accept) -> Accepted:
+    def _handle_accept(self, message: Accept) -> Accepted:
         before = self.acceptor.vote
         accepted = self.acceptor.accept(message)
-        self._unsaved = self._unsaved or self.acceptor.vote != before
+        self._has_unsaved_vote = self._has_unsaved_vote or self.acceptor.vote != before
         return accepted
 
-    def _answer(self, asker: int, message: Promise | Accepted, granted: bool) -> None:
+    def _respond(self, asker: int, message: Promise | Accepted, granted: bool) -> None:
         """A refusal tells of nothing that must not be forgotten: it need not wait for the disk."""
         if granted:
-            self._when_durable(Answer(asker, message))
+            self._send_when_durable(SendResponse(asker, message))
         else:
-            self._outputs.append(Answer(asker, message))
+            self._outputs.append(SendResponse(asker, message))
 
     # -- the disk ------------------------------------------------------------------------------------------
 
@@ -190,41 +192,41 @@
         self._now = now
         held, self._saving = self._saving, None
         if not taken:
-            self._unsaved = True
+            self._has_unsaved_vote = True
         for output in held:
             self._release(output, taken)
         if self._next and self._saving is None:
-            self._begin_save()
+            self._start_save()
 
-    def _when_durable(self, output: _Held) -> None:
+    def _send_when_durable(self, output: _Deferred) -> None:
         """Let this leave once the acceptor, as it is now, is on disk."""
-        if self._unsaved:
+        if self._has_unsaved_vote:
             self._next.append(output)
             if self._saving is None:
-                self._begin_save()
+                self._start_save()
         elif self._saving is not None:
             self._saving.append(output)
         else:
             self._release(output, taken=True)
 
-    def _begin_save(self) -> None:
+    def _start_save(self) -> None:
         self._saving, self._next = self._next, []
-        self._unsaved = False
-        self._outputs.append(Save(self.acceptor.dump()))
+        self._has_unsaved_vote = False
+        self._outputs.append(SaveAcceptor(self.acceptor.dump()))
 
-    def _release(self, output: _Held, taken: bool) -> None:
-        if isinstance(output, Learned):
+    def _release(self, output: _Deferred, taken: bool) -> None:
+        if isinstance(output, InstallView):
             self._outputs.append(output)
-        elif isinstance(output, Answer):
-            self._outputs.append(output if taken else Answer(output.asker, None))
+        elif isinstance(output, SendResponse):
+            self._outputs.append(output if taken else SendResponse(output.request_id, None))
         else:
-            self._own_vote(output, taken)
+            self._on_own_vote_saved(output, taken)
 
     # -- proposals -----------------------------------------------------------------------------------------
 
     def propose(self, now: float, plan: PlanView) -> bool:
         """Begin to have the view decided that `plan` makes of the present one; False where nothing begins,
-        else `Finished` follows."""
+        else `EndProposal` follows."""
         base = self.acceptor.decided
         wanted = plan(base) if base is not None and not self.proposing else None
         if base is None or wanted is None:
@@ -236,11 +238,11 @@
             return False
         self._now = now
         self._proposal = _Proposal(proposer, now + PHASE_TIMEOUT_S)
-        self._unsaved = True
-        self._when_durable(_OwnVote(proposer.ballot, own))
+        self._has_unsaved_vote = True
+        self._send_when_durable(_OwnVote(proposer.ballot, own))
         return True
 
-    def answered(self, ask: Ask, message: Any, now: float) -> None:
+    def answered(self, ask: SendRequest, message: Any, now: float) -> None:
         """An asked voter's answer; anything else than a vote stands for silence."""
         proposal = self._proposal
         if proposal is None or proposal.proposer.ballot != ask.ballot:
@@ -260,7 +262,7 @@
         if self._proposal is not None:
             self._finish(newer=False)
 
-    def _own_vote(self, vote: _OwnVote, taken: bool) -> None:
+    def _on_own_vote_saved(self, vote: _OwnVote, taken: bool) -> None:
         """The disk has answered: others hear of a ballot only once the own promise for it is durable."""
         proposal = self._proposal
         if proposal is None or proposal.proposer.ballot != vote.ballot:
@@ -296,25 +298,25 @@
         proposal.phase = Accept
         proposal.unanswered.clear()
         self._ask_others(proposal, proposer.accept)
-        own = self._accept(proposer.accept())
+        own = self._handle_accept(proposer.accept())
         proposal.own_vote = own.granted
         if own.granted:
-            self._when_durable(_OwnVote(proposer.ballot, own))
+            self._send_when_durable(_OwnVote(proposer.ballot, own))
 
     def _ask_others(self, proposal: _Proposal, request: Callable[[Voter], Prepare | Accept]) -> None:
         for voter in proposal.proposer.base.voters:
             if voter.name != self._name:
                 proposal.unanswered.add(voter.name)
-                self._outputs.append(Ask(voter, request(voter), proposal.proposer.ballot))
+                self._outputs.append(SendRequest(voter, request(voter), proposal.proposer.ballot))
 
     def _decided(self, proposer: Proposer) -> None:
         assert proposer.decided is not None
         self.learn(proposer.decided)
-        self._outputs.append(Announce(proposer.decided, proposer.base))
+        self._outputs.append(BroadcastDecision(proposer.decided, proposer.base))
         self._finish(newer=True)
 
     def _finish(self, newer: bool) -> None:
         assert self._proposal is not None
         self._highest_round = max(self._highest_round, self._proposal.proposer.highest_round)
         self._proposal = None
-        self._outputs.append(Finished(newer))
+        self._outputs.append(EndProposal(newer))
--- a/hollowusher/coordination/controller/control_status.py
+++ b/hollowusher/coordination/controller/control_status.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from hollowusher.coordination.consensus.paxos import majority
+from hollowusher.coordination.consensus.paxos import quorum_size
 from hollowusher.coordination.placement.partition_recovery import store_losses_borne
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
@@ -49,7 +49,7 @@
     """How many further controllers may be lost, whichever they are; -1 where no view can be decided now."""
     heard = [signs[voter.name] for voter in view.voters if voter.name in signs and signs[voter.name].heard]
     complete = sum(sign.complete for sign in heard)
-    return max(NOT_SERVED, min(len(heard) - majority(view), complete - 1))
+    return max(NOT_SERVED, min(len(heard) - quorum_size(view), complete - 1))
 
 
 def control_status(
@@ -84,7 +84,7 @@
         head=view.head,
         tail=view.tail,
         leads=standing.leads,
-        majority=majority(view),
+        majority=quorum_size(view),
         voters=_voters(view, standing.signs),
         spare_controllers=_spares(view, standing.spares),
         controller_losses_borne=controller_losses_borne(view, standing.signs),
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -1,7 +1,8 @@
 """A controller: an edge process with a disk that takes part in agreeing on views and in the control chain.
 
-It joins the parts: `Agreement` decides views, `Replicator` and `ChainOwner` carry the control state along the
-chain, `VoterGroup` has the view follow who is there, `ViewSeeker` finds a view, `StateService` answers.
+It joins the parts: `ViewConsensus` decides views, `ChainReplicator` and `ChainHead` carry the control state
+along the chain, `VoterGroup` has the view follow who is there, `JoinClient` finds a view, `StateService`
+answers.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 from typing import Any
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.chain.chain_head import ChainOwner, Update
+from hollowusher.coordination.chain.chain_head import ChainHead, StateTransition
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.chain.chain_replicator import Replicator
+from hollowusher.coordination.chain.chain_replicator import ChainReplicator
 from hollowusher.coordination.chain.state_store import StateStore
-from hollowusher.coordination.consensus.agreement import Agreement
-from hollowusher.coordination.consensus.bootstrap import SeedService, read_view
-from hollowusher.coordination.consensus.monitored_slot import WatchedSlot
-from hollowusher.coordination.consensus.paxos import is_voter, same_cluster
-from hollowusher.coordination.consensus.view_acquisition import ViewSeeker
-from hollowusher.coordination.consensus.view_publisher import ViewBearer
-from hollowusher.coordination.consensus.voter_set import voters_wanted
+from hollowusher.coordination.consensus.bootstrap import SeedService, fetch_newest_view
+from hollowusher.coordination.consensus.join_client import JoinClient
+from hollowusher.coordination.consensus.monitored_slot import MonitoredSlot
+from hollowusher.coordination.consensus.paxos import is_same_cluster, is_voter
+from hollowusher.coordination.consensus.view_consensus import ViewConsensus
+from hollowusher.coordination.consensus.view_publisher import ViewPublisher
+from hollowusher.coordination.consensus.voter_set import required_voters
 from hollowusher.coordination.controller.control_status import ControlStanding
 from hollowusher.coordination.controller.state_service import StateService
 from hollowusher.coordination.controller.voter_group import VoterGroup
@@ -84,42 +85,46 @@
         self._asking_after_pause = False
         self._tasks: set[asyncio.Task[Any]] = set()
         self._seed = SeedService(settings, transport)
-        self._view_slot = WatchedSlot(view_slot)
-        self._agreement = Agreement(voter, transport, self._view_slot, chance, self._install)
+        self._view_slot = MonitoredSlot(view_slot)
+        self._consensus = ViewConsensus(voter, transport, self._view_slot, chance, self._install)
         self._member = ChainMember(me.name, me.disk_id)
         saved = state_store.load()
         if saved is not None:
             self._member.restore(saved.epoch, saved.state, saved.whole)
-        self._replicator = Replicator(self._member, transport, state_store, on_state, self._spawn)
+        self._replicator = ChainReplicator(self._member, transport, state_store, on_state, self._spawn)
         self._group = VoterGroup(
             voter,
             transport,
-            self._agreement,
+            self._consensus,
             self._member,
             chance,
             self._spawn,
             self._disk_is_stalled,
-            voters_wanted(settings.fault_tolerance.machines),
+            required_voters(settings.fault_tolerance.machines),
         )
-        self._owner = ChainOwner(self._member, self._replicator, self._leads, self._group.avoid)
+        self._chain_head = ChainHead(self._member, self._replicator, self._leads, self._group.avoid)
         present_seeds = settings.seed_addresses if seeds is None else seeds
-        self._seeker = ViewSeeker(
-            voter, settings.bootstrap, present_seeds, transport, self._agreement, self._seed
+        self._join_client = JoinClient(
+            voter, settings.bootstrap, present_seeds, transport, self._consensus, self._seed
+        )
+        self._view_publisher = ViewPublisher(
+            transport, present_seeds, lambda: self.view, self._consensus.learn, chance
+        )
+        self._states = StateService(
+            voter, transport, self._consensus, self._member, self._chain_head, self._group
         )
-        self._bearer = ViewBearer(transport, present_seeds, lambda: self.view, self._agreement.learn, chance)
-        self._states = StateService(voter, transport, self._agreement, self._member, self._owner, self._group)
 
     # -- what the process asks -------------------------------------------------------------------------
 
     @property
     def view(self) -> View | None:
         """The newest decided view known."""
-        return self._agreement.view
+        return self._consensus.view
 
     @property
-    def foreign(self) -> int:
+    def foreign_rejections(self) -> int:
         """How many messages of another cluster came to the agreement or as announcements; none was taken."""
-        return self._agreement.acceptor.foreign + self._seed.foreign
+        return self._consensus.acceptor.foreign_rejections + self._seed.foreign_rejections
 
     @property
     def state(self) -> ControlState | None:
@@ -129,7 +134,7 @@
     @property
     def is_head(self) -> bool:
         """Whether this is the chain's head, has brought its epoch into force and hears a majority."""
-        return self._leads() and self._member.in_force
+        return self._leads() and self._member.is_in_force
 
     @property
     def refused_writes(self) -> Counter[str]:
@@ -142,18 +147,18 @@
         signs = {} if view is None else self._group.signs(view)
         return ControlStanding(self._me.name, view, self.state, self.is_head, signs, controllers)
 
-    async def change(self, update: Update) -> bool:
+    async def change(self, update: StateTransition) -> bool:
         """Head: commit what `update` makes of the newest state (None: leave it).  True once the result is
         committed; False where that is not known in time, or this is not the head."""
-        return await self._owner.change(update)
+        return await self._chain_head.change(update)
 
     async def is_newest(self) -> bool:
         """Whether a majority says, asked now, that the view in use here is the newest."""
-        return await self._agreement.majority_confirms(self._member.epoch)
+        return await self._consensus.majority_confirms(self._member.epoch)
 
     async def learn(self, view: View) -> None:
         """Take a decided view that became known in another way."""
-        await self._agreement.learn(view)
+        await self._consensus.learn(view)
 
     # -- life ------------------------------------------------------------------------------------------
 
@@ -161,13 +166,13 @@
         """Continue with the stored view, or look for one; the transport already listens."""
         self._running = True
         self._group.start()
-        stored = self._agreement.view
+        stored = self._consensus.view
         if stored is not None:
             self._install(stored)
         await self._seed.start()
         self._spawn(self._beat())
         self._spawn(self._run())
-        self._spawn(self._bearer.run())
+        self._spawn(self._view_publisher.run())
 
     async def stop(self) -> None:
         """Stay until the others hold what this one holds and do without it, or time is up; then end."""
@@ -198,10 +203,10 @@
     async def _step(self) -> None:
         view = self.view
         if view is None:
-            await self._seeker.seek()
+            await self._join_client.acquire_view()
         elif not is_voter(view, self._me.name, self._me.disk_id):
             if not self._group.departure.begun:
-                await self._seeker.ask_to_vote(view)
+                await self._join_client.request_voter_role(view)
         else:
             self._flush()
             await self._group.step(view)
@@ -232,7 +237,7 @@
             and view.epoch == newest.epoch
             and self._member.is_head
             and self._member.complete
-            and self._group.hears_majority(view)
+            and self._group.has_quorum(view)
         )
 
     def _notice_pause(self) -> None:
@@ -251,8 +256,8 @@
         self._asking_after_pause = False
 
     def _flush(self) -> None:
-        if self._owner.needs_flush and self._leads():
-            self._spawn(self._owner.flush())
+        if self._chain_head.needs_repropagation and self._leads():
+            self._spawn(self._chain_head.repropagate())
 
     def _spawn(self, work: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -264,18 +269,18 @@
     async def handle(self, message: Any) -> Any:
         """Answer one of `MESSAGES`; None for one-way messages and others."""
         if isinstance(message, Prepare):
-            return await self._agreement.prepare(message)
+            return await self._consensus.prepare(message)
         if isinstance(message, Accept):
-            return await self._agreement.accept(message)
+            return await self._consensus.accept(message)
         if isinstance(message, ProposeFirst):
-            return await self._agreement.take_first(message)
+            return await self._consensus.accept_first_view(message)
         if isinstance(message, ConfirmEpoch):
-            return self._agreement.confirm(message)
+            return self._consensus.confirm(message)
         if isinstance(message, Decided):
-            await self._agreement.learn(message.view)
+            await self._consensus.learn(message.view)
             return None
         if isinstance(message, OfferView):
-            await self._agreement.learn(message.view)
+            await self._consensus.learn(message.view)
             return ViewAnswer(self.view)
         if isinstance(message, Ping):
             return self._group.answer_ping(message)
@@ -304,15 +309,15 @@
         view = self.view
         if view is not None and write.epoch > view.epoch:
             others = [voter.address for voter in view.voters if voter.name != self._me.name]
-            newest = await read_view(self._transport, others)
+            newest = await fetch_newest_view(self._transport, others)
             if newest is not None:
-                await self._agreement.learn(newest)
+                await self._consensus.learn(newest)
         return await self._replicator.receive(write)
 
     async def _take_announcement(self, message: Announce) -> ViewAnswer:
         known = self.view
-        if known is not None and not same_cluster(known.cluster, message.cluster):
-            self._seed.foreign += 1  # it is told of this cluster, and is nobody here
+        if known is not None and not is_same_cluster(known.cluster, message.cluster):
+            self._seed.foreign_rejections += 1  # it is told of this cluster, and is nobody here
         elif not message.bootstrap:
             self._group.note_candidate(message.voter)
         await self._seed.handle(message)
--- a/hollowusher/coordination/controller/departure.py
+++ b/hollowusher/coordination/controller/departure.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.consensus.agreement import Agreement
 from hollowusher.coordination.consensus.bootstrap import call_all
 from hollowusher.coordination.consensus.paxos import find_voter, is_voter
-from hollowusher.coordination.consensus.reconfiguration import Presence, plan_chain
-from hollowusher.coordination.consensus.spare_controllers import Spares
+from hollowusher.coordination.consensus.reconfiguration import LivenessSnapshot, plan_chain
+from hollowusher.coordination.consensus.spare_controllers import SpareControllers
+from hollowusher.coordination.consensus.view_consensus import ViewConsensus
 from hollowusher.protocol.consensus import Decided, Ping, Pong
 from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
@@ -34,14 +34,14 @@
         self,
         me: Voter,
         transport: Transport,
-        agreement: Agreement,
+        consensus: ViewConsensus,
         member: ChainMember,
-        spares: Spares,
-        presence: Callable[[View], Presence],
+        spares: SpareControllers,
+        presence: Callable[[View], LivenessSnapshot],
     ) -> None:
         self._me = me
         self._transport = transport
-        self._agreement = agreement
+        self._consensus = consensus
         self._member = member
         self._spares = spares
         self._presence = presence
@@ -59,7 +59,7 @@
 
     async def step(self) -> bool:
         """Do what is due; True once the others do without this controller."""
-        view = self._agreement.view
+        view = self._consensus.view
         if view is None or [voter.name for voter in view.voters] == [self._me.name]:
             return True
         if self._member.epoch != view.epoch:  # the disk has not taken the newest view yet
@@ -81,8 +81,8 @@
 
     async def _leave_chain(self) -> None:
         """Propose a chain without this controller, if the others make one; tell all of them of it."""
-        await self._agreement.propose(self._plan_without_me)
-        view = self._agreement.view
+        await self._consensus.propose(self._plan_without_me)
+        view = self._consensus.view
         if view is not None and not self._member.in_chain:
             others = [voter.address for voter in view.voters if voter.name != self._me.name]
             await call_all(self._transport, others, Decided(view), ASK_TIMEOUT_S)
--- a/hollowusher/coordination/controller/state_service.py
+++ b/hollowusher/coordination/controller/state_service.py
@@ -7,11 +7,11 @@
 
 from hollowusher.configuration.order_history import CommittedAges
 from hollowusher.configuration.orders import Order, OrderOutcome, apply_order, read_order
-from hollowusher.coordination.chain.chain_head import ChainOwner
+from hollowusher.coordination.chain.chain_head import ChainHead
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S
-from hollowusher.coordination.consensus.agreement import Agreement
+from hollowusher.coordination.chain.state_store import MIN_THROUGHPUT_BYTES_PER_S
 from hollowusher.coordination.consensus.paxos import find_voter, is_voter
+from hollowusher.coordination.consensus.view_consensus import ViewConsensus
 from hollowusher.coordination.controller.voter_group import VoterGroup
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
@@ -33,16 +33,16 @@
         self,
         me: Voter,
         transport: Transport,
-        agreement: Agreement,
+        consensus: ViewConsensus,
         member: ChainMember,
-        owner: ChainOwner,
+        chain_head: ChainHead,
         group: VoterGroup,
     ) -> None:
         self._me = me
         self._transport = transport
-        self._agreement = agreement
+        self._consensus = consensus
         self._member = member
-        self._owner = owner
+        self._chain_head = chain_head
         self._group = group
         self._ages = CommittedAges()
 
@@ -51,11 +51,11 @@
         read = read_order(message.method, message.if_match, message.body)
         if read.is_error():
             return read.error.answer()
-        newest = self._agreement.view
+        newest = self._consensus.view
         deposed = newest is not None and newest.epoch > self._member.epoch  # the own disk is yet to take it
         if deposed or not self._member.is_head:
             head = newest.head if newest is not None else ""
-            timeout = FORWARD_CHANGE_TIMEOUT_S + len(message.body) / SLOWEST_BYTES_PER_S
+            timeout = FORWARD_CHANGE_TIMEOUT_S + len(message.body) / MIN_THROUGHPUT_BYTES_PER_S
             answer = await self._forward(head, message, timeout)
             return answer if isinstance(answer, OperatorAnswer) else UNAVAILABLE
         return await self._take_order(read.ok)
@@ -69,11 +69,11 @@
             outcomes.append(outcome)
             return outcome.state
 
-        committed = await self._owner.change(update)
+        committed = await self._chain_head.change(update)
         if not committed or not outcomes:
             return UNAVAILABLE
         answer = outcomes[0].answer
-        if answer.status != 200 and not await self._agreement.majority_confirms(self._member.epoch):
+        if answer.status != 200 and not await self._consensus.majority_confirms(self._member.epoch):
             return UNAVAILABLE  # a deposed head must not refuse what builds on a newer version
         return answer
 
@@ -105,22 +105,22 @@
     async def _confirmed_state(self) -> ControlState | None:
         """Tail: its state, once a majority says that the view is still the newest."""
         view = self._member.view
-        if view is None or not self._member.readable or not self._group.hears_majority(view):
+        if view is None or not self._member.is_readable or not self._group.has_quorum(view):
             return None
         state = self._member.committed
-        return state if await self._agreement.majority_confirms(view.epoch) else None
+        return state if await self._consensus.majority_confirms(view.epoch) else None
 
     async def _forward_read(self, message: ReadConfiguration | ReadState) -> Any:
-        tail = self._agreement.view.tail if self._agreement.view is not None else ""
+        tail = self._consensus.view.tail if self._consensus.view is not None else ""
         return await self._forward(tail, message, FORWARD_READ_TIMEOUT_S)
 
     async def _forward(self, name: str, message: Any, timeout: float) -> Any:
         """Pass an order or a question on to a member of the chain; None where that does not help."""
-        view = self._agreement.view
+        view = self._consensus.view
         voter = find_voter(view, name) if view is not None else None
         if view is None or voter is None or message.forwarded or name == self._me.name:
             return None
-        if is_voter(view, self._me.name, self._me.disk_id) and not self._group.hears(name):
+        if is_voter(view, self._me.name, self._me.disk_id) and not self._group.is_reachable(name):
             return None
         try:
             return await self._transport.call(voter.address, evolve(message, forwarded=True), timeout)
--- a/hollowusher/coordination/controller/voter_group.py
+++ b/hollowusher/coordination/controller/voter_group.py
@@ -8,21 +8,21 @@
 from typing import Any
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.consensus.agreement import Agreement
-from hollowusher.coordination.consensus.bootstrap import read_view
+from hollowusher.coordination.consensus.bootstrap import fetch_newest_view
 from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.coordination.consensus.reconfiguration import (
     PROPOSAL_STAGGER_S,
-    Presence,
+    LivenessSnapshot,
     VoterHealth,
-    lost_member,
+    has_lost_chain_member,
     plan_chain,
     plan_voters,
-    presence,
     proposal_rank,
+    take_liveness_snapshot,
 )
-from hollowusher.coordination.consensus.spare_controllers import Spares
-from hollowusher.coordination.consensus.voter_set import VoterStep, next_step
+from hollowusher.coordination.consensus.spare_controllers import SpareControllers
+from hollowusher.coordination.consensus.view_consensus import ViewConsensus
+from hollowusher.coordination.consensus.voter_set import VoterSetChange, plan_voter_set_change
 from hollowusher.coordination.controller.control_status import UNHEARD, VoterSigns
 from hollowusher.coordination.controller.departure import Departure
 from hollowusher.protocol.consensus import Decided, Ping, Pong
@@ -47,7 +47,7 @@
         self,
         me: Voter,
         transport: Transport,
-        agreement: Agreement,
+        consensus: ViewConsensus,
         member: ChainMember,
         chance: random.Random,
         spawn: Spawn,
@@ -56,21 +56,21 @@
     ) -> None:
         self._me = me
         self._transport = transport
-        self._agreement = agreement
+        self._consensus = consensus
         self._member = member
         self._chance = chance
         self._spawn = spawn
         self._is_stalled = is_stalled
         self._health = VoterHealth(me.name, 0.0)
         self._wanted = wanted
-        self._spares = Spares()
+        self._spares = SpareControllers()
         self._disks: dict[str, str] = {}  # voter -> the disk that votes
         self._pinging: set[str] = set()
         self._next_ping = 0.0
         self._view_since = 0.0
         self._loss_since: float | None = None
         self._accepted_since: float | None = None
-        self.departure = Departure(me, transport, agreement, member, self._spares, self._presence)
+        self.departure = Departure(me, transport, consensus, member, self._spares, self._presence)
 
     def start(self) -> None:
         """Nothing has been heard yet."""
@@ -87,13 +87,13 @@
         self._accepted_since = None
         self._health.track([voter.name for voter in view.voters], _now())
 
-    def hears(self, name: str) -> bool:
+    def is_reachable(self, name: str) -> bool:
         """Whether a voter has answered lately."""
-        return self._health.hears(name, _now())
+        return self._health.is_reachable(name, _now())
 
-    def hears_majority(self, view: View) -> bool:
+    def has_quorum(self, view: View) -> bool:
         """Whether enough voters to decide have answered lately."""
-        return self._health.hears_majority(view, _now())
+        return self._health.has_quorum(view, _now())
 
     def signs(self, view: View) -> dict[str, VoterSigns]:
         """What has lately been heard of each voter, this controller included."""
@@ -106,7 +106,7 @@
         pong = self._health.pong(voter.name)
         if pong is None:
             return UNHEARD
-        heard = self._health.hears(voter.name, _now())
+        heard = self._health.is_reachable(voter.name, _now())
         complete = heard and pong.complete and pong.epoch == view.epoch
         return VoterSigns(heard, complete, pong.state_version)
 
@@ -122,22 +122,22 @@
         """Do what is due in the newest view; nothing is proposed while this controller's own disk keeps it
         from using that view, for what it holds is judged by the view in use."""
         in_use = self._member.epoch == view.epoch
-        if self.departure.begun or not in_use or not self.hears_majority(view):
+        if self.departure.begun or not in_use or not self.has_quorum(view):
             return
         if await self._finish_accepted():
             return
-        if not lost_member(view, self._health, _now()):
+        if not has_lost_chain_member(view, self._health, _now()):
             self._loss_since = None
         elif await self._replace_lost(view):
             return
-        if self._member.is_head and self._member.in_force:
+        if self._member.is_head and self._member.is_in_force:
             await self._admit(view)
 
     # -- pings -----------------------------------------------------------------------------------------
 
     def answer_ping(self, ping: Ping) -> Pong:
         """The answer to another voter's ping."""
-        view = self._agreement.view
+        view = self._consensus.view
         sender = find_voter(view, ping.name) if view is not None else None
         if view is not None and sender is not None and ping.epoch > view.epoch:
             self._spawn(self._catch_up(sender.address))
@@ -179,24 +179,24 @@
             self._health.refused(voter.name)  # the address has another owner now
             return
         if pong.disk_id != voter.disk_id:
-            self._health.other_disk(voter.name)
+            self._health.on_disk_replaced(voter.name)
             return
         self._health.answered(pong, _now())
-        view = self._agreement.view
+        view = self._consensus.view
         if view is not None and pong.epoch < view.epoch:
             self._transport.send(voter.address, Decided(view))
         elif view is None or pong.epoch > view.epoch:
             await self._catch_up(voter.address)
 
     async def _catch_up(self, address: str) -> None:
-        newest = await read_view(self._transport, [address])
+        newest = await fetch_newest_view(self._transport, [address])
         if newest is not None:
-            await self._agreement.learn(newest)
+            await self._consensus.learn(newest)
 
     # -- views -----------------------------------------------------------------------------------------
 
-    def _presence(self, view: View) -> Presence:
-        return presence(self._health, view, self._member.complete, _now())
+    def _presence(self, view: View) -> LivenessSnapshot:
+        return take_liveness_snapshot(self._health, view, self._member.complete, _now())
 
     async def _replace_lost(self, view: View) -> bool:
         """Propose a chain without the dead, after those that come earlier in the chain; whether there is such
@@ -211,12 +211,12 @@
             await self._propose_chain(view, present)
         return True
 
-    async def _propose_chain(self, view: View, present: Presence) -> None:
-        await self._agreement.propose(lambda base: plan_chain(base, present) if base == view else None)
+    async def _propose_chain(self, view: View, present: LivenessSnapshot) -> None:
+        await self._consensus.propose(lambda base: plan_chain(base, present) if base == view else None)
 
     async def _finish_accepted(self) -> bool:
         """Bring a view to its end that was accepted here but not heard of since; whether there is one."""
-        accepted = self._agreement.acceptor.accepted
+        accepted = self._consensus.acceptor.accepted
         if accepted is None:
             self._accepted_since = None
             return False
@@ -224,7 +224,7 @@
             self._accepted_since = _now() + self._chance.uniform(0.0, FINISH_AFTER_S)
         if _now() - self._accepted_since > FINISH_AFTER_S:
             self._accepted_since = None
-            await self._agreement.propose(lambda base: accepted if accepted.epoch == base.epoch + 1 else None)
+            await self._consensus.propose(lambda base: accepted if accepted.epoch == base.epoch + 1 else None)
         return True
 
     async def _admit(self, view: View) -> None:
@@ -235,7 +235,7 @@
             await self._propose_chain(view, present)
             return
         spares = self._spares.recent(_now())
-        step = next_step(view, spares, self._health, self._wanted, _now())
+        step = plan_voter_set_change(view, spares, self._health, self._wanted, _now())
         if step is not None and (step.add is None or await self._is_there(step.add, view)):
             await self._propose_step(view, step)
 
@@ -251,11 +251,11 @@
             and not (pong.leaving or pong.stalled)
         )
         if not fit:
-            self._spares.drop(spare.name)
+            self._spares.discard(spare.name)
         return fit
 
-    async def _propose_step(self, view: View, step: VoterStep) -> None:
-        await self._agreement.propose(
+    async def _propose_step(self, view: View, step: VoterSetChange) -> None:
+        await self._consensus.propose(
             lambda base: plan_voters(base, step.add, step.remove) if base == view else None
         )
 
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -25,8 +25,12 @@
     VIEW,
     ClusterState,
 )
-from hollowusher.coordination.consensus.view_discovery import SOLICITED, START_PAUSE_S, ViewFinder
-from hollowusher.coordination.consensus.view_publisher import ViewBearer
+from hollowusher.coordination.consensus.view_discovery import (
+    INITIAL_BACKOFF_S,
+    SOLICITED_ORIGIN,
+    ViewDiscovery,
+)
+from hollowusher.coordination.consensus.view_publisher import ViewPublisher
 from hollowusher.coordination.controller_selector import ControllerSelector
 from hollowusher.coordination.distribution.feed import Feed, LongPoll
 from hollowusher.coordination.membership.failure_detector import FailureDetector
@@ -81,8 +85,8 @@
         self._leaving = False
         self._choice = ControllerSelector(me.name, me.zone)
         present_seeds = settings.seed_addresses if seeds is None else seeds
-        self._finder = ViewFinder(transport, state, present_seeds, self._choice, chance)
-        self._bearer = ViewBearer(
+        self._view_discovery = ViewDiscovery(transport, state, present_seeds, self._choice, chance)
+        self._view_publisher = ViewPublisher(
             transport, present_seeds, lambda: state.view, self._take_view, chance, MEMBER_REFRESH_S
         )
         self._heard_at: dict[str, float] = {}  # address -> last answer to a pull
@@ -110,10 +114,10 @@
     async def confirmed_start(self) -> None:
         """Wait until the control chain has told its committed state, and apply it: after that, nothing
         older than what was acknowledged before this start is served."""
-        backoff = Backoff(self._chance, START_PAUSE_S)
+        backoff = Backoff(self._chance, INITIAL_BACKOFF_S)
         while True:
             if self.state.view is None:
-                await self._finder.find()
+                await self._view_discovery.find()
             for voter in self._readers():
                 asked_at = self._now()
                 answer = await self._try_call(voter.address, ReadState(), STATE_TIMEOUT_S)
@@ -122,20 +126,20 @@
                     self._apply_state(answer.state)
                     return
             await backoff.wait()
-            await self._finder.find()
+            await self._view_discovery.find()
 
-    async def bear_view(self) -> None:
+    async def publish_view(self) -> None:
         """Bring the view known here to the seeds; runs until cancelled."""
-        await self._bearer.run()
+        await self._view_publisher.run()
 
     @property
     def foreign_views(self) -> int:
         """How many views of another cluster were brought here; none was taken."""
-        return self._finder.foreign
+        return self._view_discovery.foreign_rejections
 
     def take_view(self, view: View) -> None:
         """Use a decided view that became known in another way."""
-        self._finder.take(view)
+        self._view_discovery.take(view)
 
     async def _take_view(self, view: View) -> None:
         self.take_view(view)
@@ -229,7 +233,7 @@
         while True:
             voters = self._voters_by_preference()
             if not voters:
-                await self._finder.find()
+                await self._view_discovery.find()
                 continue
             address = voters[0].address
             last_choice = len(voters) == 1 or self._choice.health(address).is_avoided(self._now())
@@ -246,7 +250,7 @@
                 await backoff.wait()
                 connected = False
             if not connected:
-                await self._finder.ask()
+                await self._view_discovery.ask()
 
     def _failed(self, address: str) -> None:
         self._registered_at.discard(address)
@@ -295,7 +299,7 @@
         self._publish(self.me)
         while True:
             if self.state.view is None:
-                await self._finder.find()
+                await self._view_discovery.find()
             wanted = {voter.address for voter in self._other_voters()}
             for address in [address for address in self._peers if address not in wanted]:
                 self._peers.pop(address).cancel()
@@ -320,7 +324,7 @@
                 await backoff.wait()
                 now = self._now()
                 if all(self._choice.health(voter.address).is_avoided(now) for voter in self._other_voters()):
-                    await self._finder.ask()
+                    await self._view_discovery.ask()
 
     def _have_of(self, address: str) -> dict[str, int]:
         """What this feed has, and what that peer has already given: origins that one side has pruned are
@@ -363,7 +367,7 @@
             if self._feed is not None:
                 self._feed.publish(key, [version], value)
             else:
-                self._apply([Item(key, [version], SOLICITED, 0, value)])
+                self._apply([Item(key, [version], SOLICITED_ORIGIN, 0, value)])
 
     def _on_change(self, key: str) -> None:
         if key == VIEW:
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -8,7 +8,7 @@
 import attrs
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.consensus.view_cache import ViewKeeper
+from hollowusher.coordination.consensus.view_cache import ViewCache
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.peer_names import present
 from hollowusher.log_events import (
@@ -81,7 +81,7 @@
         process.chance,
         lambda: process.settings.seed_addresses(),
     )
-    keeper = ViewKeeper(SlotFile(process.folder / VIEW_SLOT), process.state)
+    keeper = ViewCache(SlotFile(process.folder / VIEW_SLOT), process.state)
     keeper.load()
     service = StoreService(
         me, me.store_id, process.transport, ring_log, process.state, settings, process.chance.random, wall_ms
@@ -98,7 +98,7 @@
     await process.transport.start(handle)
     process.listen_for_signals()
     process.spawn(client.run())
-    process.spawn(client.bear_view())
+    process.spawn(client.publish_view())
     process.spawn(keeper.run())
     log(StoreStarted(incarnation=me.incarnation, disk_id=me.disk_id))
     telling = process.spawn(_tell_status(process, me, service, ring_log))
--- a/hollowusher/simulation/model_check/chain_model.py
+++ b/hollowusher/simulation/model_check/chain_model.py
@@ -1,6 +1,6 @@
 """The control chain across changes of the view: states, saves, losses, replacements and reads in any order.
 
-Real are `VotingMachine`, `ChainMember` and the planning functions of `coordination.reconfiguration`; the
+Real are `VoterStateMachine`, `ChainMember` and the planning functions of `coordination.reconfiguration`; the
 order in which a member saves, passes on and answers is that of `coordination.replicator`.  One ballot is one
 step: any majority promises, any of them are reached by the acceptances, and the proposer learns of it.
 What ballots do to each other message by message is the matter of `agreement_model`.
@@ -18,23 +18,23 @@
 
 import attrs
 
-from hollowusher.coordination.chain.chain_member import ChainMember, dump_write
-from hollowusher.coordination.consensus import voting
+from hollowusher.coordination.chain.chain_member import ChainMember, encode_write
+from hollowusher.coordination.consensus import voter_state_machine
 from hollowusher.coordination.consensus.paxos import (
     Acceptor,
     find_voter,
     first_view,
     is_voter,
-    majority,
+    quorum_size,
     voter_id,
 )
 from hollowusher.coordination.consensus.reconfiguration import (
-    Presence,
+    LivenessSnapshot,
     plan_chain,
     plan_voters,
     proposal_rank,
 )
-from hollowusher.coordination.consensus.voting import VotingMachine
+from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Prepare
 from hollowusher.protocol.control_chain import ChainWrite, ControlState
@@ -114,7 +114,7 @@
     """One controller: its process and its disk."""
 
     voter: Voter
-    machine: VotingMachine
+    machine: VoterStateMachine
     member: ChainMember
     vote_disk: bytes | None
     state_disk: bytes | None
@@ -181,7 +181,7 @@
             self._bounds,
             attrs.evolve(self._bounds, views=0, orders=0, restarts=0, wipes=0),
         )
-        while not self._nodes[state.nodes[0]].member.settled:
+        while not self._nodes[state.nodes[0]].member.is_committed:
             *_, (_, state) = self.steps(state)
         self._bounds = bounds
         return state
@@ -192,7 +192,7 @@
         disk = acceptor.dump()
         node = Node(
             voter,
-            VotingMachine(voter.name, voter.disk_id, disk),
+            VoterStateMachine(voter.name, voter.disk_id, disk),
             self._make_member(voter.name, voter.disk_id, None),
             disk,
             None,
@@ -218,7 +218,7 @@
         if node.saving is not None:
             yield from self._step(state, place, f"{name}: state saved", self._state_saved)
         elif member.may_write:
-            if not member.settled:
+            if not member.is_committed:
                 yield from self._step(state, place, f"{name} brings its state into force", self._flush)
             elif state.orders < self._bounds.orders:
                 counted = state._replace(orders=state.orders + 1)
@@ -234,7 +234,7 @@
             yield from self._step(counted, place, f"{name} loses its disk", self._wipe)
         if state.views < self._bounds.views and not node.machine.proposing:
             yield from self._ballots(state, place, node)
-        if state.read is None and member.readable and self._old(state, node):
+        if state.read is None and member.is_readable and self._old(state, node):
             yield (
                 f"{name} begins a read of an old state",
                 state._replace(read=Read(place, node.life, encode(member.view))),
@@ -270,13 +270,13 @@
     def _state_saved(self, node: Node) -> None:
         write = node.saving
         assert write is not None
-        node.state_disk = dump_write(write)
+        node.state_disk = encode_write(write)
         node.saving = None
         node.member.keep(write)
         if node.member.epoch != write.epoch:
             return
         node.passed_on = encode(write)
-        following = node.member.next_name()
+        following = node.member.successor()
         if following is not None:
             self._send(Write(following, node.voter.name, node.life, encode(write)))
         else:
@@ -303,14 +303,14 @@
     def _restart(self, kept: bool, node: Node) -> None:
         if kept:
             assert node.saving is not None
-            node.state_disk = dump_write(node.saving)
+            node.state_disk = encode_write(node.saving)
         node.saving = None
         node.askers = frozenset()
         node.passed_on = b""
         node.pending = 0
         node.life += 1
         name, disk = node.voter.name, node.voter.disk_id
-        node.machine = VotingMachine(name, disk, node.vote_disk)
+        node.machine = VoterStateMachine(name, disk, node.vote_disk)
         node.member = self._make_member(name, disk, node.state_disk)
         view = node.machine.acceptor.decided
         if view is not None:
@@ -324,25 +324,25 @@
     def _after(self, node: Node) -> None:
         """Carry out what the voting machine says, and note what the step has brought."""
         self._perform(node)
-        node.machine.acceptor.foreign = 0
+        node.machine.acceptor.foreign_rejections = 0
         member = node.member
-        if node.pending and member.settled and member.state.generation == node.pending:
+        if node.pending and member.is_committed and member.state.generation == node.pending:
             self._note(Acknowledged(node.pending))
             node.pending = 0
         if member.complete:
             self._note(Claim(voter_id(node.voter), member.epoch))
 
-    def _perform(self, node: Node) -> list[voting.Output]:
+    def _perform(self, node: Node) -> list[voter_state_machine.Instruction]:
         """Save and learn; the outputs for others."""
-        others: list[voting.Output] = []
-        while outputs := node.machine.take_outputs():
+        others: list[voter_state_machine.Instruction] = []
+        while outputs := node.machine.take_instructions():
             for output in outputs:
-                if isinstance(output, voting.Save):
+                if isinstance(output, voter_state_machine.SaveAcceptor):
                     node.vote_disk = output.value
                     node.machine.saved(True, NOW)
-                elif isinstance(output, voting.Learned):
+                elif isinstance(output, voter_state_machine.InstallView):
                     node.member.install(output.view)
-                elif isinstance(output, voting.Announce):
+                elif isinstance(output, voter_state_machine.BroadcastDecision):
                     self._note(Notice("", encode(output.view)))
                     for controller in self._controllers:
                         self._send(Notice(controller.name, encode(output.view)))
@@ -358,7 +358,7 @@
             return
         names = [voter.name for voter in base.voters if voter.name != node.voter.name]
         for planned in self._plans(state, node, base):
-            for quorum in combinations(names, majority(base) - 1):
+            for quorum in combinations(names, quorum_size(base) - 1):
                 for count in range(len(quorum) + 1):
                     for reached in combinations(quorum, count):
                         yield from self._ballot(state, place, planned, quorum, reached)
@@ -377,7 +377,7 @@
             for present in _presences(names, complete, node.voter.name)
             if proposal_rank(base, present, node.voter.name) is not None
         ]
-        if node.member.is_head and node.member.in_force:
+        if node.member.is_head and node.member.is_in_force:
             controllers = [self._nodes[number].voter for number in state.nodes]
             spares = [one for one in controllers if not is_voter(base, one.name, one.disk_id)]
             for spare in spares:
@@ -428,10 +428,16 @@
             self._after(node)
         return tuple(self._nodes.number(node) for node in (proposer, *others)), self._sent
 
-    def _asks(self, proposer: Node) -> list[voting.Ask]:
-        return [output for output in self._perform(proposer) if isinstance(output, voting.Ask)]
+    def _asks(self, proposer: Node) -> list[voter_state_machine.SendRequest]:
+        return [
+            output
+            for output in self._perform(proposer)
+            if isinstance(output, voter_state_machine.SendRequest)
+        ]
 
-    def _ask(self, proposer: Node, voter: Node, asks: list[voting.Ask], kind: type) -> list[voting.Ask]:
+    def _ask(
+        self, proposer: Node, voter: Node, asks: list[voter_state_machine.SendRequest], kind: type
+    ) -> list[voter_state_machine.SendRequest]:
         """Have one voter answer the request of this kind; what the proposer asks then."""
         for ask in asks:
             if ask.voter.name != voter.voter.name or not isinstance(ask.message, kind):
@@ -441,7 +447,7 @@
             else:
                 voter.machine.accept(0, ask.message)
             for output in self._perform(voter):
-                if isinstance(output, voting.Answer):
+                if isinstance(output, voter_state_machine.SendResponse):
                     proposer.machine.answered(ask, output.message, NOW)
             return self._asks(proposer)
         return []
@@ -468,7 +474,7 @@
             question = ConfirmEpoch(view.epoch, view.cluster, voter_id(voter))
             if voter.name not in read.confirmed and clone(node.machine.acceptor).confirm(question):
                 confirmed = read.confirmed | {voter.name}
-                done = len(confirmed) >= majority(view)
+                done = len(confirmed) >= quorum_size(view)
                 after = read._replace(confirmed=confirmed, done=done)
                 yield f"{voter.name} confirms the epoch", state._replace(read=after)
 
@@ -504,7 +510,7 @@
 
     def _survives(self, state: State, view: View) -> bool:
         intact = self._intact(state, view)
-        if len(intact) < majority(view):
+        if len(intact) < quorum_size(view):
             return False
         alive = [node.voter.name for node in intact]
         complete = {node.voter.name for node in intact if _holds_all(node, view)}
@@ -562,12 +568,12 @@
     return since is not None and (since == 1 or node.member.state_epoch >= since)
 
 
-def _present(alive: Iterable[str], complete: Iterable[str]) -> Presence:
+def _present(alive: Iterable[str], complete: Iterable[str]) -> LivenessSnapshot:
     names = frozenset(alive)
-    return Presence(names, frozenset(complete) & names, dict.fromkeys(names, names))
+    return LivenessSnapshot(names, frozenset(complete) & names, dict.fromkeys(names, names))
 
 
-def _presences(names: list[str], complete: set[str], own: str) -> Iterator[Presence]:
+def _presences(names: list[str], complete: set[str], own: str) -> Iterator[LivenessSnapshot]:
     """Whom the proposer may take for alive, itself included."""
     others = [name for name in names if name != own]
     for count in range(len(others) + 1):
--- a/hollowusher/simulation/model_check/commands.py
+++ b/hollowusher/simulation/model_check/commands.py
@@ -8,12 +8,12 @@
 import click
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.consensus.voting import VotingMachine
-from hollowusher.simulation.model_check.agreement_model import AgreementBounds, AgreementModel
+from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
 from hollowusher.simulation.model_check.chain_model import ChainBounds, ChainModel
+from hollowusher.simulation.model_check.consensus_model import ConsensusBounds, ConsensusModel
 from hollowusher.simulation.model_check.explorer import Bounds, Model, explore
 from hollowusher.simulation.model_check.partition_command import partition
-from hollowusher.simulation.model_check.planted import AGREEMENT, MEMBERS
+from hollowusher.simulation.model_check.planted import CHAIN_FAULTS, CONSENSUS_FAULTS
 
 PARTS = ("agreement", "chain")
 
@@ -61,13 +61,13 @@
 ) -> None:
     """Agreement, control chain and changes of the voters."""
     bounds = Bounds(depth, states, seconds)
-    agreement = AgreementBounds(controllers, proposals, restarts, wipes, failures, replace, epochs, fine)
+    agreement = ConsensusBounds(controllers, proposals, restarts, wipes, failures, replace, epochs, fine)
     models: dict[str, Model[Any, Any]] = {}
-    if part in ("all", "agreement") and (not planted or planted in AGREEMENT):
-        models["agreement"] = AgreementModel(agreement, AGREEMENT.get(planted, VotingMachine))
-    if part in ("all", "chain") and (not planted or planted in MEMBERS):
+    if part in ("all", "agreement") and (not planted or planted in CONSENSUS_FAULTS):
+        models["agreement"] = ConsensusModel(agreement, CONSENSUS_FAULTS.get(planted, VoterStateMachine))
+    if part in ("all", "chain") and (not planted or planted in CHAIN_FAULTS):
         chain = ChainBounds(controllers, views, orders, restarts, wipes, int(replace))
-        models["chain"] = ChainModel(chain, MEMBERS.get(planted, ChainMember))
+        models["chain"] = ChainModel(chain, CHAIN_FAULTS.get(planted, ChainMember))
     if not models:
         raise click.BadParameter(f"no planted fault {planted!r} in this part")
     results = [_check(name, model, bounds) for name, model in models.items()]
--- a/hollowusher/simulation/model_check/agreement_model.py
+++ b/hollowusher/simulation/model_check/consensus_model.py
@@ -1,5 +1,5 @@
 """The agreement on views message by message: every order of deliveries, losses, repeats, disk completions,
-restarts and proposals, on the real `VotingMachine`.
+restarts and proposals, on the real `VoterStateMachine`.
 
 The network only grows: a message may be delivered at any later time, any number of times, or never, so that
 losses, repeats and reordering need no steps of their own.  A reply counts only for the life that asked.  What
@@ -21,22 +21,28 @@
 
 import attrs
 
-from hollowusher.coordination.consensus import voting
-from hollowusher.coordination.consensus.paxos import Acceptor, as_ballot, first_view, majority, voter_id
-from hollowusher.coordination.consensus.voting import VotingMachine
+from hollowusher.coordination.consensus import voter_state_machine
+from hollowusher.coordination.consensus.paxos import (
+    Acceptor,
+    decode_ballot,
+    first_view,
+    quorum_size,
+    voter_id,
+)
+from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.consensus import Accept, FirstTaken, Prepare
 from hollowusher.protocol.view import View, Voter
 from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint
 
-MakeMachine = Callable[[str, str, bytes | None], VotingMachine]
+MakeMachine = Callable[[str, str, bytes | None], VoterStateMachine]
 NAMES = "abcdefgh"
 _REPLACEMENT = 1  # the plan that replaces a voter; 0: the voters stay
 NOW = 0.0  # time plays no part: a proposal may be given up at any moment
 
 
 @attrs.frozen
-class AgreementBounds:
+class ConsensusBounds:
     """How much may happen."""
 
     controllers: int = 3
@@ -54,7 +60,7 @@
     """A vote asked for."""
 
     life: int  # of the asker
-    ask: voting.Ask
+    ask: voter_state_machine.SendRequest
 
     @property
     def receiver(self) -> str:
@@ -109,7 +115,7 @@
     """One controller: its process and its disk."""
 
     voter: Voter
-    machine: VotingMachine
+    machine: VoterStateMachine
     disk: bytes | None
     life: int = 1
     attempts: int = 0  # proposals made
@@ -146,10 +152,10 @@
     answered: bool = False  # its answer has reached the proposer
 
 
-class AgreementModel:
+class ConsensusModel:
     """See `explorer.Model`."""
 
-    def __init__(self, bounds: AgreementBounds, make_machine: MakeMachine = VotingMachine) -> None:
+    def __init__(self, bounds: ConsensusBounds, make_machine: MakeMachine = VoterStateMachine) -> None:
         self._bounds = bounds
         self._make_machine = make_machine
         names = NAMES[: bounds.controllers + bounds.replaces]
@@ -261,7 +267,7 @@
         else:
             self._wipe(node)
         sent = self._collect(node) | self._votes
-        node.machine.acceptor.foreign = 0  # a count for operators
+        node.machine.acceptor.foreign_rejections = 0  # a count for operators
         self._noted |= self._votes
         return self._nodes.number(node), sent
 
@@ -333,24 +339,24 @@
     def _collect(self, node: Node) -> int:
         """Carry out the machine's outputs; the bits of what has been sent and noted."""
         sent = 0
-        while outputs := node.machine.take_outputs():
+        while outputs := node.machine.take_instructions():
             self._note_vote(node)
             for output in outputs:
                 sent |= self._carry_out(node, output)
-            if node.saving is not None and not self._bounds.fine and not node.machine.own_vote_waits:
+            if node.saving is not None and not self._bounds.fine and not node.machine.has_unsaved_own_vote:
                 self._end_save(node, True, True)
         return sent
 
-    def _carry_out(self, node: Node, output: voting.Output) -> int:
-        if isinstance(output, voting.Save):
+    def _carry_out(self, node: Node, output: voter_state_machine.Instruction) -> int:
+        if isinstance(output, voter_state_machine.SaveAcceptor):
             node.saving = output.value
-        elif isinstance(output, voting.Ask):
+        elif isinstance(output, voter_state_machine.SendRequest):
             return self._bit(Request(node.life, output))
-        elif isinstance(output, voting.Answer):
-            node.unanswered -= {output.asker}
+        elif isinstance(output, voter_state_machine.SendResponse):
+            node.unanswered -= {output.request_id}
             if output.message is None:
                 return 0
-            request = self._messages[output.asker]
+            request = self._messages[output.request_id]
             assert isinstance(request, Request)
             assert not isinstance(output.message, FirstTaken)
             if not output.message.granted and output.message.decided is None and not self._bounds.fine:
@@ -358,7 +364,7 @@
             reply = self._bit(Reply(request, output.message))
             self._replies |= reply
             return reply
-        elif isinstance(output, voting.Announce):
+        elif isinstance(output, voter_state_machine.BroadcastDecision):
             notice = self._bit(Notice("", output.view))
             self._noted |= notice
             proposers = self._controllers[: self._bounds.proposals]
@@ -417,7 +423,7 @@
     for vote in votes:
         alike = [other for other in votes if other.ballot == vote.ballot and other.encoded == vote.encoded]
         count = len({other.voter for other in alike} & voters)
-        if vote.view.epoch == base.epoch + 1 and count >= majority(base) and vote.view not in chosen:
+        if vote.view.epoch == base.epoch + 1 and count >= quorum_size(base) and vote.view not in chosen:
             chosen.append(vote.view)
     return chosen
 
@@ -428,11 +434,11 @@
     if isinstance(message, Request):
         asked = message.ask.message
         value = f", {_mark(asked.view)}" if isinstance(asked, Accept) else ""
-        return f"{type(asked).__name__}({as_ballot(asked.ballot)}{value}) of {message.sender}"
+        return f"{type(asked).__name__}({decode_ballot(asked.ballot)}{value}) of {message.sender}"
     if isinstance(message, Reply):
         granted = "granted" if message.message.granted else "refused"
         kind = type(message.message).__name__
-        return f"{kind}({as_ballot(message.message.ballot)}, {granted}) of {message.request.receiver}"
+        return f"{kind}({decode_ballot(message.message.ballot)}, {granted}) of {message.request.receiver}"
     return "a note"
 
 
--- a/hollowusher/simulation/model_check/planted.py
+++ b/hollowusher/simulation/model_check/planted.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.consensus.voting import Answer, VotingMachine
+from hollowusher.coordination.consensus.voter_state_machine import SendResponse, VoterStateMachine
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Accepted, Prepare, Promise
 from hollowusher.protocol.view import View
 
 
-class AsksBeforeItsOwnPromise(VotingMachine):
+class AsksBeforeItsOwnPromise(VoterStateMachine):
     """A proposer that asks the others while its own promise is still on the way to its disk."""
 
     def propose(self, now: float, plan: Callable[[View], View | None]) -> bool:
@@ -22,23 +22,23 @@
         return True
 
 
-class AnswersBeforeSaving(VotingMachine):
+class AnswersBeforeSaving(VoterStateMachine):
     """A voter that answers while its vote is still on the way to its disk."""
 
-    def _answer(self, asker: int, message: Promise | Accepted, granted: bool) -> None:
-        super()._answer(asker, message, granted)
+    def _respond(self, asker: int, message: Promise | Accepted, granted: bool) -> None:
+        super()._respond(asker, message, granted)
         if granted:
-            self._outputs.append(Answer(asker, message))
+            self._outputs.append(SendResponse(asker, message))
 
 
-class ForgetsWhatItAccepted(VotingMachine):
+class ForgetsWhatItAccepted(VoterStateMachine):
     """A voter that does not tell the next proposer what it has accepted."""
 
-    def _promise(self, message: Prepare) -> Promise:
-        return evolve(super()._promise(message), accepted=None, accepted_ballot=None)
+    def _handle_prepare(self, message: Prepare) -> Promise:
+        return evolve(super()._handle_prepare(message), accepted=None, accepted_ballot=None)
 
 
-class VotesWithAnyDisk(VotingMachine):
+class VotesWithAnyDisk(VoterStateMachine):
     """A voter that is known by its name alone: with a new, empty disk it votes on."""
 
     def __init__(self, name: str, disk_id: str, saved: bytes | None = None) -> None:
@@ -48,7 +48,7 @@
 class CommitsAlone(ChainMember):
     """A head that takes a state for committed which it alone has saved."""
 
-    def next_name(self) -> str | None:
+    def successor(self) -> str | None:
         return None
 
 
@@ -59,12 +59,12 @@
         super().__init__(name, disk_id)
 
 
-MEMBERS: dict[str, type[ChainMember]] = {
+CHAIN_FAULTS: dict[str, type[ChainMember]] = {
     "commits-alone": CommitsAlone,
     "starts-empty": StartsEmpty,
 }
 
-AGREEMENT: dict[str, type[VotingMachine]] = {
+CONSENSUS_FAULTS: dict[str, type[VoterStateMachine]] = {
     "asks-before-its-own-promise": AsksBeforeItsOwnPromise,
     "answers-before-saving": AnswersBeforeSaving,
     "forgets-what-it-accepted": ForgetsWhatItAccepted,
--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -10,7 +10,7 @@
 from hollowusher.configuration import orders
 from hollowusher.coordination.chain import chain_replicator
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.consensus.agreement import Agreement
+from hollowusher.coordination.consensus.view_consensus import ViewConsensus
 from hollowusher.messages.primary import PartitionPrimary
 from hollowusher.messages.records import Status
 from hollowusher.protocol.codec import evolve
@@ -34,18 +34,18 @@
         await asyncio.sleep(2.0)
         await real(replicator, write)
 
-    real = patches.set(chain_replicator.Replicator, "_pass_on", pass_on)
+    real = patches.set(chain_replicator.ChainReplicator, "_forward_to_successor", pass_on)
 
 
 @planted("CONFIG", script=(attack(2, "cut_core", "edge-3", for_s=10.0), attack(15, "cut_core", for_s=10.0)))
 def _reads_not_confirmed(patches: Patches) -> None:
-    async def confirms(agreement: Agreement, epoch: int) -> bool:
+    async def confirms(agreement: ViewConsensus, epoch: int) -> bool:
         return True
 
-    patches.set(Agreement, "majority_confirms", confirms)
+    patches.set(ViewConsensus, "majority_confirms", confirms)
     from hollowusher.coordination.controller.voter_group import VoterGroup
 
-    patches.set(VoterGroup, "hears_majority", lambda group, view: True)
+    patches.set(VoterGroup, "has_quorum", lambda group, view: True)
 
 
 @planted(
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.chain.chain_replicator import Replicator
-from hollowusher.coordination.consensus import agreement, reconfiguration, voting
+from hollowusher.coordination.chain.chain_replicator import ChainReplicator
 from hollowusher.coordination.consensus import paxos as view
+from hollowusher.coordination.consensus import reconfiguration, view_consensus, voter_state_machine
 from hollowusher.coordination.consensus import voter_set as voter_plan
 from hollowusher.coordination.consensus.bootstrap import SeedService
 from hollowusher.coordination.consensus.paxos import Acceptor
-from hollowusher.coordination.consensus.voting import VotingMachine
+from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
 from hollowusher.coordination.controller import voter_group
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.placement import placement_manager
@@ -43,46 +43,46 @@
 
 def _released_at_once(patches: Patches, kind: type[Any]) -> None:
     """Have outputs of a kind leave before the disk has what they tell of."""
-    real = VotingMachine._when_durable
+    real = VoterStateMachine._send_when_durable
 
-    def when_durable(machine: VotingMachine, output: Any) -> None:
+    def when_durable(machine: VoterStateMachine, output: Any) -> None:
         if isinstance(output, kind):
-            if machine._unsaved and machine._saving is None:
-                machine._begin_save()
+            if machine._has_unsaved_vote and machine._saving is None:
+                machine._start_save()
             machine._release(output, taken=True)
         else:
             real(machine, output)
 
-    patches.set(VotingMachine, "_when_durable", when_durable)
+    patches.set(VoterStateMachine, "_send_when_durable", when_durable)
 
 
-@planted(test="tests/coordination/consensus/test_agreement.py")
+@planted(test="tests/coordination/consensus/test_view_consensus.py")
 def _ballot_used_again(patches: Patches) -> None:
-    _released_at_once(patches, voting._OwnVote)
+    _released_at_once(patches, voter_state_machine._OwnVote)
 
 
-@planted(test="tests/coordination/consensus/test_agreement.py")
+@planted(test="tests/coordination/consensus/test_view_consensus.py")
 def _promise_sent_before_it_is_saved(patches: Patches) -> None:
-    _released_at_once(patches, voting.Answer)
+    _released_at_once(patches, voter_state_machine.SendResponse)
 
 
 @planted("CONFIG", "LOST", "LIVENESS", kinds=("cut_core", "cut_both", "race"))
 def _majority_of_one(patches: Patches) -> None:
-    for module in (view, agreement, reconfiguration):
-        if "majority" in module.__dict__:
-            patches.set(module, "majority", lambda base: 1)
-        if "shortest_chain" in module.__dict__:
-            patches.set(module, "shortest_chain", lambda base: 1)
+    for module in (view, view_consensus, reconfiguration):
+        if "quorum_size" in module.__dict__:
+            patches.set(module, "quorum_size", lambda base: 1)
+        if "min_chain_length" in module.__dict__:
+            patches.set(module, "min_chain_length", lambda base: 1)
 
 
 @planted("LIVENESS", script=TWO_REPLACED)
 def _voter_never_removed(patches: Patches) -> None:
-    patches.set(voter_plan, "_gone", lambda base, health, now: [])
+    patches.set(voter_plan, "_voters_to_replace", lambda base, health, now: [])
 
 
 @planted("LIVENESS", script=TWO_REPLACED)
 def _newcomers_never_vote(patches: Patches) -> None:
-    patches.set(voter_group, "next_step", lambda *arguments, **named: None)
+    patches.set(voter_group, "plan_voter_set_change", lambda *arguments, **named: None)
 
 
 @planted("LIVENESS", "LOST", script=DARK_WITH_PLAIN_SEEDS, size=Size(plain_edges=3))
@@ -105,13 +105,13 @@
 
 def _passed_on(patches: Patches, **lost: Any) -> None:
     """Have members keep states without some of their parts."""
-    real = Replicator._whole
+    real = ChainReplicator._fill_record
 
-    def whole(replicator: Replicator, write: ChainWrite) -> ChainWrite | None:
+    def whole(replicator: ChainReplicator, write: ChainWrite) -> ChainWrite | None:
         kept = real(replicator, write)
         return None if kept is None else evolve(kept, state=evolve(kept.state, **lost))
 
-    patches.set(Replicator, "_whole", whole)
+    patches.set(ChainReplicator, "_fill_record", whole)
 
 
 @planted(
@@ -161,7 +161,7 @@
     def keep(member: ChainMember, write: ChainWrite) -> None:
         member.state, member.state_epoch = write.state, member.epoch
 
-    patches.set(Replicator, "_reason_to_refuse", lambda replicator, write: "")
+    patches.set(ChainReplicator, "_rejection_reason", lambda replicator, write: "")
     patches.set(ChainMember, "accepts", lambda member, write: member.in_chain)
     patches.set(ChainMember, "keep", keep)
 
@@ -177,9 +177,9 @@
     ),
 )
 def _chain_skips_a_silent_member(patches: Patches) -> None:
-    real = Replicator._pass_on
+    real = ChainReplicator._forward_to_successor
 
-    async def pass_on(replicator: Replicator, write: ChainWrite) -> Any:
+    async def pass_on(replicator: ChainReplicator, write: ChainWrite) -> Any:
         answer = await real(replicator, write)
         if answer.ok or not answer.unreachable:
             return answer
@@ -188,7 +188,7 @@
             replicator._on_state(committed)
         return evolve(answer, ok=True, unreachable="")
 
-    patches.set(Replicator, "_pass_on", pass_on)
+    patches.set(ChainReplicator, "_forward_to_successor", pass_on)
 
 
 # ---- placements
--- a/hollowusher/simulation/planted/partitions.py
+++ b/hollowusher/simulation/planted/partitions.py
@@ -34,7 +34,7 @@
     async def save(replicator: Any) -> bool:
         return True
 
-    patches.set(chain_replicator.Replicator, "_save", save)
+    patches.set(chain_replicator.ChainReplicator, "_save", save)
 
 
 @planted("LOST", "CONFIG", kinds=HERDS)
--- a/tests/coordination/chain/snapshot_figures.py
+++ b/tests/coordination/chain/large_document_figures.py
@@ -1,10 +1,13 @@
-"""Prints what large documents cost in virtual time: `python -m tests.coordination.chain.snapshot_figures`."""
+"""Prints the cost of large documents in virtual time.
+
+Usage: `python -m tests.coordination.chain.large_document_figures`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 
-from tests.coordination.chain.test_snapshots import (
+from tests.coordination.chain.test_large_documents import (
     SLOW_DISK,
     caught_up,
     change_placement,
--- a/tests/coordination/chain/test_snapshots_random.py
+++ b/tests/coordination/chain/test_catch_up_random.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.coordination.chain.test_snapshots import (
+from tests.coordination.chain.test_large_documents import (
     DISK_BYTES_PER_S,
     LINK_BYTES_PER_S,
     caught_up,
--- a/tests/coordination/chain/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -7,18 +7,18 @@
 import attrs
 import pytest
 
-from hollowusher.coordination.chain.chain_member import EMPTY_STATE, ChainMember, dump_write
-from hollowusher.coordination.consensus.paxos import first_view, majority, shortest_chain
+from hollowusher.coordination.chain.chain_member import EMPTY_STATE, ChainMember, encode_write
+from hollowusher.coordination.consensus.paxos import first_view, min_chain_length, quorum_size
 from hollowusher.coordination.consensus.reconfiguration import (
-    Presence,
+    LivenessSnapshot,
     VoterHealth,
-    lost_member,
+    has_lost_chain_member,
     plan_chain,
     plan_voters,
-    presence,
     proposal_rank,
+    take_liveness_snapshot,
 )
-from hollowusher.coordination.consensus.voter_set import VoterStep, next_step
+from hollowusher.coordination.consensus.voter_set import VoterSetChange, plan_voter_set_change
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Pong
 from hollowusher.protocol.control_chain import ChainWrite, ControlState
@@ -45,10 +45,10 @@
     return {word for _, word in state.history}
 
 
-def everyone(view: View, alive: str) -> Presence:
+def everyone(view: View, alive: str) -> LivenessSnapshot:
     """All these voters hear each other and are complete."""
     names = frozenset(alive)
-    return Presence(names, names & frozenset(view.chain), dict.fromkeys(alive, names))
+    return LivenessSnapshot(names, names & frozenset(view.chain), dict.fromkeys(alive, names))
 
 
 # -- the members -------------------------------------------------------------------------------------------
@@ -58,7 +58,7 @@
     _, members = chain_of("abc")
     assert [members[name].is_head for name in "abc"] == [True, False, False]
     assert [members[name].is_tail for name in "abc"] == [False, False, True]
-    assert [members[name].next_name() for name in "abc"] == ["b", "c", None]
+    assert [members[name].successor() for name in "abc"] == ["b", "c", None]
 
 
 def test_a_state_goes_down_the_chain_and_is_committed_at_the_tail() -> None:
@@ -68,9 +68,9 @@
     for name in "bc":
         assert members[name].accepts(write)
         members[name].keep(write)
-    assert not members["c"].readable
-    assert members["c"].commit(write) is write.state and members["c"].readable
-    assert members["a"].commit(write) is write.state and members["a"].settled
+    assert not members["c"].is_readable
+    assert members["c"].commit(write) is write.state and members["c"].is_readable
+    assert members["a"].commit(write) is write.state and members["a"].is_committed
     assert members["a"].commit(write) is None  # known already
     assert members["b"].committed is None
 
@@ -138,10 +138,10 @@
 def test_a_member_is_the_same_after_a_crash() -> None:
     view, _ = chain_of("abc")
     write = ChainWrite(1, evolve(EMPTY_STATE, sequence=5, generation=7, document=b"{}"))
-    again = ChainMember("c", "disk-c", dump_write(write))
+    again = ChainMember("c", "disk-c", encode_write(write))
     assert (again.state_epoch, again.state) == (1, write.state)
     again.install(view)
-    assert again.committed == write.state and again.readable  # what the tail saved is committed
+    assert again.committed == write.state and again.is_readable  # what the tail saved is committed
 
 
 def test_a_state_of_an_earlier_epoch_is_not_settled_before_the_chain_has_it_again() -> None:
@@ -150,13 +150,13 @@
     write = head.begin()
     head.keep(write)
     head.commit(write)
-    assert head.settled
+    assert head.is_committed
     head.install(View(2, view.voters, ["a", "b"], {"a": 1, "b": 1}))
     again = head.begin()
     head.keep(again)
-    assert not head.settled
+    assert not head.is_committed
     head.commit(again)
-    assert head.settled
+    assert head.is_committed
 
 
 def test_a_tail_answers_nothing_before_its_epoch_is_in_force() -> None:
@@ -166,12 +166,12 @@
     members["b"].commit(write)
     second = View(2, view.voters, ["a", "b"], {"a": 1, "b": 1})
     members["b"].install(second)
-    assert not members["b"].readable
+    assert not members["b"].is_readable
     later = ChainWrite(2, evolve(EMPTY_STATE, sequence=3))
     members["b"].keep(later)
-    assert not members["b"].readable
+    assert not members["b"].is_readable
     members["b"].commit(later)
-    assert members["b"].readable and members["b"].committed == later.state
+    assert members["b"].is_readable and members["b"].committed == later.state
 
 
 # -- the next view -----------------------------------------------------------------------------------------
@@ -206,7 +206,7 @@
 def test_who_cannot_reach_the_tail_does_not_join() -> None:
     view = View(2, voters("abc"), ["a", "b"], {"a": 1, "b": 1})
     heard = {"a": frozenset("bc"), "b": frozenset("a"), "c": frozenset("a")}
-    assert plan_chain(view, Presence(frozenset("abc"), frozenset("ab"), heard)) is None
+    assert plan_chain(view, LivenessSnapshot(frozenset("abc"), frozenset("ab"), heard)) is None
 
 
 def test_a_new_disk_takes_the_place_of_the_old_one_at_the_tail() -> None:
@@ -226,14 +226,16 @@
     new, wiped = Voter("n", "disk-n", ""), Voter("b", "new", view.voters[1].address)
     pong(health, "b", 10.0)
     pong(health, "c", 10.0)
-    assert next_step(view, [view.voters[0], new], health, 3, 10.0) is None  # as many as wanted: it is a spare
-    assert next_step(view, [new], health, 5, 10.0) == VoterStep(new)
-    assert next_step(view, [wiped], health, 3, 10.0) == VoterStep(wiped, "b")
+    assert (
+        plan_voter_set_change(view, [view.voters[0], new], health, 3, 10.0) is None
+    )  # as many as wanted: it is a spare
+    assert plan_voter_set_change(view, [new], health, 5, 10.0) == VoterSetChange(new)
+    assert plan_voter_set_change(view, [wiped], health, 3, 10.0) == VoterSetChange(wiped, "b")
     pong(health, "b", 14.0)
-    assert next_step(view, [new], health, 3, 14.0) == VoterStep(new, "c")
-    assert next_step(view, [], health, 3, 14.0) is None  # nobody could take its place
+    assert plan_voter_set_change(view, [new], health, 3, 14.0) == VoterSetChange(new, "c")
+    assert plan_voter_set_change(view, [], health, 3, 14.0) is None  # nobody could take its place
     full = first_view(voters("abcde"))
-    assert next_step(full, [new], VoterHealth("a", 14.0), 5, 14.0) is None
+    assert plan_voter_set_change(full, [new], VoterHealth("a", 14.0), 5, 14.0) is None
 
 
 # -- who is there ------------------------------------------------------------------------------------------
@@ -246,19 +248,19 @@
 def test_a_voter_is_dead_after_silence_or_two_refusals() -> None:
     health = VoterHealth("a", 0.0)
     health.track("abc", 0.0)
-    assert not health.dead("b", 1.1) and not health.hears("b", 1.1)  # it may yet be starting
-    assert health.dead("b", 1.3)
+    assert not health.is_dead("b", 1.1) and not health.is_reachable("b", 1.1)  # it may yet be starting
+    assert health.is_dead("b", 1.3)
     pong(health, "b", 2.0)
-    assert health.hears("b", 3.1) and not health.hears("b", 3.3)
+    assert health.is_reachable("b", 3.1) and not health.is_reachable("b", 3.3)
     pong(health, "b", 4.0)
     health.refused("b")
-    assert health.hears("b", 4.1)
+    assert health.is_reachable("b", 4.1)
     health.refused("b")
-    assert health.dead("b", 4.2)
+    assert health.is_dead("b", 4.2)
     pong(health, "b", 4.4)
-    assert health.hears("b", 4.4)
+    assert health.is_reachable("b", 4.4)
     pong(health, "b", 4.6, stalled=True)
-    assert health.dead("b", 4.6)
+    assert health.is_dead("b", 4.6)
 
 
 def test_refusals_mean_little_right_after_the_start() -> None:
@@ -266,7 +268,7 @@
     health.track("ab", 0.0)
     health.refused("b")
     health.refused("b")
-    assert not health.dead("b", 0.5) and health.dead("b", 1.3)
+    assert not health.is_dead("b", 0.5) and health.is_dead("b", 1.3)
 
 
 def test_a_member_out_of_reach_of_its_neighbour_is_avoided_for_a_while() -> None:
@@ -275,12 +277,12 @@
     pong(health, "b", 1.0)
     health.avoid("b", 2.0)
     view = first_view(voters("ab"))
-    assert health.avoided("b", 1.5) and lost_member(view, health, 1.5)
-    assert presence(health, view, True, 1.5).alive == {"a"}
-    assert health.hears("b", 1.5)  # it votes all the same
+    assert health.avoided("b", 1.5) and has_lost_chain_member(view, health, 1.5)
+    assert take_liveness_snapshot(health, view, True, 1.5).alive == {"a"}
+    assert health.is_reachable("b", 1.5)  # it votes all the same
     pong(health, "b", 2.1)
-    assert health.hears("b", 2.1) and not health.avoided("b", 2.1)
-    assert presence(health, view, True, 2.1).alive == {"a", "b"}
+    assert health.is_reachable("b", 2.1) and not health.avoided("b", 2.1)
+    assert take_liveness_snapshot(health, view, True, 2.1).alive == {"a", "b"}
 
 
 def test_presence_leaves_out_the_leaving_and_ranks_the_rest() -> None:
@@ -288,12 +290,12 @@
     health = VoterHealth("b", 0.0)
     health.track("abc", 0.0)
     pong(health, "c", 5.0)
-    assert health.hears_majority(view, 5.0) and lost_member(view, health, 5.0)
-    present = presence(health, view, True, 5.0)
+    assert health.has_quorum(view, 5.0) and has_lost_chain_member(view, health, 5.0)
+    present = take_liveness_snapshot(health, view, True, 5.0)
     assert present.alive == {"b", "c"} and present.complete == {"b", "c"}
     assert proposal_rank(view, present, "b") == 0 and proposal_rank(view, present, "c") == 1
     pong(health, "a", 5.0, leaving=True)
-    assert presence(health, view, True, 5.0).alive == {"b", "c"}
+    assert take_liveness_snapshot(health, view, True, 5.0).alive == {"b", "c"}
     assert proposal_rank(View(2, view.voters, ["a", "c"]), present, "b") is None
 
 
@@ -331,7 +333,7 @@
             fresh = written(member.state, str(self.words))
         write = member.begin(fresh)
         member.keep(write)
-        self._pass_on(member, write)
+        self._forward_to_successor(member, write)
 
     def deliver(self) -> None:
         if not self.under_way:
@@ -342,10 +344,10 @@
         if self.chance.random() < 0.1 or not member.accepts(write):
             return
         member.keep(write)
-        self._pass_on(member, write)
+        self._forward_to_successor(member, write)
 
-    def _pass_on(self, member: ChainMember, write: ChainWrite) -> None:
-        following = member.next_name()
+    def _forward_to_successor(self, member: ChainMember, write: ChainWrite) -> None:
+        following = member.successor()
         if following is not None:
             self.under_way.append((following, write))
             return
@@ -358,7 +360,7 @@
 
     def change_view(self) -> None:
         view = self.views[-1]
-        count = self.chance.randint(majority(view), len(self.members))
+        count = self.chance.randint(quorum_size(view), len(self.members))
         alive = self.chance.sample(sorted(self.members), count)
         informed = [name for name in alive if self.members[name].epoch == view.epoch]
         proposers = [name for name in informed if name in view.chain]
@@ -366,7 +368,7 @@
             return
         complete = frozenset(name for name in informed if self.members[name].complete)
         heard = dict.fromkeys(alive, frozenset(alive))
-        planned = plan_chain(view, Presence(frozenset(alive), complete, heard))
+        planned = plan_chain(view, LivenessSnapshot(frozenset(alive), complete, heard))
         if planned is None:
             return
         self.views.append(planned)
@@ -377,7 +379,7 @@
     def crash(self) -> None:
         name = self.chance.choice(sorted(self.members))
         old = self.members[name]
-        saved = dump_write(ChainWrite(old.state_epoch, old.state))
+        saved = encode_write(ChainWrite(old.state_epoch, old.state))
         self.members[name] = ChainMember(name, old.disk_id, saved)
         if old.view is not None:
             self.members[name].install(old.view)
@@ -386,14 +388,14 @@
         """A tail that a majority confirms knows every commit."""
         member = self._any_member()
         confirming = [name for name, epoch in self.accepted.items() if epoch <= member.epoch]
-        if member.readable and len(confirming) >= majority(self.views[0]):
+        if member.is_readable and len(confirming) >= quorum_size(self.views[0]):
             assert member.committed is not None
             assert self.committed <= words(member.committed)
             self.reads += 1
 
     def check(self) -> None:
         view = self.views[-1]
-        assert len(view.chain) >= shortest_chain(view)
+        assert len(view.chain) >= min_chain_length(view)
         for member in self.members.values():
             if member.view == view and member.is_head and member.complete:
                 assert self.committed <= words(member.state), "a commit is lost"
--- a/tests/coordination/chain/test_snapshots_bad_input.py
+++ b/tests/coordination/chain/test_rejected_messages.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from hollowusher.coordination.chain.record_fetch import RecordBuffer, RecordFetch, read_chunk
+from hollowusher.coordination.chain.record_fetcher import RecordBuffer, RecordFetcher, read_chunk
 from hollowusher.coordination.chain.state_record import (
     CHUNK_BYTES,
-    MOST_RECORD_BYTES,
+    MAX_RECORD_BYTES,
     StateRecord,
     make_record,
-    without_record,
+    strip_record,
 )
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, RecordChunk
 from hollowusher.storage.memory import MemorySlot
-from tests.coordination.chain.test_snapshots import (
+from tests.coordination.chain.test_large_documents import (
     large_body,
     member,
     send_until_taken,
@@ -101,7 +101,7 @@
     await cluster.put_somewhere(1, 0)
     write = next_write(cluster)
     files = dict(cluster["b"].files)
-    unknown = evolve(write, state=without_record(write.state), record=b"0" * 16)
+    unknown = evolve(write, state=strip_record(write.state), record=b"0" * 16)
     for _ in range(3):
         answer = await cluster["b"].running.handle(unknown)
         assert not answer.ok and answer.lacking == "b"
@@ -121,9 +121,9 @@
     record = record_of(LARGE)
     buffer = RecordBuffer(record.digest)
     for chunk in chunks(record):
-        assert not buffer.full
+        assert not buffer.is_complete
         assert buffer.take(chunk) == ""
-    assert buffer.full
+    assert buffer.is_complete
     found = buffer.finish()
     assert found is not None and found.encoded == record.encoded
 
@@ -137,7 +137,7 @@
     assert buffer.take(second) == "cut short"
     assert buffer.take(evolve(first, data=b"")) == "cut short"
     assert buffer.take(evolve(first, size=0)) == "wrong size"
-    assert buffer.take(evolve(first, size=MOST_RECORD_BYTES + 1)) == "wrong size"
+    assert buffer.take(evolve(first, size=MAX_RECORD_BYTES + 1)) == "wrong size"
     assert buffer.take(evolve(first, size=10)) == "cut short"
     assert buffer.offset == 0
     assert buffer.take(first) == ""
@@ -152,8 +152,8 @@
     buffer = RecordBuffer(record.digest)
     for chunk in [*spoilt[:1], *chunks(record)[1:]]:
         assert buffer.take(chunk) == ""
-    assert buffer.full and buffer.finish() is None
-    assert buffer.offset == 0 and not buffer.full
+    assert buffer.is_complete and buffer.finish() is None
+    assert buffer.offset == 0 and not buffer.is_complete
     for chunk in chunks(record):
         assert buffer.take(chunk) == ""
     assert buffer.finish() is not None
@@ -201,8 +201,8 @@
 
     counts: Counter[str] = Counter()
     work: list[Any] = []
-    fetch = RecordFetch(Breaking(), disk, work.append, counts)  # type: ignore[arg-type]
-    fetch.want(record.digest, source.address, "")
+    fetch = RecordFetcher(Breaking(), disk, work.append, counts)  # type: ignore[arg-type]
+    fetch.fetch(record.digest, source.address, "")
     assert not disk.is_durable(record.digest)
     await work.pop()
     assert disk.is_durable(record.digest) and counts == {"record: cut short": 1}
--- a/tests/coordination/chain/test_snapshots_store.py
+++ b/tests/coordination/chain/test_state_store.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from hollowusher.coordination.chain.chain_member import EMPTY_STATE, ChainMember, dump_write
+from hollowusher.coordination.chain.chain_member import EMPTY_STATE, ChainMember, encode_write
 from hollowusher.coordination.chain.state_record import (
-    EMBEDDED_BYTES,
+    MAX_EMBEDDED_BYTES,
+    decode_record,
     make_record,
-    read_record,
-    without_record,
+    strip_record,
 )
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.consensus.paxos import first_view
@@ -91,13 +91,13 @@
     store.load()
     possible = [EMPTY_STATE]  # the newest acknowledged one, and those tried since
     for sequence in range(1, STEPS):
-        size = chance.choice((10, 10, EMBEDDED_BYTES, 3 * EMBEDDED_BYTES))
+        size = chance.choice((10, 10, MAX_EMBEDDED_BYTES, 3 * MAX_EMBEDDED_BYTES))
         state = state_of(sequence, size)
         if chance.random() < 0.3:  # the placement alone has changed
             state = evolve(possible[0], sequence=sequence)
         try:
             if chance.random() < 0.3:
-                await store.save_record(make_record(state_of(100 + sequence, 2 * EMBEDDED_BYTES)))
+                await store.save_record(make_record(state_of(100 + sequence, 2 * MAX_EMBEDDED_BYTES)))
             possible.append(state)
             await store.save(1, state)
             possible = [state]
@@ -113,9 +113,9 @@
 
 
 def test_a_state_saved_by_an_earlier_version_is_read() -> None:
-    large = state_of(7, 5 * EMBEDDED_BYTES)
+    large = state_of(7, 5 * MAX_EMBEDDED_BYTES)
     disk = RiskyDisk(random.Random(0))
-    disk.values["state"] = dump_write(ChainWrite(3, large))
+    disk.values["state"] = encode_write(ChainWrite(3, large))
     store = disk.store()
     saved = store.load()
     assert saved is not None and (saved.epoch, saved.state, saved.whole) == (3, large, True)
@@ -126,14 +126,14 @@
     disk = RiskyDisk(random.Random(0))
     small = state_of(7, 100)
     asyncio.run(disk.store().save(3, small))
-    assert disk.values == {"state": dump_write(ChainWrite(3, small))}
+    assert disk.values == {"state": encode_write(ChainWrite(3, small))}
     assert ChainMember("a", "disk-a", disk.values["state"]).state == small
 
 
 def test_a_large_document_is_written_once() -> None:
     disk = RiskyDisk(random.Random(0))
     store = disk.store()
-    large = state_of(7, 5 * EMBEDDED_BYTES)
+    large = state_of(7, 5 * MAX_EMBEDDED_BYTES)
     asyncio.run(store.save(3, large))
     before = dict(disk.values)
     asyncio.run(store.save(3, evolve(large, sequence=8)))
@@ -142,9 +142,9 @@
 
 
 def test_a_member_whose_document_is_missing_holds_nothing() -> None:
-    large = state_of(7, 5 * EMBEDDED_BYTES)
+    large = state_of(7, 5 * MAX_EMBEDDED_BYTES)
     disk = RiskyDisk(random.Random(0))
-    disk.values["state"] = encode([3, without_record(large), make_record(large).digest])
+    disk.values["state"] = encode([3, strip_record(large), make_record(large).digest])
     saved = disk.store().load()
     assert saved is not None and not saved.whole
     view = first_view([Voter(name, f"disk-{name}", name) for name in "abc"])
@@ -154,21 +154,21 @@
     assert member.is_head and not member.complete and not member.may_write
     member.install(View(2, view.voters, ["b", "a"], {"a": 1, "b": 1}))
     write = ChainWrite(2, evolve(large, sequence=9))
-    assert member.accepts(write) and not member.holds(write)
+    assert member.accepts(write) and not member.has_saved(write)
     member.keep(write)
     assert member.complete and member.state == write.state
 
 
 def test_the_record_is_the_same_after_its_way_over_the_wire() -> None:
     record = make_record(state_of(7, 100))
-    again = read_record(record.encoded)
+    again = decode_record(record.encoded)
     assert (again.digest, again.document, again.history) == (record.digest, record.document, record.history)
 
 
 def test_a_head_whose_disk_remembers_a_later_epoch_than_its_view_writes_nothing() -> None:
     """The save of a view may fail while that of a state succeeds: after a restart the state is the newer."""
     view = first_view([Voter(name, f"disk-{name}", name) for name in "abc"])
-    member = ChainMember("a", "disk-a", dump_write(ChainWrite(2, state_of(7, 10))))
+    member = ChainMember("a", "disk-a", encode_write(ChainWrite(2, state_of(7, 10))))
     member.install(view)
     assert member.is_head and not member.may_write
     with pytest.raises(ValueError, match="not a head"):
--- a/tests/coordination/chain/test_snapshots_disks.py
+++ b/tests/coordination/chain/test_stuck_disks.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.coordination.chain.test_snapshots import (
+from tests.coordination.chain.test_large_documents import (
     caught_up,
     large_body,
     send_until_taken,
--- a/tests/coordination/consensus/test_agreement_cluster.py
+++ b/tests/coordination/consensus/test_foreign_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hollowusher.coordination.consensus.paxos import Acceptor, Proposer, first_view, same_cluster, voter_id
+from hollowusher.coordination.consensus.paxos import Acceptor, Proposer, first_view, is_same_cluster, voter_id
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Prepare
 from hollowusher.protocol.view import View, Voter
@@ -25,8 +25,13 @@
 
 
 def test_names_of_clusters() -> None:
-    assert same_cluster("x", "x") and same_cluster("", "x") and same_cluster("x", "") and same_cluster("", "")
-    assert not same_cluster("x", "y")
+    assert (
+        is_same_cluster("x", "x")
+        and is_same_cluster("", "x")
+        and is_same_cluster("x", "")
+        and is_same_cluster("", "")
+    )
+    assert not is_same_cluster("x", "y")
 
 
 @pytest.mark.parametrize("epoch", [1, 2, 9])
@@ -34,7 +39,7 @@
     acceptor = voter_of()
     saved = acceptor.dump()
     assert not acceptor.learn(evolve(FOREIGN, epoch=epoch))
-    assert acceptor.dump() == saved and acceptor.foreign == 1
+    assert acceptor.dump() == saved and acceptor.foreign_rejections == 1
 
 
 @pytest.mark.parametrize(
@@ -46,14 +51,14 @@
     saved = acceptor.dump()
     answer = acceptor.prepare(message)
     assert not answer.granted and answer.decided is None
-    assert acceptor.dump() == saved and acceptor.foreign == 1
+    assert acceptor.dump() == saved and acceptor.foreign_rejections == 1
 
 
 def test_no_acceptance_of_a_view_of_another_cluster_or_epoch() -> None:
     acceptor = voter_of()
     saved = acceptor.dump()
     assert not acceptor.accept(Accept(2, [1, "b"], next_view(FOREIGN))).granted
-    assert acceptor.foreign == 1
+    assert acceptor.foreign_rejections == 1
     assert not acceptor.accept(Accept(2, [1, "b"], next_view(BASE, epoch=3))).granted
     assert acceptor.dump() == saved
 
@@ -62,7 +67,7 @@
     acceptor = voter_of()
     assert acceptor.confirm(ConfirmEpoch(1)) and acceptor.confirm(ConfirmEpoch(1, "cluster-1"))
     assert not acceptor.confirm(ConfirmEpoch(1, "cluster-2"))
-    assert acceptor.foreign == 1
+    assert acceptor.foreign_rejections == 1
 
 
 def test_views_of_older_processes_have_no_cluster_and_are_taken() -> None:
@@ -70,7 +75,7 @@
     acceptor = voter_of(older)
     assert acceptor.prepare(Prepare(2, [1, "b"], older)).granted
     assert acceptor.accept(Accept(2, [1, "b"], next_view(BASE))).granted
-    assert acceptor.learn(next_view(BASE)) and acceptor.foreign == 0
+    assert acceptor.learn(next_view(BASE)) and acceptor.foreign_rejections == 0
 
 
 def test_a_message_to_another_voter_is_not_answered_with_a_vote() -> None:
@@ -83,7 +88,7 @@
     assert not acceptor.accept(proposer.accept(other)).granted
     assert not acceptor.confirm(ConfirmEpoch(1, voter=voter_id(other)))
     assert not acceptor.prepare(proposer.prepare(evolve(VOTERS[0], disk_id="older-disk"))).granted
-    assert acceptor.dump() == saved and acceptor.foreign == 4
+    assert acceptor.dump() == saved and acceptor.foreign_rejections == 4
     assert acceptor.prepare(proposer.prepare(VOTERS[0])).granted
     assert acceptor.accept(proposer.accept(VOTERS[0])).granted
 
--- a/tests/coordination/consensus/test_paxos.py
+++ b/tests/coordination/consensus/test_paxos.py
@@ -13,8 +13,8 @@
     Proposer,
     first_view,
     is_voter,
-    majority,
-    shortest_chain,
+    min_chain_length,
+    quorum_size,
 )
 from hollowusher.protocol.consensus import Accept, Prepare
 from hollowusher.protocol.view import View, Voter
@@ -39,8 +39,8 @@
     sizes = {}
     for count in range(1, 8):
         view = first_view([Voter(str(number), "d", "") for number in range(count)])
-        sizes[count] = (majority(view), shortest_chain(view))
-        assert majority(view) + shortest_chain(view) > count  # any majority meets any chain
+        sizes[count] = (quorum_size(view), min_chain_length(view))
+        assert quorum_size(view) + min_chain_length(view) > count  # any majority meets any chain
     assert sizes[3] == (2, 2) and sizes[4] == (3, 2) and sizes[5] == (3, 3)
 
 
@@ -97,7 +97,7 @@
     assert not wiped.accept(proposer.accept()).granted
     assert not wiped.confirms(1)
     assert not is_voter(BASE, "a", "another-disk")
-    assert wiped.take_first(BASE) is None
+    assert wiped.accept_first_view(BASE) is None
 
 
 def test_a_controller_outside_the_group_does_not_vote() -> None:
@@ -146,11 +146,11 @@
 def test_the_first_of_the_first_views_is_held() -> None:
     acceptor = Acceptor("a", "disk-a")
     smaller = first_view(VOTERS[:2])
-    assert acceptor.take_first(smaller) == smaller
-    assert acceptor.take_first(BASE) == smaller
-    assert Acceptor("a", "disk-a", acceptor.dump()).take_first(BASE) == smaller
+    assert acceptor.accept_first_view(smaller) == smaller
+    assert acceptor.accept_first_view(BASE) == smaller
+    assert Acceptor("a", "disk-a", acceptor.dump()).accept_first_view(BASE) == smaller
     acceptor.learn(smaller)
-    assert acceptor.take_first(BASE) is None
+    assert acceptor.accept_first_view(BASE) is None
 
 
 # -- the model check: two proposers, three voters, any order of delivery, any loss ----------------------
--- a/tests/coordination/consensus/test_agreement.py
+++ b/tests/coordination/consensus/test_view_consensus.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from hollowusher.coordination.consensus.agreement import Agreement
 from hollowusher.coordination.consensus.paxos import Acceptor, first_view
+from hollowusher.coordination.consensus.view_consensus import ViewConsensus
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.consensus import (
     Accept,
@@ -136,19 +136,19 @@
         self.disk = Disk()
         self.views: list[View] = []
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.agreement: Agreement | None = None
+        self.agreement: ViewConsensus | None = None
         post.voters[voter.address] = self
         acceptor = Acceptor(voter.name, voter.disk_id)
         acceptor.learn(BASE)
         self.disk.value = acceptor.dump()
 
     @property
-    def running(self) -> Agreement:
+    def running(self) -> ViewConsensus:
         assert self.agreement is not None
         return self.agreement
 
     def start(self) -> None:
-        self.agreement = Agreement(self.voter, Line(self.post, self.voter.name), self.disk,
+        self.agreement = ViewConsensus(self.voter, Line(self.post, self.voter.name), self.disk,
                                    random.Random(self.voter.name), self.views.append)  # fmt: skip
 
     def lose_power(self) -> None:
@@ -164,7 +164,7 @@
         if isinstance(message, Accept):
             return await agreement.accept(message)
         if isinstance(message, ProposeFirst):
-            return await agreement.take_first(message)
+            return await agreement.accept_first_view(message)
         if isinstance(message, ConfirmEpoch):
             return agreement.confirm(message)
         if isinstance(message, Decided):
@@ -274,16 +274,16 @@
         node.disk.full = True
         for _ in range(3):  # the second one finds the view in memory already
             try:
-                answer = await node.running.take_first(ProposeFirst(BASE))
+                answer = await node.running.accept_first_view(ProposeFirst(BASE))
             except StorageError:
                 continue
             assert answer.taken is None, "answered though it is not on disk"
         node.disk.full = False
-        assert await node.running.take_first(ProposeFirst(BASE)) == FirstTaken(BASE, None)
+        assert await node.running.accept_first_view(ProposeFirst(BASE)) == FirstTaken(BASE, None)
         node.lose_power()
         node.start()
         other = first_view(VOTERS[:2], "cluster-2")
-        assert await node.running.take_first(ProposeFirst(other)) == FirstTaken(BASE, None)
+        assert await node.running.accept_first_view(ProposeFirst(other)) == FirstTaken(BASE, None)
 
     run_virtual(check())
 
--- a/tests/coordination/consensus/test_finding_the_view.py
+++ b/tests/coordination/consensus/test_view_discovery.py
@@ -12,8 +12,8 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
 from hollowusher.coordination.consensus.bootstrap import SeedService
-from hollowusher.coordination.consensus.view_cache import ViewKeeper
-from hollowusher.coordination.consensus.view_publisher import SeedContacts
+from hollowusher.coordination.consensus.view_cache import ViewCache
+from hollowusher.coordination.consensus.view_publisher import SeedSchedule
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.protocol.consensus import Decided
 from hollowusher.protocol.membership import Member
@@ -39,10 +39,10 @@
         self.client = ClusterClient(
             member, self.transport, settings, self.state, None, chance, self.addresses
         )
-        self.keeper: ViewKeeper | None = None
+        self.keeper: ViewCache | None = None
         self.seed: SeedService | None = None
         if files is not None:
-            self.keeper = ViewKeeper(VirtualSlot(cluster.network, files, "view"), self.state)
+            self.keeper = ViewCache(VirtualSlot(cluster.network, files, "view"), self.state)
             self.keeper.load()
         else:
             self.seed = SeedService(settings, self.transport, self.client.take_view)
@@ -57,7 +57,7 @@
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.client.run())]
         if self.keeper is not None:
-            self.tasks += [loop.create_task(self.client.bear_view()), loop.create_task(self.keeper.run())]
+            self.tasks += [loop.create_task(self.client.publish_view()), loop.create_task(self.keeper.run())]
 
     async def kill(self) -> None:
         await self.transport.close()
@@ -274,11 +274,11 @@
             await seed.handle(Decided(view))
             seed.client.take_view(view)
         assert seed.state.view == known and cluster["a"].running.view == known
-        assert seed.seed.foreign == 2 and seed.client.foreign_views == 1
-        assert cluster["a"].running.foreign == 2
+        assert seed.seed.foreign_rejections == 2 and seed.client.foreign_views == 1
+        assert cluster["a"].running.foreign_rejections == 2
         ghost = Announce(Voter("b", "other-disk", cluster["b"].address), cluster="other")
         assert await cluster["a"].running.handle(ghost) == ViewAnswer(known)
-        assert cluster["a"].running.foreign == 3
+        assert cluster["a"].running.foreign_rejections == 3
         await asyncio.sleep(3.0)
         assert cluster["a"].running.view == known
         await seed.kill()
@@ -296,13 +296,13 @@
 
 
 def test_seeds_are_called_with_growing_pauses_until_they_answer_and_seldom_afterwards() -> None:
-    contacts = SeedContacts(2.0)
+    contacts = SeedSchedule(2.0)
     assert contacts.due(["s"], 3, 10.0) == ["s"]
-    contacts.called("s", 10.0)
+    contacts.on_call_started("s", 10.0)
     assert contacts.due(["s"], 3, 10.5) == []
     now, pauses = 10.0, []
     for _ in range(8):
-        contacts.silent("s", now)
+        contacts.on_no_answer("s", now)
         before = now
         while not contacts.due(["s"], 3, now):
             now = round(now + 0.05, 2)
--- a/tests/coordination/consensus/test_voter_plan.py
+++ b/tests/coordination/consensus/test_voter_set.py
@@ -5,8 +5,18 @@
 import itertools
 
 from hollowusher.coordination.consensus.paxos import first_view
-from hollowusher.coordination.consensus.reconfiguration import Presence, VoterHealth, plan_chain, plan_voters
-from hollowusher.coordination.consensus.voter_set import VoterStep, choose_voters, next_step, voters_wanted
+from hollowusher.coordination.consensus.reconfiguration import (
+    LivenessSnapshot,
+    VoterHealth,
+    plan_chain,
+    plan_voters,
+)
+from hollowusher.coordination.consensus.voter_set import (
+    VoterSetChange,
+    choose_voters,
+    plan_voter_set_change,
+    required_voters,
+)
 from hollowusher.protocol.consensus import Pong
 from hollowusher.protocol.view import View, Voter
 
@@ -30,7 +40,7 @@
 
 
 def test_as_many_voters_as_outlast_the_tolerated_losses() -> None:
-    assert [voters_wanted(tolerated) for tolerated in (0, 1, 2, 3)] == [3, 3, 5, 7]
+    assert [required_voters(tolerated) for tolerated in (0, 1, 2, 3)] == [3, 3, 5, 7]
 
 
 def test_the_first_voters_are_spread_over_zones_and_the_same_for_any_order() -> None:
@@ -45,50 +55,62 @@
     view = first_view(map(voter, "abcde"))
     spare = voter("n")
     health = health_of("abcde", silent="b", leaving="c")
-    assert next_step(view, [spare], health, 5, NOW) == VoterStep(spare, "c")
-    health.other_disk("d")
-    assert next_step(view, [spare], health, 5, NOW) == VoterStep(spare, "d")
-    assert next_step(view, [spare], health_of("abcde", silent="b"), 5, NOW) == VoterStep(spare, "b")
-    assert next_step(view, [spare], health_of("abcde", stalled="e"), 5, NOW) == VoterStep(spare, "e")
+    assert plan_voter_set_change(view, [spare], health, 5, NOW) == VoterSetChange(spare, "c")
+    health.on_disk_replaced("d")
+    assert plan_voter_set_change(view, [spare], health, 5, NOW) == VoterSetChange(spare, "d")
+    assert plan_voter_set_change(view, [spare], health_of("abcde", silent="b"), 5, NOW) == VoterSetChange(
+        spare, "b"
+    )
+    assert plan_voter_set_change(view, [spare], health_of("abcde", stalled="e"), 5, NOW) == VoterSetChange(
+        spare, "e"
+    )
 
 
 def test_a_spare_of_the_zone_that_lacks_a_voter_is_taken() -> None:
     view = first_view([voter("a", "x"), voter("b", "y"), voter("c", "z")])
     spares = [voter("m", "x"), voter("n", "y"), voter("o", "z")]
-    assert next_step(view, spares, health_of("abc", silent="b"), 3, NOW) == VoterStep(spares[1], "b")
+    assert plan_voter_set_change(view, spares, health_of("abc", silent="b"), 3, NOW) == VoterSetChange(
+        spares[1], "b"
+    )
 
 
 def test_a_machine_with_a_new_disk_gets_its_own_place_back() -> None:
     view = first_view(map(voter, "abc"))
     wiped = Voter("b", "new", view.voters[1].address)
-    assert next_step(view, [voter("n"), wiped], health_of("abc"), 3, NOW) == VoterStep(wiped, "b")
+    assert plan_voter_set_change(view, [voter("n"), wiped], health_of("abc"), 3, NOW) == VoterSetChange(
+        wiped, "b"
+    )
 
 
 def test_another_machine_of_the_same_name_waits_until_the_voter_is_gone() -> None:
     view = first_view(map(voter, "abc"))
     namesake = Voter("b", "new", "10.0.0.200:1")
-    assert next_step(view, [namesake], health_of("abc"), 3, NOW) is None
-    assert next_step(view, [namesake], health_of("abc", silent="b"), 3, NOW) == VoterStep(namesake, "b")
+    assert plan_voter_set_change(view, [namesake], health_of("abc"), 3, NOW) is None
+    assert plan_voter_set_change(view, [namesake], health_of("abc", silent="b"), 3, NOW) == VoterSetChange(
+        namesake, "b"
+    )
 
 
 def test_without_a_spare_nobody_loses_its_vote() -> None:
     view = first_view(map(voter, "abc"))
-    assert next_step(view, [], health_of("abc", silent="bc", leaving="b"), 3, NOW) is None
+    assert plan_voter_set_change(view, [], health_of("abc", silent="bc", leaving="b"), 3, NOW) is None
 
 
 def test_few_voters_become_more_by_one_at_a_time() -> None:
     view = first_view(map(voter, "a"))
-    step = next_step(view, [voter("n"), voter("o")], health_of("a"), 3, NOW)
-    assert step == VoterStep(voter("n"))
+    step = plan_voter_set_change(view, [voter("n"), voter("o")], health_of("a"), 3, NOW)
+    assert step == VoterSetChange(voter("n"))
 
 
 def test_a_set_too_large_shrinks_the_dead_first_and_only_while_the_living_keep_a_majority() -> None:
     view = first_view(map(voter, "abcd"))
-    assert next_step(view, [], health_of("abcd", silent="b"), 3, NOW) == VoterStep(None, "b")
-    assert next_step(view, [], health_of("abcd"), 3, NOW) == VoterStep(None, "d")
+    assert plan_voter_set_change(view, [], health_of("abcd", silent="b"), 3, NOW) == VoterSetChange(None, "b")
+    assert plan_voter_set_change(view, [], health_of("abcd"), 3, NOW) == VoterSetChange(None, "d")
     five = first_view(map(voter, "abcde"))
-    assert next_step(five, [], health_of("abcde", silent="bc"), 3, NOW) == VoterStep(None, "b")
-    assert next_step(five, [voter("n")], health_of("abcde", silent="bcde"), 3, NOW) is None
+    assert plan_voter_set_change(five, [], health_of("abcde", silent="bc"), 3, NOW) == VoterSetChange(
+        None, "b"
+    )
+    assert plan_voter_set_change(five, [voter("n")], health_of("abcde", silent="bcde"), 3, NOW) is None
 
 
 def test_each_step_is_one_view_that_keeps_the_head_and_the_order() -> None:
@@ -110,15 +132,15 @@
     in the chain, and the loss of that one would end it all."""
     view = View(5, [voter("a"), voter("b"), voter("c")], ["a", "c", "b"], {"a": 1, "c": 1, "b": 5})
     heard = dict.fromkeys("abc", frozenset("abc"))
-    joining = Presence(frozenset("ab"), frozenset("ac"), heard, spared=frozenset("c"))
+    joining = LivenessSnapshot(frozenset("ab"), frozenset("ac"), heard, avoided_members=frozenset("c"))
     assert plan_chain(view, joining) is None
-    joined = Presence(frozenset("ab"), frozenset("abc"), heard, spared=frozenset("c"))
+    joined = LivenessSnapshot(frozenset("ab"), frozenset("abc"), heard, avoided_members=frozenset("c"))
     planned = plan_chain(view, joined)
     assert planned is not None and planned.chain == ["a", "b"]
-    dead = Presence(frozenset("ab"), frozenset("a"), heard)
+    dead = LivenessSnapshot(frozenset("ab"), frozenset("a"), heard)
     planned = plan_chain(view, dead)  # what is dead cannot be waited for
     assert planned is not None and planned.chain == ["a", "b"]
-    head_lost = Presence(frozenset("b"), frozenset("c"), heard, spared=frozenset("c"))
+    head_lost = LivenessSnapshot(frozenset("b"), frozenset("c"), heard, avoided_members=frozenset("c"))
     planned = plan_chain(view, head_lost)
     assert planned is not None and planned.chain == ["c", "b"]
 
@@ -126,11 +148,13 @@
 def test_nobody_leaves_while_too_few_of_the_others_hold_the_state() -> None:
     view = View(5, [voter("a"), voter("b"), voter("c")], ["a", "c", "b"], {"a": 1, "c": 1, "b": 5})
     heard = dict.fromkeys("abc", frozenset("abc"))
-    joining = Presence(frozenset("abc"), frozenset("ac"), heard)
+    joining = LivenessSnapshot(frozenset("abc"), frozenset("ac"), heard)
     assert plan_chain(view, joining, leave="a") is None
-    joined = Presence(frozenset("abc"), frozenset("abc"), heard)
+    joined = LivenessSnapshot(frozenset("abc"), frozenset("abc"), heard)
     planned = plan_chain(view, joined, leave="a")
     assert planned is not None and planned.chain == ["c", "b"]
     short = View(5, view.voters, ["a", "c"], {"a": 1, "c": 1})
-    assert next_step(short, [voter("n")], health_of("abc", leaving="c"), 3, NOW) is None
-    assert next_step(view, [voter("n")], health_of("abc", leaving="c"), 3, NOW) == VoterStep(voter("n"), "c")
+    assert plan_voter_set_change(short, [voter("n")], health_of("abc", leaving="c"), 3, NOW) is None
+    assert plan_voter_set_change(view, [voter("n")], health_of("abc", leaving="c"), 3, NOW) == VoterSetChange(
+        voter("n"), "c"
+    )
--- a/tests/coordination/consensus/test_control_model_voters.py
+++ b/tests/coordination/consensus/test_voter_set_model.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hollowusher.simulation.model_check.explorer import Bounds, explore
-from tests.coordination.consensus.voters_model import VotersModel, older_planner
+from tests.coordination.consensus.voter_set_model import VotersModel, older_planner
 
 SIZES = {
     "three controllers, two replacements": (3, 2, 2, 3),
