--- a/tests/coordination/consensus/voters_model.py
+++ b/tests/coordination/consensus/voter_set_model.py
@@ -10,36 +10,45 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from hollowusher.coordination.consensus.paxos import find_voter, first_view, majority
-from hollowusher.coordination.consensus.reconfiguration import VoterHealth, plan_chain, plan_voters, presence
-from hollowusher.coordination.consensus.voter_set import VoterStep, next_step, voters_wanted
+from hollowusher.coordination.consensus.paxos import find_voter, first_view, quorum_size
+from hollowusher.coordination.consensus.reconfiguration import (
+    VoterHealth,
+    plan_chain,
+    plan_voters,
+    take_liveness_snapshot,
+)
+from hollowusher.coordination.consensus.voter_set import (
+    VoterSetChange,
+    plan_voter_set_change,
+    required_voters,
+)
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.consensus import Pong
 from hollowusher.protocol.view import View, Voter
 
 NAMES = "abcdefgh"
 NOW = 100.0  # far behind every time-out since the last sign of a lost voter
-Planner = Callable[[View, list[Voter], VoterHealth], VoterStep | None]
+Planner = Callable[[View, list[Voter], VoterHealth], VoterSetChange | None]
 
 
-def present_planner(view: View, spares: list[Voter], health: VoterHealth) -> VoterStep | None:
+def present_planner(view: View, spares: list[Voter], health: VoterHealth) -> VoterSetChange | None:
     """The planner of `coordination.voter_plan`, for one loss at a time."""
-    return next_step(view, spares, health, voters_wanted(1), NOW)
+    return plan_voter_set_change(view, spares, health, required_voters(1), NOW)
 
 
-def older_planner(view: View, spares: list[Voter], health: VoterHealth) -> VoterStep | None:
+def older_planner(view: View, spares: list[Voter], health: VoterHealth) -> VoterSetChange | None:
     """Who came was added up to five voters; one that was gone went only where another took its place."""
     for candidate in spares:
         held = find_voter(view, candidate.name)
         if held == candidate:
             continue
         if held is not None:
-            return VoterStep(candidate, held.name)
-        gone = [voter.name for voter in view.voters if health.dead(voter.name, NOW)]
+            return VoterSetChange(candidate, held.name)
+        gone = [voter.name for voter in view.voters if health.is_dead(voter.name, NOW)]
         if gone:
-            return VoterStep(candidate, gone[0])
+            return VoterSetChange(candidate, gone[0])
         if len(view.voters) < 5:
-            return VoterStep(candidate, None)
+            return VoterSetChange(candidate, None)
     return None
 
 
@@ -103,12 +112,12 @@
         view: View = decode(state.view)
         living = [voter for voter in view.voters if (voter.name, voter.disk_id) in state.living]
         heads = [name for name in view.chain if any(voter.name == name for voter in living)]
-        if len(living) < majority(view) or not heads:
+        if len(living) < quorum_size(view) or not heads:
             return None
         health = self._health(state, view, heads[0])
-        if not health.hears_majority(view, NOW):
+        if not health.has_quorum(view, NOW):
             return None
-        planned = plan_chain(view, presence(health, view, True, NOW))
+        planned = plan_chain(view, take_liveness_snapshot(health, view, True, NOW))
         if planned is not None or heads[0] != view.head:
             return planned
         votes = {(voter.name, voter.disk_id) for voter in view.voters}
@@ -132,16 +141,16 @@
             if voter in heard and voter.name != head:
                 health.answered(Pong(voter.name, voter.disk_id, view.epoch, True, names), NOW)
             elif voter.name in lives:
-                health.other_disk(voter.name)
+                health.on_disk_replaced(voter.name)
         return health
 
     def violation(self, state: State) -> str:
         view: View = decode(state.view)
         living = [voter for voter in view.voters if (voter.name, voter.disk_id) in state.living]
-        if len(living) < majority(view):
+        if len(living) < quorum_size(view):
             return f"{len(living)} of {len(view.voters)} voters live: no majority"
         quiet = not state.unknown and self._planned(state) is None
-        if quiet and len(state.living) >= 3 and len(living) - 1 < majority(view):
+        if quiet and len(state.living) >= 3 and len(living) - 1 < quorum_size(view):
             return f"quiet with {len(living)} of {len(view.voters)} voters living: no further loss is borne"
         return ""
 
--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from hollowusher.coordination.consensus.bootstrap import propose_first
+from hollowusher.coordination.consensus.bootstrap import propose_first_view
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Prepare, Promise
@@ -76,7 +76,7 @@
     voters = [Voter(node.name, node.disk_id, node.address) for node in cluster.nodes.values()]
     transport = cluster["a"].transport
     assert transport is not None
-    await propose_first(transport, first_view(voters))  # nobody is told that it is decided
+    await propose_first_view(transport, first_view(voters))  # nobody is told that it is decided
     await cluster.until(lambda: all(node.views for node in cluster.nodes.values()), 3.0)
 
 
--- a/tests/simulation/model_check/test_chain_model.py
+++ b/tests/simulation/model_check/test_chain_model.py
@@ -6,7 +6,7 @@
 
 from hollowusher.simulation.model_check.chain_model import ChainBounds, ChainModel
 from hollowusher.simulation.model_check.explorer import Bounds, explore
-from hollowusher.simulation.model_check.planted import MEMBERS
+from hollowusher.simulation.model_check.planted import CHAIN_FAULTS
 
 SOUND = {
     "one change of the view": (ChainBounds(3, views=1, orders=1), 60, True),
@@ -30,6 +30,6 @@
 
 @pytest.mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found(name: str) -> None:
-    outcome = explore(ChainModel(PLANTED[name], MEMBERS[name]), Bounds(20))
+    outcome = explore(ChainModel(PLANTED[name], CHAIN_FAULTS[name]), Bounds(20))
     assert outcome.violation == "a state committed in epoch 1 was lost in epoch 2"
     assert outcome.trace
--- a/tests/simulation/model_check/test_agreement_model.py
+++ b/tests/simulation/model_check/test_consensus_model.py
@@ -5,42 +5,42 @@
 import pytest
 from click.testing import CliRunner
 
-from hollowusher.simulation.model_check.agreement_model import AgreementBounds, AgreementModel
 from hollowusher.simulation.model_check.commands import main
+from hollowusher.simulation.model_check.consensus_model import ConsensusBounds, ConsensusModel
 from hollowusher.simulation.model_check.explorer import Bounds, explore
-from hollowusher.simulation.model_check.planted import AGREEMENT
+from hollowusher.simulation.model_check.planted import CONSENSUS_FAULTS
 
 SOUND = {
-    "one proposal, everything apart": (AgreementBounds(3, proposals=1, restarts=1, fine=True), 60, True),
-    "one proposal, failing disks": (AgreementBounds(3, proposals=1, restarts=1, failures=2), 60, True),
-    "one proposal, a wiped disk": (AgreementBounds(3, proposals=1, restarts=1, wipes=1), 60, True),
-    "four controllers": (AgreementBounds(4, proposals=1, restarts=1), 60, True),
-    "two proposals": (AgreementBounds(3, proposals=2, restarts=1), 9, False),
-    "two epochs with a replacement": (AgreementBounds(3, 2, 1, replaces=True, epochs=2), 6, False),
+    "one proposal, everything apart": (ConsensusBounds(3, proposals=1, restarts=1, fine=True), 60, True),
+    "one proposal, failing disks": (ConsensusBounds(3, proposals=1, restarts=1, failures=2), 60, True),
+    "one proposal, a wiped disk": (ConsensusBounds(3, proposals=1, restarts=1, wipes=1), 60, True),
+    "four controllers": (ConsensusBounds(4, proposals=1, restarts=1), 60, True),
+    "two proposals": (ConsensusBounds(3, proposals=2, restarts=1), 9, False),
+    "two epochs with a replacement": (ConsensusBounds(3, 2, 1, replaces=True, epochs=2), 6, False),
 }
 
 
 @pytest.mark.parametrize("name", SOUND)
 def test_one_view_for_each_epoch(name: str) -> None:
     bounds, depth, everything = SOUND[name]
-    outcome = explore(AgreementModel(bounds), Bounds(depth))
+    outcome = explore(ConsensusModel(bounds), Bounds(depth))
     assert outcome.violation == "", outcome.trace
     assert outcome.complete and outcome.exhausted == everything
     assert outcome.states > 100
 
 
 PLANTED = {
-    "asks-before-its-own-promise": (AgreementBounds(3, 2, 1), "two views were chosen for epoch 2"),
-    "answers-before-saving": (AgreementBounds(3, 2, 1, fine=True), "without a majority"),
-    "forgets-what-it-accepted": (AgreementBounds(3, 2, 0), "two views were chosen for epoch 2"),
-    "votes-with-any-disk": (AgreementBounds(3, 2, 0, wipes=1), "without a majority"),
+    "asks-before-its-own-promise": (ConsensusBounds(3, 2, 1), "two views were chosen for epoch 2"),
+    "answers-before-saving": (ConsensusBounds(3, 2, 1, fine=True), "without a majority"),
+    "forgets-what-it-accepted": (ConsensusBounds(3, 2, 0), "two views were chosen for epoch 2"),
+    "votes-with-any-disk": (ConsensusBounds(3, 2, 0, wipes=1), "without a majority"),
 }
 
 
 @pytest.mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found(name: str) -> None:
     bounds, expected = PLANTED[name]
-    outcome = explore(AgreementModel(bounds, AGREEMENT[name]), Bounds(12))
+    outcome = explore(ConsensusModel(bounds, CONSENSUS_FAULTS[name]), Bounds(12))
     assert expected in outcome.violation
     assert outcome.trace
 
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -297,7 +297,7 @@
         if self.controller is None or self.transport is None:
             return
         await self.transport.close()
-        tasks = self.controller._tasks | self.controller._agreement._tasks
+        tasks = self.controller._tasks | self.controller._consensus._tasks
         if self.controller._seed._task is not None:
             tasks = tasks | {self.controller._seed._task}
         for task in tasks:
