--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -7,8 +7,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+import asyncio
+from collections.abc import Callable, Mapping, Sequence
+from enum import IntEnum
 from pathlib import Path
+from random import Random
 from typing import Any
 
 import attrs
@@ -22,6 +25,12 @@
 from hollowusher.configuration.checks import check_document
 from hollowusher.configuration.model import Configuration, read_document
 from hollowusher.console.commands import cli as service_commands
+from hollowusher.console.local import command as local_command
+from hollowusher.console.local import layout as local_layout
+from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.coordination.state_store import StateStore
+from hollowusher.coordination.view import Acceptor
+from hollowusher.coordination.view_keeper import ViewKeeper
 from hollowusher.messages.records import Kind as RecordKind
 from hollowusher.messages.records import Put as PutContent
 from hollowusher.messages.records import State as StateContent
@@ -38,10 +47,19 @@
     unpack_put,
     unpack_state,
 )
+from hollowusher.messages.table import PartitionTable, RecordCache
 from hollowusher.protocol import call_rules, control, identity, status, store
 from hollowusher.protocol.codec import DecodeError, decode, encode, registered_types
+from hollowusher.roles.control import RECORD_SLOTS, STATE_SLOT
+from hollowusher.roles.store import RING_FOLDER, VIEW_SLOT
 from hollowusher.settings.model import ConfigError
 from hollowusher.settings.reader import read_file as read_settings_file
+from hollowusher.storage.identity import claim_incarnation, disk_identity
+from hollowusher.storage.interface import StorageError
+from hollowusher.storage.memory import MemoryLog
+from hollowusher.storage.ring_log import RingLog, ring_size
+from hollowusher.storage.slots import SlotFile
+from tests.contract.keys import positions
 from hollowusher.simulation.__main__ import main as simulation_command
 from hollowusher.simulation.model_check.commands import main as model_check_commands
 
@@ -60,28 +78,51 @@
     "RecordKind",
     "SettingsError",
     "StateContent",
+    "StorageError",
+    "append_records",
     "boot_addresses",
     "call_rule",
     "check_result",
+    "claimed_life",
     "decode",
     "encode",
     "field_names",
+    "field_values",
     "header_of",
+    "hook_local_system",
+    "identity_of",
+    "keep_view",
+    "kept_view",
     "lease_id_of",
+    "load_slot",
+    "load_state",
+    "merged_messages",
+    "open_ring",
     "pack_epoch",
     "pack_put",
     "pack_state",
     "parse_lease_id",
     "parse_reference",
     "parse_settings",
+    "placed_partitions",
+    "plain_configuration",
     "read_document",
     "reference_of",
     "registered_types",
+    "replayed_records",
+    "run_local_system",
+    "save_slot",
+    "save_states",
     "scheduler_addresses",
     "settings_sections",
     "start_program",
+    "state_document",
+    "state_generation",
+    "store_records",
     "unpack_put",
     "unpack_state",
+    "voted",
+    "votes_in",
     "written_directives",
 ]
 
@@ -138,6 +179,205 @@
     return "" if checked.is_ok() else str(checked.error)
 
 
+def hook_local_system(store_disk_mb: int, layout_made: Callable[[Any], None]) -> asyncio.Event:
+    """Let the local system's stores have small disks and its layout be known; set once it is kept running."""
+    kept = asyncio.Event()
+    command: Any = local_command  # its functions are replaced
+    local_layout.DISK_MB[local_layout.STORE] = store_disk_mb
+    make, tell = command.make_layout, command._tell_how_to_ask
+
+    def make_layout(edges: int, stores: int, chance: Random) -> local_layout.Layout:
+        layout: local_layout.Layout = make(edges, stores, chance)
+        layout_made(layout)
+        return layout
+
+    def tell_how_to_ask(layout: local_layout.Layout) -> None:
+        tell(layout)
+        kept.set()
+
+    command.make_layout = make_layout
+    command._tell_how_to_ask = tell_how_to_ask
+    return kept
+
+
+async def run_local_system(folder: Path, messages: int) -> None:
+    """The small system of `local --keep`, in a folder that stays; SIGTERM ends it in order."""
+    await local_command._run(folder, 3, 3, messages, False, True)
+
+
+def open_ring(folder: Path, segment_bytes: int, segments: int, chance: Random) -> RingLog:
+    """A log on disk whose nonces come from `chance`."""
+    return RingLog(folder, segment_bytes, segments, chance=chance)
+
+
+async def append_records(ring: RingLog, records: Sequence[bytes]) -> None:
+    """Add records and make them durable."""
+    for record in records:
+        ring.append(record)
+    await ring.sync()
+
+
+def replayed_records(ring: RingLog) -> tuple[list[bytes], int]:
+    """What a log on disk holds, in order, and how many records were damaged; the log is closed."""
+    records = [record for _, record in ring.replay()]
+    ring.close()
+    return records, ring.damaged_records
+
+
+def store_records(folder: Path, disk_mb: int) -> tuple[list[bytes], int]:
+    """What a store's log holds, opened as the role `store` does."""
+    size = ring_size(disk_mb)
+    return replayed_records(RingLog(folder / RING_FOLDER, size.segment_bytes, size.segments))
+
+
+def merged_messages(records: Sequence[bytes], wall_ms: int) -> list[tuple[int, int, list[Any]]]:
+    """The partitions that records lead to: number, promised epoch, and how each of its messages stands."""
+    log = MemoryLog(segment_bytes=1 << 20)
+    tables: dict[int, PartitionTable] = {}
+    for record in records:
+        header = header_of(record)
+        number = header.partition
+        if number not in tables:
+            tables[number] = PartitionTable(number, log, RecordCache(0), 1_000)
+        tables[number].replayed(record, header, log.append(record), wall_ms)
+    return [
+        (
+            number,
+            table.promised_epoch,
+            [
+                (entry.key, entry.version, entry.status.value, entry.complete)
+                for _, entry in sorted(table.entries.items())
+            ],
+        )
+        for number, table in sorted(tables.items())
+    ]
+
+
+def load_slot(path: Path) -> bytes | None:
+    """The value of a slot."""
+    slot = SlotFile(path)
+    value = slot.load()
+    slot.close()
+    return value
+
+
+async def save_slot(path: Path, values: Sequence[bytes]) -> None:
+    """Save values in a slot, one after the other."""
+    slot = SlotFile(path)
+    for value in values:
+        await slot.save(value)
+    slot.close()
+
+
+def identity_of(folder: Path, seed: int) -> tuple[str, bool]:
+    """The id of a disk, and whether it was given just now."""
+    return disk_identity(folder, Random(seed))
+
+
+async def claimed_life(path: Path, wall_ms: int, seed: int) -> int:
+    """The number of a new life, durable in a slot."""
+    slot = SlotFile(path)
+    number = await claim_incarnation(slot, wall_ms, Random(seed))
+    slot.close()
+    return number
+
+
+def _state_store(folder: Path) -> tuple[StateStore, list[SlotFile]]:
+    slots = [SlotFile(folder / name) for name in (STATE_SLOT, *RECORD_SLOTS)]
+    return StateStore(slots[0], slots[1:]), slots
+
+
+async def save_states(folder: Path, states: Sequence[tuple[int, Any]]) -> None:
+    """Save control states with their epochs, one after the other."""
+    keeper, slots = _state_store(folder)
+    keeper.load()
+    for epoch, state in states:
+        await keeper.save(epoch, state)
+    for slot in slots:
+        slot.close()
+
+
+def load_state(folder: Path) -> tuple[int, Any, bool] | None:
+    """The control state of a folder: epoch, state, and whether it is whole."""
+    keeper, slots = _state_store(folder)
+    saved = keeper.load()
+    for slot in slots:
+        slot.close()
+    return None if saved is None else (saved.epoch, saved.state, saved.whole)
+
+
+def voted(name: str, disk: str, view: Any, prepare: Any, accept: Any) -> list[bytes]:
+    """What a voter saves after it has learnt a view, promised, and accepted."""
+    acceptor = Acceptor(name, disk)
+    assert acceptor.learn(view)
+    saved = [acceptor.dump()]
+    assert acceptor.prepare(prepare).granted
+    saved.append(acceptor.dump())
+    assert acceptor.accept(accept).granted
+    return [*saved, acceptor.dump()]
+
+
+def votes_in(saved: bytes) -> tuple[Any, ...]:
+    """What a voter has saved: the decided view, its promise, the accepted ballot and view."""
+    acceptor = Acceptor("", "", saved)
+    return acceptor.decided, acceptor.promised, acceptor.accepted_ballot, acceptor.accepted
+
+
+async def keep_view(folder: Path, view: Any) -> None:
+    """Keep a view as a process does that is no controller."""
+    state, slot = ClusterState(), SlotFile(folder / VIEW_SLOT)
+    keeper = ViewKeeper(slot, state)
+    keeper.load()
+    task = asyncio.ensure_future(keeper.run())
+    state.apply([control.Item("view", [view.epoch], "origin/1", 1, view)], {})
+    while slot.load() is None:
+        await asyncio.sleep(0.05)
+    task.cancel()
+    slot.close()
+
+
+def kept_view(folder: Path) -> Any:
+    """The view that such a process finds on its disk."""
+    state, slot = ClusterState(), SlotFile(folder / VIEW_SLOT)
+    ViewKeeper(slot, state).load()
+    slot.close()
+    return state.view
+
+
+def field_values(value: Any) -> list[Any]:
+    """An object's values by position, with those inside it; enumerations as their numbers."""
+    return [_plain(getattr(value, name)) for name in field_names(type(value))]
+
+
+def _plain(value: Any) -> Any:
+    if attrs.has(type(value)):
+        return field_values(value)
+    return int(value) if isinstance(value, IntEnum) else value
+
+
+def state_generation(state: Any) -> int:
+    """The generation of the configuration in a control state."""
+    return int(state.generation)
+
+
+def state_document(state: Any) -> bytes:
+    """The configuration document in a control state."""
+    return bytes(state.document)
+
+
+def placed_partitions(state: Any) -> list[list[Any]]:
+    """Number, epoch, primary, replicas and learners of each partition."""
+    return [
+        [each.partition, each.epoch, each.primary, each.replicas, each.learners]
+        for each in state.placement.partitions
+    ]
+
+
+def plain_configuration(document: bytes) -> Any:
+    """A document as the program reads it, by position."""
+    return positions(read_document(document))
+
+
 def call_rule(message: object) -> tuple[int, bool]:
     """How a message may be sent: the place of its addressee among all kinds of them, and whether again."""
     rule = call_rules.rule_of(message)
