--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Awaitable, Callable, Mapping, Sequence
 from enum import IntEnum
 from pathlib import Path
 from random import Random
@@ -16,18 +16,34 @@
 
 import attrs
 import click
+import orjson
+from aiohttp import web
 
 from hollowusher.__main__ import main as start_program
 from hollowusher.cli import cli as scheduler_commands
 from hollowusher.config import SECTIONS as SETTINGS_SECTIONS
 from hollowusher.config import load as load_scheduler_configuration
 from hollowusher.configuration.boot import BootSettings, SettingsError, parse_settings
+from hollowusher.configuration import orders
 from hollowusher.configuration.checks import check_document
 from hollowusher.configuration.model import Configuration, read_document
 from hollowusher.console.commands import cli as service_commands
+from hollowusher.configuration.orders import MOST_BODY_BYTES
+from hollowusher.console import store_report
+from hollowusher.console.client import Answer
+from hollowusher.console.survey import read_store
+from hollowusher.console.status_api import StatusApi
+from hollowusher.console.store_report import DiskReport, KeptPartition, StoreReport
 from hollowusher.console.local import command as local_command
 from hollowusher.console.local import layout as local_layout
 from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.coordination import placement_duty
+from hollowusher.coordination.directory import StoreCondition
+from hollowusher.coordination.duties import UNAVAILABLE as DUTY_UNAVAILABLE
+from hollowusher.coordination.operator_api import OperatorApi
+from hollowusher.coordination.partition_recovery import RecoveryRefused, recovered_placement
+from hollowusher.coordination.state_service import NOT_CONFIGURED, UNAVAILABLE
+from hollowusher.transport.interface import PeerError
 from hollowusher.coordination.state_store import StateStore
 from hollowusher.coordination.view import Acceptor
 from hollowusher.coordination.view_keeper import ViewKeeper
@@ -65,11 +81,14 @@
 
 __all__ = [
     "MESSAGE_FIELDS",
+    "ORDER_LIMIT_BYTES",
     "PROGRAMS",
     "PUT_FIELDS",
+    "REFUSALS_OF_THE_HEAD",
     "STATE_FIELDS",
     "STORED_MESSAGE",
     "BootSettings",
+    "ClusterKnowledge",
     "ConfigError",
     "Configuration",
     "DecodeError",
@@ -98,6 +117,9 @@
     "load_state",
     "merged_messages",
     "open_ring",
+    "operator_application",
+    "order_answer",
+    "order_digest",
     "pack_epoch",
     "pack_put",
     "pack_state",
@@ -107,9 +129,12 @@
     "placed_partitions",
     "plain_configuration",
     "read_document",
+    "read_store_answer",
+    "recovery_answer",
     "reference_of",
     "registered_types",
     "replayed_records",
+    "retirement_answer",
     "run_local_system",
     "save_slot",
     "save_states",
@@ -118,9 +143,13 @@
     "start_program",
     "state_document",
     "state_generation",
+    "status_application",
     "store_records",
+    "store_roles",
+    "store_status_body",
     "unpack_put",
     "unpack_state",
+    "unreachable",
     "voted",
     "votes_in",
     "written_directives",
@@ -378,6 +407,92 @@
     return positions(read_document(document))
 
 
+ClusterKnowledge = ClusterState
+ORDER_LIMIT_BYTES = MOST_BODY_BYTES
+REFUSALS_OF_THE_HEAD = (orders.TOO_MANY_ORDERS, UNAVAILABLE, NOT_CONFIGURED, DUTY_UNAVAILABLE)
+
+
+def operator_application(forward: Callable[[Any], Awaitable[Any]]) -> web.Application:
+    """The operator's paths, as an edge process serves them."""
+    application = web.Application(client_max_size=MOST_BODY_BYTES + 1)
+    OperatorApi(forward).add_routes(application)
+    return application
+
+
+def unreachable() -> Exception:
+    """What a call to a process that is gone raises."""
+    return PeerError("call", "10.0.0.1:1", "gone")
+
+
+def status_application(
+    me: Any, known: Any, messages: Any, figures: Mapping[str, Mapping[str, int]], control_status: Any
+) -> web.Application:
+    """The paths that tell how things stand, as an edge process serves them; its clock stands still."""
+
+    async def ask_control() -> Any:
+        return control_status
+
+    application = web.Application()
+    StatusApi(
+        lambda: me, known, messages, lambda: True, lambda: figures, lambda: 100.0, ask_control
+    ).add_routes(application)
+    return application
+
+
+def store_status_body(values: list[Any], disk: list[Any], partitions: list[list[Any]], figures: Any) -> bytes:
+    """A store's answer, its parts given by position."""
+    kept = [KeptPartition(*each) for each in partitions]
+    parts: list[Any] = [*values, DiskReport(*disk), kept, figures]
+    return orjson.dumps(StoreReport(*parts))
+
+
+def read_store_answer(body: bytes) -> Any:
+    """A store's answer as the command line reads it, by position."""
+    read = read_store(Answer("127.0.0.1:1", 200, body))
+    return positions(read.ok) if read.is_ok() else str(read.error)
+
+
+def store_roles() -> list[str]:
+    """How a store may stand to a partition."""
+    return [
+        store_report.PRIMARY,
+        store_report.TAKING_OVER,
+        store_report.REPLICA,
+        store_report.LEARNER,
+        store_report.FORMER,
+    ]
+
+
+def order_answer(state: Any, method: str, if_match: int | None, body: bytes) -> tuple[int, bytes, Any]:
+    """What an order gets: status, body, and the new control state, if any."""
+    read = orders.read_order(method, if_match, body)
+    if read.is_error():
+        answer = read.error.answer()
+        return answer.status, answer.body, None
+    outcome = orders.apply_order(state, read.ok)
+    return outcome.answer.status, outcome.answer.body, outcome.state
+
+
+def order_digest(method: str, if_match: int | None, content: dict[str, Any]) -> bytes:
+    """What an order is known by."""
+    return orders.order_digest(method, if_match, content)
+
+
+def recovery_answer(
+    placement: Any, members: Sequence[Any], tolerance: int, partition: int, lost: list[str]
+) -> Any:
+    """What an order to recover a partition gets: status and reason, or the new placement."""
+    conditions = {member.name: StoreCondition(member, 9.0) for member in members}
+    found = recovered_placement(placement, conditions, tolerance, partition, lost)
+    return (found.status, found.reason) if isinstance(found, RecoveryRefused) else found
+
+
+def retirement_answer(state: Any, name: str) -> tuple[int, bytes]:
+    """What a question about a machine that is being emptied gets."""
+    answer = placement_duty._progress_answer(state, name)
+    return answer.status, answer.body
+
+
 def call_rule(message: object) -> tuple[int, bool]:
     """How a message may be sent: the place of its addressee among all kinds of them, and whether again."""
     rule = call_rules.rule_of(message)
