--- a/tests/contract/test_settings_files.py
+++ b/tests/contract/test_settings_files.py
@@ -253,6 +253,6 @@
 def test_a_role_reads_the_file_that_the_environment_names(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setenv("HOLLOWUSHER_CONFIG", str(tmp_path / "boot.toml"))
+    monkeypatch.setenv("HOLLOWUSHER_CONFIG", str(tmp_path / "named.toml"))
     assert names.start_program(["store"]) == 2
-    assert "boot.toml: cannot be read" in capsys.readouterr().err
+    assert "named.toml: cannot be read" in capsys.readouterr().err
