--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -20,33 +20,29 @@
 from aiohttp import web
 
 from hollowusher.__main__ import main as start_program
-from hollowusher.cli import cli as scheduler_commands
-from hollowusher.config import SECTIONS as SETTINGS_SECTIONS
-from hollowusher.config import load as load_scheduler_configuration
-from hollowusher.configuration.boot import BootSettings, SettingsError, parse_settings
 from hollowusher.configuration import orders
+from hollowusher.configuration.boot import BootSettings, SettingsError, parse_settings
 from hollowusher.configuration.checks import check_document
 from hollowusher.configuration.model import Configuration, read_document
-from hollowusher.console.commands import cli as service_commands
 from hollowusher.configuration.orders import MOST_BODY_BYTES
 from hollowusher.console import store_report
 from hollowusher.console.client import Answer
-from hollowusher.console.survey import read_store
-from hollowusher.console.status_api import StatusApi
-from hollowusher.console.store_report import DiskReport, KeptPartition, StoreReport
+from hollowusher.console.commands import cli as service_commands
 from hollowusher.console.local import command as local_command
 from hollowusher.console.local import layout as local_layout
+from hollowusher.console.status_api import StatusApi
+from hollowusher.console.store_report import DiskReport, KeptPartition, StoreReport
+from hollowusher.console.survey import read_store
+from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination import placement_duty
-from hollowusher.coordination.directory import StoreCondition
-from hollowusher.coordination.duties import UNAVAILABLE as DUTY_UNAVAILABLE
-from hollowusher.coordination.operator_api import OperatorApi
-from hollowusher.coordination.partition_recovery import RecoveryRefused, recovered_placement
-from hollowusher.coordination.state_service import NOT_CONFIGURED, UNAVAILABLE
-from hollowusher.transport.interface import PeerError
-from hollowusher.coordination.state_store import StateStore
-from hollowusher.coordination.view import Acceptor
-from hollowusher.coordination.view_keeper import ViewKeeper
+from hollowusher.coordination.consensus.paxos import Acceptor
+from hollowusher.coordination.consensus.view_cache import ViewKeeper
+from hollowusher.coordination.controller.head_roles import UNAVAILABLE as DUTY_UNAVAILABLE
+from hollowusher.coordination.controller.operator_api import OperatorApi
+from hollowusher.coordination.controller.state_service import NOT_CONFIGURED, UNAVAILABLE
+from hollowusher.coordination.membership.store_condition import StoreCondition
+from hollowusher.coordination.placement import placement_manager as placement_duty
+from hollowusher.coordination.placement.partition_recovery import RecoveryRejected, plan_recovery
 from hollowusher.messages.records import Kind as RecordKind
 from hollowusher.messages.records import Put as PutContent
 from hollowusher.messages.records import State as StateContent
@@ -64,20 +60,40 @@
     unpack_state,
 )
 from hollowusher.messages.table import PartitionTable, RecordCache
-from hollowusher.protocol import call_rules, control, identity, status, store
+from hollowusher.protocol import (
+    acknowledgement,
+    call_rules,
+    consensus,
+    control_chain,
+    control_status,
+    distribution,
+    identity,
+    leases,
+    membership,
+    messages,
+    operator_orders,
+    placement,
+    replication,
+    view,
+    worker_list,
+)
 from hollowusher.protocol.codec import DecodeError, decode, encode, registered_types
 from hollowusher.roles.control import RECORD_SLOTS, STATE_SLOT
 from hollowusher.roles.store import RING_FOLDER, VIEW_SLOT
-from hollowusher.settings.model import ConfigError
-from hollowusher.settings.reader import read_file as read_settings_file
+from hollowusher.scheduler.cli import cli as scheduler_commands
+from hollowusher.scheduler.config import SECTIONS as SETTINGS_SECTIONS
+from hollowusher.scheduler.config import load as load_scheduler_configuration
+from hollowusher.scheduler.settings.model import ConfigError
+from hollowusher.scheduler.settings.reader import read_file as read_settings_file
+from hollowusher.simulation.__main__ import main as simulation_command
+from hollowusher.simulation.model_check.commands import main as model_check_commands
 from hollowusher.storage.identity import claim_incarnation, disk_identity
 from hollowusher.storage.interface import StorageError
 from hollowusher.storage.memory import MemoryLog
 from hollowusher.storage.ring_log import RingLog, ring_size
 from hollowusher.storage.slots import SlotFile
+from hollowusher.transport.interface import PeerError
 from tests.contract.keys import positions
-from hollowusher.simulation.__main__ import main as simulation_command
-from hollowusher.simulation.model_check.commands import main as model_check_commands
 
 __all__ = [
     "MESSAGE_FIELDS",
@@ -156,9 +172,24 @@
 ]
 
 # Modules whose import registers every message type; nothing else of them is used by name.
-MESSAGE_MODULES = (control, identity, status, store)
+MESSAGE_MODULES = (
+    acknowledgement,
+    consensus,
+    control_chain,
+    control_status,
+    distribution,
+    identity,
+    leases,
+    membership,
+    messages,
+    operator_orders,
+    placement,
+    replication,
+    view,
+    worker_list,
+)
 
-STORED_MESSAGE = store.NewMessage
+STORED_MESSAGE = messages.NewMessage
 
 
 def field_names(kind: Any) -> tuple[str, ...]:
@@ -358,7 +389,7 @@
     keeper = ViewKeeper(slot, state)
     keeper.load()
     task = asyncio.ensure_future(keeper.run())
-    state.apply([control.Item("view", [view.epoch], "origin/1", 1, view)], {})
+    state.apply([distribution.Item("view", [view.epoch], "origin/1", 1, view)], {})
     while slot.load() is None:
         await asyncio.sleep(0.05)
     task.cancel()
@@ -483,13 +514,13 @@
 ) -> Any:
     """What an order to recover a partition gets: status and reason, or the new placement."""
     conditions = {member.name: StoreCondition(member, 9.0) for member in members}
-    found = recovered_placement(placement, conditions, tolerance, partition, lost)
-    return (found.status, found.reason) if isinstance(found, RecoveryRefused) else found
+    found = plan_recovery(placement, conditions, tolerance, partition, lost)
+    return (found.status, found.reason) if isinstance(found, RecoveryRejected) else found
 
 
 def retirement_answer(state: Any, name: str) -> tuple[int, bytes]:
     """What a question about a machine that is being emptied gets."""
-    answer = placement_duty._progress_answer(state, name)
+    answer = placement_duty._retirement_answer(state, name)
     return answer.status, answer.body
 
 
--- a/tests/contract/test_disk_files.py
+++ b/tests/contract/test_disk_files.py
@@ -99,7 +99,9 @@
     for record in (folder / "large").glob("control-record-*"):
         record.unlink()
     loaded = names.load_state(folder / "large")
-    assert loaded is not None and loaded[0] == 4 and not loaded[2]
+    assert loaded is not None
+    assert loaded[0] == 4
+    assert not loaded[2]
 
 
 def test_votes(folder: Path) -> None:
--- a/tests/contract/test_records.py
+++ b/tests/contract/test_records.py
@@ -90,7 +90,7 @@
 
 
 def test_bytes_too_short_for_a_record_are_refused() -> None:
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="14 bytes"):
         names.header_of(b"\x01" * 14)
 
 
--- a/tests/contract/test_scheduler_process.py
+++ b/tests/contract/test_scheduler_process.py
@@ -104,7 +104,9 @@
         status, _, body = scheduler.call("GET", f"/_report?name={part}")
         assert [status, sorted(set(key_paths(json.loads(body))))] == snapshot(name=part)
     line = LOG_LINE.fullmatch(scheduler.log.read_text().splitlines(keepends=True)[0])
-    assert line is not None and line[1] == "133" and line[2] == "s1"
+    assert line is not None
+    assert line[1] == "133"
+    assert line[2] == "s1"
 
 
 def test_it_ends_with_0_on_sigterm(scheduler: Scheduler) -> None:
