--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -36,7 +36,7 @@
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.consensus.paxos import Acceptor
-from hollowusher.coordination.consensus.view_cache import ViewKeeper
+from hollowusher.coordination.consensus.view_cache import ViewCache
 from hollowusher.coordination.controller.head_roles import UNAVAILABLE as DUTY_UNAVAILABLE
 from hollowusher.coordination.controller.operator_api import OperatorApi
 from hollowusher.coordination.controller.state_service import NOT_CONFIGURED, UNAVAILABLE
@@ -386,7 +386,7 @@
 async def keep_view(folder: Path, view: Any) -> None:
     """Keep a view as a process does that is no controller."""
     state, slot = ClusterState(), SlotFile(folder / VIEW_SLOT)
-    keeper = ViewKeeper(slot, state)
+    keeper = ViewCache(slot, state)
     keeper.load()
     task = asyncio.ensure_future(keeper.run())
     state.apply([distribution.Item("view", [view.epoch], "origin/1", 1, view)], {})
@@ -399,7 +399,7 @@
 def kept_view(folder: Path) -> Any:
     """The view that such a process finds on its disk."""
     state, slot = ClusterState(), SlotFile(folder / VIEW_SLOT)
-    ViewKeeper(slot, state).load()
+    ViewCache(slot, state).load()
     slot.close()
     return state.view
 
