--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -20,7 +20,7 @@
 import uvloop
 from scipy import stats
 
-from hollowusher.scheduler.emulator.log_replication import CopyNet, storm
+from hollowusher.scheduler.emulator.log_replication import ReplicationNetwork, storm
 from hollowusher.scheduler.emulator.log_replication_check import SETTINGS
 from hollowusher.scheduler.emulator.log_replication_model import check
 from hollowusher.scheduler.emulator.processes.play import Played, ProcessPlay
@@ -127,8 +127,8 @@
                 if name.startswith("jobs"):
                     total[name] = total.get(name, 0.0) + value
             broken += len(wrong)
-            told = ", ".join(f"{n[5:]} {v:.0f}" for n, v in figures.items() if n.startswith("jobs"))
-            click.echo(f"seed {seed}: {told}" + "".join(f"; {w}" for w in wrong))
+            reported = ", ".join(f"{n[5:]} {v:.0f}" for n, v in figures.items() if n.startswith("jobs"))
+            click.echo(f"seed {seed}: {reported}" + "".join(f"; {w}" for w in wrong))
     click.echo(
         f"{sum(total.values()):.0f} jobs: "
         + ", ".join(f"{n[5:]} {v:.0f}" for n, v in total.items())
@@ -183,7 +183,7 @@
     steps = promised = broken = 0
     for seed in range(first, first + seeds):
         for setting in SETTINGS:
-            net = CopyNet(setting["size"], seed, storage=setting["storage"])
+            net = ReplicationNetwork(setting["size"], seed, storage=setting["storage"])
             try:
                 storm(net, 60, seed, setting["disks"], setting["most_down"], bool(seed % 2))
                 wrong = len(net.lost()) or net.leader() is None
--- a/benchmarks/decoders.py
+++ b/benchmarks/decoders.py
@@ -13,12 +13,12 @@
 import click
 
 from hollowusher.scheduler.net.log_replication.wire import Frames, frame
-from hollowusher.scheduler.rules.log_replication.messages import Append, Entry
+from hollowusher.scheduler.rules.log_replication.messages import Append, LogEntry
 from hollowusher.scheduler.rules.membership import codec as members
-from hollowusher.scheduler.rules.membership.messages import Kind, Message, News
+from hollowusher.scheduler.rules.membership.messages import MemberUpdate, Message, MessageKind
 from hollowusher.scheduler.rules.shared_state import wire as shared
-from hollowusher.scheduler.rules.shared_state.counts import Told
-from hollowusher.scheduler.rules.shared_state.judgements import Seen
+from hollowusher.scheduler.rules.shared_state.counts import CountUpdate
+from hollowusher.scheduler.rules.shared_state.judgements import NodeObservation
 
 HEAD, SUM_AT = 11, 7  # bytes of a datagram's head, and where its checksum stands
 
@@ -60,13 +60,17 @@
 def main(inputs: int, seed: int) -> None:
     """Feed them; an exception ends it with a traceback."""
     chance, began = random.Random(seed), time.monotonic()
-    one = members.Codec("depot")
-    good = one.encode(Message(Kind.PING, News("n1", 7, 9), 3, 4, "n2", (News("n3", 1, 2),)))
+    one = members.DatagramCodec("depot")
+    good = one.encode(
+        Message(MessageKind.PING, MemberUpdate("n1", 7, 9), 3, 4, "n2", (MemberUpdate("n3", 1, 2),))
+    )
     click.echo(f"members: {feed(chance, inputs, good, one.decode, one._sum)} read, {dict(one.bad)}")
-    two = shared.Codec("depot")
-    good = two.letters("n1", [Told("n1", 1, 2, {"a": 1.0}), Seen("n1", 1, 1, "s1", 1.0)], 2)[0]
+    two = shared.SharedStateCodec("depot")
+    good = two.letters(
+        "n1", [CountUpdate("n1", 1, 2, {"a": 1.0}), NodeObservation("n1", 1, 1, "s1", 1.0)], 2
+    )[0]
     click.echo(f"shared: {feed(chance, inputs, good, two.read, two._sum)} read, {dict(two.bad)}")
-    good, read = frame(Append("n0", 1, 2, 1, (Entry(1, bytes(50)),), 0, 5)), 0
+    good, read = frame(Append("n0", 1, 2, 1, (LogEntry(1, bytes(50)),), 0, 5)), 0
     for _ in range(inputs // 5):
         with contextlib.suppress(ValueError):
             read += len(Frames().feed(changed(chance, good)))
--- a/benchmarks/false_suspicion.py
+++ b/benchmarks/false_suspicion.py
@@ -16,8 +16,8 @@
 
 from benchmarks.rig import MS, S
 from hollowusher.balancing import Discovery, Effect, Group, JobClass, Limits, Rules, Settings, Via
-from hollowusher.scheduler.emulator.model import Kind
-from hollowusher.scheduler.emulator.traffic import Demand, Spell, Wanted, draw
+from hollowusher.scheduler.emulator.model import NodeKind
+from hollowusher.scheduler.emulator.traffic import JobClassDemand, PlannedJob, Spell, draw
 from hollowusher.scheduler.emulator.virtual import Rehearsal, VirtualNode
 
 CLASSES = (
@@ -26,15 +26,15 @@
     JobClass("settle-shift", 800 * MS, 20 * S, 3.0, 0.22, 2.0, Effect.UNSAFE),
 )
 USUAL = (
-    Demand("eta-quote", 0.57, 0.4, 5.0),
-    Demand("assign-rider", 0.26, 0.2, 5.0),
-    Demand("settle-shift", 0.17, 1.6, 20.0),
+    JobClassDemand("eta-quote", 0.57, 0.4, 5.0),
+    JobClassDemand("assign-rider", 0.26, 0.2, 5.0),
+    JobClassDemand("settle-shift", 0.17, 1.6, 20.0),
 )
 SPEEDS = (1.3, 0.95, 0.7, 0.7)
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class SuspicionCount:
     """What a run showed: jobs, healthy nodes suspected, when each scheduler found the slow one, service."""
 
     jobs: int
@@ -62,12 +62,12 @@
 
 def burst(seed: int) -> tuple[int, int, int]:
     """Jobs, suspicions and second runs of the burst on healthy nodes."""
-    quote = Demand("eta-quote", 1.0, 0.05, 5.0)
-    wide = Kind(cores=150, slots=150.0, refresh_ns=S)
+    quote = JobClassDemand("eta-quote", 1.0, 0.05, 5.0)
+    wide = NodeKind(cores=150, slots=150.0, refresh_ns=S)
     run = Rehearsal(settings_for(1), [wide] * 4, 1, seed)
     calm = draw([quote], [Spell(0.0, 20.0)], 5.0, seed)
     crowd = [
-        Wanted(f"eta-quote.b{n}", quote, 5 * S, job.work_s, None, ())
+        PlannedJob(f"eta-quote.b{n}", quote, 5 * S, job.work_s, None, ())
         for n, job in enumerate(draw([quote], [Spell(0.0, 400.0)], 1.0, seed + 1000)[:300])
     ]
     run.ask_for([*calm, *crowd])
@@ -79,7 +79,7 @@
     return report.jobs, report.suspicions, sum(count - 1 for count in seen.values())
 
 
-def played(run: Rehearsal, span_s: float, slow: int, times: float, at_s: float) -> Seen:
+def played(run: Rehearsal, span_s: float, slow: int, times: float, at_s: float) -> SuspicionCount:
     """Play a scene in which one node (0: none) becomes slower."""
 
     def crawl(node: VirtualNode) -> None:
@@ -97,20 +97,20 @@
             "is suspect" in text and not (text.startswith(his) and t >= begun)
             for t, text in scheduler.remarks
         )
-    return Seen(report.jobs, healthy, found if slow else [], report.share)
+    return SuspicionCount(report.jobs, healthy, found if slow else [], report.share)
 
 
-def quick(seed: int, slow: bool) -> Seen:
+def quick(seed: int, slow: bool) -> SuspicionCount:
     """A steady stream of quick quotes."""
-    quote = Demand("eta-quote", 1.0, 0.05, 5.0)
-    run = Rehearsal(settings_for(1), [Kind(cores=150, slots=150.0, refresh_ns=S)] * 4, 1, seed)
+    quote = JobClassDemand("eta-quote", 1.0, 0.05, 5.0)
+    run = Rehearsal(settings_for(1), [NodeKind(cores=150, slots=150.0, refresh_ns=S)] * 4, 1, seed)
     run.ask_for(draw([quote], [Spell(0.0, 100.0)], 15.0, seed))
     return played(run, 15.0, 1 if slow else 0, 8.0, 5.0)
 
 
-def usual(seed: int, slow: bool) -> Seen:
+def usual(seed: int, slow: bool) -> SuspicionCount:
     """The usual mix."""
-    kinds = [Kind(2, SPEEDS[n % 4], 2.0, 20, refresh_ns=1100 * MS) for n in range(8)]
+    kinds = [NodeKind(2, SPEEDS[n % 4], 2.0, 20, refresh_ns=1100 * MS) for n in range(8)]
     run = Rehearsal(settings_for(2), kinds, 2, seed)
     run.ask_for(draw(USUAL, [Spell(0.0, 14.0)], 45.0, seed))
     return played(run, 45.0, 3 if slow else 0, 10.0, 20.0)
@@ -132,7 +132,7 @@
         f"| burst of 300 on 4 nodes | {sum(c[1] > 0 for c in crowd)} of {given.seeds} | "
         f"{hits / jobs * 1000:.2f} | {twice / given.seeds:.1f} | | |"
     )
-    scenes: tuple[tuple[str, Callable[[int, bool], Seen], bool], ...] = (
+    scenes: tuple[tuple[str, Callable[[int, bool], SuspicionCount], bool], ...] = (
         ("quick quotes, 4 nodes", quick, False),
         ("the same, one 8 times slower", quick, True),
         ("usual mix, 8 nodes", usual, False),
--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -23,7 +23,7 @@
 from benchmarks.rig import S
 from hollowusher.balancing import State
 from hollowusher.scheduler.dispatch.model import Dispatch, Order, ProbeNode, WatchNodeList
-from hollowusher.scheduler.emulator.model import Kind
+from hollowusher.scheduler.emulator.model import NodeKind
 from hollowusher.scheduler.emulator.outside import free_port, node_rows, platform_settings
 from hollowusher.scheduler.emulator.traffic import Spell, draw
 from hollowusher.scheduler.emulator.virtual import Rehearsal, VirtualNode, VirtualScheduler
@@ -67,7 +67,9 @@
 
 def play(schedulers: int, nodes: int, seconds: float, seed: int) -> str:
     """One fleet; its row."""
-    kinds = [Kind(2, (1.3, 0.95, 0.7, 0.7)[n % 4], 2.0, 20, refresh_ns=1_100_000_000) for n in range(nodes)]
+    kinds = [
+        NodeKind(2, (1.3, 0.95, 0.7, 0.7)[n % 4], 2.0, 20, refresh_ns=1_100_000_000) for n in range(nodes)
+    ]
     run = Rehearsal(settings_for(schedulers), kinds, schedulers, seed)
     sums, replaced = Sums(run), range(1, nodes // 3 + 1)
 
--- a/benchmarks/http2_cost.py
+++ b/benchmarks/http2_cost.py
@@ -21,10 +21,10 @@
 
 import uvloop
 
-from benchmarks.rig import Program, settings_for
+from benchmarks.rig import SchedulerProgram, settings_for
 from hollowusher.scheduler.emulator.http1node import Http1Node
-from hollowusher.scheduler.emulator.http2node import Http2Node, Plan
-from hollowusher.scheduler.emulator.outside import Answered, Clients
+from hollowusher.scheduler.emulator.http2node import Http2Node, NodePlan
+from hollowusher.scheduler.emulator.outside import ClientResult, OpenLoopClients
 from hollowusher.scheduler.net.http2.settings import Http2Config
 
 CLASSES = (("eta-quote", 1.0, 5.0),)
@@ -38,8 +38,8 @@
     async def serve() -> None:
         draws = random.Random(seed)
 
-        def plan(_: object) -> Plan:
-            return Plan(run_s=draws.expovariate(1 / MEAN_RUN_S), report={"x0": 32.0})
+        def plan(_: object) -> NodePlan:
+            return NodePlan(run_s=draws.expovariate(1 / MEAN_RUN_S), report={"x0": 32.0})
 
         nodes: list[Any] = [Http2Node(plan) if two else Http1Node(plan) for _ in range(count)]
         for node in nodes:
@@ -59,7 +59,7 @@
 
     async def serve() -> None:
         http2 = Http2Config(True, ("s-*",)) if two else Http2Config()
-        async with Program(settings_for(CLASSES), ports, http2) as program:
+        async with SchedulerProgram(settings_for(CLASSES), ports, http2) as program:
             pipe.send(program.port)
             while not pipe.poll():
                 await asyncio.sleep(0.05)
@@ -85,10 +85,10 @@
 
 async def load(
     port: int, pid: int, rate: float, seconds: float, seed: int
-) -> tuple[list[Answered], float, float]:
+) -> tuple[list[ClientResult], float, float]:
     """Open-loop load; the answers after warming up, and the processor time and span that belong to them."""
     draws, loop = random.Random(seed), asyncio.get_running_loop()
-    clients, tasks = Clients(port), []
+    clients, tasks = OpenLoopClients(port), []
     begun = loop.time() + 0.5
     at, number = begun, 0
     while at < begun + WARM_S + seconds:
--- a/benchmarks/http2_goaway.py
+++ b/benchmarks/http2_goaway.py
@@ -19,9 +19,9 @@
 
 import uvloop
 
-from benchmarks.rig import Program, settings_for
-from hollowusher.scheduler.emulator.http2node import ALL_STREAMS, Http2Node, Job, Plan, Session
-from hollowusher.scheduler.emulator.outside import Clients
+from benchmarks.rig import SchedulerProgram, settings_for
+from hollowusher.scheduler.emulator.http2node import ALL_STREAMS, Http2Node, NodeJob, NodePlan, NodeSession
+from hollowusher.scheduler.emulator.outside import OpenLoopClients
 from hollowusher.scheduler.net.http2.settings import Http2Config
 
 CLASSES = (("eta-quote", 0.6, 5.0), ("assign-rider", 0.25, 5.0), ("settle-shift", 0.15, 20.0))
@@ -39,27 +39,27 @@
         self.troubles: Counter[str] = Counter()
         self._until = self.draws.randint(5, 40)
 
-    def draw(self, job: Job) -> Plan:
+    def draw(self, job: NodeJob) -> NodePlan:
         """What becomes of a job."""
         roll = self.draws.random()
         if roll < 0.01 and not self.calm:
             self.troubles["refused"] += 1
-            return Plan("refuse")
-        return Plan(run_s=self.draws.expovariate(1 / 0.02), report={"x0": 8.0})
+            return NodePlan("refuse")
+        return NodePlan(run_s=self.draws.expovariate(1 / 0.02), report={"x0": 8.0})
 
-    async def run(self, job: Job, session: Session) -> None:
+    async def run(self, job: NodeJob, session: NodeSession) -> None:
         """Run it, and make trouble on its connection now and then."""
         self._until -= not self.calm
         if self._until <= 0 and session.last == ALL_STREAMS:
             self._until = self.draws.randint(5, 40)
-            self._trouble(session)
+            self._fault(session)
         await super().run(job, session)
 
-    def ran(self, job: Job) -> None:
+    def ran(self, job: NodeJob) -> None:
         """It runs, and when."""
         self.began.setdefault(job.name, []).append(time.monotonic())
 
-    def _trouble(self, session: Session) -> None:
+    def _fault(self, session: NodeSession) -> None:
         roll = self.draws.random()
         if roll < 0.15:
             self.troubles["cut"] += 1
@@ -70,9 +70,9 @@
             asyncio.get_running_loop().call_later(0.01, session.goaway)
         else:
             # It may leave out what has come in part; what it has begun to run it must serve.
-            whole = [s for s, j in session.jobs.items() if j.task is not None]
+            complete = [s for s, j in session.jobs.items() if j.task is not None]
             self.troubles["goaway"] += 1
-            session.goaway(max(whole, default=session.highest))
+            session.goaway(max(complete, default=session.highest))
 
 
 async def play(jobs: int, rate: float, nodes: int, seed: int, calm: bool) -> int:
@@ -82,8 +82,8 @@
     for node in unruly:
         await node.start()
     config = Http2Config(True, ("s-*",), connections=2)
-    async with Program(settings_for(CLASSES), [n.port for n in unruly], config) as program:
-        clients = Clients(program.port)
+    async with SchedulerProgram(settings_for(CLASSES), [n.port for n in unruly], config) as program:
+        clients = OpenLoopClients(program.port)
         at, tasks = asyncio.get_running_loop().time() + 0.5, []
         for number in range(jobs):
             name, _, budget = draws.choices(CLASSES, [c[1] for c in CLASSES])[0]
@@ -95,7 +95,7 @@
     return tell(clients, unruly, jobs)
 
 
-def tell(clients: Clients, nodes: list[Unruly], jobs: int) -> int:
+def tell(clients: OpenLoopClients, nodes: list[Unruly], jobs: int) -> int:
     """Print what happened; 1 where a rule broke."""
     runs: dict[str, list[float]] = {}
     for node in nodes:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,10 +17,10 @@
 
 import click
 
-from hollowusher.scheduler.emulator.membership import Peer, PeerNet, S
-from hollowusher.scheduler.rules.membership.events import Change, Told
-from hollowusher.scheduler.rules.membership.messages import Kind, Message, News, message_bytes
-from hollowusher.scheduler.rules.membership.pace import Pace
+from hollowusher.scheduler.emulator.membership import MembershipNetwork, S, SimulatedPeer
+from hollowusher.scheduler.rules.membership.events import Change, MembershipEvent
+from hollowusher.scheduler.rules.membership.messages import MemberUpdate, Message, MessageKind, message_bytes
+from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
 JOIN_S, WATCH_S, DEATH_S = 15, 20, 12
 CONDITIONS = (
@@ -39,13 +39,13 @@
     MISSED = 3
 
     def __init__(self, name: str, names: Iterable[str], span: int, now: int, chance: random.Random) -> None:
-        self.message = Message(Kind.PING, News(name, 1, 1))
+        self.message = Message(MessageKind.PING, MemberUpdate(name, 1, 1))
         self.others, self.span = [n for n in names if n != name], span
         self.next = now + round(chance.random() * span)
         self.heard = dict.fromkeys(self.others, now)
         self.held = set(self.others)
         self.sends: list[tuple[str, Message]] = []
-        self.told: list[Told] = []
+        self.reported: list[MembershipEvent] = []
 
     def due(self) -> int:
         """Its next round."""
@@ -62,11 +62,11 @@
         self.sends += [(n, self.message) for n in self.others]
         for name in [n for n in self.held if now - self.heard[n] > self.MISSED * self.span]:
             self.held.discard(name)
-            self.told.append(Told(Change.DIED, name))
+            self.reported.append(MembershipEvent(Change.DIED, name))
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class MembershipRun:
     """One play: what is played, and what came of it."""
 
     kind: str
@@ -82,16 +82,16 @@
     bytes: float = 0.0
 
 
-def play(run: Run) -> Run:
+def play(run: MembershipRun) -> MembershipRun:
     """Play one: a watch with the condition's faults, two deaths, and two halves apart for 20 s."""
     _, loss, pause = CONDITIONS[run.condition]
     names = [f"n{i}" for i in range(run.members)]
-    pace = Pace(health_most=0) if run.kind == "no health" else Pace()
+    pace = MembershipTiming(health_most=0) if run.kind == "no health" else MembershipTiming()
 
-    def beats(name: str, now: int) -> Peer:
+    def beats(name: str, now: int) -> SimulatedPeer:
         return Beats(name, names, run.span, now, random.Random(f"{run.seed}{name}"))
 
-    net = PeerNet(names, run.seed, pace, loss, make=beats if run.kind == "beats" else None)
+    net = MembershipNetwork(names, run.seed, pace, loss, make=beats if run.kind == "beats" else None)
     net.run(JOIN_S * S)
     before = {n: (p.sent, p.sent_bytes) for n, p in net.processes.items()}
     turn = net.live()
@@ -106,7 +106,7 @@
     net.at(net.now, next_pause)
     net.run((JOIN_S + WATCH_S) * S)
     spent = [(p.sent - before[n][0], p.sent_bytes - before[n][1]) for n, p in net.processes.items()]
-    false = sum(1 for at, _, _ in net.told(Change.DIED) if at > JOIN_S * S)
+    false = sum(1 for at, _, _ in net.reported(Change.DIED) if at > JOIN_S * S)
     net.run(net.now + round(2 * pause * S))
     found, missed = [], 0
     for victim in names[:1] if run.members < 4 else names[:2]:
@@ -114,8 +114,8 @@
         net.kill(victim)
         net.run(began + DEATH_S * S)
         knew: dict[str, float] = {}
-        for at, who, told in net.told(Change.DIED):
-            if told.name == victim and at >= began:
+        for at, who, reported in net.reported(Change.DIED):
+            if reported.name == victim and at >= began:
                 knew.setdefault(who, (at - began) / S)
         missed += len(net.live()) - len(knew)
         found.append(max(knew.values(), default=float(DEATH_S)))
@@ -130,7 +130,7 @@
     )
 
 
-def heal(net: PeerNet, run: Run) -> float:
+def heal(net: MembershipNetwork, run: MembershipRun) -> float:
     """Halves that hear nothing of each other for 20 s; how long after it until all see all."""
     if run.condition or run.kind == "beats":
         return 0.0
@@ -146,13 +146,13 @@
     return (net.now - began) / S
 
 
-def beat_span(members: int, bytes_a_second: float) -> int:
+def heartbeat_span(members: int, bytes_a_second: float) -> int:
     """The heartbeats' span for so many bytes."""
-    size = message_bytes(Message(Kind.PING, News("n100", 1, 1)))
+    size = message_bytes(Message(MessageKind.PING, MemberUpdate("n100", 1, 1)))
     return round(size * (members - 1) / max(1.0, bytes_a_second) * S)
 
 
-def row(runs: list[Run]) -> str:
+def row(runs: list[MembershipRun]) -> str:
     """A row of the table."""
     found = sorted(t for r in runs for t in r.found)
     hours = sum(r.members for r in runs) * WATCH_S / 3600
@@ -184,8 +184,10 @@
         for size in map(int, members.split(",")):
             spent = 0.0
             for kind, condition in product(kinds.split(","), range(len(CONDITIONS))):
-                span = beat_span(size, spent) if kind == "beats" else 0
-                runs = list(pool.map(play, [Run(kind, size, condition, s, span) for s in range(seeds)]))
+                span = heartbeat_span(size, spent) if kind == "beats" else 0
+                runs = list(
+                    pool.map(play, [MembershipRun(kind, size, condition, s, span) for s in range(seeds)])
+                )
                 if kind == "swim" and condition == 0:
                     spent = statistics.mean(r.bytes for r in runs)
                 click.echo(row(runs))
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -7,9 +7,9 @@
 
 from hollowusher.balancing import Discovery, Effect, Group, JobClass, Limits, Settings, Via
 from hollowusher.scheduler.app import serve
-from hollowusher.scheduler.config import Config
+from hollowusher.scheduler.config import SchedulerConfig
 from hollowusher.scheduler.emulator.outside import NodeList, free_port, node_rows
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.http2.settings import Http2Config
 
 MS, S = 1_000_000, 1_000_000_000
@@ -41,7 +41,7 @@
     )
 
 
-class Program:
+class SchedulerProgram:
     """One scheduler in this process, with its node list."""
 
     def __init__(self, settings: Settings, ports: list[int], http2: Http2Config, sockets: int = 1024) -> None:
@@ -51,10 +51,10 @@
         self._stop = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> Program:
+    async def __aenter__(self) -> SchedulerProgram:
         """Start it."""
         await self._list.start()
-        config = Config(
+        config = SchedulerConfig(
             "bench",
             ("127.0.0.1", self.port),
             ("127.0.0.1", self._list.port),
@@ -67,7 +67,7 @@
             {},
             http2=self._http2,
         )
-        self._task = asyncio.create_task(serve(config, Log("bench", per_s=0, burst=0), self._stop))
+        self._task = asyncio.create_task(serve(config, LogWriter("bench", per_s=0, burst=0), self._stop))
         return self
 
     async def __aexit__(self, *_: object) -> None:
--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -90,7 +90,7 @@
 LAST_BYTE_NS = 50 * NS_PER_MS  # how long before its window ends a repeat's last byte must have left
 
 
-class Controller:
+class IntegralController:
     """The paper's integral rule for one worker, its gain split among balancers, and the carried credit."""
 
     def __init__(self, t_d: int, balancers: int) -> None:
@@ -116,7 +116,7 @@
         self.credit = min(max(CARRIED, self.bundle), self.credit + times * self.bundle)
 
 
-class Request:
+class QueuedRequest:
     """A client's request and what its attempts allow."""
 
     def __init__(self, event: Arrival, cls: JobClass, limits: Limits, now: int, seq: int, past: int) -> None:
@@ -139,7 +139,7 @@
             return None
         return ran[0].sent + self.cls.window_ns - now if self.cls.effect is Effect.KEYED else 0
 
-    def repeatable(self, worker: Worker, now: int) -> bool:
+    def repeatable(self, worker: WorkerState, now: int) -> bool:
         """The one predicate of rule 2 for a send: would it be harmless on this worker, now?"""
         alone = self.limits.second_copies or not any(a.outcome is None for a in self.attempts)
         if len(self.attempts) >= self.limits.max_attempts or not alone:
@@ -156,13 +156,13 @@
         return left is None or (left > LAST_BYTE_NS and self.cls.group is Group.ALL)
 
 
-class Worker:
+class WorkerState:
     """One worker as this node sees it: list state, readings, own jobs, health and cold budget."""
 
     def __init__(self, entry: Listed, settings: Settings, t_d: int, due: int) -> None:
         self.id, self.entry, self.settings = entry.worker, entry, settings
         self.bearable = round(WAIT_SHARE * min(c.aim_ns for c in settings.classes))
-        self.control, self.due = Controller(t_d, settings.balancers), due
+        self.control, self.due = IntegralController(t_d, settings.balancers), due
         self.out: dict[tuple[str, int], Attempt] = {}
         self.used_slots = self.used_memory = 0.0  # own jobs out
         self.running = 0.0  # own slots of jobs started
@@ -294,7 +294,7 @@
         return not self.suspect
 
 
-class Gate:
+class SendRules:
     """What every send must pass: the four rules and nothing of tuning."""
 
     def __init__(self, settings: Settings, now: int) -> None:
@@ -305,7 +305,7 @@
         self.use = 1.0  # the chance that a turn at a cold worker finds a job here
         self.watching = settings.discovery is Discovery.PUSH
 
-    def told(self, now: int, kind: ListKind) -> None:
+    def record_list_event(self, now: int, kind: ListKind) -> None:
         """What the list's service has said, or failed to say."""
         if kind in (ListKind.FULL, ListKind.CHANGES):
             self.watching, self.known_at = True, now
@@ -314,7 +314,9 @@
                 self.known_at = now if self.watching else max(self.known_at, self.asked_at)
             self.watching = False
 
-    def allows(self, request: Request, worker: Worker, now: int, costs: tuple[float, float, float]) -> bool:
+    def allows(
+        self, request: QueuedRequest, worker: WorkerState, now: int, costs: tuple[float, float, float]
+    ) -> bool:
         """Whether this send keeps the rules."""
         over = request.closed or request.streaming or now >= request.deadline
         if over or worker.entry.state is not State.READY:
@@ -333,15 +335,21 @@
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.rng, self.began, self.classes = random.Random(seed), now, dict[str, JobClass]()
         self.t_d = max(settings.tick_ns, min(c.aim_ns for c in settings.classes) // AIM_PARTS)
-        self.gate = Gate(settings, now)
+        self.send_rules = SendRules(settings, now)
         self.ring: list[tuple[int, int]] = []  # the workers' t_d timers: (phase, worker), in order
         self.fired, self.fruitless, self.seq = now, 0, 0  # until when timers were served; then since a send
-        self.line: list[Request] | None = None  # the candidates, until one leaves or joins
+        self.line: list[QueuedRequest] | None = None  # the candidates, until one leaves or joins
         self.probe_credit = PROBE_BURST
-        self.asked, self.answered = set[int](), list[Worker]()  # whose readings jobs wait for, and have now
+        self.asked, self.answered = (
+            set[int](),
+            list[WorkerState](),
+        )  # whose readings jobs wait for, and have now
         self.joined = self.checking = False  # whether a job joined in this step; a check of workers is due
-        self.workers, self.requests = dict[int, Worker](), dict[str, Request]()
-        self.queue, self.late = list[Request](), list[Request]()  # late: waited too long to be in time
+        self.workers, self.requests = dict[int, WorkerState](), dict[str, QueuedRequest]()
+        self.queue, self.late = (
+            list[QueuedRequest](),
+            list[QueuedRequest](),
+        )  # late: waited too long to be in time
         self.runs, self.hints = dict[str, float](), dict[str, float]()  # a class's mean running time and hint
         self.in_time = dict[str, float]()  # by class: share of jobs started before they were late
         self.came = dict[str, int]()  # by class: jobs that came, and one more
@@ -349,7 +357,7 @@
         self.alike: dict[tuple[str, float], float] = {}  # most free slots seen on like workers
         self.usual_pace = 1.0  # the median pace of the workers: above 1 when a shared cause slows all
         self.bearable_pace = math.inf  # the pace at which the most pressing class ends late without waiting
-        self.timers: list[tuple[int, int, Callable[[int], None], Request | None]] = []
+        self.timers: list[tuple[int, int, Callable[[int], None], QueuedRequest | None]] = []
         self.wake_at: int | None = None
         self.actions: list[Action] = []
         self.follow(settings)
@@ -359,7 +367,7 @@
 
     def follow(self, settings: Settings) -> None:
         """From now on these settings hold; open requests keep the class and limits that they came with."""
-        self.settings = self.gate.settings = settings
+        self.settings = self.send_rules.settings = settings
         kept = {r.cls.name: r.cls for r in self.requests.values()}
         self.classes = kept | {c.name: c for c in settings.classes}
         self.probe_cost = max(1.0 / PROBES_MOST, settings.prices.probe / PROBE_SPEND)  # in requests
@@ -393,12 +401,12 @@
         self.plan_wake(now)
         return self.actions
 
-    def at(self, when: int, what: Callable[[int], None], request: Request | None = None) -> None:
+    def at(self, when: int, what: Callable[[int], None], request: QueuedRequest | None = None) -> None:
         """Do something later; nothing, if it was for a request that is closed by then."""
         self.seq += 1
         heapq.heappush(self.timers, (when, self.seq, what, request))
 
-    def next_timer(self) -> tuple[int, Worker]:
+    def next_timer(self) -> tuple[int, WorkerState]:
         """The first t_d timer after those served, and when it is due."""
         turn, offset = divmod(self.fired, self.t_d)
         index = bisect_right(self.ring, (offset, math.inf))
@@ -465,7 +473,7 @@
             case Probed():
                 self.probed(now, event)
             case BudgetSpent():
-                self.gate.began = now  # as if this life began now
+                self.send_rules.began = now  # as if this life began now
             case SettingsChanged(settings):
                 self.follow(settings)
             case Woken():
@@ -481,10 +489,10 @@
         # A client's time runs over all its tries: what a first one has left and this one has not, is past.
         self.lefts[cls.name] = max(event.left_ns, self.lefts[cls.name])
         past = self.lefts[cls.name] - event.left_ns if event.retry else 0
-        request = Request(event, cls, self.settings.limits, now, self.seq, past)
+        request = QueuedRequest(event, cls, self.settings.limits, now, self.seq, past)
         self.came[cls.name] += 1
         rate = sum(self.came.values()) / max(1, now - self.began)
-        self.gate.use = 1.0 - math.exp(-rate * self.settings.rules.fall_span_ns / 2)
+        self.send_rules.use = 1.0 - math.exp(-rate * self.settings.rules.fall_span_ns / 2)
         self.requests[request.id] = request
         if request.hint:
             mean = self.hints.get(cls.name, float(request.hint))
@@ -570,13 +578,13 @@
             else:
                 self.finish(now, request)
 
-    def expected(self, request: Request) -> float:
+    def expected(self, request: QueuedRequest) -> float:
         """The running time to expect."""
         hint = self.hints.get(request.cls.name)
         # A hint is work, so by hints a pace shows when all are slow; they are rough: half-way to the mean.
         return math.sqrt(hint * request.hint) if hint and request.hint else self.mean_run(request.cls)
 
-    def slack(self, now: int, request: Request, pace: float) -> float:
+    def slack(self, now: int, request: QueuedRequest, pace: float) -> float:
         """How much longer a job could wait for a worker of this pace and still be in time."""
         run = self.expected(request)
         return request.arrived + request.cls.aim_ns + (request.cls.stretch - pace) * run - now
@@ -590,19 +598,19 @@
         """How many times its guess a job of a class may cost."""
         return 1.0 if cls.name in self.runs else UNLEARNT
 
-    def enqueue(self, request: Request) -> None:
+    def enqueue(self, request: QueuedRequest) -> None:
         """Join the one queue, in order of arrival, whatever has been tried before."""
         if not request.queued and not request.closed:
             request.queued, self.line, self.joined = True, None, True
             insort(self.late if request.late else self.queue, request, key=lambda r: r.seq)
 
-    def unqueue(self, request: Request) -> None:
+    def unqueue(self, request: QueuedRequest) -> None:
         """Leave the queue."""
         if request.queued:
             request.queued, self.line = False, None
             (self.late if request.late else self.queue).remove(request)
 
-    def turn_late(self, now: int, request: Request) -> None:
+    def turn_late(self, now: int, request: QueuedRequest) -> None:
         """The job has waited much of its aim: behind all others, else in overload all start too late."""
         queued = request.queued
         self.unqueue(request)
@@ -611,7 +619,7 @@
             self.enqueue(request)
             self.in_time[request.cls.name] *= 1.0 - FAIR_MEMORY
 
-    def close(self, request: Request) -> None:
+    def close(self, request: QueuedRequest) -> None:
         """The request has its final answer: nothing more is sent, what is still out is called off."""
         request.closed = True
         self.unqueue(request)
@@ -619,23 +627,23 @@
         if self.settings.limits.cancel and not request.streaming:
             self.actions.extend(Cancel(request.id, a.number) for a in request.attempts if a.outcome is None)
 
-    def expire(self, now: int, request: Request) -> None:
+    def expire(self, now: int, request: QueuedRequest) -> None:
         """Its window is over: a request that no worker has is at its end."""
         if not any(a.outcome is None for a in request.attempts):
             self.finish(now, request)
 
-    def finish(self, now: int, request: Request) -> None:
+    def finish(self, now: int, request: QueuedRequest) -> None:
         """The final answer where no worker gave one: refuse where that is allowed, else fail."""
         self.actions.append(Refuse(request.id) if request.refusable(now) else Fail(request.id))
         self.close(request)
 
     def list_workers(self, now: int, event: WorkerList) -> None:
         """Follow the list."""
-        stood = self.gate.watching
+        stood = self.send_rules.watching
         if event.kind is not ListKind.CACHED:
-            self.gate.told(now, event.kind)
+            self.send_rules.record_list_event(now, event.kind)
         if event.kind in (ListKind.FAILED, ListKind.SILENT):
-            if not self.gate.watching:
+            if not self.send_rules.watching:
                 longest = self.calls.wait_ns(self.watch_failures, stood)
                 self.watch_failures += 1
                 part = (0.0, 0.8) if stood else (0.5, 1.0)  # watches break all at once, calls fail one by one
@@ -648,7 +656,7 @@
             worker = self.workers.get(entry.worker)
             if worker is None:
                 due = now + self.rng.randrange(self.t_d)
-                self.workers[entry.worker] = Worker(entry, self.settings, self.t_d, due)
+                self.workers[entry.worker] = WorkerState(entry, self.settings, self.t_d, due)
                 insort(self.ring, (due % self.t_d, entry.worker))
             else:
                 if not worker.entry.same_process(entry.started_ns):  # what is held against it was another's
@@ -661,19 +669,19 @@
 
     def watch(self, now: int) -> None:
         """Ask for the list and its changes, and again where no answer comes."""
-        if self.gate.watching or now < self.watch_at:
+        if self.send_rules.watching or now < self.watch_at:
             return
-        self.gate.asked_at, self.watch_at = now, now + 2 * self.calls.timeout_ns
+        self.send_rules.asked_at, self.watch_at = now, now + 2 * self.calls.timeout_ns
         self.at(self.watch_at, self.watch)
         self.actions.append(Watch())
 
-    def slots(self, worker: Worker) -> float:
+    def slots(self, worker: WorkerState) -> float:
         """The slots a worker is taken to have: the most free ones seen on it or on one like it."""
         return max(1.0, self.alike.get(self.like(worker), 0.0), worker.most_free)
 
-    def like(self, worker: Worker) -> tuple[str, float]:
+    def like(self, worker: WorkerState) -> tuple[str, float]:
         """What workers of one build share.  A size that follows the load would make each one's its own."""
-        return worker.entry.kind, worker.entry.size if self.settings.sizes_told else 1.0
+        return worker.entry.kind, worker.entry.size if self.settings.reports_sizes else 1.0
 
     def check(self, now: int) -> None:
         """Notice silence and crawling, while jobs are out."""
@@ -689,7 +697,7 @@
         if busy:
             self.at(now + SAMPLE_NS, self.check)
 
-    def ask(self, now: int, worker: Worker, near: bool) -> None:
+    def ask(self, now: int, worker: WorkerState, near: bool) -> None:
         """Ask for a reading, within the price of probes."""
         again = PROBE_LOST_NS if worker.id in self.asked else SAMPLE_NS
         if now - worker.asked_at < again or self.probe_credit < self.probe_cost:
@@ -719,7 +727,7 @@
             if not (worker.suspect and now < worker.trial_at):
                 self.strike(now, worker, "unanswered probes")
 
-    def reading(self, now: int, worker: Worker, reading: Reading) -> None:
+    def reading(self, now: int, worker: WorkerState, reading: Reading) -> None:
         """A fresh reading resizes the bundle once."""
         like = self.like(worker)
         if reading.free_slots is not None:
@@ -728,7 +736,7 @@
         if busy is not None:
             self.resize(now, worker, busy)
 
-    def resize(self, now: int, worker: Worker, busy: float) -> None:
+    def resize(self, now: int, worker: WorkerState, busy: float) -> None:
         """One step of the worker's controller."""
         elapsed, worker.read_at = now - worker.read_at, now
         worker.move_on(now)
@@ -736,15 +744,15 @@
         most = min(self.slots(worker), MOST_RATE * self.t_d / t_p)
         worker.control.resize(busy, elapsed, t_p, most, trusted)
 
-    def time_per_job(self, worker: Worker) -> float:
+    def time_per_job(self, worker: WorkerState) -> float:
         """t_p: a worker's running time over its slots; the pooled mean until it has shown its own."""
         return max(1.0, (worker.run or self.mean_run()) / self.slots(worker))
 
-    def crawls(self, now: int, worker: Worker) -> bool:
+    def crawls(self, now: int, worker: WorkerState) -> bool:
         """Whether its jobs end late even without waiting, which no reading of its slots tells."""
         return worker.pace(now) > self.usual_pace * self.bearable_pace
 
-    def strike(self, now: int, worker: Worker, why: str) -> None:
+    def strike(self, now: int, worker: WorkerState, why: str) -> None:
         """Suspect a worker; its jobs that may be repeated go back to the queue."""
         if worker.strike(now, self.rng):
             self.actions.append(Log(f"worker {worker.id} is suspect: {why}"))
@@ -752,7 +760,7 @@
             if attempt.request.cls.effect is not Effect.UNSAFE:
                 self.enqueue(attempt.request)
 
-    def fire(self, now: int, worker: Worker, sure: bool = False) -> None:
+    def fire(self, now: int, worker: WorkerState, sure: bool = False) -> None:
         """A worker's timer is due: it takes its bundle from the head of the queue.  `sure`: unasked."""
         if worker.entry.state is not State.READY or not (self.queue or self.late):
             return
@@ -804,7 +812,7 @@
             if not request.late and not trial and self.slack(now, request, pace) < 0:
                 continue  # here it would end late: rather wait for a faster worker, or be refused
             cost = self.expected(request) * request.slots * self.doubt(request.cls)
-            if not self.gate.allows(request, worker, now, (cost, unit, slots)):
+            if not self.send_rules.allows(request, worker, now, (cost, unit, slots)):
                 continue
             control.wanted = True
             if trial or control.credit >= 1.0:
@@ -819,7 +827,7 @@
             attempt.request.copied = True
             self.enqueue(attempt.request)
 
-    def candidates(self, now: int) -> list[Request]:
+    def candidates(self, now: int) -> list[QueuedRequest]:
         """The head of the queue, by worth once crowded, as some must lose; then late jobs, newest first."""
         if self.line is None:
             head = self.queue[:LOOK_AHEAD]
@@ -835,17 +843,17 @@
         s, shares = self.settings, {name: max(LEARN, self.in_time[name]) for name in self.classes}
         work = {n: self.came[n] * self.mean_run(c) for n, c in self.classes.items()}
         rate = {n: c.worth / (1.0 if s.worth_by_work else self.mean_run(c)) for n, c in self.classes.items()}
-        worst = s.goal.worst_class / s.goal.whole / sum(share**-WORST_POWER for share in shares.values())
+        worst = s.goal.worst_class / s.goal.complete / sum(share**-WORST_POWER for share in shares.values())
         mean = sum(work[name] * rate[name] for name in work) or 1.0
         return {n: rate[n] / mean / t**2 + worst * t**-WORST_POWER / work[n] for n, t in shares.items()}
 
-    def patience(self, request: Request) -> float:
+    def patience(self, request: QueuedRequest) -> float:
         """How long a job waits for a worker of its own zone: the crossing's price in terms of its aim."""
         cls = request.cls
-        share = self.settings.prices.cross_zone / self.settings.goal.whole
+        share = self.settings.prices.cross_zone / self.settings.goal.complete
         return share * (cls.aim_ns + cls.stretch * self.expected(request))
 
-    def send(self, now: int, worker: Worker, request: Request, cost: float) -> None:
+    def send(self, now: int, worker: WorkerState, request: QueuedRequest, cost: float) -> None:
         """Start an attempt."""
         self.unqueue(request)
         self.fruitless, left = 0, request.window_left(now)
--- a/hollowusher/balancing/interface.py
+++ b/hollowusher/balancing/interface.py
@@ -154,13 +154,13 @@
     warm_after_ns: int = 30 * NS_PER_S
     answer_grace_ns: int = 0
     ask_within_ns: int = 10 * NS_PER_S
-    told_within_ns: int = 6 * NS_PER_S  # what the list's service has and can tell counts as told by then
+    reported_within_ns: int = 6 * NS_PER_S  # what the list's service has and can tell counts as told by then
 
     def list_calls(self, balancers: int, dial_ns: int) -> ListCalls:
         """How the list is asked for; few balancers need not spread their calls."""
-        within = max(self.told_within_ns - self.drain_grace_ns, self.told_within_ns // 2)
+        within = max(self.reported_within_ns - self.drain_grace_ns, self.reported_within_ns // 2)
         spread = min(within // 2, LIST_CALL_NS * max(0, balancers - FEW_BALANCERS))
-        good = max(self.told_within_ns - 2 * dial_ns, self.told_within_ns // 2)
+        good = max(self.reported_within_ns - 2 * dial_ns, self.reported_within_ns // 2)
         return ListCalls(
             within * 11 // 20, within * 3 // 20, within // 3, spread, min(self.ask_within_ns, good)
         )
@@ -194,7 +194,7 @@
 class Goal:
     """What the service is measured by: parts of 1."""
 
-    whole: float = 1.0
+    complete: float = 1.0
     worst_class: float = 0.0
 
 
@@ -218,7 +218,7 @@
     tells_start: bool = False
     progress_ns: int = 0
     order: Order = Order.FIFO
-    sizes_told: bool = True  # a worker's listed size is its own; else it follows its load, or is no figure
+    reports_sizes: bool = True  # a worker's listed size is its own; else it follows its load, or is no figure
     rules: Rules = field(default_factory=Rules)
     limits: Limits = field(default_factory=Limits)
     prices: Prices = field(default_factory=Prices)
@@ -257,8 +257,8 @@
         need(r.warm_after_ns >= 0, "rules.warm_after_ns", "must not be negative")
         need(r.answer_grace_ns >= 0, "rules.answer_grace_ns", "must not be negative")
         need(r.ask_within_ns > 0, "rules.ask_within_ns", "must be above 0")
-        need(r.told_within_ns > 0, "rules.told_within_ns", "must be above 0")
-        need(self.goal.whole > 0, "goal.whole", "must be above 0")
+        need(r.reported_within_ns > 0, "rules.told_within_ns", "must be above 0")
+        need(self.goal.complete > 0, "goal.whole", "must be above 0")
         need(m.max_attempts >= 1, "limits.max_attempts", "must be 1 or more")
         need(m.max_retry_after_ns >= 0, "limits.max_retry_after_ns", "must not be negative")
         need(m.connect_timeout_ns > 0, "limits.connect_timeout_ns", "must be above 0")
--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from hollowusher.balancing.balancer import Balancer, Worker
+from hollowusher.balancing.balancer import Balancer, WorkerState
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     )
 
 
-def _of_worker(worker: Worker) -> WorkerMemory:
+def _of_worker(worker: WorkerState) -> WorkerMemory:
     return WorkerMemory(
         worker.id,
         worker.entry.started_ns,
@@ -92,7 +92,7 @@
             _restore_worker(worker, learnt, now)
 
 
-def _restore_worker(worker: Worker, learnt: WorkerMemory, now: int) -> None:
+def _restore_worker(worker: WorkerState, learnt: WorkerMemory, now: int) -> None:
     worker.control.bundle = learnt.bundle
     worker.most_free, worker.most_memory = learnt.most_free, learnt.most_memory
     worker.others, worker.others_at = learnt.others, now
--- a/hollowusher/balancing/simulator_adapter.py
+++ b/hollowusher/balancing/simulator_adapter.py
@@ -113,7 +113,7 @@
             raise WireError(self.message, name) from None
 
 
-def _whole(text: str) -> int:
+def _complete(text: str) -> int:
     """A whole number, not negative."""
     value = int(text)
     if value < 0:
@@ -167,7 +167,7 @@
     o = Options(message, pairs)
     kinds = o.words("kinds")
     classes = []
-    for i in range(o.get("grades.count", _whole, 0)):
+    for i in range(o.get("grades.count", _complete, 0)):
         at = f"grades.{i}."
         kind = o.item("family_info.class_kind", i, "-1")
         try:
@@ -198,7 +198,7 @@
             o.get(f"customers.{i}.share", _number, 1.0),
             o.get(f"customers.{i}.allowance_per_s", _number, 0.0),
         )
-        for i in range(o.get("customers.count", _whole, 0))
+        for i in range(o.get("customers.count", _complete, 0))
     )
     meanings = dict(_READING_FIELDS)
     for x in ("x0", "x1"):
@@ -221,7 +221,7 @@
         reading_fields=o.words("report.names"),
         tells_start=o.get("family_info.tells_start", _BOOLS.__getitem__, False),
         progress_ns=o.get("family_info.progress_ns", int, 0),
-        sizes_told=o.get("weights", str, "nominal") == "nominal",
+        reports_sizes=o.get("weights", str, "nominal") == "nominal",
         order=o.get("family_info.queue_order", _ORDERS.__getitem__, Order.FIFO),
         rules=Rules(
             drain_grace_ns=o.get("contract.drain_grace_ns", int, 0),
@@ -249,7 +249,7 @@
             late_fail=o.get("prices.late_fail", _number, 0.0),
         ),
         goal=Goal(
-            whole=o.get("scoring_mix.whole", _number, 1.0),
+            complete=o.get("scoring_mix.whole", _number, 1.0),
             worst_class=o.get("scoring_mix.worst_class", _number, 0.0),
         ),
     )
@@ -308,7 +308,7 @@
                     continue
                 if parts[0] != "FRAME":
                     raise WireError(parts[0][:40], "message (a batch begins with FRAME)")
-                now = Fields("FRAME", parts[1:]).read("clock", _whole)
+                now = Fields("FRAME", parts[1:]).read("clock", _complete)
                 self._batch(now)
         except WireError as bad:
             print(f"line {self._line}: {bad}", file=sys.stderr)
@@ -372,7 +372,7 @@
     def _event(self, instance: Instance, word: str, parts: list[str], now: int) -> Event | None:
         f = Fields(word, parts)
         if word == "WAKEUP":
-            f.read("ctx", _whole)
+            f.read("ctx", _complete)
             return Woken()
         if word == "INBOUND":
             request = f.read("request_id", str)
@@ -385,7 +385,7 @@
             hint = f.read("estimate_ns", int, 0)
             slots = f.read("slots", _number, 1.0)
             memory = f.read("mem_needed", _number, 0.0)
-            flags = f.read("opts", _whole, 0)
+            flags = f.read("opts", _complete, 0)
             retry = bool(flags & _CLIENT_RETRY)
             return Arrival(
                 request,
@@ -400,15 +400,15 @@
                 instance.shares.over(tenant, retry, now),
             )
         if word == "INTERIM":
-            request, worker = f.read("request_id", str), f.read("executor", _whole)
+            request, worker = f.read("request_id", str), f.read("executor", _complete)
             sort, amount = f.read("sort", int), f.read("amount", _number, 0.0)
-            attempt = f.read("seq_no", _whole)
+            attempt = f.read("seq_no", _complete)
             if sort == 1:
                 return Started(request, attempt, worker)
             return Progress(request, attempt, worker, amount) if sort == 2 else None
         if word == "DONE":
-            request, attempt = f.read("request_id", str), f.read("seq_no", _whole)
-            worker = f.read("executor", _whole)
+            request, attempt = f.read("request_id", str), f.read("seq_no", _complete)
+            worker = f.read("executor", _complete)
             outcome = f.read("status", _OUTCOMES.__getitem__)
             f.read("cost_time_ns", int, 0)
             final = f.read("complete", _BOOLS.__getitem__, False)
@@ -418,19 +418,19 @@
         if word == "PROBE_DONE":
             status = f.read("status", str)
             f.read("cost_time_ns", int, 0)
-            worker = f.read("executor", _whole)
+            worker = f.read("executor", _complete)
             reading = f.read("feedback", instance.reading, Reading())
             return Probed(worker, status == "ok", None if reading == Reading() else reading)
         if word == "MEMBERSHIP":
             kind = f.read("mode", _LISTS.__getitem__)
             f.read("stamp", int, 0)
-            return WorkerList(kind, tuple(self._row() for _ in range(f.read("elements", _whole, 0))))
+            return WorkerList(kind, tuple(self._row() for _ in range(f.read("elements", _complete, 0))))
         if word == "DROPPED":
             return ClientGone(f.read("request_id", str))
         if word == "FIRST_BYTE":
             request = f.read("request_id", str)
             f.read("cost_time_ns", int, 0)
-            return Streaming(request, f.read("seq_no", _whole), f.read("executor", _whole))
+            return Streaming(request, f.read("seq_no", _complete), f.read("executor", _complete))
         if word == "MEMO":
             return None
         raise WireError(word[:40], "message (unknown)")
@@ -441,7 +441,7 @@
             raise WireError("MEMBERSHIP", "elements (too few ROW lines)")
         f = Fields("ROW", parts[1:])
         return Listed(
-            f.read("executor", _whole),
+            f.read("executor", _complete),
             f.read("site", str, ""),
             f.read("flavor", str, ""),
             f.read("bay", int, 0),
--- a/hollowusher/dispatch/worker_control.py
+++ b/hollowusher/dispatch/worker_control.py
@@ -12,7 +12,7 @@
 import math
 from typing import Final
 
-from hollowusher.balancing.balancer import GOOD_TRIALS, LEARN, MOST_RATE, Controller
+from hollowusher.balancing.balancer import GOOD_TRIALS, LEARN, MOST_RATE, IntegralController
 from hollowusher.delivery.outcome import Ending
 
 NS_PER_S: Final = 1_000_000_000
@@ -45,7 +45,7 @@
     def __init__(
         self, now: float, capacity: int | None = None, balancers: int = 1, phase: float = 0.0
     ) -> None:
-        self._controller = Controller(round(TIMER_S * NS_PER_S), balancers)
+        self._controller = IntegralController(round(TIMER_S * NS_PER_S), balancers)
         self._balancers = balancers
         self.capacity = capacity or 0  # what the list tells, 0: nothing
         self.slots = float(capacity or GUESSED_SLOTS)  # what its answers have shown of it
--- a/hollowusher/scheduler/app.py
+++ b/hollowusher/scheduler/app.py
@@ -13,18 +13,18 @@
 import uvloop
 
 from hollowusher.balancing.interface import Discovery, JobClass
-from hollowusher.scheduler.component import Part
-from hollowusher.scheduler.config import Config, load
-from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
-from hollowusher.scheduler.dispatch.metrics import Figures
-from hollowusher.scheduler.dispatch.worker_registry import Roster
-from hollowusher.scheduler.effects import Floor
+from hollowusher.scheduler.component import Component
+from hollowusher.scheduler.config import SchedulerConfig, load
+from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
+from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
+from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
+from hollowusher.scheduler.effects import EffectExecutor
 from hollowusher.scheduler.fronts.common import JobIds
 from hollowusher.scheduler.fronts.platform.clients import PlatformClients
 from hollowusher.scheduler.fronts.platform.discovery import NodeListWatch
 from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
-from hollowusher.scheduler.log import Log
-from hollowusher.scheduler.net.owner import DeskOwner
+from hollowusher.scheduler.log import LogWriter
+from hollowusher.scheduler.net.owner import DispatcherOwner
 from hollowusher.scheduler.net.pool import Pool
 from hollowusher.scheduler.net.ring import ring_bytes
 from hollowusher.scheduler.operations import NODE_SHARE, SPARE_SOCKETS, Operations
@@ -36,18 +36,18 @@
 _READ = partial(load, again=True)
 
 
-def descriptors(told: int) -> int:
+def descriptors(reported: int) -> int:
     """How many may be held: what the platform says, where the system does not allow less."""
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    return told if allowed == resource.RLIM_INFINITY else min(told, allowed)
+    return reported if allowed == resource.RLIM_INFINITY else min(reported, allowed)
 
 
 async def serve(
-    config: Config,
-    log: Log,
+    config: SchedulerConfig,
+    log: LogWriter,
     stop: asyncio.Event | None = None,
     again: asyncio.Event | None = None,
-    read: Callable[[], Config] = _READ,
+    read: Callable[[], SchedulerConfig] = _READ,
 ) -> None:
     """Run one scheduler until it is asked to stop, and end in good order.
 
@@ -56,8 +56,8 @@
     log.attach(asyncio.get_running_loop().call_later)
     # Unheard faults would be printed by the library on this thread, where a stalled reader stops everything.
     asyncio.get_running_loop().set_exception_handler(
-        lambda _, told: log.error(
-            "loop-fault", str(told.get("message", "")), fault=repr(told.get("exception"))
+        lambda _, reported: log.error(
+            "loop-fault", str(reported.get("message", "")), fault=repr(reported.get("exception"))
         )
     )
     sockets = descriptors(config.sockets) - SPARE_SOCKETS
@@ -67,35 +67,35 @@
     to_nodes = int(sockets * NODE_SHARE)
     ring = ring_bytes(config.memory_mb, config.sockets)
     pool = Pool(config.connect_timeout_s, config.idle_close_s, to_nodes, ring)
-    roster, ids = Roster(), JobIds()
-    figures = Figures(c.name for c in config.settings.classes)
-    floor = Floor(roster, pool, log)
-    desk = DispatchDesk(config.settings, config.seed, time.monotonic_ns())
-    gate, carry_out = None, floor.carry_out
+    registry, ids = WorkerRegistry(), JobIds()
+    figures = SchedulerMetrics(c.name for c in config.settings.classes)
+    executor = EffectExecutor(registry, pool, log)
+    dispatcher = JobDispatcher(config.settings, config.seed, time.monotonic_ns())
+    admission, carry_out = None, executor.carry_out
     if config.copies.listen is not None:  # what is off is not imported either
-        from hollowusher.scheduler.net.log_replication.admission import Gate
+        from hollowusher.scheduler.net.log_replication.admission import ReplicationAdmission
         from hollowusher.scheduler.net.log_replication.node import CopiesNode
 
         limits = config.settings.limits
-        gate = Gate(
+        admission = ReplicationAdmission(
             config.copies.classes,
-            roster,
+            registry,
             lambda event: owner.post(event),
-            floor.carry_out,
+            executor.carry_out,
             limits.max_retry_after_ns // 2 if limits.retry_after else 0,
             config.seed,
         )
-        carry_out = gate.carry_out
-        gate.node = copies = CopiesNode(
-            config.copies, {c.name: c for c in config.settings.classes}, config.seed, gate.act, log
+        carry_out = admission.carry_out
+        admission.node = copies = CopiesNode(
+            config.copies, {c.name: c for c in config.settings.classes}, config.seed, admission.act, log
         )
-    owner = DeskOwner(desk, carry_out, log)
-    post = gate.post if gate is not None else owner.post
+    owner = DispatcherOwner(dispatcher, carry_out, log)
+    post = admission.post if admission is not None else owner.post
     watch = NodeListWatch(
         config.discovery,
-        roster,
+        registry,
         post,
-        floor.changed,
+        executor.changed,
         log,
         lambda name, kind: "http2" if config.http2.speaks(name, kind) else "platform",
         AskAgain(config.settings.rules.drain_grace_ns, random.Random(config.seed).random)
@@ -105,34 +105,34 @@
         config.settings.list_calls,
         random.Random(config.seed ^ 1).random,
     )
-    operations = Operations(config, roster, ids, owner, watch, floor, figures, log)
-    parts: list[Part] = [watch, *operations.parts]
-    if gate is not None:
+    operations = Operations(config, registry, ids, owner, watch, executor, figures, log)
+    parts: list[Component] = [watch, *operations.parts]
+    if admission is not None:
         parts.append(copies)
-    floor.post, floor.watch = post, watch.ask
-    http1 = floor.nodes["platform"] = PlatformNodes(roster, pool, config.meanings, post, log, figures)
+    executor.post, executor.watch = post, watch.ask
+    http1 = executor.nodes["platform"] = PlatformNodes(registry, pool, config.meanings, post, log, figures)
     if config.http2.enabled:
         from hollowusher.scheduler.fronts.platform.http2 import Http2Nodes
-        from hollowusher.scheduler.net.http2.streams import Carrier
+        from hollowusher.scheduler.net.http2.streams import Http2Carrier
 
-        carrier = Carrier(config.http2, pool, log)
+        carrier = Http2Carrier(config.http2, pool, log)
         parts.append(carrier)
-        floor.nodes["http2"] = Http2Nodes(roster, carrier, http1, config.meanings, post, log)
+        executor.nodes["http2"] = Http2Nodes(registry, carrier, http1, config.meanings, post, log)
     classes = {c.name: c for c in config.settings.classes}
     clients = PlatformClients(
         operations.listener(), classes, sockets - to_nodes, ids, post, log, ring, figures
     )
     fronts: list[Callable[[Mapping[str, JobClass]], None]] = [clients.follow]
-    if gate is not None:
-        clients.copied = gate.copied
+    if admission is not None:
+        clients.copied = admission.copied
     if config.stomp.enabled:
         from hollowusher.scheduler.fronts.stomp.front import StompFront
 
-        stomp = StompFront(config, roster, floor, ids, post, log)
+        stomp = StompFront(config, registry, executor, ids, post, log)
         fronts.append(stomp.follow)
         parts.append(stomp)
     retuning = Retuning(config.settings, owner.post, fronts, log)
-    follow: dict[str, Callable[[Config], None]] = {
+    follow: dict[str, Callable[[SchedulerConfig], None]] = {
         "discovery": lambda new: watch.move(new.discovery),
         "settings": lambda new: retuning.follow(new.settings),
         "meanings": lambda new: http1.follow(new.meanings),
@@ -140,11 +140,11 @@
     if (peers := config.peers).listen is not None:
         from hollowusher.scheduler.net.membership.node import PeerNode
         from hollowusher.scheduler.net.membership.words import tell
-        from hollowusher.scheduler.rules.membership.events import Told
+        from hollowusher.scheduler.rules.membership.events import MembershipEvent
 
-        def changed(what: Told) -> None:
+        def changed(what: MembershipEvent) -> None:
             tell(log, what)
-            if gate is not None:
+            if admission is not None:
                 copies.view(node.member.missing())
 
         node = PeerNode(
@@ -160,7 +160,7 @@
         if config.shared.enabled:
             from hollowusher.scheduler.net.shared_state.node import SharedNode
 
-            shared = SharedNode(config.shared, node, peers.cluster, roster, config.seed, log)
+            shared = SharedNode(config.shared, node, peers.cluster, registry, config.seed, log)
             owner.taps.append(shared.tap)
             parts.append(shared)
         follow["peers"] = lambda new: node.follow(new.peers)
@@ -182,7 +182,7 @@
     await operations.arrive()
     await watch.start()
     operations.list_begun()
-    tasks = [asyncio.create_task(work) for work in (owner.run(), floor.sweep(), reloads.follow(again))]
+    tasks = [asyncio.create_task(work) for work in (owner.run(), executor.sweep(), reloads.follow(again))]
     for part in parts[1:]:
         await part.start()
     await operations.list_news()
@@ -195,8 +195,8 @@
     operations.leaves()
     await asyncio.gather(clients.drain(tasks[-1]), *(part.drain() for part in parts))
     for part in parts[:0:-1]:
-        told = {key: value for key, value in part.report().items() if key != "rows"}
-        log.notice("part-figures", "as it ended", part=part.name, **told)
+        reported = {key: value for key, value in part.report().items() if key != "rows"}
+        log.notice("part-figures", "as it ended", part=part.name, **reported)
     for task in tasks:
         task.cancel()
     for part in reversed(parts):
@@ -212,11 +212,11 @@
     try:
         config = load()
     except ConfigError as wrong:
-        log = Log("-")
+        log = LogWriter("-")
         log.error("config", str(wrong))
         log.close()
         return 2
-    log = Log(config.name, forward=config.syslog)
+    log = LogWriter(config.name, forward=config.syslog)
     uvloop.run(serve(config, log))
     log.close()
     return 0
--- a/hollowusher/scheduler/cli.py
+++ b/hollowusher/scheduler/cli.py
@@ -24,7 +24,7 @@
     shared,
     tell_play,
 )
-from hollowusher.scheduler.emulator.script import Script, read, stage
+from hollowusher.scheduler.emulator.script import RehearsalScript, read, stage
 from hollowusher.scheduler.emulator.virtual import COUNTS, Rehearsal, Report
 from hollowusher.scheduler.net.http2.settings import read_http2
 from hollowusher.scheduler.operators.commands import attach, detach, figures, ready
@@ -100,19 +100,19 @@
             return
     folder = out or Path("found") / "rehearsals" / f"{script.stem}-{seed}"
     rehearsal, begun = stage(plan, seed), time.monotonic()
-    whole = plan.length_s + LATE_SHARE_S
+    complete = plan.length_s + LATE_SHARE_S
     stopped = False
     try:
         with click.progressbar(range(SLICES), label=script.stem, file=sys.stderr) as steps:
             for step in steps:
-                rehearsal.heap.run(rehearsal.start_ns + round(whole * (step + 1) / SLICES * 1e9))
+                rehearsal.heap.run(rehearsal.start_ns + round(complete * (step + 1) / SLICES * 1e9))
     except KeyboardInterrupt:  # what there is, is kept
         stopped = True
     took = time.monotonic() - begun
     report = rehearsal.report()
     keep(folder, script, plan, seed, rehearsal, report, stopped)
     tell(report)
-    click.echo(f"{whole:g} s played in {took:.1f} s ({whole / took:.0f} times the clock); {folder}")
+    click.echo(f"{complete:g} s played in {took:.1f} s ({complete / took:.0f} times the clock); {folder}")
     if broken(report):
         raise SystemExit(1)
 
@@ -195,7 +195,13 @@
 
 
 def keep(
-    folder: Path, source: Path, plan: Script, seed: int, rehearsal: Rehearsal, report: Report, stopped: bool
+    folder: Path,
+    source: Path,
+    plan: RehearsalScript,
+    seed: int,
+    rehearsal: Rehearsal,
+    report: Report,
+    stopped: bool,
 ) -> None:
     """Write a run's folder: what it was made of, and its tables.  The same run gives the same bytes."""
     folder.mkdir(parents=True, exist_ok=True)
--- a/hollowusher/scheduler/component.py
+++ b/hollowusher/scheduler/component.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 
-class Part(Protocol):
+class Component(Protocol):
     """A part of the running program; `app.serve` holds a list of them."""
 
     name: str  # by which people ask for its report
--- a/hollowusher/scheduler/config.py
+++ b/hollowusher/scheduler/config.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class SchedulerConfig:
     """All that a scheduler is told at its start."""
 
     name: str
@@ -128,7 +128,7 @@
 
 def load(
     environ: Mapping[str, str] = os.environ, settings_file: Path | None = None, again: bool = False
-) -> Config:
+) -> SchedulerConfig:
     """The configuration from the platform's file, the environment over it, and the settings file.
 
     Read `again`, the file comes first for the node list's address: the environment still has the one from
@@ -176,9 +176,9 @@
         _maybe_address(table, "peer_listen"),
         tuple(address(f"peers[{i}]", a) for i, a in enumerate(_get(table, "peers", list, []))),
     )
-    told, named = environ.get("PROXY_DISCOVERY"), table.get("discovery", "")
-    key, service = ("discovery", named or told) if again else ("PROXY_DISCOVERY", told or named)
-    return Config(
+    reported, named = environ.get("PROXY_DISCOVERY"), table.get("discovery", "")
+    key, service = ("discovery", named or reported) if again else ("PROXY_DISCOVERY", reported or named)
+    return SchedulerConfig(
         name=name,
         listen=address("PROXY_LISTEN", environ.get("PROXY_LISTEN") or table.get("listen", "")),
         discovery=address(key, service),
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -38,52 +38,52 @@
 from hollowusher.balancing.learned_state import Memory, remember, restore
 from hollowusher.balancing.tenant_shares import Shares
 from hollowusher.scheduler.dispatch.model import (
-    Answer,
-    Attempt,
     AttemptEnded,
     AttemptProgress,
     AttemptStarted,
     BudgetShared,
+    ClientJob,
     ClientLeft,
-    DeskEvent,
     Dispatch,
-    Job,
+    DispatchEvent,
+    JobAnswerBody,
+    JobAttempt,
     JobTaken,
-    MemoryHanded,
-    NodeListTold,
+    LearnedStateReceived,
+    NewSettings,
+    NodeListReceived,
     NodeProbed,
     Order,
     ProbeNode,
     Remark,
-    Reply,
-    SettingsTold,
+    ReplyToClient,
     TimeCame,
     Verdict,
-    WakeDesk,
+    WakeDispatcher,
     WatchNodeList,
     Withdraw,
 )
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenJob:
     """A job and what is still owed for it: an answer, and the ends of the attempts that are out."""
 
-    job: Job
+    job: ClientJob
     sends: int = 0
     out: int = 0  # attempts whose end has not been told
     may_have_run: bool = False
     kept: bool = False  # its client has left: nothing new begins, and the answer goes to the book
 
 
-class DispatchDesk:
+class JobDispatcher:
     """One module, its open jobs and its open attempts."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self._module = Balancer(settings, seed, now)
         self._follow(settings, now)
-        self._jobs: dict[str, _Open] = {}
-        self._open: dict[tuple[str, int], Attempt] = {}
+        self._jobs: dict[str, _OpenJob] = {}
+        self._open: dict[tuple[str, int], JobAttempt] = {}
         self._count = 0
         self._orders: list[Order] = []
 
@@ -106,31 +106,31 @@
             w.id for w in self._module.workers.values() if w.suspect and w.entry.state is not State.GONE
         )
 
-    def work(self, now: int, events: Iterable[DeskEvent]) -> list[Order]:
+    def work(self, now: int, events: Iterable[DispatchEvent]) -> list[Order]:
         """Take a batch of events in one step of the module; the orders that follow."""
         self._orders, self._now = [], now
-        told: list[Event] = []
+        reported: list[Event] = []
         for each in events:
-            if isinstance(each, MemoryHanded):  # it concerns workers that the list before it names
-                self._step(now, told)
-                told = []
+            if isinstance(each, LearnedStateReceived):  # it concerns workers that the list before it names
+                self._step(now, reported)
+                reported = []
                 self.restore(each.memory, now)
             elif (event := self._tell(now, each)) is not None:
-                told.append(event)
-        self._step(now, told)
+                reported.append(event)
+        self._step(now, reported)
         return self._orders
 
-    def _step(self, now: int, told: list[Event]) -> None:
-        for action in self._module.step(now, told):
+    def _step(self, now: int, reported: list[Event]) -> None:
+        for action in self._module.step(now, reported):
             self._order(action)
 
-    def _tell(self, now: int, event: DeskEvent) -> Event | None:
+    def _tell(self, now: int, event: DispatchEvent) -> Event | None:
         """The module's event for one of ours; None where it concerns nothing that is open."""
         match event:
             case JobTaken(job):
                 self._count += 1
                 job.ticket = f"job-{self._count}"
-                self._jobs[job.ticket] = _Open(job)
+                self._jobs[job.ticket] = _OpenJob(job)
                 return Arrival(
                     job.ticket,
                     job.job_class,
@@ -150,10 +150,10 @@
             case AttemptProgress(a, share) if (a.ticket, a.number) in self._open:
                 return Progress(a.ticket, a.number, a.node, share)
             case AttemptEnded(a) if self._open.pop((a.ticket, a.number), None) is not None:
-                self._settle(event)
+                self._finish(event)
                 final = a.ticket not in self._jobs
                 return Ended(a.ticket, a.number, a.node, event.outcome, final, event.reading)
-            case NodeListTold(kind, entries):
+            case NodeListReceived(kind, entries):
                 return WorkerList(kind, entries)
             case NodeProbed(node, ok, reading):
                 return Probed(node, ok, reading)
@@ -161,7 +161,7 @@
                 return Woken()
             case BudgetShared():
                 return BudgetSpent()
-            case SettingsTold(settings):
+            case NewSettings(settings):
                 self._follow(settings, now)
                 return SettingsChanged(settings)
         return None
@@ -174,7 +174,7 @@
         match action:
             case Send(ticket, node, timeout, within):
                 held = self._jobs[ticket]
-                attempt = Attempt(ticket, held.sends, node)
+                attempt = JobAttempt(ticket, held.sends, node)
                 held.sends, held.out = held.sends + 1, held.out + 1
                 self._open[ticket, attempt.number] = attempt
                 self._orders.append(Dispatch(attempt, held.job, timeout, self._now + within if within else 0))
@@ -185,19 +185,19 @@
                 # The module says when a job is given up and mostly no wait; a client told nothing would come
                 # straight back into the crowd that it was refused for.
                 advice = min(wait or self._max_wait // 2, self._max_wait)
-                self._answer(ticket, Answer(Verdict.REFUSED, wait_ns=advice))
+                self._answer(ticket, JobAnswerBody(Verdict.REFUSED, wait_ns=advice))
             case Fail(ticket):
-                self._answer(ticket, Answer(Verdict.FAILED))
+                self._answer(ticket, JobAnswerBody(Verdict.FAILED))
             case Probe(node):
                 self._orders.append(ProbeNode(node))
             case Watch():
                 self._orders.append(WatchNodeList())
             case Wake(in_ns):
-                self._orders.append(WakeDesk(in_ns))
+                self._orders.append(WakeDispatcher(in_ns))
             case Log(text):
                 self._orders.append(Remark(text))
 
-    def _settle(self, event: AttemptEnded) -> None:
+    def _finish(self, event: AttemptEnded) -> None:
         """An attempt is over: its job is answered by it, or waits for others, or for the module's word."""
         ticket, held = event.attempt.ticket, self._jobs.get(event.attempt.ticket)
         if held is None:
@@ -205,7 +205,7 @@
         held.out -= 1
         held.may_have_run |= not event.outcome.never_ran
         if event.outcome is Outcome.OK:
-            self._answer(ticket, Answer(Verdict.SERVED, event.result))
+            self._answer(ticket, JobAnswerBody(Verdict.SERVED, event.result))
         elif held.kept and not held.out:
             self._give_up(ticket)
 
@@ -224,14 +224,14 @@
     def _give_up(self, ticket: str) -> None:
         """The answer for the book where no node gave one."""
         ran = self._jobs[ticket].may_have_run
-        self._answer(ticket, Answer(Verdict.FAILED if ran else Verdict.REFUSED))
+        self._answer(ticket, JobAnswerBody(Verdict.FAILED if ran else Verdict.REFUSED))
 
-    def _answer(self, ticket: str, answer: Answer) -> None:
+    def _answer(self, ticket: str, answer: JobAnswerBody) -> None:
         """Only the first answer of a job goes out: a second copy may be served as well."""
         job = self._close(ticket)
         if job is not None:
-            self._orders.append(Reply(job, answer))
+            self._orders.append(ReplyToClient(job, answer))
 
-    def _close(self, ticket: str) -> Job | None:
+    def _close(self, ticket: str) -> ClientJob | None:
         held = self._jobs.pop(ticket, None)
         return held.job if held is not None else None
--- a/hollowusher/scheduler/dispatch/metrics.py
+++ b/hollowusher/scheduler/dispatch/metrics.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class ClassFigures:
+class JobClassMetrics:
     """Of one job class, since the start of this process."""
 
     served: int = 0
@@ -18,11 +18,11 @@
     attempts: int = 0  # written whole to workers
 
 
-class Figures:
+class SchedulerMetrics:
     """All counts of one process."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
-        self.classes: dict[str, ClassFigures] = {}
+        self.classes: dict[str, JobClassMetrics] = {}
         self.in_flight = 0  # jobs taken and not yet ended
         self.reloads_ok = self.reloads_failed = 0
         self.follow(classes)
@@ -30,11 +30,11 @@
     def follow(self, classes: Iterable[str]) -> None:
         """Show these classes as well; those that are dropped keep their counts."""
         for name in classes:
-            self.classes.setdefault(name, ClassFigures())
+            self.classes.setdefault(name, JobClassMetrics())
 
     def answered(self, job_class: str, verdict: Verdict) -> None:
         """A client has been given a job's final answer."""
-        counts = self.classes.setdefault(job_class, ClassFigures())
+        counts = self.classes.setdefault(job_class, JobClassMetrics())
         match verdict:
             case Verdict.SERVED:
                 counts.served += 1
@@ -45,4 +45,4 @@
 
     def written(self, job_class: str) -> None:
         """The last byte of an attempt has been written to a worker."""
-        self.classes.setdefault(job_class, ClassFigures()).attempts += 1
+        self.classes.setdefault(job_class, JobClassMetrics()).attempts += 1
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class JobAnswerBody:
     """The one final answer of a job; `wait_ns` is advice that goes with a refusal."""
 
     verdict: Verdict
@@ -32,7 +32,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Job:
+class ClientJob:
     """A taken job.  `subject`, `body` and `repeat_key` pass to the route node as they came."""
 
     job_id: str
@@ -41,7 +41,7 @@
     body: bytes
     taken_ns: int
     left_ns: int
-    answer_to: Callable[[Answer], None]
+    answer_to: Callable[[JobAnswerBody], None]
     repeat_key: str = ""
     about: str = ""
     tenant: str = ""  # whose share it counts on; "" where nobody's
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class JobAttempt:
     """Which send of which job to which node."""
 
     ticket: str
@@ -71,7 +71,7 @@
 class JobTaken:
     """Event: a job is ours now and is owed one answer."""
 
-    job: Job
+    job: ClientJob
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
     """Event: nobody waits for this job any more.  Where its answer is `kept` for a client that comes back,
     what may run already ends as it does; either way nothing new begins."""
 
-    job: Job
+    job: ClientJob
     kept: bool = False
 
 
@@ -87,14 +87,14 @@
 class AttemptStarted:
     """Event: the node has begun the job."""
 
-    attempt: Attempt
+    attempt: JobAttempt
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
     """Event: the node has done this share of the job."""
 
-    attempt: Attempt
+    attempt: JobAttempt
     share: float
 
 
@@ -102,14 +102,14 @@
 class AttemptEnded:
     """Event: the attempt is over; `result` is the node's where the outcome is OK."""
 
-    attempt: Attempt
+    attempt: JobAttempt
     outcome: Outcome
     reading: Reading | None = None
     result: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class NodeListTold:
+class NodeListReceived:
     """Event: the node list, or what changed in it, or that asking for it failed."""
 
     kind: ListKind
@@ -136,31 +136,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettingsTold:
+class NewSettings:
     """Event: these settings hold from now on, for jobs that are not open yet."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
-class MemoryHanded:
+class LearnedStateReceived:
     """Event: what another process of this scheduler has learnt; after the list that it held."""
 
     memory: Memory
 
 
-DeskEvent = (
+DispatchEvent = (
     JobTaken
     | ClientLeft
     | AttemptStarted
     | AttemptProgress
     | AttemptEnded
-    | NodeListTold
+    | NodeListReceived
     | NodeProbed
     | TimeCame
     | BudgetShared
-    | SettingsTold
-    | MemoryHanded
+    | NewSettings
+    | LearnedStateReceived
 )
 
 
@@ -169,8 +169,8 @@
     """Order: send the job to the node; `timeout_ns` 0 is until the client gives up.  The last byte of a
     repeat that its key must still cover has to be written by `write_by_ns`; 0: whenever."""
 
-    attempt: Attempt
-    job: Job
+    attempt: JobAttempt
+    job: ClientJob
     timeout_ns: int
     write_by_ns: int = 0
 
@@ -183,15 +183,15 @@
 class Withdraw:
     """Order: stop waiting for an attempt."""
 
-    attempt: Attempt
+    attempt: JobAttempt
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class ReplyToClient:
     """Order: give the job its final answer."""
 
-    job: Job
-    answer: Answer
+    job: ClientJob
+    answer: JobAnswerBody
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,7 +207,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WakeDesk:
+class WakeDispatcher:
     """Order: tell the desk `TimeCame` after this span."""
 
     in_ns: int
@@ -220,4 +220,4 @@
     text: str
 
 
-Order = Dispatch | Withdraw | Reply | ProbeNode | WatchNodeList | WakeDesk | Remark
+Order = Dispatch | Withdraw | ReplyToClient | ProbeNode | WatchNodeList | WakeDispatcher | Remark
--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 
 from hollowusher.balancing.interface import Listed, ListKind, State
-from hollowusher.scheduler.dispatch.model import NodeListTold
+from hollowusher.scheduler.dispatch.model import NodeListReceived
 
 MOST_NODES = 4096
 _HEX_NAME = re.compile(r"[a-z]+-([0-9a-f]{1,8})")
@@ -24,7 +24,7 @@
     front: str = "platform"
 
 
-class Roster:
+class WorkerRegistry:
     """All route nodes of both fronts.  It is told of a change before the desk is, so that a send that the
     desk ordered a moment ago can be stopped at its first byte."""
 
@@ -86,7 +86,7 @@
             if number not in named
         ]
 
-    def told(self, kind: ListKind, nodes: Iterable[RouteNode]) -> NodeListTold:
+    def reported(self, kind: ListKind, nodes: Iterable[RouteNode]) -> NodeListReceived:
         """Take what a list tells; the event for the desk, with the fixed nodes in every whole list."""
         nodes = list(nodes)
         if kind in (ListKind.FULL, ListKind.CACHED):
@@ -98,13 +98,13 @@
         if len(self._nodes) > MOST_NODES:  # ids of machines long gone must not pile up
             for number in [n for n, node in self._nodes.items() if node.entry.state is State.GONE]:
                 self._numbers.pop(self._nodes.pop(number).name, None)
-        return NodeListTold(kind, tuple(self._shown(n) for n in nodes))
+        return NodeListReceived(kind, tuple(self._shown(n) for n in nodes))
 
-    def held(self) -> NodeListTold:
+    def held(self) -> NodeListReceived:
         """The whole list as held, of the kind that is no news from the list's service."""
-        return NodeListTold(ListKind.CACHED, tuple(self._shown(n) for n in self._nodes.values()))
+        return NodeListReceived(ListKind.CACHED, tuple(self._shown(n) for n in self._nodes.values()))
 
-    def amend(self, number: int, **changes: State | int) -> NodeListTold | None:
+    def amend(self, number: int, **changes: State | int) -> NodeListReceived | None:
         """Take what a fixed node tells of itself.  The event is the whole list as held, of the kind that is
         no news from the list's service: as changes it would count as a watch that stands."""
         node = self._nodes.get(number)
--- a/hollowusher/scheduler/effects.py
+++ b/hollowusher/scheduler/effects.py
@@ -9,20 +9,20 @@
 
 from hollowusher.balancing.interface import Outcome, State
 from hollowusher.scheduler.dispatch.model import (
-    Attempt,
     AttemptEnded,
-    DeskEvent,
     Dispatch,
+    DispatchEvent,
+    JobAttempt,
     NodeProbed,
     Order,
     ProbeNode,
     Remark,
-    Reply,
+    ReplyToClient,
     WatchNodeList,
     Withdraw,
 )
-from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.pool import Pool
 
 SWEEP_S = 2.0
@@ -54,33 +54,33 @@
         await work
 
 
-class Floor:
+class EffectExecutor:
     """Either front's jobs go to either kind of node: the roster says by which front a node is reached."""
 
-    def __init__(self, roster: Roster, pool: Pool, log: Log) -> None:
-        self._roster, self._pool, self._log = roster, pool, log
+    def __init__(self, registry: WorkerRegistry, pool: Pool, log: LogWriter) -> None:
+        self._registry, self._pool, self._log = registry, pool, log
         self.nodes: dict[str, Nodes] = {}
-        self.post: Callable[[DeskEvent], None] = lambda event: None
+        self.post: Callable[[DispatchEvent], None] = lambda event: None
         self.watch: Callable[[], None] = lambda: None
-        self._attempts: dict[Attempt, _UnderWay] = {}
+        self._attempts: dict[JobAttempt, _UnderWay] = {}
         self._others: set[asyncio.Task[None]] = set()
 
     def carry_out(self, order: Order) -> None:
         """Carry out one order; returns at once."""
         match order:
             case Dispatch(attempt):
-                node = self._roster.node(attempt.node)
+                node = self._registry.node(attempt.node)
                 # Since the desk was stepped the list may have told of a drain, or the client have left.
-                if node is None or not self._roster.serving(attempt.node) or order.job.gone():
+                if node is None or not self._registry.serving(attempt.node) or order.job.gone():
                     self.post(AttemptEnded(attempt, Outcome.NOT_SENT))
                     return
                 self._begin(order, node)
             case Withdraw(attempt):
                 self._withdraw(attempt)
-            case Reply(job, answer):
+            case ReplyToClient(job, answer):
                 job.answer_to(answer)
             case ProbeNode(number):
-                node = self._roster.node(number)
+                node = self._registry.node(number)
                 if node is None or node.entry.state is State.GONE:
                     self.post(NodeProbed(number, False))
                     return
@@ -102,7 +102,7 @@
 
         under_way.task.add_done_callback(over)
 
-    def _withdraw(self, attempt: Attempt) -> None:
+    def _withdraw(self, attempt: JobAttempt) -> None:
         under_way = self._attempts.get(attempt)
         if under_way is not None and under_way.task is not None:
             under_way.task.cancel()
@@ -112,13 +112,13 @@
 
     def changed(self, node: RouteNode) -> None:
         """A node's entry is about to change: connections to a process that ends or ended lead nowhere."""
-        old = self._roster.node(node.entry.worker)
+        old = self._registry.node(node.entry.worker)
         if node.entry.state is not State.READY or (old is not None and old.address != node.address):
             self.nodes[node.front].leaving(node.entry.worker)
 
     def leaving(self, number: int) -> None:
         """Nothing new may go to a node from now on: its idle connections are of no use."""
-        if (node := self._roster.node(number)) is not None:
+        if (node := self._registry.node(number)) is not None:
             self.nodes[node.front].leaving(number)
 
     async def sweep(self) -> None:
--- a/hollowusher/scheduler/emulator/explore.py
+++ b/hollowusher/scheduler/emulator/explore.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Finding(Generic[T]):
+class Violation(Generic[T]):
     """A state in which something does not hold, and the steps that led to it."""
 
     why: str
@@ -26,7 +26,7 @@
     states: int = 0
     depth: int = 0
     leaves: list[T] = field(default_factory=list)
-    findings: list[Finding[T]] = field(default_factory=list)
+    findings: list[Violation[T]] = field(default_factory=list)
 
 
 def explore(
@@ -56,7 +56,7 @@
             result.states += 1
             why = check(after)
             if why:
-                result.findings.append(Finding(why, (*path, name), after))
+                result.findings.append(Violation(why, (*path, name), after))
             else:
                 edge.append((after, (*path, name)))
     return result
--- a/hollowusher/scheduler/emulator/faults/checks.py
+++ b/hollowusher/scheduler/emulator/faults/checks.py
@@ -5,16 +5,16 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from hollowusher.scheduler.emulator.faults.history import RIG, Act, Entry, pairs
-from hollowusher.scheduler.emulator.faults.words import Expect
+from hollowusher.scheduler.emulator.faults.history import RIG, HistoryAction, HistoryEntry, pairs
+from hollowusher.scheduler.emulator.faults.script_words import Expect
 from hollowusher.scheduler.rules.membership.events import Change
 
-SETTLED_S = 8.0  # after a trouble of a member, or its start, its place in the views has come right
+STABLE_AFTER_S = 8.0  # after a trouble of a member, or its start, its place in the views has come right
 _GONE = {Change.DIED.value, Change.LEFT.value}
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
+class CheckResult:
     """One thing checked: whether it holds, and what was seen."""
 
     holds: bool
@@ -26,7 +26,7 @@
 class Course:
     """What follows from the acts alone: who runs, who is hindered, and who can reach whom, at any time."""
 
-    acts: Sequence[Act]
+    acts: Sequence[HistoryAction]
     members: Sequence[str]
     spans: dict[str, list[tuple[float, float, str]]] = field(default_factory=dict)  # when hindered, by what
 
@@ -35,8 +35,8 @@
         down: dict[str, tuple[float, str]] = {}
         ends = {a.number: a.at_s for a in self.acts if a.ends}
         for act in self.acts:
-            what, at = act.mishap.what, act.at_s
-            for name in act.mishap.who if not act.ends else ():
+            what, at = act.fault.what, act.at_s
+            for name in act.fault.who if not act.ends else ():
                 if what in ("kill", "stop"):
                     down.setdefault(name, (at, what))
                 elif what in ("start", "restart"):
@@ -56,16 +56,16 @@
     def _cut_off(self, at: float) -> list[str]:
         """Who then has no way to all others and back, over others, by links that carry nearly all."""
         bad: set[tuple[str, str]] = set()
-        open_now: dict[int, Act] = {}
+        open_now: dict[int, HistoryAction] = {}
         for act in self.acts:
             if act.at_s > at:
                 break
             if act.ends:
                 open_now.pop(act.number, None)
-            elif act.mishap.to:
+            elif act.fault.to:
                 open_now[act.number] = act
         for act in open_now.values():
-            m = act.mishap
+            m = act.fault
             if (
                 m.what in ("cut", "hold")
                 or (m.what == "lose" and m.amount > 0.5)
@@ -89,10 +89,10 @@
                     rim.append(other)
         return found
 
-    def hindered(self, name: str, at: float, settle_s: float = SETTLED_S) -> str:
+    def hindered(self, name: str, at: float, stabilize_s: float = STABLE_AFTER_S) -> str:
         """By what a member was hindered then or shortly before; "" where it ought to be there."""
         for since, until, why in self.spans.get(name, ()):
-            if since <= at <= until + settle_s:
+            if since <= at <= until + stabilize_s:
                 return why
         return ""
 
@@ -104,8 +104,11 @@
 
 
 def check(
-    entries: Sequence[Entry], acts: Sequence[Act], expects: Iterable[Expect], members: Sequence[str]
-) -> list[Finding]:
+    entries: Sequence[HistoryEntry],
+    acts: Sequence[HistoryAction],
+    expects: Iterable[Expect],
+    members: Sequence[str],
+) -> list[CheckResult]:
     """All findings: the script's own first, then those of every play."""
     course = Course(acts, members)
     findings = [_expected(e, entries, course) for e in expects]
@@ -114,12 +117,14 @@
     for entry in entries:
         if entry.what == "ended" and entry.why != "bidden":
             findings.append(
-                Finding(False, "no process ends unbidden", f"{entry.who} at {entry.at:.1f} s: {entry.why}")
+                CheckResult(
+                    False, "no process ends unbidden", f"{entry.who} at {entry.at:.1f} s: {entry.why}"
+                )
             )
     return findings + _jobs(entries)
 
 
-def _expected(e: Expect, entries: Sequence[Entry], course: Course) -> Finding:
+def _expected(e: Expect, entries: Sequence[HistoryEntry], course: Course) -> CheckResult:
     match e.what:
         case "see" | "minority" | "majority":
             return _at(e, entries)
@@ -132,37 +137,39 @@
                 and not course.down(x.who, x.at)
                 and course.hindered(x.who, x.at, 0.0) != "cut off"
             ]  # who hears nobody judges for itself
-            return Finding(not wrong, e.text, ", ".join(wrong[:4]))
+            return CheckResult(not wrong, e.text, ", ".join(wrong[:4]))
         case "told":
             missing = set(e.of) - {x.of for x in entries if x.what == e.who[0]}
-            return Finding(not missing, e.text, f"never of {', '.join(sorted(missing))}" if missing else "")
+            return CheckResult(
+                not missing, e.text, f"never of {', '.join(sorted(missing))}" if missing else ""
+            )
         case "found":
             return _found(e, entries, course)
         case _:
             asked = [x for x in entries if x.what == "job"]
             share = sum(x.why == "served" for x in asked) / max(1, len(asked))
-            return Finding(share >= e.amount, e.text, f"{share:.3f} of {len(asked)}")
+            return CheckResult(share >= e.amount, e.text, f"{share:.3f} of {len(asked)}")
 
 
-def _at(e: Expect, entries: Sequence[Entry]) -> Finding:
+def _at(e: Expect, entries: Sequence[HistoryEntry]) -> CheckResult:
     """What was asked of the schedulers themselves at that time."""
-    told = {x.who: x for x in entries if x.what == "state" and abs(x.at - e.at_s) < 1.0}
+    reported = {x.who: x for x in entries if x.what == "state" and abs(x.at - e.at_s) < 1.0}
     wrong = []
     for name in e.who:
-        if name not in told:
+        if name not in reported:
             wrong.append(f"{name} told nothing")
-        elif e.what == "see" and set(told[name].of.split(",")) != set(e.of):
-            wrong.append(f"{name} sees {told[name].of}")
-        elif e.what != "see" and told[name].why != e.what:
-            wrong.append(f"{name} is in a {told[name].why}")
-    return Finding(not wrong, e.text, "; ".join(wrong))
+        elif e.what == "see" and set(reported[name].of.split(",")) != set(e.of):
+            wrong.append(f"{name} sees {reported[name].of}")
+        elif e.what != "see" and reported[name].why != e.what:
+            wrong.append(f"{name} is in a {reported[name].why}")
+    return CheckResult(not wrong, e.text, "; ".join(wrong))
 
 
-def _found(e: Expect, entries: Sequence[Entry], course: Course) -> Finding:
+def _found(e: Expect, entries: Sequence[HistoryEntry], course: Course) -> CheckResult:
     """Each death of these known in time to all who could know it."""
     wrong, longest = [], 0.0
     for act in course.acts:
-        for name in set(act.mishap.who) & set(e.of) if act.mishap.what == "kill" and not act.ends else ():
+        for name in set(act.fault.who) & set(e.of) if act.fault.what == "kill" and not act.ends else ():
             at = act.at_s
             for other in course.members:
                 if other == name or course.hindered(other, at + e.amount, 0.0) or course.hindered(other, at):
@@ -178,13 +185,13 @@
                 longest = max(longest, knew)
                 if knew > e.amount:
                     wrong.append(f"{other} after {knew:.2f} s" if knew < 1e9 else f"{other} never")
-    return Finding(not wrong, e.text, "; ".join(wrong) or f"the last after {longest:.2f} s")
+    return CheckResult(not wrong, e.text, "; ".join(wrong) or f"the last after {longest:.2f} s")
 
 
-def _held_dead_by_all(entries: Sequence[Entry], course: Course) -> list[Finding]:
+def _held_dead_by_all(entries: Sequence[HistoryEntry], course: Course) -> list[CheckResult]:
     """Nobody that runs and can be reached by some way is held dead by all others at once."""
     dead: dict[str, set[str]] = {name: set() for name in course.members}
-    wrong: list[Finding] = []
+    wrong: list[CheckResult] = []
     for x in entries:
         if x.of not in dead or x.who == RIG:
             continue
@@ -196,7 +203,7 @@
         all_hold = x.what == Change.DIED.value and others and others <= dead[x.of]
         if all_hold and not course.hindered(x.of, x.at):
             wrong.append(
-                Finding(
+                CheckResult(
                     False,
                     "who runs and can be reached is not held dead by all",
                     f"{x.of} at {x.at:.1f} s, the last of them {x.who}",
@@ -205,7 +212,7 @@
     return wrong
 
 
-def _numbers(entries: Sequence[Entry]) -> list[Finding]:
+def _numbers(entries: Sequence[HistoryEntry]) -> list[CheckResult]:
     """The numbers of one process's views never fall."""
     last: dict[str, int] = {}
     for x in entries:
@@ -213,12 +220,12 @@
             last.pop(x.who, None)
         elif x.view:
             if x.view < last.get(x.who, 0):
-                return [Finding(False, "numbers of views never fall", f"{x.who} at {x.at:.1f} s")]
+                return [CheckResult(False, "numbers of views never fall", f"{x.who} at {x.at:.1f} s")]
             last[x.who] = x.view
     return []
 
 
-def _jobs(entries: Sequence[Entry]) -> list[Finding]:
+def _jobs(entries: Sequence[HistoryEntry]) -> list[CheckResult]:
     """What the nodes ran and the clients were told."""
     wrong = []
     runs: dict[str, int] = {}
@@ -229,11 +236,13 @@
         elif x.what == "job":
             answers[x.of] = answers.get(x.of, 0) + 1
             if x.why in ("late", "wrong"):
-                wrong.append(Finding(False, "each job has one right answer in time", f"{x.of}: {x.why}"))
+                wrong.append(CheckResult(False, "each job has one right answer in time", f"{x.of}: {x.why}"))
     wrong += [
-        Finding(False, "an unsafe job runs once at most", f"{job}: {n} runs")
+        CheckResult(False, "an unsafe job runs once at most", f"{job}: {n} runs")
         for job, n in runs.items()
         if n > 1
     ]
-    wrong += [Finding(False, "each job has one answer", f"{job}: {n}") for job, n in answers.items() if n > 1]
+    wrong += [
+        CheckResult(False, "each job has one answer", f"{job}: {n}") for job, n in answers.items() if n > 1
+    ]
     return wrong
--- a/hollowusher/scheduler/emulator/faults/words.py
+++ b/hollowusher/scheduler/emulator/faults/script_words.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from hollowusher.scheduler.rules.membership.events import Change
-from hollowusher.scheduler.settings.model import Kind, SettingsError, size, span
+from hollowusher.scheduler.settings.model import SettingsFileError, ValueKind, size, span
 
 MOST_MEMBERS = 1_000
 _PART = re.compile(r"([ns])([0-9]{1,4})(?:\.\.\1?([0-9]{1,4}))?")
@@ -21,7 +21,7 @@
 class Line(Protocol):
     """A line of a script, taken word by word."""
 
-    def fault(self, why: str) -> SettingsError:
+    def fault(self, why: str) -> SettingsFileError:
         """A fault of this line."""
 
     def next(self, what: str) -> str:
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mishap:
+class ScheduledFault:
     """Something that befalls schedulers (`who`) or the links from them to others (`to`)."""
 
     at_s: float
@@ -86,13 +86,13 @@
     return float(words[0][:-2])
 
 
-SHARE = Kind("a share such as 30%", _read_share)
-CLOCK = Kind("a span such as 100s, or -100s", _read_clock)
-RATE = Kind("a rate such as 1000/s", _read_rate)
-_FLAG = Kind("yes or no", lambda words: {"yes": True, "no": False}[words[0]])
+SHARE = ValueKind("a share such as 30%", _read_share)
+CLOCK = ValueKind("a span such as 100s, or -100s", _read_clock)
+RATE = ValueKind("a rate such as 1000/s", _read_rate)
+_FLAG = ValueKind("yes or no", lambda words: {"yes": True, "no": False}[words[0]])
 _SPAN = span(0.001, 86_400)
 # What befalls links: the word and kind of its amount.  And schedulers: the same, and whether it lasts.
-ON_LINKS: dict[str, Kind | None] = {
+ON_LINKS: dict[str, ValueKind | None] = {
     "cut": None,
     "lose": SHARE,
     "double": SHARE,
@@ -123,12 +123,12 @@
     return tuple(dict.fromkeys(found))
 
 
-def read_mishap(line: Line, at_s: float, what: str, members: int) -> Mishap:
+def read_scheduled_fault(line: Line, at_s: float, what: str, members: int) -> ScheduledFault:
     """The rest of `at 12s WHAT ...`."""
     if not members:
         raise line.fault(f"{what}: the script has no `members` before this line")
     fields: dict[str, Any] = {}
-    allowed: dict[str, Kind] = {"every": _SPAN, "until": _SPAN}
+    allowed: dict[str, ValueKind] = {"every": _SPAN, "until": _SPAN}
     if what in ON_LINKS:
         if (kind := ON_LINKS[what]) is not None:
             fields["amount"] = line.value(what, kind)
@@ -155,7 +155,7 @@
         raise line.fault(f"{what}: `every` and `until` go together")
     if what in _LASTS and "for" not in found:
         raise line.fault(f"{what}: `for` is missing")
-    return Mishap(
+    return ScheduledFault(
         at_s,
         what,
         for_s=found.get("for", 0.0),
--- a/hollowusher/scheduler/emulator/http1node.py
+++ b/hollowusher/scheduler/emulator/http1node.py
@@ -8,13 +8,13 @@
 from collections import Counter
 from collections.abc import Callable
 
-from hollowusher.scheduler.emulator.http2node import Plan
+from hollowusher.scheduler.emulator.http2node import NodePlan
 
 
 class Http1Node:
     """A route node.  `plan` says of each job's name what becomes of it: done, or a status such as 503."""
 
-    def __init__(self, plan: Callable[[str], Plan] = lambda name: Plan()) -> None:
+    def __init__(self, plan: Callable[[str], NodePlan] = lambda name: NodePlan()) -> None:
         self.plan = plan
         self.port = 0
         self.accepted = self.held = self.most_held = 0
@@ -60,11 +60,11 @@
         )
         await asyncio.sleep(plan.run_s)
         result = plan.result if plan.result is not None else f"r:{job}"
-        told: dict[str, object] = {"id": job, "state": plan.how, "result": result}
+        reported: dict[str, object] = {"id": job, "state": plan.how, "result": result}
         if plan.report is not None:
-            told["load"] = plan.report
-        writer.write(self._chunk(told) + b"0\r\n\r\n")
+            reported["load"] = plan.report
+        writer.write(self._chunk(reported) + b"0\r\n\r\n")
 
-    def _chunk(self, told: dict[str, object]) -> bytes:
-        line = json.dumps(told).encode() + b"\n"
+    def _chunk(self, reported: dict[str, object]) -> bytes:
+        line = json.dumps(reported).encode() + b"\n"
         return b"%x\r\n%s\r\n" % (len(line), line)
--- a/hollowusher/scheduler/emulator/http2node.py
+++ b/hollowusher/scheduler/emulator/http2node.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Plan:
+class NodePlan:
     """What becomes of one job.  `how`: done, failed, returned, lost, refuse, reset, silent, half (a line
     cut in two, then RST_STREAM), short (END_STREAM before the last line), early (answered before the body
     has come), cut (the connection breaks), or a status such as 503.  `after`: what it waits for before its
@@ -61,14 +61,14 @@
 
 
 @dataclass(slots=True)
-class Job:
+class NodeJob:
     """One request as the node sees it."""
 
     stream: int
     headers: dict[str, str]
     body: bytearray = field(default_factory=bytearray)
     task: asyncio.Task[None] | None = None
-    plan: Plan = field(default_factory=Plan)
+    plan: NodePlan = field(default_factory=NodePlan)
 
     @property
     def name(self) -> str:
@@ -76,13 +76,13 @@
         return self.headers.get("x-call-id", "")
 
 
-class Session:
+class NodeSession:
     """One connection of a scheduler."""
 
     def __init__(self, node: Http2Node, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.node, self._reader, self.writer = node, reader, writer
         self.conn = H2Connection(_CONFIG)
-        self.jobs: dict[int, Job] = {}
+        self.jobs: dict[int, NodeJob] = {}
         self.last = ALL_STREAMS  # the last stream that is served here
         self.highest = 0
         self.served = 0
@@ -105,7 +105,7 @@
             while data := await self._reader.read(65536):
                 await self._calm.wait()
                 for event in self.conn.receive_data(data):
-                    self._told(event)
+                    self._reported(event)
                 self.flush()
         except ProtocolError as wrong:
             self.node.violations.append(f"{type(wrong).__name__}: {wrong}")
@@ -158,13 +158,13 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
-    def _told(self, event: Event) -> None:
+    def _reported(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
             stream = event.stream_id or 0
             self.highest = max(self.highest, min(stream, self.last))
             headers = {k.decode(): v.decode() for k, v in event.headers or ()}
             if stream <= self.last:
-                job = self.jobs[stream] = Job(stream, headers)
+                job = self.jobs[stream] = NodeJob(stream, headers)
                 self.node.most_open = max(self.node.most_open, len(self.jobs))
                 self.node.seen(job, self)
         elif isinstance(event, DataReceived):
@@ -173,9 +173,9 @@
             if self.node.opens_windows and event.flow_controlled_length:
                 self.conn.acknowledge_received_data(event.flow_controlled_length, event.stream_id or 0)
         elif isinstance(event, StreamEnded):
-            if (whole := self.jobs.get(event.stream_id or 0)) is not None:
+            if (complete := self.jobs.get(event.stream_id or 0)) is not None:
                 self.served += 1
-                whole.task = asyncio.get_running_loop().create_task(self.node.run(whole, self))
+                complete.task = asyncio.get_running_loop().create_task(self.node.run(complete, self))
         elif isinstance(event, StreamReset):
             if (gone := self.jobs.pop(event.stream_id or 0, None)) is not None:
                 self.node.withdrawn.append(gone.name)
@@ -190,18 +190,18 @@
 
     # --- answers
 
-    def head(self, job: Job, status: str, *more: tuple[str, str], end: bool = False) -> None:
+    def head(self, job: NodeJob, status: str, *more: tuple[str, str], end: bool = False) -> None:
         """The answer's head."""
         headers = [(":status", status), *more]
         self.conn.send_headers(job.stream, headers, end_stream=end)
         self.flush()
 
-    async def data(self, job: Job, data: bytes, piece: int = 0, end: bool = False) -> None:
+    async def data(self, job: NodeJob, data: bytes, piece: int = 0, end: bool = False) -> None:
         """Some of the answer, within the windows."""
         rest = memoryview(data)
         while rest:
-            room = min(self.conn.local_flow_control_window(job.stream), self.conn.max_outbound_frame_size)
-            size = min(len(rest), room, piece or len(rest))
+            capacity = min(self.conn.local_flow_control_window(job.stream), self.conn.max_outbound_frame_size)
+            size = min(len(rest), capacity, piece or len(rest))
             if size <= 0:
                 self._opened.clear()
                 await self._opened.wait()
@@ -210,11 +210,11 @@
             rest = rest[size:]
             self.flush()
 
-    def over(self, job: Job) -> None:
+    def over(self, job: NodeJob) -> None:
         """Nothing more is to be said of a job."""
         self.jobs.pop(job.stream, None)
 
-    def reset(self, job: Job, code: ErrorCodes) -> None:
+    def reset(self, job: NodeJob, code: ErrorCodes) -> None:
         """RST_STREAM."""
         self.over(job)
         with contextlib.suppress(H2Error):
@@ -227,7 +227,7 @@
 
     def __init__(
         self,
-        plan: Callable[[Job], Plan] = lambda job: Plan(),
+        plan: Callable[[NodeJob], NodePlan] = lambda job: NodePlan(),
         limit: int = 100,
         window: int = 65_535,
     ) -> None:
@@ -236,7 +236,7 @@
         self.port = 0
         self.accepted = self.goaways = self.partings = self.most_open = 0
         self.goaway_every = 0  # after so many jobs served on a connection; 0: never
-        self.sessions: list[Session] = []
+        self.sessions: list[NodeSession] = []
         self.runs: Counter[str] = Counter()
         self.bodies: dict[str, bytes] = {}
         self.withdrawn: list[str] = []
@@ -258,7 +258,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.accepted += 1
-        session = Session(self, reader, writer)
+        session = NodeSession(self, reader, writer)
         self.sessions.append(session)
         self.changed.set()
         try:
@@ -268,19 +268,19 @@
             self.changed.set()
             writer.close()
 
-    def seen(self, job: Job, session: Session) -> None:
+    def seen(self, job: NodeJob, session: NodeSession) -> None:
         """A request's head has come."""
         self.changed.set()
         job.plan = self.plan(job)
         if job.plan.how == "early":
             session.head(job, "503", ("x-rejected", "1"), end=True)
 
-    def ran(self, job: Job) -> None:
+    def ran(self, job: NodeJob) -> None:
         """A job is being run."""
         self.runs[job.name] += 1
         self.bodies[job.name] = bytes(job.body)
 
-    async def run(self, job: Job, session: Session) -> None:
+    async def run(self, job: NodeJob, session: NodeSession) -> None:
         """Do as the plan says with a whole request."""
         if job.headers.get(":method") == "GET":
             session.head(job, "200")
@@ -298,7 +298,7 @@
         if self.goaway_every and session.served >= self.goaway_every and session.last == ALL_STREAMS:
             session.goaway()
 
-    async def _answer(self, job: Job, session: Session, plan: Plan) -> None:
+    async def _answer(self, job: NodeJob, session: NodeSession, plan: NodePlan) -> None:
         if plan.before is not None:
             await plan.before.wait()
         if plan.how == "refuse":
@@ -330,10 +330,10 @@
             session.flush()
             session.over(job)
             return
-        told: dict[str, object] = {"result": plan.result if plan.result is not None else f"r:{job.name}"}
+        reported: dict[str, object] = {"result": plan.result if plan.result is not None else f"r:{job.name}"}
         if plan.report is not None and not plan.report_in_trailers:
-            told["load"] = plan.report
-        line = self._line(job, "done" if plan.how == "half" else plan.how, **told)
+            reported["load"] = plan.report
+        line = self._line(job, "done" if plan.how == "half" else plan.how, **reported)
         if plan.how == "half":
             await session.data(job, line[: len(line) // 2], plan.piece)
             session.reset(job, ErrorCodes.CANCEL)
@@ -346,5 +346,5 @@
             session.flush()
         session.over(job)
 
-    def _line(self, job: Job, state: str, **more: object) -> bytes:
+    def _line(self, job: NodeJob, state: str, **more: object) -> bytes:
         return json.dumps({"id": job.name, "state": state, **more}).encode() + b"\n"
--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -14,10 +14,14 @@
 
 from hollowusher.balancing.interface import Effect, Group, JobClass
 from hollowusher.scheduler.emulator.heap import Heap
-from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Do
-from hollowusher.scheduler.rules.log_replication.keeper import Keeper
-from hollowusher.scheduler.rules.log_replication.pace import MS, Pace
-from hollowusher.scheduler.rules.log_replication.records import Answered, Taken
+from hollowusher.scheduler.rules.log_replication.job_replication import (
+    Do,
+    JobReplication,
+    ReplicationInstruction,
+)
+from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
+from hollowusher.scheduler.rules.log_replication.pace import MS, ReplicationTiming
+from hollowusher.scheduler.rules.log_replication.records import AnswerRecord, JobTakenRecord
 from hollowusher.scheduler.rules.log_replication.replica import Kept
 
 S = 1000 * MS
@@ -35,18 +39,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Process:
+class SchedulerProcess:
     """One scheduler's process."""
 
     name: str
     rate: float
-    custody: Custody | None = None
-    life: int = 0
+    replication: JobReplication | None = None
+    process_id: int = 0
     disks: dict[str, Kept] = field(default_factory=dict)
     paused_until: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)
     attempts: Counter[str] = field(default_factory=Counter)  # of the plain desk
-    work: dict[str, Taken] = field(default_factory=dict)
+    work: dict[str, JobTakenRecord] = field(default_factory=dict)
     handles: dict[str, Any] = field(default_factory=dict)  # whom to tell of a job's answer
 
 
@@ -54,9 +58,9 @@
 class Client:
     """One client and its job."""
 
-    taken: Taken
+    taken: JobTakenRecord
     asked_at: int
-    answers: list[Answered] = field(default_factory=list)
+    answers: list[AnswerRecord] = field(default_factory=list)
     begun: bool = False  # whether anyone took it
     tries: int = 0
     refused: int = 0
@@ -64,7 +68,7 @@
     done: bool = False
 
 
-class CustodyNet(Heap):
+class JobReplicationNetwork(Heap):
     """Some schedulers, all chance from one seed.  `make`: the keeper, or one with a planted fault."""
 
     def __init__(
@@ -74,20 +78,20 @@
         group: int = 3,
         storage: bool = False,
         loss: float = 0.0,
-        make: Callable[..., Keeper] = Keeper,
-        custody: Callable[..., Custody] = Custody,
-        pace: Pace | None = None,
+        make: Callable[..., LogReplicas] = LogReplicas,
+        replication: Callable[..., JobReplication] = JobReplication,
+        pace: ReplicationTiming | None = None,
     ) -> None:
         super().__init__()
         self.chance, self.group, self.storage, self.loss = random.Random(seed), group, storage, loss
-        self._make, self._custody, self.pace = make, custody, pace or Pace()
+        self._make, self._replication, self.pace = make, replication, pace or ReplicationTiming()
         self.names = tuple(f"n{i}" for i in range(size))
         self.steps = self.messages = 0
         self.cuts: set[tuple[str, str]] = set()
-        self.processes = {n: Process(n, 1 + self.chance.uniform(-0.01, 0.01)) for n in self.names}
+        self.processes = {n: SchedulerProcess(n, 1 + self.chance.uniform(-0.01, 0.01)) for n in self.names}
         self.clients: dict[str, Client] = {}
         self.runs: Counter[str] = Counter()
-        self.told: list[tuple[int, str, str, str]] = []
+        self.reported: list[tuple[int, str, str, str]] = []
         self.die_at_go = 0.0  # how often a process ends just as an attempt has gone out
         for name in self.names:
             self.start(name)
@@ -99,9 +103,9 @@
         p = self.processes[name]
         if not (disk and self.storage):
             p.disks = {}
-        p.life += 1
+        p.process_id += 1
         p.paused_until, p.inbox, p.attempts, p.work, p.handles = 0, [], Counter(), {}, {}
-        keeper = self._make(
+        replicas = self._make(
             name,
             self.names,
             self.group,
@@ -111,14 +115,14 @@
             CLASSES,
             copy.deepcopy(p.disks),
         )
-        p.custody = self._custody(keeper, self.names, CLASSES)
+        p.replication = self._replication(replicas, self.names, CLASSES)
         self._after(p)
-        self._tick(p, p.life)
+        self._tick(p, p.process_id)
 
     def crash(self, name: str) -> None:
         """It ends without a word; its clients notice, and what it had sent out runs on."""
-        self.processes[name].custody = None
-        self.processes[name].life += 1
+        self.processes[name].replication = None
+        self.processes[name].process_id += 1
 
     def pause(self, name: str, span: int) -> None:
         """It does not run; what comes waits."""
@@ -126,9 +130,11 @@
         p.paused_until = self.now + span
         self.at(p.paused_until, lambda: self._resume(p))
 
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether all run, and know all that they must."""
-        return all(q.custody is not None and not q.custody.keeper.learns() for q in self.processes.values())
+        return all(
+            q.replication is not None and not q.replication.replicas.learns() for q in self.processes.values()
+        )
 
     def cut(self, a: str, b: str, span: int) -> None:
         """Nothing passes from a to b for a while."""
@@ -140,7 +146,7 @@
     def ask(self, job: str, job_class: str) -> None:
         """A new client asks for a job."""
         until_ms = self._ms() + BUDGET_MS[job_class]
-        self.clients[job] = Client(Taken(job, job_class, "s", b"body", until_ms), self.now)
+        self.clients[job] = Client(JobTakenRecord(job, job_class, "s", b"body", until_ms), self.now)
         self._try(job)
 
     def _try(self, job: str) -> None:
@@ -149,8 +155,8 @@
             return
         for name, left in client.asked:  # it has left whom it asked before
             p = self.processes[name]
-            if p.custody is not None and p.life == left[2]:
-                p.custody.gone(job, left)
+            if p.replication is not None and p.process_id == left[2]:
+                p.replication.gone(job, left)
         client.asked = []
         client.tries += 1
         self._ask_one(client, client.tries > 1, 0)
@@ -161,17 +167,17 @@
         self.at(self.now + ALONE_MS * MS, lambda: self._try(job))
 
     def _ask_one(self, client: Client, again: bool, delay: int) -> None:
-        up = [p for p in self.processes.values() if p.custody is not None]
+        up = [p for p in self.processes.values() if p.replication is not None]
         if not up:
             return
         p = self.chance.choice(up)
-        handle = (client.taken.job, client.tries, p.life, len(client.asked))
+        handle = (client.taken.job, client.tries, p.process_id, len(client.asked))
         client.asked.append((p.name, handle))
         self.after(
             delay,
             lambda: (
                 self._do(p, lambda c: c.take(self._clock(p), self._ms(), client.taken, handle, again))
-                if p.life == handle[2]
+                if p.process_id == handle[2]
                 else None
             ),
         )
@@ -182,52 +188,52 @@
 
     # --- schedulers ---------------------------------------------------------------------------------------
 
-    def _clock(self, p: Process) -> int:
+    def _clock(self, p: SchedulerProcess) -> int:
         return round(self.now * p.rate)
 
     def _ms(self) -> int:
         return 1_000_000 + self.now // MS
 
-    def _tick(self, p: Process, life: int) -> None:
-        if p.custody is None or p.life != life:
+    def _tick(self, p: SchedulerProcess, process_id: int) -> None:
+        if p.replication is None or p.process_id != process_id:
             return
-        self._do(p, lambda c: c.keeper.step(self._clock(p), self._ms()))
-        self.at(self.now + TICK_NS, lambda: self._tick(p, life))
+        self._do(p, lambda c: c.replicas.step(self._clock(p), self._ms()))
+        self.at(self.now + TICK_NS, lambda: self._tick(p, process_id))
 
-    def _do(self, p: Process, what: Callable[[Custody], None]) -> None:
-        if p.custody is None:
+    def _do(self, p: SchedulerProcess, what: Callable[[JobReplication], None]) -> None:
+        if p.replication is None:
             return
         if self.now < p.paused_until:
             p.inbox.append(lambda: self._do(p, what))
             return
         self.steps += 1
-        what(p.custody)
-        p.custody.tick(self._clock(p), self._ms())
+        what(p.replication)
+        p.replication.tick(self._clock(p), self._ms())
         self._after(p)
 
-    def _resume(self, p: Process) -> None:
+    def _resume(self, p: SchedulerProcess) -> None:
         waiting, p.inbox = p.inbox, []
         for what in waiting:
             what()
 
-    def _after(self, p: Process) -> None:
-        custody = p.custody
-        assert custody is not None
-        keeper = custody.keeper
-        while keeper.stores or keeper.sends or custody.acts or custody.asks or keeper.told:
-            for owner in {owner for owner, _ in keeper.stores} if self.storage else ():
-                p.disks[owner] = copy.deepcopy(keeper.logs[owner].replica.kept)
-            keeper.stores = []
-            sends, keeper.sends = keeper.sends, []
+    def _after(self, p: SchedulerProcess) -> None:
+        replication = p.replication
+        assert replication is not None
+        replicas = replication.replicas
+        while replicas.stores or replicas.sends or replication.acts or replication.asks or replicas.reported:
+            for owner in {owner for owner, _ in replicas.stores} if self.storage else ():
+                p.disks[owner] = copy.deepcopy(replicas.logs[owner].replica.kept)
+            replicas.stores = []
+            sends, replicas.sends = replicas.sends, []
             for name, message in sends:
                 self._send(
                     p.name,
                     name,
-                    lambda c, q, m=message: c.keeper.step(  # type: ignore[misc]
+                    lambda c, q, m=message: c.replicas.step(  # type: ignore[misc]
                         self._clock(q), self._ms(), m, p.name
                     ),
                 )
-            asks, custody.asks = custody.asks, []
+            asks, replication.asks = replication.asks, []
             for name, ask in asks:
                 for other in [name] if name else [n for n in self.names if n != p.name]:
                     self._send(
@@ -237,31 +243,36 @@
                             self._clock(q), self._ms(), m, p.name
                         ),
                     )
-            self.told += [(self.now, p.name, owner, what) for owner, what in keeper.told]
-            keeper.told = []
-            acts, custody.acts = custody.acts, []
+            self.reported += [(self.now, p.name, owner, what) for owner, what in replicas.reported]
+            replicas.reported = []
+            acts, replication.acts = replication.acts, []
             for act in acts:
-                if p.custody is not custody:
+                if p.replication is not replication:
                     return  # it has ended meanwhile
-                self._act(p, custody, act)
+                self._act(p, replication, act)
 
-    def _send(self, source: str, target: str, what: Callable[[Custody, Process], None]) -> None:
+    def _send(
+        self, source: str, target: str, what: Callable[[JobReplication, SchedulerProcess], None]
+    ) -> None:
         self.messages += 1
         if (source, target) in self.cuts or self.chance.random() < self.loss:
             return
         q = self.processes[target]
-        life = q.life
+        process_id = q.process_id
         delay = round(self.chance.uniform(0.2, 6.0) * MS)
-        self.at(self.now + delay, lambda: self._do(q, lambda c: what(c, q)) if q.life == life else None)
+        self.at(
+            self.now + delay,
+            lambda: self._do(q, lambda c: what(c, q)) if q.process_id == process_id else None,
+        )
 
-    def _act(self, p: Process, custody: Custody, act: Act) -> None:
+    def _act(self, p: SchedulerProcess, replication: JobReplication, act: ReplicationInstruction) -> None:
         match act.do:
             case Do.START:
                 taken = act.adopted.held.taken if act.adopted else self.clients[self._job(act.handle)].taken
                 self.clients[taken.job].begun = True
                 p.work[taken.job] = taken
                 p.handles[taken.job] = act.handle
-                self._dispatch(p, custody, taken.job)
+                self._dispatch(p, replication, taken.job)
             case Do.REFUSE:
                 self.clients[self._job(act.handle)].refused += 1
             case Do.TELL if act.answer is not None and act.handle is not None:
@@ -274,16 +285,16 @@
                         self.at(self.now + round(self.chance.uniform(0.5, 5) * S), lambda: self._again(job))
             case Do.GO:
                 self._run(p, self._job(act.handle))
-                if self.chance.random() < self.die_at_go and self.whole():
+                if self.chance.random() < self.die_at_go and self.complete():
                     self.crash(p.name)  # its last byte went out, and whatever it had not said yet did not
             case Do.NOT_SENT:
                 job = self._job(act.handle)
-                life = p.life
+                process_id = p.process_id
                 self.at(
                     self.now + 100 * MS,
                     lambda: (
                         self._do(p, lambda c: self._dispatch(p, c, job))
-                        if p.life == life and job in p.work
+                        if p.process_id == process_id and job in p.work
                         else None
                     ),
                 )
@@ -296,32 +307,32 @@
     def _tries(self, handle: Any) -> int:
         return int(handle[1])
 
-    def _dispatch(self, p: Process, custody: Custody, job: str) -> None:
+    def _dispatch(self, p: SchedulerProcess, replication: JobReplication, job: str) -> None:
         """The plain desk: any node, three attempts, then it gives up."""
         if self._ms() > p.work[job].until_ms:
             p.work.pop(job)
             return
         if p.attempts[job] >= 3:
             p.work.pop(job)
-            failed = Answered(job, "failed", self._ms())
-            custody.answer(self._clock(p), self._ms(), failed, p.handles.get(job), self._ms() + 2_000)
+            failed = AnswerRecord(job, "failed", self._ms())
+            replication.answer(self._clock(p), self._ms(), failed, p.handles.get(job), self._ms() + 2_000)
             return
         p.attempts[job] += 1
-        number = p.life * 100 + p.attempts[job]
+        number = p.process_id * 100 + p.attempts[job]
         cell = str(self.chance.randrange(2))
-        custody.intent(self._clock(p), self._ms(), job, number, f"s{cell}", cell, (job, number))
+        replication.intent(self._clock(p), self._ms(), job, number, f"s{cell}", cell, (job, number))
 
-    def _run(self, p: Process, job: str) -> None:
+    def _run(self, p: SchedulerProcess, job: str) -> None:
         """The node has it: it runs, whatever becomes of whoever sent it."""
         self.runs[job] += 1
-        life, fails = p.life, self.chance.random() < 0.1
-        number = p.life * 100 + p.attempts[job]
+        process_id, fails = p.process_id, self.chance.random() < 0.1
+        number = p.process_id * 100 + p.attempts[job]
 
         def over() -> None:
-            if p.life != life:
+            if p.process_id != process_id:
                 return
 
-            def end(c: Custody) -> None:
+            def end(c: JobReplication) -> None:
                 taken = p.work.get(job)
                 if taken is None:
                     return
@@ -335,7 +346,7 @@
                 c.answer(
                     self._clock(p),
                     self._ms(),
-                    Answered(job, verdict, self._ms(), result),
+                    AnswerRecord(job, verdict, self._ms(), result),
                     p.handles.get(job),
                     taken.until_ms,
                 )
--- a/hollowusher/scheduler/emulator/log_replication.py
+++ b/hollowusher/scheduler/emulator/log_replication.py
@@ -12,20 +12,20 @@
 from dataclasses import dataclass, field
 
 from hollowusher.scheduler.emulator.heap import Heap
-from hollowusher.scheduler.rules.log_replication.messages import Entry, Message
-from hollowusher.scheduler.rules.log_replication.pace import MS, Pace
+from hollowusher.scheduler.rules.log_replication.messages import LogEntry, Message
+from hollowusher.scheduler.rules.log_replication.pace import MS, ReplicationTiming
 from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role
 
 S = 1000 * MS
 Make = Callable[..., Replica]
 
 
-class Broken(AssertionError):
+class RuleBroken(AssertionError):
     """Something does not hold."""
 
 
 @dataclass(slots=True, eq=False)
-class Copy:
+class SimulatedReplica:
     """One process that keeps the log.  `rate`: of its clock; `disk`: what its storage holds."""
 
     name: str
@@ -40,14 +40,14 @@
     made: list[int] = field(default_factory=list)  # numbers proposed here and not yet known as committed
 
 
-class CopyNet(Heap):
+class ReplicationNetwork(Heap):
     """Some copies of one log and the network between them; all chance from one seed."""
 
     def __init__(
         self,
         size: int,
         seed: int,
-        pace: Pace | None = None,
+        pace: ReplicationTiming | None = None,
         loss: float = 0.0,
         storage: bool = False,
         make: Make = Replica,
@@ -55,18 +55,23 @@
         delay_ms: tuple[float, float] = (0.2, 8.0),
     ) -> None:
         super().__init__()
-        self.chance, self.pace, self.storage, self._make = random.Random(seed), pace or Pace(), storage, make
+        self.chance, self.pace, self.storage, self._make = (
+            random.Random(seed),
+            pace or ReplicationTiming(),
+            storage,
+            make,
+        )
         self.loss, self.delay_ms = loss, delay_ms
         self.names = [f"n{i}" for i in range(size)]
         self.steps = 0
         self.cuts: set[tuple[str, str]] = set()
         self.slow: dict[tuple[str, str], int] = {}  # links on which messages are late by so much
-        self.copies = {n: Copy(n, 1 + self.chance.uniform(-drift, drift)) for n in self.names}
-        self.committed: dict[int, Entry] = {}  # by number: what anyone has committed, ever
+        self.copies = {n: SimulatedReplica(n, 1 + self.chance.uniform(-drift, drift)) for n in self.names}
+        self.committed: dict[int, LogEntry] = {}  # by number: what anyone has committed, ever
         self.leaders: dict[int, str] = {}  # by term
         self.promised: list[bytes] = []  # what a proposer was told is kept
         self.began_anew = 0
-        self.told: list[tuple[int, str, str]] = []
+        self.reported: list[tuple[int, str, str]] = []
         for name in self.names:
             self.start(name)
 
@@ -104,7 +109,7 @@
         one.paused_until = self.now + span
         self.at(one.paused_until, lambda: self._resume(one))
 
-    def _resume(self, one: Copy) -> None:
+    def _resume(self, one: SimulatedReplica) -> None:
         waiting, one.inbox = one.inbox, []
         for message, sender in waiting:
             self._step(one, message, sender)
@@ -139,10 +144,10 @@
                 return one.replica
         return None
 
-    def _clock(self, one: Copy) -> int:
+    def _clock(self, one: SimulatedReplica) -> int:
         return round(self.now * one.rate)
 
-    def _step(self, one: Copy, message: Message | None, sender: str) -> None:
+    def _step(self, one: SimulatedReplica, message: Message | None, sender: str) -> None:
         if one.replica is None:
             return
         if self.now < one.paused_until:
@@ -153,16 +158,16 @@
         one.replica.step(self._clock(one), message, sender)
         self._after(one)
 
-    def _after(self, one: Copy) -> None:
+    def _after(self, one: SimulatedReplica) -> None:
         replica = one.replica
         assert replica is not None
         if replica.stores:
             one.disk = copy.deepcopy(replica.kept)  # stored before anything goes out
             replica.stores = []
-        self.told += [(self.now, one.name, what) for what in replica.told]
-        if any("anew" in what and "nobody" in what for what in replica.told):
+        self.reported += [(self.now, one.name, what) for what in replica.reported]
+        if any("anew" in what and "nobody" in what for what in replica.reported):
             self.began_anew += 1
-        replica.told = []
+        replica.reported = []
         self._commits(one, replica)
         self._check(one, replica)
         sends, replica.sends = replica.sends, []
@@ -177,35 +182,35 @@
             one.wake_at = when
             self.at(when, lambda: self._wake(one, when))
 
-    def _wake(self, one: Copy, when: int) -> None:
+    def _wake(self, one: SimulatedReplica, when: int) -> None:
         if one.wake_at == when:
             one.wake_at = -1
             self._step(one, None, "")
 
     # --- what must hold ---------------------------------------------------------------------------------
 
-    def _commits(self, one: Copy, replica: Replica) -> None:
+    def _commits(self, one: SimulatedReplica, replica: Replica) -> None:
         if replica.images:
             one.applied = replica.kept.first - 1
             replica.images = []
         for number, entry in replica.commits:
             if number <= one.applied:
-                raise Broken(f"{one.name} applies {number} twice")
+                raise RuleBroken(f"{one.name} applies {number} twice")
             one.applied = number
             known = self.committed.setdefault(number, entry)
             if known != entry:
-                raise Broken(f"entry {number} is {known} and, at {one.name}, {entry}")
+                raise RuleBroken(f"entry {number} is {known} and, at {one.name}, {entry}")
             if number in one.made:
                 one.made.remove(number)
                 if entry.data:
                     self.promised.append(entry.data)
         replica.commits = []
 
-    def _check(self, one: Copy, replica: Replica) -> None:
+    def _check(self, one: SimulatedReplica, replica: Replica) -> None:
         if replica.role is Role.LEADER:
             term = replica.kept.term
             if self.leaders.setdefault(term, one.name) != one.name:
-                raise Broken(f"{one.name} and {self.leaders[term]} lead in term {term}")
+                raise RuleBroken(f"{one.name} and {self.leaders[term]} lead in term {term}")
         if replica.promises(self._clock(one)):
             for other in self.copies.values():
                 if (
@@ -214,7 +219,7 @@
                     and self.now >= other.paused_until
                     and other.replica.promises(self._clock(other))
                 ):
-                    raise Broken(f"{one.name} and {other.name} both promise")
+                    raise RuleBroken(f"{one.name} and {other.name} both promise")
 
     def lost(self) -> list[bytes]:
         """Promises that the present leader's log does not hold."""
@@ -228,7 +233,7 @@
 
 
 def storm(
-    net: CopyNet,
+    net: ReplicationNetwork,
     seconds: int,
     seed: int,
     disks: tuple[str, ...] = ("kept",),
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -8,11 +8,21 @@
 from itertools import product
 from typing import Any
 
-from hollowusher.scheduler.emulator.job_replication import CustodyNet, S
-from hollowusher.scheduler.emulator.log_replication import Broken, CopyNet, storm
-from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Do, Seek
-from hollowusher.scheduler.rules.log_replication.keeper import Keeper
-from hollowusher.scheduler.rules.log_replication.messages import Ask, Entry, Learn, Taught
+from hollowusher.scheduler.emulator.job_replication import JobReplicationNetwork, S
+from hollowusher.scheduler.emulator.log_replication import ReplicationNetwork, RuleBroken, storm
+from hollowusher.scheduler.rules.log_replication.job_replication import (
+    Do,
+    FindJob,
+    JobReplication,
+    ReplicationInstruction,
+)
+from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
+from hollowusher.scheduler.rules.log_replication.messages import (
+    LearnReply,
+    LearnRequest,
+    LogEntry,
+    VoteRequest,
+)
 from hollowusher.scheduler.rules.log_replication.replica import Replica, Role
 from hollowusher.scheduler.rules.log_replication.takeover import Next
 
@@ -53,7 +63,7 @@
 class AnyVote(Replica):
     """It votes for whoever asks, however little that one holds."""
 
-    def _whole(self, m: Ask) -> bool:
+    def _complete(self, m: VoteRequest) -> bool:
         return True
 
 
@@ -90,14 +100,14 @@
 class WordBroken(Replica):
     """It votes for another while its leader has its word."""
 
-    def _bound(self, now: int, m: Ask, sender: str) -> bool:
+    def _bound(self, now: int, m: VoteRequest, sender: str) -> bool:
         return False
 
 
 class NotStored(Replica):
     """Entries are vouched for before they are stored."""
 
-    def _extend(self, entries: tuple[Entry, ...]) -> None:
+    def _extend(self, entries: tuple[LogEntry, ...]) -> None:
         super()._extend(entries)
         self.stores.pop()
 
@@ -105,14 +115,14 @@
 class ImageTrusted(Replica):
     """Nobody remembers how often another has started."""
 
-    def _teach(self, m: Learn, sender: str) -> None:
+    def _teach(self, m: LearnRequest, sender: str) -> None:
         super()._teach(m, sender)
         to, t = self.sends.pop()
-        assert isinstance(t, Taught)
-        self.sends.append((to, Taught(t.owner, t.nonce, t.term, 0, t.standing, t.leads, t.last)))
+        assert isinstance(t, LearnReply)
+        self.sends.append((to, LearnReply(t.owner, t.nonce, t.term, 0, t.standing, t.leads, t.last)))
 
 
-class EarlyPromise(Replica):
+class EarlyAcknowledgement(Replica):
     """It promises before all that others promised is committed here."""
 
     def promises(self, now: int) -> bool:
@@ -136,11 +146,11 @@
     LeaseTooLong,
     WordBroken,
     NotStored,
-    EarlyPromise,
+    EarlyAcknowledgement,
 )
 
 
-class IntentAfter(Custody):
+class IntentAfter(JobReplication):
     """An attempt goes out while its intent is still on its way."""
 
     def intent(self, now: int, now_ms: int, job: str, number: int, node: str, cell: str, handle: Any) -> None:
@@ -148,42 +158,42 @@
         if self._pending and not any(a.handle == handle for a in self.acts):
             token = max(self._pending)
             self._pending.pop(token)
-            self.acts.append(Act(Do.GO, handle))
+            self.acts.append(ReplicationInstruction(Do.GO, handle))
 
 
-class TellsFirst(Custody):
+class TellsFirst(JobReplication):
     """A client is told before its answer is kept."""
 
     def answer(self, now: int, now_ms: int, answer: Any, handle: Any, until_ms: int) -> None:
         super().answer(now, now_ms, answer, handle, until_ms)
-        self.acts.append(Act(Do.TELL, handle, answer))
+        self.acts.append(ReplicationInstruction(Do.TELL, handle, answer))
 
 
-class TakesTwice(Custody):
+class TakesTwice(JobReplication):
     """A job that is being taken here is not known yet when it comes once more."""
 
     def _takes(self, job: str) -> bool:
         return False
 
 
-class BothLook(Custody):
+class BothLook(JobReplication):
     """Of two who look for one job at the same time, each tells the other that it knows nothing."""
 
     def heard(self, now: int, now_ms: int, message: Any, sender: str) -> None:
-        sought = self._sought.pop(message.job, None) if isinstance(message, Seek) else None
+        sought = self._sought.pop(message.job, None) if isinstance(message, FindJob) else None
         super().heard(now, now_ms, message, sender)
         if sought is not None:
             self._sought[message.job] = sought
 
 
-class NeverLooks(Custody):
+class NeverLooks(JobReplication):
     """A job is looked for elsewhere only if its client says that it has asked before."""
 
-    def __init__(self, keeper: Keeper, names: tuple[str, ...], classes: Any) -> None:
-        super().__init__(keeper, names, classes, seek_once=False)
+    def __init__(self, replicas: LogReplicas, names: tuple[str, ...], classes: Any) -> None:
+        super().__init__(replicas, names, classes, seek_once=False)
 
 
-class SendsAgain(Keeper):
+class SendsAgain(LogReplicas):
     """Whatever may have run is sent again."""
 
     def _harmless(self, log: Any, intent: Any, now_ms: int) -> bool:
@@ -200,17 +210,17 @@
     for seed in range(seeds):
         for setting, quiet in product(SETTINGS, (False, True)):
             plays += 1
-            net = CopyNet(setting["size"], seed, storage=setting["storage"], make=make)
+            net = ReplicationNetwork(setting["size"], seed, storage=setting["storage"], make=make)
             try:
                 storm(net, seconds, seed, setting["disks"], setting["most_down"], quiet)
-            except (Broken, AssertionError) as broken:
+            except (RuleBroken, AssertionError) as broken:
                 return str(broken), plays
             if lost := net.lost():
                 return f"{len(lost)} promises lost", plays
     return "", plays
 
 
-def jobs_storm(net: CustodyNet, seconds: int, seed: int, most_down: int = 1) -> None:
+def jobs_storm(net: JobReplicationNetwork, seconds: int, seed: int, most_down: int = 1) -> None:
     """Jobs and faults at random for so long, then calm.  A process counts as down until it has learnt all."""
     chance, down = random.Random(seed), dict[str, int]()
     net.run(4 * S)
@@ -218,7 +228,7 @@
     while net.now < end:
         net.run(net.now + round(chance.uniform(0.01, 0.05) * S))
         for name, process in net.processes.items():
-            if process.custody is None:
+            if process.replication is None:
                 down.setdefault(name, net.now)
         number += 1
         net.ask(f"j{number}", chance.choice(("quote", "assign", "settle")))
@@ -228,7 +238,7 @@
             down[name] = net.now
         elif what < 0.06:
             for late in [n for n, t in down.items() if net.now - t > 1.5 * S]:
-                if net.processes[late].custody is None:
+                if net.processes[late].replication is None:
                     net.start(late)
         elif what < 0.08:
             net.pause(name, round(chance.choice((0.05, 0.5, 1.5, 3.0)) * S))
@@ -238,26 +248,26 @@
         elif what < 0.12:
             net.loss = chance.choice((0.0, 0.05, 0.2))
         for name in list(down):
-            custody = net.processes[name].custody
-            if custody is not None and not custody.keeper.learns():
+            replication = net.processes[name].replication
+            if replication is not None and not replication.replicas.learns():
                 del down[name]
     net.loss = net.die_at_go = 0.0
     net.cuts.clear()
     for name in down:
-        if net.processes[name].custody is None:
+        if net.processes[name].replication is None:
             net.start(name)
     net.run(net.now + 15 * S)
 
 
 def find_in_jobs(
-    custody: Callable[..., Custody] = Custody,
-    keeper: Callable[..., Keeper] = Keeper,
+    replication: Callable[..., JobReplication] = JobReplication,
+    replicas: Callable[..., LogReplicas] = LogReplicas,
     seeds: int = 10,
     seconds: int = 30,
 ) -> tuple[str, int]:
     """The same over jobs, clients and nodes."""
     for seed in range(seeds):
-        net = CustodyNet(5, seed, custody=custody, make=keeper)
+        net = JobReplicationNetwork(5, seed, replication=replication, make=replicas)
         jobs_storm(net, seconds, seed)
         if faults := net.faults():
             return faults[0], seed + 1
--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -14,8 +14,8 @@
 from typing import Any, TypeVar
 
 from hollowusher.scheduler.emulator.explore import Explored, explore
-from hollowusher.scheduler.rules.log_replication.messages import Entry, Message
-from hollowusher.scheduler.rules.log_replication.pace import Pace
+from hollowusher.scheduler.rules.log_replication.messages import LogEntry, Message
+from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
 from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role
 
 T = TypeVar("T")
@@ -23,7 +23,7 @@
 JOBS = (b"job-1", b"job-2")
 
 
-class First(random.Random):
+class FirstChoice(random.Random):
     """Chance that always takes the first: what the check varies is the order of what happens."""
 
     def random(self) -> float:
@@ -37,21 +37,21 @@
 
 
 @dataclass(slots=True)
-class World:
+class ReplicationModel:
     """Three members, what is under way between them, and what has been committed."""
 
     now: int = 0
     members: dict[str, Replica] = field(default_factory=dict)
     disks: dict[str, Kept] = field(default_factory=dict)
     flight: list[tuple[str, str, Message]] = field(default_factory=list)
-    committed: dict[int, Entry] = field(default_factory=dict)
+    committed: dict[int, LogEntry] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
     proposed: int = 0
     losses: int = 0
     crashes: int = 0
     wrong: str = ""
 
-    def settle(self, name: str) -> None:
+    def stabilize(self, name: str) -> None:
         """What a member's step asks for: store, commit, send."""
         r = self.members[name]
         if r.stores:
@@ -60,7 +60,7 @@
         for number, entry in r.commits:
             if self.committed.setdefault(number, entry) != entry:
                 self.wrong = f"entry {number} differs at {name}"
-        r.commits, r.images, r.told = [], [], []
+        r.commits, r.images, r.reported = [], [], []
         if r.role is Role.LEADER:
             term = r.kept.term
             if self.leaders.setdefault(term, name) != name:
@@ -75,18 +75,18 @@
         r.sends = []
 
 
-def start(make: Callable[..., Replica] = Replica, leads: bool = True) -> World:
+def start(make: Callable[..., Replica] = Replica, leads: bool = True) -> ReplicationModel:
     """Three that have begun; with `leads` one of them leads and has committed its first entry."""
-    world = World()
-    pace = Pace()
+    world = ReplicationModel()
+    pace = ReplicationTiming()
     for name in NAMES:
-        world.members[name] = make(name, "a", NAMES, pace, First(), 0)
-        world.settle(name)
+        world.members[name] = make(name, "a", NAMES, pace, FirstChoice(), 0)
+        world.stabilize(name)
     for _ in range(60):
         while world.flight:
             sender, to, message = world.flight.pop(0)
             world.members[to].step(world.now, message, sender)
-            world.settle(to)
+            world.stabilize(to)
         if leads and any(m.promises(world.now) for m in world.members.values()):
             break
         if not leads and all(m.role is Role.FOLLOWER for m in world.members.values()):
@@ -94,11 +94,11 @@
         name = min(world.members, key=lambda n: (world.members[n].due(), n))
         world.now = max(world.now, world.members[name].due())
         world.members[name].step(world.now)
-        world.settle(name)
+        world.stabilize(name)
     return world
 
 
-def torn(make: Callable[..., Replica] = Replica) -> World:
+def torn(make: Callable[..., Replica] = Replica) -> ReplicationModel:
     """One leads; its first job is held by one other, the second by nobody; then it is silent for long."""
     world = start(make)
     lead = next(n for n, m in world.members.items() if m.promises(world.now))
@@ -107,25 +107,25 @@
     for job, holds in ((JOBS[0], True), (JOBS[1], False)):
         world.members[lead].propose(world.now, [job])
         world.proposed += 1
-        world.settle(lead)
+        world.stabilize(lead)
         for sender, to, message in [m for m in world.flight if holds and m[1] == first]:
             world.members[to].step(world.now, message, sender)
-            world.settle(to)
+            world.stabilize(to)
         for sender, to, message in [m for m in world.flight if holds and m[1] == lead]:
             world.members[to].step(world.now, message, sender)
-            world.settle(to)
+            world.stabilize(to)
         world.flight.clear()
     world.now += 2 * world.members[second].pace.lease_ns
     return world
 
 
 def moves(
-    world: World, make: Callable[..., Replica], storage: bool, most_losses: int, most_crashes: int
-) -> Iterator[tuple[str, Callable[[], World]]]:
+    world: ReplicationModel, make: Callable[..., Replica], storage: bool, most_losses: int, most_crashes: int
+) -> Iterator[tuple[str, Callable[[], ReplicationModel]]]:
     """Whatever may happen next."""
 
-    def after(what: Callable[[World], None]) -> Callable[[], World]:
-        def run() -> World:
+    def after(what: Callable[[ReplicationModel], None]) -> Callable[[], ReplicationModel]:
+        def run() -> ReplicationModel:
             new = copy.deepcopy(world)
             try:
                 what(new)
@@ -137,50 +137,50 @@
 
     for name in sorted({to for _, to, _ in world.flight}):
 
-        def deliver(w: World, name: str = name) -> None:
+        def deliver(w: ReplicationModel, name: str = name) -> None:
             mine = [one for one in w.flight if one[1] == name]
             w.flight = [one for one in w.flight if one[1] != name]
             for sender, _, message in mine:
                 w.members[name].step(w.now, message, sender)
-                w.settle(name)
+                w.stabilize(name)
 
         yield f"all that is under way to {name}", after(deliver)
         if world.losses < most_losses:
 
-            def lose(w: World, name: str = name) -> None:
+            def lose(w: ReplicationModel, name: str = name) -> None:
                 w.flight = [one for one in w.flight if one[1] != name]
                 w.losses += 1
 
             yield f"lose all to {name}", after(lose)
     for name in NAMES:
 
-        def wait(w: World, name: str = name) -> None:
+        def wait(w: ReplicationModel, name: str = name) -> None:
             w.now = max(w.now, w.members[name].due())
             w.members[name].step(w.now)
-            w.settle(name)
+            w.stabilize(name)
 
         yield f"time for {name}", after(wait)
         if world.crashes < most_crashes:
 
-            def crash(w: World, name: str = name) -> None:
+            def crash(w: ReplicationModel, name: str = name) -> None:
                 w.crashes += 1
                 kept = copy.deepcopy(w.disks[name]) if storage else None
-                w.members[name] = make(name, "a", NAMES, Pace(), First(), w.now, kept)
+                w.members[name] = make(name, "a", NAMES, ReplicationTiming(), FirstChoice(), w.now, kept)
                 w.flight = [(s, t, m) for s, t, m in w.flight if t != name]
-                w.settle(name)
+                w.stabilize(name)
 
             yield f"restart {name}", after(crash)
         if world.proposed < len(JOBS) and world.members[name].promises(world.now):
 
-            def propose(w: World, name: str = name) -> None:
+            def propose(w: ReplicationModel, name: str = name) -> None:
                 w.members[name].propose(w.now, [JOBS[w.proposed]])
                 w.proposed += 1
-                w.settle(name)
+                w.stabilize(name)
 
             yield f"{name} takes {JOBS[world.proposed].decode()}", after(propose)
 
 
-def key(world: World) -> object:
+def key(world: ReplicationModel) -> object:
     """All that decides what may come."""
     rows = []
     for name, r in world.members.items():
@@ -218,7 +218,7 @@
     most_losses: int = 1,
     most_crashes: int = 1,
     most: int = 10_000_000,
-) -> Explored[World]:
+) -> Explored[ReplicationModel]:
     """Every order to a depth, from one that leads, from three that have begun, or from a torn log."""
     first = torn(make) if begin == "torn" else start(make, begin == "leads")
     return explore(
--- a/hollowusher/scheduler/emulator/membership.py
+++ b/hollowusher/scheduler/emulator/membership.py
@@ -12,20 +12,20 @@
 
 from hollowusher.scheduler.emulator.faults.links import Links
 from hollowusher.scheduler.emulator.heap import Heap
-from hollowusher.scheduler.rules.membership.events import Change, Told
-from hollowusher.scheduler.rules.membership.member import Member
-from hollowusher.scheduler.rules.membership.messages import MOST_LIFE, Message, message_bytes
-from hollowusher.scheduler.rules.membership.pace import MS, Pace
+from hollowusher.scheduler.rules.membership.events import Change, MembershipEvent
+from hollowusher.scheduler.rules.membership.member import SwimMember
+from hollowusher.scheduler.rules.membership.messages import MAX_PROCESS_ID, Message, message_bytes
+from hollowusher.scheduler.rules.membership.pace import MS, MembershipTiming
 
 S = 1000 * MS
 INBOX = 256  # datagrams that wait for a paused process; a socket drops the rest
 
 
-class Peer(Protocol):
+class SimulatedPeer(Protocol):
     """What takes part: a member, or a baseline that stands in for one."""
 
     sends: list[tuple[str, Message]]
-    told: list[Told]
+    reported: list[MembershipEvent]
 
     def step(self, now: int, message: Message | None = None) -> None:
         """Take the time and at most one message."""
@@ -35,11 +35,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Process:
+class MemberProcess:
     """One process of the play."""
 
     name: str
-    peer: Peer
+    peer: SimulatedPeer
     up: bool = True
     paused_until: int = 0
     inbox: list[Message] = field(default_factory=list)
@@ -48,42 +48,42 @@
     sent_bytes: int = 0
 
 
-class PeerNet(Heap):
+class MembershipNetwork(Heap):
     """Some processes and the network between them.  All chance comes from one seed."""
 
     def __init__(
         self,
         names: Iterable[str],
         seed: int,
-        pace: Pace | None = None,
+        pace: MembershipTiming | None = None,
         loss: float = 0.0,
         delay_ms: tuple[float, float] = (1.8, 25.0),
         configured: Iterable[str] | None = None,
-        make: Callable[[str, int], Peer] | None = None,
+        make: Callable[[str, int], SimulatedPeer] | None = None,
     ) -> None:
         super().__init__()
         self.chance = random.Random(seed)
-        self.pace = pace or Pace()
+        self.pace = pace or MembershipTiming()
         self.names = list(names)
         self.configured = list(configured if configured is not None else self.names)
         self.loss, self.delay_ms = loss, delay_ms
         self.late: dict[str, int] = {}  # more delay of what this process sends
         self.cuts: set[tuple[str, str]] = set()
-        self.history: list[tuple[int, str, Told]] = []
-        self.processes: dict[str, Process] = {}
-        self.twins: list[Process] = []
+        self.history: list[tuple[int, str, MembershipEvent]] = []
+        self.processes: dict[str, MemberProcess] = {}
+        self.twins: list[MemberProcess] = []
         self._make = make or self._member
         self._starts = 0
         self.links = Links(self.chance, lambda delay, what: self.at(self.now + delay, what))
         for name in self.names:
             self.at(round(self.chance.random() * 0.5 * S), lambda name=name: self.start(name))  # type: ignore[misc]
 
-    def _member(self, name: str, now: int, clock_s: float = 0.0) -> Peer:
+    def _member(self, name: str, now: int, clock_s: float = 0.0) -> SimulatedPeer:
         self._starts += 1
-        life = self.chance.randrange(MOST_LIFE)
-        return Member(
+        process_id = self.chance.randrange(MAX_PROCESS_ID)
+        return SwimMember(
             name,
-            life,
+            process_id,
             max(0, 100_000 + now // S + round(clock_s)),
             self.configured,
             self.pace,
@@ -91,15 +91,15 @@
             now,
         )
 
-    def member(self, name: str, clock_s: float = 0.0) -> Peer:
+    def member(self, name: str, clock_s: float = 0.0) -> SimulatedPeer:
         """A member that starts now, by a clock that is so far ahead."""
         return self._member(name, self.now, clock_s)
 
     # --- faults -------------------------------------------------------------------------------------------
 
-    def start(self, name: str, peer: Peer | None = None) -> None:
+    def start(self, name: str, peer: SimulatedPeer | None = None) -> None:
         """A process starts anew: it knows nothing."""
-        process = Process(name, peer or self._make(name, self.now))
+        process = MemberProcess(name, peer or self._make(name, self.now))
         self.processes[name] = process
         self._after(process)
 
@@ -110,14 +110,14 @@
     def leave(self, name: str) -> None:
         """It ends in good order."""
         process = self.processes[name]
-        if isinstance(process.peer, Member):
+        if isinstance(process.peer, SwimMember):
             process.peer.leave(self.now)
             self._after(process)
         process.up = False
 
     def twin(self, name: str, span: int) -> None:
         """A second process speaks under a name for a while; what comes for the name reaches the first."""
-        twin = Process(name, self._make(name, self.now))
+        twin = MemberProcess(name, self._make(name, self.now))
         self.twins.append(twin)
         self._after(twin)
         self.at(self.now + span, lambda: setattr(twin, "up", False))
@@ -136,13 +136,13 @@
 
     # --- the play -----------------------------------------------------------------------------------------
 
-    def _resume(self, process: Process) -> None:
+    def _resume(self, process: MemberProcess) -> None:
         waiting, process.inbox = process.inbox, []
         for message in waiting:
             self._step(process, message)
         self._step(process, None)
 
-    def _step(self, process: Process, message: Message | None) -> None:
+    def _step(self, process: MemberProcess, message: Message | None) -> None:
         if not process.up or (self.processes.get(process.name) is not process and process not in self.twins):
             return
         if self.now < process.paused_until:
@@ -152,11 +152,11 @@
         process.peer.step(self.now, message)
         self._after(process)
 
-    def _after(self, process: Process) -> None:
+    def _after(self, process: MemberProcess) -> None:
         peer = process.peer
-        for told in peer.told:
-            self.history.append((self.now, process.name, told))
-        peer.told = []
+        for reported in peer.reported:
+            self.history.append((self.now, process.name, reported))
+        peer.reported = []
         sends, peer.sends = peer.sends, []
         for name, message in sends:
             process.sent += 1
@@ -177,7 +177,7 @@
             process.wake_at = when
             self.at(when, lambda: self._wake(process, when))
 
-    def _wake(self, process: Process, when: int) -> None:
+    def _wake(self, process: MemberProcess, when: int) -> None:
         if process.wake_at == when:
             process.wake_at = -1
             self._step(process, None)
@@ -198,10 +198,10 @@
         return {
             n: tuple(p.peer.present())
             for n, p in self.processes.items()
-            if p.up and isinstance(p.peer, Member)
+            if p.up and isinstance(p.peer, SwimMember)
         }
 
-    def told(self, change: Change) -> list[tuple[int, str, Told]]:
+    def reported(self, change: Change) -> list[tuple[int, str, MembershipEvent]]:
         """All events of a kind: when, at whom, what."""
         return [event for event in self.history if event[2].change is change]
 
--- a/hollowusher/scheduler/emulator/membership_check.py
+++ b/hollowusher/scheduler/emulator/membership_check.py
@@ -14,15 +14,15 @@
 from typing import Any, TypeVar
 
 from hollowusher.scheduler.emulator.explore import Explored, explore
-from hollowusher.scheduler.rules.membership.member import Member
-from hollowusher.scheduler.rules.membership.messages import Kind, Message, News, Standing
-from hollowusher.scheduler.rules.membership.pace import Pace
+from hollowusher.scheduler.rules.membership.member import SwimMember
+from hollowusher.scheduler.rules.membership.messages import MemberStatus, MemberUpdate, Message, MessageKind
+from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
 T = TypeVar("T")
 NAMES = ("a", "b", "c")
 
 
-class First(random.Random):
+class LowestChoice(random.Random):
     """Chance that always takes the first: what the check varies is the order of what happens."""
 
     def random(self) -> float:
@@ -38,14 +38,14 @@
         return list(population[:k])
 
 
-CHANCE = First()
+CHANCE = LowestChoice()
 
 
 @dataclass(slots=True)
 class Trio:
     """Three members, each with a clock of its own, and the messages between them."""
 
-    members: dict[str, Member]
+    members: dict[str, SwimMember]
     clocks: dict[str, int]
     flying: list[tuple[str, Message]] = field(default_factory=list)
     losses: int = 0
@@ -67,9 +67,9 @@
         member.step(self.clocks[name], message)
         self.flying += member.sends
         member.sends = []
-        member.told = []
+        member.reported = []
 
-    def restart(self, name: str, make: Callable[[str, int, int, int], Member]) -> None:
+    def restart(self, name: str, make: Callable[[str, int, int, int], SwimMember]) -> None:
         """The process ends, and another of its name starts with an older clock."""
         self.restarts += 1
         self.members[name] = make(name, 100 + self.restarts, 1, self.clocks[name])
@@ -86,15 +86,15 @@
     def wrong(self) -> str:
         """What does not hold here."""
         for name, member in self.members.items():
-            if member.me.standing is not Standing.ALIVE or name in member.records:
+            if member.me.standing is not MemberStatus.ALIVE or name in member.records:
                 return f"{name} holds itself {member.me.standing.name}"
-            at = (name, member.me.life)
+            at = (name, member.me.process_id)
             if member.me.incarnation < self.highest.get(at, 0):
                 return f"the incarnation of {name} fell"
             self.highest[at] = member.me.incarnation
         return ""
 
-    def settle(self, rounds: int = 60) -> bool:
+    def stabilize(self, rounds: int = 60) -> bool:
         """Let all messages through and all clocks go on together; whether all come to see all."""
         for _ in range(rounds):
             for _ in range(1000):  # at one time; more would be messages that answer each other for ever
@@ -113,40 +113,42 @@
                 return True
         return False
 
-    def sees(self, of: Member) -> bool:
+    def sees(self, of: SwimMember) -> bool:
         """Whether a member sees all that run, and as the processes that they are."""
-        lives = {n: m.me.life for n, m in self.members.items() if n != of.me.name}
-        return {n: r.news.life for n, r in of.records.items() if r.present} == lives
+        process_ids = {n: m.me.process_id for n, m in self.members.items() if n != of.me.name}
+        return {n: r.news.process_id for n, r in of.records.items() if r.present} == process_ids
 
 
-def member(name: str, life: int, incarnation: int, now: int, kind: type[Member] = Member) -> Member:
+def member(
+    name: str, process_id: int, incarnation: int, now: int, kind: type[SwimMember] = SwimMember
+) -> SwimMember:
     """One of the trio."""
-    return kind(name, life, incarnation, NAMES, Pace(helpers=1, confirmers=1), CHANCE, now)
+    return kind(name, process_id, incarnation, NAMES, MembershipTiming(helpers=1, confirmers=1), CHANCE, now)
 
 
-def trio(kind: type[Member] = Member) -> Trio:
+def trio(kind: type[SwimMember] = SwimMember) -> Trio:
     """Three that see each other."""
     start = Trio({n: member(n, i + 1, 10, 0, kind) for i, n in enumerate(NAMES)}, dict.fromkeys(NAMES, 0))
-    start.settle()
+    start.stabilize()
     start.flying.clear()
     return start
 
 
-def said(kind: type[Member], standing: Standing) -> Trio:
+def said(kind: type[SwimMember], standing: MemberStatus) -> Trio:
     """c has told a of b, whom a has not heard for long."""
     state = trio(kind)
     of = state.members["a"].records["b"]
-    of.heard_at -= of.heard_at + Pace().forget_ns
-    news = News("b", of.news.life, of.news.incarnation, standing, "c")
-    state.step("a", Message(Kind.PAGE, state.members["c"].me, news=(news,)))
+    of.heard_at -= of.heard_at + MembershipTiming().forget_ns
+    news = MemberUpdate("b", of.news.process_id, of.news.incarnation, standing, "c")
+    state.step("a", Message(MessageKind.PAGE, state.members["c"].me, news=(news,)))
     return state
 
 
-def starts(kind: type[Member] = Member) -> dict[str, Trio]:
+def starts(kind: type[SwimMember] = SwimMember) -> dict[str, Trio]:
     """Where the check begins: all is well; b is doubted; b is held dead; a is new, and its clock is older."""
-    doubted, dead = said(kind, Standing.SUSPECT), said(kind, Standing.DEAD)
+    doubted, dead = said(kind, MemberStatus.SUSPECT), said(kind, MemberStatus.DEAD)
     again = trio(kind)
-    again.restart("a", lambda n, life, inc, now: member(n, life, inc, now, kind))
+    again.restart("a", lambda n, process_id, inc, now: member(n, process_id, inc, now, kind))
     return {"well": trio(kind), "doubted": doubted, "dead": dead, "again": again}
 
 
@@ -155,7 +157,7 @@
     start: str = "well",
     losses: int = 2,
     restarts: int = 1,
-    kind: type[Member] = Member,
+    kind: type[SwimMember] = SwimMember,
     most: int = 10_000_000,
 ) -> tuple[Explored[Trio], list[Trio]]:
     """Explore; what was seen, and the last states that do not settle."""
@@ -191,10 +193,10 @@
 
             def again() -> Trio:
                 after = state.copy()
-                after.restart("a", lambda n, life, inc, now: member(n, life, inc, now, kind))
+                after.restart("a", lambda n, process_id, inc, now: member(n, process_id, inc, now, kind))
                 return after
 
             yield "a starts anew", again
 
     seen = explore(starts(kind)[start], moves, Trio.frozen, Trio.wrong, depth, most)
-    return seen, [leaf for leaf in seen.leaves if not leaf.settle()]
+    return seen, [leaf for leaf in seen.leaves if not leaf.stabilize()]
--- a/hollowusher/scheduler/emulator/model.py
+++ b/hollowusher/scheduler/emulator/model.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class NodeKind:
     """A machine: cores, their speed (1 is a standard core), slots, and places in the queue."""
 
     cores: int = 2
@@ -39,7 +39,7 @@
     report_late_ns: int = 0  # how old a report is when it is first told
 
 
-class What(Enum):
+class NodeEventKind(Enum):
     """What a node tells of a job."""
 
     STARTED = "started"
@@ -49,10 +49,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class NodeEvent:
     """One thing that happened to a job, and when."""
 
-    what: What
+    what: NodeEventKind
     job: Hashable
     at: int
 
@@ -76,9 +76,9 @@
 
 
 class NodeModel:
-    """One node.  Each method that takes `now` first lets all happen that was due; `told` has it, in order."""
+    """One node.  Each method that takes `now` first lets all happen that was due; `reported` has it."""
 
-    def __init__(self, kind: Kind, now: int, cold: bool = False) -> None:
+    def __init__(self, kind: NodeKind, now: int, cold: bool = False) -> None:
         self.kind = kind
         self._at = now
         self._started = now if cold else now - kind.warm_after_ns
@@ -96,7 +96,7 @@
         self._refresh_at = now
         self._reports: deque[Load] = deque([Load(now, 0, 0.0, kind.slots)])
         self.draining = self.down = self.fell = False
-        self.told: list[Told] = []
+        self.reported: list[NodeEvent] = []
 
     # --- what is asked of it
 
@@ -156,7 +156,7 @@
         self.advance(now)
         self.draining = True
         for job in self._waiting:
-            self.told.append(Told(What.RETURNED, job, now))
+            self.reported.append(NodeEvent(NodeEventKind.RETURNED, job, now))
         self._waiting.clear()
 
     def kill(self, now: int) -> None:
@@ -234,11 +234,11 @@
         left = worth * NS_PER_S
         ramp_end = self._started + self.kind.warm_after_ns
         if since < ramp_end:
-            whole = self._warm_span(since, ramp_end) * NS_PER_S
-            if left < whole:
+            complete = self._warm_span(since, ramp_end) * NS_PER_S
+            if left < complete:
                 first, rise = self.warmth(since), (1.0 - self.kind.cold_share) / self.kind.warm_after_ns
                 return since + math.ceil((math.sqrt(first * first + 2 * rise * left) - first) / rise)
-            left -= whole
+            left -= complete
             since = ramp_end
         return since + math.ceil(left)
 
@@ -269,7 +269,7 @@
             heapq.heappop(self._marks)
             if (work := self._running.pop(job, None)) is not None:
                 self._slots_used -= work.slots
-                self.told.append(Told(What.DONE, job, self._at))
+                self.reported.append(NodeEvent(NodeEventKind.DONE, job, self._at))
                 ended = True
         if ended:
             self._start()
@@ -286,7 +286,7 @@
             self._order += 1
             work.mark = self._sum + work.work
             heapq.heappush(self._marks, (work.mark, self._order, work.job))
-            self.told.append(Told(What.STARTED, work.job, self._at))
+            self.reported.append(NodeEvent(NodeEventKind.STARTED, work.job, self._at))
 
     def _look(self) -> Load:
         span = max(1, self.kind.refresh_ns) / NS_PER_S
@@ -310,7 +310,7 @@
             self._lose(now)
 
     def _lose(self, now: int) -> None:
-        self.told += [Told(What.LOST, job, now) for job in (*self._running, *self._waiting)]
+        self.reported += [NodeEvent(NodeEventKind.LOST, job, now) for job in (*self._running, *self._waiting)]
         self._running.clear()
         self._waiting.clear()
         self._marks.clear()
--- a/hollowusher/scheduler/emulator/outside.py
+++ b/hollowusher/scheduler/emulator/outside.py
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class ClientResult:
     """One job's answer."""
 
     job: str
@@ -124,13 +124,13 @@
 LATE_S = 0.5  # after its time an answer may still come, as the platform counts
 
 
-class Clients:
+class OpenLoopClients:
     """clients in open loop: each job goes out at its time, whatever became of those before it."""
 
     def __init__(self, port: int) -> None:
         self._port = port
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self.answers: list[Answered] = []
+        self.answers: list[ClientResult] = []
         self.broken = 0  # jobs whose connection ended without an answer, or that got more than one
 
     async def ask(
@@ -166,7 +166,7 @@
                 self.broken += 1  # another job's result, or half of one
                 return "wrong"
             took = time.monotonic() - begun
-            self.answers.append(Answered(job, status, took, budget_s))
+            self.answers.append(ClientResult(job, status, took, budget_s))
             if "connection: close" in head.lower():
                 writer.close()
             else:
--- a/hollowusher/scheduler/emulator/processes/commands.py
+++ b/hollowusher/scheduler/emulator/processes/commands.py
@@ -19,7 +19,7 @@
 from hollowusher.scheduler.emulator.faults.checks import check
 from hollowusher.scheduler.emulator.faults.virtual import VirtualPlay
 from hollowusher.scheduler.emulator.processes.play import Played, ProcessPlay
-from hollowusher.scheduler.emulator.script import Script, read
+from hollowusher.scheduler.emulator.script import RehearsalScript, read
 from hollowusher.scheduler.net.reports.listener import ask
 from hollowusher.scheduler.net.reports.settings import read_reports
 from hollowusher.scheduler.settings.model import ConfigError, parse_address
@@ -54,7 +54,7 @@
         raise SystemExit(1)
 
 
-def rehearse_members(plan: Script, seed: int, members: int = 0) -> Played:
+def rehearse_members(plan: RehearsalScript, seed: int, members: int = 0) -> Played:
     """The same script on the pure parts in virtual time, with other numbers of members if so wanted."""
     count = members or plan.members
     play = VirtualPlay(count, plan.mishaps, plan.expects, plan.length_s, seed, plan.configured)
@@ -71,26 +71,28 @@
 @click.option("--conf", type=_FILE, default=SETTINGS_FILE)
 def members(where: str | None, conf: Path) -> None:
     """What a running scheduler sees of the others."""
-    told = _report(where, conf, "members")
+    reported = _report(where, conf, "members")
     click.echo(
-        f"{told['name']}: view {told['number']}, "
-        + ("in a minority" if told["minority"] else "in the majority")
-        + (", hears nobody" if told["deaf"] else "")
-        + f", health {told['health']} (0 is best)"
+        f"{reported['name']}: view {reported['number']}, "
+        + ("in a minority" if reported["minority"] else "in the majority")
+        + (", hears nobody" if reported["deaf"] else "")
+        + f", health {reported['health']} (0 is best)"
     )
-    rows = told["rows"]
+    rows = reported["rows"]
     assert isinstance(rows, dict)
-    click.echo(f"{'member':16}{'standing':10}{'incarnation':>13}{'life':>10}{'heard s ago':>13}  accused by")
+    click.echo(
+        f"{'member':16}{'standing':10}{'incarnation':>13}{'process_id':>10}{'heard s ago':>13}  accused by"
+    )
     for name, row in rows.items():
         heard = f"{row['heard_s']:13.2f}" if row["heard_s"] < 3600 else f"{'never':>13}"
         click.echo(
-            f"{name:16}{row['standing']:10}{row['incarnation']:13}{row['life']:>10}{heard}  "
+            f"{name:16}{row['standing']:10}{row['incarnation']:13}{row['process_id']:>10}{heard}  "
             f"{' '.join(row['accusers'])}"
         )
-    absent = set(map(str, _listed(told["configured"]))) - set(map(str, _listed(told["present"])))
+    absent = set(map(str, _listed(reported["configured"]))) - set(map(str, _listed(reported["present"])))
     if absent:
         click.echo("configured and not there: " + " ".join(sorted(absent)))
-    click.echo(json.dumps(told["counts"]))
+    click.echo(json.dumps(reported["counts"]))
 
 
 @click.command()
@@ -98,8 +100,8 @@
 @click.option("--conf", type=_FILE, default=SETTINGS_FILE)
 def copies(where: str | None, conf: Path) -> None:
     """The logs that a running scheduler keeps: who leads them, and how far each copy is."""
-    told = _report(where, conf, "copies")
-    rows = told["rows"]
+    reported = _report(where, conf, "copies")
+    rows = reported["rows"]
     assert isinstance(rows, dict)
     click.echo(
         f"{'owner':12}{'we are':10}{'leader':10}{'term':>6}{'promises':>10}{'committed':>11}"
@@ -119,17 +121,17 @@
 @click.option("--conf", type=_FILE, default=SETTINGS_FILE)
 def shared(where: str | None, conf: Path) -> None:
     """What a running scheduler knows with the others: counts, and judgements on nodes."""
-    told = _report(where, conf, "shared")
-    counts, own, rows = told["counts"], told["own"], told["rows"]
+    reported = _report(where, conf, "shared")
+    counts, own, rows = reported["counts"], reported["own"], reported["rows"]
     assert isinstance(counts, dict) and isinstance(own, dict) and isinstance(rows, dict)
     click.echo(f"{'count':32}{'all':>10}{'here':>10}")
     for key, value in sorted(counts.items()):
         click.echo(f"{key:32}{value:10.0f}{own.get(key, 0):10.0f}")
     click.echo(f"{'node':16}{'bad':>5}{'weight':>8}{'own':>8}  told by")
     for node, row in sorted(rows.items()):
-        told_by = " ".join(f"{m}:{score:g}" for m, score in row["told_by"].items())
+        reported_by = " ".join(f"{m}:{score:g}" for m, score in row["told_by"].items())
         bad = "yes" if row["bad"] else "no"
-        click.echo(f"{node:16}{bad:>5}{row['weight']:8.2f}{row['own']:8.2f}  {told_by}")
+        click.echo(f"{node:16}{bad:>5}{row['weight']:8.2f}{row['own']:8.2f}  {reported_by}")
 
 
 def _report(where: str | None, conf: Path, part: str) -> dict[str, object]:
@@ -138,16 +140,16 @@
         address = parse_address(where) if where else read_reports(read_file(conf, SECTIONS))
         if address is None:
             raise ConfigError(f"{conf.name}: [reports] has no `listen`; give --at host:port")
-        told = asyncio.run(ask(address, part))
+        reported = asyncio.run(ask(address, part))
     except ValueError:
         raise click.ClickException(f"{where}: must be host:port") from None
     except OSError as wrong:
         raise click.ClickException(f"no report: {wrong!r}") from None
     except ConfigError as wrong:
         raise click.ClickException(str(wrong)) from None
-    if "fault" in told:
-        raise click.ClickException(str(told["fault"]))
-    return told
+    if "fault" in reported:
+        raise click.ClickException(str(reported["fault"]))
+    return reported
 
 
 def _listed(value: object) -> Sequence[object]:
@@ -165,7 +167,7 @@
         )
 
 
-def keep(folder: Path, plan: Script, seed: int, played: Played) -> None:
+def keep(folder: Path, plan: RehearsalScript, seed: int, played: Played) -> None:
     """Write a play's folder: the script, its history, the findings, and the page."""
     from hollowusher.scheduler.lab.faults_page import make
 
--- a/hollowusher/scheduler/emulator/processes/fleet.py
+++ b/hollowusher/scheduler/emulator/processes/fleet.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from hollowusher.scheduler.emulator.faults.history import Entry
+from hollowusher.scheduler.emulator.faults.history import HistoryEntry
 from hollowusher.scheduler.emulator.outside import platform_settings
 from hollowusher.scheduler.emulator.processes.child import CLOCK
 from hollowusher.scheduler.net.reports.listener import ask
@@ -70,10 +70,10 @@
         new.replace(self.folder / "hollowusher.conf")
 
 
-class Fleet:
+class ProcessFleet:
     """All schedulers of a play.  `tell` gets what they say, as lines of the history."""
 
-    def __init__(self, tell: Callable[[Entry], None], clock: Callable[[], float]) -> None:
+    def __init__(self, tell: Callable[[HistoryEntry], None], clock: Callable[[], float]) -> None:
         self._tell, self._clock = tell, clock
         self.schedulers: dict[str, Scheduler] = {}
         self.twins: list[Scheduler] = []
@@ -95,7 +95,7 @@
                 "HOLLOWUSHER_CONF": str(one.folder / "hollowusher.conf"),
             },
         )
-        self._tell(Entry(self._clock(), one.name, "started"))
+        self._tell(HistoryEntry(self._clock(), one.name, "started"))
         one.reading = asyncio.create_task(self._read(one, one.process))
         async with asyncio.timeout(READY_S):
             await one.ready.wait()
@@ -114,19 +114,19 @@
         code = await process.wait()
         why = "bidden" if one.bidden and code in (0, -signal.SIGKILL) else f"code {code}"
         one.ready.set()  # whoever waits for it waits no longer
-        self._tell(Entry(self._clock(), one.name, "ended", why=why))
+        self._tell(HistoryEntry(self._clock(), one.name, "ended", why=why))
 
     def _line(self, one: Scheduler, line: str) -> None:
         match = _LINE.match(line)
         if match is None:
-            self._tell(Entry(self._clock(), one.name, "said", why=line[:300]))
+            self._tell(HistoryEntry(self._clock(), one.name, "said", why=line[:300]))
             return
         what, fields = match[1], dict(_FIELD.findall(match[2] or ""))
         if what == "ready":
             one.ready.set()
         elif what.startswith(_MEMBER):
             self._tell(
-                Entry(
+                HistoryEntry(
                     self._clock(),
                     one.name,
                     what[len(_MEMBER) :],
@@ -136,9 +136,11 @@
                 )
             )
         elif what.startswith("shared-"):
-            self._tell(Entry(self._clock(), one.name, what, fields.get("node", ""), fields.get("weight", "")))
+            self._tell(
+                HistoryEntry(self._clock(), one.name, what, fields.get("node", ""), fields.get("weight", ""))
+            )
         elif what.endswith("-fault"):
-            self._tell(Entry(self._clock(), one.name, "fault", why=line[:300]))
+            self._tell(HistoryEntry(self._clock(), one.name, "fault", why=line[:300]))
 
     def kill(self, one: Scheduler) -> None:
         """End its process without a word."""
@@ -206,13 +208,13 @@
 
         async def state(one: Scheduler) -> None:
             try:
-                told = await ask(one.reports, "members")
+                reported = await ask(one.reports, "members")
             except (OSError, ValueError):
                 return
-            present = told.get("present")
+            present = reported.get("present")
             if isinstance(present, list):
-                standing = "minority" if told.get("minority") else "majority"
-                self._tell(Entry(self._clock(), one.name, "state", ",".join(present), standing))
+                standing = "minority" if reported.get("minority") else "majority"
+                self._tell(HistoryEntry(self._clock(), one.name, "state", ",".join(present), standing))
 
         await asyncio.gather(*(state(one) for one in self.schedulers.values() if not one.paused))
 
--- a/hollowusher/scheduler/emulator/processes/play.py
+++ b/hollowusher/scheduler/emulator/processes/play.py
@@ -11,26 +11,33 @@
 from functools import partial
 from pathlib import Path
 
-from hollowusher.scheduler.emulator.faults.checks import Finding, check
-from hollowusher.scheduler.emulator.faults.history import RIG, Act, Entry, acts, pairs, told_of
+from hollowusher.scheduler.emulator.faults.checks import CheckResult, check
+from hollowusher.scheduler.emulator.faults.history import (
+    RIG,
+    HistoryAction,
+    HistoryEntry,
+    acts,
+    pairs,
+    reports_of,
+)
 from hollowusher.scheduler.emulator.faults.links import KINDS, NS, Condition
 from hollowusher.scheduler.emulator.http1node import Http1Node
-from hollowusher.scheduler.emulator.http2node import Plan
-from hollowusher.scheduler.emulator.outside import Clients, NodeList, free_port, node_rows
+from hollowusher.scheduler.emulator.http2node import NodePlan
+from hollowusher.scheduler.emulator.outside import NodeList, OpenLoopClients, free_port, node_rows
 from hollowusher.scheduler.emulator.processes.board import Board
 from hollowusher.scheduler.emulator.processes.fleet import (
-    Fleet,
+    ProcessFleet,
     Scheduler,
     cpu_s,
     now_s,
     platform_config,
 )
-from hollowusher.scheduler.emulator.script import Script
-from hollowusher.scheduler.emulator.traffic import Demand, draw
+from hollowusher.scheduler.emulator.script import RehearsalScript
+from hollowusher.scheduler.emulator.traffic import JobClassDemand, draw
 from hollowusher.scheduler.settings.model import ConfigError
 
 MOST_PROCESSES = 40  # on one machine
-SETTLE_S = 3.0  # after the script's end, for what is still open
+STABILIZE_S = 3.0  # after the script's end, for what is still open
 FLOOD_STEP_S = 0.01
 BACK_S = (0.1, 0.4)  # before a client comes back
 _WIRE_EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
@@ -41,8 +48,8 @@
 class Played:
     """What came of a play."""
 
-    entries: list[Entry]
-    findings: list[Finding]
+    entries: list[HistoryEntry]
+    findings: list[CheckResult]
     figures: dict[str, float] = field(default_factory=dict)
 
 
@@ -51,7 +58,7 @@
 
     def __init__(
         self,
-        script: Script,
+        script: RehearsalScript,
         seed: int,
         folder: Path,
         peers: bool = True,
@@ -67,13 +74,13 @@
         self._progress = progress
         self._chance = random.Random(seed)
         self.names = [f"n{n}" for n in range(1, script.members + 1)]
-        self.entries: list[Entry] = []
+        self.entries: list[HistoryEntry] = []
         self._acts = acts(script.mishaps, script.length_s)
         self._began = now_s()
-        self.fleet = Fleet(self.entries.append, self._at)
+        self.fleet = ProcessFleet(self.entries.append, self._at)
         self._nodes: dict[str, Http1Node] = {}
         self._lists: list[NodeList] = []
-        self._clients: dict[str, Clients] = {}
+        self._clients: dict[str, OpenLoopClients] = {}
         self._work_s: dict[str, float] = {}
         self._failing: set[str] = set()
         self._doing: set[asyncio.Task[None]] = set()
@@ -105,7 +112,7 @@
             await self._board.close()
         for name, node in self._nodes.items():
             self.entries += [
-                Entry(self._at(), name, "run", job, "once")
+                HistoryEntry(self._at(), name, "run", job, "once")
                 for job, n in node.runs.items()
                 for _ in range(n)
                 if self._effect(job) == "unsafe"
@@ -202,13 +209,13 @@
             [c.stretch for c in script.classes] or [0.0],
         )
         one.write()
-        self._clients[one.name] = Clients(one.listen[1])
+        self._clients[one.name] = OpenLoopClients(one.listen[1])
 
-    def _plan(self, node: str, job: str) -> Plan:
+    def _plan(self, node: str, job: str) -> NodePlan:
         if node in self._failing:
-            self.entries.append(Entry(self._at(), node, "failed", job))
-            return Plan("failed", report={"x0": 4.0})
-        return Plan(run_s=self._work_s.get(job, 0.05), report={"x0": 4.0})
+            self.entries.append(HistoryEntry(self._at(), node, "failed", job))
+            return NodePlan("failed", report={"x0": 4.0})
+        return NodePlan(run_s=self._work_s.get(job, 0.05), report={"x0": 4.0})
 
     def _effect(self, job: str) -> str:
         name = job.partition(".")[2]
@@ -218,7 +225,7 @@
 
     async def _play(self) -> None:
         script = self._script
-        points: list[tuple[float, Act | None]] = [(act.at_s, act) for act in self._acts]
+        points: list[tuple[float, HistoryAction | None]] = [(act.at_s, act) for act in self._acts]
         points += [(at_s, None) for at_s in {e.at_s for e in script.expects if e.at_s >= 0}]
         jobs = asyncio.create_task(self._send_jobs())
         self._doing.add(jobs)
@@ -227,12 +234,12 @@
             if act is None:
                 await self.fleet.states()
             else:
-                self.entries.append(told_of(act))
+                self.entries.append(reports_of(act))
                 await self._do(act)
         await self._until(script.length_s)
         if script.serves:
             await jobs
-            most_s = SETTLE_S + max(c.deadline_ns for c in script.classes) / NS
+            most_s = STABILIZE_S + max(c.deadline_ns for c in script.classes) / NS
             await asyncio.wait(self._doing, timeout=most_s)
 
     async def _until(self, at_s: float) -> None:
@@ -241,43 +248,43 @@
             await asyncio.sleep(min(left, 0.25))
         self._progress(at_s)
 
-    async def _do(self, act: Act) -> None:
-        mishap = act.mishap
-        if mishap.what in KINDS:
+    async def _do(self, act: HistoryAction) -> None:
+        fault = act.fault
+        if fault.what in KINDS:
             if act.ends:
                 self._board.links.end(act.number)
             else:
-                amount = mishap.amount * (NS if mishap.what == "delay" else 1)
+                amount = fault.amount * (NS if fault.what == "delay" else 1)
                 self._board.links.begin(
-                    act.number, Condition(mishap.what, pairs(mishap), amount, mishap.spread_s * NS)
+                    act.number, Condition(fault.what, pairs(fault), amount, fault.spread_s * NS)
                 )
-        elif mishap.what == "fail":
-            self._failing = self._failing - set(mishap.who) if act.ends else self._failing | set(mishap.who)
-        elif mishap.what == "reset":
-            for pair in pairs(mishap):
+        elif fault.what == "fail":
+            self._failing = self._failing - set(fault.who) if act.ends else self._failing | set(fault.who)
+        elif fault.what == "reset":
+            for pair in pairs(fault):
                 self._board.reset(pair)
         else:
-            for name in mishap.who:
+            for name in fault.who:
                 self._befall(self.fleet.schedulers[name], act)
 
-    def _befall(self, one: Scheduler, act: Act) -> None:
-        mishap, fleet = act.mishap, self.fleet
-        match mishap.what:
+    def _befall(self, one: Scheduler, act: HistoryAction) -> None:
+        fault, fleet = act.fault, self.fleet
+        match fault.what:
             case "kill":
                 fleet.kill(one)
             case "stop":
                 self._spawn(fleet.stop(one))
             case "start" | "restart":
                 self._clients[one.name].forget()
-                self._spawn(fleet.restart(one, mishap.fresh, mishap.clock_s))
+                self._spawn(fleet.restart(one, fault.fresh, fault.clock_s))
             case "pause":
                 fleet.pause(one, not act.ends)
             case "starve":
-                fleet.starve(one, None if act.ends else mishap.amount)
+                fleet.starve(one, None if act.ends else fault.amount)
             case "rename":
-                fleet.rename(one, mishap.to)
+                fleet.rename(one, fault.to)
             case "flood" if not act.ends:
-                self._spawn(self._flood(one, mishap.amount, act.at_s + mishap.for_s))
+                self._spawn(self._flood(one, fault.amount, act.at_s + fault.for_s))
             case "twin":
                 self._spawn(self._twin(one, act.ends))
 
@@ -331,7 +338,7 @@
             self._work_s[job] = wanted.work_s
             self._spawn(self._job(self._chance.choice(up).name, job, wanted.demand, loop.time()))
 
-    async def _job(self, name: str, job: str, demand: Demand, at: float) -> None:
+    async def _job(self, name: str, job: str, demand: JobClassDemand, at: float) -> None:
         """One client.  Where jobs are copied it comes back elsewhere when its connection breaks or it is
         turned away, under the same id and with what is left of its time."""
         loop, first = asyncio.get_running_loop(), at
@@ -350,7 +357,7 @@
                 if one.process is not None and one.process.returncode is None and not one.bidden
             ]
             name = self._chance.choice(up or self.names)
-        self.entries.append(Entry(self._at(), name, "job", job, said))
+        self.entries.append(HistoryEntry(self._at(), name, "job", job, said))
 
     def _spawn(self, work: object) -> None:
         task: asyncio.Task[None] = asyncio.create_task(work)  # type: ignore[arg-type]
@@ -360,7 +367,7 @@
     def _done(self, task: asyncio.Task[None]) -> None:
         self._doing.discard(task)
         if not task.cancelled() and (fault := task.exception()) is not None:
-            self.entries.append(Entry(self._at(), RIG, "fault", why=repr(fault)))
+            self.entries.append(HistoryEntry(self._at(), RIG, "fault", why=repr(fault)))
 
     def _figures(self, spent: dict[str, float]) -> dict[str, float]:
         """The play in numbers: service, latency, and what the schedulers cost."""
