--- a/hollowusher/scheduler/emulator/script.py
+++ b/hollowusher/scheduler/emulator/script.py
@@ -23,20 +23,28 @@
     State,
     Via,
 )
-from hollowusher.scheduler.emulator.faults.words import (
+from hollowusher.scheduler.emulator.faults.script_words import (
     MOST_MEMBERS,
     ON_LINKS,
     ON_MEMBERS,
     ON_NODES,
     Expect,
-    Mishap,
+    ScheduledFault,
     read_expect,
-    read_mishap,
+    read_scheduled_fault,
 )
-from hollowusher.scheduler.emulator.model import Kind
-from hollowusher.scheduler.emulator.traffic import Demand, Spell, draw
+from hollowusher.scheduler.emulator.model import NodeKind
+from hollowusher.scheduler.emulator.traffic import JobClassDemand, Spell, draw
 from hollowusher.scheduler.emulator.virtual import Rehearsal, VirtualNode
-from hollowusher.scheduler.settings.model import ConfigError, SettingsError, count, number, span, word, words
+from hollowusher.scheduler.settings.model import (
+    ConfigError,
+    SettingsFileError,
+    count,
+    number,
+    span,
+    word,
+    words,
+)
 
 MS, NS_PER_S = 1_000_000, 1_000_000_000
 MOST_NODES, MOST_LENGTH_S = 1_000, 86_400.0
@@ -46,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class ScriptedFault:
     """Something that befalls nodes: at a time (seconds), for a span, again and again until another time."""
 
     at_s: float
@@ -59,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Script:
+class RehearsalScript:
     """A script that was read and holds together."""
 
     file: str
@@ -67,17 +75,17 @@
     seed: int = 1
     length_s: float = 60.0
     schedulers: int = 2
-    kinds: list[Kind] = field(default_factory=list)
+    kinds: list[NodeKind] = field(default_factory=list)
     classes: list[JobClass] = field(default_factory=list)
-    demands: list[Demand] = field(default_factory=list)
+    demands: list[JobClassDemand] = field(default_factory=list)
     spells: list[Spell] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[ScriptedFault] = field(default_factory=list)
     members: int = 0  # schedulers that keep a view of each other: n1, n2, ...
     copies: int = 0  # schedulers that keep each log; 0: nothing is copied
     copied: tuple[str, ...] = ()  # classes
     on_disk: bool = False
     configured: int = 0  # names in their files, where these are more
-    mishaps: list[Mishap] = field(default_factory=list)
+    mishaps: list[ScheduledFault] = field(default_factory=list)
     expects: list[Expect] = field(default_factory=list)
 
     @property
@@ -110,9 +118,9 @@
     def __init__(self, file: str, line: int, words: list[str]) -> None:
         self.file, self.line, self._words = file, line, words
 
-    def fault(self, why: str) -> SettingsError:
+    def fault(self, why: str) -> SettingsFileError:
         """A fault of this line; raise it."""
-        return SettingsError(self.file, self.line, why)
+        return SettingsFileError(self.file, self.line, why)
 
     def peek(self) -> str:
         """The next word, if any; it stays."""
@@ -177,7 +185,7 @@
 }
 
 
-def read(path: Path) -> Script:
+def read(path: Path) -> RehearsalScript:
     """A script from its file; SettingsError, ConfigError."""
     try:
         return parse(path.read_text(encoding="utf-8"), path.name)
@@ -185,15 +193,15 @@
         raise ConfigError(f"{path.name}: cannot be read: {wrong}") from None
 
 
-def parse(text: str, file: str = "script") -> Script:
+def parse(text: str, file: str = "script") -> RehearsalScript:
     """A script from its text; SettingsError at the first fault."""
-    script, seen, last = Script(file, text), dict[str, int](), 0
-    lines: list[tuple[_Line, Trouble]] = []
+    script, seen, last = RehearsalScript(file, text), dict[str, int](), 0
+    lines: list[tuple[_Line, ScriptedFault]] = []
     for last, raw in enumerate(text.split("\n"), 1):
         try:
             words = shlex.split(raw, comments=True)
         except ValueError as wrong:
-            raise SettingsError(file, last, f"cannot be split into words: {wrong}") from None
+            raise SettingsFileError(file, last, f"cannot be split into words: {wrong}") from None
         if not words:
             continue
         line = _Line(file, last, words)
@@ -214,47 +222,47 @@
             raise line.fault(f"{word}: is no word of a script; there are {known}")
     for what, there in (("nodes", script.kinds), ("class", script.classes), ("traffic", script.spells)):
         if not there and (script.serves or not script.members):
-            raise SettingsError(file, last, f"{what}: is missing from the script")
-    for line, trouble in lines:  # only now is the whole fleet known
-        for node in trouble.nodes:
+            raise SettingsFileError(file, last, f"{what}: is missing from the script")
+    for line, fault in lines:  # only now is the whole fleet known
+        for node in fault.nodes:
             if not 1 <= node <= len(script.kinds):
                 raise line.fault(f"node {node}: there are nodes 1 to {len(script.kinds)}")
-        if trouble.at_s >= script.length_s:
-            raise line.fault(f"at {trouble.at_s:g}s: the script ends after {script.length_s:g}s")
+        if fault.at_s >= script.length_s:
+            raise line.fault(f"at {fault.at_s:g}s: the script ends after {script.length_s:g}s")
     if not set(script.copied) <= {c.name for c in script.classes}:
-        raise SettingsError(file, last, f"copies of {','.join(script.copied)}: no such class")
+        raise SettingsFileError(file, last, f"copies of {','.join(script.copied)}: no such class")
     if script.spells and not script.kinds:
-        raise SettingsError(file, last, "traffic: needs nodes and classes")
+        raise SettingsFileError(file, last, "traffic: needs nodes and classes")
     for at_s in [*(m.at_s for m in script.mishaps), *(e.at_s for e in script.expects)]:
         if at_s >= script.length_s:
-            raise SettingsError(file, last, f"at {at_s:g}s: the script ends after {script.length_s:g}s")
+            raise SettingsFileError(file, last, f"at {at_s:g}s: the script ends after {script.length_s:g}s")
     script.mishaps.sort(key=lambda m: m.at_s)
     script.troubles = sorted((t for _, t in lines), key=lambda t: t.at_s)
     script.spells.sort(key=lambda s: s.since_s)
     return script
 
 
-def _seed(script: Script, line: _Line) -> None:
+def _seed(script: RehearsalScript, line: _Line) -> None:
     script.seed = int(line.value("seed", count(0, 2**31 - 1)))
     line.end()
 
 
-def _length(script: Script, line: _Line) -> None:
+def _length(script: RehearsalScript, line: _Line) -> None:
     script.length_s = line.value("length", _LENGTH)
     line.end()
 
 
-def _schedulers(script: Script, line: _Line) -> None:
+def _schedulers(script: RehearsalScript, line: _Line) -> None:
     script.schedulers = int(line.value("schedulers", count(1, 100)))
     line.end()
 
 
-def _members(script: Script, line: _Line) -> None:
+def _members(script: RehearsalScript, line: _Line) -> None:
     script.members = script.schedulers = int(line.value("members", count(2, MOST_MEMBERS)))
     line.end()
 
 
-def _copies(script: Script, line: _Line) -> None:
+def _copies(script: RehearsalScript, line: _Line) -> None:
     script.copies = int(line.value("copies", count(1, 5)))
     found = line.options({"on": word(), "of": words()})
     if found.get("on", "memory") not in ("memory", "disk"):
@@ -265,12 +273,12 @@
         raise line.fault("copies: must be 1, 3 or 5, and at most the members that stand before it")
 
 
-def _configured(script: Script, line: _Line) -> None:
+def _configured(script: RehearsalScript, line: _Line) -> None:
     script.configured = int(line.value("configured", count(2, MOST_MEMBERS)))
     line.end()
 
 
-def _traffic(script: Script, line: _Line) -> None:
+def _traffic(script: RehearsalScript, line: _Line) -> None:
     script.spells.append(Spell(0.0, _rate(line)))
     line.end()
 
@@ -283,13 +291,13 @@
     return float(match[1])
 
 
-def _nodes(script: Script, line: _Line) -> None:
+def _nodes(script: RehearsalScript, line: _Line) -> None:
     many = int(line.value("nodes", count(1, MOST_NODES)))
     if len(script.kinds) + many > MOST_NODES:
         raise line.fault(f"nodes: at most {MOST_NODES} in a script")
     found = line.options(_NODE)
     cores = int(found.get("cores", 2))
-    kind = Kind(
+    kind = NodeKind(
         cores,
         found.get("speed", 1.0),
         found.get("slots", float(cores)),
@@ -302,7 +310,7 @@
     script.kinds += [kind] * many
 
 
-def _class(script: Script, line: _Line) -> None:
+def _class(script: RehearsalScript, line: _Line) -> None:
     name, effect = line.next("the class's name"), line.next("safe, keyed or once")
     if effect not in _EFFECTS:
         raise line.fault(f"class {name}: must be safe, keyed or once, is {effect!r}")
@@ -328,7 +336,7 @@
         )
     )
     script.demands.append(
-        Demand(
+        JobClassDemand(
             name,
             found["share"],
             found["work"],
@@ -340,7 +348,9 @@
     )
 
 
-def _at(script: Script, line: _Line, lines: list[tuple[_Line, Trouble]], stands: int, raw: str) -> None:
+def _at(
+    script: RehearsalScript, line: _Line, lines: list[tuple[_Line, ScriptedFault]], stands: int, raw: str
+) -> None:
     at_s, what = line.value("at", span(0, MOST_LENGTH_S)), line.next("what happens")
     if what == "traffic":
         if any(s.since_s == at_s for s in script.spells):
@@ -353,14 +363,14 @@
         line.end()
         return
     if what in ON_LINKS or what in ON_NODES or (what in ON_MEMBERS and line.peek() != "node"):
-        script.mishaps.append(read_mishap(line, at_s, what, script.members))
+        script.mishaps.append(read_scheduled_fault(line, at_s, what, script.members))
         return
     if what not in _TROUBLES:
         known = ", ".join(sorted({*_TROUBLES, *ON_LINKS, *ON_MEMBERS, *ON_NODES, "traffic", "expect"}))
         raise line.fault(f"{what}: nothing of that name happens; there are {known}")
     if line.next("node") != "node":
         raise line.fault(f"{what}: must be followed by node and numbers, as in `{what} node 3..5`")
-    trouble = Trouble(at_s, what, _numbers(line))
+    fault = ScriptedFault(at_s, what, _numbers(line))
     allowed: dict[str, Any] = {"every": _SPAN, "until": _SPAN}
     if what in ("stall", "slow", "silence"):
         allowed["for"] = _SPAN
@@ -378,7 +388,7 @@
         (
             line,
             replace(
-                trouble,
+                fault,
                 for_s=found.get("for", 0.0),
                 every_s=found.get("every", 0.0),
                 until_s=found.get("until", at_s),
@@ -402,7 +412,7 @@
     return tuple(dict.fromkeys(chosen))
 
 
-_WORDS: dict[str, Callable[[Script, _Line], None]] = {
+_WORDS: dict[str, Callable[[RehearsalScript, _Line], None]] = {
     "seed": _seed,
     "length": _length,
     "schedulers": _schedulers,
@@ -415,29 +425,29 @@
 }
 
 
-def stage(script: Script, seed: int | None = None) -> Rehearsal:
+def stage(script: RehearsalScript, seed: int | None = None) -> Rehearsal:
     """A rehearsal with all that the script says laid on its heap, ready to run."""
     seed = script.seed if seed is None else seed
     run = Rehearsal(script.settings(), script.kinds, script.schedulers, seed)
     run.ask_for(draw(script.demands, script.spells, script.length_s, seed))
-    for trouble in script.troubles:
-        at = trouble.at_s
-        while at <= trouble.until_s + 1e-9:
-            _lay(run, trouble, at)
-            if not trouble.every_s:
+    for fault in script.troubles:
+        at = fault.at_s
+        while at <= fault.until_s + 1e-9:
+            _lay(run, fault, at)
+            if not fault.every_s:
                 break
-            at += trouble.every_s
+            at += fault.every_s
     return run
 
 
-def _lay(run: Rehearsal, trouble: Trouble, at: float) -> None:
+def _lay(run: Rehearsal, fault: ScriptedFault, at: float) -> None:
     def befall(node: VirtualNode) -> None:
         now = run.heap.now
-        match trouble.what:
+        match fault.what:
             case "stall":
-                node.model.stall(now, round(trouble.for_s * NS_PER_S))
+                node.model.stall(now, round(fault.for_s * NS_PER_S))
             case "slow":
-                node.model.slow(now, trouble.by)
+                node.model.slow(now, fault.by)
             case "silence":
                 node.silent = True
             case "drain":
@@ -452,11 +462,11 @@
                 run.list_says(node.number, State.READY)
 
     def over(node: VirtualNode) -> None:
-        if trouble.what == "slow":
+        if fault.what == "slow":
             node.model.slow(run.heap.now, 1.0)
         else:
             node.silent = False
 
-    run.befall(at, trouble.nodes, befall)
-    if trouble.for_s and trouble.what in ("slow", "silence"):
-        run.befall(at + trouble.for_s, trouble.nodes, over)
+    run.befall(at, fault.nodes, befall)
+    if fault.for_s and fault.what in ("slow", "silence"):
+        run.befall(at + fault.for_s, fault.nodes, over)
--- a/hollowusher/scheduler/emulator/shared_state.py
+++ b/hollowusher/scheduler/emulator/shared_state.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from hollowusher.scheduler.emulator.heap import Heap
-from hollowusher.scheduler.rules.shared_state.budgets import Ask, Budgets, Grant
+from hollowusher.scheduler.rules.shared_state.budgets import BudgetGrant, BudgetRequest, Budgets
 
 MS, S = 1_000_000, 1_000_000_000
 Make = Callable[[str, list[str], int, int], Budgets]
@@ -110,7 +110,7 @@
                     delay = round(self.chance.choice((2, 5, 25, 25, 400)) * MS * self.chance.random())
                     self.at(self.now + delay, lambda t=to, x=message: self._arrive(t, x, m.name))  # type: ignore[misc]
 
-    def _arrive(self, name: str, message: Ask | Grant, sender: str) -> None:
+    def _arrive(self, name: str, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         m = self.members[name]
         if m.budgets is None:
             return
--- a/hollowusher/scheduler/emulator/traffic.py
+++ b/hollowusher/scheduler/emulator/traffic.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class JobClassDemand:
     """One class of jobs: its share of them, its mean work (seconds of a standard core), and its clients."""
 
     name: str
@@ -37,11 +37,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PlannedJob:
     """One job as a client will ask for it."""
 
     name: str
-    demand: Demand
+    demand: JobClassDemand
     at: int
     work_s: float
     leaves_at: int | None  # when its client leaves, if it does so early
@@ -53,12 +53,14 @@
     return {name: np.random.default_rng([seed, *name.encode()]) for name in purposes}
 
 
-def draw(demands: Sequence[Demand], spells: Sequence[Spell], until_s: float, seed: int) -> list[Wanted]:
+def draw(
+    demands: Sequence[JobClassDemand], spells: Sequence[Spell], until_s: float, seed: int
+) -> list[PlannedJob]:
     """The jobs of a run, in order: a Poisson process whose rate changes with the spells."""
     chance = streams(seed, "arrivals", "classes", "work", "leaving", "waits")
     shares = np.array([d.share for d in demands])
     shares = shares / shares.sum()
-    jobs: list[Wanted] = []
+    jobs: list[PlannedJob] = []
     ends = [s.since_s for s in spells[1:]] + [until_s]
     for spell, end in zip(spells, ends, strict=True):
         at = spell.since_s
@@ -70,7 +72,7 @@
             at_ns = round(at * NS_PER_S)
             gone = at_ns + round(leaves * demand.budget_s * NS_PER_S) if left < demand.leaves else None
             jobs.append(
-                Wanted(
+                PlannedJob(
                     f"{demand.name}.{len(jobs)}",
                     demand,
                     at_ns,
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -12,33 +12,33 @@
 from functools import partial
 
 from hollowusher.balancing.interface import Effect, Listed, ListKind, Outcome, Reading, Settings, State
-from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
+from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import (
-    Answer,
-    Attempt,
     AttemptEnded,
     AttemptProgress,
     AttemptStarted,
+    ClientJob,
     ClientLeft,
-    DeskEvent,
     Dispatch,
-    Job,
+    DispatchEvent,
+    JobAnswerBody,
+    JobAttempt,
     JobTaken,
-    NodeListTold,
+    NodeListReceived,
     NodeProbed,
     Order,
     ProbeNode,
     Remark,
-    Reply,
+    ReplyToClient,
     TimeCame,
     Verdict,
-    WakeDesk,
+    WakeDispatcher,
     WatchNodeList,
     Withdraw,
 )
 from hollowusher.scheduler.emulator.heap import Heap
-from hollowusher.scheduler.emulator.model import Kind, NodeModel, Told, What
-from hollowusher.scheduler.emulator.traffic import Wanted, streams
+from hollowusher.scheduler.emulator.model import NodeEvent, NodeEventKind, NodeKind, NodeModel
+from hollowusher.scheduler.emulator.traffic import PlannedJob, streams
 
 MS, NS_PER_S = 1_000_000, 1_000_000_000
 COUNTS = ("jobs", "in_time", "late", "refused", "failed", "gone", "runs")
@@ -59,7 +59,7 @@
     """An attempt as the fleet has it."""
 
     scheduler: VirtualScheduler
-    attempt: Attempt
+    attempt: JobAttempt
     name: str
     over: bool = False
 
@@ -67,7 +67,7 @@
 class VirtualNode:
     """A model node on the heap, and what it saw."""
 
-    def __init__(self, heap: Heap, number: int, kind: Kind, progress_ns: int, cold: bool = False) -> None:
+    def __init__(self, heap: Heap, number: int, kind: NodeKind, progress_ns: int, cold: bool = False) -> None:
         self.heap, self.number, self.progress_ns = heap, number, progress_ns
         self.model = NodeModel(kind, heap.now, cold)
         self.silent = False
@@ -78,8 +78,8 @@
 
     def poke(self) -> None:
         """Pass on what has happened, and look again when the next thing does."""
-        told, self.model.told = self.model.told, []
-        for each in told:
+        reported, self.model.reported = self.model.reported, []
+        for each in reported:
             self._tell(each)
         due = self.model.next_ns()
         if due is not None and (self._due is None or due < self._due or self._due < self.heap.now):
@@ -112,24 +112,24 @@
         if self.progress_ns:
             self.heap.after(self.progress_ns, tell)
 
-    def _tell(self, told: Told) -> None:
-        out = told.job
+    def _tell(self, reported: NodeEvent) -> None:
+        out = reported.job
         assert isinstance(out, Out)
-        if told.what is What.STARTED:
+        if reported.what is NodeEventKind.STARTED:
             self.runs[out.name] = self.runs.get(out.name, 0) + 1
         else:
             self.out.pop(out, None)
         if self.silent:
             return
-        match told.what:
-            case What.STARTED:
+        match reported.what:
+            case NodeEventKind.STARTED:
                 out.scheduler.hear(AttemptStarted(out.attempt))
                 self._progress(out)
-            case What.DONE:
+            case NodeEventKind.DONE:
                 out.scheduler.ended(out, Outcome.OK, self.reading())
-            case What.RETURNED:
+            case NodeEventKind.RETURNED:
                 out.scheduler.ended(out, Outcome.FULL, self.reading())
-            case What.LOST:
+            case NodeEventKind.LOST:
                 out.scheduler.ended(out, Outcome.RESET)
 
 
@@ -138,23 +138,23 @@
 
     def __init__(self, rehearsal: Rehearsal, number: int, settings: Settings, seed: int) -> None:
         self.rehearsal, self.heap, self.number = rehearsal, rehearsal.heap, number
-        self._desk = DispatchDesk(settings, seed, self.heap.now)
-        self._events: list[DeskEvent] = []
-        self._out: dict[Attempt, Out] = {}
+        self._dispatcher = JobDispatcher(settings, seed, self.heap.now)
+        self._events: list[DispatchEvent] = []
+        self._out: dict[JobAttempt, Out] = {}
         self._told_drain: dict[int, int] = {}
         self.remarks: list[tuple[int, str]] = []
         self.attempts: dict[str, int] = {}
         self.late_sends = 0
         entries = tuple(rehearsal.entry(n) for n in rehearsal.nodes.values())
-        self.post(NodeListTold(ListKind.CACHED, entries))
+        self.post(NodeListReceived(ListKind.CACHED, entries))
 
-    def post(self, event: DeskEvent) -> None:
+    def post(self, event: DispatchEvent) -> None:
         """Hand the desk an event; all that come at one instant make one batch."""
         if not self._events:
             self.heap.at(self.heap.now, self._step)
         self._events.append(event)
 
-    def hear(self, event: DeskEvent) -> None:
+    def hear(self, event: DispatchEvent) -> None:
         """Something on its way to this scheduler."""
         self.heap.after(self.rehearsal.way(), lambda: self.post(event))
 
@@ -162,13 +162,13 @@
         """News of an attempt's end is on its way; only the first that arrives counts."""
         self.heap.after(self.rehearsal.way(), lambda: self.over(out, outcome, reading))
 
-    def told(self, number: int, entry: Listed) -> None:
+    def reported(self, number: int, entry: Listed) -> None:
         """The node list's news has come."""
         if entry.state is not State.READY:
             self._told_drain.setdefault(number, self.heap.now)
         else:
             self._told_drain.pop(number, None)
-        self.post(NodeListTold(ListKind.CHANGES, (entry,)))
+        self.post(NodeListReceived(ListKind.CHANGES, (entry,)))
 
     def over(self, out: Out, outcome: Outcome, reading: Reading | None) -> None:
         """An attempt is over as this scheduler knows it."""
@@ -179,7 +179,7 @@
 
     def _step(self) -> None:
         events, self._events = self._events, []
-        for order in self._desk.work(self.heap.now, events):
+        for order in self._dispatcher.work(self.heap.now, events):
             self._carry_out(order)
 
     def _carry_out(self, order: Order) -> None:
@@ -191,23 +191,23 @@
             case Withdraw(attempt):
                 if (out := self._out.get(attempt)) is not None:
                     self._give_up(out, Outcome.CANCELLED)
-            case Reply(job, answer):
+            case ReplyToClient(job, answer):
                 job.answer_to(answer)
             case ProbeNode(number):
                 self._probe(number)
             case WatchNodeList():
-                self.hear(NodeListTold(ListKind.CHANGES))
-            case WakeDesk(span):
+                self.hear(NodeListReceived(ListKind.CHANGES))
+            case WakeDispatcher(span):
                 self.heap.after(-(-span // MS) * MS, lambda: self.post(TimeCame()))
             case Remark(text):
                 self.remarks.append((self.heap.now, text))
 
-    def _dispatch(self, attempt: Attempt, job: Job, timeout: int) -> None:
+    def _dispatch(self, attempt: JobAttempt, job: ClientJob, timeout: int) -> None:
         out = self._out[attempt] = Out(self, attempt, job.job_id)
         self.attempts[job.job_id] = self.attempts.get(job.job_id, 0) + 1
-        if (told := self._told_drain.get(attempt.node)) is not None:
+        if (reported := self._told_drain.get(attempt.node)) is not None:
             # As the roster does: what the desk ordered a moment before the news stops at its first byte.
-            self.late_sends += self.heap.now > told + DRAIN_GRACE_NS
+            self.late_sends += self.heap.now > reported + DRAIN_GRACE_NS
             self.over(out, Outcome.NOT_SENT, None)
             return
         left = job.deadline_ns - self.heap.now
@@ -230,10 +230,10 @@
 
 
 @dataclass(slots=True)
-class Result:
+class JobResult:
     """What became of one job that a client wanted, over all its tries."""
 
-    wanted: Wanted
+    wanted: PlannedJob
     tries: int = 0
     answers: int = 0
     verdict: Verdict | None = None
@@ -267,7 +267,12 @@
     """A fleet, schedulers and clients on one heap."""
 
     def __init__(
-        self, settings: Settings, kinds: Sequence[Kind], schedulers: int, seed: int, net: Net | None = None
+        self,
+        settings: Settings,
+        kinds: Sequence[NodeKind],
+        schedulers: int,
+        seed: int,
+        net: Net | None = None,
     ) -> None:
         self.heap, self.settings, self.net = Heap(), settings, net or Net()
         self.heap.now = NS_PER_S
@@ -279,7 +284,7 @@
         self.states: dict[int, State] = {}
         self._classes = {c.name: c for c in settings.classes}
         self.unsafe = {c.name for c in settings.classes if c.effect is Effect.UNSAFE}
-        self.results: list[Result] = []
+        self.results: list[JobResult] = []
         self._work: dict[str, float] = {}
         self.watcher: Callable[[VirtualScheduler, Order], None] | None = None  # sees all orders of all
         self.schedulers = [
@@ -332,7 +337,7 @@
         entry = self.entry(self.nodes[number])
         for scheduler in self.schedulers:
             late = int(self._chance["list"].integers(*self.net.list_late_ns))
-            self.heap.after(late, partial(scheduler.told, number, entry))
+            self.heap.after(late, partial(scheduler.reported, number, entry))
 
     def befall(self, at_s: float, numbers: Sequence[int], what: Callable[[VirtualNode], None]) -> None:
         """Have something happen to some nodes at a time of the run."""
@@ -348,30 +353,30 @@
 
     start_ns = 2 * NS_PER_S  # the schedulers have had a second to look round
 
-    def ask_for(self, jobs: Sequence[Wanted]) -> None:
+    def ask_for(self, jobs: Sequence[PlannedJob]) -> None:
         """Have these jobs asked for, each at its time; schedulers take turns."""
         for index, wanted in enumerate(jobs):
-            result = Result(wanted)
+            result = JobResult(wanted)
             self.results.append(result)
             scheduler = self.schedulers[index % len(self.schedulers)]
             self.heap.at(self.start_ns + wanted.at, partial(self._try, result, scheduler))
 
-    def _try(self, result: Result, scheduler: VirtualScheduler) -> None:
+    def _try(self, result: JobResult, scheduler: VirtualScheduler) -> None:
         wanted, begun = result.wanted, self.heap.now
         name = f"{wanted.name}/{result.tries}"
         result.tries += 1
         budget = round(wanted.demand.budget_s * NS_PER_S)
         self._work[name] = wanted.work_s
-        answered: list[Answer] = []
+        answered: list[JobAnswerBody] = []
 
-        def answer_to(answer: Answer) -> None:
+        def answer_to(answer: JobAnswerBody) -> None:
             answered.append(answer)
             result.answers += 1
             result.late_answers += self.heap.now > begun + budget
             if not result.gone:
                 self._answered(result, scheduler, answer, self.heap.now - begun)
 
-        job = Job(
+        job = ClientJob(
             name,
             wanted.demand.name,
             f"/jobs/{wanted.name}",
@@ -391,7 +396,9 @@
             self.heap.at(self.start_ns + wanted.leaves_at, leave)
         self.heap.after(self.way(), lambda: scheduler.post(JobTaken(job)))
 
-    def _answered(self, result: Result, scheduler: VirtualScheduler, answer: Answer, took: int) -> None:
+    def _answered(
+        self, result: JobResult, scheduler: VirtualScheduler, answer: JobAnswerBody, took: int
+    ) -> None:
         result.verdict, result.took_ns = answer.verdict, took
         retry = result.tries - 1
         repeatable = answer.verdict is Verdict.REFUSED or result.wanted.demand.name not in self.unsafe
--- a/hollowusher/scheduler/fronts/common.py
+++ b/hollowusher/scheduler/fronts/common.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class Ending:
+class AttemptEnding:
     """How an attempt ended."""
 
     outcome: Outcome
--- a/hollowusher/scheduler/fronts/platform/answers.py
+++ b/hollowusher/scheduler/fronts/platform/answers.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from hollowusher.balancing.interface import Outcome
-from hollowusher.scheduler.dispatch.model import AttemptProgress, AttemptStarted, DeskEvent, Dispatch
-from hollowusher.scheduler.fronts.common import Ending, read_load
+from hollowusher.scheduler.dispatch.model import AttemptProgress, AttemptStarted, Dispatch, DispatchEvent
+from hollowusher.scheduler.fronts.common import AttemptEnding, read_load
 
 MOST_LINE = 512 * 1024  # a result of 64 KiB in JSON, each byte escaped
 
@@ -39,45 +39,47 @@
             self.rest.clear()
 
 
-def settled(status: int, headers: Mapping[str, str], meanings: Mapping[str, str]) -> Ending | None:
+def ending_of_head(
+    status: int, headers: Mapping[str, str], meanings: Mapping[str, str]
+) -> AttemptEnding | None:
     """The ending that an answer's head alone tells; None where the lines will tell."""
     if status == 200:
         return None
     reading = read_load(headers.get("x-load-report"), meanings)
-    turned_away = status in (503, 504) and headers.get("x-rejected") == "1"
-    return Ending(Outcome.FULL if turned_away else Outcome.ERROR, reading)
+    rejected = status in (503, 504) and headers.get("x-rejected") == "1"
+    return AttemptEnding(Outcome.FULL if rejected else Outcome.ERROR, reading)
 
 
 def read_line(
-    line: bytes, order: Dispatch, meanings: Mapping[str, str], post: Callable[[DeskEvent], None]
-) -> Ending | None:
+    line: bytes, order: Dispatch, meanings: Mapping[str, str], post: Callable[[DispatchEvent], None]
+) -> AttemptEnding | None:
     """One line of the answer: the ending, if it is one, and else the desk is told of it.
 
     ConnectionError where it is not about this job: its result must not reach this client."""
     if not line.strip():
         return None
     try:
-        told: Any = json.loads(line)
-        state = told["state"]
+        reported: Any = json.loads(line)
+        state = reported["state"]
     except (ValueError, KeyError, TypeError):
         raise ConnectionError("a line that cannot be read") from None
-    if told.get("id") != order.job.job_id:
+    if reported.get("id") != order.job.job_id:
         raise ConnectionError("a line about another job")
-    reading = read_load(told.get("load"), meanings)
+    reading = read_load(reported.get("load"), meanings)
     match state:
         case "started":
             post(AttemptStarted(order.attempt))
         case "running":
-            share = told.get("share")
+            share = reported.get("share")
             post(AttemptProgress(order.attempt, share if isinstance(share, float) else 0.0))
         case "done":
-            result = told.get("result", "")
+            result = reported.get("result", "")
             text = result if isinstance(result, str) else json.dumps(result, separators=(",", ":"))
-            return Ending(Outcome.OK, reading, text.encode("utf-8", "replace"))
+            return AttemptEnding(Outcome.OK, reading, text.encode("utf-8", "replace"))
         case "failed":
-            return Ending(Outcome.ERROR, reading)
+            return AttemptEnding(Outcome.ERROR, reading)
         case "returned":
-            return Ending(Outcome.FULL, reading)
+            return AttemptEnding(Outcome.FULL, reading)
         case "lost":
-            return Ending(Outcome.RESET, reading)
+            return AttemptEnding(Outcome.RESET, reading)
     return None
--- a/hollowusher/scheduler/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -13,8 +13,15 @@
 from typing import Any
 
 from hollowusher.balancing.interface import Effect, JobClass
-from hollowusher.scheduler.dispatch.metrics import Figures
-from hollowusher.scheduler.dispatch.model import Answer, ClientLeft, DeskEvent, Job, JobTaken, Verdict
+from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
+from hollowusher.scheduler.dispatch.model import (
+    ClientJob,
+    ClientLeft,
+    DispatchEvent,
+    JobAnswerBody,
+    JobTaken,
+    Verdict,
+)
 from hollowusher.scheduler.fronts.common import (
     FIRST_S,
     MOST_NAME,
@@ -24,8 +31,8 @@
     printable,
     read_budget_ns,
 )
-from hollowusher.scheduler.fronts.platform.http import BadInput, Request, RequestReader, answer_head
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.fronts.platform.http import BadInput, HttpRequest, RequestReader, answer_head
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import BACKLOG, Link
 from hollowusher.scheduler.net.ring import MOST_BYTES
 
@@ -62,12 +69,12 @@
 
 
 def read_job(
-    request: Request,
+    request: HttpRequest,
     classes: Mapping[str, JobClass],
     now: int,
-    answer_to: Callable[[Answer], None],
+    answer_to: Callable[[JobAnswerBody], None],
     last_ns: int | None = None,
-) -> Job:
+) -> ClientJob:
     """The job that a request asks for; BadInput says what is wrong with it.
 
     Nothing that fails here reaches a node: one would turn it away, or close on it and on what else waits."""
@@ -93,7 +100,7 @@
     left_ns -= now - request.came_ns + TRAVEL_NS
     if last_ns is not None:
         left_ns = min(left_ns, last_ns - now)
-    return Job(
+    return ClientJob(
         job_id,
         job_class,
         request.target,
@@ -122,7 +129,7 @@
     return figures
 
 
-def write_answer(answer: Answer, close: bool) -> tuple[bytes, bytes]:
+def write_answer(answer: JobAnswerBody, close: bool) -> tuple[bytes, bytes]:
     """Head and body of a job's final answer."""
     match answer.verdict:
         case Verdict.SERVED:
@@ -134,7 +141,7 @@
             return answer_head(502, 0, close), b""
 
 
-class Stage(IntEnum):
+class RequestStage(IntEnum):
     """Where a connection stands.  The lower, the sooner it makes room for another."""
 
     LEAVING = 0  # it has been told what was wrong with what it sent
@@ -145,7 +152,7 @@
     BUSY = 5  # it is owed an answer
 
 
-class ClientSession:
+class HttpClientSession:
     """One connection of a client."""
 
     def __init__(self, front: PlatformClients, link: Link) -> None:
@@ -154,7 +161,7 @@
         self._filling: asyncio.Task[int] | None = None
         self._accepted_ns = self._came_ns = time.monotonic_ns()
         self._known = False  # whether a whole request has come on it
-        self._stage = Stage.YOUNG
+        self._stage = RequestStage.YOUNG
         self._over: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # ask to end when idle
         self._overrun = False  # more has come behind a request under way than is kept
         self._gone = False  # the client has ended the connection, or it broke
@@ -185,7 +192,7 @@
         sends it again elsewhere."""
         if self._gone:
             return
-        self._stage = Stage.LEAVING
+        self._stage = RequestStage.LEAVING
         self._link.half_close()
         if self._filling is not None:
             self._filling.cancel()
@@ -197,17 +204,17 @@
         if not self._over.done():
             self._over.set_result(None)
 
-    def stage(self) -> Stage:
+    def stage(self) -> RequestStage:
         """Where it stands; one on which something waits to be read is busy, whatever is known of it."""
-        if self._stage in (Stage.YOUNG, Stage.IDLE):
+        if self._stage in (RequestStage.YOUNG, RequestStage.IDLE):
             come = self._filling is not None and self._filling.done()
             if come or not self._link.fresh():
-                return Stage.BUSY
-            if self._stage is Stage.YOUNG and time.monotonic_ns() - self._accepted_ns > YOUNG_S * 1e9:
-                return Stage.SILENT
+                return RequestStage.BUSY
+            if self._stage is RequestStage.YOUNG and time.monotonic_ns() - self._accepted_ns > YOUNG_S * 1e9:
+                return RequestStage.SILENT
         return self._stage
 
-    def evict(self, most: Stage = Stage.IDLE) -> bool:
+    def evict(self, most: RequestStage = RequestStage.IDLE) -> bool:
         """Close, if it stands no higher than this.
 
         A connection on which a request has come, read or not, stands higher: to close it would lose that."""
@@ -216,7 +223,7 @@
         self.task.cancel()
         return True
 
-    async def _next(self) -> Request | None:
+    async def _next(self) -> HttpRequest | None:
         """The next whole request; None when the client has ended or stays idle for too long."""
         ready = self._reader.ready
         while not ready:
@@ -229,7 +236,7 @@
             if self._reader.expects:  # such a sender would hold the body back, and its time would run out
                 self._reader.expects = False
                 await self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
-        self._known, self._stage = True, Stage.BUSY
+        self._known, self._stage = True, RequestStage.BUSY
         return ready.popleft()
 
     def _feed(self) -> None:
@@ -243,11 +250,11 @@
         One that has begun nothing is closed without a word, unless something comes at the last moment."""
         reader = self._reader
         if reader.begun:
-            self._stage, since_ns, most_s = Stage.SLOW, reader.begun_ns, REQUEST_S
+            self._stage, since_ns, most_s = RequestStage.SLOW, reader.begun_ns, REQUEST_S
         elif self._known:
-            self._stage, since_ns, most_s = Stage.IDLE, time.monotonic_ns(), IDLE_S
+            self._stage, since_ns, most_s = RequestStage.IDLE, time.monotonic_ns(), IDLE_S
         else:
-            self._stage, since_ns, most_s = Stage.YOUNG, self._accepted_ns, FIRST_S
+            self._stage, since_ns, most_s = RequestStage.YOUNG, self._accepted_ns, FIRST_S
         patience = max(0.0, most_s - (time.monotonic_ns() - since_ns) / 1e9)
         receiving = self._receiving()
         ends: set[asyncio.Future[None]] = set() if reader.begun else {self._over}
@@ -264,7 +271,7 @@
         """The one receive under way: it goes on while a job runs, to notice that its client has gone.
         Where more comes than is kept, the rest is dropped, and the connection ends after what is kept."""
         if self._filling is None:
-            self._overrun = self._overrun or not self._link.inbound.room()
+            self._overrun = self._overrun or not self._link.inbound.writable()
             receive = self._link.skip if self._overrun else self._link.fill
             self._filling = asyncio.create_task(receive())
         return self._filling
@@ -286,16 +293,16 @@
         """Whether the client can be seen to have left; asked right before its job's first byte goes out."""
         return self._gone or self._link.ended()
 
-    async def _serve(self, request: Request) -> bool:
+    async def _serve(self, request: HttpRequest) -> bool:
         """Answer one request; whether the connection goes on."""
         keep = request.keep_alive
         if request.target == "/-/ready" and request.method == "GET":
             status = 200 if self._front.ready else 503
             await self._send(answer_head(status, 0, close=not keep))
             return keep
-        answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        answered: asyncio.Future[JobAnswerBody] = asyncio.get_running_loop().create_future()
 
-        def answer_to(answer: Answer) -> None:
+        def answer_to(answer: JobAnswerBody) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
@@ -316,7 +323,7 @@
         finally:
             self._front.figures.in_flight -= 1
 
-    async def _run(self, job: Job, answered: asyncio.Future[Answer]) -> Answer | None:
+    async def _run(self, job: ClientJob, answered: asyncio.Future[JobAnswerBody]) -> JobAnswerBody | None:
         """Hand the desk a job; its answer, or None when its client goes first."""
         kept = self._front.copied(job)  # such a job may come again, and is known by its id
         if not kept and not self._front.ids.claim(job.job_id):
@@ -331,7 +338,7 @@
             if not answered.done():  # its client has gone, or its next bytes show that it was no job
                 self._front.post(ClientLeft(job))
 
-    async def _wait(self, answered: asyncio.Future[Answer]) -> Answer | None:
+    async def _wait(self, answered: asyncio.Future[JobAnswerBody]) -> JobAnswerBody | None:
         """The job's answer, or None when its client goes first.
 
         What comes meanwhile is received at once, however much it is: behind it stands the client's end.
@@ -349,7 +356,7 @@
 
     async def _complain(self, bad: BadInput) -> None:
         """Say what is wrong and end the connection so that it is read: its next bytes cannot be trusted."""
-        self._stage = Stage.LEAVING
+        self._stage = RequestStage.LEAVING
         text = f"{bad.why}\n".encode()
         allow = "Allow: POST\r\n" if bad.status == 405 else ""
         await self._send(
@@ -370,22 +377,22 @@
         classes: Mapping[str, JobClass],
         most: int,
         ids: JobIds,
-        post: Callable[[DeskEvent], None],
-        log: Log,
+        post: Callable[[DispatchEvent], None],
+        log: LogWriter,
         ring: int = MOST_BYTES,
-        figures: Figures | None = None,
+        figures: SchedulerMetrics | None = None,
     ) -> None:
         """The listener is bound; clients can connect once it listens."""
-        self.figures = figures or Figures(classes)
+        self.figures = figures or SchedulerMetrics(classes)
         self.replaced = asyncio.Event()  # while another process of this scheduler serves
         self._listener, self._most, self.ids, self._ring = listener, most, ids, ring
         self.classes, self.post, self.log = classes, post, log
-        self.copied: Callable[[Job], bool] = lambda job: False  # whether others hold it as well
+        self.copied: Callable[[ClientJob], bool] = lambda job: False  # whether others hold it as well
         self.accepts = True  # whether `accept` goes on
         self.closing = False  # whether connections end after the answer that is due on them
         self.last_answer_ns: int | None = None  # once a stop is asked for: by when what is taken is answered
         self.drain_times, self.linger_s = DrainTimes.of(classes.values()), LINGER_S
-        self._sessions: dict[ClientSession, None] = {}  # the longest idle first
+        self._sessions: dict[HttpClientSession, None] = {}  # the longest idle first
 
     @property
     def ready(self) -> bool:
@@ -400,7 +407,7 @@
     def limit(self, most: int) -> None:
         """Hold no more connections than so many from now on, as far as some can be spared."""
         self._most = most
-        while len(self._sessions) > most and self._make_room():
+        while len(self._sessions) > most and self._free_connection():
             pass
 
     def listen(self) -> None:
@@ -415,7 +422,7 @@
                 sock, _ = await loop.sock_accept(self._listener)
             except OSError as wrong:  # out of descriptors: those in use will come free
                 self.log.error("accept-failed", str(wrong))
-                self._make_room()
+                self._free_connection()
                 await asyncio.sleep(0.05)
                 continue
             self._admit(sock)
@@ -436,36 +443,36 @@
 
     def _admit(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        if len(self._sessions) >= self._most and not self._make_room():
+        if len(self._sessions) >= self._most and not self._free_connection():
             self.log.warning("clients-full", "no connection to spare for a client", most=self._most)
             sock.close()
             return
-        session = ClientSession(self, Link(sock, self._ring))
+        session = HttpClientSession(self, Link(sock, self._ring))
         self._sessions[session] = None
         session.task = asyncio.create_task(session.run())
 
-    def _make_room(self) -> bool:
+    def _free_connection(self) -> bool:
         """Close the connection that can best be spared, of several the longest idle; whether there was one.
 
         Hundreds that say nothing must not shut out those who have a job: a young one gives way only when
         nothing else does, since its first request may be on its way."""
-        least, spared = Stage.BUSY, None
+        least, spared = RequestStage.BUSY, None
         for session in self._sessions:
             if (stage := session.stage()) < least:
                 least, spared = stage, session
-                if stage <= Stage.SILENT:
+                if stage <= RequestStage.SILENT:
                     break
         if spared is None or not spared.evict(least):
             return False
         self.ended(spared)
         return True
 
-    def used(self, session: ClientSession) -> None:
+    def used(self, session: HttpClientSession) -> None:
         """A session did some work, so it is the last to make room."""
         if self._sessions.pop(session, 0) is None:
             self._sessions[session] = None
 
-    def ended(self, session: ClientSession) -> None:
+    def ended(self, session: HttpClientSession) -> None:
         """A session is over."""
         self._sessions.pop(session, None)
 
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -12,10 +12,10 @@
 
 from hollowusher.balancing.interface import Limits, ListCalls, ListKind, Rules
 from hollowusher.scheduler.component import Plain
-from hollowusher.scheduler.dispatch.model import DeskEvent, NodeListTold
-from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.dispatch.model import DispatchEvent, NodeListReceived
+from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
 from hollowusher.scheduler.rules.node_list import AskAgain, ListLines, ListRead, one_front, read_list
 
@@ -34,10 +34,10 @@
     def __init__(
         self,
         address: tuple[str, int],
-        roster: Roster,
-        post: Callable[[DeskEvent], None],
+        registry: WorkerRegistry,
+        post: Callable[[DispatchEvent], None],
         changed: Callable[[RouteNode], None],
-        log: Log,
+        log: LogWriter,
         front: Callable[[str, str], str] = one_front,
         again: AskAgain | None = None,
         known: Mapping[str, Any] | None = None,
@@ -46,7 +46,7 @@
     ) -> None:
         """With `again` the list is pushed: the address is an agent of our own machine, which this watch asks
         by itself; without, the desk says when the one service of all schedulers is asked."""
-        self._address, self._roster, self._post, self._log = address, roster, post, log
+        self._address, self._registry, self._post, self._log = address, registry, post, log
         self._changed, self._front = changed, front
         self._again, self._known = again, known or {}
         self._call_s, self._spread_s, self._chance = calls.timeout_ns / 1e9, calls.spread_ns / 1e9, chance
@@ -54,14 +54,14 @@
         self._version = 0
         self._opening: asyncio.Task[None] | None = None
         self._standing: asyncio.Task[None] | None = None
-        self._handed: tuple[int, list[RouteNode]] | None = None
+        self._delivered: tuple[int, list[RouteNode]] | None = None
         self.heard = asyncio.Event()  # whether the service has told something
 
     async def start(self) -> None:
         """Begin with the list as it was last held; it may be old."""
-        if self._handed is not None:
-            self._version, nodes = self._handed
-            self._post(self._roster.told(ListKind.CACHED, nodes))
+        if self._delivered is not None:
+            self._version, nodes = self._delivered
+            self._post(self._registry.reported(ListKind.CACHED, nodes))
         else:
             self._begin_with_known()
         if self._again is not None:
@@ -69,7 +69,7 @@
 
     def hand(self, version: int, nodes: list[RouteNode]) -> None:
         """Begin with a list that another process of this scheduler held a moment ago."""
-        self._handed = (version, nodes)
+        self._delivered = (version, nodes)
 
     @property
     def version(self) -> int:
@@ -83,10 +83,10 @@
             self._log.warning("list-unreadable", str(wrong))
             read = ListRead(0, True)
         self._version = read.version
-        self._post(self._roster.told(ListKind.CACHED, read.nodes))
+        self._post(self._registry.reported(ListKind.CACHED, read.nodes))
 
-    def _read(self, told: object) -> ListRead:
-        read = read_list(told, self._roster, time.monotonic_ns(), time.time() * 1000, self._front)
+    def _read(self, reported: object) -> ListRead:
+        read = read_list(reported, self._registry, time.monotonic_ns(), time.time() * 1000, self._front)
         if read.faults:
             self._log.warning("list-odd", "; ".join(read.faults[:3]), faults=len(read.faults))
         return read
@@ -153,7 +153,7 @@
                         self._line(lines, reader.lines.popleft(), address)
                         self._stands()
                         patience_s = SILENT_S
-                    if reader.whole:
+                    if reader.complete:
                         kind = ListKind.FAILED
                         break
                     async with asyncio.timeout(patience_s):
@@ -194,23 +194,23 @@
         self._log.warning("list-broken", "the watch on the node list broke", why=why, service=where)
         if self._again is not None:
             self._timer = asyncio.get_running_loop().call_later(self._again.wait_s(), self.ask)
-        self._post(NodeListTold(kind))
+        self._post(NodeListReceived(kind))
 
     def _line(self, lines: ListLines, line: bytes, address: tuple[str, int]) -> None:
-        told = lines.feed(line)
+        reported = lines.feed(line)
         if not line.strip():
             if address == self._address:  # nothing has changed: what is held is good until now
                 self.heard.set()
-                self._post(NodeListTold(ListKind.CHANGES))
+                self._post(NodeListReceived(ListKind.CHANGES))
             return
-        for each in told:
+        for each in reported:
             if each is None:
                 self._log.warning("list-odd", "a list that stops short; the one after it counts")
             else:
                 self._list(each, address)
 
-    def _list(self, told: object, address: tuple[str, int]) -> None:
-        read = self._read(told)
+    def _list(self, reported: object, address: tuple[str, int]) -> None:
+        read = self._read(reported)
         if address == self._address:
             if read.outdated(self._version):
                 self._log.warning("list-odd", "an older version than is held", version=read.version)
@@ -219,8 +219,8 @@
             self.heard.set()
         if read.full and not read.nodes:
             self._log.warning("list-odd", "the whole list names no node")
-        for node in [*read.nodes, *(self._roster.missing(read.nodes) if read.full else ())]:
+        for node in [*read.nodes, *(self._registry.missing(read.nodes) if read.full else ())]:
             self._changed(node)
-        news = self._roster.told(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
+        news = self._registry.reported(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
         # What the old address still tells is heeded, but is no watch on the new one: that is asked for on.
-        self._post(news if address == self._address else self._roster.held())
+        self._post(news if address == self._address else self._registry.held())
--- a/hollowusher/scheduler/fronts/platform/http.py
+++ b/hollowusher/scheduler/fronts/platform/http.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class HttpRequest:
     """One request that has come whole."""
 
     method: str
@@ -84,7 +84,7 @@
     """
 
     def __init__(self) -> None:
-        self.ready: deque[Request] = deque()
+        self.ready: deque[HttpRequest] = deque()
         self.begun = False  # whether a request has come in part
         self.expects = False  # whether its sender waits for leave to send the body
         self._parts = _Parts()
@@ -159,7 +159,7 @@
         """A request is whole."""
         parts, self._parts, self.begun, self.expects = self._parts, _Parts(), False, False
         self.ready.append(
-            Request(
+            HttpRequest(
                 self._parser.get_method().decode("latin-1"),
                 parts.target.decode("latin-1"),
                 parts.headers,
@@ -179,7 +179,7 @@
     def __init__(self, most_line: int, most_body: int | None = None) -> None:
         self.status = 0
         self.headers: dict[str, str] = {}
-        self.head_done = self.whole = False
+        self.head_done = self.complete = False
         self._kept_alive, self.spoilt = False, False  # spoilt: its connection is out of step for good
         self._body = LineSplitter()
         self.lines = self._body.lines
@@ -191,11 +191,11 @@
     @property
     def reusable(self) -> bool:
         """Whether its connection may carry another request."""
-        return self.whole and self._kept_alive and not self.spoilt
+        return self.complete and self._kept_alive and not self.spoilt
 
     def feed(self, data: memoryview) -> None:
         """Take bytes; ConnectionError where they cannot be an answer, or come after one that is whole."""
-        if self.whole:
+        if self.complete:
             self._wrong = "more than one answer"
         elif not self.head_done:
             self._head_bytes += len(data)
@@ -203,7 +203,7 @@
             if not self._wrong:
                 self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
-            if not self.whole:
+            if not self.complete:
                 self._wrong = self._wrong or f"not an HTTP answer: {wrong}"
             self.spoilt = True  # what follows a whole answer is of no use to anybody
         if not self.head_done and self._head_bytes > MOST_HEAD:
@@ -219,7 +219,7 @@
 
     def on_message_begin(self) -> None:
         """An answer begins; a second one shows that the connection is not in step."""
-        if self.whole:
+        if self.complete:
             self.spoilt = True
             raise ValueError  # which ends the parsing: nothing of it must be taken for the first one's
 
@@ -248,7 +248,7 @@
             self.head_done = False
             self.headers.clear()
             return
-        self.whole, self._kept_alive = True, self._parser.should_keep_alive()
+        self.complete, self._kept_alive = True, self._parser.should_keep_alive()
         self._body.finish()
 
 
--- a/hollowusher/scheduler/fronts/platform/http2.py
+++ b/hollowusher/scheduler/fronts/platform/http2.py
@@ -12,16 +12,16 @@
 from hpack import NeverIndexedHeaderTuple
 
 from hollowusher.balancing.interface import Outcome, Reading
-from hollowusher.scheduler.dispatch.model import AttemptEnded, DeskEvent, Dispatch, NodeProbed
-from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
-from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
-from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, LineSplitter, read_line, settled
+from hollowusher.scheduler.dispatch.model import AttemptEnded, Dispatch, DispatchEvent, NodeProbed
+from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
+from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, AttemptEnding, read_load
+from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, LineSplitter, ending_of_head, read_line
 from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
-from hollowusher.scheduler.log import Log
-from hollowusher.scheduler.net.http2.exchange import Exchange, Headers
-from hollowusher.scheduler.net.http2.streams import Carrier
+from hollowusher.scheduler.log import LogWriter
+from hollowusher.scheduler.net.http2.exchange import Headers, StreamExchange
+from hollowusher.scheduler.net.http2.streams import Http2Carrier
 from hollowusher.scheduler.rules.stream_ends import Cause
-from hollowusher.scheduler.rules.streams import Why
+from hollowusher.scheduler.rules.streams import RejectReason
 
 TRAILER_S = 0.02  # how long a result may be held for the load report that the head says will follow it
 # A job that is still waiting goes back this long before its time is over: while the desk has it as unsent, it
@@ -59,27 +59,27 @@
     """A job's answer from its stream."""
 
     def __init__(
-        self, order: Dispatch, meanings: Mapping[str, str], post: Callable[[DeskEvent], None]
+        self, order: Dispatch, meanings: Mapping[str, str], post: Callable[[DispatchEvent], None]
     ) -> None:
         self._order, self._meanings, self._post = order, meanings, post
         self._lines = LineSplitter()
         self._report_follows = False
-        self._ending: Ending | None = None  # that waits for its report
-        self.settle: Callable[[Ending], None] = lambda ending: None
+        self._ending: AttemptEnding | None = None  # that waits for its report
+        self.finish: Callable[[AttemptEnding], None] = lambda ending: None
 
     @property
     def held(self) -> int:
         """See `Answer`."""
         return len(self._lines.rest)
 
-    def head(self, headers: Headers) -> Ending | None:
+    def head(self, headers: Headers) -> AttemptEnding | None:
         """See `Answer`."""
         heads = _heads(headers)
         self._report_follows = "x-load-report" in heads.get("trailer", "").lower()
         status = heads.get(":status", "")
-        return settled(int(status) if status.isdigit() else 0, heads, self._meanings)
+        return ending_of_head(int(status) if status.isdigit() else 0, heads, self._meanings)
 
-    def piece(self, data: bytes) -> Ending | None:
+    def piece(self, data: bytes) -> AttemptEnding | None:
         """See `Answer`."""
         if self._ending is not None:
             return None
@@ -88,7 +88,7 @@
             raise ConnectionError("a line of the answer is too long")
         return self._read()
 
-    def end(self, trailers: Headers) -> Ending | None:
+    def end(self, trailers: Headers) -> AttemptEnding | None:
         """See `Answer`."""
         self._lines.finish()
         try:
@@ -100,13 +100,13 @@
             ending.reading = read_load(_heads(trailers).get("x-load-report"), self._meanings)
         return ending
 
-    def _read(self) -> Ending | None:
+    def _read(self) -> AttemptEnding | None:
         while self._lines.lines:
             line = self._lines.lines.popleft()
             ending = read_line(line, self._order, self._meanings, self._post)
             if ending is not None and ending.reading is None and self._report_follows:
                 self._ending = ending
-                asyncio.get_running_loop().call_later(TRAILER_S, self.settle, ending)
+                asyncio.get_running_loop().call_later(TRAILER_S, self.finish, ending)
                 return None
             if ending is not None:
                 return ending
@@ -149,14 +149,14 @@
 
     def __init__(
         self,
-        roster: Roster,
-        carrier: Carrier,
+        registry: WorkerRegistry,
+        carrier: Http2Carrier,
         http1: PlatformNodes,
         meanings: Mapping[str, str],
-        post: Callable[[DeskEvent], None],
-        log: Log,
+        post: Callable[[DispatchEvent], None],
+        log: LogWriter,
     ) -> None:
-        self._roster, self._carrier, self._http1 = roster, carrier, http1
+        self._registry, self._carrier, self._http1 = registry, carrier, http1
         self._meanings, self._post, self._log = meanings, post, log
 
     async def attempt(self, order: Dispatch, node: RouteNode) -> None:
@@ -169,12 +169,12 @@
         if not self._carrier.falls_back(attempt.node):
             ending = await self._stream(order, node)
             fallen = ending.outcome is Outcome.UNREACHABLE and self._carrier.falls_back(attempt.node)
-        if ending is None or (fallen and self._roster.serving(attempt.node)):
+        if ending is None or (fallen and self._registry.serving(attempt.node)):
             await self._http1.attempt(order, node)
         else:
             self._post(AttemptEnded(attempt, ending.outcome, ending.reading, ending.result))
 
-    async def _stream(self, order: Dispatch, node: RouteNode) -> Ending:
+    async def _stream(self, order: Dispatch, node: RouteNode) -> AttemptEnding:
         job, number = order.job, order.attempt.node
         until_ns = job.deadline_ns
         if order.timeout_ns > 0:
@@ -186,14 +186,14 @@
             return request_headers(job.job_id, job.subject, host, left_s, job.repeat_key)
 
         answer = JobAnswer(order, self._meanings, self._post)
-        exchange = Exchange[Ending](
+        exchange = StreamExchange[AttemptEnding](
             headers,
             job.body,
             answer,
             until_ns - LAST_MOMENT_NS,
-            lambda: self._roster.serving(number) and order.may_begin(time.monotonic_ns()),
+            lambda: self._registry.serving(number) and order.may_begin(time.monotonic_ns()),
         )
-        answer.settle = exchange.settle
+        answer.finish = exchange.finish
         streams = self._carrier.to(number, node.name, node.address)
         try:
             async with asyncio.timeout(max(0.0, (until_ns - time.monotonic_ns()) / 1e9)):
@@ -202,20 +202,20 @@
             how = streams.withdraw(exchange, Cause.TIMED_OUT)
         except asyncio.CancelledError:
             how = streams.withdraw(exchange, Cause.WITHDRAWN)
-        if isinstance(how, Ending):
+        if isinstance(how, AttemptEnding):
             return how
         if isinstance(how, Outcome):
-            return Ending(how)
-        if how in (Why.FULL, Why.WAITED):
+            return AttemptEnding(how)
+        if how in (RejectReason.FULL, RejectReason.WAITED):
             self._log.warning(
                 "h2-turned-back",
                 "a job went back unsent for want of a stream",
                 node=node.name,
                 why=how.value,
-                waiting=streams.book.waiting,
-                open=streams.book.open_streams,
+                waiting=streams.stream_table.waiting,
+                open=streams.stream_table.open_streams,
             )
-        return Ending(Outcome.UNREACHABLE if how is Why.UNREACHABLE else Outcome.NOT_SENT)
+        return AttemptEnding(Outcome.UNREACHABLE if how is RejectReason.UNREACHABLE else Outcome.NOT_SENT)
 
     async def probe(self, node: RouteNode) -> None:
         """Ask a node for its load."""
@@ -225,7 +225,7 @@
             return
         host = f"{node.address[0]}:{node.address[1]}".encode("latin-1")
         headers = [(b":method", b"GET"), (b":scheme", b"http"), (b":authority", host), (b":path", b"/-/load")]
-        exchange = Exchange[tuple[bool, Reading | None]](
+        exchange = StreamExchange[tuple[bool, Reading | None]](
             lambda: headers,
             b"",
             ProbeAnswer(self._meanings),
--- a/hollowusher/scheduler/fronts/platform/nodes.py
+++ b/hollowusher/scheduler/fronts/platform/nodes.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable, Mapping
 
 from hollowusher.balancing.interface import Outcome
-from hollowusher.scheduler.dispatch.metrics import Figures
-from hollowusher.scheduler.dispatch.model import AttemptEnded, DeskEvent, Dispatch, NodeProbed
-from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
-from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
-from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, read_line, settled
+from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
+from hollowusher.scheduler.dispatch.model import AttemptEnded, Dispatch, DispatchEvent, NodeProbed
+from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
+from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, AttemptEnding, read_load
+from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, ending_of_head, read_line
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link
-from hollowusher.scheduler.net.pool import NoRoom, Pool
+from hollowusher.scheduler.net.pool import Pool, PoolFull
 
 TAIL_TIMEOUT_S = 1.0  # how long the end of an answer may take before its connection is given up
 TAIL_BYTES = 4 * 1024  # and how much it may be: a last chunk, perhaps with trailers
@@ -37,15 +37,21 @@
 
     def __init__(
         self,
-        roster: Roster,
+        registry: WorkerRegistry,
         pool: Pool,
         meanings: Mapping[str, str],
-        post: Callable[[DeskEvent], None],
-        log: Log,
-        figures: Figures | None = None,
+        post: Callable[[DispatchEvent], None],
+        log: LogWriter,
+        figures: SchedulerMetrics | None = None,
     ) -> None:
-        self._roster, self._pool, self._meanings, self._post, self._log = roster, pool, meanings, post, log
-        self._figures = figures or Figures()
+        self._registry, self._pool, self._meanings, self._post, self._log = (
+            registry,
+            pool,
+            meanings,
+            post,
+            log,
+        )
+        self._figures = figures or SchedulerMetrics()
 
     def follow(self, meanings: Mapping[str, str]) -> None:
         """Load reports mean this from now on."""
@@ -55,7 +61,7 @@
         """One attempt from its connection to its ending, which the desk is told in every case."""
         attempt, begun = order.attempt, False
         link: Link | None = None
-        ending = Ending(Outcome.RESET)
+        ending = AttemptEnding(Outcome.RESET)
         reader = AnswerReader(MOST_LINE, MOST_BODY)
         left_ns = order.job.deadline_ns - time.monotonic_ns()
         if order.timeout_ns > 0:
@@ -64,32 +70,34 @@
             async with asyncio.timeout(max(0.0, left_ns / 1e9)):
                 try:
                     link = await self._pool.take(attempt.node, node.address)
-                except NoRoom as wrong:
-                    ending = Ending(Outcome.NOT_SENT)  # for want of a socket here: the node is not to blame
+                except PoolFull as wrong:
+                    ending = AttemptEnding(
+                        Outcome.NOT_SENT
+                    )  # for want of a socket here: the node is not to blame
                     self._log.warning("no-socket", str(wrong), held=self._pool.held)
                     return
                 except OSError as wrong:
                     self._pool.forget(attempt.node)  # its idle connections lead nowhere either
                     self._log.info("node-unreachable", str(wrong), node=node.name)
-                    ending = Ending(Outcome.UNREACHABLE)
+                    ending = AttemptEnding(Outcome.UNREACHABLE)
                     return
                 # While the connection came up the list may have told of a drain, the client have left, or
                 # the window of a repeat have run out: nothing new goes there then.
-                if not (self._roster.serving(attempt.node) and order.may_begin(time.monotonic_ns())):
-                    ending = Ending(Outcome.NOT_SENT)
+                if not (self._registry.serving(attempt.node) and order.may_begin(time.monotonic_ns())):
+                    ending = AttemptEnding(Outcome.NOT_SENT)
                     self._keep(attempt.node, link)
                     link = None
                     return
                 begun = True
                 if (broken := await self._write(link, order, node)) is not None:
-                    ending = Ending(broken)
+                    ending = AttemptEnding(broken)
                     return
                 ending = await self._read(link, reader, order)
         except TimeoutError:
-            ending = Ending(Outcome.TIMEOUT if begun else Outcome.UNREACHABLE)
+            ending = AttemptEnding(Outcome.TIMEOUT if begun else Outcome.UNREACHABLE)
         except asyncio.CancelledError:
             # A write that is cut short may have written its last byte all the same.
-            ending = Ending(Outcome.NOT_SENT if link is None else Outcome.CANCELLED)
+            ending = AttemptEnding(Outcome.NOT_SENT if link is None else Outcome.CANCELLED)
         finally:
             self._post(AttemptEnded(attempt, ending.outcome, ending.reading, ending.result))
             if link is not None:
@@ -107,7 +115,7 @@
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 link = await self._pool.take(number, node.address)
                 await link.send(f"GET /-/load HTTP/1.1\r\nHost: {node.address[0]}\r\n\r\n".encode())
-                while not reader.whole:
+                while not reader.complete:
                     await link.pass_on(reader.feed)
             ok = reader.status == 200
             reading = read_load(b"".join(reader.lines).decode("utf-8", "replace"), self._meanings)
@@ -146,31 +154,31 @@
         self._figures.written(job.job_class)
         return None
 
-    async def _read(self, link: Link, reader: AnswerReader, order: Dispatch) -> Ending:
+    async def _read(self, link: Link, reader: AnswerReader, order: Dispatch) -> AttemptEnding:
         """Read the answer up to the line that ends the attempt; a break before it is a reset."""
         try:
             while True:
                 await link.pass_on(reader.feed)
                 if reader.head_done:
-                    ending = settled(reader.status, reader.headers, self._meanings)
+                    ending = ending_of_head(reader.status, reader.headers, self._meanings)
                     if ending is not None:
                         return ending
                 while reader.lines:
                     ending = read_line(reader.lines.popleft(), order, self._meanings, self._post)
                     if ending is not None:
                         return ending
-                if reader.whole:
+                if reader.complete:
                     raise ConnectionError("an answer that says nothing")
         except ConnectionError:
             reader.spoilt = True  # what it says next could be about anything
-            return Ending(Outcome.RESET)
+            return AttemptEnding(Outcome.RESET)
 
     async def _finish(self, node: int, link: Link, reader: AnswerReader) -> None:
         """Read the end of an answer whose attempt is over, so that its connection can be used again."""
         reader.end_within(TAIL_BYTES)
         try:
             async with asyncio.timeout(TAIL_TIMEOUT_S):
-                while reader.head_done and not reader.whole:
+                while reader.head_done and not reader.complete:
                     await link.pass_on(reader.feed)
         except (OSError, asyncio.CancelledError):
             pass  # the connection is dropped below
@@ -181,7 +189,7 @@
 
     def _keep(self, node: int, link: Link) -> None:
         """Back to the pool, unless the node is on its way out."""
-        if self._roster.serving(node):
+        if self._registry.serving(node):
             self._pool.give_back(node, link)
         else:
             self._pool.drop(link)
--- a/hollowusher/scheduler/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -17,7 +17,14 @@
 from functools import partial
 
 from hollowusher.balancing.interface import Effect, JobClass
-from hollowusher.scheduler.dispatch.model import Answer, ClientLeft, DeskEvent, Job, JobTaken, Verdict
+from hollowusher.scheduler.dispatch.model import (
+    ClientJob,
+    ClientLeft,
+    DispatchEvent,
+    JobAnswerBody,
+    JobTaken,
+    Verdict,
+)
 from hollowusher.scheduler.fronts.common import (
     FIRST_S,
     REQUEST_S,
@@ -27,10 +34,10 @@
     read_budget_ns,
 )
 from hollowusher.scheduler.fronts.stomp.frames import FROM_CLIENT, Frame, FrameError
-from hollowusher.scheduler.fronts.stomp.job_table import Entry, Finding, Ledger, fingerprint
+from hollowusher.scheduler.fronts.stomp.job_table import JobTable, JobTableEntry, ResendState, fingerprint
 from hollowusher.scheduler.fronts.stomp.settings import StompConfig
-from hollowusher.scheduler.fronts.stomp.wire import StompLink, read_beat
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.fronts.stomp.wire import StompLink, read_heartbeat
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link
 
 JOBS, ANSWERS = "/queue/jobs", "/queue/answers"
@@ -50,7 +57,7 @@
 class Waiter:
     """One taken frame that is owed an answer."""
 
-    session: ClientSession
+    session: StompClientSession
     job_id: str
     receipt: str
 
@@ -62,7 +69,7 @@
     return value
 
 
-class ClientSession:
+class StompClientSession:
     """One connection of a client."""
 
     def __init__(self, front: StompClients, wire: StompLink) -> None:
@@ -71,11 +78,11 @@
         self.open_jobs = 0
         self._held = self._connected = False
         self._accepted_ns = time.monotonic_ns()
-        self.waiting: dict[Waiter, Entry] = {}
-        self._room = asyncio.Event()
-        self._room.set()
+        self.waiting: dict[Waiter, JobTableEntry] = {}
+        self._has_capacity = asyncio.Event()
+        self._has_capacity.set()
         self._subscriptions: dict[str, str] = {}  # id: ack mode
-        self._unsent: deque[tuple[Waiter, Answer]] = deque()
+        self._unsent: deque[tuple[Waiter, JobAnswerBody]] = deque()
         self._to_ack: dict[str, str] = {}  # ack id: subscription
         self.task: asyncio.Task[None] | None = None
 
@@ -88,10 +95,10 @@
                 await self._connect()
             going = True
             while going:
-                await self._wait_for_room()
+                await self._wait_for_capacity()
                 frame = await self._wire.receive()
                 if self._held:  # not taken: no receipt goes out for it
-                    await self._wait_for_room()
+                    await self._wait_for_capacity()
                 going = self._take(frame)
         except FrameError as bad:
             self._complain(bad)
@@ -111,15 +118,15 @@
                 await self._wire.linger(LINGER_S)
             self._wire.close()
 
-    async def _wait_for_room(self) -> None:
+    async def _wait_for_capacity(self) -> None:
         """While frames wait unread, the end of their client stands behind them: it is looked for.  OSError
         where it has come."""
-        while self._held or not self._room.is_set():
+        while self._held or not self._has_capacity.is_set():
             if self._wire.left():
                 raise ConnectionResetError("the client has left")
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LOOK_S):
-                    await (asyncio.Event() if self._held else self._room).wait()
+                    await (asyncio.Event() if self._held else self._has_capacity).wait()
 
     def _writer_broke(self, _: asyncio.Task[None]) -> None:
         if self.task is not None:
@@ -142,7 +149,7 @@
         if self.task is not None:
             self.task.cancel()
 
-    def answer(self, waiter: Waiter, answer: Answer) -> None:
+    def answer(self, waiter: Waiter, answer: JobAnswerBody) -> None:
         """Give one frame its answer."""
         self.waiting.pop(waiter, None)
         if not self._subscriptions:
@@ -176,9 +183,9 @@
         """Jobs in flight: when there are too many, the client's next frames wait unread."""
         self.open_jobs += change
         if self.open_jobs < MOST_OPEN:
-            self._room.set()
+            self._has_capacity.set()
         else:
-            self._room.clear()
+            self._has_capacity.clear()
 
     def _complain(self, bad: FrameError) -> None:
         self._front.log.info("bad-frame", bad.why, client=self.identity)
@@ -196,7 +203,7 @@
             raise ConnectionAbortedError
         frame.need("host")
         self.identity = _printable(frame, "login", frame.need("login"))
-        theirs, ours = read_beat(frame), self._front.config.heart_beat_ms
+        theirs, ours = read_heartbeat(frame), self._front.config.heart_beat_ms
         self._wire.put(
             Frame(
                 "CONNECTED",
@@ -265,7 +272,7 @@
         if not repeat_key and self._front.classes[name].effect is Effect.KEYED:
             raise FrameError("this job-class needs a repeat-key", receipt)
         now = time.monotonic_ns()
-        job = Job(
+        job = ClientJob(
             job_id,
             name,
             subject,
@@ -296,21 +303,21 @@
         config: StompConfig,
         max_wait_ns: int,
         ids: JobIds,
-        post: Callable[[DeskEvent], None],
-        log: Log,
+        post: Callable[[DispatchEvent], None],
+        log: LogWriter,
     ) -> None:
         self._listener, self.classes, self.config = listener, classes, config
         self._full_wait_ns = min(FULL_WAIT_NS, max_wait_ns)
         self._ids, self._post, self.log = ids, post, log
-        self.ledger = Ledger(
+        self.job_table = JobTable(
             config.ledger_jobs,
             config.ledger_bytes,
             round(config.unsafe_window_s * 1e9),
             round(config.keep_s * 1e9),
         )
-        self._sessions: dict[ClientSession, None] = {}  # the oldest first
+        self._sessions: dict[StompClientSession, None] = {}  # the oldest first
         self._numbers = itertools.count(1)
-        self._open: set[Entry] = set()
+        self._open: set[JobTableEntry] = set()
         self._none_open = asyncio.Event()
         self._none_open.set()
 
@@ -326,57 +333,59 @@
                 sock, _ = await loop.sock_accept(self._listener)
             except OSError as wrong:  # out of descriptors
                 self.log.error("accept-failed", str(wrong))
-                self._make_room()
+                self._free_connection()
                 await asyncio.sleep(0.05)
                 continue
             sock.setblocking(False)
-            if len(self._sessions) >= self.config.most_clients and not self._make_room():
+            if len(self._sessions) >= self.config.most_clients and not self._free_connection():
                 self.log.warning("clients-full", "no connection to spare for a client")
                 sock.close()
                 continue
-            session = ClientSession(self, StompLink(Link(sock), FROM_CLIENT, REQUEST_S))
+            session = StompClientSession(self, StompLink(Link(sock), FROM_CLIENT, REQUEST_S))
             self._sessions[session] = None
             session.task = asyncio.create_task(session.run())
             session.task.add_done_callback(partial(self._over, session))
 
-    def _make_room(self) -> bool:
+    def _free_connection(self) -> bool:
         """Those that connect and say nothing must not shut out the clients that have jobs."""
         silent = next((s for s in self._sessions if s.evict()), None)
         if silent is not None:
             self._over(silent)
         return silent is not None
 
-    def _over(self, session: ClientSession, _: asyncio.Task[None] | None = None) -> None:
+    def _over(self, session: StompClientSession, _: asyncio.Task[None] | None = None) -> None:
         self._sessions.pop(session, None)
 
-    def take(self, waiter: Waiter, job: Job, resend: bool, taken: Callable[[], None] | None) -> None:
+    def take(self, waiter: Waiter, job: ClientJob, resend: bool, taken: Callable[[], None] | None) -> None:
         """Look a sent job up in the ledger and see that its frame gets one answer."""
         effect = self.classes[job.job_class].effect
         mark = fingerprint(job.job_class, job.subject, job.repeat_key, job.body)
         key = (waiter.session.identity, job.job_id)
-        finding, entry = self.ledger.find(key, mark, effect, len(job.body), resend, job.taken_ns)
-        if finding is Finding.CONFLICT:
+        finding, entry = self.job_table.find(key, mark, effect, len(job.body), resend, job.taken_ns)
+        if finding is ResendState.CONFLICT:
             raise FrameError("this job-id belongs to another job", waiter.receipt)
-        if finding is Finding.NEW and not self._ids.claim(job.job_id, again=True):
-            self.ledger.forget(key)
+        if finding is ResendState.NEW and not self._ids.claim(job.job_id, again=True):
+            self.job_table.forget(key)
             raise FrameError("another client has this job-id open", waiter.receipt)
         if taken is not None:
             taken()
         if entry is None:
-            self.log.warning("ledger-full", "a job was refused", jobs=len(self.ledger))
-            waiter.session.answer(waiter, Answer(Verdict.REFUSED, wait_ns=self._full_wait_ns))
+            self.log.warning("ledger-full", "a job was refused", jobs=len(self.job_table))
+            waiter.session.answer(waiter, JobAnswerBody(Verdict.REFUSED, wait_ns=self._full_wait_ns))
             return
-        if finding is Finding.KEPT and entry.answer is not None:
+        if finding is ResendState.KEPT and entry.answer is not None:
             waiter.session.answer(waiter, entry.answer)
             return
         entry.waiters.append(waiter)
         waiter.session.waiting[waiter] = entry
         waiter.session.counted(1)
-        if finding is Finding.JOINED:
+        if finding is ResendState.JOINED:
             return
-        if finding is Finding.UNKNOWN:  # after a restart nobody knows whether it ran: it must not run again
+        if (
+            finding is ResendState.UNKNOWN
+        ):  # after a restart nobody knows whether it ran: it must not run again
             self.log.notice("resend-unknown", "a resent job is not in the ledger", job=job.job_id)
-            self._answered(entry, Answer(Verdict.FAILED))
+            self._answered(entry, JobAnswerBody(Verdict.FAILED))
             return
         job.answer_to = partial(self._answered, entry)
         job.gone = lambda: not entry.waiters
@@ -385,7 +394,7 @@
         self._none_open.clear()
         self._post(JobTaken(job))
 
-    def gone(self, session: ClientSession) -> None:
+    def gone(self, session: StompClientSession) -> None:
         """A session ended.  Nothing new begins for it.  A job that must not run twice and is out runs on, and
         its answer waits for the resend."""
         for waiter, entry in session.waiting.items():
@@ -395,19 +404,19 @@
             kept = entry.effect is not Effect.SAFE
             self._post(ClientLeft(entry.job, kept))
             if not kept:
-                self.ledger.remove(entry)
+                self.job_table.remove(entry)
                 self._closed(entry)
         session.waiting.clear()
 
-    def _answered(self, entry: Entry, answer: Answer) -> None:
-        self.ledger.answered(entry, answer, time.monotonic_ns())
+    def _answered(self, entry: JobTableEntry, answer: JobAnswerBody) -> None:
+        self.job_table.answered(entry, answer, time.monotonic_ns())
         waiters, entry.waiters = entry.waiters, []
         for waiter in waiters:
             waiter.session.counted(-1)
             waiter.session.answer(waiter, answer)
         self._closed(entry)
 
-    def _closed(self, entry: Entry) -> None:
+    def _closed(self, entry: JobTableEntry) -> None:
         if entry in self._open:
             self._ids.free(entry.key[1])
         self._open.discard(entry)
--- a/hollowusher/scheduler/fronts/stomp/front.py
+++ b/hollowusher/scheduler/fronts/stomp/front.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Mapping
 
 from hollowusher.balancing.interface import JobClass, Listed
-from hollowusher.scheduler.config import Config
-from hollowusher.scheduler.dispatch.model import DeskEvent
-from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
-from hollowusher.scheduler.effects import Floor
+from hollowusher.scheduler.config import SchedulerConfig
+from hollowusher.scheduler.dispatch.model import DispatchEvent
+from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
+from hollowusher.scheduler.effects import EffectExecutor
 from hollowusher.scheduler.fronts.common import JobIds
 from hollowusher.scheduler.fronts.stomp.clients import StompClients
 from hollowusher.scheduler.fronts.stomp.nodes import StompNodes
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import listen
 
 
@@ -24,23 +24,23 @@
 
     def __init__(
         self,
-        config: Config,
-        roster: Roster,
-        floor: Floor,
+        config: SchedulerConfig,
+        registry: WorkerRegistry,
+        executor: EffectExecutor,
         ids: JobIds,
-        post: Callable[[DeskEvent], None],
-        log: Log,
+        post: Callable[[DispatchEvent], None],
+        log: LogWriter,
     ) -> None:
         stomp = config.stomp
         self._listed = []
         for n in stomp.nodes:
-            entry = Listed(roster.number(n.name), n.zone, n.kind, n.cell, size=n.size)
+            entry = Listed(registry.number(n.name), n.zone, n.kind, n.cell, size=n.size)
             self._listed.append(RouteNode(n.name, n.address, entry, front="stomp"))
-            roster.fix(self._listed[-1])
+            registry.fix(self._listed[-1])
         self.nodes = StompNodes(
-            roster, config.meanings, post, log, config.name, stomp.heart_beat_ms, config.connect_timeout_s
+            registry, config.meanings, post, log, config.name, stomp.heart_beat_ms, config.connect_timeout_s
         )
-        floor.nodes["stomp"] = self.nodes
+        executor.nodes["stomp"] = self.nodes
         classes = {c.name: c for c in config.settings.classes}
         limits = config.settings.limits
         max_wait_ns = limits.max_retry_after_ns if limits.retry_after else 0
--- a/hollowusher/scheduler/fronts/stomp/job_table.py
+++ b/hollowusher/scheduler/fronts/stomp/job_table.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from hollowusher.balancing.interface import Effect
-from hollowusher.scheduler.dispatch.model import Answer, Job, Verdict
+from hollowusher.scheduler.dispatch.model import ClientJob, JobAnswerBody, Verdict
 
 ENTRY_BYTES = 768  # what an entry takes besides its texts and its answer
 
 
-class Finding(Enum):
+class ResendState(Enum):
     """What the ledger says of a job that is sent."""
 
     NEW = "new"
@@ -30,15 +30,15 @@
 
 
 @dataclass(eq=False, slots=True)
-class Entry:
+class JobTableEntry:
     """One job of one client."""
 
     key: tuple[str, str]
     fingerprint: bytes
     effect: Effect
     body_bytes: int  # what the job itself takes while it is open
-    job: Job | None = None
-    answer: Answer | None = None
+    job: ClientJob | None = None
+    answer: JobAnswerBody | None = None
     ended_ns: int = 0
     waiters: list[Any] = field(default_factory=list)  # the frames that are owed this answer
 
@@ -57,14 +57,14 @@
     return digest.digest()
 
 
-class Ledger:
+class JobTable:
     """Entries, bounded in count and bytes."""
 
     def __init__(self, most_jobs: int, most_bytes: int, unsafe_window_ns: int, keep_ns: int) -> None:
         self._most_jobs, self._most_bytes = most_jobs, most_bytes
         self._windows = {Effect.UNSAFE: unsafe_window_ns, Effect.KEYED: keep_ns, Effect.SAFE: keep_ns}
-        self._entries: dict[tuple[str, str], Entry] = {}
-        self._ended: dict[Effect, deque[Entry]] = {effect: deque() for effect in Effect}
+        self._entries: dict[tuple[str, str], JobTableEntry] = {}
+        self._ended: dict[Effect, deque[JobTableEntry]] = {effect: deque() for effect in Effect}
         self.bytes = 0
 
     def __len__(self) -> int:
@@ -72,26 +72,26 @@
 
     def find(
         self, key: tuple[str, str], mark: bytes, effect: Effect, body_bytes: int, resend: bool, now: int
-    ) -> tuple[Finding, Entry | None]:
+    ) -> tuple[ResendState, JobTableEntry | None]:
         """Look a job up, and enter it where it is new."""
         self._expire(now)
         entry = self._entries.get(key)
         if entry is not None and entry.fingerprint != mark:
-            return Finding.CONFLICT, entry
+            return ResendState.CONFLICT, entry
         if entry is not None and entry.answer is None:
-            return Finding.JOINED, entry
+            return ResendState.JOINED, entry
         if entry is not None and entry.answer is not None:
             if resend or entry.answer.verdict is not Verdict.REFUSED:
-                return Finding.KEPT, entry
+                return ResendState.KEPT, entry
             # It was refused, so it never ran: asked anew, it is a new job.
             self.remove(entry)
-        if not self._make_room():
-            return Finding.FULL, None
-        entry = self._entries[key] = Entry(key, mark, effect, body_bytes)
+        if not self._forget_answered():
+            return ResendState.FULL, None
+        entry = self._entries[key] = JobTableEntry(key, mark, effect, body_bytes)
         self.bytes += entry.weight
-        return (Finding.UNKNOWN if resend and effect is Effect.UNSAFE else Finding.NEW), entry
+        return (ResendState.UNKNOWN if resend and effect is Effect.UNSAFE else ResendState.NEW), entry
 
-    def answered(self, entry: Entry, answer: Answer, now: int) -> None:
+    def answered(self, entry: JobTableEntry, answer: JobAnswerBody, now: int) -> None:
         """The job has its final answer, which is kept from now on for the window of its class."""
         if self._entries.get(entry.key) is not entry:
             return  # its client had gone, and it was forgotten before this answer
@@ -100,7 +100,7 @@
         self.bytes += entry.weight
         self._ended[entry.effect].append(entry)
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: JobTableEntry) -> None:
         """Forget an entry."""
         if self._entries.get(entry.key) is entry:
             del self._entries[entry.key]
@@ -115,7 +115,7 @@
             while ended and now - ended[0].ended_ns >= self._windows[effect]:
                 self.remove(ended.popleft())
 
-    def _make_room(self) -> bool:
+    def _forget_answered(self) -> bool:
         """Room for one more entry, if need be at the cost of answers to jobs that are safe to repeat."""
         safe = self._ended[Effect.SAFE]
         while self._full() and safe:
--- a/hollowusher/scheduler/fronts/stomp/nodes.py
+++ b/hollowusher/scheduler/fronts/stomp/nodes.py
@@ -19,15 +19,15 @@
     AttemptEnded,
     AttemptProgress,
     AttemptStarted,
-    DeskEvent,
     Dispatch,
+    DispatchEvent,
     NodeProbed,
 )
-from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
-from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
+from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
+from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, AttemptEnding, read_load
 from hollowusher.scheduler.fronts.stomp.frames import FROM_SERVER, Frame, FrameError
-from hollowusher.scheduler.fronts.stomp.wire import Fate, Outgoing, StompLink, read_beat
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.fronts.stomp.wire import Fate, OutgoingFrame, StompLink, read_heartbeat
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import connect
 
 NODE_JOBS, NODE_WITHDRAWN, NODE_LOAD = "/queue/jobs", "/queue/withdrawn", "/queue/load"
@@ -42,11 +42,11 @@
     """An attempt at a node and where it stands."""
 
     order: Dispatch
-    ending: asyncio.Future[Ending]
+    ending: asyncio.Future[AttemptEnding]
     written: bool = False
     withdrawn: bool = False
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: AttemptEnding) -> None:
         """The first ending counts."""
         if not self.ending.done():
             self.ending.set_result(ending)
@@ -56,7 +56,7 @@
         if fate is Fate.WRITTEN:
             self.written = True
         else:
-            self.end(Ending(Outcome.NOT_SENT if fate is Fate.WITHHELD else Outcome.UNREACHABLE))
+            self.end(AttemptEnding(Outcome.NOT_SENT if fate is Fate.WITHHELD else Outcome.UNREACHABLE))
 
 
 @dataclass(eq=False, slots=True)
@@ -75,21 +75,23 @@
 
     def __init__(
         self,
-        roster: Roster,
+        registry: WorkerRegistry,
         meanings: Mapping[str, str],
-        post: Callable[[DeskEvent], None],
-        log: Log,
+        post: Callable[[DispatchEvent], None],
+        log: LogWriter,
         name: str,
         heart_beat_ms: int,
         connect_timeout_s: float,
     ) -> None:
-        self._roster, self._meanings, self._post, self._log = roster, meanings, post, log
-        self._name, self._beat_ms, self._connect_timeout_s = name, heart_beat_ms, connect_timeout_s
+        self._registry, self._meanings, self._post, self._log = registry, meanings, post, log
+        self._name, self._heartbeat_ms, self._connect_timeout_s = name, heart_beat_ms, connect_timeout_s
         self._sessions: dict[int, _Session] = {}
         self._keepers: list[asyncio.Task[None]] = []
         self._opening: dict[int, asyncio.Task[_Session]] = {}
-        life = f"{name}-{time.time_ns():x}"  # a node must not take a new life's attempts for the old one's
-        self._names = (f"{life}-{n}" for n in itertools.count())
+        liveness = (
+            f"{name}-{time.time_ns():x}"  # a node must not take a new life's attempts for the old one's
+        )
+        self._names = (f"{liveness}-{n}" for n in itertools.count())
 
     def start(self, nodes: Iterable[RouteNode]) -> None:
         """Keep a connection to each node, so that its drain and its return are heard of."""
@@ -112,19 +114,19 @@
         left_ns = order.job.deadline_ns - time.monotonic_ns()
         if order.timeout_ns > 0:
             left_ns = min(left_ns, order.timeout_ns)
-        ending, session = Ending(Outcome.UNREACHABLE), None
+        ending, session = AttemptEnding(Outcome.UNREACHABLE), None
         try:
             async with asyncio.timeout(max(0.0, left_ns / 1e9)):
                 session = await self._session(node)
                 session.attempts[name] = under_way
                 session.wire.put_out(
-                    Outgoing(
+                    OutgoingFrame(
                         self._job_frame(name, order),
                         # Asked just before the first byte: while the connection came up or other frames were
                         # written the node may have begun to drain, the desk have withdrawn the attempt, the
                         # client have left, or the window of a repeat have run out.
                         lambda: (
-                            self._roster.serving(order.attempt.node)
+                            self._registry.serving(order.attempt.node)
                             and not under_way.withdrawn
                             and order.may_begin(time.monotonic_ns())
                         ),
@@ -133,12 +135,12 @@
                 )
                 ending = await under_way.ending
         except TimeoutError:
-            ending = Ending(Outcome.TIMEOUT if under_way.written else Outcome.UNREACHABLE)
+            ending = AttemptEnding(Outcome.TIMEOUT if under_way.written else Outcome.UNREACHABLE)
         except (OSError, FrameError) as wrong:
             self._log.info("node-unreachable", str(wrong), node=node.name)
         except asyncio.CancelledError:
             # Its frame may be half written, and is then finished: it may run all the same.
-            ending = Ending(Outcome.CANCELLED if session is not None else Outcome.NOT_SENT)
+            ending = AttemptEnding(Outcome.CANCELLED if session is not None else Outcome.NOT_SENT)
         under_way.withdrawn = True
         if session is not None:
             session.attempts.pop(name, None)
@@ -209,14 +211,14 @@
                             "accept-version": "1.2",
                             "host": node.name,
                             "login": self._name,
-                            "heart-beat": f"{self._beat_ms},{self._beat_ms}",
+                            "heart-beat": f"{self._heartbeat_ms},{self._heartbeat_ms}",
                         },
                     )
                 )
                 hello = await wire.receive()
             if hello.command != "CONNECTED" or hello.headers.get("version") != "1.2":
                 raise ConnectionAbortedError(f"{node.name} does not speak STOMP 1.2")
-            wire.agree(self._beat_ms, read_beat(hello))
+            wire.agree(self._heartbeat_ms, read_heartbeat(hello))
         except BaseException:
             writer.cancel()
             wire.close()
@@ -255,7 +257,7 @@
                 await session.tasks[0]  # it tells the frames that it has not written
             session.wire.close()
             for under_way in list(session.attempts.values()):
-                under_way.end(Ending(Outcome.RESET if under_way.written else Outcome.UNREACHABLE))
+                under_way.end(AttemptEnding(Outcome.RESET if under_way.written else Outcome.UNREACHABLE))
 
     def _report(self, number: int, session: _Session, frame: Frame) -> None:
         """One report: of an attempt, of a probe, or of the node itself."""
@@ -276,9 +278,9 @@
                     self._post(AttemptProgress(attempt, float(headers.get("share", "0"))))
             elif state in _OUTCOMES:
                 reading = read_load(headers.get("load"), self._meanings)
-                under_way.end(Ending(_OUTCOMES[state], reading, frame.body))
+                under_way.end(AttemptEnding(_OUTCOMES[state], reading, frame.body))
         elif state in _STATES:
-            self._told(number, state=_STATES[state])
+            self._reported(number, state=_STATES[state])
 
     def _greeted(self, number: int, hello: Frame) -> None:
         """A node says when it started, so that a cold one is spared, and whether it drains."""
@@ -288,9 +290,9 @@
             if 0 < started_ms < 1e15:
                 started_ns = time.monotonic_ns() - round((time.time() * 1000 - started_ms) * 1e6)
         state = _STATES.get(hello.headers.get("state", ""), State.READY)
-        self._told(number, state=state, started_ns=started_ns)
+        self._reported(number, state=state, started_ns=started_ns)
 
-    def _told(self, number: int, **changes: State | int) -> None:
-        told = self._roster.amend(number, **changes)
-        if told is not None:
-            self._post(told)
+    def _reported(self, number: int, **changes: State | int) -> None:
+        reported = self._registry.amend(number, **changes)
+        if reported is not None:
+            self._post(reported)
--- a/hollowusher/scheduler/fronts/stomp/wire.py
+++ b/hollowusher/scheduler/fronts/stomp/wire.py
@@ -11,7 +11,7 @@
 from hollowusher.scheduler.net.link import Link
 
 WRITE_S = 10.0  # how long the other side may take to read one frame
-BEAT_GRACE = 2.0  # times the promised span that the other side may be silent: its beats may come late
+HEARTBEAT_GRACE = 2.0  # times the promised span that the other side may be silent: its beats may come late
 
 
 class Fate(Enum):
@@ -23,21 +23,21 @@
 
 
 @dataclass(slots=True)
-class Outgoing:
+class OutgoingFrame:
     """A frame on its way out; `may_go` is asked just before its first byte."""
 
     frame: Frame
     may_go: Callable[[], bool] | None = None
     tell: Callable[[Fate], None] | None = None
 
-    def told(self, fate: Fate) -> None:
+    def reported(self, fate: Fate) -> None:
         """Tell whoever waits, once."""
         if self.tell is not None:
             tell, self.tell = self.tell, None
             tell(fate)
 
 
-def read_beat(frame: Frame) -> tuple[int, int]:
+def read_heartbeat(frame: Frame) -> tuple[int, int]:
     """The heart-beat header: what the other side can do and what it wants, in milliseconds."""
     text = frame.headers.get("heart-beat", "0,0")
     parts = text.split(",")
@@ -52,24 +52,24 @@
     def __init__(self, link: Link, commands: Collection[str], frame_s: float | None = None) -> None:
         self._link, self._frame_s = link, frame_s
         self._reader = FrameReader(commands)
-        self._queue: asyncio.Queue[Outgoing | None] = asyncio.Queue()
-        self._beat_s: float | None = None  # we promise to write something this often
+        self._queue: asyncio.Queue[OutgoingFrame | None] = asyncio.Queue()
+        self._heartbeat_s: float | None = None  # we promise to write something this often
         self._begun_at = asyncio.get_running_loop().time()
-        self._silence_s: float | None = None  # and close when nothing comes for this long
+        self._idle_timeout_s: float | None = None  # and close when nothing comes for this long
         self.ended = False
 
     def agree(self, ours_ms: int, theirs: tuple[int, int]) -> None:
         """Settle the heart-beats by the specification: the larger of what one can and the other wants."""
         can, want = theirs
-        self._beat_s = max(ours_ms, want) / 1000 if ours_ms and want else None
-        self._silence_s = BEAT_GRACE * max(can, ours_ms) / 1000 if can and ours_ms else None
+        self._heartbeat_s = max(ours_ms, want) / 1000 if ours_ms and want else None
+        self._idle_timeout_s = HEARTBEAT_GRACE * max(can, ours_ms) / 1000 if can and ours_ms else None
 
     async def receive(self) -> Frame:
         """The next frame; an OSError where the other side ended or fell silent, FrameError where one that was
         begun does not come whole in time: half a frame must not hold a connection."""
         reader, loop = self._reader, asyncio.get_running_loop()
         while not reader.ready:
-            patience, left, begun = self._silence_s, None, reader.begun
+            patience, left, begun = self._idle_timeout_s, None, reader.begun
             if begun and self._frame_s is not None:
                 left = self._begun_at + self._frame_s - loop.time()
                 patience = left if patience is None else min(left, patience)
@@ -95,12 +95,12 @@
 
     def put(self, frame: Frame) -> None:
         """Write a frame after those before it."""
-        self.put_out(Outgoing(frame))
+        self.put_out(OutgoingFrame(frame))
 
-    def put_out(self, out: Outgoing) -> None:
+    def put_out(self, out: OutgoingFrame) -> None:
         """The same, for one whose fate matters."""
         if self.ended:
-            out.told(Fate.BROKEN)
+            out.reported(Fate.BROKEN)
         else:
             self._queue.put_nowait(out)
 
@@ -110,11 +110,11 @@
 
     async def write(self) -> None:
         """Write what is put until told to finish; an OSError where the connection breaks."""
-        out: Outgoing | None = None
+        out: OutgoingFrame | None = None
         try:
             while True:
                 try:
-                    async with asyncio.timeout(self._beat_s):
+                    async with asyncio.timeout(self._heartbeat_s):
                         out = await self._queue.get()
                 except TimeoutError:
                     await self._send(b"\n")
@@ -122,17 +122,17 @@
                 if out is None:
                     return
                 if out.may_go is not None and not out.may_go():
-                    out.told(Fate.WITHHELD)
+                    out.reported(Fate.WITHHELD)
                     continue
                 await self._send(encode(out.frame), out.frame.body, b"\0")
-                out.told(Fate.WRITTEN)
+                out.reported(Fate.WRITTEN)
         finally:
             self.ended = True
             if out is not None:
-                out.told(Fate.BROKEN)
+                out.reported(Fate.BROKEN)
             while not self._queue.empty():
                 if (out := self._queue.get_nowait()) is not None:
-                    out.told(Fate.BROKEN)
+                    out.reported(Fate.BROKEN)
 
     async def _send(self, *parts: bytes) -> None:
         async with asyncio.timeout(WRITE_S):
--- a/hollowusher/scheduler/lab/compare.py
+++ b/hollowusher/scheduler/lab/compare.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
+class Difference:
     """One figure of both series: their means, the mean difference (second less first) and its bar."""
 
     figure: str
@@ -76,7 +76,7 @@
     first: Mapping[int, Mapping[str, float]],
     second: Mapping[int, Mapping[str, float]],
     confidence: float = 0.95,
-) -> list[Finding]:
+) -> list[Difference]:
     """What can be told of two series; ConfigError where fewer than three seeds are common to both."""
     seeds = sorted(set(first) & set(second))
     if len(seeds) < 3:
@@ -88,7 +88,7 @@
         error = statistics.stdev(apart) / math.sqrt(len(apart))
         reach = float(student.ppf((1 + confidence) / 2, len(apart) - 1)) * error
         findings.append(
-            Finding(
+            Difference(
                 name,
                 statistics.fmean(first[s][name] for s in seeds),
                 statistics.fmean(second[s][name] for s in seeds),
--- a/hollowusher/scheduler/lab/faults_page.py
+++ b/hollowusher/scheduler/lab/faults_page.py
@@ -8,9 +8,9 @@
 
 from matplotlib.figure import Figure
 
-from hollowusher.scheduler.emulator.faults.checks import Course, Finding
-from hollowusher.scheduler.emulator.faults.history import RIG, Entry, acts
-from hollowusher.scheduler.emulator.script import Script
+from hollowusher.scheduler.emulator.faults.checks import CheckResult, Course
+from hollowusher.scheduler.emulator.faults.history import RIG, HistoryEntry, acts
+from hollowusher.scheduler.emulator.script import RehearsalScript
 from hollowusher.scheduler.lab.page import STYLE, csv_rows, svg, table
 from hollowusher.scheduler.rules.membership.events import Change
 
@@ -26,11 +26,13 @@
 _HELD = {Change.DIED.value: "x", Change.SUSPECTED.value: "|", Change.REFUTED.value: "^"}
 
 
-def make(folder: Path, script: Script, entries: Sequence[Entry], findings: Sequence[Finding]) -> Path:
+def make(
+    folder: Path, script: RehearsalScript, entries: Sequence[HistoryEntry], findings: Sequence[CheckResult]
+) -> Path:
     """Write `faults.html` into a play's folder; its path."""
     title = script.text.split("\n", 1)[0].lstrip("# ") or folder.name
     rows = [["", "what", "seen"], *(["holds" if f.holds else "BROKEN", f.what, f.seen] for f in findings)]
-    told = [
+    reported = [
         ["s", "who", "what", "of", "why"],
         *([f"{e.at:.2f}", e.who, e.what, e.of, e.why] for e in entries if e.what not in ("job", "run")),
     ]
@@ -49,7 +51,7 @@
                 "Crosses: a death told; strokes: a suspicion; arrows: an accusation answered.</p>",
                 _time_line(script, entries),
                 "<h2>History</h2>",
-                table(told[:2000]),
+                table(reported[:2000]),
                 "<h2>Script</h2>",
                 f"<pre>{html.escape(script.text)}</pre></html>",
             ]
@@ -58,7 +60,7 @@
     return path
 
 
-def _time_line(script: Script, entries: Sequence[Entry]) -> str:
+def _time_line(script: RehearsalScript, entries: Sequence[HistoryEntry]) -> str:
     names = [f"n{n}" for n in range(1, script.members + 1)][:_MOST_ROWS]
     row = {name: len(names) - 1 - at for at, name in enumerate(names)}
     figure = Figure(figsize=(11, 1.2 + 0.42 * len(names)), layout="constrained")
@@ -93,7 +95,7 @@
     return svg(figure)
 
 
-def _held_dead(names: Sequence[str], entries: Sequence[Entry]) -> dict[str, list[tuple[float, int]]]:
+def _held_dead(names: Sequence[str], entries: Sequence[HistoryEntry]) -> dict[str, list[tuple[float, int]]]:
     """By whom it is held: from when on, by how many others each was held dead."""
     holders: dict[str, set[str]] = {name: set() for name in names}
     found: dict[str, list[tuple[float, int]]] = {name: [(0.0, 0)] for name in names}
--- a/hollowusher/scheduler/log.py
+++ b/hollowusher/scheduler/log.py
@@ -48,7 +48,7 @@
     return token("".join(c for c in key if c not in '="]'), 32)
 
 
-class Log:
+class LogWriter:
     """Prints lines, each message id at most so often; says how many were left out.
 
     Lines leave by a queue and writes that do not block: no reader, however slow, holds up a job."""
--- a/hollowusher/scheduler/logs/outlet.py
+++ b/hollowusher/scheduler/logs/outlet.py
@@ -50,11 +50,11 @@
         """Queue one line and write what the reader takes; False where it had to be dropped."""
         data = line.encode("utf-8", "replace") + b"\n"
         self._flush()
-        room = len(self._lines) < self._most_lines and self._bytes + len(data) <= self._most_bytes
-        if self._closing or not room:
+        has_capacity = len(self._lines) < self._most_lines and self._bytes + len(data) <= self._most_bytes
+        if self._closing or not has_capacity:
             self._lost += 1
             return False
-        self._queue(self._told_loss() + data)
+        self._queue(self._report_loss() + data)
         self._flush()
         return True
 
@@ -63,7 +63,7 @@
         self._closing, until = True, time.monotonic() + most_s
         while self._lines or self._lost:
             if not self._lines:
-                self._queue(self._told_loss())
+                self._queue(self._report_loss())
             left_s = until - time.monotonic()
             if not self._write(max(0.0, min(left_s, _POLL_MOST_S))) and left_s <= 0:
                 return False
@@ -80,7 +80,7 @@
                 return
             self._retry_s = RETRY_FIRST_S
             if not self._lines and self._lost:  # the reader is back, and nothing else is to be said
-                self._queue(self._told_loss())
+                self._queue(self._report_loss())
 
     def _again(self) -> None:
         self._waiting = False
@@ -90,16 +90,16 @@
         self._lines.append(data)
         self._bytes += len(data)
 
-    def _told_loss(self) -> bytes:
+    def _report_loss(self) -> bytes:
         lost, self._lost = self._lost, 0
         return self._dropped(lost).encode("utf-8", "replace") + b"\n" if lost else b""
 
     def _write(self, wait_s: float) -> bool:
         """Write one piece if the descriptor takes it within this time; whether anything left the queue."""
-        told = self._poll.poll(wait_s * 1000)
-        if not told:
+        reported = self._poll.poll(wait_s * 1000)
+        if not reported:
             return False
-        if not told[0][1] & select.POLLOUT:  # closed or broken: its lines are lost, the program goes on
+        if not reported[0][1] & select.POLLOUT:  # closed or broken: its lines are lost, the program goes on
             self._lines.clear()
             self._bytes = 0
             return True
--- a/hollowusher/scheduler/net/accept.py
+++ b/hollowusher/scheduler/net/accept.py
@@ -11,7 +11,7 @@
 AGAIN_S = 0.2  # where no descriptor is left: those who wait are served when there is one
 
 
-class Acceptor:
+class ConnectionAcceptor:
     """`serve` is called with each connection, and closes it."""
 
     def __init__(
@@ -20,11 +20,11 @@
         serve: Callable[[Link], Coroutine[None, None, None]],
         most: int,
         ring: int = MOST_BYTES,
-        make_room: bool = False,
+        free_connection: bool = False,
     ) -> None:
-        """At most so many at a time; more are closed at once, or the oldest is, to `make_room`."""
+        """At most so many at a time; more are closed at once, or the oldest is, to `free_connection`."""
         self._address, self._serve, self._most, self._ring = address, serve, most, ring
-        self._make_room = make_room
+        self._free_connection = free_connection
         self._tasks: dict[asyncio.Task[None], None] = {}  # the oldest first
         self._accepting: asyncio.Task[None] | None = None
 
@@ -50,7 +50,7 @@
                 await asyncio.sleep(AGAIN_S)
                 continue
             if len(self._tasks) >= self._most:
-                if not self._make_room:
+                if not self._free_connection:
                     sock.close()
                     continue
                 oldest = next(iter(self._tasks))
--- a/hollowusher/scheduler/net/http2/exchange.py
+++ b/hollowusher/scheduler/net/http2/exchange.py
@@ -6,7 +6,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from hollowusher.balancing.interface import Outcome
-from hollowusher.scheduler.rules.streams import Why
+from hollowusher.scheduler.rules.streams import RejectReason
 
 T = TypeVar("T")
 T_co = TypeVar("T_co", covariant=True)
@@ -14,7 +14,7 @@
 Headers = Iterable[tuple[bytes, bytes]]
 
 
-class Answer(Protocol[T_co]):
+class ResponseParser(Protocol[T_co]):
     """Reads an answer piece by piece; each method gives the result once it is known."""
 
     @property
@@ -31,10 +31,10 @@
         """The stream has ended; None where the answer is not whole."""
 
 
-class Exchange(Generic[T]):
+class StreamExchange(Generic[T]):
     """What a connection needs of a request, and where it stands on it.
 
-    `settle` is told once how it ended: the answer's result, or the outcome of a stream that ended before, or
+    `finish` is told once how it ended: the answer's result, or the outcome of a stream that ended before, or
     the reason for which the request never went out.  What comes after that is dropped.
     """
 
@@ -45,13 +45,13 @@
         "body",
         "connection",
         "end_at",
+        "ended",
+        "ended_ns",
         "headers",
         "interim",
         "may_begin",
         "result",
         "sent",
-        "settled",
-        "settled_ns",
         "stream",
         "tell",
         "unread",
@@ -63,7 +63,7 @@
         self,
         headers: Callable[[], list[tuple[bytes, bytes]]],
         body: bytes,
-        answer: Answer[T],
+        answer: ResponseParser[T],
         until_ns: int,
         may_begin: Callable[[], bool],
         urgent: bool = False,
@@ -71,8 +71,8 @@
         self.headers, self.body, self.answer = headers, body, answer
         self.until_ns, self.may_begin, self.urgent = until_ns, may_begin, urgent
         self.tell: Callable[[], None] = lambda: None  # called once it is settled
-        self.settled = False
-        self.result: T | Outcome | Why | None = None
+        self.ended = False
+        self.result: T | Outcome | RejectReason | None = None
         self.connection = self.stream = 0  # 0: none yet
         self.sent = 0  # bytes of the body that are on their way
         self.end_at: int | None = None  # where in the connection's bytes END_STREAM ends
@@ -80,10 +80,10 @@
         self.answered = False  # whether anything of an answer has come
         self.interim = 0
         self.unread = 0  # bytes taken of which the node has not been told yet
-        self.settled_ns = 0  # when it was found settled, with the stream still open
+        self.ended_ns = 0  # when it was found settled, with the stream still open
 
-    def settle(self, how: T | Outcome | Why) -> None:
+    def finish(self, how: T | Outcome | RejectReason) -> None:
         """The first ending counts."""
-        if not self.settled:
-            self.settled, self.result = True, how
+        if not self.ended:
+            self.ended, self.result = True, how
             self.tell()
--- a/hollowusher/scheduler/net/http2/guarded.py
+++ b/hollowusher/scheduler/net/http2/guarded.py
@@ -115,11 +115,11 @@
         return events  # type: ignore[no-any-return]
 
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list[Frame], list[Event]]:
-        told = ConnectionTerminated()
+        reported = ConnectionTerminated()
         try:
-            told.error_code = ErrorCodes(frame.error_code)
+            reported.error_code = ErrorCodes(frame.error_code)
         except ValueError:
-            told.error_code = frame.error_code
-        told.last_stream_id = frame.last_stream_id
-        told.additional_data = frame.additional_data or None
-        return [], [told]
+            reported.error_code = frame.error_code
+        reported.last_stream_id = frame.last_stream_id
+        reported.additional_data = frame.additional_data or None
+        return [], [reported]
--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -27,12 +27,12 @@
 from h2.exceptions import H2Error, NoAvailableStreamIDError, TooManyStreamsError
 
 from hollowusher.balancing.interface import Outcome
-from hollowusher.scheduler.net.http2.exchange import MOST_INTERIM, Exchange
+from hollowusher.scheduler.net.http2.exchange import MOST_INTERIM, StreamExchange
 from hollowusher.scheduler.net.http2.guarded import GuardedConnection
 from hollowusher.scheduler.net.http2.settings import Http2Config
-from hollowusher.scheduler.rules.pulse import Beat, FrameBudget, Pulse
+from hollowusher.scheduler.rules.liveness import FrameBudget, LivenessCheck, LivenessStep
 from hollowusher.scheduler.rules.stream_ends import Cause, outcome
-from hollowusher.scheduler.rules.streams import Why
+from hollowusher.scheduler.rules.streams import RejectReason
 
 PIECE = 16 * 1024  # what is made for one write; a frame may go over it
 ACKNOWLEDGE = 32 * 1024  # bytes taken before the node is told that its windows are open again
@@ -40,58 +40,58 @@
 _ANSWERING = (ResponseReceived, TrailersReceived, InformationalResponseReceived, StreamEnded)
 
 
-class Owner(Protocol):
+class SessionOwner(Protocol):
     """Who is told of a connection.  Nothing here is called once the connection is over."""
 
-    def opened(self, session: Session, announced: int) -> None:
+    def opened(self, session: Http2Session, announced: int) -> None:
         """The node has shown that it speaks HTTP/2, and allows so many streams."""
 
-    def limited(self, session: Session, announced: int) -> None:
+    def limited(self, session: Http2Session, announced: int) -> None:
         """It allows so many from now on."""
 
-    def quiet(self, session: Session, silent: bool) -> None:
+    def quiet(self, session: Http2Session, silent: bool) -> None:
         """It owes a sign of life, or has given one."""
 
-    def retired(self, session: Session, code: int | None, above: int) -> None:
+    def retired(self, session: Http2Session, code: int | None, above: int) -> None:
         """Nothing new may go on it: GOAWAY with this code, so many streams above its last; None: no ids
         left."""
 
-    def ended(self, session: Session, exchange: Exchange[Any]) -> None:
+    def ended(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
         """A stream is over."""
 
-    def unbegun(self, session: Session, exchange: Exchange[Any]) -> None:
+    def unbegun(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
         """A request that was given comes back without a byte written."""
 
-    def lost(self, session: Session, why: str, spoken: bool) -> None:
+    def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         """The connection is over; `spoken`: nothing has shown that the other side speaks anything else."""
 
 
-class Session:
+class Http2Session:
     """The connection.  `wake` is called when there is something to make."""
 
     def __init__(
         self,
         number: int,
         config: Http2Config,
-        owner: Owner,
+        owner: SessionOwner,
         clock: Callable[[], int],
         wake: Callable[[], None],
     ) -> None:
         now = clock()
         self.number, self._config, self._owner, self._clock, self._wake = number, config, owner, clock, wake
         self._budget = FrameBudget(now, config.control_frames)
-        self._pulse = Pulse(now, round(config.ping_after_s * 1e9), round(config.ping_wait_s * 1e9))
+        self._pulse = LivenessCheck(now, round(config.ping_after_s * 1e9), round(config.ping_wait_s * 1e9))
         self._h2 = GuardedConnection(lambda: self._budget.spend(clock()))
-        self._streams: dict[int, Exchange[Any]] = {}
-        self._starting: deque[Exchange[Any]] = deque()
-        self._bodies: dict[int, Exchange[Any]] = {}  # of which not all has gone out
+        self._streams: dict[int, StreamExchange[Any]] = {}
+        self._starting: deque[StreamExchange[Any]] = deque()
+        self._bodies: dict[int, StreamExchange[Any]] = {}  # of which not all has gone out
         self._out = bytearray()
         self._taken = 0  # bytes handed to the socket
         self._reach = 0  # no byte from here on can have left us
         self._held = 0
         self._unread = 0  # bytes taken from streams that are over, of which the node has not been told
         self._last = 2**31 - 1  # the last stream that the node still serves
-        self._unbegun: list[Exchange[Any]] = []
+        self._unbegun: list[StreamExchange[Any]] = []
         self._introduced = False  # whether the first SETTINGS have been told of
         self.over = False
 
@@ -112,13 +112,13 @@
 
     # --- requests
 
-    def give(self, exchange: Exchange[Any]) -> None:
+    def give(self, exchange: StreamExchange[Any]) -> None:
         """The request's turn: it goes out as soon as the socket takes it."""
         exchange.connection = self.number
         self._starting.append(exchange)
         self._wake()
 
-    def withdraw(self, exchange: Exchange[Any], cause: Cause) -> Outcome:
+    def withdraw(self, exchange: StreamExchange[Any], cause: Cause) -> Outcome:
         """Give a request up: RST_STREAM where it was begun (RFC 9113, section 5.4.2).  How it ended by
         that."""
         # What is made is written before the RST_STREAM: the node may have it whole for a moment.
@@ -131,9 +131,9 @@
             self._reset(exchange, ErrorCodes.CANCEL, cause)
         return how
 
-    def _begin(self, exchange: Exchange[Any]) -> None:
+    def _begin(self, exchange: StreamExchange[Any]) -> None:
         if not exchange.may_begin():  # asked just before the first byte
-            exchange.settle(Why.LEAVING)
+            exchange.finish(RejectReason.LEAVING)
             self._owner.ended(self, exchange)
             return
         try:
@@ -148,7 +148,7 @@
             self._unbegun.append(exchange)
             return
         except BaseException:
-            exchange.settle(Outcome.NOT_SENT)
+            exchange.finish(Outcome.NOT_SENT)
             self._owner.ended(self, exchange)
             raise
         exchange.stream, exchange.begun_ns = stream, self._clock()
@@ -163,7 +163,7 @@
         if not exchange.body:
             exchange.end_at = self._taken + len(self._out)
 
-    def _push(self, exchange: Exchange[Any]) -> None:
+    def _push(self, exchange: StreamExchange[Any]) -> None:
         """As much of a body as the windows, and one piece, allow."""
         stream, body, h2 = exchange.stream, exchange.body, self._h2
         while len(self._out) < PIECE:
@@ -219,7 +219,7 @@
     def receive(self, data: memoryview) -> None:
         """Take bytes; ProtocolError where the connection cannot go on (`parting` says so to the node)."""
         for event in self._h2.receive_data(data):
-            self._told(event)
+            self._reported(event)
         if self._pulse.heard(self._clock()):
             self._owner.quiet(self, False)
         self._drain()
@@ -227,7 +227,7 @@
     def _announced(self) -> int:
         return min(self._h2.remote_settings.max_concurrent_streams, 2**31)
 
-    def _told(self, event: Event) -> None:
+    def _reported(self, event: Event) -> None:
         if isinstance(event, DataReceived):
             self._data(event)
         elif isinstance(
@@ -252,7 +252,7 @@
     def _data(self, event: DataReceived) -> None:
         stream, data = event.stream_id or 0, event.data or b""
         exchange = self._streams.get(stream)
-        if exchange is not None and not exchange.settled_ns:
+        if exchange is not None and not exchange.ended_ns:
             before, broken = exchange.answer.held, False
             exchange.answered = True
             try:
@@ -267,7 +267,7 @@
                 self._reset(most, ErrorCodes.ENHANCE_YOUR_CALM, Cause.RESET)
         self._consumed(stream, exchange, event.flow_controlled_length or 0)
 
-    def _consumed(self, stream: int, exchange: Exchange[Any] | None, size: int) -> None:
+    def _consumed(self, stream: int, exchange: StreamExchange[Any] | None, size: int) -> None:
         """Give the node its windows back, in large pieces: most answers are smaller than one."""
         if exchange is not None and exchange.stream in self._streams:
             exchange.unread += size
@@ -284,7 +284,7 @@
             self._h2.acknowledge_received_data(self._unread, stream)
             self._unread = 0
 
-    def _answer(self, exchange: Exchange[Any], event: Event) -> None:
+    def _answer(self, exchange: StreamExchange[Any], event: Event) -> None:
         exchange.answered = True
         if isinstance(event, InformationalResponseReceived):
             exchange.interim += 1
@@ -293,20 +293,20 @@
         elif isinstance(event, ResponseReceived):
             self._known(exchange, exchange.answer.head(event.headers or ()))
         elif isinstance(event, TrailersReceived):
-            if not exchange.settled_ns:
+            if not exchange.ended_ns:
                 self._known(exchange, exchange.answer.end(event.headers or ()))
         else:
-            if not exchange.settled_ns:
+            if not exchange.ended_ns:
                 self._known(exchange, exchange.answer.end(()))
             if exchange.end_at is None:  # it answered before it had the whole request: spare it the rest
                 self._reset(exchange, ErrorCodes.NO_ERROR, Cause.RESET)
             else:
                 self._off(exchange, Cause.RESET)
 
-    def _known(self, exchange: Exchange[Any], result: object | None) -> None:
-        if result is not None and not exchange.settled_ns:
-            exchange.settled_ns = self._clock()
-            exchange.settle(result)
+    def _known(self, exchange: StreamExchange[Any], result: object | None) -> None:
+        if result is not None and not exchange.ended_ns:
+            exchange.ended_ns = self._clock()
+            exchange.finish(result)
 
     def _going_away(self, event: ConnectionTerminated) -> None:
         """What is above the last id never ran; all else goes on.  A later GOAWAY can only lower the id."""
@@ -321,16 +321,16 @@
 
     # --- endings
 
-    def _may_have_run(self, exchange: Exchange[Any]) -> bool:
+    def _may_have_run(self, exchange: StreamExchange[Any]) -> bool:
         return exchange.end_at is not None and exchange.end_at <= self._reach
 
-    def _reset(self, exchange: Exchange[Any], code: ErrorCodes, cause: Cause) -> None:
+    def _reset(self, exchange: StreamExchange[Any], code: ErrorCodes, cause: Cause) -> None:
         with contextlib.suppress(H2Error):  # the stream has just ended by itself
             self._h2.reset_stream(exchange.stream, code)
         self._drain()
         self._off(exchange, cause)
 
-    def _off(self, exchange: Exchange[Any], cause: Cause) -> None:
+    def _off(self, exchange: StreamExchange[Any], cause: Cause) -> None:
         """A stream is over; the cause counts where nothing has been told before."""
         if self._streams.pop(exchange.stream, None) is None:
             return
@@ -338,11 +338,11 @@
         self._held -= exchange.answer.held
         self._left_unread(exchange.stream, exchange.unread)
         exchange.unread = 0
-        exchange.settle(outcome(cause, self._may_have_run(exchange), exchange.answered))
+        exchange.finish(outcome(cause, self._may_have_run(exchange), exchange.answered))
         self._owner.ended(self, exchange)
 
     def end(self, why: str, spoken: bool = True) -> None:
-        """The connection is over: all that is open on it ends now.  `spoken`: see `Owner`."""
+        """The connection is over: all that is open on it ends now.  `spoken`: see `SessionOwner`."""
         if self.over:
             return
         self.over = True
@@ -355,21 +355,21 @@
         for exchange in starting:
             self._owner.unbegun(self, exchange)
 
-    def beat(self, now: int) -> None:
+    def heartbeat(self, now: int) -> None:
         """Time has passed: ask for a sign of life, take back what is held up, let go of what does not end."""
         match self._pulse.check(now, bool(self._streams)):
-            case Beat.ASK:
+            case LivenessStep.ASK:
                 self._h2.ping(b"hollowus")
                 self._drain()
                 self._owner.quiet(self, True)
-            case Beat.BROKEN:
+            case LivenessStep.BROKEN:
                 self.end("no sign of life")
                 return
         held_up = round(self._config.body_wait_s * 1e9)
         for exchange in [e for e in self._bodies.values() if now - e.begun_ns >= held_up]:
             self._reset(exchange, ErrorCodes.CANCEL, Cause.HELD_UP)
         for exchange in list(self._streams.values()):
-            if exchange.settled and not exchange.settled_ns:
-                exchange.settled_ns = now
-            if exchange.settled_ns and now - exchange.settled_ns >= TAIL_S * 1e9:
+            if exchange.ended and not exchange.ended_ns:
+                exchange.ended_ns = now
+            if exchange.ended_ns and now - exchange.ended_ns >= TAIL_S * 1e9:
                 self._reset(exchange, ErrorCodes.CANCEL, Cause.RESET)
--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -10,31 +10,31 @@
 
 from hollowusher.balancing.interface import Outcome
 from hollowusher.scheduler.component import Plain
-from hollowusher.scheduler.log import Log
-from hollowusher.scheduler.net.http2.exchange import Exchange
-from hollowusher.scheduler.net.http2.session import Session
+from hollowusher.scheduler.log import LogWriter
+from hollowusher.scheduler.net.http2.exchange import StreamExchange
+from hollowusher.scheduler.net.http2.session import Http2Session
 from hollowusher.scheduler.net.http2.settings import Http2Config
-from hollowusher.scheduler.net.http2.wire import Wire
-from hollowusher.scheduler.net.pool import NoRoom, Pool
+from hollowusher.scheduler.net.http2.wire import Http2Socket
+from hollowusher.scheduler.net.pool import Pool, PoolFull
 from hollowusher.scheduler.rules.stream_ends import Cause, outcome
 from hollowusher.scheduler.rules.streams import (
-    Act,
-    Close,
-    Give,
-    Open,
-    StreamBook,
+    AssignStream,
+    CloseConnection,
+    OpenConnection,
+    RejectJob,
+    RejectReason,
+    StreamInstruction,
     StreamLimits,
-    TurnBack,
-    Why,
+    StreamTable,
 )
 
 T = TypeVar("T")
-BEAT_S = 0.1  # between two looks at what is open or waits
+HEARTBEAT_S = 0.1  # between two looks at what is open or waits
 REST_S = 5.0  # and at connections that stand idle
 
 
 @dataclass(slots=True)
-class Counts:
+class StreamCounts:
     """What happened on a node's connections since the last report."""
 
     goaways: int = 0
@@ -47,11 +47,11 @@
     """One node's connections."""
 
     def __init__(
-        self, name: str, address: tuple[str, int], config: Http2Config, pool: Pool, log: Log
+        self, name: str, address: tuple[str, int], config: Http2Config, pool: Pool, log: LogWriter
     ) -> None:
         self.name, self.address = name, address
         self._config, self._pool, self._log = config, pool, log
-        self.book = StreamBook(
+        self.stream_table = StreamTable(
             StreamLimits(
                 config.connections,
                 config.streams,
@@ -61,8 +61,8 @@
                 config.used_most,
             )
         )
-        self.counts = Counts()
-        self._wires: dict[int, Wire] = {}
+        self.counts = StreamCounts()
+        self._wires: dict[int, Http2Socket] = {}
         self._opening: set[asyncio.Task[None]] = set()
         self._parting: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
@@ -72,39 +72,39 @@
     @property
     def idle(self) -> bool:
         """Whether nothing is held, open or waiting here."""
-        return not self._wires and not self._opening and not self._parting and self.book.waiting == 0
+        return not self._wires and not self._opening and not self._parting and self.stream_table.waiting == 0
 
-    async def run(self, exchange: Exchange[T]) -> T | Outcome | Why:
+    async def run(self, exchange: StreamExchange[T]) -> T | Outcome | RejectReason:
         """Have a request answered: its result, or how its stream ended, or why it never went out.  Whoever
         cancels this calls `withdraw` next."""
-        over: asyncio.Future[T | Outcome | Why] = asyncio.get_running_loop().create_future()
+        over: asyncio.Future[T | Outcome | RejectReason] = asyncio.get_running_loop().create_future()
 
         def tell() -> None:
             if not over.done():
                 over.set_result(exchange.result)  # type: ignore[arg-type]
 
         exchange.tell = tell
-        self._do(self.book.ask(time.monotonic_ns(), exchange, exchange.until_ns, exchange.urgent))
+        self._do(self.stream_table.ask(time.monotonic_ns(), exchange, exchange.until_ns, exchange.urgent))
         self._arm()
         return await over
 
-    def withdraw(self, exchange: Exchange[T], cause: Cause) -> T | Outcome | Why:
+    def withdraw(self, exchange: StreamExchange[T], cause: Cause) -> T | Outcome | RejectReason:
         """Give a request up, wherever it stands; how it ended."""
-        if exchange.settled:
+        if exchange.ended:
             return exchange.result  # type: ignore[return-value]  # it ended in the same moment
-        if self.book.leave(time.monotonic_ns(), exchange):
+        if self.stream_table.leave(time.monotonic_ns(), exchange):
             # Behind streams that are in use the node is not to blame; without a connection it may be.
-            how = outcome(cause, False, False) if self.book.open_streams == 0 else Outcome.NOT_SENT
+            how = outcome(cause, False, False) if self.stream_table.open_streams == 0 else Outcome.NOT_SENT
         elif (wire := self._wires.get(exchange.connection)) is not None:
             how = wire.session.withdraw(exchange, cause)
         else:
             how = outcome(cause, False, False)
-        exchange.settle(how)
+        exchange.finish(how)
         return how
 
     def leaving(self) -> None:
         """The node drains, is gone, or is another process from now on."""
-        self._do(self.book.leaving(time.monotonic_ns()))
+        self._do(self.stream_table.leaving(time.monotonic_ns()))
 
     async def close(self) -> None:
         """End all connections, with a GOAWAY on each."""
@@ -112,7 +112,7 @@
             self._timer.cancel()
         for task in self._opening:
             task.cancel()
-        self._do(self.book.leaving(time.monotonic_ns()))
+        self._do(self.stream_table.leaving(time.monotonic_ns()))
         wires, self._wires = list(self._wires.values()), {}
         await asyncio.gather(
             *(wire.part() for wire in wires), *self._opening, *self._parting, return_exceptions=True
@@ -120,17 +120,17 @@
 
     # --- what the book orders
 
-    def _do(self, acts: Iterable[Act]) -> None:
+    def _do(self, acts: Iterable[StreamInstruction]) -> None:
         for act in acts:
             match act:
-                case Give(exchange, number):
+                case AssignStream(exchange, number):
                     self._wires[number].session.give(exchange)  # type: ignore[arg-type]
-                case TurnBack(exchange, why):
+                case RejectJob(exchange, why):
                     self.counts.turned_back += 1
-                    exchange.settle(why)  # type: ignore[attr-defined]
-                case Open(number):
+                    exchange.finish(why)  # type: ignore[attr-defined]
+                case OpenConnection(number):
                     self._spawn(self._open(number), self._opening)
-                case Close(number):
+                case CloseConnection(number):
                     if (wire := self._wires.pop(number, None)) is not None:
                         self._spawn(wire.part(), self._parting)
 
@@ -138,18 +138,18 @@
         """Bring up a connection; its node shows in time that it speaks HTTP/2, or it is given up."""
         try:
             link = await self._pool.open(self.address)
-        except NoRoom:
+        except PoolFull:
             self._log.warning("no-socket", "no connection to a node to spare", held=self._pool.held)
-            self._do(self.book.failed(time.monotonic_ns(), number, Why.NO_SOCKET))
+            self._do(self.stream_table.failed(time.monotonic_ns(), number, RejectReason.NO_SOCKET))
             return
         except OSError as wrong:
             self._log.info("node-unreachable", str(wrong), node=self.name)
-            self._do(self.book.failed(time.monotonic_ns(), number))
+            self._do(self.stream_table.failed(time.monotonic_ns(), number))
             return
-        if not self.book.holds(number):  # the node left meanwhile
+        if not self.stream_table.holds(number):  # the node left meanwhile
             self._pool.drop(link)
             return
-        wire = self._wires[number] = Wire(number, link, self._pool.drop, self._config, self)
+        wire = self._wires[number] = Http2Socket(number, link, self._pool.drop, self._config, self)
         wire.start()
         self._arm()
         await asyncio.sleep(self._config.settings_wait_s)
@@ -158,20 +158,20 @@
 
     # --- what a connection tells
 
-    def opened(self, session: Session, announced: int) -> None:
+    def opened(self, session: Http2Session, announced: int) -> None:
         """See `Owner`."""
         self.unspoken_until_ns = 0
-        self._do(self.book.opened(time.monotonic_ns(), session.number, announced))
+        self._do(self.stream_table.opened(time.monotonic_ns(), session.number, announced))
 
-    def limited(self, session: Session, announced: int) -> None:
+    def limited(self, session: Http2Session, announced: int) -> None:
         """See `Owner`."""
-        self._do(self.book.limited(time.monotonic_ns(), session.number, announced))
+        self._do(self.stream_table.limited(time.monotonic_ns(), session.number, announced))
 
-    def quiet(self, session: Session, silent: bool) -> None:
+    def quiet(self, session: Http2Session, silent: bool) -> None:
         """See `Owner`."""
-        self._do(self.book.quiet(time.monotonic_ns(), session.number, silent))
+        self._do(self.stream_table.quiet(time.monotonic_ns(), session.number, silent))
 
-    def retired(self, session: Session, code: int | None, above: int) -> None:
+    def retired(self, session: Http2Session, code: int | None, above: int) -> None:
         """See `Owner`."""
         if code is not None:
             self.counts.goaways += 1
@@ -182,24 +182,24 @@
                 code=code,
                 above=above,
             )
-        self._do(self.book.retired(time.monotonic_ns(), session.number))
+        self._do(self.stream_table.retired(time.monotonic_ns(), session.number))
 
-    def ended(self, session: Session, exchange: Exchange[Any]) -> None:
+    def ended(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
         """See `Owner`."""
         if exchange.result is Outcome.FULL:
             self.counts.refused += 1
-        self._do(self.book.ended(time.monotonic_ns(), session.number, exchange))
+        self._do(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
 
-    def unbegun(self, session: Session, exchange: Exchange[Any]) -> None:
+    def unbegun(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
         """See `Owner`."""
         exchange.connection = 0
-        if exchange.settled:
-            self._do(self.book.ended(time.monotonic_ns(), session.number, exchange))
+        if exchange.ended:
+            self._do(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
         else:
             now = time.monotonic_ns()
-            self._do(self.book.unbegun(now, session.number, exchange, exchange.until_ns))
+            self._do(self.stream_table.unbegun(now, session.number, exchange, exchange.until_ns))
 
-    def lost(self, session: Session, why: str, spoken: bool) -> None:
+    def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         """See `Owner`."""
         self._wires.pop(session.number, None)
         now = time.monotonic_ns()
@@ -218,12 +218,12 @@
         if not session.greeted:
             if spoken:
                 self._log.info("node-unreachable", why, node=self.name)
-            self._do(self.book.failed(now, session.number))
+            self._do(self.stream_table.failed(now, session.number))
             return
         self._log.warning(
             "h2-lost", "a connection broke", node=self.name, why=why, streams=session.open_streams
         )
-        self._do(self.book.lost(now, session.number))
+        self._do(self.stream_table.lost(now, session.number))
 
     # --- time
 
@@ -231,22 +231,22 @@
         """Look again soon, while anything is open or waits, and when a wait ends; now and then, while
         connections are held."""
         now = time.monotonic_ns()
-        busy = self.book.waiting or self.book.open_streams or self._opening
-        due = now + round((BEAT_S if busy else REST_S) * 1e9)
-        if (soonest := self.book.soonest_ns) is not None:
+        busy = self.stream_table.waiting or self.stream_table.open_streams or self._opening
+        due = now + round((HEARTBEAT_S if busy else REST_S) * 1e9)
+        if (soonest := self.stream_table.soonest_ns) is not None:
             due = min(due, max(now, soonest))
         if self._timer is None or due < self._due_ns:
             if self._timer is not None:
                 self._timer.cancel()
             self._due_ns = due
-            self._timer = asyncio.get_running_loop().call_later((due - now) / 1e9, self._beat)
+            self._timer = asyncio.get_running_loop().call_later((due - now) / 1e9, self._heartbeat)
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         self._timer = None
         now = time.monotonic_ns()
         for wire in list(self._wires.values()):
-            wire.beat(now)
-        self._do(self.book.tick(now))
+            wire.heartbeat(now)
+        self._do(self.stream_table.tick(now))
         if not self.idle:
             self._arm()
 
@@ -261,13 +261,13 @@
             self._log.error("task-fault", "a task of this program failed", fault=repr(fault))
 
 
-class Carrier(Plain):
+class Http2Carrier(Plain):
     """The connections to all nodes that speak HTTP/2."""
 
     name = "http2"
 
     def __init__(
-        self, config: Http2Config, pool: Pool, log: Log, clock: Callable[[], int] = time.monotonic_ns
+        self, config: Http2Config, pool: Pool, log: LogWriter, clock: Callable[[], int] = time.monotonic_ns
     ) -> None:
         self._config, self._pool, self._log, self._clock = config, pool, log, clock
         self._nodes: dict[int, NodeStreams] = {}
@@ -313,23 +313,23 @@
     def report(self) -> Mapping[str, object]:
         """Connections and open streams by node."""
         return {
-            s.name: f"{s.book.connections} connections, {s.book.open_streams} streams, "
-            f"{s.book.waiting} waiting"
+            s.name: f"{s.stream_table.connections} connections, {s.stream_table.open_streams} streams, "
+            f"{s.stream_table.waiting} waiting"
             for s in self._nodes.values()
         }
 
     def tell(self) -> None:
         """Log the figures now."""
         for number, streams in list(self._nodes.items()):
-            figures, counts = streams.book.figures, streams.counts
-            if figures.given or counts.turned_back or streams.book.waiting:
+            figures, counts = streams.stream_table.figures, streams.counts
+            if figures.given or counts.turned_back or streams.stream_table.waiting:
                 self._log.info(
                     "h2-figures",
                     "streams to a node since the last of these lines",
                     node=streams.name,
-                    connections=streams.book.connections,
-                    open=streams.book.open_streams,
-                    waiting=streams.book.waiting,
+                    connections=streams.stream_table.connections,
+                    open=streams.stream_table.open_streams,
+                    waiting=streams.stream_table.waiting,
                     given=figures.given,
                     waited=figures.waited,
                     longest_wait_ms=figures.longest_wait_ns // 1_000_000,
@@ -339,7 +339,7 @@
                     refused=counts.refused,
                     turned_back=counts.turned_back,
                 )
-            streams.book.figures, streams.counts = type(figures)(), Counts()
+            streams.stream_table.figures, streams.counts = type(figures)(), StreamCounts()
             if streams.idle and streams.unspoken_until_ns < self._clock():
                 del self._nodes[number]
         if self.repeats:
--- a/hollowusher/scheduler/net/http2/wire.py
+++ b/hollowusher/scheduler/net/http2/wire.py
@@ -9,7 +9,7 @@
 
 from h2.exceptions import ProtocolError
 
-from hollowusher.scheduler.net.http2.session import Owner, Session
+from hollowusher.scheduler.net.http2.session import Http2Session, SessionOwner
 from hollowusher.scheduler.net.http2.settings import Http2Config
 from hollowusher.scheduler.net.link import Link
 
@@ -17,15 +17,15 @@
 PARTING_S = 0.2  # how long our own GOAWAY may take
 
 
-class Wire:
+class Http2Socket:
     """A session on a link.  `drop` closes the link and counts it out."""
 
     def __init__(
-        self, number: int, link: Link, drop: Callable[[Link], None], config: Http2Config, owner: Owner
+        self, number: int, link: Link, drop: Callable[[Link], None], config: Http2Config, owner: SessionOwner
     ) -> None:
         self._link, self._drop = link, drop
         self._wake = asyncio.Event()
-        self.session = Session(number, config, owner, time.monotonic_ns, self._wake.set)
+        self.session = Http2Session(number, config, owner, time.monotonic_ns, self._wake.set)
         self._tasks: list[asyncio.Task[None]] = []
         self._writing_ns = 0  # since when a write is under way
 
@@ -93,11 +93,11 @@
         await self._say(self.session.parting())
         self._drop(self._link)
 
-    def beat(self, now: int) -> None:
+    def heartbeat(self, now: int) -> None:
         """Time has passed."""
         if self._writing_ns and now - self._writing_ns >= STUCK_S * 1e9:
             self.end("the node does not read")
             return
-        self.session.beat(now)
+        self.session.heartbeat(now)
         if self.session.over:
             self.end("")
--- a/hollowusher/scheduler/net/link.py
+++ b/hollowusher/scheduler/net/link.py
@@ -32,7 +32,7 @@
 
     async def fill(self) -> int:
         """Receive once into the inbound ring; 0 when the other side has ended."""
-        count = await self._loop.sock_recv_into(self._sock, self.inbound.room())
+        count = await self._loop.sock_recv_into(self._sock, self.inbound.writable())
         self.inbound.filled(count)
         return count
 
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -7,59 +7,59 @@
 
 from hollowusher.balancing.interface import Outcome
 from hollowusher.scheduler.dispatch.model import (
-    Answer,
-    Attempt,
     AttemptEnded,
+    ClientJob,
     ClientLeft,
-    DeskEvent,
     Dispatch,
-    Job,
+    DispatchEvent,
+    JobAnswerBody,
+    JobAttempt,
     JobTaken,
     Order,
-    Reply,
+    ReplyToClient,
     Verdict,
     Withdraw,
 )
-from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.net.log_replication.node import CopiesNode
-from hollowusher.scheduler.rules.log_replication.job_replication import Act, Do
-from hollowusher.scheduler.rules.log_replication.records import Answered, Taken
+from hollowusher.scheduler.rules.log_replication.job_replication import Do, ReplicationInstruction
+from hollowusher.scheduler.rules.log_replication.records import AnswerRecord, JobTakenRecord
 
 
-class Gate:
+class ReplicationAdmission:
     """`post` goes before the desk's queue, `carry_out` before the floor."""
 
     def __init__(
         self,
         classes: frozenset[str],
-        roster: Roster,
-        post: Callable[[DeskEvent], None],
+        registry: WorkerRegistry,
+        post: Callable[[DispatchEvent], None],
         carry_out: Callable[[Order], None],
         wait_ns: int,
         seed: int,
     ) -> None:
-        self.classes, self._roster, self._post, self._carry_out = classes, roster, post, carry_out
+        self.classes, self._registry, self._post, self._carry_out = classes, registry, post, carry_out
         self._wait_ns = wait_ns  # advice that goes with a refusal
         self.node: CopiesNode | None = None
         # Each intent has a number of its own, of this process alone: a job may come to it more than once.
         self._number = (time.time_ns() ^ seed) % (1 << 40) << 20
-        self._waiting: dict[Attempt, int] = {}  # intents that are not kept yet, and their numbers
-        self._withdrawn: dict[Attempt, int] = {}  # those of them that the desk does not want any more
-        self._out: dict[Attempt, tuple[str, int]] = {}  # attempts that are out: the job's id, the number
+        self._waiting: dict[JobAttempt, int] = {}  # intents that are not kept yet, and their numbers
+        self._withdrawn: dict[JobAttempt, int] = {}  # those of them that the desk does not want any more
+        self._out: dict[JobAttempt, tuple[str, int]] = {}  # attempts that are out: the job's id, the number
 
-    def copied(self, job: Job) -> bool:
+    def copied(self, job: ClientJob) -> bool:
         """Whether a job's class is copied."""
         return job.job_class in self.classes
 
     # --- to the desk --------------------------------------------------------------------------------------
 
-    def post(self, event: DeskEvent) -> None:
+    def post(self, event: DispatchEvent) -> None:
         """What a front or an attempt tells."""
         assert self.node is not None
         match event:
             case JobTaken(job) if self.copied(job):
                 until_ms = int(time.time() * 1000) + (job.deadline_ns - time.monotonic_ns()) // 1_000_000
-                taken = Taken(
+                taken = JobTakenRecord(
                     job.job_id,
                     job.job_class,
                     job.subject,
@@ -89,7 +89,7 @@
         assert self.node is not None
         match order:
             case Dispatch(attempt, job) if self.copied(job):
-                listed = self._roster.node(attempt.node)
+                listed = self._registry.node(attempt.node)
                 name, cell = (listed.name, str(listed.entry.cell)) if listed is not None else ("", "")
                 self._number += 1
                 self._waiting[attempt] = self._number
@@ -99,30 +99,30 @@
                 # takes the node for one that is silent.
                 self._withdrawn[attempt] = self._waiting.pop(attempt)
                 self._post(AttemptEnded(attempt, Outcome.NOT_SENT))
-            case Reply(job, answer) if self.copied(job):
+            case ReplyToClient(job, answer) if self.copied(job):
                 until_ms = int(time.time() * 1000) + (job.deadline_ns - time.monotonic_ns()) // 1_000_000
-                told = Answered(
+                reported = AnswerRecord(
                     job.job_id, answer.verdict.value, int(time.time() * 1000), answer.result, answer.wait_ns
                 )
-                self.node.answer(told, job, until_ms)
+                self.node.answer(reported, job, until_ms)
             case _:
                 self._carry_out(order)
 
     # --- what may go on -----------------------------------------------------------------------------------
 
-    def act(self, act: Act) -> None:
+    def act(self, act: ReplicationInstruction) -> None:
         """One thing that the custody lets go on."""
         assert self.node is not None
         match act.do, act.handle:
-            case Do.START, Job() as job:
+            case Do.START, ClientJob() as job:
                 self._post(JobTaken(job))
             case Do.START, None if act.adopted is not None:
                 self._post(JobTaken(_adopted(act.adopted.held.taken)))
-            case Do.REFUSE, Job() as job:
-                job.answer_to(Answer(Verdict.REFUSED, wait_ns=self._wait_ns))
-            case Do.TELL, Job() as job if act.answer is not None:
+            case Do.REFUSE, ClientJob() as job:
+                job.answer_to(JobAnswerBody(Verdict.REFUSED, wait_ns=self._wait_ns))
+            case Do.TELL, ClientJob() as job if act.answer is not None:
                 answer = act.answer
-                job.answer_to(Answer(Verdict(answer.verdict), answer.result, answer.wait_ns))
+                job.answer_to(JobAnswerBody(Verdict(answer.verdict), answer.result, answer.wait_ns))
             case Do.GO, Dispatch(attempt, job) as order if attempt in self._waiting:
                 self._out[attempt] = (job.job_id, self._waiting.pop(attempt))
                 self._carry_out(order)
@@ -137,10 +137,10 @@
                 pass
 
 
-def _adopted(taken: Taken) -> Job:
+def _adopted(taken: JobTakenRecord) -> ClientJob:
     """A job of another's log: nobody waits for it here, its answer is for the book."""
     left_ns = taken.until_ms * 1_000_000 - time.time_ns()
-    return Job(
+    return ClientJob(
         taken.job,
         taken.job_class,
         taken.subject,
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -14,14 +14,19 @@
 
 from hollowusher.balancing.interface import JobClass
 from hollowusher.scheduler.component import Plain
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.log_replication.settings import CopiesConfig
 from hollowusher.scheduler.net.log_replication.storage import Folder, Nowhere, Storage
-from hollowusher.scheduler.net.log_replication.wire import Incoming, Message, Outgoing, frame
-from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Found, Seek
-from hollowusher.scheduler.rules.log_replication.keeper import Keeper
-from hollowusher.scheduler.rules.log_replication.pace import Pace
-from hollowusher.scheduler.rules.log_replication.records import Answered, Taken
+from hollowusher.scheduler.net.log_replication.wire import Incoming, Message, OutgoingStream, frame
+from hollowusher.scheduler.rules.log_replication.job_replication import (
+    FindJob,
+    JobFound,
+    JobReplication,
+    ReplicationInstruction,
+)
+from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
+from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
+from hollowusher.scheduler.rules.log_replication.records import AnswerRecord, JobTakenRecord
 from hollowusher.scheduler.rules.log_replication.replica import Store
 
 TICK_S = 0.1
@@ -34,7 +39,7 @@
 
     stores: list[tuple[str, Store]] = field(default_factory=list)
     sends: list[tuple[str, Message]] = field(default_factory=list)
-    acts: list[Act] = field(default_factory=list)
+    acts: list[ReplicationInstruction] = field(default_factory=list)
 
 
 class CopiesNode(Plain):
@@ -47,8 +52,8 @@
         config: CopiesConfig,
         classes: Mapping[str, JobClass],
         seed: int,
-        act: Callable[[Act], None],
-        log: Log,
+        act: Callable[[ReplicationInstruction], None],
+        log: LogWriter,
         storage: Storage | None = None,
     ) -> None:
         self._config, self._classes, self._act, self._log = config, classes, act, log
@@ -57,27 +62,27 @@
         self._batch = Batch()
         self._flushing: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._outgoing: dict[str, Outgoing] = {}
+        self._outgoing: dict[str, OutgoingStream] = {}
         self._incoming: Incoming | None = None
         self._promised = False
         self._tick_at = time.monotonic_ns()
         self._missing: set[str] = set()
-        self.custody = self._begin()
+        self.replication = self._begin()
 
     def _opened(self) -> Storage:
         return Folder(self._config.folder) if self._config.folder is not None else Nowhere()
 
-    def _begin(self) -> Custody:
+    def _begin(self) -> JobReplication:
         """A keeper of what the storage gives back."""
         kept, faults = self._storage.load()
         for fault in faults:
             self._log.error("copies-storage", fault)
         config = self._config
-        keeper = Keeper(
+        replicas = LogReplicas(
             config.name,
             config.others,
             config.group,
-            Pace(round(config.lease_s * 1e9)),
+            ReplicationTiming(round(config.lease_s * 1e9)),
             self._chance,
             time.monotonic_ns(),
             self._classes,
@@ -85,13 +90,13 @@
             round(config.keep_s * 1000),
             config.most_jobs,
         )
-        return Custody(keeper, tuple(sorted(config.others)), self._classes, config.seek_once)
+        return JobReplication(replicas, tuple(sorted(config.others)), self._classes, config.seek_once)
 
     async def start(self) -> None:
         """Listen, connect, and ask what the others know."""
         for name, address in self._config.others.items():
             if name != self._config.name:
-                self._outgoing[name] = Outgoing(name, self._config.name, address)
+                self._outgoing[name] = OutgoingStream(name, self._config.name, address)
         assert self._config.listen is not None
         self._incoming = Incoming(
             self._config.listen, self._heard, lambda why: self._log.warning("copies-bad", why)
@@ -113,20 +118,20 @@
 
     def report(self) -> Mapping[str, object]:
         """What people on call ask for."""
-        now, keeper = time.monotonic_ns(), self.custody.keeper
+        now, replicas = time.monotonic_ns(), self.replication.replicas
         rows = {}
-        for owner, log in keeper.logs.items():
+        for owner, log in replicas.logs.items():
             replica = log.replica
             rows[owner] = {
                 "role": replica.role.value,
                 "leader": replica.leader,
                 "term": replica.kept.term,
-                "promises": keeper.promises(now, owner),
+                "promises": replicas.promises(now, owner),
                 "committed": replica.commit,
                 "last": replica.kept.last,
-                "open": len(log.book.open()),
-                "jobs": len(log.book.jobs),
-                "bytes": log.book.size,
+                "open": len(log.jobs_state.open()),
+                "jobs": len(log.jobs_state.jobs),
+                "bytes": log.jobs_state.size,
                 "lags": {n: replica.kept.last - p.match for n, p in replica.peers.items()},
             }
         return {
@@ -137,53 +142,53 @@
 
     # --- in -----------------------------------------------------------------------------------------------
 
-    def take(self, taken: Taken, handle: Hashable, again: bool) -> None:
+    def take(self, taken: JobTakenRecord, handle: Hashable, again: bool) -> None:
         """A client asks for a job of a copied class."""
-        self.custody.take(time.monotonic_ns(), _ms(), taken, handle, again)
+        self.replication.take(time.monotonic_ns(), _ms(), taken, handle, again)
         self._pump()
 
     def intent(self, job: str, number: int, node: str, cell: str, handle: Hashable) -> None:
         """The desk orders an attempt."""
-        self.custody.intent(time.monotonic_ns(), _ms(), job, number, node, cell, handle)
+        self.replication.intent(time.monotonic_ns(), _ms(), job, number, node, cell, handle)
         self._pump()
 
     def ended(self, job: str, number: int, never: bool) -> None:
         """An attempt is over."""
-        self.custody.ended(time.monotonic_ns(), _ms(), job, number, never)
+        self.replication.ended(time.monotonic_ns(), _ms(), job, number, never)
         self._pump()
 
-    def answer(self, answer: Answered, handle: Hashable, until_ms: int) -> None:
+    def answer(self, answer: AnswerRecord, handle: Hashable, until_ms: int) -> None:
         """The desk has its answer."""
-        self.custody.answer(time.monotonic_ns(), _ms(), answer, handle, until_ms)
+        self.replication.answer(time.monotonic_ns(), _ms(), answer, handle, until_ms)
         self._pump()
 
     def gone(self, job: str, handle: Hashable) -> None:
         """This client waits no more."""
-        self.custody.gone(job, handle)
+        self.replication.gone(job, handle)
 
     def view(self, missing: set[str]) -> None:
         """Whom the members' view holds dead."""
         self._missing = missing
-        self.custody.keeper.view(time.monotonic_ns(), missing)
+        self.replication.replicas.view(time.monotonic_ns(), missing)
         self._arm()
 
     def _heard(self, sender: str, message: Message) -> None:
         if sender not in self._config.others:
             return
         now = time.monotonic_ns()
-        if isinstance(message, Seek | Found):
-            self.custody.heard(now, _ms(), message, sender)
+        if isinstance(message, FindJob | JobFound):
+            self.replication.heard(now, _ms(), message, sender)
         else:
-            self.custody.keeper.step(now, _ms(), message, sender)
-            self.custody.tick(now, _ms())
+            self.replication.replicas.step(now, _ms(), message, sender)
+            self.replication.tick(now, _ms())
         self._pump()
 
     def _tick(self) -> None:
         now = time.monotonic_ns()
         self._tick_at = now + round(TICK_S * 1e9)
-        self.custody.keeper.step(now, _ms())
-        self.custody.tick(now, _ms())
-        promises = self.custody.keeper.promises(now)
+        self.replication.replicas.step(now, _ms())
+        self.replication.tick(now, _ms())
+        promises = self.replication.replicas.promises(now)
         if promises != self._promised:
             self._promised = promises
             if promises:
@@ -195,16 +200,16 @@
     # --- out ----------------------------------------------------------------------------------------------
 
     def _pump(self) -> None:
-        keeper, batch = self.custody.keeper, self._batch
-        batch.stores += keeper.stores
-        batch.sends += keeper.sends
-        for name, ask in self.custody.asks:
+        replicas, batch = self.replication.replicas, self._batch
+        batch.stores += replicas.stores
+        batch.sends += replicas.sends
+        for name, ask in self.replication.asks:
             batch.sends += [(n, ask) for n in ([name] if name else self._outgoing)]
-        batch.acts += self.custody.acts
-        for owner, what in keeper.told:
+        batch.acts += self.replication.acts
+        for owner, what in replicas.reported:
             self._log.notice("copies-log", what, owner=owner)
-        keeper.stores, keeper.sends, keeper.told = [], [], []
-        self.custody.acts, self.custody.asks = [], []
+        replicas.stores, replicas.sends, replicas.reported = [], [], []
+        self.replication.acts, self.replication.asks = [], []
         if self._flushing is None:
             self._flush()
         self._arm()
@@ -219,7 +224,7 @@
 
     async def _store(self, batch: Batch) -> None:
         """One write a log, beside the loop: a slow disk slows promises and nothing else."""
-        loop, logs = asyncio.get_running_loop(), self.custody.keeper.logs
+        loop, logs = asyncio.get_running_loop(), self.replication.replicas.logs
         by_owner: dict[str, list[Store]] = {}
         for owner, store in batch.stores:
             by_owner.setdefault(owner, []).append(store)
@@ -230,15 +235,15 @@
             self._log.error("copies-storage", f"{wrong}: nothing is promised until it can be written again")
             # What could not be stored was never said: all that waited for it is told so, and all begins anew.
             left, self._batch = self._batch, Batch()
-            for act in self.custody.abandon(_ms(), batch.acts + left.acts):
+            for act in self.replication.abandon(_ms(), batch.acts + left.acts):
                 self._act(act)
             await asyncio.sleep(REOPEN_S)
             self._storage.close()
             self._storage = self._opened()
-            for act in self.custody.abandon(_ms(), self._batch.acts):  # who has come meanwhile
+            for act in self.replication.abandon(_ms(), self._batch.acts):  # who has come meanwhile
                 self._act(act)
             self._batch = Batch()
-            self.custody = self._begin()
+            self.replication = self._begin()
             self._flushing = None
             self._pump()
             return
@@ -262,7 +267,7 @@
         if self._timer is not None:
             self._timer.cancel()
         # The tick has its own time: messages that come more often than it is due must not put it off.
-        due = min(self.custody.keeper.due(), self._tick_at)
+        due = min(self.replication.replicas.due(), self._tick_at)
         wait_s = max(0.001, (due - time.monotonic_ns()) / 1e9)
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
 
--- a/hollowusher/scheduler/net/log_replication/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -17,7 +17,7 @@
 import xxhash
 from msgspec import Struct
 
-from hollowusher.scheduler.rules.log_replication.messages import Entry
+from hollowusher.scheduler.rules.log_replication.messages import LogEntry
 from hollowusher.scheduler.rules.log_replication.replica import Kept, Store
 
 MAGIC = b"hollowusher copies 1\n"
@@ -39,7 +39,7 @@
     """Entries from a number on, in the place of what stands there: the same ones twice do no harm."""
 
     first: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 class Cut(Struct, array_like=True, tag="c"):
@@ -87,7 +87,7 @@
         """Nothing is open."""
 
 
-class Files:
+class MemberFiles:
     """What the storage asks of an operating system; a faulty one is passed in by tests."""
 
     def append(self, path: Path) -> int:
@@ -121,8 +121,8 @@
 class Folder:
     """Logs in a folder.  After an OSError nothing more is written by this one: it is opened anew."""
 
-    def __init__(self, path: Path, files: Files | None = None) -> None:
-        self._path, self._files = path, files or Files()
+    def __init__(self, path: Path, files: MemberFiles | None = None) -> None:
+        self._path, self._files = path, files or MemberFiles()
         self._open: dict[str, int] = {}
         self._void: dict[str, int] = {}
         self.broken = False
@@ -131,23 +131,23 @@
         """All logs; what is damaged is set aside and told."""
         self._path.mkdir(parents=True, exist_ok=True)
         found: dict[str, Kept] = {}
-        told: list[str] = []
+        reported: list[str] = []
         for path in sorted(self._path.glob("*.log")):
             data = path.read_bytes()
             try:
                 kept, good = parse(data)
             except ValueError as wrong:
-                told.append(f"{path.name}: {wrong}; it is set aside, and this member learns anew")
+                reported.append(f"{path.name}: {wrong}; it is set aside, and this member learns anew")
                 self._files.replace(path, path.with_suffix(".damaged"))
                 continue
             if good < len(data):
-                told.append(f"{path.name}: {len(data) - good} bytes at its end were never whole: cut off")
+                reported.append(f"{path.name}: {len(data) - good} bytes at its end were never whole: cut off")
                 with path.open("r+b") as file:
                     file.truncate(good)
                     os.fsync(file.fileno())
             if kept.starts:
                 found[path.stem] = kept
-        return found, told
+        return found, reported
 
     def write(self, owner: str, stores: Iterable[Store], kept: Kept) -> None:
         """One write and one sync for all of them."""
--- a/hollowusher/scheduler/net/log_replication/wire.py
+++ b/hollowusher/scheduler/net/log_replication/wire.py
@@ -11,25 +11,36 @@
 import msgspec
 import xxhash
 
-from hollowusher.scheduler.net.accept import Acceptor
+from hollowusher.scheduler.net.accept import ConnectionAcceptor
 from hollowusher.scheduler.net.link import Link, connect
-from hollowusher.scheduler.rules.log_replication.job_replication import Found, Seek
+from hollowusher.scheduler.rules.log_replication.job_replication import FindJob, JobFound
 from hollowusher.scheduler.rules.log_replication.messages import (
     Append,
     Appended,
-    Ask,
     HandBack,
-    Image,
-    Imaged,
-    Learn,
+    LearnReply,
+    LearnRequest,
+    SnapshotChunk,
+    SnapshotReceived,
     TakeOver,
-    Taught,
     Vote,
+    VoteRequest,
 )
 
 Address = tuple[str, int]
 Message = (
-    Append | Appended | Ask | Vote | Learn | Taught | Image | Imaged | TakeOver | HandBack | Seek | Found
+    Append
+    | Appended
+    | VoteRequest
+    | Vote
+    | LearnRequest
+    | LearnReply
+    | SnapshotChunk
+    | SnapshotReceived
+    | TakeOver
+    | HandBack
+    | FindJob
+    | JobFound
 )
 MAGIC = b"hollowusher copies wire 1 "
 MOST_FRAME = 8 * 1024 * 1024
@@ -75,7 +86,7 @@
         return found
 
 
-class Outgoing:
+class OutgoingStream:
     """What goes to one other scheduler: its own queue and task, so that a slow one holds up nobody else."""
 
     def __init__(self, name: str, me: str, address: Address) -> None:
@@ -141,10 +152,10 @@
     """Accepts the others' streams."""
 
     def __init__(
-        self, address: Address, told: Callable[[str, Message], None], bad: Callable[[str], None]
+        self, address: Address, reported: Callable[[str, Message], None], bad: Callable[[str], None]
     ) -> None:
-        self._told, self._bad = told, bad
-        self._acceptor = Acceptor(address, self._serve, MOST_STREAMS)
+        self._reported, self._bad = reported, bad
+        self._acceptor = ConnectionAcceptor(address, self._serve, MOST_STREAMS)
         self.start, self.stop = self._acceptor.start, self._acceptor.stop
 
     async def _serve(self, link: Link) -> None:
@@ -163,7 +174,7 @@
                     raise ValueError("another program, or another version")
                 sender, rest = line[len(MAGIC) :].decode("utf-8", "replace"), bytes(after)
             for message in frames.feed(rest):
-                self._told(sender, message)
+                self._reported(sender, message)
 
         try:
             while True:
--- a/hollowusher/scheduler/net/membership/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -18,11 +18,11 @@
 from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.net.membership.settings import PeersConfig
 from hollowusher.scheduler.rules.membership.budget import Budget
-from hollowusher.scheduler.rules.membership.codec import MAGIC, Codec
-from hollowusher.scheduler.rules.membership.events import Told
-from hollowusher.scheduler.rules.membership.member import Member
-from hollowusher.scheduler.rules.membership.messages import MOST_LIFE, Message
-from hollowusher.scheduler.rules.membership.pace import Pace
+from hollowusher.scheduler.rules.membership.codec import MAGIC, DatagramCodec
+from hollowusher.scheduler.rules.membership.events import MembershipEvent
+from hollowusher.scheduler.rules.membership.member import SwimMember
+from hollowusher.scheduler.rules.membership.messages import MAX_PROCESS_ID, Message
+from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
 Address = tuple[str, int]
 MOST_HEARD = 1024  # names whose address is remembered from their datagrams
@@ -32,7 +32,7 @@
     """Started, stopped and asked for a report like every part with a life of its own.
 
     `most_per_s` bounds what is sent: beyond it a message is dropped and counted, which the protocol bears as
-    a loss.  `told` is called with each change of the view.
+    a loss.  `reported` is called with each change of the view.
     """
 
     name = "members"
@@ -44,22 +44,22 @@
         peers: Mapping[str, Address],
         cluster: str,
         seed: int,
-        told: Callable[[Told], None],
-        pace: Pace | None = None,
+        reported: Callable[[MembershipEvent], None],
+        pace: MembershipTiming | None = None,
         most_per_s: float = 200.0,
         address: str = "",
     ) -> None:
-        self._listen, self._peers, self._told = listen, dict(peers), told
+        self._listen, self._peers, self._reported = listen, dict(peers), reported
         self.budget = Budget(most_per_s, time.monotonic_ns())
-        self.codec = Codec(cluster)
+        self.codec = DatagramCodec(cluster)
         chance = random.Random(seed)
         # A process that starts without a disk: the wall clock's seconds are above what it had, mostly.
-        self.member = Member(
+        self.member = SwimMember(
             name,
-            chance.randrange(MOST_LIFE),
+            chance.randrange(MAX_PROCESS_ID),
             int(time.time()),
             self._peers,
-            pace or Pace(),
+            pace or MembershipTiming(),
             chance,
             time.monotonic_ns(),
             address,
@@ -93,7 +93,7 @@
             name: {
                 "standing": r.news.standing.name.lower(),
                 "incarnation": r.news.incarnation,
-                "life": f"{r.news.life:08x}",
+                "life": f"{r.news.process_id:08x}",
                 "heard_s": round((now - r.heard_at) / 1e9, 2),
                 "accusers": sorted(r.suspicion.accusers) if r.suspicion is not None else [],
             }
@@ -148,9 +148,9 @@
             return
         now = time.monotonic_ns()
         self.member.step(now, message)
-        for told in self.member.told:
-            self._told(told)
-        self.member.told = []
+        for reported in self.member.reported:
+            self._reported(reported)
+        self.member.reported = []
         self._send()
         if self._timer is not None:
             self._timer.cancel()
--- a/hollowusher/scheduler/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -8,22 +8,22 @@
 from collections.abc import Callable
 
 from hollowusher.balancing.learned_state import Memory
-from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
-from hollowusher.scheduler.dispatch.model import DeskEvent, Order, TimeCame, WakeDesk
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
+from hollowusher.scheduler.dispatch.model import DispatchEvent, Order, TimeCame, WakeDispatcher
+from hollowusher.scheduler.log import LogWriter
 
 _NS_PER_MS = 1_000_000
 
 
-class DeskOwner:
+class DispatcherOwner:
     """Drains the queue in batches, steps the desk once for each, and has its orders carried out."""
 
-    def __init__(self, desk: DispatchDesk, carry_out: Callable[[Order], None], log: Log) -> None:
-        self._desk, self._carry_out, self._log = desk, carry_out, log
-        self._queue: asyncio.Queue[DeskEvent] = asyncio.Queue()
-        self.taps: list[Callable[[DeskEvent], None]] = []  # who else is told of each event
+    def __init__(self, dispatcher: JobDispatcher, carry_out: Callable[[Order], None], log: LogWriter) -> None:
+        self._dispatcher, self._carry_out, self._log = dispatcher, carry_out, log
+        self._queue: asyncio.Queue[DispatchEvent] = asyncio.Queue()
+        self.taps: list[Callable[[DispatchEvent], None]] = []  # who else is told of each event
 
-    def post(self, event: DeskEvent) -> None:
+    def post(self, event: DispatchEvent) -> None:
         """Hand the desk an event."""
         for tap in self.taps:
             tap(event)
@@ -31,17 +31,17 @@
 
     def remember(self) -> Memory:
         """What the decision module has learnt."""
-        return self._desk.remember()
+        return self._dispatcher.remember()
 
     @property
     def avoided(self) -> frozenset[int]:
         """The workers in the list that the decision module avoids."""
-        return self._desk.avoided()
+        return self._dispatcher.avoided()
 
     @property
     def busy(self) -> bool:
         """Whether jobs are open or events wait."""
-        return self._desk.open_jobs > 0 or not self._queue.empty()
+        return self._dispatcher.open_jobs > 0 or not self._queue.empty()
 
     async def run(self) -> None:
         """Own the desk until cancelled."""
@@ -51,12 +51,14 @@
             while not self._queue.empty():
                 batch.append(self._queue.get_nowait())
             try:
-                orders = self._desk.work(time.monotonic_ns(), batch)
+                orders = self._dispatcher.work(time.monotonic_ns(), batch)
             except Exception as fault:  # one bad step must not end the jobs that others still wait for
                 self._log.error("desk-fault", "the decision module failed in a step", fault=repr(fault))
                 continue
             for order in orders:
-                if isinstance(order, WakeDesk):  # rounded up: the loop's timers count whole milliseconds
+                if isinstance(
+                    order, WakeDispatcher
+                ):  # rounded up: the loop's timers count whole milliseconds
                     delay = math.ceil(order.in_ns / _NS_PER_MS) / 1000
                     loop.call_later(delay, self.post, TimeCame())
                     continue
--- a/hollowusher/scheduler/net/pool.py
+++ b/hollowusher/scheduler/net/pool.py
@@ -10,7 +10,7 @@
 IDLE_SHARE = 0.7  # of the node's idle time: a request written once the node has closed ends as a reset
 
 
-class NoRoom(OSError):
+class PoolFull(OSError):
     """All the connections that this scheduler may hold to nodes are in use, or all its descriptors are."""
 
 
@@ -47,14 +47,14 @@
         if self._held >= self._most:
             self.sweep(everything=True)
         if self._held >= self._most:
-            raise NoRoom("no connection to spare")
+            raise PoolFull("no connection to spare")
         self._held += 1
         try:
             return await connect(address, self._connect_timeout_s, self._ring)
         except OSError as wrong:
             self._held -= 1
             if out_of_descriptors(wrong):
-                raise NoRoom(str(wrong)) from None
+                raise PoolFull(str(wrong)) from None
             raise
         except BaseException:
             self._held -= 1
--- a/hollowusher/scheduler/net/reports/listener.py
+++ b/hollowusher/scheduler/net/reports/listener.py
@@ -6,8 +6,8 @@
 import json
 from collections.abc import Iterable, Mapping
 
-from hollowusher.scheduler.component import Part, Plain
-from hollowusher.scheduler.net.accept import Acceptor
+from hollowusher.scheduler.component import Component, Plain
+from hollowusher.scheduler.net.accept import ConnectionAcceptor
 from hollowusher.scheduler.net.link import Link, connect
 
 MOST_ASKERS = 8  # at a time; more are closed at once
@@ -21,9 +21,9 @@
 
     name = "reports"
 
-    def __init__(self, address: tuple[str, int], parts: Iterable[Part]) -> None:
+    def __init__(self, address: tuple[str, int], parts: Iterable[Component]) -> None:
         self._parts = list(parts)
-        self._acceptor = Acceptor(address, self._serve, MOST_ASKERS, _RING)
+        self._acceptor = ConnectionAcceptor(address, self._serve, MOST_ASKERS, _RING)
 
     async def start(self) -> None:
         """Listen."""
@@ -53,7 +53,7 @@
         return report_of(self._parts, bytes(heard.partition(b"\n")[0]).decode("latin-1").strip())
 
 
-def report_of(parts: Iterable[Part], name: str) -> Mapping[str, object]:
+def report_of(parts: Iterable[Component], name: str) -> Mapping[str, object]:
     """What the part of this name tells of itself; a fault and the names where there is none."""
     by_name = {part.name: part for part in parts}
     if name in by_name:
@@ -72,7 +72,7 @@
                 await link.pass_on(heard.extend)
     finally:
         link.close()
-    told = json.loads(heard)
-    if not isinstance(told, dict):
+    reported = json.loads(heard)
+    if not isinstance(reported, dict):
         raise ValueError("not a report")
-    return told
+    return reported
--- a/hollowusher/scheduler/net/ring.py
+++ b/hollowusher/scheduler/net/ring.py
@@ -32,7 +32,7 @@
         """Give the memory back, with all that is held."""
         self._view, self._head, self.size = None, 0, 0
 
-    def room(self) -> memoryview:
+    def writable(self) -> memoryview:
         """The free piece that follows what is held; empty only when the ring is full."""
         if self._view is None:
             self._view = memoryview(bytearray(self.capacity))
@@ -44,7 +44,7 @@
         return self._view[tail - self.capacity : self._head]
 
     def filled(self, count: int) -> None:
-        """So many bytes were written into `room`."""
+        """So many bytes were written into `writable`."""
         self.size += count
 
     def pending(self) -> memoryview:
@@ -66,11 +66,11 @@
         """Copy in as much as fits; how much that was."""
         done = 0
         while done < len(data):
-            room = self.room()
-            if not room:
+            writable = self.writable()
+            if not writable:
                 break
-            count = min(len(room), len(data) - done)
-            room[:count] = data[done : done + count]
+            count = min(len(writable), len(data) - done)
+            writable[:count] = data[done : done + count]
             self.filled(count)
             done += count
         return done
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -8,15 +8,15 @@
 from collections.abc import Mapping
 
 from hollowusher.scheduler.component import Plain
-from hollowusher.scheduler.dispatch.model import AttemptEnded, DeskEvent, JobTaken
-from hollowusher.scheduler.dispatch.worker_registry import Roster
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.dispatch.model import AttemptEnded, DispatchEvent, JobTaken
+from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.membership.node import PeerNode
 from hollowusher.scheduler.net.shared_state.settings import SharedConfig
 from hollowusher.scheduler.rules.membership.budget import Budget
 from hollowusher.scheduler.rules.shared_state.judgements import tells
 from hollowusher.scheduler.rules.shared_state.sharer import Sharer
-from hollowusher.scheduler.rules.shared_state.wire import Codec, Message
+from hollowusher.scheduler.rules.shared_state.wire import Message, SharedStateCodec
 
 PERMIT_NS = 80_000_000
 MOST_LETTERS = 2  # to one member at a time
@@ -28,10 +28,16 @@
     name = "shared"
 
     def __init__(
-        self, config: SharedConfig, peers: PeerNode, cluster: str, roster: Roster, seed: int, log: Log
+        self,
+        config: SharedConfig,
+        peers: PeerNode,
+        cluster: str,
+        registry: WorkerRegistry,
+        seed: int,
+        log: LogWriter,
     ) -> None:
-        self._config, self._peers, self._roster, self._log = config, peers, roster, log
-        self._codec = Codec(cluster)
+        self._config, self._peers, self._registry, self._log = config, peers, registry, log
+        self._codec = SharedStateCodec(cluster)
         now, me = time.monotonic_ns(), peers.member.me
         self.sharer = Sharer(
             me.name,
@@ -58,7 +64,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def tap(self, event: DeskEvent) -> None:
+    def tap(self, event: DispatchEvent) -> None:
         """What the desk is told: counted, and weighed."""
         now = time.monotonic_ns()
         match event:
@@ -67,7 +73,7 @@
                 if job.tenant:
                     self.sharer.counts.add(now, f"tenant/{job.tenant}")
             case AttemptEnded(attempt) if self._config.judgements:
-                node = self._roster.node(attempt.node)
+                node = self._registry.node(attempt.node)
                 if node is not None and (good := tells(event.outcome)) is not None:
                     self.sharer.judgements.saw(now, node.name, good)
                     self._changed(now, node.name)
--- a/hollowusher/scheduler/operations.py
+++ b/hollowusher/scheduler/operations.py
@@ -12,18 +12,18 @@
 from typing import TYPE_CHECKING
 
 from hollowusher.balancing.learned_state import Memory
-from hollowusher.scheduler.component import Part
-from hollowusher.scheduler.config import Config
-from hollowusher.scheduler.dispatch.metrics import Figures
-from hollowusher.scheduler.dispatch.model import MemoryHanded
-from hollowusher.scheduler.dispatch.worker_registry import Roster
-from hollowusher.scheduler.effects import Floor
+from hollowusher.scheduler.component import Component
+from hollowusher.scheduler.config import SchedulerConfig
+from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
+from hollowusher.scheduler.dispatch.model import LearnedStateReceived
+from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
+from hollowusher.scheduler.effects import EffectExecutor
 from hollowusher.scheduler.fronts.common import JobIds
 from hollowusher.scheduler.fronts.platform.clients import PlatformClients
 from hollowusher.scheduler.fronts.platform.discovery import NodeListWatch
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import bind
-from hollowusher.scheduler.net.owner import DeskOwner
+from hollowusher.scheduler.net.owner import DispatcherOwner
 from hollowusher.scheduler.net.pool import Pool
 
 if TYPE_CHECKING:
@@ -42,17 +42,17 @@
 
     def __init__(
         self,
-        config: Config,
-        roster: Roster,
+        config: SchedulerConfig,
+        registry: WorkerRegistry,
         ids: JobIds,
-        owner: DeskOwner,
+        owner: DispatcherOwner,
         watch: NodeListWatch,
-        floor: Floor,
-        figures: Figures,
-        log: Log,
+        executor: EffectExecutor,
+        figures: SchedulerMetrics,
+        log: LogWriter,
     ) -> None:
-        self._config, self._roster, self._ids, self._owner = config, roster, ids, owner
-        self._watch, self._floor, self._figures, self._log = watch, floor, figures, log
+        self._config, self._registry, self._ids, self._owner = config, registry, ids, owner
+        self._watch, self._executor, self._figures, self._log = watch, executor, figures, log
         self._accepting = False
         self._memory: Memory | None = None
         self._directory: SharedDirectory | None = None
@@ -70,7 +70,7 @@
                 return
             self._directory = directory
             self.replacement = Replacement(
-                directory, roster, ids, owner.post, lambda: watch.version, owner.remember, log
+                directory, registry, ids, owner.post, lambda: watch.version, owner.remember, log
             )
 
     def listener(self) -> socket.socket:
@@ -84,7 +84,7 @@
         return bind(address, shared=True)
 
     @property
-    def parts(self) -> list[Part]:
+    def parts(self) -> list[Component]:
         """What starts and stops with the program."""
         return [self.replacement] if self.replacement is not None else []
 
@@ -95,15 +95,15 @@
             return
 
         def share(shared: bool) -> None:
-            whole = max(LEAST_SOCKETS, (sockets - SPARE_SOCKETS) // 2) if shared else sockets
-            to_nodes = int(whole * NODE_SHARE)
+            complete = max(LEAST_SOCKETS, (sockets - SPARE_SOCKETS) // 2) if shared else sockets
+            to_nodes = int(complete * NODE_SHARE)
             pool.limit(to_nodes)
-            clients.limit(whole - to_nodes)
+            clients.limit(complete - to_nodes)
 
         clients.replaced = self.replacement.replaced
         self.replacement.shared = share
 
-    def server(self, parts: Iterable[Part]) -> Iterator[Part]:
+    def server(self, parts: Iterable[Component]) -> Iterator[Component]:
         """The part that answers operators, where the configuration has an address for it."""
         if self._config.operators is None:
             return
@@ -112,7 +112,7 @@
         from hollowusher.scheduler.operators.server import OperatorsServer
 
         self._detached = DetachedWorkers(
-            self._roster, self._directory, self._owner.post, self._floor.leaving, self._log
+            self._registry, self._directory, self._owner.post, self._executor.leaving, self._log
         )
         server = OperatorsServer(
             self._config.operators,
@@ -124,13 +124,13 @@
         yield server
 
     def _known(self) -> int:
-        return len(self._roster.in_list())
+        return len(self._registry.in_list())
 
     def _excluded(self) -> int:
         avoided = self._owner.avoided
         return sum(
-            worker.name in self._roster.detached or worker.entry.worker in avoided
-            for worker in self._roster.in_list()
+            worker.name in self._registry.detached or worker.entry.worker in avoided
+            for worker in self._registry.in_list()
         )
 
     async def arrive(self) -> None:
@@ -142,7 +142,7 @@
         handover = await self.replacement.arrive()
         if handover is not None:
             try:
-                self._watch.hand(handover.list_version, from_records(handover.workers, self._roster))
+                self._watch.hand(handover.list_version, from_records(handover.workers, self._registry))
                 self._memory = handover.memory
             except ValueError as wrong:
                 self._log.warning("handover-unreadable", str(wrong))
@@ -153,7 +153,7 @@
     def list_begun(self) -> None:
         """The list that was held is known: what was learnt of its workers counts."""
         if self._memory is not None:
-            self._owner.post(MemoryHanded(self._memory))
+            self._owner.post(LearnedStateReceived(self._memory))
 
     async def list_news(self) -> None:
         """A process that replaces another knows the list before it takes clients, if it comes in time."""
--- a/hollowusher/scheduler/operators/detached.py
+++ b/hollowusher/scheduler/operators/detached.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from hollowusher.scheduler.dispatch.model import DeskEvent
-from hollowusher.scheduler.dispatch.worker_registry import Roster
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.dispatch.model import DispatchEvent
+from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.replacement.directory import SharedDirectory
 
 
@@ -15,20 +15,20 @@
 
     def __init__(
         self,
-        roster: Roster,
+        registry: WorkerRegistry,
         directory: SharedDirectory | None,
-        post: Callable[[DeskEvent], None],
+        post: Callable[[DispatchEvent], None],
         leaving: Callable[[int], None],
-        log: Log,
+        log: LogWriter,
     ) -> None:
         """`leaving` is called with each worker to which nothing new may go from now on."""
-        self._roster, self._directory = roster, directory
+        self._registry, self._directory = registry, directory
         self._post, self._leaving, self._log = post, leaving, log
 
     @property
     def names(self) -> frozenset[str]:
         """The ids of the workers that are out."""
-        return self._roster.detached
+        return self._registry.detached
 
     def detach(self, name: str) -> bool:
         """Nothing new goes to this worker; False where nobody has this id.  OSError where that cannot be
@@ -58,17 +58,17 @@
                 self._log.error("shared-directory", str(wrong))
 
     def _known(self, name: str) -> bool:
-        return name in self.names or self._roster.named(name) is not None
+        return name in self.names or self._registry.named(name) is not None
 
     def _take(self, names: frozenset[str]) -> None:
         out, back = names - self.names, self.names - names
         if not out and not back:
             return
-        self._roster.detached = names
+        self._registry.detached = names
         for name in sorted(out):
             self._log.notice("worker-detached", "out by hand: nothing new goes there", worker=name)
-            if (worker := self._roster.named(name)) is not None:
+            if (worker := self._registry.named(name)) is not None:
                 self._leaving(worker.entry.worker)
         for name in sorted(back):
             self._log.notice("worker-attached", "it may serve again", worker=name)
-        self._post(self._roster.held())
+        self._post(self._registry.held())
--- a/hollowusher/scheduler/operators/figures.py
+++ b/hollowusher/scheduler/operators/figures.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Callable, Iterator
 
-from hollowusher.scheduler.dispatch.metrics import Figures
+from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
 
 PREFIX = "proxy"
 
 
-def lines(figures: Figures, known: Callable[[], int], excluded: Callable[[], int]) -> Iterator[str]:
+def lines(figures: SchedulerMetrics, known: Callable[[], int], excluded: Callable[[], int]) -> Iterator[str]:
     """All figures as they are now; `known` and `excluded` count workers."""
     for name, counts in figures.classes.items():
         for kind in ("served", "refused", "failed", "attempts"):
--- a/hollowusher/scheduler/operators/server.py
+++ b/hollowusher/scheduler/operators/server.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterable
 from urllib.parse import parse_qs, urlsplit
 
-from hollowusher.scheduler.component import Part, Plain
-from hollowusher.scheduler.fronts.platform.http import BadInput, Request, RequestReader, answer_head
-from hollowusher.scheduler.net.accept import Acceptor
+from hollowusher.scheduler.component import Component, Plain
+from hollowusher.scheduler.fronts.platform.http import BadInput, HttpRequest, RequestReader, answer_head
+from hollowusher.scheduler.net.accept import ConnectionAcceptor
 from hollowusher.scheduler.net.link import Link
 from hollowusher.scheduler.net.reports.listener import report_of
 from hollowusher.scheduler.operators.detached import DetachedWorkers
@@ -32,12 +32,12 @@
         address: tuple[str, int],
         figures: Callable[[], Iterable[str]],
         detached: DetachedWorkers,
-        parts: Iterable[Part],
+        parts: Iterable[Component],
     ) -> None:
         self._figures, self._detached = figures, detached
         self._parts = parts
         self.ready: Callable[[], bool] = lambda: False  # whether this process takes clients
-        self._acceptor = Acceptor(address, self._serve, MOST_CALLERS, _RING, make_room=True)
+        self._acceptor = ConnectionAcceptor(address, self._serve, MOST_CALLERS, _RING, free_connection=True)
 
     async def start(self) -> None:
         """Listen."""
@@ -73,7 +73,7 @@
             return bad.status, f"{bad.why}\n".encode()
         return self._answer(reader.ready.popleft())
 
-    def _answer(self, request: Request) -> tuple[int, bytes]:
+    def _answer(self, request: HttpRequest) -> tuple[int, bytes]:
         target = urlsplit(request.target)
         name = parse_qs(target.query).get("name", [""])[0]
         match request.method, target.path:
@@ -82,8 +82,8 @@
             case "GET", path if path == FIGURES:
                 return 200, "".join(f"{line}\n" for line in self._figures()).encode()
             case "GET", path if path == REPORT:
-                told = report_of(self._parts, name)
-                return 404 if "fault" in told else 200, json.dumps(told, default=str).encode() + b"\n"
+                reported = report_of(self._parts, name)
+                return 404 if "fault" in reported else 200, json.dumps(reported, default=str).encode() + b"\n"
             case "PUT", path if path == DETACH:
                 return self._worker(self._detached.detach, name)
             case "PUT", path if path == ATTACH:
