--- a/hollowusher/scheduler/reload.py
+++ b/hollowusher/scheduler/reload.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Mapping
 from dataclasses import fields
 
-from hollowusher.scheduler.config import Config
-from hollowusher.scheduler.dispatch.metrics import Figures
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.config import SchedulerConfig
+from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.platform import lost_keys
 
-TOLD_ONCE = ("known", "seed", "table")  # news at a start only: a running scheduler knows better
+REPORTED_ONCE = ("known", "seed", "table")  # news at a start only: a running scheduler knows better
 
 
 class Reloads:
@@ -23,15 +23,15 @@
 
     def __init__(
         self,
-        config: Config,
-        read: Callable[[], Config],
-        follow: Mapping[str, Callable[[Config], None]],
-        log: Log,
-        figures: Figures | None = None,
+        config: SchedulerConfig,
+        read: Callable[[], SchedulerConfig],
+        follow: Mapping[str, Callable[[SchedulerConfig], None]],
+        log: LogWriter,
+        figures: SchedulerMetrics | None = None,
     ) -> None:
         """`follow`: what is done about a key that changed; the others need a restart."""
         self._config, self._read, self._follow, self._log = config, read, follow, log
-        self._figures = figures or Figures()
+        self._figures = figures or SchedulerMetrics()
 
     async def follow(self, again: asyncio.Event) -> None:
         """Read it each time `again` is set, until cancelled; asked twice while it reads, it reads twice."""
@@ -49,11 +49,11 @@
             self._take(new)
             self._figures.reloads_ok += 1
 
-    def _take(self, new: Config) -> None:
+    def _take(self, new: SchedulerConfig) -> None:
         changed = [
             f.name for f in fields(new) if f.compare and getattr(new, f.name) != getattr(self._config, f.name)
         ]
-        restart = [name for name in changed if name not in (*self._follow, *TOLD_ONCE)]
+        restart = [name for name in changed if name not in (*self._follow, *REPORTED_ONCE)]
         if restart:
             self._log.warning("reload-partly", "some new values need a restart", keys=" ".join(restart))
         where = f"{new.discovery[0]}:{new.discovery[1]}"
--- a/hollowusher/scheduler/replacement/directory.py
+++ b/hollowusher/scheduler/replacement/directory.py
@@ -78,13 +78,13 @@
             token = name.removesuffix(LOCK)
             if token == name or name.startswith(".") or token == self.token:
                 continue
-            if self._lives(token):
+            if self._is_alive(token):
                 found.append(Other(token, self._phase(token)))
             else:
                 self._remove(token)
         return found
 
-    def _lives(self, token: str) -> bool:
+    def _is_alive(self, token: str) -> bool:
         try:
             lock = os.open(self._file(token, LOCK), os.O_RDWR | os.O_CLOEXEC)
         except FileNotFoundError:
--- a/hollowusher/scheduler/replacement/process.py
+++ b/hollowusher/scheduler/replacement/process.py
@@ -7,10 +7,10 @@
 
 from hollowusher.balancing.learned_state import Memory
 from hollowusher.scheduler.component import Plain
-from hollowusher.scheduler.dispatch.model import BudgetShared, DeskEvent
-from hollowusher.scheduler.dispatch.worker_registry import Roster
+from hollowusher.scheduler.dispatch.model import BudgetShared, DispatchEvent
+from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.fronts.common import JobIds
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.replacement.directory import Other, SharedDirectory
 from hollowusher.scheduler.replacement.records import Handover, Phase, RecordError
 from hollowusher.scheduler.replacement.workers import to_records
@@ -29,21 +29,21 @@
     def __init__(
         self,
         directory: SharedDirectory,
-        roster: Roster,
+        registry: WorkerRegistry,
         ids: JobIds,
-        post: Callable[[DeskEvent], None],
+        post: Callable[[DispatchEvent], None],
         list_version: Callable[[], int],
         remember: Callable[[], Memory],
-        log: Log,
+        log: LogWriter,
     ) -> None:
         """`list_version` and `remember` tell what is handed over beside the job ids and the list."""
-        self._directory, self._roster, self._ids = directory, roster, ids
+        self._directory, self._registry, self._ids = directory, registry, ids
         self._post, self._list_version, self._remember, self._log = post, list_version, remember, log
         self.looked: list[Callable[[], None]] = []  # called after each look, for what else is shared
         self.shared: Callable[[bool], None] = lambda shared: None  # whether descriptors are now
         self.replaced = asyncio.Event()  # while a younger process serves
         self._others: list[Other] = []
-        self._handed_over = set[str]()
+        self._took_over = set[str]()
         self._phase = Phase.STARTING
         self._beside = False  # whether another lived at the last look
         self._claims: asyncio.TimerHandle | None = None
@@ -121,7 +121,7 @@
         try:
             self._others = self._directory.others()
             for other in self._others:
-                if other.token > self._directory.token and other.token not in self._handed_over:
+                if other.token > self._directory.token and other.token not in self._took_over:
                     self._hand_over(other)
         except OSError as wrong:
             self._log.error("shared-directory", str(wrong))
@@ -146,7 +146,7 @@
 
     def _hand_over(self, other: Other) -> None:
         """Job ids are claimed where all see it before those known here are listed: none falls between."""
-        self._handed_over.add(other.token)
+        self._took_over.add(other.token)
         self._ids.elsewhere = self._directory.claim
         self._directory.hand_over(
             other.token,
@@ -154,7 +154,7 @@
                 self._directory.listen,
                 self._ids.known(),
                 self._list_version(),
-                to_records(self._roster),
+                to_records(self._registry),
                 self._remember(),
             ),
         )
--- a/hollowusher/scheduler/replacement/workers.py
+++ b/hollowusher/scheduler/replacement/workers.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 
 from hollowusher.balancing.interface import Listed, State
-from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
+from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.replacement.records import WorkerRecord
 
 
-def to_records(roster: Roster) -> list[WorkerRecord]:
+def to_records(registry: WorkerRegistry) -> list[WorkerRecord]:
     """All workers that the roster holds from a list, as the list has them."""
-    return [_record(worker) for worker in roster.listed() if worker.entry.state is not State.GONE]
+    return [_record(worker) for worker in registry.listed() if worker.entry.state is not State.GONE]
 
 
 def _record(worker: RouteNode) -> WorkerRecord:
@@ -30,13 +30,13 @@
     )
 
 
-def from_records(records: Iterable[WorkerRecord], roster: Roster) -> list[RouteNode]:
+def from_records(records: Iterable[WorkerRecord], registry: WorkerRegistry) -> list[RouteNode]:
     """The workers of a handover; ValueError where one cannot be."""
     return [
         RouteNode(
             r.name,
             (r.host, r.port),
-            Listed(roster.number(r.name), r.zone, r.kind, r.cell, State(r.state), r.size, r.started_ns),
+            Listed(registry.number(r.name), r.zone, r.kind, r.cell, State(r.state), r.size, r.started_ns),
             r.front,
         )
         for r in records
--- a/hollowusher/scheduler/retune.py
+++ b/hollowusher/scheduler/retune.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 from hollowusher.balancing.interface import JobClass, Settings
-from hollowusher.scheduler.dispatch.model import DeskEvent, SettingsTold
-from hollowusher.scheduler.log import Log
+from hollowusher.scheduler.dispatch.model import DispatchEvent, NewSettings
+from hollowusher.scheduler.log import LogWriter
 
 DROPPED_S = 1.2  # clients go on using a class for so long after it was dropped
 
@@ -19,9 +19,9 @@
     def __init__(
         self,
         settings: Settings,
-        post: Callable[[DeskEvent], None],
+        post: Callable[[DispatchEvent], None],
         fronts: list[Callable[[Mapping[str, JobClass]], None]],
-        log: Log,
+        log: LogWriter,
     ) -> None:
         """`fronts` are told of the classes that may be taken."""
         self._settings, self._post, self._fronts, self._log = settings, post, fronts, log
@@ -47,6 +47,6 @@
     def _tell(self, settings: Settings) -> None:
         """The desk hears of new classes before the fronts take them, and of the end of others after."""
         classes = {c.name: c for c in settings.classes}
-        self._post(SettingsTold(settings))
+        self._post(NewSettings(settings))
         for front in self._fronts:
             front(classes)
--- a/hollowusher/scheduler/rules/pulse.py
+++ b/hollowusher/scheduler/rules/liveness.py
@@ -9,7 +9,7 @@
 REFILL_PER_S = 50
 
 
-class Beat(Enum):
+class LivenessStep(Enum):
     """What to do about a connection just now."""
 
     NOTHING = "nothing"
@@ -17,7 +17,7 @@
     BROKEN = "broken"  # nothing came for too long
 
 
-class Pulse:
+class LivenessCheck:
     """Silence with work open is asked about, and unanswered silence ends the connection (RFC 9113, 6.7)."""
 
     def __init__(self, now: int, after_ns: int, wait_ns: int) -> None:
@@ -35,16 +35,16 @@
         self._asked = None
         return asked is not None
 
-    def check(self, now: int, busy: bool) -> Beat:
+    def check(self, now: int, busy: bool) -> LivenessStep:
         """What to do now; `busy` says that answers are due.  An idle connection may be silent for ever."""
         if not busy and self._asked is None:
-            return Beat.NOTHING
+            return LivenessStep.NOTHING
         if self._asked is not None:
-            return Beat.BROKEN if now - self._asked >= self._wait else Beat.NOTHING
+            return LivenessStep.BROKEN if now - self._asked >= self._wait else LivenessStep.NOTHING
         if now - self._heard >= self._after:
             self._asked = now
-            return Beat.ASK
-        return Beat.NOTHING
+            return LivenessStep.ASK
+        return LivenessStep.NOTHING
 
 
 class FrameBudget:
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -13,14 +13,14 @@
 from msgspec import Struct
 
 from hollowusher.balancing.interface import Effect, JobClass
-from hollowusher.scheduler.rules.log_replication.keeper import Adopted, Keeper
+from hollowusher.scheduler.rules.log_replication.log_replicas import Adopted, LogReplicas
 from hollowusher.scheduler.rules.log_replication.records import (
-    Answered,
-    Ended,
+    AnswerRecord,
+    AttemptEndRecord,
     Forgotten,
-    Held,
     Intent,
-    Taken,
+    JobTakenRecord,
+    LoggedJob,
 )
 from hollowusher.scheduler.rules.log_replication.takeover import Next
 
@@ -31,19 +31,19 @@
 TELL_SPARE_MS = 30  # before its client gives up, one that cannot be told its answer is told that it failed
 
 
-class Seek(Struct, frozen=True, array_like=True, tag="seek"):
+class FindJob(Struct, frozen=True, array_like=True, tag="seek"):
     """Does anybody know this job?  `round` comes back with the answer."""
 
     job: str
     round: int
 
 
-class Found(Struct, frozen=True, array_like=True, tag="found"):
+class JobFound(Struct, frozen=True, array_like=True, tag="found"):
     """What one knows: `open`, or its answer, or nothing; and whose logs it leads: there nothing means no."""
 
     job: str
     open: bool
-    answer: Answered | None
+    answer: AnswerRecord | None
     leads: tuple[str, ...]
     round: int = 0
 
@@ -59,18 +59,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class ReplicationInstruction:
     """One thing that may go on; `adopted`: a job of another's log that is to be worked on here."""
 
     do: Do
     handle: Hashable
-    answer: Answered | None = None
+    answer: AnswerRecord | None = None
     adopted: Adopted | None = None
 
 
 @dataclass(slots=True)
 class _Sought:
-    taken: Taken
+    taken: JobTakenRecord
     handles: list[Hashable]
     since_ms: int
     asked_ms: int
@@ -80,30 +80,34 @@
     no: set[str] = field(default_factory=set)  # and who these are
 
 
-def _refused(held: Held) -> bool:
+def _refused(held: LoggedJob) -> bool:
     """Whether it was turned away: then it is as new when it comes again."""
     return held.answer is not None and held.answer.verdict == "refused"
 
 
-class Custody:
+class JobReplication:
     """The caller empties `acts` and `asks` (who: `""` for all others) after each call."""
 
     def __init__(
-        self, keeper: Keeper, names: tuple[str, ...], classes: Mapping[str, JobClass], seek_once: bool = True
+        self,
+        replicas: LogReplicas,
+        names: tuple[str, ...],
+        classes: Mapping[str, JobClass],
+        seek_once: bool = True,
     ) -> None:
         """`seek_once`: whether a job that must not run twice is looked for at all others before it is taken,
         even if its client does not say that it has asked before."""
-        self.keeper, self._names = keeper, names
+        self.replicas, self._names = replicas, names
         self._once = {c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE}
-        self.acts: list[Act] = []
-        self.asks: list[tuple[str, Seek | Found]] = []
+        self.acts: list[ReplicationInstruction] = []
+        self.asks: list[tuple[str, FindJob | JobFound]] = []
         self._pending: dict[int, tuple[str, str, Hashable]] = {}  # token: what was written, job, handle
         self._owners: dict[str, str] = {}  # jobs that this process works on: whose log they are in
         self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # who waits for a job, until when
         self._sought: dict[str, _Sought] = {}
         self._held: list[tuple[int, Intent, Hashable]] = []  # attempts that wait for our promise, until (ms)
         self._doubted: dict[str, int] = {}  # jobs that may be kept: by which term our log was settled
-        self._unsaid: dict[str, tuple[str, Answered, int]] = {}  # by job: whose log, what, until (ms)
+        self._unsaid: dict[str, tuple[str, AnswerRecord, int]] = {}  # by job: whose log, what, until (ms)
         self._round = 0
         # Jobs that another scheduler was told we know nothing of, until (ms): it may have taken them since,
         # so who comes here with one of them after all, late or at the same time, is not taken as new.
@@ -112,9 +116,11 @@
 
     # --- in -----------------------------------------------------------------------------------------------
 
-    def take(self, now: int, now_ms: int, taken: Taken, handle: Hashable, again: bool = False) -> None:
+    def take(
+        self, now: int, now_ms: int, taken: JobTakenRecord, handle: Hashable, again: bool = False
+    ) -> None:
         """A client asks.  `again`: it says that it has asked before, perhaps elsewhere."""
-        known = self.keeper.find(taken.job)
+        known = self.replicas.find(taken.job)
         if known is not None and not _refused(known[1]):
             self._wait_for(now_ms, taken, handle, known[1])
         elif taken.job in self._sought:
@@ -125,18 +131,18 @@
             again or taken.job_class in self._once or self._denied.get(taken.job, 0) > now_ms
         ):
             sought = self._sought[taken.job] = _Sought(taken, [handle], now_ms, now_ms, self._next_round())
-            self.asks.append(("", Seek(taken.job, sought.round)))
-            self._hear(now, now_ms, self.keeper.name, self._know(now, taken.job, sought.round))
+            self.asks.append(("", FindJob(taken.job, sought.round)))
+            self._hear(now, now_ms, self.replicas.name, self._know(now, taken.job, sought.round))
         else:
             self._take_new(now, now_ms, taken, [handle])
-        self._settle(now, now_ms)
+        self._finish(now, now_ms)
 
     def intent(
         self, now: int, now_ms: int, job: str, number: int, node: str, cell: str, handle: Hashable
     ) -> None:
         """The desk orders an attempt."""
         self._held.append((now_ms + HOLD_MS, Intent(job, number, node, cell, now_ms), handle))
-        self._settle(now, now_ms)
+        self._finish(now, now_ms)
 
     def _intents(self, now: int, now_ms: int) -> None:
         """Those that may be kept now.  Without our promise they wait a moment: it is lost for as long as a
@@ -144,34 +150,34 @@
         held, self._held = self._held, []
         for until_ms, intent, handle in held:
             owner = self._owners.get(intent.job)
-            if owner is not None and not self.keeper.promises(now, owner) and now_ms < until_ms:
+            if owner is not None and not self.replicas.promises(now, owner) and now_ms < until_ms:
                 self._held.append((until_ms, intent, handle))
                 continue
-            token = self.keeper.write(now, now_ms, owner, (intent,)) if owner is not None else 0
+            token = self.replicas.write(now, now_ms, owner, (intent,)) if owner is not None else 0
             if token:
                 self._pending[token] = ("intent", intent.job, handle)
             else:
-                self.acts.append(Act(Do.NOT_SENT, handle))
+                self.acts.append(ReplicationInstruction(Do.NOT_SENT, handle))
 
     def ended(self, now: int, now_ms: int, job: str, number: int, never: bool) -> None:
         """An attempt is over.  Told, and not waited for."""
         if (owner := self._owners.get(job)) is not None:
-            self.keeper.write(now, now_ms, owner, (Ended(job, number, never),))
-            self._settle(now, now_ms)
+            self.replicas.write(now, now_ms, owner, (AttemptEndRecord(job, number, never),))
+            self._finish(now, now_ms)
 
-    def answer(self, now: int, now_ms: int, answer: Answered, handle: Hashable, until_ms: int) -> None:
+    def answer(self, now: int, now_ms: int, answer: AnswerRecord, handle: Hashable, until_ms: int) -> None:
         """The desk has its answer: the client is told once it is kept."""
         owner = self._owners.pop(answer.job, None)  # our desk is through with it
         if owner is not None:
             self._unsaid[answer.job] = (owner, answer, until_ms)
         self._waiting.setdefault(answer.job, []).append((handle, until_ms))
-        self._settle(now, now_ms)
+        self._finish(now, now_ms)
 
     def _answers(self, now: int, now_ms: int) -> None:
         """Those that may be kept now; others wait until our promise comes back, or another has answered."""
         for job, (owner, answer, until_ms) in list(self._unsaid.items()):
-            token = self.keeper.write(now, now_ms, owner, (answer,))
-            known = self.keeper.find(job)
+            token = self.replicas.write(now, now_ms, owner, (answer,))
+            known = self.replicas.find(job)
             if token:
                 self._pending[token] = ("answer", job, (owner, answer, until_ms))
             if token or now_ms > until_ms or (known is not None and known[1].answer is not None):
@@ -186,37 +192,41 @@
             if not sought.handles:
                 del self._sought[job]
 
-    def abandon(self, now_ms: int, acts: list[Act]) -> list[Act]:
+    def abandon(self, now_ms: int, acts: list[ReplicationInstruction]) -> list[ReplicationInstruction]:
         """The storage has failed and all begins anew from what it holds: what every client and attempt here
         is told now.  `acts`: those that had not been let go on, which they are not any more."""
-        told: dict[Hashable, Act] = {}
+        reported: dict[Hashable, ReplicationInstruction] = {}
         for act in acts:
             if act.do is Do.GO:
-                told[act.handle] = Act(Do.NOT_SENT, act.handle)
+                reported[act.handle] = ReplicationInstruction(Do.NOT_SENT, act.handle)
             elif act.do is Do.START and act.handle is not None:
-                told[act.handle] = Act(Do.TELL, act.handle, Answered("", "failed", now_ms))
+                reported[act.handle] = ReplicationInstruction(
+                    Do.TELL, act.handle, AnswerRecord("", "failed", now_ms)
+                )
             elif act.do in (Do.REFUSE, Do.NOT_SENT, Do.TELL):
-                told[act.handle] = act
+                reported[act.handle] = act
         for _, _, handle in self._held:
-            told[handle] = Act(Do.NOT_SENT, handle)
+            reported[handle] = ReplicationInstruction(Do.NOT_SENT, handle)
         for what, _, handle in self._pending.values():
             if what == "intent":
-                told.setdefault(handle, Act(Do.NOT_SENT, handle))
+                reported.setdefault(handle, ReplicationInstruction(Do.NOT_SENT, handle))
         for job, waiting in self._waiting.items():
             for handle, _ in waiting:
-                told.setdefault(handle, Act(Do.TELL, handle, Answered(job, "failed", now_ms)))
+                reported.setdefault(
+                    handle, ReplicationInstruction(Do.TELL, handle, AnswerRecord(job, "failed", now_ms))
+                )
         for sought in self._sought.values():
             for handle in sought.handles:
-                told.setdefault(handle, Act(Do.REFUSE, handle))
-        return list(told.values())
+                reported.setdefault(handle, ReplicationInstruction(Do.REFUSE, handle))
+        return list(reported.values())
 
-    def heard(self, now: int, now_ms: int, message: Seek | Found, sender: str) -> None:
+    def heard(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
         """Another scheduler asks, or answers."""
-        if isinstance(message, Seek):
+        if isinstance(message, FindJob):
             sought = self._sought.get(message.job)
-            if sought is not None and (sender in sought.no or self.keeper.name < sender):
+            if sought is not None and (sender in sought.no or self.replicas.name < sender):
                 # Both look for it: whoever has the other's no goes on, else the first by name.
-                self.asks.append((sender, Found(message.job, True, None, (), message.round)))
+                self.asks.append((sender, JobFound(message.job, True, None, (), message.round)))
                 return
             if sought is not None:  # it goes first: what was said to us before counts no more
                 sought.round, sought.asked_ms = self._next_round(), now_ms
@@ -231,22 +241,22 @@
             self.asks.append((sender, found))
         else:
             self._hear(now, now_ms, sender, message)
-            self._settle(now, now_ms)
+            self._finish(now, now_ms)
 
     def tick(self, now: int, now_ms: int) -> None:
         """After each step of the keeper, and ten times a second."""
         for job, sought in list(self._sought.items()):
             if now_ms - sought.asked_ms >= SEEK_AGAIN_MS:
                 sought.asked_ms = now_ms
-                self.asks.append(("", Seek(job, sought.round)))
-                self._hear(now, now_ms, self.keeper.name, self._know(now, job, sought.round))
+                self.asks.append(("", FindJob(job, sought.round)))
+                self._hear(now, now_ms, self.replicas.name, self._know(now, job, sought.round))
                 if job not in self._sought:
                     continue
             late = now_ms - sought.since_ms > SEEK_MS and not sought.open
             if late or now_ms > sought.taken.until_ms - TELL_SPARE_MS:
                 del self._sought[job]
-                self.acts += [Act(Do.REFUSE, handle) for handle in sought.handles]
-        self._settle(now, now_ms)
+                self.acts += [ReplicationInstruction(Do.REFUSE, handle) for handle in sought.handles]
+        self._finish(now, now_ms)
 
     # --- inside -------------------------------------------------------------------------------------------
 
@@ -258,38 +268,38 @@
         """Whether the job is being taken here, and is not kept yet."""
         return any(what == "taken" and j == job for what, j, _ in self._pending.values())
 
-    def _take_new(self, now: int, now_ms: int, taken: Taken, handles: list[Hashable]) -> None:
-        token, known = 0, self.keeper.logs[self.keeper.name].book.jobs.get(taken.job)
-        if self.keeper.room():
+    def _take_new(self, now: int, now_ms: int, taken: JobTakenRecord, handles: list[Hashable]) -> None:
+        token, known = 0, self.replicas.logs[self.replicas.name].jobs_state.jobs.get(taken.job)
+        if self.replicas.has_capacity():
             records = (taken,) if known is None else (Forgotten((taken.job,)), taken)
-            token = self.keeper.write(now, now_ms, self.keeper.name, records)
+            token = self.replicas.write(now, now_ms, self.replicas.name, records)
         if token:
             self._pending[token] = ("taken", taken.job, handles[0])
             self._waiting.setdefault(taken.job, []).extend((h, taken.until_ms) for h in handles)
         else:
-            self.acts += [Act(Do.REFUSE, handle) for handle in handles]
+            self.acts += [ReplicationInstruction(Do.REFUSE, handle) for handle in handles]
 
-    def _wait_for(self, now_ms: int, taken: Taken, handle: Hashable, held: Held) -> None:
+    def _wait_for(self, now_ms: int, taken: JobTakenRecord, handle: Hashable, held: LoggedJob) -> None:
         if held.answer is not None:
-            self.acts.append(Act(Do.TELL, handle, held.answer))
+            self.acts.append(ReplicationInstruction(Do.TELL, handle, held.answer))
         else:
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
 
-    def _know(self, now: int, job: str, seek_round: int) -> Found:
-        known = self.keeper.find(job)
-        leads = tuple(o for o in self.keeper.logs if self.keeper.promises(now, o))
+    def _know(self, now: int, job: str, seek_round: int) -> JobFound:
+        known = self.replicas.find(job)
+        leads = tuple(o for o in self.replicas.logs if self.replicas.promises(now, o))
         if known is None or _refused(known[1]):
-            return Found(job, self._takes(job), None, leads, seek_round)
-        return Found(job, known[1].answer is None, known[1].answer, leads, seek_round)
+            return JobFound(job, self._takes(job), None, leads, seek_round)
+        return JobFound(job, known[1].answer is None, known[1].answer, leads, seek_round)
 
-    def _hear(self, now: int, now_ms: int, sender: str, found: Found) -> None:
+    def _hear(self, now: int, now_ms: int, sender: str, found: JobFound) -> None:
         job = found.job
         sought = self._sought.get(job)
         if sought is None or found.round != sought.round:
             return
         if found.answer is not None:
             del self._sought[job]
-            self.acts += [Act(Do.TELL, handle, found.answer) for handle in sought.handles]
+            self.acts += [ReplicationInstruction(Do.TELL, handle, found.answer) for handle in sought.handles]
         elif found.open:
             sought.open = True
             sought.leads.clear()
@@ -301,53 +311,55 @@
                 del self._sought[job]
                 self._take_new(now, now_ms, sought.taken, sought.handles)
 
-    def _settle(self, now: int, now_ms: int) -> None:
+    def _finish(self, now: int, now_ms: int) -> None:
         """What the keeper has told, and what may be kept by now."""
         self._intents(now, now_ms)
         self._answers(now, now_ms)
-        for written in self.keeper.written:
+        for written in self.replicas.written:
             what, job, handle = self._pending.pop(written.token, ("", "", None))
             if what == "taken":
                 if written.kept:
                     others = [w for w in self._waiting.pop(job, []) if w[0] != handle]
                     if others:
                         self._waiting[job] = others
-                    self._owners[job] = self.keeper.name
-                    self.acts.append(Act(Do.START, handle))
+                    self._owners[job] = self.replicas.name
+                    self.acts.append(ReplicationInstruction(Do.START, handle))
                 else:  # it may be kept all the same: that shows once somebody leads our log anew
-                    self._doubted[job] = self.keeper.settled_term(self.keeper.name)
+                    self._doubted[job] = self.replicas.committed_term(self.replicas.name)
             elif what == "intent":
-                self.acts.append(Act(Do.GO if written.kept else Do.NOT_SENT, handle))
+                self.acts.append(ReplicationInstruction(Do.GO if written.kept else Do.NOT_SENT, handle))
             elif what == "answer" and not written.kept and isinstance(handle, tuple):
                 self._unsaid[job] = handle  # it may be kept or not: once more does no harm, the first counts
-        self.keeper.written = []
-        for adopted in self.keeper.adopted:
+        self.replicas.written = []
+        for adopted in self.replicas.adopted:
             job = adopted.held.taken.job
             if job in self._owners:
                 continue  # our own desk has it still
             if adopted.next is Next.SEND:
                 self._owners[job] = adopted.owner
-                self.acts.append(Act(Do.START, None, adopted=adopted))
+                self.acts.append(ReplicationInstruction(Do.START, None, adopted=adopted))
             else:
-                self.keeper.write(now, now_ms, adopted.owner, (Answered(job, "failed", now_ms),))
-        self.keeper.adopted = []
+                self.replicas.write(now, now_ms, adopted.owner, (AnswerRecord(job, "failed", now_ms),))
+        self.replicas.adopted = []
         for job, term in list(self._doubted.items()):
-            if self.keeper.settled_term(self.keeper.name) > term:
+            if self.replicas.committed_term(self.replicas.name) > term:
                 del self._doubted[job]
-                if self.keeper.find(job) is None:  # it never was, and never will be
-                    self.acts += [Act(Do.REFUSE, handle) for handle, _ in self._waiting.pop(job, [])]
+                if self.replicas.find(job) is None:  # it never was, and never will be
+                    self.acts += [
+                        ReplicationInstruction(Do.REFUSE, handle) for handle, _ in self._waiting.pop(job, [])
+                    ]
         for job in list(self._waiting):
             self._tell(now_ms, job)
 
     def _tell(self, now_ms: int, job: str) -> None:
-        known = self.keeper.find(job)
+        known = self.replicas.find(job)
         answer = known[1].answer if known is not None else None
         left: list[tuple[Hashable, int]] = []
         for handle, until_ms in self._waiting[job]:
             if answer is not None:
-                self.acts.append(Act(Do.TELL, handle, answer))
+                self.acts.append(ReplicationInstruction(Do.TELL, handle, answer))
             elif now_ms >= until_ms - TELL_SPARE_MS:
-                self.acts.append(Act(Do.TELL, handle, Answered(job, "failed", now_ms)))
+                self.acts.append(ReplicationInstruction(Do.TELL, handle, AnswerRecord(job, "failed", now_ms)))
             else:
                 left.append((handle, until_ms))
         if left:
--- a/hollowusher/scheduler/rules/log_replication/keeper.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -11,13 +11,13 @@
 from hollowusher.balancing.interface import JobClass
 from hollowusher.scheduler.rules.log_replication.groups import group_of, kept_by
 from hollowusher.scheduler.rules.log_replication.messages import HandBack, Message
-from hollowusher.scheduler.rules.log_replication.pace import Pace
+from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
 from hollowusher.scheduler.rules.log_replication.records import (
-    Answered,
-    Book,
+    AnswerRecord,
     Forgotten,
-    Held,
     Intent,
+    JobLogState,
+    LoggedJob,
     Record,
     pack,
     unpack,
@@ -36,13 +36,13 @@
     """An open job of a log that we lead from now on, and what becomes of it."""
 
     owner: str
-    held: Held
+    held: LoggedJob
     next: Next
     bound: Bound | None
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class RecordWritten:
     """A record that was asked for is committed (or will never be known to be: we lost the lead)."""
 
     token: int
@@ -52,21 +52,21 @@
 @dataclass(slots=True)
 class _Log:
     replica: Replica
-    book: Book
+    jobs_state: JobLogState
     waiting: dict[int, int] = field(default_factory=dict)  # number of the entry: token
     term: int = 0  # that we lead and have taken over in; 0: none
     dirty: int = 0  # entries since the last image
 
 
-class Keeper:
-    """The caller empties, in this order: `stores`, `sends`, `written`, `adopted`, `told`."""
+class LogReplicas:
+    """The caller empties, in this order: `stores`, `sends`, `written`, `adopted`, `reported`."""
 
     def __init__(
         self,
         name: str,
         names: Iterable[str],
         size: int,
-        pace: Pace,
+        pace: ReplicationTiming,
         chance: random.Random,
         now: int,
         classes: Mapping[str, JobClass],
@@ -77,9 +77,9 @@
         self.name, self.classes, self._keep_ms, self._most_jobs = name, classes, keep_ms, most_jobs
         self.stores: list[tuple[str, Store]] = []
         self.sends: list[tuple[str, Message]] = []
-        self.written: list[Written] = []
+        self.written: list[RecordWritten] = []
         self.adopted: list[Adopted] = []
-        self.told: list[tuple[str, str]] = []
+        self.reported: list[tuple[str, str]] = []
         self.logs: dict[str, _Log] = {}
         everyone = sorted({*names, name})
         for owner in kept_by(name, everyone, size):
@@ -87,7 +87,7 @@
             replica = Replica(
                 name, owner, group_of(owner, everyone, size), pace, random.Random(chance.random()), now, had
             )
-            self.logs[owner] = _Log(replica, Book.of(replica.kept.image))
+            self.logs[owner] = _Log(replica, JobLogState.of(replica.kept.image))
         self._tokens = 0
         self._forget_at = now
         self._gather()
@@ -107,21 +107,23 @@
         """Whether this process does not know yet all that it must of some log."""
         return any(log.replica.role is Role.LEARNER for log in self.logs.values())
 
-    def settled_term(self, owner: str) -> int:
+    def committed_term(self, owner: str) -> int:
         """The term of the last entry that we know to be committed: what an earlier leader had under way when
         one of a higher term committed something is in the book by now, or nowhere."""
         replica = self.logs[owner].replica
         return max(0, replica.kept.term_of(replica.commit))
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether our own book takes one more job."""
-        return len(self.logs[self.name].book.jobs) < self._most_jobs
+        return len(self.logs[self.name].jobs_state.jobs) < self._most_jobs
 
-    def find(self, job: str) -> tuple[str, Held] | None:
+    def find(self, job: str) -> tuple[str, LoggedJob] | None:
         """A job in any book that we keep, and whose book that is; one that was refused only where no other
         book has it, since it may have come anew elsewhere."""
         found = [
-            (owner, held) for owner, log in self.logs.items() if (held := log.book.jobs.get(job)) is not None
+            (owner, held)
+            for owner, log in self.logs.items()
+            if (held := log.jobs_state.jobs.get(job)) is not None
         ]
         found.sort(key=lambda f: f[1].answer is not None and f[1].answer.verdict == "refused")
         return found[0] if found else None
@@ -132,7 +134,7 @@
         """Take one message, or do what is due for all logs.  `now_ms`: the wall clock."""
         if message is not None:
             log = self.logs.get(message.owner)
-            if log is not None and not (isinstance(message, HandBack) and log.book.open()):
+            if log is not None and not (isinstance(message, HandBack) and log.jobs_state.open()):
                 log.replica.step(now, message, sender)
                 self._after(now, now_ms, message.owner, log)
         for owner, log in self.logs.items():
@@ -169,7 +171,7 @@
     def _harmless(self, log: _Log, intent: Intent, now_ms: int) -> bool:
         """Whether an attempt may go out, by all that is known of the job: who leads knows all that was
         promised.  Here, and nowhere else, a second run of what must not run twice is kept from happening."""
-        held = log.book.jobs.get(intent.job)
+        held = log.jobs_state.jobs.get(intent.job)
         if held is None or held.answer is not None:
             return False
         what, bound = next_of(held, self.classes, now_ms)
@@ -180,41 +182,43 @@
     def _after(self, now: int, now_ms: int, owner: str, log: _Log) -> None:
         replica = log.replica
         for image in replica.images:
-            log.book = Book.of(image)
+            log.jobs_state = JobLogState.of(image)
         replica.images = []
         for number, entry in replica.commits:
             if entry.data:
                 try:
-                    log.book.apply(unpack(entry.data))
+                    log.jobs_state.apply(unpack(entry.data))
                 except msgspec.DecodeError:
-                    self.told.append((owner, f"entry {number} cannot be read: is another version running?"))
+                    self.reported.append(
+                        (owner, f"entry {number} cannot be read: is another version running?")
+                    )
             if (token := log.waiting.pop(number, 0)) and replica.role is Role.LEADER:
-                self.written.append(Written(token, True))
+                self.written.append(RecordWritten(token, True))
         log.dirty += len(replica.commits)
         replica.commits = []
         if replica.role is not Role.LEADER:
             # What we had asked for may be kept or not; whoever leads now decides what becomes of it.
-            self.written += [Written(token, False) for token in log.waiting.values()]
+            self.written += [RecordWritten(token, False) for token in log.waiting.values()]
             log.waiting.clear()
             log.term = 0
         elif log.term != replica.kept.term and replica.promises(now):
             log.term = replica.kept.term
-            for held in log.book.open():
+            for held in log.jobs_state.open():
                 self.adopted.append(Adopted(owner, held, *next_of(held, self.classes, now_ms)))
         if log.dirty >= COMPACT_ENTRIES:
             log.dirty = 0
-            replica.compact(log.book.image())
+            replica.compact(log.jobs_state.image())
 
     def _forget(self, now: int, now_ms: int) -> None:
         for owner, log in self.logs.items():
             if self.promises(now, owner):
-                old = log.book.answered_before(now_ms - self._keep_ms)
+                old = log.jobs_state.answered_before(now_ms - self._keep_ms)
                 for at in range(0, len(old), FORGET_BATCH):
                     log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + FORGET_BATCH])))])
                 # Nobody waits for these any more, and nobody works on them: an answer was lost with a lead.
-                late = [h.taken.job for h in log.book.open() if h.taken.until_ms + LATE_MS < now_ms]
+                late = [h.taken.job for h in log.jobs_state.open() if h.taken.until_ms + LATE_MS < now_ms]
                 if late:
-                    log.replica.propose(now, [pack(Answered(job, "failed", now_ms)) for job in late])
+                    log.replica.propose(now, [pack(AnswerRecord(job, "failed", now_ms)) for job in late])
 
     def _gather(self) -> None:
         """What the replicas want stored and sent, in that order."""
@@ -222,5 +226,5 @@
             replica = log.replica
             self.stores += [(owner, store) for store in replica.stores]
             self.sends += replica.sends
-            self.told += [(owner, what) for what in replica.told]
-            replica.stores, replica.sends, replica.told = [], [], []
+            self.reported += [(owner, what) for what in replica.reported]
+            replica.stores, replica.sends, replica.reported = [], [], []
--- a/hollowusher/scheduler/rules/log_replication/messages.py
+++ b/hollowusher/scheduler/rules/log_replication/messages.py
@@ -11,10 +11,10 @@
 from msgspec import Struct
 
 MOST_ENTRIES = 64  # in one message: a slow copy is caught up piece by piece
-PIECE = 32 * 1024  # bytes of a snapshot in one message
+SNAPSHOT_CHUNK_BYTES = 32 * 1024  # bytes of a snapshot in one message
 
 
-class Standing(IntEnum):
+class VoterStanding(IntEnum):
     """How much the word of one that is asked by a learner is worth."""
 
     BLANK = 0  # it holds nothing either
@@ -23,7 +23,7 @@
     FULL = 3  # it is a full member
 
 
-class Entry(Struct, frozen=True, array_like=True):
+class LogEntry(Struct, frozen=True, array_like=True):
     """One entry of a log.  `group`: who keeps the log from here on, where this entry changes that."""
 
     term: int
@@ -38,7 +38,7 @@
     term: int
     prev: int
     prev_term: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     commit: int
     sent: int
 
@@ -55,7 +55,7 @@
     lacks: bool = False
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="v"):
+class VoteRequest(Struct, frozen=True, array_like=True, tag="v"):
     """Will you follow me?  `trial`: would you, if I asked: nothing changes by a trial.  `calls`: the leader
     has told the one who asks to take over, so its lease is no reason to refuse."""
 
@@ -76,7 +76,7 @@
     trial: bool = False
 
 
-class Learn(Struct, frozen=True, array_like=True, tag="l"):
+class LearnRequest(Struct, frozen=True, array_like=True, tag="l"):
     """One that has started: it does not know whether it has forgotten something.  `nonce` is of this start,
     `starts` counts its starts as far as it knows, 0 where it holds nothing."""
 
@@ -85,7 +85,7 @@
     starts: int
 
 
-class Taught(Struct, frozen=True, array_like=True, tag="t"):
+class LearnReply(Struct, frozen=True, array_like=True, tag="t"):
     """What the others know: the term, and the most starts that they have heard of.  `leads`: it leads the
     log, up to `last`."""
 
@@ -93,12 +93,12 @@
     nonce: int
     term: int
     starts: int
-    standing: Standing
+    standing: VoterStanding
     leads: bool = False
     last: int = 0
 
 
-class Image(Struct, frozen=True, array_like=True, tag="s"):
+class SnapshotChunk(Struct, frozen=True, array_like=True, tag="s"):
     """A piece of the state up to `last`, for one whose entries are no longer kept."""
 
     owner: str
@@ -107,12 +107,12 @@
     last_term: int
     group: tuple[str, ...]
     at: int
-    whole: int
+    complete: int
     piece: bytes
     sent: int
 
 
-class Imaged(Struct, frozen=True, array_like=True, tag="i"):
+class SnapshotReceived(Struct, frozen=True, array_like=True, tag="i"):
     """Held up to so many bytes of that image."""
 
     owner: str
@@ -136,4 +136,15 @@
     term: int
 
 
-Message = Append | Appended | Ask | Vote | Learn | Taught | Image | Imaged | TakeOver | HandBack
+Message = (
+    Append
+    | Appended
+    | VoteRequest
+    | Vote
+    | LearnRequest
+    | LearnReply
+    | SnapshotChunk
+    | SnapshotReceived
+    | TakeOver
+    | HandBack
+)
--- a/hollowusher/scheduler/rules/log_replication/pace.py
+++ b/hollowusher/scheduler/rules/log_replication/pace.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ReplicationTiming:
     """`lease_ns` is all that is set; clocks may run at rates that differ by `drift` either way."""
 
     lease_ns: int = 1_000 * MS
@@ -17,7 +17,7 @@
     resend: int = 2  # beats after which an unanswered append is sent once more
 
     @property
-    def beat_ns(self) -> int:
+    def heartbeat_ns(self) -> int:
         """Between two signs of a leader."""
         return self.lease_ns // self.beats
 
--- a/hollowusher/scheduler/rules/log_replication/records.py
+++ b/hollowusher/scheduler/rules/log_replication/records.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 
-class Taken(Struct, frozen=True, array_like=True, tag="t", omit_defaults=True):
+class JobTakenRecord(Struct, frozen=True, array_like=True, tag="t", omit_defaults=True):
     """The job is ours and is owed one answer.  `until_ms`: when its client stops waiting (wall clock)."""
 
     job: str
@@ -33,7 +33,7 @@
     at_ms: int
 
 
-class Ended(Struct, frozen=True, array_like=True, tag="e"):
+class AttemptEndRecord(Struct, frozen=True, array_like=True, tag="e"):
     """An attempt is over; `never`: it is proven that it never ran."""
 
     job: str
@@ -41,7 +41,7 @@
     never: bool
 
 
-class Answered(Struct, frozen=True, array_like=True, tag="a", omit_defaults=True):
+class AnswerRecord(Struct, frozen=True, array_like=True, tag="a", omit_defaults=True):
     """The one answer.  A client may be told it from here on."""
 
     job: str
@@ -57,7 +57,7 @@
     jobs: tuple[str, ...]
 
 
-Record = Taken | Intent | Ended | Answered | Forgotten
+Record = JobTakenRecord | Intent | AttemptEndRecord | AnswerRecord | Forgotten
 _encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Record)
 
 
@@ -71,34 +71,34 @@
     return _decoder.decode(data)
 
 
-class Held(Struct, array_like=True):
+class LoggedJob(Struct, array_like=True):
     """A job as the book has it."""
 
-    taken: Taken
+    taken: JobTakenRecord
     intents: list[Intent] = []
     never: set[int] = set()  # attempts that are proven never to have run
-    answer: Answered | None = None
+    answer: AnswerRecord | None = None
 
     def may_have_run(self) -> list[Intent]:
         """Attempts that were to go out and are not known never to have run."""
         return [i for i in self.intents if i.number not in self.never]
 
 
-_images = msgspec.msgpack.Decoder(list[Held])
+_images = msgspec.msgpack.Decoder(list[LoggedJob])
 
 
 @dataclass(slots=True)
-class Book:
+class JobLogState:
     """All jobs of one log.  Records of jobs that are not known, or come twice, change nothing."""
 
-    jobs: dict[str, Held] = field(default_factory=dict)
+    jobs: dict[str, LoggedJob] = field(default_factory=dict)
     size: int = 0  # bytes of bodies and results
 
     def apply(self, record: Record) -> None:
         """Take one committed record."""
         match record:
-            case Taken(job) if job not in self.jobs:
-                self.jobs[job] = Held(record, [], set())
+            case JobTakenRecord(job) if job not in self.jobs:
+                self.jobs[job] = LoggedJob(record, [], set())
                 self.size += len(record.body)
             case Forgotten(jobs):
                 for job in jobs:
@@ -106,14 +106,14 @@
                         self.size -= len(held.taken.body) + (len(held.answer.result) if held.answer else 0)
             case Intent(job) if (held := self.jobs.get(job)) is not None:
                 held.intents.append(record)
-            case Ended(job) if (held := self.jobs.get(job)) is not None:
+            case AttemptEndRecord(job) if (held := self.jobs.get(job)) is not None:
                 if record.never:
                     held.never.add(record.number)
-            case Answered(job) if (held := self.jobs.get(job)) is not None and held.answer is None:
+            case AnswerRecord(job) if (held := self.jobs.get(job)) is not None and held.answer is None:
                 held.answer = record
                 self.size += len(record.result)
 
-    def open(self) -> list[Held]:
+    def open(self) -> list[LoggedJob]:
         """Jobs that are owed an answer."""
         return [held for held in self.jobs.values() if held.answer is None]
 
@@ -128,10 +128,10 @@
         return msgspec.msgpack.encode(list(self.jobs.values()))
 
     @staticmethod
-    def of(image: bytes) -> Book:
+    def of(image: bytes) -> JobLogState:
         """A book from its image."""
-        book = Book()
+        state = JobLogState()
         for held in _images.decode(image) if image else ():
-            book.jobs[held.taken.job] = held
-            book.size += len(held.taken.body) + (len(held.answer.result) if held.answer else 0)
-        return book
+            state.jobs[held.taken.job] = held
+            state.size += len(held.taken.body) + (len(held.answer.result) if held.answer else 0)
+        return state
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -16,22 +16,22 @@
 
 from hollowusher.scheduler.rules.log_replication.messages import (
     MOST_ENTRIES,
-    PIECE,
+    SNAPSHOT_CHUNK_BYTES,
     Append,
     Appended,
-    Ask,
-    Entry,
     HandBack,
-    Image,
-    Imaged,
-    Learn,
+    LearnReply,
+    LearnRequest,
+    LogEntry,
     Message,
-    Standing,
+    SnapshotChunk,
+    SnapshotReceived,
     TakeOver,
-    Taught,
     Vote,
+    VoteRequest,
+    VoterStanding,
 )
-from hollowusher.scheduler.rules.log_replication.pace import Pace
+from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
 
 
 class Role(Enum):
@@ -53,7 +53,7 @@
     heard: dict[str, tuple[int, int]] = field(default_factory=dict)  # of each other: starts, and the nonce
     first: int = 1  # the number of the first entry that is kept
     before: int = 0  # the term of the one before it
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[LogEntry] = field(default_factory=list)
     image: bytes = b""  # the state up to first - 1
     image_group: tuple[str, ...] = ()
 
@@ -78,14 +78,14 @@
 
     meta: bool = False
     cut: int = 0
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[LogEntry, ...] = ()
     first: int = 0
     image: bytes | None = None
     upto: int = 0
 
 
 @dataclass(slots=True)
-class Peer:
+class ReplicaPeer:
     """What a leader knows of one copy."""
 
     next: int
@@ -99,14 +99,14 @@
 
 class Replica:
     """`step` takes the time and at most one message; `due` is when to call it.  The caller empties `stores`
-    (first), `sends`, `commits` (number and entry, in order) and `told` (words for the log)."""
+    (first), `sends`, `commits` (number and entry, in order) and `reported` (words for the log)."""
 
     def __init__(
         self,
         name: str,
         owner: str,
         group: Sequence[str],
-        pace: Pace,
+        pace: ReplicationTiming,
         chance: random.Random,
         now: int,
         kept: Kept | None = None,
@@ -118,10 +118,10 @@
         self.commit = self.kept.first - 1
         self.sends: list[tuple[str, Message]] = []
         self.stores: list[Store] = []
-        self.commits: list[tuple[int, Entry]] = []
+        self.commits: list[tuple[int, LogEntry]] = []
         self.images: list[bytes] = []  # states that take the place of what was committed before
-        self.told: list[str] = []
-        self.peers: dict[str, Peer] = {}
+        self.reported: list[str] = []
+        self.peers: dict[str, ReplicaPeer] = {}
         self.lease_until = -(1 << 62)
         self._led_at = -(1 << 62)  # when a leader was last heard
         self._ask_at = now
@@ -137,11 +137,11 @@
         self.kept.starts += 1
         self.stores.append(Store(meta=True))
         self._nonce = chance.randrange(1, 1 << 53)
-        self._taught: dict[str, Taught] = {}
+        self._taught: dict[str, LearnReply] = {}
         self._need = 0  # a learner without storage votes again once it holds all up to here
         self._teacher = ""
         self._rest_until = now + pace.lease_ns  # what it promised before it forgot has run out by then
-        self._learn_at, self._trust_at = now, now + 3 * pace.beat_ns
+        self._learn_at, self._trust_at = now, now + 3 * pace.heartbeat_ns
 
     # --- what others read -------------------------------------------------------------------------------
 
@@ -173,8 +173,8 @@
                 return self._learn_at
             case Role.LEADER:
                 return min(
-                    (p.sent_at + self.pace.beat_ns for p in self.peers.values()),
-                    default=self._led_at + self.pace.beat_ns,
+                    (p.sent_at + self.pace.heartbeat_ns for p in self.peers.values()),
+                    default=self._led_at + self.pace.heartbeat_ns,
                 )
             case _:
                 return self._ask_at
@@ -198,13 +198,13 @@
         """Add entries; the last one's number, or 0 where it may not promise."""
         if not self.promises(now):
             return 0
-        entries = tuple(Entry(self.kept.term, d) for d in data)
+        entries = tuple(LogEntry(self.kept.term, d) for d in data)
         if group:
             gone, new = set(self.group) - set(group), set(group) - set(self.group)
             still = any(e.group for e in self.kept.entries[self.commit - self.kept.first + 1 :])
             if len(gone) + len(new) != 1 or self.name in gone or still:
                 return 0  # one at a time, each committed before the next
-            entries += (Entry(self.kept.term, b"", group),)
+            entries += (LogEntry(self.kept.term, b"", group),)
         self._extend(entries)
         if group:
             self._set_peers(now)
@@ -219,7 +219,8 @@
         if self.role is Role.FOLLOWER and self.leader in names:
             self._ask_at = min(
                 self._ask_at,
-                max(now, self._led_at + self.pace.lease_ns) + round(self.chance.random() * self.pace.beat_ns),
+                max(now, self._led_at + self.pace.lease_ns)
+                + round(self.chance.random() * self.pace.heartbeat_ns),
             )
 
     def hand_back(self, now: int) -> None:
@@ -244,25 +245,25 @@
 
     def _take(self, now: int, message: Message, sender: str) -> None:
         match message:
-            case Learn():
+            case LearnRequest():
                 self._teach(message, sender)
-            case Taught():
+            case LearnReply():
                 self._learnt(now, message, sender)
             case Append():
                 if self._heeds(now, message.term, sender):
                     self._appended(now, message, sender)
                 else:
                     self.sends.append((sender, Appended(self.owner, self.kept.term, False, 0, message.sent)))
-            case Image():
+            case SnapshotChunk():
                 if self._heeds(now, message.term, sender):
                     self._imaged(now, message, sender)
             case Appended() if message.term > self.kept.term and self.role is not Role.LEARNER:
                 self._follow(now, message.term, "")
             case Appended() if message.term == self.kept.term and self.role is Role.LEADER:
                 self._vouched(now, message, sender)
-            case Imaged() if message.term == self.kept.term and self.role is Role.LEADER:
+            case SnapshotReceived() if message.term == self.kept.term and self.role is Role.LEADER:
                 self._image_held(now, message, sender)
-            case Ask() if self.role is not Role.LEARNER:
+            case VoteRequest() if self.role is not Role.LEARNER:
                 self._asked(now, message, sender)
             case Vote() if self.role is not Role.LEARNER:
                 self._voted(now, message, sender)
@@ -327,21 +328,21 @@
             self._led_at = now
             self.lease_until = now + self.pace.lease_ns
         for name, peer in self.peers.items():
-            if peer.sent_at + self.pace.beat_ns <= now:
-                if now - peer.sent_at >= self.pace.resend * self.pace.beat_ns:
+            if peer.sent_at + self.pace.heartbeat_ns <= now:
+                if now - peer.sent_at >= self.pace.resend * self.pace.heartbeat_ns:
                     peer.open = False
-                self._append(now, name, beat=True)
+                self._append(now, name, heartbeat=True)
 
-    def _append(self, now: int, name: str, beat: bool = False) -> None:
+    def _append(self, now: int, name: str, heartbeat: bool = False) -> None:
         """What a copy lacks, one piece at a time; a beat goes out while a piece is under way too."""
         kept, peer = self.kept, self.peers[name]
-        if peer.open and not beat:
+        if peer.open and not heartbeat:
             return
         if peer.image_at >= 0 or peer.next < kept.first:
             self._send_image(now, name, peer)
             return
         entries = () if peer.open else tuple(kept.entries[peer.next - kept.first :][:MOST_ENTRIES])
-        if not entries and not beat:
+        if not entries and not heartbeat:
             return
         prev = peer.next - 1
         peer.open, peer.sent_at = bool(entries) or peer.open, now
@@ -349,13 +350,13 @@
             (name, Append(self.owner, kept.term, prev, kept.term_of(prev), entries, self.commit, now))
         )
 
-    def _send_image(self, now: int, name: str, peer: Peer) -> None:
+    def _send_image(self, now: int, name: str, peer: ReplicaPeer) -> None:
         kept, at = self.kept, max(0, peer.image_at)
         peer.image_at, peer.sent_at, peer.open = at, now, True
         self.sends.append(
             (
                 name,
-                Image(
+                SnapshotChunk(
                     self.owner,
                     kept.term,
                     kept.first - 1,
@@ -363,13 +364,13 @@
                     kept.image_group,
                     at,
                     len(kept.image),
-                    kept.image[at : at + PIECE],
+                    kept.image[at : at + SNAPSHOT_CHUNK_BYTES],
                     now,
                 ),
             )
         )
 
-    def _image_held(self, now: int, m: Imaged, sender: str) -> None:
+    def _image_held(self, now: int, m: SnapshotReceived, sender: str) -> None:
         peer = self.peers.get(sender)
         if peer is None or peer.image_at < 0:
             return
@@ -380,7 +381,7 @@
             peer.image_at, peer.next, peer.match = -1, m.last + 1, max(peer.match, m.last)
         else:
             peer.image_at = m.at
-        self._append(now, sender, beat=True)
+        self._append(now, sender, heartbeat=True)
 
     def _vouched(self, now: int, m: Appended, sender: str) -> None:
         """A copy holds what it was sent, or says from where on it does not."""
@@ -445,7 +446,7 @@
             self.sends.append(
                 (
                     name,
-                    Ask(
+                    VoteRequest(
                         self.owner,
                         self.kept.term + 1,
                         self.kept.last,
@@ -467,7 +468,7 @@
             self.sends.append(
                 (
                     name,
-                    Ask(
+                    VoteRequest(
                         self.owner,
                         self.kept.term,
                         self.kept.last,
@@ -477,34 +478,34 @@
                 )
             )
 
-    def _asked(self, now: int, m: Ask, sender: str) -> None:
+    def _asked(self, now: int, m: VoteRequest, sender: str) -> None:
         kept = self.kept
         if self._bound(now, m, sender):
             # A leader has our word for a lease: whoever asks meanwhile is not answered yes, nor is its term
             # taken up.
             self.sends.append((sender, Vote(self.owner, max(kept.term, 0), False, m.trial)))
             return
-        whole = self._whole(m)
+        complete = self._complete(m)
         if m.trial:
-            yes = whole and m.term > kept.term
+            yes = complete and m.term > kept.term
             self.sends.append((sender, Vote(self.owner, m.term if yes else kept.term, yes, True)))
             return
         if m.term > kept.term:
             self._follow(now, m.term, "")
-        yes = whole and m.term == kept.term and kept.voted in ("", sender) and now >= self._rest_until
+        yes = complete and m.term == kept.term and kept.voted in ("", sender) and now >= self._rest_until
         if yes and not kept.voted:
             self._set_term(m.term, sender)
         if yes:
             self._ask_at = now + self._wait()
         self.sends.append((sender, Vote(self.owner, kept.term, yes)))
 
-    def _bound(self, now: int, m: Ask, sender: str) -> bool:
+    def _bound(self, now: int, m: VoteRequest, sender: str) -> bool:
         """Whether our word to a leader still holds, or we lead and others' word to us does."""
         if m.calls or self.leader in ("", sender):
             return False
         return now < self.lease_until if self.role is Role.LEADER else now - self._led_at < self.pace.lease_ns
 
-    def _whole(self, m: Ask) -> bool:
+    def _complete(self, m: VoteRequest) -> bool:
         """Whether whoever asks holds all that we do: a majority of such holds all that was committed."""
         return (m.last_term, m.last) >= (self.kept.term_of(self.kept.last), self.kept.last)
 
@@ -528,19 +529,19 @@
         self.role, self.leader, self._giving, self._led_at = Role.LEADER, self.name, False, now
         self.lease_until = -(1 << 62)
         self.peers = {}
-        self._extend((Entry(self.kept.term),))
+        self._extend((LogEntry(self.kept.term),))
         self._begun = self.kept.last
         self._set_peers(now)
-        self.told.append(f"leads in term {self.kept.term}")
+        self.reported.append(f"leads in term {self.kept.term}")
         self._advance()
         self._lead(now)
 
     def _set_peers(self, now: int) -> None:
-        self.peers = {n: self.peers.get(n) or Peer(self.kept.last) for n in self._others()}
+        self.peers = {n: self.peers.get(n) or ReplicaPeer(self.kept.last) for n in self._others()}
 
     def _follow(self, now: int, term: int, leader: str) -> None:
         if self.role is Role.LEADER:
-            self.told.append(f"no longer leads: term {term}")
+            self.reported.append(f"no longer leads: term {term}")
         if term > self.kept.term:
             self._set_term(term, "")
         self.role, self.leader, self.peers, self._trying = Role.FOLLOWER, leader, {}, False
@@ -551,16 +552,16 @@
 
     def _learn(self, now: int) -> None:
         """Ask all what they know, until enough is known."""
-        self._learn_at = now + self.pace.beat_ns
+        self._learn_at = now + self.pace.heartbeat_ns
         self._taught = {n: t for n, t in self._taught.items() if n in self.group}
         if len(self.group) == 1:
             self._learnt_all(now)
             return
         starts = self.kept.starts if self._held else 0
         for name in self._others():
-            self.sends.append((name, Learn(self.owner, self._nonce, starts)))
+            self.sends.append((name, LearnRequest(self.owner, self._nonce, starts)))
 
-    def _teach(self, m: Learn, sender: str) -> None:
+    def _teach(self, m: LearnRequest, sender: str) -> None:
         known, nonce = self.kept.heard.get(sender, (0, 0))
         if m.nonce == nonce:
             known = m.starts - 1  # asked once more in this same start
@@ -568,17 +569,19 @@
             self.kept.heard[sender] = (m.starts, m.nonce)
             self.stores.append(Store(meta=True))
         # One that holds nothing and has voted for nobody knows no more than one that may have forgotten it.
-        standing = Standing.BLANK
+        standing = VoterStanding.BLANK
         if self.role is not Role.LEARNER and (self.kept.term or self.kept.last):
-            standing = Standing.FULL
+            standing = VoterStanding.FULL
         elif self.role is Role.LEARNER and self._held:
-            standing = Standing.STORED
+            standing = VoterStanding.STORED
         elif self.kept.last:
-            standing = Standing.PART  # what it was taught before its teacher was lost: so the log is not void
+            standing = (
+                VoterStanding.PART
+            )  # what it was taught before its teacher was lost: so the log is not void
         self.sends.append(
             (
                 sender,
-                Taught(
+                LearnReply(
                     self.owner,
                     m.nonce,
                     self.kept.term,
@@ -590,17 +593,17 @@
             )
         )
 
-    def _learnt(self, now: int, m: Taught, sender: str) -> None:
+    def _learnt(self, now: int, m: LearnReply, sender: str) -> None:
         if self.role is not Role.LEARNER or m.nonce != self._nonce or sender not in self.group:
             return
         self._taught[sender] = m
-        told = list(self._taught.values())
-        if self._held and any(t.starts >= self.kept.starts for t in told):
+        reported = list(self._taught.values())
+        if self._held and any(t.starts >= self.kept.starts for t in reported):
             # Somebody has heard of a later start of ours: what our storage gave back is an old image of it.
-            self.told.append("its storage is an old image: it learns anew")
-            self._held, self.kept.starts = False, max(t.starts for t in told) + 1
+            self.reported.append("its storage is an old image: it learns anew")
+            self._held, self.kept.starts = False, max(t.starts for t in reported) + 1
             self._lose()
-        full = {n: t for n, t in self._taught.items() if t.standing == Standing.FULL}
+        full = {n: t for n, t in self._taught.items() if t.standing == VoterStanding.FULL}
         if len(full) >= self._most():
             newest = max(t.term for t in full.values())
             for name, t in full.items():
@@ -610,11 +613,18 @@
                 self._set_term(newest, "")
         elif self._held:
             # Too few can teach us, so that our storage is needed: all of a group have been restarted, say.
-            if now >= self._trust_at and 1 + sum(t.standing >= Standing.STORED for t in told) >= self._most():
+            if (
+                now >= self._trust_at
+                and 1 + sum(t.standing >= VoterStanding.STORED for t in reported) >= self._most()
+            ):
                 self._learnt_all(now)
-        elif len(told) == len(self.group) - 1 and not self.kept.last and not any(t.standing for t in told):
+        elif (
+            len(reported) == len(self.group) - 1
+            and not self.kept.last
+            and not any(t.standing for t in reported)
+        ):
             # Nobody in the whole group holds anything: the log begins, or all that was promised is lost.
-            self.told.append("nobody holds anything of this log: it begins anew")
+            self.reported.append("nobody holds anything of this log: it begins anew")
             self._learnt_all(now)
 
     def _lose(self) -> None:
@@ -631,24 +641,26 @@
             # else its next start would be taken for one with an old image.
             self.kept.starts = max([self.kept.starts, *(t.starts + 1 for t in self._taught.values())])
             self.stores.append(Store(meta=True))
-            self.sends += [(n, Learn(self.owner, self._nonce, self.kept.starts)) for n in self._others()]
+            self.sends += [
+                (n, LearnRequest(self.owner, self._nonce, self.kept.starts)) for n in self._others()
+            ]
         self.role, self._held = Role.FOLLOWER, True
         if self._need and not self.kept.voted:
             self._set_term(self.kept.term, "?")  # whom it voted for in this term it cannot know
         self._ask_at = now + self._wait()
-        self.told.append("knows all that it must")
+        self.reported.append("knows all that it must")
 
-    def _imaged(self, now: int, m: Image, sender: str) -> None:
+    def _imaged(self, now: int, m: SnapshotChunk, sender: str) -> None:
         """A piece of the state; the whole takes the place of what we hold."""
         kept = self.kept
         if m.last <= self.commit:
-            self.sends.append((sender, Imaged(self.owner, kept.term, m.last, m.whole, m.sent)))
+            self.sends.append((sender, SnapshotReceived(self.owner, kept.term, m.last, m.complete, m.sent)))
             return
         if m.at == 0:
             self._piece = bytearray()
         if m.at == len(self._piece):
             self._piece += m.piece
-        if len(self._piece) >= m.whole:
+        if len(self._piece) >= m.complete:
             image = bytes(self._piece)
             if kept.term_of(m.last) == m.last_term:  # what follows it is kept
                 kept.entries = kept.entries[m.last - kept.first + 1 :]
@@ -659,7 +671,7 @@
             self.stores.append(Store(cut=0 if kept.entries else m.last + 1, image=image, upto=m.last))
             self.images.append(image)
             self.commits.clear()
-        self.sends.append((sender, Imaged(self.owner, kept.term, m.last, len(self._piece), m.sent)))
+        self.sends.append((sender, SnapshotReceived(self.owner, kept.term, m.last, len(self._piece), m.sent)))
 
     def _wait(self) -> int:
         """How long from now a silent leader is waited for."""
@@ -674,7 +686,7 @@
         self.kept.term, self.kept.voted = term, voted
         self.stores.append(Store(meta=True))
 
-    def _extend(self, entries: tuple[Entry, ...]) -> None:
+    def _extend(self, entries: tuple[LogEntry, ...]) -> None:
         self.stores.append(Store(entries=entries, first=self.kept.last + 1))
         self.kept.entries += entries
 
--- a/hollowusher/scheduler/rules/log_replication/takeover.py
+++ b/hollowusher/scheduler/rules/log_replication/takeover.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from hollowusher.balancing.interface import Effect, Group, JobClass
-from hollowusher.scheduler.rules.log_replication.records import Held
+from hollowusher.scheduler.rules.log_replication.records import LoggedJob
 
 SPARE_MS = 50  # less than this before its client gives up, nothing is begun
 
@@ -28,7 +28,7 @@
     until_ms: int
 
 
-def next_of(held: Held, classes: Mapping[str, JobClass], now_ms: int) -> tuple[Next, Bound | None]:
+def next_of(held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int) -> tuple[Next, Bound | None]:
     """An attempt that was intended and is not proven never to have run counts as one that may have run.
 
     Safe: again.  Keyed: again within its group's window, counted from the first such attempt.  Else never."""
--- a/hollowusher/scheduler/rules/membership/codec.py
+++ b/hollowusher/scheduler/rules/membership/codec.py
@@ -19,12 +19,12 @@
 assert _HEAD.size == HEAD_BYTES
 
 
-class Codec:
+class DatagramCodec:
     """For one cluster.  `bad` counts what came and was skipped, by reason."""
 
-    def __init__(self, cluster: str, room: int = MOST_DATAGRAM) -> None:
+    def __init__(self, cluster: str, capacity: int = MOST_DATAGRAM) -> None:
         self._cluster = xxhash.xxh32_intdigest(cluster.encode())
-        self._room = room
+        self._capacity = capacity
         self._decoder = msgspec.msgpack.Decoder(Message)
         self._encoder = msgspec.msgpack.Encoder()
         self.bad: Counter[str] = Counter()
@@ -32,7 +32,7 @@
     def encode(self, message: Message) -> bytes:
         """The datagram; ValueError where it would be longer than allowed."""
         body = self._encoder.encode(message)
-        if len(body) + HEAD_BYTES > self._room:
+        if len(body) + HEAD_BYTES > self._capacity:
             raise ValueError(f"a datagram of {len(body) + HEAD_BYTES} bytes")
         return _HEAD.pack(MAGIC, VERSION, self._cluster, self._sum(body)) + body
 
@@ -44,7 +44,7 @@
         return message
 
     def _read(self, data: bytes) -> tuple[str, Message | None]:
-        if not HEAD_BYTES < len(data) <= self._room:
+        if not HEAD_BYTES < len(data) <= self._capacity:
             return "length", None
         magic, version, cluster, checksum = _HEAD.unpack_from(data)
         if magic != MAGIC:
--- a/hollowusher/scheduler/rules/membership/events.py
+++ b/hollowusher/scheduler/rules/membership/events.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class MembershipEvent:
     """One change, of whom, why, and the number of the view it led to."""
 
     change: Change
--- a/hollowusher/scheduler/rules/membership/gossip.py
+++ b/hollowusher/scheduler/rules/membership/gossip.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from itertools import count
 
-from hollowusher.scheduler.rules.membership.messages import News, news_bytes
+from hollowusher.scheduler.rules.membership.messages import MemberUpdate, news_bytes
 
 SPREAD = 4  # lambda of SWIM's section 4.1: times log of the members that one news is sent by each
 
@@ -17,46 +17,52 @@
     takes the older ones' place and starts anew."""
 
     def __init__(self) -> None:
-        self._news: dict[str, dict[str, News]] = {}  # by name and accuser
-        self._heap: list[tuple[int, int, str, News]] = []  # times sent, newest first, name
+        self._news: dict[str, dict[str, MemberUpdate]] = {}  # by name and accuser
+        self._heap: list[tuple[int, int, str, MemberUpdate]] = []  # times sent, newest first, name
         self._order = count()
 
-    def _told(self, news: News) -> bool:
+    def _reported(self, news: MemberUpdate) -> bool:
         return self._news.get(news.name, {}).get(news.by) is news
 
-    def put(self, news: News) -> None:
+    def put(self, news: MemberUpdate) -> None:
         """Have it told from now on."""
-        told = self._news.setdefault(news.name, {})
-        for old in list(told.values()):
-            if (old.life, old.incarnation, old.standing) != (news.life, news.incarnation, news.standing):
-                del told[old.by]
-        told[news.by] = news
+        reported = self._news.setdefault(news.name, {})
+        for old in list(reported.values()):
+            if (old.process_id, old.incarnation, old.standing) != (
+                news.process_id,
+                news.incarnation,
+                news.standing,
+            ):
+                del reported[old.by]
+        reported[news.by] = news
         heapq.heappush(self._heap, (0, -next(self._order), news.name, news))
 
     def drop(self, name: str) -> None:
         """Tell nothing more of this name."""
         self._news.pop(name, None)
 
-    def pick(self, room: int, members: int, first: Iterable[News] = ()) -> tuple[News, ...]:
+    def pick(
+        self, capacity: int, members: int, first: Iterable[MemberUpdate] = ()
+    ) -> tuple[MemberUpdate, ...]:
         """What fits into so many bytes, `first` before all else.  Each counts as sent once more, and is
         forgotten once all must have heard it."""
-        picked: dict[tuple[str, str], News] = {}
+        picked: dict[tuple[str, str], MemberUpdate] = {}
         for news in first:
-            if (size := news_bytes(news)) <= room:
-                picked[news.name, news.by], room = news, room - size
+            if (size := news_bytes(news)) <= capacity:
+                picked[news.name, news.by], capacity = news, capacity - size
         most = math.ceil(SPREAD * math.log10(members + 1)) + 1
-        again: list[tuple[int, int, str, News]] = []
-        while self._heap and room > 16:  # no news is shorter
+        again: list[tuple[int, int, str, MemberUpdate]] = []
+        while self._heap and capacity > 16:  # no news is shorter
             sent, order, name, news = heapq.heappop(self._heap)
-            if not self._told(news):
+            if not self._reported(news):
                 continue  # a newer one stands in the heap, or none is told
             size = news_bytes(news)
-            if (name, news.by) in picked or size > room:
+            if (name, news.by) in picked or size > capacity:
                 again.append((sent, order, name, news))
                 if len(again) > 4:
                     break
                 continue
-            picked[name, news.by], room = news, room - size
+            picked[name, news.by], capacity = news, capacity - size
             if sent + 1 < most:
                 again.append((sent + 1, order, name, news))
             else:
@@ -65,8 +71,10 @@
             heapq.heappush(self._heap, entry)
         return tuple(picked.values())
 
-    def frozen(self) -> tuple[tuple[int, str, News], ...]:
+    def frozen(self) -> tuple[tuple[int, str, MemberUpdate], ...]:
         """What it holds, for a model check."""
         return tuple(
-            sorted(((s, n, w) for s, _, n, w in self._heap if self._told(w)), key=lambda t: (t[:2], t[2].by))
+            sorted(
+                ((s, n, w) for s, _, n, w in self._heap if self._reported(w)), key=lambda t: (t[:2], t[2].by)
+            )
         )
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -15,29 +15,29 @@
 
 from msgspec.structs import replace
 
-from hollowusher.scheduler.rules.membership.events import Change, Told
+from hollowusher.scheduler.rules.membership.events import Change, MembershipEvent
 from hollowusher.scheduler.rules.membership.gossip import Gossip
 from hollowusher.scheduler.rules.membership.messages import (
-    MOST_LIFE,
-    Kind,
+    MAX_PROCESS_ID,
+    MemberStatus,
+    MemberUpdate,
     Message,
-    News,
-    Standing,
+    MessageKind,
     message_bytes,
     news_bytes,
 )
-from hollowusher.scheduler.rules.membership.pace import Pace
+from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
 BUCKETS = 12  # parts of a digest: what differs is sent by the part
 MOST_PAGES = 32  # datagrams that answer one digest
 MOST_HELPS = 64  # pings for others that are under way
 TWIN_PERIODS = 20  # after which nothing of an earlier process of a name is under way
-MOST_LIVES = 4  # earlier processes of a name that are remembered
+MAX_PROCESS_IDS = 4  # earlier processes of a name that are remembered
 JOIN_CALLS = 3  # names called in a period, until one has answered
 
 
 @dataclass(slots=True)
-class Suspicion:
+class MemberSuspicion:
     """A member that does not answer: who says so, and until when it has time to say otherwise."""
 
     since: int
@@ -50,24 +50,24 @@
 class Record:
     """What is known of one member."""
 
-    news: News
+    news: MemberUpdate
     heard_at: int  # when it was heard itself, last
     changed_at: int
     warned_at: int  # when it was told that it is held dead, or outdated
     lived_at: int  # since when this process of it is known
     twin: bool = False  # two processes of it were told of
     private: bool = False  # judged while we heard nobody: not told, and taken back once we hear
-    suspicion: Suspicion | None = None
-    lives: list[int] = field(default_factory=list)  # earlier ones
+    suspicion: MemberSuspicion | None = None
+    process_ids: list[int] = field(default_factory=list)  # earlier ones
 
     @property
     def present(self) -> bool:
         """Whether it counts as there."""
-        return self.news.standing <= Standing.SUSPECT
+        return self.news.standing <= MemberStatus.SUSPECT
 
 
 @dataclass(slots=True)
-class Probe:
+class MemberProbe:
     """The ping under way."""
 
     target: str
@@ -90,34 +90,34 @@
     until: int
 
 
-class Member:
+class SwimMember:
     """The protocol of one process.  `step` takes the time and at most one message; `due` is when to call it.
 
-    `sends` and `told` gather what is to go out and what has changed; the caller empties them.
+    `sends` and `reported` gather what is to go out and what has changed; the caller empties them.
     """
 
     def __init__(
         self,
         name: str,
-        life: int,
+        process_id: int,
         incarnation: int,
         contacts: Iterable[str],
-        pace: Pace,
+        pace: MembershipTiming,
         chance: random.Random,
         now: int,
         address: str = "",
     ) -> None:
-        self.me = News(name, life & MOST_LIFE, incarnation, address=address)
+        self.me = MemberUpdate(name, process_id & MAX_PROCESS_ID, incarnation, address=address)
         self.contacts = frozenset(contacts) | {name}
         self.pace, self.chance = pace, chance
         self.records: dict[str, Record] = {}
         self.gossip = Gossip()
         self.sends: list[tuple[str, Message]] = []
-        self.told: list[Told] = []
+        self.reported: list[MembershipEvent] = []
         self.number = self.health = self._seq = 0
         self.minority, self.deaf, self.joined, self.gone = len(self.contacts) > 1, True, False, False
         self._heard_at = now
-        self._probe: Probe | None = None
+        self._probe: MemberProbe | None = None
         self._helps: dict[int, Help] = {}
         self._order: list[str] = []
         self._doubted: set[str] = set()  # who has a suspicion
@@ -209,10 +209,10 @@
 
     def leave(self, now: int) -> None:
         """Say that we go, in good order; nothing is said or heard after that."""
-        self.me = replace(self.me, standing=Standing.LEFT)
+        self.me = replace(self.me, standing=MemberStatus.LEFT)
         others = self._others(())
         for name in self.chance.sample(others, min(len(others), 2 * self.pace.helpers)):
-            self._send(name, Kind.PING, first=(self.me,))
+            self._send(name, MessageKind.PING, first=(self.me,))
         self.gone = True
 
     def _run(self, now: int) -> None:
@@ -225,7 +225,7 @@
             if wanted.until <= now:
                 del self._helps[seq]
             else:
-                self._send(wanted.origin, Kind.NACK, wanted.seq, wanted.target)
+                self._send(wanted.origin, MessageKind.NACK, wanted.seq, wanted.target)
                 wanted.nack_at = wanted.until
         probe = self._probe
         if probe is not None and probe.asked < 0 and probe.ask_at <= now:
@@ -264,7 +264,7 @@
     def _take(self, now: int, message: Message) -> None:
         sender = message.sender
         if sender.name == self.me.name:
-            if sender.life != self.me.life:
+            if sender.process_id != self.me.process_id:
                 self._about_me(now, sender)
             return
         self._heard_at = now
@@ -277,29 +277,32 @@
         record = self.records.get(sender.name)
         if record is None:
             return
-        if record.news.life == sender.life:
+        if record.news.process_id == sender.process_id:
             self._alive(now, record)
         match message.kind:
-            case Kind.PING:
-                self._send(sender.name, Kind.ACK, message.seq)
-            case Kind.ACK:
+            case MessageKind.PING:
+                self._send(sender.name, MessageKind.ACK, message.seq)
+            case MessageKind.ACK:
                 self._acked(now, message)
-            case Kind.ASK:
+            case MessageKind.ASK:
                 self._help(now, message)
-            case Kind.NACK:
+            case MessageKind.NACK:
                 if self._probe is not None and message.seq == self._probe.seq:
                     self._probe.nacks += 1
-            case Kind.DIGEST:
+            case MessageKind.DIGEST:
                 self._answer_digest(message)
         if (
-            not record.present or record.news.life != sender.life
+            not record.present or record.news.process_id != sender.process_id
         ) and now - record.warned_at >= self.pace.period_ns:
             # It is held dead or gone, or a process of its name with a younger clock is known: it is told, and
             # can say otherwise.  Once a period: one that never does would be asked at the network's speed.
             record.warned_at = now
-            if record.news.life != sender.life and now - record.lived_at > TWIN_PERIODS * self.pace.period_ns:
+            if (
+                record.news.process_id != sender.process_id
+                and now - record.lived_at > TWIN_PERIODS * self.pace.period_ns
+            ):
                 self._twins(record)  # what one that ended had sent has arrived by now
-            self._send(sender.name, Kind.PING, first=(record.news,))
+            self._send(sender.name, MessageKind.PING, first=(record.news,))
 
     def _hears(self, now: int, name: str) -> None:
         """Someone is heard again, or for the first time: what was judged meanwhile is taken back."""
@@ -310,7 +313,7 @@
                 self._doubted.discard(other)
                 if not record.present:
                     self._tell(Change.JOINED, other, "judged while we heard nobody")
-                record.news = replace(record.news, standing=Standing.ALIVE, by="")
+                record.news = replace(record.news, standing=MemberStatus.ALIVE, by="")
         self._there_now = None
         self._tell(Change.HEARING, self.me.name, f"{name} is heard")
         self.joined = True
@@ -328,7 +331,7 @@
         wanted = self._helps.get(message.seq)
         if wanted is not None and wanted.target == name:
             del self._helps[message.seq]
-            self._send(wanted.origin, Kind.ACK, wanted.seq, wanted.target)
+            self._send(wanted.origin, MessageKind.ACK, wanted.seq, wanted.target)
             return
         record = self.records.get(name)
         if record is not None and message.target:
@@ -344,11 +347,11 @@
         nack_at = now + self.pace.timeout_ns * 4 // 5
         until = now + 2 * self.pace.period_ns
         self._helps[seq] = Help(message.target, message.sender.name, message.seq, nack_at, until)
-        self._send(message.target, Kind.PING, seq)
+        self._send(message.target, MessageKind.PING, seq)
 
     # --- news ---------------------------------------------------------------------------------------------
 
-    def _apply(self, now: int, news: News) -> None:
+    def _apply(self, now: int, news: MemberUpdate) -> None:
         """Take one piece of news, if it is newer than what is known."""
         if news.name == self.me.name:
             self._about_me(now, news)
@@ -360,9 +363,9 @@
             return
         old, suspicion = record.news, record.suspicion
         if (
-            news.standing is Standing.SUSPECT
+            news.standing is MemberStatus.SUSPECT
             and suspicion is not None
-            and (news.life, news.incarnation) == (old.life, old.incarnation)
+            and (news.process_id, news.incarnation) == (old.process_id, old.incarnation)
         ):
             if news.by not in suspicion.accusers and len(suspicion.accusers) <= self.pace.confirmers:
                 suspicion.accusers.add(news.by)
@@ -372,24 +375,24 @@
             return
         just = self.pace.suspicion_ns(self._size(), self.pace.confirmers, 0)
         if (
-            news.standing is Standing.DEAD
-            and news.life == old.life
+            news.standing is MemberStatus.DEAD
+            and news.process_id == old.process_id
             and not record.private
             and now - record.heard_at < just
         ):
             # We heard it itself a moment ago: so it is not reached by some, which it gets to know and answer.
-            news = replace(news, standing=Standing.SUSPECT, by=news.by or "others")
+            news = replace(news, standing=MemberStatus.SUSPECT, by=news.by or "others")
             if not news.beats(old):
                 return
-            self._send(news.name, Kind.PING, first=(news,))
+            self._send(news.name, MessageKind.PING, first=(news,))
         self._set(now, record, news)
 
-    def _first(self, now: int, news: News) -> None:
+    def _first(self, now: int, news: MemberUpdate) -> None:
         """Somebody who was not known."""
         record = Record(news, now - self.pace.forget_ns, now, now - self.pace.period_ns, now)
         self.records[news.name] = record
-        if news.standing is Standing.SUSPECT:
-            record.suspicion = Suspicion(now, {news.by})
+        if news.standing is MemberStatus.SUSPECT:
+            record.suspicion = MemberSuspicion(now, {news.by})
             self._doubted.add(news.name)
         self._there_now = None
         if record.present:
@@ -397,14 +400,14 @@
             self.gossip.put(news)
             self._view(Change.JOINED, news.name, "first heard of")
 
-    def _set(self, now: int, record: Record, news: News, private: bool = False) -> None:
+    def _set(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
         """What is known of a member changes."""
         old, was_there = record.news, record.present
         record.news = news = replace(news, address=news.address or old.address)
         record.changed_at, record.private = now, private
-        if news.standing is Standing.SUSPECT:
+        if news.standing is MemberStatus.SUSPECT:
             record.suspicion = record.suspicion if news.incarnation == old.incarnation else None
-            record.suspicion = record.suspicion or Suspicion(now, {news.by})
+            record.suspicion = record.suspicion or MemberSuspicion(now, {news.by})
             self._doubted.add(news.name)
         else:
             record.suspicion = None
@@ -414,25 +417,27 @@
             self.gossip.drop(news.name)
         else:
             self.gossip.put(news)
-        if news.life != old.life:
-            if news.life in record.lives:
+        if news.process_id != old.process_id:
+            if news.process_id in record.process_ids:
                 self._twins(record)
             record.lived_at = now
-            record.lives = [*(n for n in record.lives if n != news.life), old.life][-MOST_LIVES:]
+            record.process_ids = [*(n for n in record.process_ids if n != news.process_id), old.process_id][
+                -MAX_PROCESS_IDS:
+            ]
         if record.present and not was_there:
             self._order.insert(self.chance.randrange(len(self._order) + 1), news.name)
             self._view(Change.JOINED, news.name, f"incarnation {news.incarnation}")
         elif was_there and not record.present:
-            change = Change.DIED if news.standing is Standing.DEAD else Change.LEFT
+            change = Change.DIED if news.standing is MemberStatus.DEAD else Change.LEFT
             self._view(change, news.name, f"by {news.by}" if news.by else "")
-        elif record.present and news.life != old.life:
-            self._view(Change.RESTARTED, news.name, f"life {news.life:08x} after {old.life:08x}")
-        elif news.standing is Standing.SUSPECT and old.standing is Standing.ALIVE:
+        elif record.present and news.process_id != old.process_id:
+            self._view(Change.RESTARTED, news.name, f"life {news.process_id:08x} after {old.process_id:08x}")
+        elif news.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
             self._tell(Change.SUSPECTED, news.name, f"by {news.by}")
             # So many of all ask it next, out of turn: it hears of the suspicion, and three confirm it soon.
             if self.chance.random() * len(self.records) < 2 * self.pace.confirmers:
                 self._order.append(news.name)
-        elif news.standing is Standing.ALIVE and old.standing is Standing.SUSPECT:
+        elif news.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
             self._tell(Change.CLEARED, news.name, f"incarnation {news.incarnation}")
 
     def _twins(self, record: Record) -> None:
@@ -440,34 +445,36 @@
             record.twin = True
             self._tell(Change.TWIN, record.news.name, "two processes speak under this name")
 
-    def _about_me(self, now: int, news: News) -> None:
+    def _about_me(self, now: int, news: MemberUpdate) -> None:
         """Something is said of our own name: we are here, and say so with a higher incarnation."""
         if news.incarnation < self.me.incarnation or (
-            news.life == self.me.life and news.standing is Standing.ALIVE
+            news.process_id == self.me.process_id and news.standing is MemberStatus.ALIVE
         ):
             return
-        if news.life != self.me.life:
-            answered = self._outbid.get(news.life)
-            if answered is not None and news.incarnation > answered and self._twin != news.life:
+        if news.process_id != self.me.process_id:
+            answered = self._outbid.get(news.process_id)
+            if answered is not None and news.incarnation > answered and self._twin != news.process_id:
                 # Whoever ended cannot have answered us: this process is there.
-                self._twin = news.life
-                self._tell(Change.TWIN, self.me.name, f"another process, life {news.life:08x}, has our name")
+                self._twin = news.process_id
+                self._tell(
+                    Change.TWIN, self.me.name, f"another process, life {news.process_id:08x}, has our name"
+                )
             if self._twin is not None and now - self._answered_at < self._slow(self.pace.digest_periods):
                 return  # two that outbid each other at once would fill the network with it
-            self._outbid[news.life] = news.incarnation + 1
-            if len(self._outbid) > MOST_LIVES:
+            self._outbid[news.process_id] = news.incarnation + 1
+            if len(self._outbid) > MAX_PROCESS_IDS:
                 del self._outbid[next(iter(self._outbid))]
             self._answered_at = now
-        elif news.standing is Standing.SUSPECT:
+        elif news.standing is MemberStatus.SUSPECT:
             self._worsen(1)
         self.me = replace(self.me, incarnation=news.incarnation + 1)
         self.gossip.put(self.me)
-        if news.standing is not Standing.ALIVE:
+        if news.standing is not MemberStatus.ALIVE:
             self._tell(Change.REFUTED, self.me.name, f"{news.standing.name.lower()} by {news.by or 'others'}")
         others = self._others((news.by,))
-        told = self.chance.sample(others, min(len(others), self.pace.helpers))
-        for name in [*([news.by] if news.by in self.records else []), *told]:
-            self._send(name, Kind.PING, first=(self.me,))
+        reported = self.chance.sample(others, min(len(others), self.pace.helpers))
+        for name in [*([news.by] if news.by in self.records else []), *reported]:
+            self._send(name, MessageKind.PING, first=(self.me,))
 
     # --- judging ------------------------------------------------------------------------------------------
 
@@ -482,20 +489,20 @@
             target = self._order.pop()
             if target in self.records and self.records[target].present:
                 break
-        self._probe = Probe(target, self._next_seq(), now + self._slow_timeout(), now + self._slow(1.0))
-        self._send(target, Kind.PING, self._probe.seq)
+        self._probe = MemberProbe(target, self._next_seq(), now + self._slow_timeout(), now + self._slow(1.0))
+        self._send(target, MessageKind.PING, self._probe.seq)
 
-    def _ask_helpers(self, probe: Probe) -> None:
+    def _ask_helpers(self, probe: MemberProbe) -> None:
         probe.asked = 0
         if probe.acked:
             return
         others = self._others((probe.target,))
         for name in self.chance.sample(others, min(len(others), self.pace.helpers)):
-            self._send(name, Kind.ASK, probe.seq, probe.target)
+            self._send(name, MessageKind.ASK, probe.seq, probe.target)
             probe.asked += 1
-        self._send(probe.target, Kind.PING, probe.seq)
+        self._send(probe.target, MessageKind.PING, probe.seq)
 
-    def _end_probe(self, now: int, probe: Probe) -> None:
+    def _end_probe(self, now: int, probe: MemberProbe) -> None:
         self._probe = None
         if probe.acked:
             self.health = max(0, self.health - 1)
@@ -505,9 +512,9 @@
         if record is None or not record.present:
             return
         if record.suspicion is not None:  # our own word among those that confirm it
-            self._apply(now, replace(record.news, standing=Standing.SUSPECT, by=self.me.name))
+            self._apply(now, replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
-        news = replace(record.news, standing=Standing.SUSPECT, by=self.me.name, address="")
+        news = replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
         self._set(now, record, news, private=self.deaf)
 
     def _ends(self, record: Record) -> int:
@@ -519,23 +526,23 @@
         confirmed = len(suspicion.accusers) - 1
         return suspicion.since + self.pace.suspicion_ns(self._size(), confirmed, self.health)
 
-    def _expire(self, now: int, name: str, record: Record, suspicion: Suspicion) -> None:
+    def _expire(self, now: int, name: str, record: Record, suspicion: MemberSuspicion) -> None:
         """A suspicion has run out: it is called once more, by us and by helpers, and then it is dead."""
         if not suspicion.called:
             if suspicion.heard_at >= 0:  # it speaks, though it has not refuted: it may be slow to hear
                 suspicion.since, suspicion.heard_at = now, -1
-                self._send(name, Kind.PING)
+                self._send(name, MessageKind.PING)
                 return
             suspicion.called, suspicion.since = True, now + 2 * self.pace.timeout_ns
-            self._send(name, Kind.PING, self._next_seq())
+            self._send(name, MessageKind.PING, self._next_seq())
             others = self._others((name,))
             for other in self.chance.sample(others, min(len(others), self.pace.helpers)):
-                self._send(other, Kind.ASK, self._next_seq(), name)
+                self._send(other, MessageKind.ASK, self._next_seq(), name)
         elif suspicion.heard_at >= 0:
             suspicion.called, suspicion.since, suspicion.heard_at = False, now, -1
         else:
             by = self.me.name
-            self._set(now, record, replace(record.news, standing=Standing.DEAD, by=by), private=self.deaf)
+            self._set(now, record, replace(record.news, standing=MemberStatus.DEAD, by=by), private=self.deaf)
 
     # --- digests ------------------------------------------------------------------------------------------
 
@@ -543,7 +550,7 @@
         """Call at names that are not there: to join, and so that halves that were apart find each other."""
         absent = sorted(
             {n for n in self.contacts if n != self.me.name and not self._there(n)}
-            | {n for n, r in self.records.items() if r.news.standing is Standing.DEAD}
+            | {n for n, r in self.records.items() if r.news.standing is MemberStatus.DEAD}
         )
         calls = max(1, len(absent) // self.pace.reach_part) if self.joined else JOIN_CALLS
         self._reach_at = now + self._spread(self.pace.reach_periods if self.joined else 1.0)
@@ -558,7 +565,7 @@
         """What is held of all who are there, in parts; the same at two members that hold the same."""
         parts = [0] * BUCKETS
         for news in [self.me, *(r.news for r in self.records.values() if r.present)]:
-            said = f"{news.name}/{news.life}/{news.incarnation}"
+            said = f"{news.name}/{news.process_id}/{news.incarnation}"
             parts[self._bucket(news.name)] ^= zlib.crc32(said.encode())
         return tuple(parts)
 
@@ -566,7 +573,7 @@
         return zlib.crc32(name.encode()) % BUCKETS
 
     def _digest(self, name: str, asks: bool) -> None:
-        self._send(name, Kind.DIGEST, int(asks), hashes=self.hashes())
+        self._send(name, MessageKind.DIGEST, int(asks), hashes=self.hashes())
 
     def _answer_digest(self, message: Message) -> None:
         """Send what differs; and our own digest, so that the other does the same."""
@@ -581,13 +588,13 @@
             for n, r in self.records.items()
             if self._bucket(n) in differ and not r.private and n != message.sender.name
         ]
-        empty = self._message(Kind.PAGE, 0, "", (), ())
+        empty = self._message(MessageKind.PAGE, 0, "", (), ())
         for _ in range(MOST_PAGES):
             if not news:
                 break
-            page, room = [], self.pace.room - message_bytes(empty)
-            while news and news_bytes(news[-1]) <= room:
-                room -= news_bytes(news[-1])
+            page, capacity = [], self.pace.capacity - message_bytes(empty)
+            while news and news_bytes(news[-1]) <= capacity:
+                capacity -= news_bytes(news[-1])
                 page.append(news.pop())
             self.sends.append((message.sender.name, replace(empty, news=tuple(page))))
 
@@ -621,26 +628,33 @@
         self.health = min(self.pace.health_most, self.health + by)
 
     def _message(
-        self, kind: Kind, seq: int, target: str, news: tuple[News, ...], hashes: tuple[int, ...]
+        self,
+        kind: MessageKind,
+        seq: int,
+        target: str,
+        news: tuple[MemberUpdate, ...],
+        hashes: tuple[int, ...],
     ) -> Message:
         return Message(kind, self.me, self.number, seq, target, news, hashes)
 
     def _send(
         self,
         name: str,
-        kind: Kind,
+        kind: MessageKind,
         seq: int = 0,
         target: str = "",
-        first: tuple[News, ...] = (),
+        first: tuple[MemberUpdate, ...] = (),
         hashes: tuple[int, ...] = (),
     ) -> None:
         """A message with as much news as fits; what its receiver must hear of itself goes first."""
         record = self.records.get(name)
-        if record is not None and record.news.standing is not Standing.ALIVE and not record.private:
+        if record is not None and record.news.standing is not MemberStatus.ALIVE and not record.private:
             first = (record.news, *first)
         message = self._message(kind, seq, target, (), hashes)
-        room = self.pace.room - message_bytes(message)
-        self.sends.append((name, replace(message, news=self.gossip.pick(room, len(self.records) + 1, first))))
+        capacity = self.pace.capacity - message_bytes(message)
+        self.sends.append(
+            (name, replace(message, news=self.gossip.pick(capacity, len(self.records) + 1, first)))
+        )
 
     def _forget(self, now: int) -> None:
         for name in [
@@ -668,4 +682,4 @@
             )
 
     def _tell(self, change: Change, name: str, why: str = "") -> None:
-        self.told.append(Told(change, name, why, self.number))
+        self.reported.append(MembershipEvent(change, name, why, self.number))
--- a/hollowusher/scheduler/rules/membership/messages.py
+++ b/hollowusher/scheduler/rules/membership/messages.py
@@ -1,7 +1,7 @@
 """What members say to one another, and how large it is on the wire.
 
-A member is known by its name.  Its process is known by `life`, drawn at each start; `incarnation` orders what
-is said of a name, whichever process says it.
+A member is known by its name.  Its process is known by `process_id`, drawn at each start; `incarnation`
+orders what is said of a name, whichever process says it.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 MOST_NAME = 32  # bytes of a name, and of an address
 MOST_DATAGRAM = 256  # bytes, as the platform allows between schedulers
-MOST_LIFE = 2**32 - 1
+MAX_PROCESS_ID = 2**32 - 1
 MOST_INCARNATION = 2**53  # seconds of the wall clock at the start, and one more for each answer to an accuser
 
 Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
 Text = Annotated[str, Meta(max_length=MOST_NAME)]
 Count = Annotated[int, Meta(ge=0, le=MOST_INCARNATION)]
-Word = Annotated[int, Meta(ge=0, le=MOST_LIFE)]
+Word = Annotated[int, Meta(ge=0, le=MAX_PROCESS_ID)]
 
 
-class Standing(IntEnum):
+class MemberStatus(IntEnum):
     """What is said of a member.  At one incarnation the higher one counts."""
 
     ALIVE = 0
@@ -31,7 +31,7 @@
     LEFT = 3
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a message is for."""
 
     PING = 0  # are you there?
@@ -42,31 +42,35 @@
     PAGE = 5  # what differs
 
 
-class News(Struct, frozen=True, array_like=True):
+class MemberUpdate(Struct, frozen=True, array_like=True):
     """One thing said of one member.  `by` accuses, where it is suspect; `address` where it names one."""
 
     name: Name
-    life: Word
+    process_id: Word
     incarnation: Count
-    standing: Standing = Standing.ALIVE
+    standing: MemberStatus = MemberStatus.ALIVE
     by: Text = ""
     address: Text = ""
 
-    def beats(self, other: News) -> bool:
+    def beats(self, other: MemberUpdate) -> bool:
         """Whether this is newer: by incarnation, then by standing, then (two processes of one name that came
         to the same incarnation) by life, so that all come to the same end."""
-        return (self.incarnation, self.standing, self.life) > (other.incarnation, other.standing, other.life)
+        return (self.incarnation, self.standing, self.process_id) > (
+            other.incarnation,
+            other.standing,
+            other.process_id,
+        )
 
 
 class Message(Struct, frozen=True, array_like=True):
     """One datagram.  `sender` speaks for itself: that it is alive in this life, at this incarnation."""
 
-    kind: Kind
-    sender: News
+    kind: MessageKind
+    sender: MemberUpdate
     number: Count = 0  # of the sender's view
     seq: Word = 0
     target: Text = ""
-    news: tuple[News, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
     hashes: tuple[Word, ...] = ()
 
 
@@ -81,12 +85,12 @@
     return length + (1 if length < 32 else 2)
 
 
-def news_bytes(news: News) -> int:
+def news_bytes(news: MemberUpdate) -> int:
     """Bytes that this news takes on the wire."""
     return (
         2
         + text_bytes(news.name)
-        + number_bytes(news.life)
+        + number_bytes(news.process_id)
         + number_bytes(news.incarnation)
         + text_bytes(news.by)
         + text_bytes(news.address)
--- a/hollowusher/scheduler/rules/membership/pace.py
+++ b/hollowusher/scheduler/rules/membership/pace.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class MembershipTiming:
     """A member pings one other each period.  What is told, and to whom, follows from these figures alone."""
 
     period_ns: int = 250 * MS
@@ -25,7 +25,7 @@
     reach_part: int = 32  # one of so many is called a round, or one in all: few among many find each other
     forget_ns: int = 120_000 * MS  # how long the dead and those who left are remembered
     most_members: int = 1024
-    room: int = 256  # bytes of a datagram
+    capacity: int = 256  # bytes of a datagram
 
     def suspicion_ns(self, members: int, confirmed: int, health: int) -> int:
         """How long a suspicion lasts: from the most down to the least, by the log of who confirms it
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from hollowusher.balancing.interface import Listed, State
-from hollowusher.scheduler.dispatch.worker_registry import MOST_NODES, Roster, RouteNode
+from hollowusher.scheduler.dispatch.worker_registry import MOST_NODES, RouteNode, WorkerRegistry
 
 _STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 _TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -63,13 +63,13 @@
             return ()
         if not self._rest or line.startswith(b"{"):  # one that begins anew leaves nothing of the one before
             try:
-                whole = json.loads(line)
+                complete = json.loads(line)
             except ValueError:
                 pass
             else:
                 cut = bool(self._rest)
                 self._rest.clear()
-                return (None, whole) if cut else (whole,)
+                return (None, complete) if cut else (complete,)
         self._rest += line + b"\n"
         if len(self._rest) > self._most:
             raise ValueError("a list is too long")
@@ -101,7 +101,11 @@
 
 
 def read_list(
-    told: object, roster: Roster, now_ns: int, wall_ms: float, front: Callable[[str, str], str] = one_front
+    reported: object,
+    registry: WorkerRegistry,
+    now_ns: int,
+    wall_ms: float,
+    front: Callable[[str, str], str] = one_front,
 ) -> ListRead:
     """Read one list object; ValueError where nothing of it can be read.  `front` tells by name and machine
     kind how a node is reached.
@@ -111,22 +115,22 @@
     are left out: its memory is small.  A node's start is told by the wall clock and kept by the module's
     monotonic one; 0, long ago, stays 0.
     """
-    if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
+    if not isinstance(reported, dict) or not isinstance(reported.get("servers"), list):
         raise ValueError("not a node list")
     try:
-        read = ListRead(int(told.get("version") or 0), bool(told.get("full")))
+        read = ListRead(int(reported.get("version") or 0), bool(reported.get("full")))
     except _FAULTS as wrong:
         raise ValueError(f"a node list's version: {wrong!r}") from None
     nodes: dict[int, RouteNode] = {}
-    for row in told["servers"]:
+    for row in reported["servers"]:
         if len(nodes) >= MOST_NODES:
             read.faults.append(f"more than {MOST_NODES} nodes")
             break
         try:
-            node = _read_row(row, roster, now_ns, wall_ms, front)
+            node = _read_row(row, registry, now_ns, wall_ms, front)
         except _FAULTS as wrong:
             read.faults.append(f"a row: {wrong!r}")
-            known = roster.named(row["id"]) if isinstance(row, dict) and "id" in row else None
+            known = registry.named(row["id"]) if isinstance(row, dict) and "id" in row else None
             if known is None:
                 continue
             node = replace(known, entry=replace(known.entry, state=State.GONE))
@@ -140,7 +144,11 @@
 
 
 def _read_row(
-    row: dict[str, object], roster: Roster, now_ns: int, wall_ms: float, front: Callable[[str, str], str]
+    row: dict[str, object],
+    registry: WorkerRegistry,
+    now_ns: int,
+    wall_ms: float,
+    front: Callable[[str, str], str],
 ) -> RouteNode:
     host, _, port = str(row["addr"]).rpartition(":")
     socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)  # DNS there is none
@@ -152,7 +160,7 @@
     started_ns = now_ns - round((wall_ms - started) * 1e6) if started > 0 else 0
     name, kind, state = str(row["id"]), str(row.get("kind") or ""), _STATES[str(row["state"])]
     entry = Listed(
-        roster.number(name),
+        registry.number(name),
         str(row.get("zone") or ""),
         kind,
         int(str(row.get("cell") or 0)),
--- a/hollowusher/scheduler/rules/shared_state/budgets.py
+++ b/hollowusher/scheduler/rules/shared_state/budgets.py
@@ -26,7 +26,7 @@
 ASKS_A_SPAN = 20  # askings of one member for one budget, at most
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="A"):
+class BudgetRequest(Struct, frozen=True, array_like=True, tag="A"):
     """Let me use so much of this budget.  `at`: by the asker's clock."""
 
     budget: str
@@ -35,7 +35,7 @@
     number: int
 
 
-class Grant(Struct, frozen=True, array_like=True, tag="G"):
+class BudgetGrant(Struct, frozen=True, array_like=True, tag="G"):
     """It is yours for a moment from when you asked; nothing where `amount` is 0.  `number`: the asker's."""
 
     budget: str
@@ -57,7 +57,7 @@
     wanted_at: int = -(1 << 62)
     poor: dict[str, int] = field(default_factory=dict)  # owners that had none to spare, and when
     used: float = 0.0
-    turned_away: float = 0.0
+    rejected: float = 0.0
 
 
 class Budgets:
@@ -68,7 +68,7 @@
         self._began = now
         self._budgets: dict[str, _Budget] = {}
         self._number = 0
-        self.sends: list[tuple[str, Ask | Grant]] = []
+        self.sends: list[tuple[str, BudgetRequest | BudgetGrant]] = []
 
     def bound(self, name: str, bound: float, span: int, quantum: float) -> None:
         """There is such a budget, or its bound has changed: what was permitted of the old one lapses within a
@@ -106,7 +106,7 @@
                 budget.used += amount
                 return True
         if self._left(now, budget) + 1e-9 < amount:
-            budget.turned_away += amount
+            budget.rejected += amount
             return False
         budget.spent.append((now, amount))
         budget.used += amount
@@ -124,20 +124,20 @@
         budget.wanted_at = now
         owner = min(there, key=lambda n: budget.poor.get(n, -(1 << 62)))
         budget.poor[owner] = now  # until it grants something
-        self.sends.append((owner, Ask(name, amount, now, self._number)))
+        self.sends.append((owner, BudgetRequest(name, amount, now, self._number)))
 
-    def take(self, now: int, message: Ask | Grant, sender: str) -> None:
+    def take(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         """A message of another."""
         budget = self._budgets.get(message.budget)
         if budget is None or not 0 <= message.amount <= budget.bound:
             return
-        if isinstance(message, Ask):
+        if isinstance(message, BudgetRequest):
             granted = message.amount if self._left(now, budget) + 1e-9 >= message.amount else 0.0
             if granted:
                 # It may be used until its time is up: so it counts from then.
                 budget.spent.append((now + round(self.permit_ns * (1 + 2 * DRIFT)), granted))
                 budget.spent = deque(sorted(budget.spent))
-            self.sends.append((sender, Grant(message.budget, granted, message.at, message.number)))
+            self.sends.append((sender, BudgetGrant(message.budget, granted, message.at, message.number)))
         elif message.number not in budget.had:
             budget.had.append(message.number)
             until = message.at + self.permit_ns
@@ -158,7 +158,7 @@
                 "left": max(0.0, self._left(now, b)),
                 "permits": self.permitted(now, name),
                 "used": b.used,
-                "turned_away": b.turned_away,
+                "turned_away": b.rejected,
             }
             for name, b in self._budgets.items()
         }
--- a/hollowusher/scheduler/rules/shared_state/counts.py
+++ b/hollowusher/scheduler/rules/shared_state/counts.py
@@ -17,7 +17,7 @@
 MOST_VALUE = 1e9  # a larger one is nonsense
 
 
-class Told(Struct, frozen=True, array_like=True, tag="C"):
+class CountUpdate(Struct, frozen=True, array_like=True, tag="C"):
     """A member's own counts over its last window: all, or those that changed most.  `seq` grows."""
 
     member: str
@@ -33,7 +33,7 @@
     counts: dict[str, tuple[int, float]] = field(default_factory=dict)  # with the seq that told it
 
 
-class Counts:
+class SharedCounts:
     """Own counts and the others'."""
 
     def __init__(self, name: str, incarnation: int, window: int, now: int) -> None:
@@ -68,7 +68,7 @@
                 total[key] = total.get(key, 0.0) + amount * share
         return total
 
-    def say(self, now: int, most: int) -> Told:
+    def say(self, now: int, most: int) -> CountUpdate:
         """What to tell: the counts that have moved furthest from what was said, as shares of themselves."""
         own = self.own(now)
         keys = own.keys() | {k for k, v in self._said.items() if v}
@@ -80,26 +80,26 @@
         self._said.update(chosen)
         self._said = {k: v for k, v in self._said.items() if v or k in own}
         self._seq += 1
-        return Told(self.name, self.incarnation, self._seq, chosen)
+        return CountUpdate(self.name, self.incarnation, self._seq, chosen)
 
-    def take(self, now: int, told: Told) -> None:
+    def take(self, now: int, reported: CountUpdate) -> None:
         """What another tells of itself; nonsense is counted and skipped."""
-        if told.member == self.name:
+        if reported.member == self.name:
             return
-        values = told.counts.values()
-        if len(told.counts) > MOST_KEYS or not all(0 <= v <= MOST_VALUE for v in values):
+        values = reported.counts.values()
+        if len(reported.counts) > MOST_KEYS or not all(0 <= v <= MOST_VALUE for v in values):
             self.refused += 1
             return
-        held = self._held.get(told.member)
-        if held is None or told.incarnation > held.incarnation:
-            held = self._held[told.member] = _Held(told.incarnation, now)
-        elif told.incarnation < held.incarnation:
+        held = self._held.get(reported.member)
+        if held is None or reported.incarnation > held.incarnation:
+            held = self._held[reported.member] = _Held(reported.incarnation, now)
+        elif reported.incarnation < held.incarnation:
             return
         held.at = max(held.at, now)
-        for key, value in told.counts.items():
+        for key, value in reported.counts.items():
             seq, _ = held.counts.get(key, (0, 0.0))
-            if told.seq > seq and (key in held.counts or len(held.counts) < MOST_KEYS):
-                held.counts[key] = (told.seq, value)
+            if reported.seq > seq and (key in held.counts or len(held.counts) < MOST_KEYS):
+                held.counts[key] = (reported.seq, value)
 
     def total(self, now: int, key: str) -> float:
         """Over all that are heard."""
--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -39,7 +39,7 @@
     return True if outcome is Outcome.OK else False if outcome in _BAD_ENDS else None
 
 
-class Seen(Struct, frozen=True, array_like=True, tag="J"):
+class NodeObservation(Struct, frozen=True, array_like=True, tag="J"):
     """A member's score of a node when it says so.  `seq` grows."""
 
     member: str
@@ -88,7 +88,7 @@
         """It is another process: what was seen of the last one says nothing."""
         self._nodes.pop(node, None)
 
-    def take(self, now: int, seen: Seen) -> bool:
+    def take(self, now: int, seen: NodeObservation) -> bool:
         """Another's word; whether it was new.  Nonsense is counted and skipped."""
         if seen.member == self.name:
             return False
@@ -125,7 +125,7 @@
         rank = {m: zlib.crc32(f"{node}/{turn}/{m}".encode()) for m in present}
         return self.name == max(rank, key=lambda m: (rank[m], m), default=self.name)
 
-    def news(self, now: int, most: int) -> list[Seen]:
+    def news(self, now: int, most: int) -> list[NodeObservation]:
         """What is worth telling: scores that have moved furthest since they were told, bad ones first, and
         those that hold on before they lapse."""
         worth: list[tuple[float, str, float]] = []
@@ -134,13 +134,13 @@
             moved = abs(score - node.said) * (4.0 if score > 0 else 1.0)
             if moved > 0.7 or (abs(score) > 0.7 and now - node.said_at > LAPSE_NS // 3):
                 worth.append((moved, name, score))
-        told = []
+        reported = []
         for _, name, score in sorted(worth, reverse=True)[:most]:
             node = self._nodes[name]
             node.said, node.said_at = score, now
             self._seq += 1
-            told.append(Seen(self.name, self.incarnation, self._seq, name, round(score, 2)))
-        return told
+            reported.append(NodeObservation(self.name, self.incarnation, self._seq, name, round(score, 2)))
+        return reported
 
     def report(self, now: int) -> dict[str, dict[str, object]]:
         """Each node that anything is known of."""
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -11,12 +11,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from hollowusher.scheduler.rules.shared_state.budgets import Ask, Budgets, Grant
-from hollowusher.scheduler.rules.shared_state.counts import Counts, Told
-from hollowusher.scheduler.rules.shared_state.judgements import Judgements, Seen
+from hollowusher.scheduler.rules.shared_state.budgets import BudgetGrant, BudgetRequest, Budgets
+from hollowusher.scheduler.rules.shared_state.counts import CountUpdate, SharedCounts
+from hollowusher.scheduler.rules.shared_state.judgements import Judgements, NodeObservation
 from hollowusher.scheduler.rules.shared_state.wire import Message
 
-BEAT_NS = 200_000_000
+HEARTBEAT_NS = 200_000_000
 FANOUT = 3  # members that are told in each beat
 KEYS = 6  # counts in one telling
 MOST_QUEUED = 512
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class _News:
-    message: Told | Seen
+    message: CountUpdate | NodeObservation
     worth: float
     sent: int = 0
 
@@ -46,29 +46,29 @@
         self.name = name
         self._chance = chance
         self.budgets = Budgets(name, names, permit_ns, now)
-        self.counts = Counts(name, incarnation, window_ns, now)
+        self.counts = SharedCounts(name, incarnation, window_ns, now)
         self.judgements = Judgements(name, incarnation)
         self._news: dict[tuple[str, str], _News] = {}
-        self._beat_at = now
+        self._heartbeat_at = now
         self.sends: list[tuple[str, Message]] = []
 
     def due(self) -> int:
         """When `step` is to be called at the latest."""
-        return self._beat_at
+        return self._heartbeat_at
 
     def take(self, now: int, message: Message, sender: str) -> None:
         """A message of another, its own or passed on."""
         match message:
-            case Ask() | Grant():
+            case BudgetRequest() | BudgetGrant():
                 self.budgets.take(now, message, sender)
                 self.sends += self.budgets.sends
                 self.budgets.sends = []
-            case Told():
+            case CountUpdate():
                 before = self.counts.frozen_of(message.member)
                 self.counts.take(now, message)
                 if self.counts.frozen_of(message.member) != before:
                     self._put(message)
-            case Seen():
+            case NodeObservation():
                 if self.judgements.take(now, message):
                     self._put(message)
 
@@ -80,13 +80,13 @@
 
     def step(self, now: int, present: Sequence[str]) -> None:
         """Tell some of those who are there."""
-        if now < self._beat_at:
+        if now < self._heartbeat_at:
             return
-        self._beat_at = now + round(BEAT_NS * (0.75 + 0.5 * self._chance.random()))
+        self._heartbeat_at = now + round(HEARTBEAT_NS * (0.75 + 0.5 * self._chance.random()))
         others = [n for n in present if n != self.name]
-        told = self.counts.say(now, KEYS)
-        if told.counts:
-            self._put(told)
+        reported = self.counts.say(now, KEYS)
+        if reported.counts:
+            self._put(reported)
         for seen in self.judgements.news(now, MOST_NEWS):
             self._put(seen)
         most = math.ceil(2 * math.log2(len(others) + 2)) + 1
@@ -99,9 +99,9 @@
             if news.sent >= most:
                 del self._news[key]
 
-    def _put(self, message: Told | Seen) -> None:
+    def _put(self, message: CountUpdate | NodeObservation) -> None:
         """Have it told; what the same member says of the same takes an older one's place."""
-        if isinstance(message, Seen):
+        if isinstance(message, NodeObservation):
             key, worth = (message.member, message.node), 8.0 + message.score
         else:
             key, worth = (message.member, ""), 1.0
--- a/hollowusher/scheduler/rules/shared_state/wire.py
+++ b/hollowusher/scheduler/rules/shared_state/wire.py
@@ -9,31 +9,31 @@
 import msgspec
 import xxhash
 
-from hollowusher.scheduler.rules.shared_state.budgets import Ask, Grant
-from hollowusher.scheduler.rules.shared_state.counts import Told
-from hollowusher.scheduler.rules.shared_state.judgements import Seen
+from hollowusher.scheduler.rules.shared_state.budgets import BudgetGrant, BudgetRequest
+from hollowusher.scheduler.rules.shared_state.counts import CountUpdate
+from hollowusher.scheduler.rules.shared_state.judgements import NodeObservation
 
 MAGIC, VERSION = b"hs", 1
 MOST_DATAGRAM = 256
 _HEAD = struct.Struct(">2sBII")
-Message = Ask | Grant | Told | Seen
+Message = BudgetRequest | BudgetGrant | CountUpdate | NodeObservation
 
 
-class Letter(msgspec.Struct, frozen=True, array_like=True):
+class Envelope(msgspec.Struct, frozen=True, array_like=True):
     """What one datagram holds."""
 
     sender: str
     messages: tuple[Message, ...]
 
 
-class Codec:
+class SharedStateCodec:
     """For one cluster.  `bad` counts what came and was skipped, by reason."""
 
-    def __init__(self, cluster: str, room: int = MOST_DATAGRAM) -> None:
+    def __init__(self, cluster: str, capacity: int = MOST_DATAGRAM) -> None:
         self._cluster = xxhash.xxh32_intdigest(cluster.encode())
-        self._room = room
+        self._capacity = capacity
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder = msgspec.msgpack.Decoder(Letter)
+        self._decoder = msgspec.msgpack.Decoder(Envelope)
         self.bad: Counter[str] = Counter()
 
     def size(self, message: Message) -> int:
@@ -43,16 +43,16 @@
     def letters(self, sender: str, messages: Iterable[Message], most: int) -> list[bytes]:
         """As many letters as are needed, at most so many; what finds no room is left out, the last first."""
         letters: list[bytes] = []
-        room = self._room - _HEAD.size - len(sender.encode()) - 8
+        capacity = self._capacity - _HEAD.size - len(sender.encode()) - 8
         page: list[Message] = []
-        left = room
+        left = capacity
         for message in messages:
             size = self.size(message)
-            if size > room:
+            if size > capacity:
                 continue
             if size > left:
                 letters.append(self._seal(sender, page))
-                page, left = [], room
+                page, left = [], capacity
                 if len(letters) >= most:
                     return letters
             page.append(message)
@@ -62,12 +62,12 @@
         return letters
 
     def _seal(self, sender: str, page: list[Message]) -> bytes:
-        body = self._encoder.encode(Letter(sender, tuple(page)))
+        body = self._encoder.encode(Envelope(sender, tuple(page)))
         return _HEAD.pack(MAGIC, VERSION, self._cluster, self._sum(body)) + body
 
-    def read(self, data: bytes) -> Letter | None:
+    def read(self, data: bytes) -> Envelope | None:
         """The letter, or None where this is none for us."""
-        if not _HEAD.size < len(data) <= self._room:
+        if not _HEAD.size < len(data) <= self._capacity:
             return self._bad("length")
         magic, version, cluster, checksum = _HEAD.unpack_from(data)
         if (magic, version) != (MAGIC, VERSION):
@@ -82,7 +82,7 @@
         except (msgspec.DecodeError, RecursionError):
             return self._bad("body")
 
-    def _bad(self, why: str) -> Letter | None:
+    def _bad(self, why: str) -> Envelope | None:
         self.bad[why] += 1
         return None
 
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -16,7 +16,7 @@
 RETIRING_SHARE = 3  # retiring connections a node may leave us with, for each that we may use
 
 
-class Why(Enum):
+class RejectReason(Enum):
     """Why a job comes back without a byte of it written."""
 
     FULL = "as many jobs wait as may"
@@ -26,7 +26,7 @@
     NO_SOCKET = "no socket to spare"
 
 
-class Stage(IntEnum):
+class ConnectionStage(IntEnum):
     """Where a connection stands."""
 
     OPENING = 0  # until the node has shown by its SETTINGS that it speaks HTTP/2
@@ -47,14 +47,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenConnection:
     """Bring up a connection under this number; `opened` or `failed` follows."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
-class Give:
+class AssignStream:
     """The job goes on this connection now; `ended` or `unbegun` follows."""
 
     job: Hashable
@@ -62,21 +62,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnBack:
+class RejectJob:
     """The job does not go out here."""
 
     job: Hashable
-    why: Why
+    why: RejectReason
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
+class CloseConnection:
     """The connection is of no more use and has nothing on it; the book has forgotten it."""
 
     connection: int
 
 
-Act = Open | Give | TurnBack | Close
+StreamInstruction = OpenConnection | AssignStream | RejectJob | CloseConnection
 
 
 class _Connection:
@@ -85,7 +85,7 @@
     __slots__ = ("announced", "idle_since", "jobs", "quiet", "stage", "used")
 
     def __init__(self, now: int) -> None:
-        self.stage = Stage.OPENING
+        self.stage = ConnectionStage.OPENING
         self.announced = 0
         self.jobs: set[Hashable] = set()
         self.used = 0
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class StreamMetrics:
     """What the book has seen, for the log."""
 
     given: int = 0
@@ -105,7 +105,7 @@
     longest_wait_ns: int = 0
 
 
-class StreamBook:
+class StreamTable:
     """The account of one node: its connections, and the jobs that wait for a stream, in order."""
 
     def __init__(self, limits: StreamLimits) -> None:
@@ -116,15 +116,15 @@
         self._numbers = 0
         self._barren = 0  # connections in a row that came to nothing
         self._open_after = 0
-        self.figures = Figures()
+        self.figures = StreamMetrics()
 
     # --- what is told of jobs
 
-    def ask(self, now: int, job: Hashable, until: int, urgent: bool = False) -> list[Act]:
+    def ask(self, now: int, job: Hashable, until: int, urgent: bool = False) -> list[StreamInstruction]:
         """A job wants a stream, at the latest at `until`.  An `urgent` one (a probe) goes before the others:
         behind a queue it would say of a busy node that it is dead."""
         if len(self._waiting) >= self._limits.waiting and not urgent:
-            return [TurnBack(job, Why.FULL)]
+            return [RejectJob(job, RejectReason.FULL)]
         self._wait(now, job, until, first=urgent)
         acts = self._move(now)
         if job in self._waiting:
@@ -135,12 +135,12 @@
         """A job no longer wants a stream; whether it was waiting for one."""
         return self._waiting.pop(job, None) is not None
 
-    def ended(self, now: int, connection: int, job: Hashable) -> list[Act]:
+    def ended(self, now: int, connection: int, job: Hashable) -> list[StreamInstruction]:
         """A job's stream is over."""
         self._off(now, connection, job)
         return self._move(now)
 
-    def unbegun(self, now: int, connection: int, job: Hashable, until: int) -> list[Act]:
+    def unbegun(self, now: int, connection: int, job: Hashable, until: int) -> list[StreamInstruction]:
         """A job that was given comes back without a byte written, and wants another stream: the connection
         retired, or the node lowered its limit, before its turn came.  It goes before those that came
         later."""
@@ -150,44 +150,48 @@
 
     # --- what is told of connections
 
-    def opened(self, now: int, connection: int, announced: int) -> list[Act]:
+    def opened(self, now: int, connection: int, announced: int) -> list[StreamInstruction]:
         """A connection is up and its node allows so many streams."""
-        if (account := self._connections.get(connection)) is not None and account.stage is Stage.OPENING:
-            account.stage, account.announced, account.idle_since = Stage.OPEN, announced, now
+        if (
+            account := self._connections.get(connection)
+        ) is not None and account.stage is ConnectionStage.OPENING:
+            account.stage, account.announced, account.idle_since = ConnectionStage.OPEN, announced, now
             self.figures.opened += 1
         return self._move(now)
 
-    def failed(self, now: int, connection: int, why: Why = Why.UNREACHABLE) -> list[Act]:
+    def failed(
+        self, now: int, connection: int, why: RejectReason = RejectReason.UNREACHABLE
+    ) -> list[StreamInstruction]:
         """A connection did not come up.  Where it was the only way to the node, those who wait learn it now:
         their time is better spent elsewhere."""
         if self._connections.pop(connection, None) is None:
             return []
         self._came_to_nothing(now)
-        if any(c.stage is Stage.OPEN for c in self._connections.values()):
+        if any(c.stage is ConnectionStage.OPEN for c in self._connections.values()):
             return self._move(now)
         return self._turn_back_all(why)
 
-    def limited(self, now: int, connection: int, announced: int) -> list[Act]:
+    def limited(self, now: int, connection: int, announced: int) -> list[StreamInstruction]:
         """The node allows so many streams from now on; those above it that are open may end in peace."""
         if (account := self._connections.get(connection)) is not None:
             account.announced = announced
         return self._move(now)
 
-    def quiet(self, now: int, connection: int, silent: bool) -> list[Act]:
+    def quiet(self, now: int, connection: int, silent: bool) -> list[StreamInstruction]:
         """Whether the node owes a sign of life on this connection: nothing new goes on it meanwhile."""
         if (account := self._connections.get(connection)) is not None:
             account.quiet = silent
         return self._move(now)
 
-    def retired(self, now: int, connection: int) -> list[Act]:
+    def retired(self, now: int, connection: int) -> list[StreamInstruction]:
         """Nothing new may go on a connection: the node sent GOAWAY, or it cannot be used further."""
         account = self._connections.get(connection)
-        if account is not None and account.stage is not Stage.RETIRING:
-            account.stage = Stage.RETIRING
+        if account is not None and account.stage is not ConnectionStage.RETIRING:
+            account.stage = ConnectionStage.RETIRING
             self.figures.retired += 1
         return self._move(now)
 
-    def lost(self, now: int, connection: int) -> list[Act]:
+    def lost(self, now: int, connection: int) -> list[StreamInstruction]:
         """A connection broke; the caller has ended what was on it."""
         account = self._connections.pop(connection, None)
         if account is not None:
@@ -198,16 +202,16 @@
 
     # --- what is told of the node and of time
 
-    def leaving(self, now: int) -> list[Act]:
+    def leaving(self, now: int) -> list[StreamInstruction]:
         """The node drains, is gone, or is another process now: who waits goes back at once, what is open may
         end, and nothing new goes out on these connections."""
-        acts = self._turn_back_all(Why.LEAVING)
+        acts = self._turn_back_all(RejectReason.LEAVING)
         for account in self._connections.values():
-            account.stage = Stage.RETIRING
+            account.stage = ConnectionStage.RETIRING
         self._barren = self._open_after = 0
         return acts + list(self._spent(now))
 
-    def tick(self, now: int) -> list[Act]:
+    def tick(self, now: int) -> list[StreamInstruction]:
         """Time has passed."""
         return self._move(now)
 
@@ -223,7 +227,7 @@
         due += [
             c.idle_since + self._limits.idle_ns
             for c in self._connections.values()
-            if c.stage is Stage.OPEN and not c.jobs
+            if c.stage is ConnectionStage.OPEN and not c.jobs
         ]
         if self._waiting and self._open_after:
             due.append(self._open_after)
@@ -260,34 +264,36 @@
         else:
             self._waiting[job] = entry
 
-    def _room(self, account: _Connection) -> int:
-        if account.stage is not Stage.OPEN or account.quiet:
+    def _capacity(self, account: _Connection) -> int:
+        if account.stage is not ConnectionStage.OPEN or account.quiet:
             return 0
         return min(self._limits.streams, account.announced) - len(account.jobs)
 
-    def _move(self, now: int) -> list[Act]:
+    def _move(self, now: int) -> list[StreamInstruction]:
         """Give out the streams that are free, turn back whose wait is over, close what is of no more use,
         open what is lacking."""
-        acts: list[Act] = []
+        acts: list[StreamInstruction] = []
         while self._waiting:
             # The fullest that has room: the emptier ones can then come to rest and be closed.
-            free = [(len(c.jobs), -number) for number, c in self._connections.items() if self._room(c) > 0]
+            free = [
+                (len(c.jobs), -number) for number, c in self._connections.items() if self._capacity(c) > 0
+            ]
             if not free:
                 break
             acts.append(self._give(now, -max(free)[1]))
         if self._waiting and self._soonest <= now:
             for job in [job for job, (_, until) in self._waiting.items() if until <= now]:
                 del self._waiting[job]
-                acts.append(TurnBack(job, Why.WAITED))
+                acts.append(RejectJob(job, RejectReason.WAITED))
             self._soonest = min((until for _, until in self._waiting.values()), default=0)
         acts.extend(self._spent(now))
         if self._waiting and self._may_open(now):
             self._numbers += 1
             self._connections[self._numbers] = _Connection(now)
-            acts.append(Open(self._numbers))
+            acts.append(OpenConnection(self._numbers))
         return acts
 
-    def _give(self, now: int, number: int) -> Give:
+    def _give(self, now: int, number: int) -> AssignStream:
         account = self._connections[number]
         job = next(iter(self._waiting))
         since, _ = self._waiting.pop(job)
@@ -297,27 +303,27 @@
         self.figures.longest_wait_ns = max(self.figures.longest_wait_ns, now - since)
         self._barren = self._open_after = 0
         if account.used >= self._limits.used_most:  # its stream ids run out one day: better in a calm moment
-            account.stage = Stage.RETIRING
+            account.stage = ConnectionStage.RETIRING
             self.figures.retired += 1
-        return Give(job, number)
+        return AssignStream(job, number)
 
     def _may_open(self, now: int) -> bool:
         """One at a time comes up, so that a burst costs the node one handshake and not a hundred."""
         stages = [c.stage for c in self._connections.values()]
-        usable = len(stages) - stages.count(Stage.RETIRING)
+        usable = len(stages) - stages.count(ConnectionStage.RETIRING)
         return (
-            Stage.OPENING not in stages
+            ConnectionStage.OPENING not in stages
             and now >= self._open_after
             and usable < self._limits.connections
-            and stages.count(Stage.RETIRING) < RETIRING_SHARE * self._limits.connections
+            and stages.count(ConnectionStage.RETIRING) < RETIRING_SHARE * self._limits.connections
         )
 
-    def _spent(self, now: int) -> Iterator[Close]:
+    def _spent(self, now: int) -> Iterator[CloseConnection]:
         for number, account in list(self._connections.items()):
-            idle = account.stage is Stage.OPEN and now - account.idle_since >= self._limits.idle_ns
-            if not account.jobs and (idle or account.stage is Stage.RETIRING):
+            idle = account.stage is ConnectionStage.OPEN and now - account.idle_since >= self._limits.idle_ns
+            if not account.jobs and (idle or account.stage is ConnectionStage.RETIRING):
                 del self._connections[number]
-                yield Close(number)
+                yield CloseConnection(number)
 
     def _off(self, now: int, connection: int, job: Hashable) -> None:
         if (account := self._connections.get(connection)) is not None:
@@ -329,7 +335,7 @@
         self._open_after = now + min(RETRY_MOST_NS, RETRY_FIRST_NS << min(self._barren, 8))
         self._barren += 1
 
-    def _turn_back_all(self, why: Why) -> list[Act]:
-        acts: list[Act] = [TurnBack(job, why) for job in self._waiting]
+    def _turn_back_all(self, why: RejectReason) -> list[StreamInstruction]:
+        acts: list[StreamInstruction] = [RejectJob(job, why) for job in self._waiting]
         self._waiting = {}
         return acts
--- a/hollowusher/scheduler/settings/model.py
+++ b/hollowusher/scheduler/settings/model.py
@@ -22,7 +22,7 @@
     """A value that cannot be used; the text names the key, and file and line where there are any."""
 
 
-class SettingsError(ConfigError):
+class SettingsFileError(ConfigError):
     """A fault of the settings file: where it stands, and what is wanted there."""
 
     def __init__(self, file: str, line: int, why: str) -> None:
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ValueKind:
     """How a value is written.  `read` raises ValueError where the words are none of this kind."""
 
     wants: str
@@ -72,14 +72,14 @@
 
 def _ranged(
     wants: str, parse: Callable[[str], float], show: Callable[[float], str], least: float, most: float
-) -> Kind:
+) -> ValueKind:
     def read(words: Sequence[str]) -> float:
         value = parse(_one(words))
         if not least <= value <= most:
             raise ValueError("out of range")
         return value
 
-    return Kind(f"{wants} between {show(least)} and {show(most)}", read, show)
+    return ValueKind(f"{wants} between {show(least)} and {show(most)}", read, show)
 
 
 def _with_unit(units: dict[str, float] | dict[str, int]) -> Callable[[str], float]:
@@ -92,7 +92,7 @@
     return parse
 
 
-def _whole(text: str) -> int:
+def _complete(text: str) -> int:
     if not re.fullmatch(r"-?[0-9]{1,18}", text):
         raise ValueError(text)
     return int(text)
@@ -105,7 +105,7 @@
     return value
 
 
-def switch() -> Kind:
+def switch() -> ValueKind:
     """yes or no, also on or off."""
 
     def read(words: Sequence[str]) -> bool:
@@ -113,40 +113,40 @@
             raise ValueError(word)
         return _SWITCH[word]
 
-    return Kind("yes or no", read, lambda value: "yes" if value else "no")
+    return ValueKind("yes or no", read, lambda value: "yes" if value else "no")
 
 
-def count(least: int, most: int) -> Kind:
+def count(least: int, most: int) -> ValueKind:
     """A whole number."""
-    return _ranged("a whole number", _whole, lambda value: f"{value:.0f}", least, most)
+    return _ranged("a whole number", _complete, lambda value: f"{value:.0f}", least, most)
 
 
-def number(least: float, most: float) -> Kind:
+def number(least: float, most: float) -> ValueKind:
     """A number, with decimals or without."""
     return _ranged("a number", _number, lambda value: f"{value:.12g}", least, most)
 
 
-def span(least_s: float, most_s: float) -> Kind:
+def span(least_s: float, most_s: float) -> ValueKind:
     """A span of time, kept in seconds: 250ms, 10s, 2m, 1h."""
     return _ranged("a span such as 250ms, 10s or 2m", _with_unit(_SPANS), show_span, least_s, most_s)
 
 
-def size(least: int, most: int) -> Kind:
+def size(least: int, most: int) -> ValueKind:
     """An amount of memory, kept in bytes: 512B, 64KiB, 16MiB."""
     kind = _ranged("a size such as 64KiB or 16MiB", _with_unit(_SIZES), show_size, least, most)
-    return Kind(kind.wants, lambda words: int(kind.read(words)), show_size)
+    return ValueKind(kind.wants, lambda words: int(kind.read(words)), show_size)
 
 
-def address() -> Kind:
+def address() -> ValueKind:
     """host:port."""
-    return Kind(
+    return ValueKind(
         "host:port",
         lambda words: parse_address(_one(words)),
         lambda value: f"{value[0]}:{value[1]}" if value else "",
     )
 
 
-def word(most: int = 128) -> Kind:
+def word(most: int = 128) -> ValueKind:
     """One word of visible characters."""
 
     def read(words: Sequence[str]) -> str:
@@ -155,10 +155,10 @@
             raise ValueError(text)
         return text
 
-    return Kind(f"one word of at most {most} characters", read)
+    return ValueKind(f"one word of at most {most} characters", read)
 
 
-def words(most: int = 64) -> Kind:
+def words(most: int = 64) -> ValueKind:
     """Some words; further lines of the directive add to them."""
 
     def read(given: Sequence[str]) -> tuple[str, ...]:
@@ -166,7 +166,7 @@
             raise ValueError("too few or too many")
         return tuple(given)
 
-    return Kind(f"one to {most} words", read, " ".join, gathers=True)
+    return ValueKind(f"one to {most} words", read, " ".join, gathers=True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +174,7 @@
     """One directive: its name, what it takes, what holds without it, and one line of help."""
 
     name: str
-    kind: Kind
+    kind: ValueKind
     default: Any
     help: str
     needed: bool = False
--- a/hollowusher/scheduler/settings/platform.py
+++ b/hollowusher/scheduler/settings/platform.py
@@ -25,7 +25,7 @@
     least: float | None = None  # a number from here on
     above: float | None = None  # a number above this
     most: float | None = None
-    whole: bool = False
+    complete: bool = False
 
     def fault(self, table: Mapping[str, Any]) -> str | None:
         """What is wrong with the key, if anything is."""
@@ -38,11 +38,11 @@
             if value not in self.words:
                 return f"must be one of {', '.join(self.words)}, is {value!r}"
         elif self.least is not None or self.above is not None:
-            if isinstance(value, bool) or not isinstance(value, int if self.whole else int | float):
-                return f"must be a {'whole ' if self.whole else ''}number, is {value!r}"
+            if isinstance(value, bool) or not isinstance(value, int if self.complete else int | float):
+                return f"must be a {'complete ' if self.complete else ''}number, is {value!r}"
             if not self._holds(value):
-                floor = f"{self.least:g} or more" if self.least is not None else f"above {self.above:g}"
-                return f"must be {floor}{f' and at most {self.most:g}' if self.most else ''}, is {value!r}"
+                lowest = f"{self.least:g} or more" if self.least is not None else f"above {self.above:g}"
+                return f"must be {lowest}{f' and at most {self.most:g}' if self.most else ''}, is {value!r}"
         elif not isinstance(value, str) or not value:
             return f"must be a text, is {value!r}"
         return None
@@ -57,33 +57,33 @@
 
 COMMON = (
     Check("discovery", words=("push", "ask")),
-    Check("fleet_size", least=1, most=100_000, whole=True),
-    Check("me", least=0, whole=True),
-    Check("granularity_ns", above=0, most=LONGEST_NS, whole=True, needed=False),
-    Check("caps.max_attempts", least=1, most=1000, whole=True),
-    Check("caps.connect_timeout_ns", above=0, most=LONGEST_NS, whole=True),
-    Check("caps.idle_close_ns", above=0, most=LONGEST_NS, whole=True),
-    Check("caps.max_retry_after_ns", least=0, most=LONGEST_NS, whole=True, needed=False),
-    Check("contract.drain_grace_ns", least=0, most=LONGEST_NS, whole=True),
+    Check("fleet_size", least=1, most=100_000, complete=True),
+    Check("me", least=0, complete=True),
+    Check("granularity_ns", above=0, most=LONGEST_NS, complete=True, needed=False),
+    Check("caps.max_attempts", least=1, most=1000, complete=True),
+    Check("caps.connect_timeout_ns", above=0, most=LONGEST_NS, complete=True),
+    Check("caps.idle_close_ns", above=0, most=LONGEST_NS, complete=True),
+    Check("caps.max_retry_after_ns", least=0, most=LONGEST_NS, complete=True, needed=False),
+    Check("contract.drain_grace_ns", least=0, most=LONGEST_NS, complete=True),
     Check("contract.fall_multiple", above=0, most=1e6),
-    Check("contract.tip_after_ns", above=0, most=LONGEST_NS, whole=True),
+    Check("contract.tip_after_ns", above=0, most=LONGEST_NS, complete=True),
     Check("contract.cold_share", above=0, most=1),
-    Check("contract.warm_after_ns", least=0, most=LONGEST_NS, whole=True),
-    Check("contract.grace_to_answer_ns", least=0, most=LONGEST_NS, whole=True, needed=False),
+    Check("contract.warm_after_ns", least=0, most=LONGEST_NS, complete=True),
+    Check("contract.grace_to_answer_ns", least=0, most=LONGEST_NS, complete=True, needed=False),
 )
-ASKED = (Check("contract.must_ask_in_ns", above=0, most=LONGEST_NS, whole=True),)
+ASKED = (Check("contract.must_ask_in_ns", above=0, most=LONGEST_NS, complete=True),)
 GRADE = (
     Check("name"),
     Check("effect", words=EFFECTS),
-    Check("goal_time_ns", above=0, most=LONGEST_NS, whole=True),
-    Check("deadline_ns", above=0, most=LONGEST_NS, whole=True),
+    Check("goal_time_ns", above=0, most=LONGEST_NS, complete=True),
+    Check("deadline_ns", above=0, most=LONGEST_NS, complete=True),
     Check("value", least=0, most=1e12, needed=False),
     Check("late_share", least=0, most=1, needed=False),
     Check("share", above=0, needed=False),
 )
 KEYED = (
     Check("key_scope", words=SCOPES),
-    Check("memory_span_ns", above=0, most=LONGEST_NS, whole=True),
+    Check("memory_span_ns", above=0, most=LONGEST_NS, complete=True),
 )
 CUSTOMER = (
     Check("name"),
--- a/hollowusher/scheduler/settings/reader.py
+++ b/hollowusher/scheduler/settings/reader.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from hollowusher.scheduler.settings.model import ConfigError, Section, SettingsError
+from hollowusher.scheduler.settings.model import ConfigError, Section, SettingsFileError
 
 MOST_FILE = 1024 * 1024  # bytes; a larger one is some other file
 
@@ -33,9 +33,9 @@
         """The value of a directive."""
         return self.values.get(name, self.section.by_name[name].default)
 
-    def fault(self, name: str, why: str) -> SettingsError:
+    def fault(self, name: str, why: str) -> SettingsFileError:
         """A fault of a directive that only shows beside others; raise it."""
-        return SettingsError(self.file, self.lines.get(name, self.line), f"{self.label} {name}: {why}")
+        return SettingsFileError(self.file, self.lines.get(name, self.line), f"{self.label} {name}: {why}")
 
     @property
     def label(self) -> str:
@@ -81,7 +81,7 @@
         try:
             given = shlex.split(raw, comments=True)
         except ValueError as wrong:
-            raise SettingsError(file, line, f"cannot be split into words: {wrong}") from None
+            raise SettingsFileError(file, line, f"cannot be split into words: {wrong}") from None
         if not given:
             continue
         if given[0].startswith("["):
@@ -89,7 +89,7 @@
             block = _head(" ".join(given), sheet, line, known)
             sheet.blocks.append(block)
         elif block is None:
-            raise SettingsError(file, line, f"{given[0]}: stands before the first [section]")
+            raise SettingsFileError(file, line, f"{given[0]}: stands before the first [section]")
         else:
             _directive(block, line, given[0], given[1:])
     _ended(block)
@@ -98,18 +98,20 @@
 
 def _head(text: str, sheet: Sheet, line: int, known: Mapping[str, Section]) -> Block:
     if not text.endswith("]"):
-        raise SettingsError(sheet.file, line, f"{text}: a section is written [name] or [name TITLE]")
+        raise SettingsFileError(sheet.file, line, f"{text}: a section is written [name] or [name TITLE]")
     name, _, title = text[1:-1].strip().partition(" ")
     section, title = known.get(name), title.strip()
     if section is None:
-        raise SettingsError(sheet.file, line, f"[{name}]: is no section{_meant(name, known)}")
+        raise SettingsFileError(sheet.file, line, f"[{name}]: is no section{_meant(name, known)}")
     if section.titled and (not title or " " in title):
-        raise SettingsError(sheet.file, line, f"[{name}]: needs a title of one word, as in [{name} TITLE]")
+        raise SettingsFileError(
+            sheet.file, line, f"[{name}]: needs a title of one word, as in [{name} TITLE]"
+        )
     if title and not section.titled:
-        raise SettingsError(sheet.file, line, f"[{name}]: takes no title, has {title!r}")
+        raise SettingsFileError(sheet.file, line, f"[{name}]: takes no title, has {title!r}")
     for other in sheet.blocks:
         if other.section is section and other.title == title:
-            raise SettingsError(sheet.file, line, f"{other.label}: stands on line {other.line} already")
+            raise SettingsFileError(sheet.file, line, f"{other.label}: stands on line {other.line} already")
     return Block(section, title, sheet.file, line)
 
 
@@ -118,14 +120,14 @@
     where = f"{block.label} {name}"
     if directive is None:
         meant = _meant(name, block.section.by_name)
-        raise SettingsError(block.file, line, f"{where}: is no directive of this section{meant}")
+        raise SettingsFileError(block.file, line, f"{where}: is no directive of this section{meant}")
     if name in block.values and not directive.kind.gathers:
-        raise SettingsError(block.file, line, f"{where}: stands on line {block.lines[name]} already")
+        raise SettingsFileError(block.file, line, f"{where}: stands on line {block.lines[name]} already")
     try:
         value = directive.kind.read(given)
     except ValueError:
         was = f"is {' '.join(given)!r}" if given else "nothing follows it"
-        raise SettingsError(block.file, line, f"{where}: must be {directive.kind.wants}, {was}") from None
+        raise SettingsFileError(block.file, line, f"{where}: must be {directive.kind.wants}, {was}") from None
     block.values[name] = block.values[name] + value if name in block.values else value
     block.lines[name] = line
 
@@ -133,7 +135,7 @@
 def _ended(block: Block | None) -> None:
     for directive in block.section.directives if block else ():
         if block is not None and directive.needed and directive.name not in block.values:
-            raise SettingsError(block.file, block.line, f"{block.label}: {directive.name} is missing")
+            raise SettingsFileError(block.file, block.line, f"{block.label}: {directive.name} is missing")
 
 
 def _meant(name: str, known: Iterable[str]) -> str:
--- a/tests/balancing/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -61,7 +61,7 @@
         assert sends(a for _, a in node.log)[0].request == first[0]
 
 
-def test_the_patient_class_does_not_get_the_room_that_the_head_was_denied() -> None:
+def test_the_patient_class_does_not_get_the_capacity_that_the_head_was_denied() -> None:
     """Else a class with a long aim, which bears a longer wait, would keep every worker full for itself."""
     quick = replace(SAFE, name="quick", late_share=0.5)
     patient = replace(quick, name="patient", aim_ns=2 * S)
@@ -197,12 +197,12 @@
     return sum(s.worker == worker for s in of) / len(of)
 
 
-@pytest.mark.parametrize("trouble", ["silent", "failing", "refusing"])
-def test_a_worker_in_trouble_is_left_but_for_trials_and_trusted_again(trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["silent", "failing", "refusing"])
+def test_a_worker_with_faults_is_left_but_for_trials_and_trusted_again(fault: str) -> None:
     """Silent: it answers probes, reports free slots, and runs nothing: it looks better than all others."""
     crew = three()
     crew.play(3 * S)
-    bad: set[int] = getattr(crew, trouble)
+    bad: set[int] = getattr(crew, fault)
     bad.add(3)
     crew.play(3 * S, prefix="t")  # time to notice
     assert share(crew.play(5 * S, prefix="u"), 3) < 0.1
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from hollowusher.balancing.balancer import COLD_MARGIN, Gate, Request, Worker
+from hollowusher.balancing.balancer import COLD_MARGIN, QueuedRequest, SendRules, WorkerState
 from hollowusher.balancing.interface import (
     Arrival,
     Cancel,
@@ -48,7 +48,7 @@
         return self.free_at, ListKind.CHANGES
 
 
-def told_after(
+def reported_after(
     balancers: int,
     span: int,
     service: ListService,
@@ -60,7 +60,7 @@
     rules = Rules(ask_within_ns=10 * S, drain_grace_ns=grace)
     settings = replace(SITE, balancers=balancers, discovery=Discovery.ASK, rules=rules)
     nodes = [Node(replace(settings, me=i), workers=workers(1), seed=100 + i) for i in range(balancers)]
-    timeout, start, told = settings.list_calls.timeout_ns, nodes[0].now, dict[int, int]()
+    timeout, start, reported = settings.list_calls.timeout_ns, nodes[0].now, dict[int, int]()
     service.outage = (start + service.outage[0], start + service.outage[1])
     due: list[tuple[int, int, ListKind | None]] = [(start, i, None) for i in range(balancers)]
     if broken is not None:
@@ -73,14 +73,14 @@
         node.now = max(node.now, now)
         node.listing(kind) if kind else node.step()
         if kind is ListKind.CHANGES and now >= service.outage[1]:
-            told.setdefault(i, now - service.outage[1])
+            reported.setdefault(i, now - service.outage[1])
         for _, action in node.log[seen:]:
             if isinstance(action, Watch):
                 end, how = service.call(now, timeout)
                 heapq.heappush(due, (end, i, how))
             elif isinstance(action, Wake):
                 heapq.heappush(due, (now + action.in_ns, i, None))
-    return sorted(told.values())
+    return sorted(reported.values())
 
 
 @pytest.mark.parametrize(
@@ -95,8 +95,8 @@
 def test_all_that_start_at_once_get_the_list(balancers: int, cost: int, within: int) -> None:
     # Forty that ask at once, and again within two seconds, keep the service on calls that have failed.
     # Of 200 the first call came up to 39 s after the start; from 10 s on nothing may be sent without it.
-    told = told_after(balancers, 20 * S, ListService(cost * MS))
-    assert len(told) == balancers and told[-1] < within
+    reported = reported_after(balancers, 20 * S, ListService(cost * MS))
+    assert len(reported) == balancers and reported[-1] < within
 
 
 @pytest.mark.parametrize("mute", [False, True])
@@ -110,8 +110,10 @@
     cost = min(150 * MS, (6 * S - grace) // 2 // balancers)
     for seconds in (0, 1, 4, 9):
         service = ListService(cost, (S, (1 + seconds) * S), mute)
-        told = told_after(balancers, 20 * S, service, ListKind.SILENT if mute else ListKind.FAILED, grace)
-        assert len(told) == balancers and told[-1] <= 6 * S - grace
+        reported = reported_after(
+            balancers, 20 * S, service, ListKind.SILENT if mute else ListKind.FAILED, grace
+        )
+        assert len(reported) == balancers and reported[-1] <= 6 * S - grace
 
 
 def test_a_scheduler_that_knows_no_worker_yet_asks_for_the_list() -> None:
@@ -146,7 +148,7 @@
         (ListKind.FAILED, 3500 * MS, 1),
     ],
 )
-def test_what_a_silent_watch_did_not_bring_counts_as_told(kind: ListKind, heard: int, sent: int) -> None:
+def test_what_a_silent_watch_did_not_bring_counts_as_reported(kind: ListKind, heard: int, sent: int) -> None:
     # Silence is noticed late; what was listed since the last line counts as told 6 s later, come or not.
     node = asker()
     node.listing(ListKind.CHANGES)
@@ -179,7 +181,7 @@
     for seed in range(30):
         node = Node(settings, seed=seed)
         node.run(8 * S)
-        node.balancer.gate.watching = False
+        node.balancer.send_rules.watching = False
         for waits in rounds:
             node.listing(ListKind.FAILED)
             waits.append(node.balancer.watch_at - node.now)
@@ -203,7 +205,7 @@
     node = asker()
     for _ in range(20 * S // every):
         node.balancer.watch_at = node.now + 10**15  # the calls are made here
-        node.balancer.gate.asked_at = node.now
+        node.balancer.send_rules.asked_at = node.now
         node.listing(kind)
         node.run(every)
     node.arrive("r1", "safe")
@@ -252,7 +254,7 @@
     # Each has learnt other costs, as running times scatter: by costs, their turns met.
     chance, entry = random.Random(balancers), workers(1, started_ns=S)[0]
     views = [
-        Worker(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
+        WorkerState(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
         for me in range(balancers)
     ]
     units = [round(400 * MS * chance.uniform(0.7, 1.4)) for _ in views]
@@ -274,7 +276,7 @@
     # A scheduler of many has a job at hand in a small part of its turns; each knows its own part alone.
     chance, entry = random.Random(balancers), workers(1, started_ns=S)[0]
     views = [
-        Worker(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
+        WorkerState(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
         for me in range(balancers)
     ]
     rates = [rate * chance.choice((0.5, 0.5, 1.0, 2.0)) for _ in views]
@@ -305,14 +307,14 @@
     for count in range(60):
         node.arrive(f"r{count}", "safe")
         node.run(S if count < 30 else S // 10)
-        uses.append(node.balancer.gate.use)
+        uses.append(node.balancer.send_rules.use)
     assert abs(uses[29] - (1 - math.exp(-0.5))) < 0.05  # one job a second, half a span
     assert uses[-1] > uses[29] + 0.1
 
 
 def test_no_job_goes_to_a_cold_worker_that_would_be_all_it_bears() -> None:
     settings, entry = replace(SITE, balancers=200, rules=COLD), workers(1, started_ns=S)[0]
-    views = [Worker(entry, replace(settings, me=me), 12_500_000, S) for me in range(200)]
+    views = [WorkerState(entry, replace(settings, me=me), 12_500_000, S) for me in range(200)]
     allowed = [
         now
         for now in range(S, 24 * S, 100 * MS)
@@ -347,7 +349,7 @@
     node.listing(ListKind.FULL, *workers(1, started_ns=node.now - 5 * S))
     worker = node.balancer.workers[1]
     assert worker.level(node.now) == pytest.approx(0.4)
-    request = Request(Arrival("r1", "safe", 5 * S), SAFE, LIMITS, node.now, 1, 0)
+    request = QueuedRequest(Arrival("r1", "safe", 5 * S), SAFE, LIMITS, node.now, 1, 0)
     node.balancer.send(node.now, worker, request, 100.0 * MS)
     worker.finished(250.0 * MS, request.attempts[0].expected)
     assert worker.pace(node.now) == pytest.approx(1.0, abs=0.01)
@@ -390,40 +392,40 @@
     def __init__(self, balancers: int, seed: int, heavy: bool) -> None:
         self.chance, self.balancers, self.heavy = random.Random(seed), balancers, heavy
         self.entry = workers(1, started_ns=S)[0]
-        self.lives = [self.life(me, 0) for me in range(balancers)]
-        self.heard = [S + round(self.chance.uniform(0.0, 6.0) * S) for _ in self.lives]
+        self.runs = [self.run_of_process(me, 0) for me in range(balancers)]
+        self.heard = [S + round(self.chance.uniform(0.0, 6.0) * S) for _ in self.runs]
         self.sent = list[tuple[int, float]]()
 
-    def life(self, me: int, began: int) -> tuple[Gate, Worker, int]:
+    def run_of_process(self, me: int, began: int) -> tuple[SendRules, WorkerState, int]:
         """One process: its running times are learnt, and differ."""
         settings = replace(SITE, balancers=self.balancers, me=me, rules=COLD)
         unit = round(MEAN * self.chance.uniform(0.7, 1.4))
-        return Gate(settings, began), Worker(self.entry, settings, 12_500_000, began), unit
+        return SendRules(settings, began), WorkerState(self.entry, settings, 12_500_000, began), unit
 
     def play(self, rate: float, killed: float, burst: float) -> None:
         """Jobs a second and scheduler, unevenly; of a hundred schedulers so many are killed each second.
         From 12 s on there are `burst` times as many jobs for a while, which nobody has learnt to expect."""
         chance, step, number = self.chance, 40 * MS, 0
-        rates = [rate * chance.choice((0.3, 0.6, 1.0, 2.1)) for _ in self.lives]
+        rates = [rate * chance.choice((0.3, 0.6, 1.0, 2.1)) for _ in self.runs]
         for now in range(S, 25 * S, step):
             for me in range(self.balancers):
                 if chance.random() < killed / 100 * step / S:
-                    self.lives[me] = self.life(me, now + 300 * MS)
-                gate, view, unit = self.lives[me]
+                    self.runs[me] = self.run_of_process(me, now + 300 * MS)
+                rules, view, unit = self.runs[me]
                 more = burst if 12 * S <= now < 14 * S else 1.0
-                if now < max(gate.began, self.heard[me]) or chance.random() > more * rates[me] * step / S:
+                if now < max(rules.began, self.heard[me]) or chance.random() > more * rates[me] * step / S:
                     continue
                 number += 1
                 work = chance.choice((0.5, 1.0, 1.0, 4.0)) / 1.625 if self.heavy else 1.0
-                request = Request(Arrival(f"r{number}", "safe", 5 * S), SAFE, LIMITS, now, number, 0)
-                gate.watching, gate.use = True, 1 - math.exp(-rates[me] / 2)
-                if gate.allows(request, view, now, (work * unit, unit, 2.0)):
+                request = QueuedRequest(Arrival(f"r{number}", "safe", 5 * S), SAFE, LIMITS, now, number, 0)
+                rules.watching, rules.use = True, 1 - math.exp(-rates[me] / 2)
+                if rules.allows(request, view, now, (work * unit, unit, 2.0)):
                     view.sends.append((now, work * unit))
                     self.sent.append((now, work))
 
     def budget(self, now: int) -> float:
         """N: calls of mean work that the worker bears in the span that begins now."""
-        return 2.5 * self.lives[0][1].level(now) * 2.0 * S / MEAN
+        return 2.5 * self.runs[0][1].level(now) * 2.0 * S / MEAN
 
     def most(self) -> float:
         """The most that one span saw, in parts of N + 2 roots of N + 2."""
@@ -460,13 +462,13 @@
 
 
 @pytest.mark.parametrize(("began", "sent"), [(2 * S, False), (1500 * MS, True), (S - 1, True)])
-def test_a_new_life_sends_nothing_to_a_cold_worker_that_an_old_one_may_have_sent_to(
+def test_a_new_process_sends_nothing_to_a_cold_worker_that_an_old_one_may_have_sent_to(
     began: int, sent: bool
 ) -> None:
     # What the life before sent within the last span is forgotten; a worker that began with us had none of it.
     settings, now = replace(SITE, rules=COLD), 2600 * MS
     entry = workers(1, started_ns=S)[0]
-    gate, view = Gate(settings, began), Worker(entry, settings, 12_500_000, began)
-    gate.watching = True
-    request = Request(Arrival("r1", "safe", 5 * S), SAFE, LIMITS, now, 1, 0)
-    assert gate.allows(request, view, now, (100 * MS, 100 * MS, 8.0)) is sent
+    rules, view = SendRules(settings, began), WorkerState(entry, settings, 12_500_000, began)
+    rules.watching = True
+    request = QueuedRequest(Arrival("r1", "safe", 5 * S), SAFE, LIMITS, now, 1, 0)
+    assert rules.allows(request, view, now, (100 * MS, 100 * MS, 8.0)) is sent
--- a/tests/balancing/test_integral_controller.py
+++ b/tests/balancing/test_integral_controller.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from hollowusher.balancing.balancer import SET_POINT, WINDOW_NS, Controller
+from hollowusher.balancing.balancer import SET_POINT, WINDOW_NS, IntegralController
 from tests.support.balancer import MS
 
 T_D, T_P, MANY = 50 * MS, 25.0 * MS, 1000.0
 
 
-def controller(balancers: int = 1, bundle: float = 0.0, wanted: bool = True) -> Controller:
-    made = Controller(T_D, balancers)
+def controller(balancers: int = 1, bundle: float = 0.0, wanted: bool = True) -> IntegralController:
+    made = IntegralController(T_D, balancers)
     made.bundle, made.wanted = bundle, wanted
     return made
 
--- a/tests/balancing/test_properties.py
+++ b/tests/balancing/test_properties.py
@@ -118,7 +118,7 @@
             progress_ns=pick([0, S]),
             rules=RULES,
             worth_by_work=pick([True, False]),
-            sizes_told=pick([True, False]),
+            reports_sizes=pick([True, False]),
             over_share_worth=pick([0.2, 1.0]),
             prices=Prices(cross_zone=pick([0.0, 0.16]), probe=pick([0.0, 0.0025])),
             goal=Goal(pick([0.5, 1.0]), pick([0.0, 0.2])),
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_nothing_new_once_told(state: State) -> None:
+def test_nothing_new_once_reported(state: State) -> None:
     node = Node(workers=workers(1))
     node.listing(ListKind.CHANGES, Listed(1, zone="a", kind="k", state=state))
     node.arrive("r", "safe")
@@ -201,7 +201,7 @@
     assert [a.request for a in sends(node.run(S))] == ["r2"]
 
 
-def test_a_worker_missing_from_a_whole_list_is_gone_and_a_change_list_removes_none() -> None:
+def test_a_worker_missing_from_a_complete_list_is_gone_and_a_change_list_removes_none() -> None:
     node = Node(workers=workers(1, 2))
     node.listing(ListKind.CHANGES, *workers(2))
     node.listing(ListKind.FULL, *workers(2))
--- a/tests/balancing/test_simulator_adapter.py
+++ b/tests/balancing/test_simulator_adapter.py
@@ -117,7 +117,7 @@
         read_settings("BEGIN", ["grades.count=1", "grades.0.effect=often"])
 
 
-def test_a_fault_of_the_decisions_is_told_on_the_wire(
+def test_a_fault_of_the_decisions_is_reported_on_the_wire(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> None:
--- a/tests/scheduler/test_any_names.py
+++ b/tests/scheduler/test_any_names.py
@@ -44,8 +44,8 @@
     async def job(self, name: str, tenant: str, which: str) -> tuple[str, bytes]:
         """One job of a class; its status and result."""
         head, _, rest = post(f"{which}-{name}", name, "2").partition(b"\r\n")
-        told = f"X-Caller: {tenant}\r\nIdempotency-Key: {which}-{name}\r\n".encode()
-        first, _, result = await self.ask(head + b"\r\n" + told + rest)
+        reported = f"X-Caller: {tenant}\r\nIdempotency-Key: {which}-{name}\r\n".encode()
+        first, _, result = await self.ask(head + b"\r\n" + reported + rest)
         return first.split()[1], result
 
 
@@ -53,9 +53,11 @@
     def test_no_name_of_a_known_deployment_stands_in_program_or_deploy_file(self) -> None:
         names = {c.name for c in CLASSES}
         for site in (ROOT / "deploy" / "sites").glob("*.toml"):
-            told = tomllib.loads(site.read_text())
-            names |= {told["name"], *(c["name"] for c in told["class"]), *told["net"]["zones"]}
-            names |= {kind["name"] for tier in told["tier"] for kind in tier["kind"] if "-" in kind["name"]}
+            reported = tomllib.loads(site.read_text())
+            names |= {reported["name"], *(c["name"] for c in reported["class"]), *reported["net"]["zones"]}
+            names |= {
+                kind["name"] for tier in reported["tier"] for kind in tier["kind"] if "-" in kind["name"]
+            }
         self.assertGreater(len(names), 8)
         sources = [
             *(ROOT / "hollowusher").rglob("*.py"),
--- a/tests/scheduler/test_bad_clients.py
+++ b/tests/scheduler/test_bad_clients.py
@@ -147,7 +147,7 @@
         writer.write(b"x" * 65_536)  # what crosses the answer does not reset the connection at once
         self.assertEqual(await self.within(reader.read()), b"")
 
-    async def test_half_a_request_and_silence_end_in_time_from_the_accept_on(self) -> None:
+    async def test_half_a_request_and_no_answer_end_in_time_from_the_accept_on(self) -> None:
         await self.run_program(HttpNode())
         with mock.patch.object(clients, "FIRST_S", 0.2), mock.patch.object(clients, "REQUEST_S", 0.2):
             half, half_writer = await self.client()
@@ -219,7 +219,7 @@
             session.writer.write(stomp("SEND", b"x", **{**fields, **changes}) + b"x" * 300_000)
             self.assertEqual((await session.next())[0], "ERROR", changes)
 
-    async def test_half_a_frame_and_silence_end_in_time(self) -> None:
+    async def test_half_a_frame_and_no_answer_end_in_time(self) -> None:
         with (
             mock.patch.object(stomp_clients, "FIRST_S", 0.2),
             mock.patch.object(stomp_clients, "REQUEST_S", 0.2),
@@ -231,7 +231,7 @@
             silent, _ = await asyncio.open_connection("127.0.0.1", self.stomp_port)
             self.assertEqual(await self.within(silent.read()), b"")
 
-    async def test_silent_crowd_makes_room(self) -> None:
+    async def test_silent_crowd_frees_a_connection(self) -> None:
         with mock.patch.object(stomp_clients, "YOUNG_S", 0.0):
             await self.run_program(stomp_nodes=(StompNodeStandIn(),), most_clients=4)
             crowd = [await asyncio.open_connection("127.0.0.1", self.stomp_port) for _ in range(6)]
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -15,7 +15,7 @@
 from hollowusher.balancing.interface import Goal
 from hollowusher.balancing.tenant_shares import Shares
 from hollowusher.scheduler.config import load
-from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
+from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import JobTaken
 from hollowusher.scheduler.emulator.outside import platform_settings
 from hollowusher.scheduler.fronts.common import read_load
@@ -94,9 +94,9 @@
                     with self.assertRaisesRegex(ConfigError, re.escape(wrong) + ":"):
                         load({"PROXY_CONFIG": file.name})
                 else:
-                    told = load({"PROXY_CONFIG": file.name})
-                    self.assertEqual(len(told.peer_addresses), len(peers.get("peers", ())))
-                    self.assertEqual(told.peer_all is not None, "peers_all" in peers)
+                    reported = load({"PROXY_CONFIG": file.name})
+                    self.assertEqual(len(reported.peer_addresses), len(peers.get("peers", ())))
+                    self.assertEqual(reported.peer_all is not None, "peers_all" in peers)
 
 
 class WhatARequestTells(unittest.TestCase):
@@ -104,20 +104,20 @@
         for cost, hint_ns in (("5200000", 5_200_000_000), ("", 0), ("-1", 0), ("1e9", 0), ("9" * 30, 0)):
             reader = RequestReader()
             head, _, rest = post("j").partition(b"\r\n")
-            told = f"X-Caller: school\r\nX-Call-Cost: {cost}\r\n".encode()
-            reader.feed(memoryview(head + b"\r\n" + told + rest), 0)
+            reported = f"X-Caller: school\r\nX-Call-Cost: {cost}\r\n".encode()
+            reader.feed(memoryview(head + b"\r\n" + reported + rest), 0)
             job = read_job(reader.ready.popleft(), {c.name: c for c in CLASSES}, 0, lambda answer: None)
             with mock.patch("hollowusher.scheduler.dispatch.dispatcher.Balancer") as module:
                 module.return_value.step.return_value = []
-                DispatchDesk(SETTINGS, 1, 0).work(0, [JobTaken(job)])
+                JobDispatcher(SETTINGS, 1, 0).work(0, [JobTaken(job)])
             arrival = module.return_value.step.call_args.args[1][0]
             assert isinstance(arrival, Arrival)
             self.assertEqual((arrival.tenant, arrival.hint_ns, arrival.slots), ("school", hint_ns, 1.0))
 
     def test_a_service_time_is_read_in_milliseconds(self) -> None:
-        told = {"x0": 3, "qps": 2.0, "eps": 0, "latency_ms": 812.5}
+        reported = {"x0": 3, "qps": 2.0, "eps": 0, "latency_ms": 812.5}
         self.assertEqual(
-            read_load(told, {"x0": "free_slots"}),
+            read_load(reported, {"x0": "free_slots"}),
             Reading(free_slots=3.0, served_per_s=2.0, errors_per_s=0.0, service_ns=812_500_000),
         )
         for odd in ("812", None, True, -1, float("nan"), float("inf")):
@@ -137,8 +137,8 @@
 
     def test_workers_whose_sizes_follow_their_load_are_alike_by_kind(self) -> None:
         """Else what is known of one worker helps none, not even itself once its size has moved."""
-        for told, slots in ((True, 1.0), (False, 8.0)):
-            node = Node(site(sizes_told=told), [*workers(1, size=6.5), *workers(2, size=3.1)])
+        for reported, slots in ((True, 1.0), (False, 8.0)):
+            node = Node(site(reports_sizes=reported), [*workers(1, size=6.5), *workers(2, size=3.1)])
             node.step(Probed(1, True, Reading(free_slots=8.0)))
             self.assertEqual(node.balancer.slots(node.balancer.workers[2]), slots)
 
@@ -164,10 +164,10 @@
             rates = balancer.rates()
             self.assertEqual(max(rates, key=lambda name: rates[name]), best)
 
-    def test_patience_before_a_crossing_is_its_price_in_parts_of_the_whole(self) -> None:
+    def test_patience_before_a_crossing_is_its_price_in_parts_of_the_complete(self) -> None:
         waits = []
-        for whole in (1.0, 0.5):
-            node = Node(only(SAFE, prices=Prices(cross_zone=0.1), goal=Goal(whole)))
+        for complete in (1.0, 0.5):
+            node = Node(only(SAFE, prices=Prices(cross_zone=0.1), goal=Goal(complete)))
             node.arrive("r", "safe")
             waits.append(node.balancer.patience(node.balancer.requests["r"]))
         self.assertAlmostEqual(waits[1], 2 * waits[0])
@@ -188,5 +188,5 @@
                 self.assertFalse(shares.over(name, True, now))  # a retry belongs to its first try
             self.assertEqual(over, beyond, (rate, name))
         mixed = Shares(settings, 0)  # twice the allowance, as all others: its part of what comes is its share
-        told = [mixed.over("big" if n % 5 else "small", False, n * 25 * MS) for n in range(400)]
-        self.assertFalse(any(told))
+        reported = [mixed.over("big" if n % 5 else "small", False, n * 25 * MS) for n in range(400)]
+        self.assertFalse(any(reported))
--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -13,49 +13,49 @@
 
 from hollowusher.balancing import Effect, Limits, Listed, ListKind, Outcome
 from hollowusher.scheduler.config import flatten, load
-from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
+from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import (
-    Answer,
     AttemptEnded,
     AttemptStarted,
+    ClientJob,
     ClientLeft,
-    DeskEvent,
     Dispatch,
-    Job,
+    DispatchEvent,
+    JobAnswerBody,
     JobTaken,
-    NodeListTold,
+    NodeListReceived,
     Order,
     Remark,
-    Reply,
+    ReplyToClient,
     TimeCame,
     Verdict,
-    WakeDesk,
+    WakeDispatcher,
     WatchNodeList,
     Withdraw,
 )
 from hollowusher.scheduler.emulator.outside import platform_settings
-from hollowusher.scheduler.fronts.stomp.job_table import Finding, Ledger, fingerprint
-from hollowusher.scheduler.log import Log
-from hollowusher.scheduler.net.owner import DeskOwner
+from hollowusher.scheduler.fronts.stomp.job_table import JobTable, ResendState, fingerprint
+from hollowusher.scheduler.log import LogWriter
+from hollowusher.scheduler.net.owner import DispatcherOwner
 from hollowusher.scheduler.settings.model import ConfigError
 from tests.support.balancer import MS, S
 from tests.support.standins import SETTINGS
 
 
-class Desk(unittest.TestCase):
+class DispatcherCases(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 10 * S
-        self.desk = DispatchDesk(SETTINGS, 1, self.now)
+        self.dispatcher = JobDispatcher(SETTINGS, 1, self.now)
         self.orders: list[Order] = []
-        self.step(NodeListTold(ListKind.FULL, (Listed(1), Listed(2))))
+        self.step(NodeListReceived(ListKind.FULL, (Listed(1), Listed(2))))
 
-    def step(self, *events: DeskEvent) -> list[Order]:
-        orders = self.desk.work(self.now, events)
+    def step(self, *events: DispatchEvent) -> list[Order]:
+        orders = self.dispatcher.work(self.now, events)
         self.orders += orders
         return orders
 
-    def take(self, job_class: str = "eta-quote", left: int = 3 * S) -> tuple[Job, Dispatch]:
-        job = Job("same", job_class, "/x", b"", self.now, left, lambda a: None)
+    def take(self, job_class: str = "eta-quote", left: int = 3 * S) -> tuple[ClientJob, Dispatch]:
+        job = ClientJob("same", job_class, "/x", b"", self.now, left, lambda a: None)
         self.step(JobTaken(job))
         return job, self.wait(Dispatch)
 
@@ -70,20 +70,20 @@
         raise AssertionError(f"no {kind.__name__}")
 
     def replies(self) -> list[Verdict]:
-        return [o.answer.verdict for o in self.orders if isinstance(o, Reply)]
+        return [o.answer.verdict for o in self.orders if isinstance(o, ReplyToClient)]
 
     def test_two_endings_in_one_batch_give_one_answer(self) -> None:
         _, sent = self.take()
         self.step(AttemptEnded(sent.attempt, Outcome.OK, None, b"r"), AttemptEnded(sent.attempt, Outcome.OK))
         self.step(AttemptEnded(sent.attempt, Outcome.RESET), AttemptStarted(sent.attempt))
         self.assertEqual(self.replies(), [Verdict.SERVED])
-        self.assertEqual(self.desk.open_jobs, 0)
+        self.assertEqual(self.dispatcher.open_jobs, 0)
 
     def test_jobs_with_one_id_are_two_jobs(self) -> None:
         first, sent = self.take()
         second, again = self.take()
         self.step(AttemptEnded(again.attempt, Outcome.OK), AttemptEnded(sent.attempt, Outcome.OK))
-        self.assertEqual([o.job for o in self.orders if isinstance(o, Reply)], [second, first])
+        self.assertEqual([o.job for o in self.orders if isinstance(o, ReplyToClient)], [second, first])
 
     def test_client_left_withdraws_and_gets_no_answer(self) -> None:
         job, sent = self.take()
@@ -98,16 +98,16 @@
 
     def test_unsafe_job_that_may_have_run_fails_before_its_deadline(self) -> None:
         job, sent = self.take("settle-shift", left=400 * MS)
-        reply = self.wait(Reply)
-        self.assertEqual(reply.answer, Answer(Verdict.FAILED))
+        reply = self.wait(ReplyToClient)
+        self.assertEqual(reply.answer, JobAnswerBody(Verdict.FAILED))
         self.assertLess(self.now, job.deadline_ns)
         self.assertIn(Withdraw(sent.attempt), self.orders)
 
     def test_it_asks_for_the_list_and_for_its_time(self) -> None:
-        self.step(JobTaken(Job("j", "eta-quote", "/x", b"", self.now, 3 * S, lambda a: None)))
-        self.assertTrue(any(isinstance(o, WakeDesk) for o in self.orders))
-        desk = DispatchDesk(SETTINGS, 1, 0)
-        self.assertIn(WatchNodeList(), desk.work(0, [NodeListTold(ListKind.CACHED)]))
+        self.step(JobTaken(ClientJob("j", "eta-quote", "/x", b"", self.now, 3 * S, lambda a: None)))
+        self.assertTrue(any(isinstance(o, WakeDispatcher) for o in self.orders))
+        dispatcher = JobDispatcher(SETTINGS, 1, 0)
+        self.assertIn(WatchNodeList(), dispatcher.work(0, [NodeListReceived(ListKind.CACHED)]))
 
 
 class Advice(unittest.TestCase):
@@ -115,90 +115,90 @@
         # A client told nothing comes back at once, into the same crowd that it was refused for.
         for allowed, wait in ((True, S), (False, 0)):
             limits = Limits(True, True, True, allowed, 2 * S, 3)
-            desk = DispatchDesk(replace(SETTINGS, limits=limits), 1, 0)
-            job = Job("j", "settle-shift", "/x", b"", 0, S, lambda a: None)
-            desk.work(0, [NodeListTold(ListKind.CACHED), JobTaken(job)])
-            (reply,) = [o for o in desk.work(S, [TimeCame()]) if isinstance(o, Reply)]
-            self.assertEqual(reply.answer, Answer(Verdict.REFUSED, wait_ns=wait))
+            dispatcher = JobDispatcher(replace(SETTINGS, limits=limits), 1, 0)
+            job = ClientJob("j", "settle-shift", "/x", b"", 0, S, lambda a: None)
+            dispatcher.work(0, [NodeListReceived(ListKind.CACHED), JobTaken(job)])
+            (reply,) = [o for o in dispatcher.work(S, [TimeCame()]) if isinstance(o, ReplyToClient)]
+            self.assertEqual(reply.answer, JobAnswerBody(Verdict.REFUSED, wait_ns=wait))
 
 
 class Owner(unittest.IsolatedAsyncioTestCase):
-    async def test_faults_do_not_end_the_one_task_that_owns_the_desk(self) -> None:
-        desk, done = mock.Mock(), asyncio.Event()
-        desk.work.side_effect = [ValueError("a bad step"), [Remark("bad"), Remark("good")]]
+    async def test_faults_do_not_end_the_one_task_that_owns_the_dispatcher(self) -> None:
+        dispatcher, done = mock.Mock(), asyncio.Event()
+        dispatcher.work.side_effect = [ValueError("a bad step"), [Remark("bad"), Remark("good")]]
 
         def carry_out(order: Order) -> None:
             if order == Remark("bad"):
                 raise ValueError("a bad order")
             done.set()
 
-        owner = DeskOwner(desk, carry_out, Log("test", per_s=0, burst=0))
+        owner = DispatcherOwner(dispatcher, carry_out, LogWriter("test", per_s=0, burst=0))
         task = asyncio.create_task(owner.run())
         owner.post(TimeCame())
         owner.post(TimeCame())  # these two are one batch
         await asyncio.sleep(0)
         owner.post(TimeCame())
         await asyncio.wait_for(done.wait(), 5)
-        self.assertEqual([len(call.args[1]) for call in desk.work.call_args_list], [2, 1])
+        self.assertEqual([len(call.args[1]) for call in dispatcher.work.call_args_list], [2, 1])
         task.cancel()
 
 
-class JobLedger(unittest.TestCase):
+class JobTableCases(unittest.TestCase):
     def setUp(self) -> None:
-        self.ledger = Ledger(3, 1 << 20, 100, 10)
+        self.jobs = JobTable(3, 1 << 20, 100, 10)
 
     def find(
         self, name: str, effect: Effect = Effect.UNSAFE, resend: bool = False, now: int = 0, body: bytes = b""
-    ) -> Finding:
-        found, self.entry = self.ledger.find(
+    ) -> ResendState:
+        found, self.entry = self.jobs.find(
             ("d", name), fingerprint("c", "/", "", body), effect, len(body), resend, now
         )
         return found
 
     def end(self, verdict: Verdict = Verdict.SERVED, now: int = 0, result: bytes = b"") -> None:
         assert self.entry is not None
-        self.ledger.answered(self.entry, Answer(verdict, result), now)
+        self.jobs.answered(self.entry, JobAnswerBody(verdict, result), now)
 
     def test_findings(self) -> None:
-        self.assertEqual(self.find("a"), Finding.NEW)
-        self.assertEqual(self.find("a"), Finding.JOINED)
-        self.assertEqual(self.find("a", body=b"other"), Finding.CONFLICT)
+        self.assertEqual(self.find("a"), ResendState.NEW)
+        self.assertEqual(self.find("a"), ResendState.JOINED)
+        self.assertEqual(self.find("a", body=b"other"), ResendState.CONFLICT)
         self.end()
-        self.assertEqual(self.find("a"), Finding.KEPT)
-        self.assertEqual(self.find("b", resend=True), Finding.UNKNOWN)
-        self.assertEqual(self.find("c", Effect.KEYED, resend=True), Finding.NEW)
+        self.assertEqual(self.find("a"), ResendState.KEPT)
+        self.assertEqual(self.find("b", resend=True), ResendState.UNKNOWN)
+        self.assertEqual(self.find("c", Effect.KEYED, resend=True), ResendState.NEW)
 
     def test_refused_job_runs_when_asked_anew_but_not_when_resent(self) -> None:
         self.find("a")
         self.end(Verdict.REFUSED)
-        self.assertEqual(self.find("a", resend=True), Finding.KEPT)
-        self.assertEqual(self.find("a"), Finding.NEW)
+        self.assertEqual(self.find("a", resend=True), ResendState.KEPT)
+        self.assertEqual(self.find("a"), ResendState.NEW)
 
-    def test_full_ledger_gives_up_safe_answers_only_and_windows_end(self) -> None:
+    def test_full_job_table_gives_up_safe_answers_only_and_windows_end(self) -> None:
         for name, effect in (("s", Effect.SAFE), ("k", Effect.KEYED), ("u", Effect.UNSAFE)):
             self.find(name, effect)
             self.end()
-        self.assertEqual(self.find("new"), Finding.NEW)  # in the place of s
-        self.assertEqual(self.find("s", Effect.SAFE), Finding.FULL)
-        self.assertEqual(self.find("u", now=9), Finding.KEPT)
-        self.assertEqual(self.find("s", Effect.SAFE, now=10), Finding.NEW)  # k's window is over
-        self.assertEqual(self.find("u", now=99), Finding.KEPT)
-        self.assertEqual(self.find("u", now=100), Finding.NEW)
+        self.assertEqual(self.find("new"), ResendState.NEW)  # in the place of s
+        self.assertEqual(self.find("s", Effect.SAFE), ResendState.FULL)
+        self.assertEqual(self.find("u", now=9), ResendState.KEPT)
+        self.assertEqual(self.find("s", Effect.SAFE, now=10), ResendState.NEW)  # k's window is over
+        self.assertEqual(self.find("u", now=99), ResendState.KEPT)
+        self.assertEqual(self.find("u", now=100), ResendState.NEW)
 
     def test_bytes_are_bounded_and_counted_back(self) -> None:
         self.find("a")
         self.end(result=b"x" * (1 << 20))
-        self.assertEqual(self.find("b"), Finding.FULL)
-        self.assertEqual(self.find("b", now=100), Finding.NEW)
+        self.assertEqual(self.find("b"), ResendState.FULL)
+        self.assertEqual(self.find("b", now=100), ResendState.NEW)
         large = b"x" * (1 << 20)
-        self.assertEqual(self.find("c", now=100, body=large), Finding.NEW)
-        self.assertEqual(self.find("d", now=100), Finding.FULL)  # jobs in flight count as well
+        self.assertEqual(self.find("c", now=100, body=large), ResendState.NEW)
+        self.assertEqual(self.find("d", now=100), ResendState.FULL)  # jobs in flight count as well
         for name, body in (("b", b""), ("c", large)):
-            self.assertEqual(self.find(name, now=100, body=body), Finding.JOINED)
+            self.assertEqual(self.find(name, now=100, body=body), ResendState.JOINED)
             assert self.entry is not None
-            self.ledger.remove(self.entry)
+            self.jobs.remove(self.entry)
         self.end()  # an answer that comes after it was forgotten
-        self.assertEqual((len(self.ledger), self.ledger.bytes), (0, 0))
+        self.assertEqual((len(self.jobs), self.jobs.bytes), (0, 0))
 
 
 GRADE = {"name": "q", "effect": "fragile", "goal_time_ns": 10, "deadline_ns": 20}
--- a/tests/scheduler/test_emulator_model.py
+++ b/tests/scheduler/test_emulator_model.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollowusher.scheduler.emulator.model import Kind, NodeModel, What
+from hollowusher.scheduler.emulator.model import NodeEventKind, NodeKind, NodeModel
 from tests.support.balancer import MS, S
 
 
@@ -21,13 +21,13 @@
         node.offer(at, number, work)
     while (due := node.next_ns()) is not None:
         node.advance(due)
-    starts = {t.job: t.at for t in node.told if t.what is What.STARTED}
-    ends = {t.job: t.at for t in node.told if t.what is What.DONE}
+    starts = {t.job: t.at for t in node.reported if t.what is NodeEventKind.STARTED}
+    ends = {t.job: t.at for t in node.reported if t.what is NodeEventKind.DONE}
     return starts, ends  # type: ignore[return-value]
 
 
 def mean_wait_s(
-    kind: Kind, rate: float, work: Callable[[random.Random], float], jobs: int, seed: int
+    kind: NodeKind, rate: float, work: Callable[[random.Random], float], jobs: int, seed: int
 ) -> float:
     """The mean wait for a start, of Poisson arrivals."""
     draws, at, arrivals = random.Random(seed), 0, []
@@ -46,7 +46,7 @@
         top = offered**cores / factorial(cores) / (1 - load)
         erlang_c = top / (sum(offered**n / factorial(n) for n in range(cores)) + top)
         wanted = erlang_c * mean / (cores * (1 - load))
-        kind = Kind(cores, 1.0, cores, 10**9, refresh_ns=0)
+        kind = NodeKind(cores, 1.0, cores, 10**9, refresh_ns=0)
         got = mean_wait_s(kind, rate, lambda d: d.expovariate(1 / 0.2), 200_000, cores)
         self.assertAlmostEqual(got / wanted, 1.0, delta=0.05, msg=f"M/M/{cores}")
 
@@ -61,30 +61,30 @@
 
     def test_mean_wait_of_m_d_1(self) -> None:
         wanted = 0.7 * 0.1 / (2 * (1 - 0.7))
-        got = mean_wait_s(Kind(1, 2.0, 1, 10**9, refresh_ns=0), 7.0, lambda d: 0.2, 60_000, 5)
+        got = mean_wait_s(NodeKind(1, 2.0, 1, 10**9, refresh_ns=0), 7.0, lambda d: 0.2, 60_000, 5)
         self.assertAlmostEqual(got / wanted, 1.0, delta=0.05)
 
     def test_processor_sharing_above_the_cores(self) -> None:
         """Four jobs on two cores take twice as long; two that are left go on at full speed."""
-        node = NodeModel(Kind(2, 1.0, 4, refresh_ns=0), 0)
+        node = NodeModel(NodeKind(2, 1.0, 4, refresh_ns=0), 0)
         _, ends = played(node, [(0, 1.0), (0, 1.0), (0, 2.0), (0, 2.0)])
         self.assertEqual([round(ends[n] / S, 6) for n in range(4)], [2.0, 2.0, 3.0, 3.0])
 
 
 class Time(unittest.TestCase):
     def test_the_ramp_of_a_cold_node(self) -> None:
-        kind = Kind(1, 1.0, 1, refresh_ns=0)
+        kind = NodeKind(1, 1.0, 1, refresh_ns=0)
         node = NodeModel(kind, 0, cold=True)
         self.assertEqual([round(node.warmth(t * S), 2) for t in (0, 12, 24, 30)], [0.12, 0.56, 1.0, 1.0])
-        whole = 0.56 * 24  # of the work that the ramp is worth
+        complete = 0.56 * 24  # of the work that the ramp is worth
         _, ends = played(node, [(0, 0.12)])
         self.assertAlmostEqual(ends[0] / S, 0.875, delta=0.02)
-        node = NodeModel(Kind(1, 1.0, 1, refresh_ns=0, fall_multiple=1e9), 0, cold=True)
-        _, ends = played(node, [(0, whole), (0, 1.0)])
+        node = NodeModel(NodeKind(1, 1.0, 1, refresh_ns=0, fall_multiple=1e9), 0, cold=True)
+        _, ends = played(node, [(0, complete), (0, 1.0)])
         self.assertEqual([round(e / S, 6) for e in ends.values()], [24.0, 25.0])
 
     def test_a_stall_adds_its_own_length_and_a_slowdown_its_factor(self) -> None:
-        node = NodeModel(Kind(1, 1.0, 1, refresh_ns=0), 0)
+        node = NodeModel(NodeKind(1, 1.0, 1, refresh_ns=0), 0)
         node.offer(0, 0, 1.0)
         node.stall(200 * MS, 120 * MS)
         node.slow(500 * MS, 4.0)  # 0.38 s are done by then
@@ -93,7 +93,7 @@
         self.assertAlmostEqual((node.next_ns() or 0) / S, 1.5 + 0.37, places=6)
 
     def test_reports_are_late_and_old(self) -> None:
-        node = NodeModel(Kind(1, 1.0, 2, refresh_ns=S, report_late_ns=500 * MS), 0)
+        node = NodeModel(NodeKind(1, 1.0, 2, refresh_ns=S, report_late_ns=500 * MS), 0)
         node.offer(100 * MS, 0, 10.0)
         node.offer(100 * MS, 1, 10.0)
         node.offer(100 * MS, 2, 10.0)
@@ -105,48 +105,48 @@
 
 class Troubles(unittest.TestCase):
     def test_a_cold_node_that_is_pushed_falls_over_and_stays_down(self) -> None:
-        node = NodeModel(Kind(2, 1.0, 2), 0, cold=True)  # it can do 0.24 a second at first
+        node = NodeModel(NodeKind(2, 1.0, 2), 0, cold=True)  # it can do 0.24 a second at first
         self.assertTrue(all(node.offer(n * 100 * MS, n, 0.11) for n in range(5)))
         self.assertFalse(node.fell)
         node.offer(550 * MS, "last", 0.2)
         self.assertTrue(node.fell and node.down)
-        self.assertIn(What.LOST, {t.what for t in node.told})
+        self.assertIn(NodeEventKind.LOST, {t.what for t in node.reported})
         self.assertFalse(node.offer(30 * S, "later", 0.1))
         node.restart(31 * S)
         self.assertTrue(node.offer(31 * S, "again", 0.1))
 
     def test_drain_hands_back_what_waits_and_finishes_what_runs(self) -> None:
-        node = NodeModel(Kind(1, 1.0, 1), 0)
+        node = NodeModel(NodeKind(1, 1.0, 1), 0)
         for n in range(3):
             node.offer(0, n, 1.0)
         node.drain(500 * MS)
         self.assertFalse(node.offer(600 * MS, "new", 1.0))
         node.advance(2 * S)
-        seen = [(t.what.value, t.job) for t in node.told]
+        seen = [(t.what.value, t.job) for t in node.reported]
         self.assertEqual(seen, [("started", 0), ("returned", 1), ("returned", 2), ("done", 0)])
 
     def test_the_first_in_line_waits_until_it_fits(self) -> None:
-        node = NodeModel(Kind(4, 1.0, 2), 0)
+        node = NodeModel(NodeKind(4, 1.0, 2), 0)
         node.offer(0, "a", 1.0, 1.0)
         node.offer(0, "wide", 1.0, 2.0)
         node.offer(0, "b", 1.0, 1.0)
         node.advance(5 * S)
-        starts = [(t.job, t.at) for t in node.told if t.what is What.STARTED]
+        starts = [(t.job, t.at) for t in node.reported if t.what is NodeEventKind.STARTED]
         self.assertEqual(starts, [("a", 0), ("wide", S), ("b", 2 * S)])
 
     def test_work_stops_when_it_is_withdrawn(self) -> None:
-        node = NodeModel(Kind(1, 1.0, 1), 0)
+        node = NodeModel(NodeKind(1, 1.0, 1), 0)
         node.offer(0, "a", 10.0)
         node.offer(0, "b", 1.0)
         self.assertTrue(node.withdraw(S, "a"))
         node.advance(2 * S)
-        self.assertEqual(node.told[-1].job, "b")
+        self.assertEqual(node.reported[-1].job, "b")
         self.assertFalse(node.withdraw(2 * S, "b"))
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.sampled_from("oooowsldkr"), st.integers(1, 900)), max_size=40))
     def test_any_order_of_troubles_keeps_the_books(self, steps: list[tuple[str, int]]) -> None:
-        node, now, sent = NodeModel(Kind(2, 0.7, 3, queue=4, refresh_ns=300 * MS), 0, cold=True), 0, 0
+        node, now, sent = NodeModel(NodeKind(2, 0.7, 3, queue=4, refresh_ns=300 * MS), 0, cold=True), 0, 0
         taken: set[int] = set()
         withdrawn: set[int] = set()
         for what, amount in steps:
@@ -174,7 +174,7 @@
             if (due := node.next_ns()) is None:
                 break
             node.advance(due)
-        ends = [t.job for t in node.told if t.what is not What.STARTED]
+        ends = [t.job for t in node.reported if t.what is not NodeEventKind.STARTED]
         self.assertEqual(len(ends), len(set(ends)))
         self.assertEqual(set(ends) | withdrawn, taken)
-        self.assertEqual([t.at for t in node.told], sorted(t.at for t in node.told))
+        self.assertEqual([t.at for t in node.reported], sorted(t.at for t in node.reported))
