--- a/hollowusher/console/store_report.py
+++ b/hollowusher/console/store_report.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from hollowusher.messages.hosting import PartitionHost
+from hollowusher.messages.replication.partition_replica import PartitionReplica
 
 MOST_PARTITIONS = 256
 PRIMARY = "primary"
@@ -57,24 +57,30 @@
     figures: Mapping[str, int]
 
 
-def kept_partitions(hosts: Iterable[PartitionHost], store_id: str) -> list[KeptPartition]:
+def kept_partitions(replicas: Iterable[PartitionReplica], store_id: str) -> list[KeptPartition]:
     """How the partitions of a store stand, at most `MOST_PARTITIONS` of them."""
-    kept = [_kept(host, store_id) for host in hosts]
+    kept = [_kept(replica, store_id) for replica in replicas]
     return kept[:MOST_PARTITIONS]
 
 
-def _kept(host: PartitionHost, store_id: str) -> KeptPartition:
-    epoch = host.placement.epoch if host.placement is not None else 0
-    behind = [peer.partition("/")[0] for peer, link in host.links.items() if not link.complete]
-    return KeptPartition(host.partition, epoch, _role(host, store_id), len(host.table.entries), behind)
+def _kept(replica: PartitionReplica, store_id: str) -> KeptPartition:
+    epoch = replica.placement.epoch if replica.placement is not None else 0
+    behind = [
+        peer.partition("/")[0]
+        for peer, progress in replica.peer_progress.items()
+        if not progress.is_caught_up
+    ]
+    return KeptPartition(
+        replica.partition, epoch, _role(replica, store_id), len(replica.table.entries), behind
+    )
 
 
-def _role(host: PartitionHost, store_id: str) -> str:
-    if host.primary is not None:
+def _role(replica: PartitionReplica, store_id: str) -> str:
+    if replica.primary is not None:
         return PRIMARY
-    if host.epoch:
+    if replica.epoch:
         return TAKING_OVER
-    if store_id in host.replicas:
+    if store_id in replica.replica_ids:
         return REPLICA
-    placement = host.placement
+    placement = replica.placement
     return LEARNER if placement is not None and store_id in placement.learners else FORMER
--- a/hollowusher/messages/waiting.py
+++ b/hollowusher/messages/job_waiters.py
@@ -13,9 +13,9 @@
 from hollowusher.protocol.messages import CALLBACK_PREFIX
 from hollowusher.transport.interface import Transport
 
-NOTIFY_AFTER_S = 0.06
-NOTIFY_EVERY_S = 0.3
-LONG_AGO = -1e9
+NOTIFY_DELAY_S = 0.06
+NOTIFY_INTERVAL_S = 0.3
+NEVER_REQUESTED_AT = -1e9
 
 
 class JobWaiters:
@@ -29,13 +29,13 @@
         self._state = state
         self._has_ready = has_ready
         self._waiting: dict[str, deque[asyncio.Future[None]]] = {}
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
         self._notifying: dict[str, asyncio.TimerHandle] = {}
         self._closed = False
 
-    def asked(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """A dispatcher has asked for jobs of a service."""
-        self._asked_at[service] = self._now()
+        self._requested_at[service] = self._now()
 
     async def wait(self, service: str, until: float) -> None:
         """Wait for jobs of a service to become ready, at most until then."""
@@ -61,7 +61,7 @@
             if not waiter.done():
                 waiter.set_result(None)
                 return
-        self._notify_later(service, NOTIFY_AFTER_S)
+        self._notify_later(service, NOTIFY_DELAY_S)
 
     def wake_all(self, service: str) -> None:
         """Let all look again: one of them may have nothing to wait for any more."""
@@ -86,13 +86,13 @@
         del self._notifying[service]
         if service in self._waiting or not self._has_ready(service):
             return
-        silent_s = self._now() - self._asked_at.get(service, LONG_AGO)
-        if silent_s < NOTIFY_AFTER_S:
-            self._notify_later(service, NOTIFY_AFTER_S - silent_s)
+        silent_s = self._now() - self._requested_at.get(service, NEVER_REQUESTED_AT)
+        if silent_s < NOTIFY_DELAY_S:
+            self._notify_later(service, NOTIFY_DELAY_S - silent_s)
             return
         for address in self._dispatchers(service):
             self._transport.send(address, JobsWaiting(service, self._store_id))
-        self._notify_later(service, NOTIFY_EVERY_S)
+        self._notify_later(service, NOTIFY_INTERVAL_S)
 
     def _dispatchers(self, service: str) -> list[str]:
         edges = {member.name: member.address for member in self._state.live_members("edge")}
--- a/hollowusher/messages/active.py
+++ b/hollowusher/messages/partition/active_messages.py
@@ -7,28 +7,28 @@
 
 import attrs
 
-from hollowusher.messages.proposal import Proposal
-from hollowusher.messages.queue import QueuedMessage
-from hollowusher.messages.records import State, Status
-from hollowusher.messages.table import Entry
+from hollowusher.messages.partition.message_queue import QueuedMessage
+from hollowusher.messages.partition.partition_table import MessageEntry
+from hollowusher.messages.partition.proposal import Proposal
+from hollowusher.messages.records import MessageState, MessageStatus
 from hollowusher.protocol.leases import Job, LeaseAnswer
 from hollowusher.protocol.messages import CALLBACK_PREFIX
 
 START_WITHIN_MS = 500
 TAKEN = LeaseAnswer("taken")
 GONE = LeaseAnswer("gone")
-RESULT_WEIGHT = {"not_run": 0, "unknown": 0, "failed": 1, "refused": 2, "success": 2}
-MOST_EARLIER_ENDS = 4  # kept of each message: the holder of a lease repeats its end for a while only
-STATE_NAMES = {
-    Status.QUEUED: "queued",
-    Status.LEASED: "queued",
-    Status.COMPLETED: "completed",
-    Status.DEAD_LETTER: "dead_letter",
+RESULT_PRECEDENCE = {"not_run": 0, "unknown": 0, "failed": 1, "refused": 2, "success": 2}
+MAX_EARLIER_RESULTS = 4  # kept of each message: the holder of a lease repeats its end for a while only
+PUBLIC_STATES = {
+    MessageStatus.QUEUED: "queued",
+    MessageStatus.LEASED: "queued",
+    MessageStatus.COMPLETED: "completed",
+    MessageStatus.DEAD_LETTER: "dead_letter",
 }
 
 
 @attrs.define(slots=True, eq=False, kw_only=True)
-class Leasable(QueuedMessage):
+class LeasableJob(QueuedMessage):
     """What the queue hands out."""
 
     lease: int = 0  # number of the current lease, 0: none
@@ -36,7 +36,7 @@
 
 
 @attrs.define(slots=True, eq=False, kw_only=True)
-class ActiveMessage(Leasable):
+class ActiveMessage(LeasableJob):
     """A message that has not ended, at its primary."""
 
     id: str
@@ -46,62 +46,65 @@
     timeout_ms: int
     callback_url: str
     retained_until: float  # steady clock
-    not_run: int = 0  # times in a row that it was given back unrun
-    ending: bool = False
+    consecutive_not_run: int = 0  # times in a row that it was given back unrun
+    is_ending: bool = False
 
 
 @attrs.define(slots=True, eq=False, kw_only=True)
-class CallbackJob(Leasable):
+class CallbackJob(LeasableJob):
     """A call-back that is owed."""
 
     id: str
     callback_url: str
-    status: Status
+    status: MessageStatus
     signature: str
     dispatcher: str = ""
     incarnation: int = 0
     failures: int = 0
 
 
-class Grant(NamedTuple):
+class LeaseGrant(NamedTuple):
     """One leased job; it may be handed out once its proposal (None: at once) has been committed."""
 
     job: Job
     proposal: Proposal | None
 
 
-class LeaseEnd(NamedTuple):
+class LeaseOutcome(NamedTuple):
     """What the holder of a lease reported."""
 
     lease: int
     result: str
     signature: str
 
-    def is_repeat(self, state: State) -> bool:
+    def is_repeat(self, state: MessageState) -> bool:
         """Whether the message's state holds this end already, or one of the same lease that says more."""
         if state.last_lease != self.lease:
-            return [self.lease, self.result] in state.earlier_ends
-        says_less = not state.status.ended and RESULT_WEIGHT[self.result] < RESULT_WEIGHT[state.last_result]
+            return [self.lease, self.result] in state.earlier_results
+        says_less = (
+            not state.status.has_ended
+            and RESULT_PRECEDENCE[self.result] < RESULT_PRECEDENCE[state.last_result]
+        )
         return state.last_result == self.result or says_less
 
-    def enter(self, state: State) -> None:
+    def record_in(self, state: MessageState) -> None:
         """Write the end into the message's state."""
         if state.last_lease and state.last_lease != self.lease:
-            ends = [*state.earlier_ends, [state.last_lease, state.last_result]]
-            state.earlier_ends = ends[-MOST_EARLIER_ENDS:]
+            ends = [*state.earlier_results, [state.last_lease, state.last_result]]
+            state.earlier_results = ends[-MAX_EARLIER_RESULTS:]
         state.last_lease = self.lease
         state.last_result = self.result
         state.attempts += self.result == "failed"
-        if state.status is Status.COMPLETED:
+        if state.status is MessageStatus.COMPLETED:
             state.signature = self.signature
 
 
-def last_lease_of(entry: Entry) -> int:
+def last_finished_lease(entry: MessageEntry) -> int:
     """The number of the lease that finished last, 0: none has."""
     return entry.state.last_lease if entry.state is not None else 0
 
 
-def callback_service(url: str) -> str:
+def callback_service_name(url: str) -> str:
     """The pseudo service of a call-back address, empty where the URL has no host."""
     try:
         parts = urlsplit(url)
--- a/hollowusher/messages/callback_jobs.py
+++ b/hollowusher/messages/partition/callback_jobs.py
@@ -7,27 +7,27 @@
 import attrs
 
 from hollowusher.messages import records
-from hollowusher.messages.active import (
+from hollowusher.messages.partition.active_messages import (
     GONE,
+    PUBLIC_STATES,
     START_WITHIN_MS,
-    STATE_NAMES,
     TAKEN,
     CallbackJob,
-    Grant,
-    callback_service,
+    LeaseGrant,
+    callback_service_name,
 )
-from hollowusher.messages.deadlines import Deadlines
-from hollowusher.messages.proposal import Proposal
-from hollowusher.messages.queue import MessageQueue
-from hollowusher.messages.record_writer import RecordWriter
-from hollowusher.messages.records import Key, LeaseId, State
-from hollowusher.messages.table import PartitionTable
+from hollowusher.messages.partition.message_deadlines import MessageDeadlines
+from hollowusher.messages.partition.message_queue import MessageQueue
+from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.partition.proposal import Proposal
+from hollowusher.messages.partition.record_writer import RecordWriter
+from hollowusher.messages.records import LeaseId, MessageKey, MessageState
 from hollowusher.protocol.leases import Finish, Job, LeaseAnswer, LeaseRequest
 from hollowusher.protocol.messages import NewMessage
 
 CALLBACK_LEASE_S = 12.0
-CALLBACK_FIRST_S, CALLBACK_MOST_S = 0.3, 3.0
-MOST_DOUBLINGS = 16
+CALLBACK_BACKOFF_MIN_S, CALLBACK_BACKOFF_MAX_S = 0.3, 3.0
+MAX_DOUBLINGS = 16
 
 
 class CallbackJobs:
@@ -38,7 +38,7 @@
         table: PartitionTable,
         writer: RecordWriter,
         queue: MessageQueue,
-        deadlines: Deadlines,
+        deadlines: MessageDeadlines,
         numbers: Iterator[int],
     ) -> None:
         self._table = table
@@ -46,18 +46,18 @@
         self._queue = queue
         self._deadlines = deadlines
         self._numbers = numbers
-        self._jobs: dict[Key, CallbackJob] = {}
+        self._jobs: dict[MessageKey, CallbackJob] = {}
 
-    def add(self, key: Key, state: State, now: float) -> None:
+    def add(self, key: MessageKey, state: MessageState, now: float) -> None:
         """A message has ended that owes a call-back."""
-        service = callback_service(state.callback_url)
+        service = callback_service_name(state.callback_url)
         if key in self._jobs or not service:
             return
         callback = CallbackJob(
             key=key,
             service=service,
             priority=0,
-            due_ms=state.ended_ms,
+            due_wall_ms=state.ended_wall_ms,
             id=state.id,
             callback_url=state.callback_url,
             status=state.status,
@@ -67,35 +67,35 @@
         self._queue.add(callback)
         self._queue.release(callback, now, now)
 
-    def lease(self, request: LeaseRequest, most: int, now: float) -> list[Grant]:
+    def lease(self, request: LeaseRequest, most: int, now: float) -> list[LeaseGrant]:
         """Up to `most` call-backs of the receiver."""
-        grants: list[Grant] = []
+        grants: list[LeaseGrant] = []
         while len(grants) < most:
-            callback = self._queue.take(request.service)
+            callback = self._queue.lease_next(request.service)
             if callback is None:
                 break
             assert isinstance(callback, CallbackJob)
             callback.lease = next(self._numbers)
             callback.dispatcher, callback.incarnation = request.dispatcher, request.incarnation
-            self._deadlines.watch_lease(callback, now + CALLBACK_LEASE_S)
-            grants.append(Grant(self._job(callback), None))
+            self._deadlines.schedule_lease_expiry(callback, now + CALLBACK_LEASE_S)
+            grants.append(LeaseGrant(self._job(callback), None))
         return grants
 
     def finish(self, lease: LeaseId, finish: Finish, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
         """The end of a call-back's lease.  A proposal means: `taken` once it is committed."""
         entry = self._table.entries.get(lease.key)
-        if entry is None or entry.state is None or not entry.state.callback_owed:
+        if entry is None or entry.state is None or not entry.state.callback_pending:
             return self._writer.pending.get(lease.key) or TAKEN
         if finish.result == "success":
             self._remove(lease.key, now)
-            return self._record_told(lease.key, entry.state, now, wall_ms)
+            return self._record_delivered(lease.key, entry.state, now, wall_ms)
         callback = self._jobs.get(lease.key)
         if callback is None or callback.lease != lease.number:
             return GONE
         if finish.result != "not_run":
             callback.failures += 1
-        doublings = min(max(callback.failures - 1, 0), MOST_DOUBLINGS)
-        wait_s = min(CALLBACK_MOST_S, CALLBACK_FIRST_S * 2.0**doublings)
+        doublings = min(max(callback.failures - 1, 0), MAX_DOUBLINGS)
+        wait_s = min(CALLBACK_BACKOFF_MAX_S, CALLBACK_BACKOFF_MIN_S * 2.0**doublings)
         self.requeue(callback, max(wait_s, finish.retry_ms / 1000), now)
         return TAKEN
 
@@ -117,22 +117,22 @@
             if callback.lease and not alive(callback.dispatcher, callback.incarnation):
                 self.requeue(callback, 0.0, now)
 
-    def forget(self, keys: Iterable[Key]) -> None:
+    def forget(self, keys: Iterable[MessageKey]) -> None:
         """The table has dropped these messages."""
         for key in keys:
             callback = self._jobs.pop(key, None)
             if callback is not None:
                 self._queue.remove(callback, 0.0)
 
-    def _remove(self, key: Key, now: float) -> None:
+    def _remove(self, key: MessageKey, now: float) -> None:
         callback = self._jobs.pop(key, None)
         if callback is not None:
             callback.lease = 0
             self._queue.remove(callback, now)
 
-    def _record_told(self, key: Key, state: State, now: float, wall_ms: int) -> Proposal:
+    def _record_delivered(self, key: MessageKey, state: MessageState, now: float, wall_ms: int) -> Proposal:
         version = self._writer.next_version()
-        told = attrs.evolve(state, version=version, callback_owed=False, callback_url="")
+        told = attrs.evolve(state, version=version, callback_pending=False, callback_url="")
         return self._writer.propose_state(key, told, False, now, wall_ms)
 
     def _job(self, callback: CallbackJob) -> Job:
@@ -146,6 +146,6 @@
             body=b"",
             callback_url=callback.callback_url,
         )
-        lease = records.lease_id_of(self._table.partition, callback.key, callback.lease, callback=True)
-        state_name = STATE_NAMES[callback.status]
+        lease = records.format_lease_id(self._table.partition, callback.key, callback.lease, is_callback=True)
+        state_name = PUBLIC_STATES[callback.status]
         return Job(lease, message, callback.failures, START_WITHIN_MS, state_name, callback.signature)
--- a/hollowusher/messages/deadlines.py
+++ b/hollowusher/messages/partition/message_deadlines.py
@@ -6,48 +6,48 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from hollowusher.messages.active import ActiveMessage, CallbackJob
+from hollowusher.messages.partition.active_messages import ActiveMessage, CallbackJob
 
 
-class _Expiry(NamedTuple):
+class _LeaseExpiry(NamedTuple):
     expires_at: float
     number: int
     message: ActiveMessage | CallbackJob
     lease: int
 
 
-class _Retention(NamedTuple):
+class _RetentionEnd(NamedTuple):
     until: float
     number: int
     message: ActiveMessage
 
 
-class Deadlines:
+class MessageDeadlines:
     """The leases and retentions of one partition.  No clock of its own: times are passed in."""
 
     def __init__(self, numbers: Iterator[int]) -> None:
         self._numbers = numbers  # order of entries with the same time
-        self._expiries: list[_Expiry] = []
-        self._retentions: list[_Retention] = []
+        self._lease_expiries: list[_LeaseExpiry] = []
+        self._retention_ends: list[_RetentionEnd] = []
 
-    def watch_lease(self, message: ActiveMessage | CallbackJob, expires_at: float) -> None:
+    def schedule_lease_expiry(self, message: ActiveMessage | CallbackJob, expires_at: float) -> None:
         """Watch a new lease.  It keeps one heap entry; a later time is found when that one fires."""
         message.expires_at = expires_at
         self._push_expiry(message)
 
-    def watch_retention(self, message: ActiveMessage, until: float) -> None:
+    def schedule_retention_end(self, message: ActiveMessage, until: float) -> None:
         """Have a message's retention looked at when it ends."""
-        heapq.heappush(self._retentions, _Retention(until, next(self._numbers), message))
+        heapq.heappush(self._retention_ends, _RetentionEnd(until, next(self._numbers), message))
 
-    def next_time(self) -> float | None:
+    def next_event_time(self) -> float | None:
         """When the next entry is due."""
-        times = [heap[0][0] for heap in (self._expiries, self._retentions) if heap]
+        times = [heap[0][0] for heap in (self._lease_expiries, self._retention_ends) if heap]
         return min(times, default=None)
 
-    def run_out(self, now: float) -> Iterator[ActiveMessage | CallbackJob]:
+    def expire_leases(self, now: float) -> Iterator[ActiveMessage | CallbackJob]:
         """Those whose current lease has run out, one after the other; new leases may be watched between."""
-        while self._expiries and self._expiries[0].expires_at <= now:
-            expiry = heapq.heappop(self._expiries)
+        while self._lease_expiries and self._lease_expiries[0].expires_at <= now:
+            expiry = heapq.heappop(self._lease_expiries)
             message = expiry.message
             if message.lease != expiry.lease:
                 continue
@@ -56,11 +56,11 @@
             else:
                 yield message
 
-    def retained(self, now: float) -> Iterator[ActiveMessage]:
+    def expired_retentions(self, now: float) -> Iterator[ActiveMessage]:
         """The messages whose retention has ended, one after the other."""
-        while self._retentions and self._retentions[0].until <= now:
-            yield heapq.heappop(self._retentions).message
+        while self._retention_ends and self._retention_ends[0].until <= now:
+            yield heapq.heappop(self._retention_ends).message
 
     def _push_expiry(self, message: ActiveMessage | CallbackJob) -> None:
-        expiry = _Expiry(message.expires_at, next(self._numbers), message, message.lease)
-        heapq.heappush(self._expiries, expiry)
+        expiry = _LeaseExpiry(message.expires_at, next(self._numbers), message, message.lease)
+        heapq.heappush(self._lease_expiries, expiry)
--- a/hollowusher/messages/lifecycle.py
+++ b/hollowusher/messages/partition/message_lifecycle.py
@@ -4,24 +4,24 @@
 
 from functools import partial
 
-from hollowusher.messages.active import ActiveMessage, LeaseEnd, callback_service
-from hollowusher.messages.callback_jobs import CallbackJobs
-from hollowusher.messages.deadlines import Deadlines
-from hollowusher.messages.proposal import Proposal
-from hollowusher.messages.queue import NO_AIM, MessageQueue, Stage
-from hollowusher.messages.record_writer import RecordWriter
-from hollowusher.messages.records import Key, Put, Status
-from hollowusher.messages.routing import Routing
-from hollowusher.messages.table import PartitionTable
+from hollowusher.messages.partition.active_messages import ActiveMessage, LeaseOutcome, callback_service_name
+from hollowusher.messages.partition.callback_jobs import CallbackJobs
+from hollowusher.messages.partition.message_deadlines import MessageDeadlines
+from hollowusher.messages.partition.message_queue import NO_START_TARGET, MessageQueue, QueueStage
+from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.partition.proposal import Proposal
+from hollowusher.messages.partition.record_writer import RecordWriter
+from hollowusher.messages.partition.service_routing import ServiceRouting
+from hollowusher.messages.records import AcceptedMessage, MessageKey, MessageStatus
 from hollowusher.protocol.messages import NewMessage
 from hollowusher.storage.interface import StorageError
 
 STORAGE_RETRY_S = 1.0  # when the disk took no record
 
 
-def _start_aim_s(message: NewMessage) -> float:
+def _start_target_s(message: NewMessage) -> float:
     """How soon a message is to begin, without end where its route does not say."""
-    return message.target_start_ms / 1000 if message.target_start_ms > 0 else NO_AIM
+    return message.target_start_ms / 1000 if message.target_start_ms > 0 else NO_START_TARGET
 
 
 class MessageLifecycle:
@@ -32,13 +32,13 @@
         table: PartitionTable,
         writer: RecordWriter,
         queue: MessageQueue,
-        deadlines: Deadlines,
-        routing: Routing,
+        deadlines: MessageDeadlines,
+        routing: ServiceRouting,
         callbacks: CallbackJobs,
     ) -> None:
-        self.active: dict[Key, ActiveMessage] = {}
-        self.leased: dict[Key, ActiveMessage] = {}
-        self.keys_by_id: dict[str, Key] = {}  # of ended messages, too, until the table drops them
+        self.active: dict[MessageKey, ActiveMessage] = {}
+        self.leased: dict[MessageKey, ActiveMessage] = {}
+        self.keys_by_id: dict[str, MessageKey] = {}  # of ended messages, too, until the table drops them
         self._table = table
         self._writer = writer
         self._queue = queue
@@ -46,16 +46,16 @@
         self._routing = routing
         self._callbacks = callbacks
 
-    def activate(self, key: Key, put: Put, retained_until: float) -> ActiveMessage:
+    def activate(self, key: MessageKey, put: AcceptedMessage, retained_until: float) -> ActiveMessage:
         """Take up a message; it stays held until it is released."""
         message = put.message
         active = ActiveMessage(
             key=key,
             service=self._routing.service_for(message.route, message.service),
             priority=message.priority,
-            due_ms=put.due_ms,
+            due_wall_ms=put.due_wall_ms,
             ordering_key=message.ordering_key,
-            start_aim_s=_start_aim_s(message),
+            start_target_s=_start_target_s(message),
             id=message.id,
             route=message.route,
             generation=put.generation,
@@ -68,87 +68,99 @@
         self.keys_by_id[message.id] = key
         self._queue.add(active)
         if message.retention_ms > 0:
-            self._deadlines.watch_retention(active, retained_until)
+            self._deadlines.schedule_retention_end(active, retained_until)
         else:
             active.retained_until = float("inf")
         return active
 
     def release(self, active: ActiveMessage, ready_at: float, now: float, wall_ms: int) -> None:
         """Let a message leave from `ready_at` on, unless it has ended meanwhile."""
-        if active.stage not in (Stage.HELD, Stage.LEASED) or active.ending:
+        if active.stage not in (QueueStage.SUSPENDED, QueueStage.LEASED) or active.is_ending:
             return
-        if active.retained_until <= now or self._routing.is_dropped(active):
-            self.end_unless_full(active, now, wall_ms)
-        elif self._routing.has_moved(active):
+        if active.retained_until <= now or self._routing.is_route_removed(active):
+            self.end_or_retry(active, now, wall_ms)
+        elif self._routing.has_changed_service(active):
             self._change_service(active, ready_at, now)
         else:
             self._queue.release(active, ready_at, now)
 
     def requeue(
-        self, active: ActiveMessage, ready_at: float, now: float, wall_ms: int, end: LeaseEnd | None = None
+        self,
+        active: ActiveMessage,
+        ready_at: float,
+        now: float,
+        wall_ms: int,
+        end: LeaseOutcome | None = None,
     ) -> Proposal:
         """Take a message's lease away and let it leave again from `ready_at` on."""
-        state = self._writer.changed_state(active.key)
+        state = self._writer.copy_without_lease(active.key)
         if end is not None:
-            end.enter(state)
+            end.record_in(state)
         proposal = self._writer.propose_state(active.key, state, False, now, wall_ms)
         self.clear_lease(active)
-        if active.stage is not Stage.LEASED:
-            self._queue.hold(active)
+        if active.stage is not QueueStage.LEASED:
+            self._queue.suspend(active)
         self.release(active, ready_at, now, wall_ms)
         return self._writer.pending.get(active.key, proposal)
 
     def end(
-        self, active: ActiveMessage, status: Status, now: float, wall_ms: int, end: LeaseEnd | None = None
+        self,
+        active: ActiveMessage,
+        status: MessageStatus,
+        now: float,
+        wall_ms: int,
+        end: LeaseOutcome | None = None,
     ) -> Proposal:
         """End a message; it is gone from the queue once that is committed."""
-        state = self._writer.changed_state(active.key)
+        state = self._writer.copy_without_lease(active.key)
         state.status = status
         if end is not None:
-            end.enter(state)
-        state.ended_ms = wall_ms
+            end.record_in(state)
+        state.ended_wall_ms = wall_ms
         state.id = active.id
-        state.callback_owed = bool(callback_service(active.callback_url)) if active.callback_url else False
-        state.callback_url = active.callback_url if state.callback_owed else ""
-        on_commit = partial(self._ended, active)
+        state.callback_pending = (
+            bool(callback_service_name(active.callback_url)) if active.callback_url else False
+        )
+        state.callback_url = active.callback_url if state.callback_pending else ""
+        on_commit = partial(self._on_end_committed, active)
         proposal = self._writer.propose_state(active.key, state, True, now, wall_ms, on_commit)
         self.clear_lease(active)
-        active.ending = True
-        if active.stage is not Stage.LEASED:
-            self._queue.hold(active)
+        active.is_ending = True
+        if active.stage is not QueueStage.LEASED:
+            self._queue.suspend(active)
         return proposal
 
-    def end_unless_full(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
+    def end_or_retry(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
         """End a message whose time is up or whose route is gone; later, where the disk takes nothing now."""
         try:
-            self.end(active, Status.DEAD_LETTER, now, wall_ms)
+            self.end(active, MessageStatus.DEAD_LETTER, now, wall_ms)
         except StorageError:
-            self._queue.hold(active)
+            self._queue.suspend(active)
             active.retained_until = now
-            self._deadlines.watch_retention(active, now + STORAGE_RETRY_S)
+            self._deadlines.schedule_retention_end(active, now + STORAGE_RETRY_S)
             self._queue.release(active, now + 2 * STORAGE_RETRY_S, now)
 
-    def end_retained(self, now: float, wall_ms: int) -> None:
+    def end_expired(self, now: float, wall_ms: int) -> None:
         """End the messages that nobody has and that have been retained for long enough."""
-        for message in self._deadlines.retained(now):
-            if message.stage in (Stage.WAITING, Stage.READY):
-                self.end_unless_full(message, now, wall_ms)
+        for message in self._deadlines.expired_retentions(now):
+            if message.stage in (QueueStage.WAITING, QueueStage.READY):
+                self.end_or_retry(message, now, wall_ms)
 
     def apply_routing(self, now: float, wall_ms: int) -> None:
         """After a change of the configuration: end what was dropped, move what goes to another service."""
         for active in list(self.active.values()):
-            if active.stage not in (Stage.WAITING, Stage.READY):
+            if active.stage not in (QueueStage.WAITING, QueueStage.READY):
                 continue
-            if self._routing.is_dropped(active):
-                self.end_unless_full(active, now, wall_ms)
-            elif self._routing.has_moved(active):
+            if self._routing.is_route_removed(active):
+                self.end_or_retry(active, now, wall_ms)
+            elif self._routing.has_changed_service(active):
                 self._change_service(active, active.ready_at, now)
 
     def mark_leased(self, active: ActiveMessage, number: int, expires_at: float) -> None:
         """A message has a new lease."""
         active.lease = number
         self.leased[active.key] = active
-        self._deadlines.watch_lease(active, expires_at)
+        self._deadlines.schedule_lease_expiry(active, expires_at)
 
     def clear_lease(self, active: ActiveMessage) -> None:
         """A message has no lease."""
@@ -162,22 +174,22 @@
         self.clear_lease(active)
         self._queue.remove(active, now)
 
-    def forget(self, keys: list[Key]) -> None:
+    def forget(self, keys: list[MessageKey]) -> None:
         """The table has dropped these messages."""
         dropped = set(keys)
         self.keys_by_id = {known: key for known, key in self.keys_by_id.items() if key not in dropped}
 
-    def _ended(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
+    def _on_end_committed(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
         """The end of a message is committed."""
         self.active.pop(active.key, None)
         self._queue.remove(active, now)
         entry = self._table.entries.get(active.key)
-        if entry is not None and entry.state is not None and entry.state.callback_owed:
+        if entry is not None and entry.state is not None and entry.state.callback_pending:
             self._callbacks.add(entry.key, entry.state, now)
 
     def _change_service(self, active: ActiveMessage, ready_at: float, now: float) -> None:
         self._queue.remove(active, now)
         active.service = self._routing.service_for(active.route, active.service)
-        active.stage = Stage.HELD
+        active.stage = QueueStage.SUSPENDED
         self._queue.add(active)
         self._queue.release(active, ready_at, now)
--- a/hollowusher/messages/queue.py
+++ b/hollowusher/messages/partition/message_queue.py
@@ -2,7 +2,7 @@
 
 Ready messages of a service leave by priority, then by the time they are due, then in the order of acceptance.
 Those that can still begin within their aim leave before those that are late already: after an outage what
-comes in is in time at once, and the backlog takes what is left, at least one lease in `LATE_TURN`.
+comes in is in time at once, and the backlog takes what is left, at least one lease in `LATE_LEASE_INTERVAL`.
 Of the messages with one ordering key only the oldest may leave until it has ended, whatever it waits for.
 """
 
@@ -16,18 +16,18 @@
 
 import attrs
 
-from hollowusher.messages.records import Key
+from hollowusher.messages.records import MessageKey
 
-LaneName = tuple[str, str]  # service and ordering key
-LATE_TURN = 5  # one lease in so many goes to a late message if there is one
-DISPATCH_S = 0.1  # before its aim ends, for the way from the lease to the worker
-NO_AIM = float("inf")
+OrderingGroup = tuple[str, str]  # service and ordering key
+LATE_LEASE_INTERVAL = 5  # one lease in so many goes to a late message if there is one
+DISPATCH_ALLOWANCE_S = 0.1  # before its aim ends, for the way from the lease to the worker
+NO_START_TARGET = float("inf")
 
 
-class Stage(Enum):
+class QueueStage(Enum):
     """Where a message is within the queue."""
 
-    HELD = 1  # not committed yet
+    SUSPENDED = 1  # not committed yet
     WAITING = 2  # until a time, or for earlier messages of its ordering key
     READY = 3
     LEASED = 4
@@ -38,26 +38,28 @@
 class QueuedMessage:
     """What the queue needs to know of a message that has not ended."""
 
-    key: Key
+    key: MessageKey
     service: str
     priority: int
-    due_ms: int  # wall clock, for the order only
+    due_wall_ms: int  # wall clock, for the order only
     ordering_key: str = ""
-    start_aim_s: float = NO_AIM  # in time if it begins so soon after it is ready for the first time
+    start_target_s: float = (
+        NO_START_TARGET  # in time if it begins so soon after it is ready for the first time
+    )
     late_at: float | None = None  # steady clock; known from its first release on
-    stage: Stage = Stage.HELD
+    stage: QueueStage = QueueStage.SUSPENDED
     ready_at: float = 0.0  # steady clock
-    ticket: int = 0  # counts its moves; heap entries with an older ticket are void
+    revision: int = 0  # counts its moves; heap entries with an older ticket are void
 
     @property
-    def rank(self) -> tuple[int, int, Key]:
+    def sort_key(self) -> tuple[int, int, MessageKey]:
         """Its place among the ready messages of its service."""
-        return self.priority, self.due_ms, self.key
+        return self.priority, self.due_wall_ms, self.key
 
 
 class _ReadyItem(NamedTuple):
-    rank: tuple[int, int, Key]
-    ticket: int
+    sort_key: tuple[int, int, MessageKey]
+    revision: int
     message: QueuedMessage
 
 
@@ -69,13 +71,13 @@
 
     def push(self, message: QueuedMessage) -> None:
         """Add a message that has just become ready."""
-        heapq.heappush(self._items, _ReadyItem(message.rank, message.ticket, message))
+        heapq.heappush(self._items, _ReadyItem(message.sort_key, message.revision, message))
 
     def first(self) -> QueuedMessage | None:
         """The message that leaves first."""
         while self._items:
             item = self._items[0]
-            if item.ticket == item.message.ticket:
+            if item.revision == item.message.revision:
                 return item.message
             heapq.heappop(self._items)
         return None
@@ -98,7 +100,7 @@
         while (message := self.in_time.first()) is not None and _is_late(message, now):
             self.in_time.pop()
             self.late.push(message)
-        if self.late.first() is not None and (message is None or self.turn >= LATE_TURN - 1):
+        if self.late.first() is not None and (message is None or self.turn >= LATE_LEASE_INTERVAL - 1):
             return self.late
         return None if message is None else self.in_time
 
@@ -110,7 +112,7 @@
 class _Timer(NamedTuple):
     ready_at: float
     number: int
-    ticket: int
+    revision: int
     message: QueuedMessage
 
 
@@ -118,38 +120,38 @@
     """The messages of one partition that have not ended."""
 
     def __init__(self) -> None:
-        self.gained: set[str] = set()  # services with newly ready messages; the owner clears it
+        self.newly_ready_services: set[str] = set()  # services with newly ready messages; the owner clears it
         self._ready: dict[str, _ReadyService] = {}
         self._now = 0.0  # as last told
         self._timers: list[_Timer] = []
         self._numbers = itertools.count()
-        self._lanes: dict[LaneName, list[QueuedMessage]] = {}
+        self._ordering_groups: dict[OrderingGroup, list[QueuedMessage]] = {}
 
     def add(self, message: QueuedMessage) -> None:
         """Take a message in: it has its place among its ordering key from now on, and waits for `release`."""
         if not message.ordering_key:
             return
-        lane = self._lanes.setdefault((message.service, message.ordering_key), [])
+        lane = self._ordering_groups.setdefault((message.service, message.ordering_key), [])
         if lane and lane[-1].key > message.key:
             insort(lane, message, key=lambda other: other.key)
-            if lane[0] is message and lane[1].stage is Stage.READY:
-                self._move(lane[1], Stage.WAITING)
+            if lane[0] is message and lane[1].stage is QueueStage.READY:
+                self._move(lane[1], QueueStage.WAITING)
         else:
             lane.append(message)
 
     def release(self, message: QueuedMessage, ready_at: float, now: float) -> None:
         """The message may leave from `ready_at` on: after its commit, or given back after a lease."""
-        if message.stage is Stage.REMOVED:
+        if message.stage is QueueStage.REMOVED:
             return
         self._now = now
-        self._move(message, Stage.WAITING)
+        self._move(message, QueueStage.WAITING)
         message.ready_at = ready_at
         if message.late_at is None:
-            message.late_at = ready_at + max(0.0, message.start_aim_s - DISPATCH_S)
+            message.late_at = ready_at + max(0.0, message.start_target_s - DISPATCH_ALLOWANCE_S)
         if self._is_first(message):
             self._schedule(message, now)
 
-    def take(self, service: str) -> QueuedMessage | None:
+    def lease_next(self, service: str) -> QueuedMessage | None:
         """Remove the first ready message of a service for a lease."""
         ready = self._ready.get(service)
         heap = None if ready is None else ready.next_heap(self._now)
@@ -159,10 +161,10 @@
             return None
         heap.pop()
         ready.turn = 0 if heap is ready.late else ready.turn + 1
-        self._move(message, Stage.LEASED)
+        self._move(message, QueueStage.LEASED)
         return message
 
-    def first(self, service: str) -> QueuedMessage | None:
+    def peek(self, service: str) -> QueuedMessage | None:
         """The first ready message of a service."""
         ready = self._ready.get(service)
         heap = None if ready is None else ready.next_heap(self._now)
@@ -171,28 +173,28 @@
             return None
         return heap.first()
 
-    def lease(self, message: QueuedMessage) -> None:
+    def mark_leased(self, message: QueuedMessage) -> None:
         """Mark a message as leased without `take`: a lease learnt of at a takeover."""
-        self._move(message, Stage.LEASED)
+        self._move(message, QueueStage.LEASED)
 
-    def hold(self, message: QueuedMessage) -> None:
+    def suspend(self, message: QueuedMessage) -> None:
         """Let a message not leave, while its end is being committed; it keeps its place."""
-        self._move(message, Stage.HELD)
+        self._move(message, QueueStage.SUSPENDED)
 
     def remove(self, message: QueuedMessage, now: float) -> None:
         """The message has ended: the next one of its ordering key may leave."""
-        if message.stage is Stage.REMOVED:
+        if message.stage is QueueStage.REMOVED:
             return
         was_first = self._is_first(message)
-        self._move(message, Stage.REMOVED)
+        self._move(message, QueueStage.REMOVED)
         if not message.ordering_key:
             return
         name = (message.service, message.ordering_key)
-        lane = self._lanes[name]
+        lane = self._ordering_groups[name]
         lane.remove(message)
         if not lane:
-            del self._lanes[name]
-        elif was_first and lane[0].stage is Stage.WAITING:
+            del self._ordering_groups[name]
+        elif was_first and lane[0].stage is QueueStage.WAITING:
             self._schedule(lane[0], now)
 
     def advance(self, now: float) -> None:
@@ -200,51 +202,51 @@
         self._now = now
         while self._timers and self._timers[0].ready_at <= now:
             timer = heapq.heappop(self._timers)
-            if timer.ticket == timer.message.ticket:
+            if timer.revision == timer.message.revision:
                 self._make_ready(timer.message)
 
-    def next_time(self) -> float | None:
+    def next_event_time(self) -> float | None:
         """When `advance` has something to do next."""
-        while self._timers and self._timers[0].ticket != self._timers[0].message.ticket:
+        while self._timers and self._timers[0].revision != self._timers[0].message.revision:
             heapq.heappop(self._timers)
         return self._timers[0].ready_at if self._timers else None
 
     def ready_services(self) -> list[str]:
         """The services with ready messages."""
-        return [service for service in list(self._ready) if self.first(service) is not None]
+        return [service for service in list(self._ready) if self.peek(service) is not None]
 
     def _is_first(self, message: QueuedMessage) -> bool:
         if not message.ordering_key:
             return True
-        lane = self._lanes.get((message.service, message.ordering_key))
+        lane = self._ordering_groups.get((message.service, message.ordering_key))
         return lane is not None and lane[0] is message
 
     def _schedule(self, message: QueuedMessage, now: float) -> None:
         if message.ready_at <= now:
             self._make_ready(message)
         else:
-            timer = _Timer(message.ready_at, next(self._numbers), message.ticket, message)
+            timer = _Timer(message.ready_at, next(self._numbers), message.revision, message)
             heapq.heappush(self._timers, timer)
 
     def _make_ready(self, message: QueuedMessage) -> None:
-        self._move(message, Stage.READY)
+        self._move(message, QueueStage.READY)
         self._ready.setdefault(message.service, _ReadyService()).in_time.push(message)
-        self.gained.add(message.service)
+        self.newly_ready_services.add(message.service)
 
     @staticmethod
-    def _move(message: QueuedMessage, stage: Stage) -> None:
+    def _move(message: QueuedMessage, stage: QueueStage) -> None:
         message.stage = stage
-        message.ticket += 1
+        message.revision += 1
 
 
 class TokenBucket:
     """Grants of a service with a ceiling: a little under its rate, with a short burst.  Starts empty."""
 
-    RATE_SHARE = 0.97
+    RATE_FRACTION = 0.97
     BURST_S = 0.15
 
     def __init__(self, rate_per_s: float, now: float) -> None:
-        self.rate = rate_per_s * self.RATE_SHARE
+        self.rate = rate_per_s * self.RATE_FRACTION
         self.burst = max(1.0, rate_per_s * self.BURST_S)
         self._tokens = 0.0
         self._filled_at = now
@@ -252,7 +254,7 @@
     def change_rate(self, rate_per_s: float, now: float) -> None:
         """Use another rate from now on."""
         self._fill(now)
-        self.rate = rate_per_s * self.RATE_SHARE
+        self.rate = rate_per_s * self.RATE_FRACTION
         self.burst = max(1.0, rate_per_s * self.BURST_S)
 
     def available(self, now: float) -> int:
@@ -260,11 +262,11 @@
         self._fill(now)
         return int(self._tokens + 1e-9)
 
-    def take(self) -> None:
+    def consume(self) -> None:
         """Use up one."""
         self._tokens -= 1.0
 
-    def next_time(self, now: float) -> float:
+    def next_token_at(self, now: float) -> float:
         """When the next one is there."""
         self._fill(now)
         return now + max(0.0, 1.0 - self._tokens) / self.rate
--- a/hollowusher/messages/adoption.py
+++ b/hollowusher/messages/partition/message_restorer.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from hollowusher.messages.callback_jobs import CallbackJobs
-from hollowusher.messages.leases import MessageLeases
-from hollowusher.messages.lifecycle import MessageLifecycle
-from hollowusher.messages.queue import Stage
-from hollowusher.messages.record_writer import RecordWriter
-from hollowusher.messages.records import Key, Put, Status
-from hollowusher.messages.table import Entry, PartitionTable
+from hollowusher.messages.partition.callback_jobs import CallbackJobs
+from hollowusher.messages.partition.message_leases import MessageLeases
+from hollowusher.messages.partition.message_lifecycle import MessageLifecycle
+from hollowusher.messages.partition.message_queue import QueueStage
+from hollowusher.messages.partition.partition_table import MessageEntry, PartitionTable
+from hollowusher.messages.partition.record_writer import RecordWriter
+from hollowusher.messages.records import AcceptedMessage, MessageKey, MessageStatus
 
-SKEW_MARGIN_MS = 200  # how much sooner another machine's wall clock may say that a delay is over
+CLOCK_SKEW_MARGIN_MS = 200  # how much sooner another machine's wall clock may say that a delay is over
 RETENTION_MARGIN_S = 5.0  # wall clocks of machines differ: never too early after a takeover
 
 
-class Adoption:
+class MessageRestorer:
     """Brings the queue and the leases of one partition to what its records say."""
 
     def __init__(
@@ -31,15 +31,15 @@
         self._leases = leases
         self._callbacks = callbacks
 
-    def adopt(self, key: Key, now: float, wall_ms: int) -> None:
+    def restore(self, key: MessageKey, now: float, wall_ms: int) -> None:
         """Take up a message by its records."""
         entry = self._table.entries.get(key)
         if entry is None:
             return
-        if entry.status.ended:
-            self.adopt_ended(entry, now, wall_ms)
+        if entry.status.has_ended:
+            self.restore_ended(entry, now, wall_ms)
             return
-        put = self._table.put(entry) if key not in self._lifecycle.active else None
+        put = self._table.read_accepted(entry) if key not in self._lifecycle.active else None
         if put is not None:
             if self._is_duplicate(key, put.message.id, now, wall_ms):
                 return
@@ -47,14 +47,14 @@
         active = self._lifecycle.active.get(key)
         if active is None:
             return
-        if entry.status is Status.LEASED:
-            self._leases.adopt(active, entry, now)
-        elif active.stage in (Stage.HELD, Stage.LEASED) and not active.ending:
+        if entry.status is MessageStatus.LEASED:
+            self._leases.restore(active, entry, now)
+        elif active.stage in (QueueStage.SUSPENDED, QueueStage.LEASED) and not active.is_ending:
             self._lifecycle.clear_lease(active)
             ready_at = now + self._delay_left_s(entry, wall_ms)
             self._lifecycle.release(active, ready_at, now, wall_ms)
 
-    def adopt_ended(self, entry: Entry, now: float, wall_ms: int) -> None:
+    def restore_ended(self, entry: MessageEntry, now: float, wall_ms: int) -> None:
         """Take up a message that has ended: its id is known, and its call-back may be owed."""
         state = entry.state
         assert state is not None
@@ -62,47 +62,47 @@
             self._end_earlier_put(entry.key, state.id, now, wall_ms)
             self._lifecycle.keys_by_id.setdefault(state.id, entry.key)
         active = self._lifecycle.active.get(entry.key)
-        if active is not None and not active.ending:
+        if active is not None and not active.is_ending:
             self._lifecycle.discard(active, now)
-        if state.callback_owed and (active is None or not active.ending):
+        if state.callback_pending and (active is None or not active.is_ending):
             self._callbacks.add(entry.key, state, now)
 
-    def _delay_left_s(self, entry: Entry, wall_ms: int) -> float:
+    def _delay_left_s(self, entry: MessageEntry, wall_ms: int) -> float:
         """How much longer a message is to wait.  Wall clocks differ between machines: where the message came
         to this one while it ran, its delay counts from then, which is never too early."""
-        put = self._table.put(entry)
-        if put is None or put.due_ms <= put.accepted_ms:
+        put = self._table.read_accepted(entry)
+        if put is None or put.due_wall_ms <= put.accepted_wall_ms:
             return 0.0
-        if entry.arrived_ms is None:
-            due_ms = put.due_ms + SKEW_MARGIN_MS
+        if entry.arrived_wall_ms is None:
+            due_ms = put.due_wall_ms + CLOCK_SKEW_MARGIN_MS
         else:
-            due_ms = entry.arrived_ms + put.due_ms - put.accepted_ms
+            due_ms = entry.arrived_wall_ms + put.due_wall_ms - put.accepted_wall_ms
         return max(0, due_ms - wall_ms) / 1000
 
-    def _is_duplicate(self, key: Key, message_id: str, now: float, wall_ms: int) -> bool:
+    def _is_duplicate(self, key: MessageKey, message_id: str, now: float, wall_ms: int) -> bool:
         """Whether the message was also put under a later key: then nobody was ever told of this one."""
         known = self._lifecycle.keys_by_id.get(message_id)
         if known is None or known == key:
             return False
         if key < known:
-            state = self._writer.changed_state(key)
-            state.status, state.ended_ms = Status.COMPLETED, wall_ms
+            state = self._writer.copy_without_lease(key)
+            state.status, state.ended_wall_ms = MessageStatus.COMPLETED, wall_ms
             self._writer.propose_state(key, state, True, now, wall_ms)
             return True
         self._end_earlier_put(key, message_id, now, wall_ms)
         return False
 
-    def _end_earlier_put(self, key: Key, message_id: str, now: float, wall_ms: int) -> None:
+    def _end_earlier_put(self, key: MessageKey, message_id: str, now: float, wall_ms: int) -> None:
         """End the same message under an earlier key, of which nobody was ever told: `key` stands for it."""
         known = self._lifecycle.keys_by_id.get(message_id)
         active = self._lifecycle.active.get(known) if known is not None and known < key else None
-        if active is None or active.ending:
+        if active is None or active.is_ending:
             return
         active.callback_url = ""
         active.id = ""
-        self._lifecycle.end(active, Status.COMPLETED, now, wall_ms)
+        self._lifecycle.end(active, MessageStatus.COMPLETED, now, wall_ms)
         self._lifecycle.keys_by_id[message_id] = key
 
 
-def _retention_left_s(put: Put, wall_ms: int) -> float:
-    return (put.accepted_ms + put.message.retention_ms - wall_ms) / 1000 + RETENTION_MARGIN_S
+def _retention_left_s(put: AcceptedMessage, wall_ms: int) -> float:
+    return (put.accepted_wall_ms + put.message.retention_ms - wall_ms) / 1000 + RETENTION_MARGIN_S
--- a/hollowusher/messages/primary.py
+++ b/hollowusher/messages/partition/partition_primary.py
@@ -15,38 +15,25 @@
 
 from hollowusher.configuration.model import Configuration
 from hollowusher.messages import records
-from hollowusher.messages.active import (
-    STATE_NAMES,
-    ActiveMessage,
+from hollowusher.messages.partition.active_messages import (
+    PUBLIC_STATES,
     CallbackJob,
-    Grant,
-    LeaseEnd,
-    callback_service,
+    LeaseGrant,
 )
-from hollowusher.messages.adoption import Adoption
-from hollowusher.messages.callback_jobs import CALLBACK_LEASE_S, CallbackJobs
-from hollowusher.messages.deadlines import Deadlines
-from hollowusher.messages.leases import MessageLeases
-from hollowusher.messages.lifecycle import MessageLifecycle
-from hollowusher.messages.proposal import Proposal
-from hollowusher.messages.queue import MessageQueue
-from hollowusher.messages.record_writer import RecordWriter
-from hollowusher.messages.records import Key, LeaseId, Put, Status
-from hollowusher.messages.routing import Routing
-from hollowusher.messages.table import PartitionTable
+from hollowusher.messages.partition.callback_jobs import CallbackJobs
+from hollowusher.messages.partition.message_deadlines import MessageDeadlines
+from hollowusher.messages.partition.message_leases import MessageLeases
+from hollowusher.messages.partition.message_lifecycle import MessageLifecycle
+from hollowusher.messages.partition.message_queue import MessageQueue
+from hollowusher.messages.partition.message_restorer import MessageRestorer
+from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.partition.proposal import Proposal
+from hollowusher.messages.partition.record_writer import RecordWriter
+from hollowusher.messages.partition.service_routing import ServiceRouting
+from hollowusher.messages.records import AcceptedMessage, LeaseId, MessageKey, MessageStatus
 from hollowusher.protocol.leases import Finish, LeaseAnswer, LeaseRequest
 from hollowusher.protocol.messages import CALLBACK_PREFIX, NewMessage, PutAnswer, StatusAnswer
 
-__all__ = [
-    "CALLBACK_LEASE_S",
-    "ActiveMessage",
-    "CallbackJob",
-    "Grant",
-    "LeaseEnd",
-    "PartitionPrimary",
-    "callback_service",
-]
-
 
 class PartitionPrimary:
     """The queue and the leases of one partition, for one epoch or several in a row."""
@@ -57,7 +44,7 @@
         epoch: int,
         configuration: Configuration | None,
         visibility_ms: int,
-        chance: Callable[[], float],
+        random_source: Callable[[], float],
         now: float,
         wall_ms: int,
     ) -> None:
@@ -66,12 +53,12 @@
         self.queue = MessageQueue()
         numbers = itertools.count(1)
         writer = RecordWriter(table, epoch, wall_ms)
-        deadlines = Deadlines(numbers)
-        routing = Routing()
+        deadlines = MessageDeadlines(numbers)
+        routing = ServiceRouting()
         callbacks = CallbackJobs(table, writer, self.queue, deadlines, numbers)
         lifecycle = MessageLifecycle(table, writer, self.queue, deadlines, routing, callbacks)
         leases = MessageLeases(
-            table, writer, self.queue, deadlines, routing, lifecycle, visibility_ms, chance
+            table, writer, self.queue, deadlines, routing, lifecycle, visibility_ms, random_source
         )
         self._writer = writer
         self._deadlines = deadlines
@@ -79,11 +66,11 @@
         self._callbacks = callbacks
         self._lifecycle = lifecycle
         self._leases = leases
-        self._adoption = Adoption(table, writer, lifecycle, leases, callbacks)
+        self._restorer = MessageRestorer(table, writer, lifecycle, leases, callbacks)
         if configuration is not None:
             self.configure(configuration, now, wall_ms)
         for key in sorted(table.entries):
-            self.adopt(key, now, wall_ms)
+            self.restore(key, now, wall_ms)
 
     # Records and their commit
 
@@ -109,19 +96,19 @@
         """A quorum has the record."""
         self._writer.commit(proposal, now, wall_ms)
 
-    def confirmation(self, now: float) -> Proposal:
+    def propose_confirmation(self, now: float) -> Proposal:
         """A proposal without a record: its commit shows that a quorum still follows this primary."""
-        return self._writer.confirmation(now)
+        return self._writer.propose_confirmation(now)
 
-    def uncommitted(self, key: Key) -> Proposal | None:
+    def uncommitted_proposal(self, key: MessageKey) -> Proposal | None:
         """The newest record of a message, where no quorum has it yet."""
         return self._writer.pending.get(key)
 
-    def adopt(self, key: Key, now: float, wall_ms: int) -> None:
+    def restore(self, key: MessageKey, now: float, wall_ms: int) -> None:
         """Take up a message whose records were learnt from another replica or from the log."""
-        self._adoption.adopt(key, now, wall_ms)
+        self._restorer.restore(key, now, wall_ms)
 
-    def forgotten(self, keys: list[Key]) -> None:
+    def forget(self, keys: list[MessageKey]) -> None:
         """The table has dropped these messages."""
         self._callbacks.forget(keys)
         self._lifecycle.forget(keys)
@@ -133,10 +120,10 @@
         known = self._lifecycle.keys_by_id.get(message.id)
         if known is not None:
             waiting = self._writer.pending.get(known)
-            return waiting or PutAnswer("stored", records.reference_of(self.partition, known))
+            return waiting or PutAnswer("stored", records.format_reference(self.partition, known))
         key = self._writer.next_version()
         generation = message.generation or self._routing.generation
-        put = Put(wall_ms, wall_ms + message.delay_ms, generation, message)
+        put = AcceptedMessage(wall_ms, wall_ms + message.delay_ms, generation, message)
         proposal = self._writer.propose_put(key, put, now, wall_ms)
         active = self._lifecycle.activate(key, put, now + message.retention_ms / 1000)
         ready_at = now + message.delay_ms / 1000
@@ -145,7 +132,7 @@
 
     # Leasing
 
-    def lease(self, request: LeaseRequest, most: int, now: float, wall_ms: int) -> list[Grant]:
+    def lease(self, request: LeaseRequest, most: int, now: float, wall_ms: int) -> list[LeaseGrant]:
         """Up to `most` ready jobs of the service."""
         self.queue.advance(now)
         if request.service.startswith(CALLBACK_PREFIX):
@@ -154,7 +141,7 @@
 
     def has_ready(self, service: str, now: float) -> bool:
         """Whether a job of the service could be leased now."""
-        if self.queue.first(service) is None:
+        if self.queue.peek(service) is None:
             return False
         bucket = self._routing.bucket(service)
         return bucket is None or bucket.available(now) >= 1
@@ -162,23 +149,23 @@
     def next_token_time(self, service: str, now: float) -> float | None:
         """When the ceiling lets the next ready job of the service go, None where it holds none back."""
         bucket = self._routing.bucket(service)
-        if bucket is None or self.queue.first(service) is None or bucket.available(now) >= 1:
+        if bucket is None or self.queue.peek(service) is None or bucket.available(now) >= 1:
             return None
-        return bucket.next_time(now)
+        return bucket.next_token_at(now)
 
     def finish(self, lease: LeaseId, finish: Finish, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
         """The end of a lease.  A proposal means: `taken` once it is committed."""
-        if lease.callback:
+        if lease.is_callback:
             return self._callbacks.finish(lease, finish, now, wall_ms)
         return self._leases.finish(lease, finish, now, wall_ms)
 
-    def holds(self, grant: Grant) -> bool:
+    def is_grant_valid(self, grant: LeaseGrant) -> bool:
         """Whether a grant still stands: its lease may have run out before it was committed."""
-        return self._leases.holds(grant)
+        return self._leases.is_grant_valid(grant)
 
-    def give_back(self, grant: Grant, now: float, wall_ms: int) -> None:
+    def cancel_grant(self, grant: LeaseGrant, now: float, wall_ms: int) -> None:
         """A lease that never reached its dispatcher."""
-        self._leases.give_back(grant, now, wall_ms)
+        self._leases.cancel_grant(grant, now, wall_ms)
 
     def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
         """A pull worker needs longer."""
@@ -186,19 +173,19 @@
 
     # Time
 
-    def next_time(self) -> float | None:
+    def next_event_time(self) -> float | None:
         """When `advance` has something to do next."""
-        times = [self._deadlines.next_time(), self.queue.next_time()]
+        times = [self._deadlines.next_event_time(), self.queue.next_event_time()]
         return min((time for time in times if time is not None), default=None)
 
     def advance(self, now: float, wall_ms: int) -> None:
         """Let time pass: messages fall due, leases and retentions run out."""
-        for message in self._deadlines.run_out(now):
+        for message in self._deadlines.expire_leases(now):
             if isinstance(message, CallbackJob):
                 self._callbacks.requeue(message, 0.0, now)
             else:
                 self._leases.run_out(message, now, wall_ms)
-        self._lifecycle.end_retained(now, wall_ms)
+        self._lifecycle.end_expired(now, wall_ms)
         self.queue.advance(now)
 
     def postpone_leases(self, seconds: float) -> None:
@@ -218,17 +205,17 @@
 
     # Reading
 
-    def status(self, key: Key, want_body: bool) -> StatusAnswer:
+    def status(self, key: MessageKey, want_body: bool) -> StatusAnswer:
         """Where a message stands, with its body if wanted and if it has not been completed."""
         entry = self.table.entries.get(key)
         if entry is None:
             return StatusAnswer("unknown")
         body = None
-        if want_body and entry.status is not Status.COMPLETED:
-            put = self.table.put(entry)
+        if want_body and entry.status is not MessageStatus.COMPLETED:
+            put = self.table.read_accepted(entry)
             body = None if put is None else put.message.body
         signature = entry.state.signature if entry.state is not None else ""
-        return StatusAnswer(STATE_NAMES[entry.status], signature, body)
+        return StatusAnswer(PUBLIC_STATES[entry.status], signature, body)
 
     def waiting_services(self) -> list[str]:
         """The services with ready jobs, ceilings aside."""
--- a/hollowusher/messages/proposal.py
+++ b/hollowusher/messages/partition/proposal.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from hollowusher.messages.records import Key
+from hollowusher.messages.records import MessageKey
 
-NO_KEY: Key = (0, 0)
+NO_KEY: MessageKey = (0, 0)
 
 
 @attrs.define(slots=True, eq=False)
@@ -16,23 +16,23 @@
     """One record on its way to a quorum.  `durable` ones count at a replica once it has synced them, others
     once it holds them in memory.  An empty record only confirms that the replicas follow the primary."""
 
-    key: Key
+    key: MessageKey
     record: bytes
     durable: bool
     created_at: float  # steady clock
     on_commit: Callable[[float, int], None] | None = None  # called with steady and wall clock
-    committed: bool = False
-    acknowledged: list[str] = attrs.Factory(list)  # store ids
+    is_committed: bool = False
+    acknowledged_by: list[str] = attrs.Factory(list)  # store ids
     waiters: list[Callable[[bool], None]] = attrs.Factory(list)
 
-    def wait(self, waiter: Callable[[bool], None]) -> None:
+    def add_waiter(self, waiter: Callable[[bool], None]) -> None:
         """Have `waiter` called once: with True at the commit, with False when it is given up."""
-        if self.committed:
+        if self.is_committed:
             waiter(True)
         else:
             self.waiters.append(waiter)
 
-    def answer(self, committed: bool) -> None:
+    def resolve_waiters(self, committed: bool) -> None:
         """Tell all who wait."""
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
--- a/hollowusher/messages/record_writer.py
+++ b/hollowusher/messages/partition/record_writer.py
@@ -7,9 +7,9 @@
 import attrs
 
 from hollowusher.messages import records
-from hollowusher.messages.proposal import NO_KEY, Proposal
-from hollowusher.messages.records import Key, Put, State, Status
-from hollowusher.messages.table import PartitionTable
+from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.partition.proposal import NO_KEY, Proposal
+from hollowusher.messages.records import AcceptedMessage, MessageKey, MessageState, MessageStatus
 
 OnCommit = Callable[[float, int], None]  # called with steady and wall clock
 
@@ -20,16 +20,16 @@
     def __init__(self, table: PartitionTable, epoch: int, wall_ms: int) -> None:
         self.epoch = epoch
         self.outbox: list[Proposal] = []  # in the order they were made; the owner replicates and clears them
-        self.pending: dict[Key, Proposal] = {}  # the newest uncommitted proposal of each message
+        self.pending: dict[MessageKey, Proposal] = {}  # the newest uncommitted proposal of each message
         self._table = table
         self._sequence = max(table.greatest_sequence, wall_ms * 1000)
 
-    def next_version(self) -> records.Version:
+    def next_version(self) -> records.RecordVersion:
         """A version greater than all before."""
         self._sequence += 1
         return self.epoch, self._sequence
 
-    def propose_put(self, key: Key, put: Put, now: float, wall_ms: int) -> Proposal:
+    def propose_put(self, key: MessageKey, put: AcceptedMessage, now: float, wall_ms: int) -> Proposal:
         """Keep a new message in the table and propose its record."""
         record = records.pack_put(self._table.partition, key, put)
         self._table.apply(record, wall_ms)
@@ -37,8 +37,8 @@
 
     def propose_state(
         self,
-        key: Key,
-        state: State,
+        key: MessageKey,
+        state: MessageState,
         durable: bool,
         now: float,
         wall_ms: int,
@@ -49,16 +49,16 @@
         self._table.apply(record, wall_ms)
         return self._propose(key, record, durable, now, on_commit)
 
-    def changed_state(self, key: Key) -> State:
+    def copy_without_lease(self, key: MessageKey) -> MessageState:
         """A copy of a message's state with a new version, without a lease."""
         state = self._table.entries[key].state
         version = self.next_version()
         if state is None:
-            return State(version)
+            return MessageState(version)
         return attrs.evolve(
             state,
             version=version,
-            status=Status.QUEUED,
+            status=MessageStatus.QUEUED,
             lease=0,
             dispatcher="",
             incarnation=0,
@@ -66,7 +66,7 @@
             visibility_ms=0,
         )
 
-    def confirmation(self, now: float) -> Proposal:
+    def propose_confirmation(self, now: float) -> Proposal:
         """A proposal without a record: its commit shows that a quorum still follows this primary."""
         proposal = Proposal(NO_KEY, b"", False, now)
         self.outbox.append(proposal)
@@ -74,15 +74,15 @@
 
     def commit(self, proposal: Proposal, now: float, wall_ms: int) -> None:
         """A quorum has the record."""
-        proposal.committed = True
+        proposal.is_committed = True
         if self.pending.get(proposal.key) is proposal:
             del self.pending[proposal.key]
         if proposal.on_commit is not None:
             proposal.on_commit(now, wall_ms)
-        proposal.answer(True)
+        proposal.resolve_waiters(True)
 
     def _propose(
-        self, key: Key, record: bytes, durable: bool, now: float, on_commit: OnCommit | None
+        self, key: MessageKey, record: bytes, durable: bool, now: float, on_commit: OnCommit | None
     ) -> Proposal:
         proposal = Proposal(key, record, durable, now, on_commit)
         self.pending[key] = proposal
--- a/hollowusher/messages/routing.py
+++ b/hollowusher/messages/partition/service_routing.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from hollowusher.configuration.model import Configuration
-from hollowusher.messages.active import ActiveMessage
-from hollowusher.messages.queue import TokenBucket
+from hollowusher.messages.partition.active_messages import ActiveMessage
+from hollowusher.messages.partition.message_queue import TokenBucket
 
 
-class Routing:
+class ServiceRouting:
     """The configuration as a primary uses it; without one nothing is dropped, moved or held back."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         rates = {
             service.name: service.rate_per_s for service in configuration.upstreams if service.rate_per_s > 0
         }
-        self._set_ceilings(rates, now)
+        self._set_rate_limits(rates, now)
 
     @property
     def generation(self) -> int:
@@ -37,7 +37,7 @@
         """The grants of a service with a ceiling."""
         return self._buckets.get(service)
 
-    def is_dropped(self, active: ActiveMessage) -> bool:
+    def is_route_removed(self, active: ActiveMessage) -> bool:
         """Whether a configuration newer than the one that accepted the message has no such route."""
         configuration = self._configuration
         return (
@@ -50,16 +50,16 @@
         """The service of a message: as accepted, or the route's present one where that is gone."""
         return service if service in self._services else self._upstreams.get(route, service)
 
-    def has_moved(self, active: ActiveMessage) -> bool:
+    def has_changed_service(self, active: ActiveMessage) -> bool:
         """Whether the message now belongs to another service."""
         return self.service_for(active.route, active.service) != active.service
 
-    def _set_ceilings(self, rates: dict[str, float], now: float) -> None:
+    def _set_rate_limits(self, rates: dict[str, float], now: float) -> None:
         for service in [name for name in self._buckets if name not in rates]:
             del self._buckets[service]
         for service, rate in rates.items():
             bucket = self._buckets.get(service)
             if bucket is None:
                 self._buckets[service] = TokenBucket(rate, now)
-            elif bucket.rate != rate * TokenBucket.RATE_SHARE:
+            elif bucket.rate != rate * TokenBucket.RATE_FRACTION:
                 bucket.change_rate(rate, now)
--- /dev/null
+++ b/hollowusher/messages/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Replication of partitions among stores: quorums, streams to peers, anti-entropy, recovery."""
--- a/hollowusher/messages/comparing.py
+++ b/hollowusher/messages/replication/anti_entropy.py
@@ -5,19 +5,19 @@
 import asyncio
 from collections.abc import Callable, Iterable, Iterator
 
-from hollowusher.messages.records import Key
-from hollowusher.messages.table import PartitionTable
+from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.records import MessageKey
 from hollowusher.protocol.replication import Difference, Records, Replicate, Replicated, Summary
 from hollowusher.storage.interface import Log
 from hollowusher.transport.interface import PeerError, Transport
 
 ANSWER_TIMEOUT_S = 1.5
-BUCKETS_AT_ONCE = 8
+BUCKETS_PER_REQUEST = 8
 CHUNK_BYTES = 256 * 1024
 PACED_BYTES_PER_S = 3 * 1024 * 1024  # of one partition with one peer
 
 
-class StaleEpoch(Exception):
+class StaleEpochError(Exception):
     """The peer has promised a newer epoch."""
 
     def __init__(self, partition: int, epoch: int) -> None:
@@ -26,7 +26,7 @@
         self.epoch = epoch
 
 
-class Comparison:
+class AntiEntropySession:
     """One comparison: fetches what the peer knows better and sends it what it lacks."""
 
     def __init__(
@@ -40,7 +40,7 @@
         wall_ms: Callable[[], int],
         paced: bool,
     ) -> None:
-        self.changed: list[Key] = []  # messages about which the peer knew better
+        self.changed_keys: list[MessageKey] = []  # messages about which the peer knew better
         self._table = table
         self._epoch = epoch
         self._me = me
@@ -51,23 +51,27 @@
         self._paced = paced
 
     async def run(self) -> None:
-        """Compare everything once; `PeerError` or `StaleEpoch` where that fails."""
+        """Compare everything once; `PeerError` or `StaleEpochError` where that fails."""
         table = self._table
-        answer = await self._ask(Summary(table.partition, self._epoch, self._me, table.digests(), fence=True))
+        answer = await self._request_difference(
+            Summary(table.partition, self._epoch, self._me, table.bucket_digests(), fence=True)
+        )
         buckets = answer.buckets
-        for start in range(0, len(buckets), BUCKETS_AT_ONCE):
-            await self._settle(buckets[start : start + BUCKETS_AT_ONCE])
+        for start in range(0, len(buckets), BUCKETS_PER_REQUEST):
+            await self._reconcile(buckets[start : start + BUCKETS_PER_REQUEST])
 
-    async def _settle(self, buckets: list[int]) -> None:
+    async def _reconcile(self, buckets: list[int]) -> None:
         while True:
-            versions = self._table.versions(buckets)
+            versions = self._table.bucket_versions(buckets)
             partition = self._table.partition
-            answer = await self._ask(Summary(partition, self._epoch, self._me, [], versions, fence=True))
+            answer = await self._request_difference(
+                Summary(partition, self._epoch, self._me, [], versions, fence=True)
+            )
             learnt = self._merge(answer.records)
             if learnt:
                 await self._log.sync()
             more, incomplete = answer.extra
-            await self._push(self._table.records_for(answer.wanted, incomplete))
+            await self._push(self._table.requested_records(answer.wanted, incomplete))
             if self._paced:
                 await self._pause(sum(map(len, answer.records)))
             if not more or not learnt:
@@ -78,7 +82,7 @@
         for record in found:
             key = self._table.apply(record, self._wall_ms())
             if key is not None:
-                self.changed.append(key)
+                self.changed_keys.append(key)
                 learnt = True
         return learnt
 
@@ -91,16 +95,16 @@
             if not isinstance(answer, Replicated):
                 raise PeerError("Replicate", self._address, f"answered {type(answer).__name__}")
             if answer.refused:
-                raise StaleEpoch(self._table.partition, max(answer.refused.values()))
+                raise StaleEpochError(self._table.partition, max(answer.refused.values()))
             if self._paced:
                 await self._pause(sum(map(len, chunk)))
 
-    async def _ask(self, summary: Summary) -> Difference:
+    async def _request_difference(self, summary: Summary) -> Difference:
         answer = await self._transport.call(self._address, summary, ANSWER_TIMEOUT_S)
         if not isinstance(answer, Difference):
             raise PeerError("Summary", self._address, f"answered {type(answer).__name__}")
         if answer.status == "stale":
-            raise StaleEpoch(self._table.partition, answer.epoch)
+            raise StaleEpochError(self._table.partition, answer.epoch)
         return answer
 
     @staticmethod
@@ -108,13 +112,13 @@
         await asyncio.sleep(size / PACED_BYTES_PER_S)
 
 
-def answer_summary(table: PartitionTable, summary: Summary) -> Difference:
+def compare_with_summary(table: PartitionTable, summary: Summary) -> Difference:
     """What a replica answers to a comparison."""
     if summary.buckets:
-        return Difference("ok", table.promised_epoch, table.differing(summary.buckets))
-    found, more = table.newer_than(summary.versions)
-    wanted, incomplete = table.older_than(summary.versions)
-    return Difference("ok", table.promised_epoch, [], found, wanted, [more, incomplete])
+        return Difference("ok", table.minimum_epoch, table.differing_buckets(summary.buckets))
+    found, more = table.records_newer_than(summary.versions)
+    wanted, incomplete = table.references_older_than(summary.versions)
+    return Difference("ok", table.minimum_epoch, [], found, wanted, [more, incomplete])
 
 
 def _chunks(found: Iterator[bytes]) -> Iterator[list[bytes]]:
--- /dev/null
+++ b/hollowusher/messages/replication/partition_replicator.py
@@ -0,0 +1,335 @@
+"""Replication of all partitions of one store: quorums, streams to the peers, epochs, placements.
+
+As a primary's owner it sends what the primary proposes and commits what a quorum has; as a replica it takes
+records from other primaries and refuses those of older epochs.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine, Iterable
+from typing import Any
+
+from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.messages import records
+from hollowusher.messages.partition.partition_table import PartitionTable, RecordCache
+from hollowusher.messages.partition.proposal import Proposal
+from hollowusher.messages.replication.anti_entropy import compare_with_summary
+from hollowusher.messages.replication.partition_replica import PartitionReplica, PeerProgress
+from hollowusher.messages.replication.replication_stream import (
+    BATCH_DELAY_S,
+    OutgoingRecord,
+    ReplicationStream,
+    StreamOwner,
+)
+from hollowusher.protocol.placement import PartitionPlacement
+from hollowusher.protocol.replication import Difference, Replicate, Replicated, Summary
+from hollowusher.storage.interface import Log, Position, StorageError
+from hollowusher.transport.interface import Transport
+
+MOVED_PARTITION_RETENTION_S = 30.0  # a partition that has moved away is kept as long, for takeovers
+CACHE_BYTES = 48 * 1024 * 1024
+
+
+class PartitionReplicator(StreamOwner):
+    """The partitions of one store and their replication.
+
+    The owner sets `on_primary_changed` (called after a primary has changed), `on_takeover_ready` (a primary
+    is to be made) and `on_peers_behind` (peers lack records).
+    """
+
+    def __init__(
+        self,
+        store_id: str,
+        transport: Transport,
+        log: Log,
+        state: ClusterState,
+        tolerated: int,
+        status_ms: int,
+        wall_ms: Callable[[], int],
+        incarnation: int = 0,
+    ) -> None:
+        self.store_id = store_id
+        self.transport = transport
+        self.log = log
+        self.state = state
+        self.replicas: dict[int, PartitionReplica] = {}
+        self.storage_error: StorageError | None = None  # set once the disk has failed
+        self.on_primary_changed: Callable[[PartitionReplica], None] = lambda replica: None
+        self.on_takeover_ready: Callable[[PartitionReplica], None] = lambda replica: None
+        self.on_peers_behind: Callable[[], None] = lambda: None
+        self.clock: Callable[[], float] = lambda: asyncio.get_running_loop().time()
+        self.wall_ms = wall_ms
+        self._incarnation = incarnation
+        self._tolerated = tolerated
+        self._status_ms = status_ms
+        self._cache = RecordCache(CACHE_BYTES)
+        self._streams: dict[str, ReplicationStream] = {}
+        self._tasks: set[asyncio.Task[Any]] = set()
+        self._unsynced: list[OutgoingRecord] = []
+        self._syncing = False
+
+    # Life
+
+    def replay(self) -> None:
+        """Read the log."""
+        self.clock = asyncio.get_running_loop().time
+        self.log.set_move(self._move)
+        wall_ms = self.wall_ms()
+        for position, record in self.log.replay():
+            header = records.unpack_header(record)
+            self.replica(header.partition).table.replay(record, header, position, wall_ms)
+        for replica in self.replicas.values():
+            replica.table.drop_outdated_messages(wall_ms)
+
+    def close(self) -> None:
+        """Stop everything at once."""
+        for replica in self.replicas.values():
+            replica.resign()
+        for stream in self._streams.values():
+            stream.close()
+        for task in list(self._tasks):
+            task.cancel()
+
+    def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
+        """Run a coroutine, holding on to its task."""
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def now(self) -> float:
+        """The steady clock."""
+        return self.clock()
+
+    def replica(self, partition: int) -> PartitionReplica:
+        """The host of a partition, made where there is none yet."""
+        replica = self.replicas.get(partition)
+        if replica is None:
+            table = PartitionTable(partition, self.log, self._cache, self._status_ms)
+            replica = self.replicas[partition] = PartitionReplica(self.store_id, table)
+        return replica
+
+    def serving_replicas(self) -> list[PartitionReplica]:
+        """The partitions that have a primary here."""
+        return [replica for replica in self.replicas.values() if replica.primary is not None]
+
+    def drop_moved_partitions(self, now: float) -> None:
+        """Drop the partitions that moved away a while ago."""
+        for replica in list(self.replicas.values()):
+            if replica.drop_at and now >= replica.drop_at and not replica.epoch:
+                replica.table.release_all()
+                del self.replicas[replica.partition]
+
+    def _move(self, position: Position, record: bytes) -> None:
+        self.replica(records.unpack_header(record).partition).table.relocate(position, record)
+
+    # Proposing and committing
+
+    def propose(self, replica: PartitionReplica, proposal: Proposal) -> None:
+        """Send a proposal to the replicas of its partition; it is in this store's log already."""
+        replica.outstanding[proposal] = None
+        outgoing = OutgoingRecord(replica.partition, proposal)
+        joined = replica.streaming_peers()
+        first = self._preferred_peers(replica, joined)
+        for peer in joined:
+            self.stream(peer).enqueue(outgoing, linger=peer not in first)
+        if proposal.durable:
+            self._unsynced.append(outgoing)
+            if not self._syncing:
+                self._syncing = True
+                self.start_task(self._sync())
+        elif replica.acknowledge(proposal, self.store_id):
+            self._commit(replica, proposal)
+
+    def _preferred_peers(self, replica: PartitionReplica, joined: list[str]) -> list[str]:
+        """The peers whose acknowledgements are waited for: the quickest ones that make a quorum."""
+        needed = replica.commit_quorum - 1
+        counting = [peer for peer in joined if peer in replica.replica_ids]
+        if len(counting) > needed:
+            now = self.now()
+            counting.sort(
+                key=lambda peer: (
+                    not replica.peer_progress[peer].is_caught_up,
+                    self.stream(peer).expected_latency_s(now),
+                )
+            )
+        return [*counting[:needed], *replica.required_learners]
+
+    def _commit(self, replica: PartitionReplica, proposal: Proposal) -> None:
+        if replica.primary is not None:
+            replica.primary.commit(proposal, self.now(), self.wall_ms())
+            self.on_primary_changed(replica)
+
+    async def _sync(self) -> None:
+        try:
+            while self._unsynced:
+                await asyncio.sleep(BATCH_DELAY_S)
+                synced, self._unsynced = self._unsynced, []
+                await self.log.sync()
+                self._acknowledge(self.store_id, synced)
+        except StorageError as error:
+            self.storage_error = error
+        finally:
+            self._syncing = False
+
+    def _acknowledge(self, store_id: str, taken: Iterable[OutgoingRecord]) -> None:
+        for partition, proposal in taken:
+            replica = self.replicas.get(partition)
+            if replica is not None and replica.acknowledge(proposal, store_id):
+                self._commit(replica, proposal)
+
+    def commit_replicated(self, replica: PartitionReplica) -> None:
+        """Commit what needs fewer acknowledgements than before."""
+        for proposal in replica.take_committed():
+            self._commit(replica, proposal)
+
+    def time_out_waiters(self, now: float, durable_s: float, memory_s: float) -> None:
+        """Answer those who wait too long; their records may still be committed later."""
+        for replica in self.replicas.values():
+            for proposal in list(replica.outstanding):
+                allowed_s = durable_s if proposal.durable else memory_s
+                if proposal.waiters and now - proposal.created_at > allowed_s:
+                    proposal.resolve_waiters(False)
+
+    # Streams
+
+    def stream(self, peer: str) -> ReplicationStream:
+        """The stream to another store."""
+        stream = self._streams.get(peer)
+        if stream is None:
+            stream = ReplicationStream(self.store_id, peer, self, self.transport, self.start_task)
+            self._streams[peer] = stream
+        return stream
+
+    def address_of(self, store_id: str) -> str | None:
+        """The internal address of another store."""
+        return self.state.store_address(store_id)
+
+    def epoch_of(self, partition: int) -> int:
+        """The epoch for which this store is the primary, 0 where it is not."""
+        replica = self.replicas.get(partition)
+        return replica.epoch if replica is not None else 0
+
+    def on_acknowledged(self, store_id: str, sent: Iterable[OutgoingRecord], sent_at: float) -> None:
+        """A peer has these records."""
+        sent = list(sent)
+        for partition in {outgoing.partition for outgoing in sent}:
+            progress = self._progress(partition, store_id)
+            if progress is not None:
+                progress.confirmed_at = max(progress.confirmed_at, sent_at)
+        self._acknowledge(store_id, sent)
+
+    def on_rejected(self, store_id: str, partition: int, epoch: int) -> None:
+        """A replica has promised a newer epoch: this store is the primary no longer, or the records were
+        sent for an epoch before this store's present one and have to be sent again."""
+        replica = self.replicas.get(partition)
+        if replica is None or not replica.epoch:
+            return
+        if replica.epoch < epoch:
+            replica.resign()
+        elif store_id in replica.peer_progress:
+            replica.peer_progress[store_id].is_streaming = replica.peer_progress[store_id].is_caught_up = (
+                False
+            )
+            self.on_peers_behind()
+
+    def on_peer_lost(self, store_id: str) -> None:
+        """A peer did not answer: it has to catch up."""
+        for replica in self.replicas.values():
+            progress = replica.peer_progress.get(store_id)
+            if progress is not None and progress.is_streaming:
+                progress.is_streaming = progress.is_caught_up = False
+                progress.lost_at = self.now()
+
+    def _progress(self, partition: int, store_id: str) -> PeerProgress | None:
+        replica = self.replicas.get(partition)
+        return replica.peer_progress.get(store_id) if replica is not None else None
+
+    # Answering other primaries
+
+    async def replicate(self, replicate: Replicate) -> Replicated:
+        """Take records; answered once they are durable or in memory, as asked for."""
+        refused: dict[int, int] = {}
+        durable = replicate.durable
+        wall_ms = self.wall_ms()
+        for batch in replicate.batches:
+            replica = self.replica(batch.partition)
+            if batch.epoch < replica.table.minimum_epoch:
+                refused[batch.partition] = replica.table.minimum_epoch
+                continue
+            if batch.epoch > replica.table.minimum_epoch:
+                self._fence_older_epochs(replica, batch.epoch)
+                durable = True
+            for record in batch.records:
+                replica.table.apply(record, wall_ms)
+        if durable:
+            await self.log.sync()
+        return Replicated(refused)
+
+    async def answer_summary(self, summary: Summary) -> Difference:
+        """Answer a comparison; a newer epoch is promised durably first."""
+        replica = self.replica(summary.partition)
+        if summary.fence and summary.epoch > replica.table.minimum_epoch:
+            self._fence_older_epochs(replica, summary.epoch)
+            await self.log.sync()
+        if summary.epoch < replica.table.minimum_epoch:
+            return Difference("stale", replica.table.minimum_epoch)
+        return compare_with_summary(replica.table, summary)
+
+    @staticmethod
+    def _fence_older_epochs(replica: PartitionReplica, epoch: int) -> None:
+        replica.table.fence_older_epochs(epoch)
+        if 0 < replica.epoch < epoch:
+            replica.resign()
+
+    # Placement
+
+    def apply_placement(self) -> None:
+        """Take up what the newest placement says."""
+        placement = self.state.placement
+        if placement is None:
+            return
+        for entry in placement.partitions:
+            involved = self.store_id in entry.replicas or self.store_id in entry.learners
+            replica = self.replica(entry.partition) if involved else self.replicas.get(entry.partition)
+            if replica is not None:
+                self._apply_partition_placement(replica, entry, involved)
+        self.on_peers_behind()
+
+    def _apply_partition_placement(
+        self, replica: PartitionReplica, entry: PartitionPlacement, involved: bool
+    ) -> None:
+        if not replica.is_current(entry):
+            return
+        replica.drop_at = 0.0 if involved else replica.drop_at or self.now() + MOVED_PARTITION_RETENTION_S
+        if replica.apply_placement(entry, self._tolerated, self._incarnation, self.now()):
+            self.start_task(self._take_over(replica, entry.epoch))
+        elif replica.primary is not None:
+            self.commit_replicated(replica)
+
+    async def _take_over(self, replica: PartitionReplica, epoch: int) -> None:
+        """Promise the new epoch durably here before any other replica is asked."""
+        replica.table.fence_older_epochs(epoch)
+        try:
+            await self.log.sync()
+        except StorageError as error:
+            self.storage_error = error
+            return
+        if replica.epoch == epoch:
+            replica.is_epoch_durable = True
+            self.serve_if_ready(replica)
+            self.on_peers_behind()
+
+    def serve_if_ready(self, replica: PartitionReplica) -> None:
+        """Begin to serve once enough replicas have been compared."""
+        if replica.primary is None and replica.epoch:
+            replica.former_replicas = [
+                store_id for store_id in replica.former_replicas if self._is_alive(store_id)
+            ]
+            if replica.may_serve(self.now()):
+                self.on_takeover_ready(replica)
+
+    def _is_alive(self, store_id: str) -> bool:
+        """Whether a store is there with this disk, as far as is known here."""
+        member = self.state.members.get(store_id.partition("/")[0])
+        return member is not None and member.alive and member.store_id == store_id
--- /dev/null
+++ b/hollowusher/messages/replication/replica_recovery.py
@@ -0,0 +1,239 @@
+"""Bringing peers up to date: replicas that were away, learners, all of them at a takeover; and the scrub.
+
+A peer first gets the new records (it joins), then everything is compared once; after that it lacks nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterator
+from contextlib import suppress
+
+from hollowusher.messages.records import MessageKey
+from hollowusher.messages.replication.anti_entropy import AntiEntropySession, StaleEpochError
+from hollowusher.messages.replication.partition_replica import PartitionReplica, PeerProgress
+from hollowusher.messages.replication.partition_replicator import PartitionReplicator
+from hollowusher.messages.replication.replication_stream import OutgoingRecord
+from hollowusher.protocol.placement import LearnerLost, LearnerReady
+from hollowusher.protocol.replication import Records, Replicate, Replicated
+from hollowusher.storage.interface import StorageError
+from hollowusher.transport.interface import PeerError
+
+CALL_TIMEOUT_S = 1.0
+LEARNER_REPORT_INTERVAL_S = 2.0
+LOST_LEARNER_TIMEOUT_S = (
+    1.0  # a learner that was reported ready and is lost so long is to be let go by the head
+)
+MAX_CONCURRENT_PARTITIONS = 4  # compared at one time with one peer
+_LearnerKey = tuple[int, int, str]  # partition, epoch, the learner's store id
+
+
+class ReplicaRecovery:
+    """The catching up of one store's peers."""
+
+    def __init__(self, replicator: PartitionReplicator, random_source: Callable[[], float]) -> None:
+        self._replicator = replicator
+        self._random_source = random_source
+        self._lost_since: dict[_LearnerKey, float] = {}  # of learners that were reported: when noticed
+        self._recovering: set[str] = set()
+        self._reported_at: dict[_LearnerKey, float] = {}
+
+    def recover_all(self) -> None:
+        """Start on each peer that lacks records and is not being worked on."""
+        peers = {
+            peer
+            for replica in self._replicator.replicas.values()
+            if replica.epoch and replica.is_epoch_durable
+            for peer, progress in replica.peer_progress.items()
+            if not progress.is_caught_up
+        }
+        for peer in sorted(peers - self._recovering):
+            self._recovering.add(peer)
+            self._replicator.start_task(self._recover(peer))
+
+    async def _recover(self, peer: str) -> None:
+        try:
+            address = self._replicator.address_of(peer)
+            if address is not None and await self._check_reachable(peer, address):
+                replicas = iter(list(self._replicator.replicas.values()))
+                async with asyncio.TaskGroup() as tasks:
+                    for _ in range(MAX_CONCURRENT_PARTITIONS):
+                        tasks.create_task(self._catch_up_each(replicas, peer, address))
+        except* PeerError:
+            self._replicator.on_peer_lost(peer)
+        except* StorageError as errors:
+            self._replicator.storage_error = _first_storage_error(errors)
+        finally:
+            self._recovering.discard(peer)
+
+    async def _catch_up_each(self, replicas: Iterator[PartitionReplica], peer: str, address: str) -> None:
+        for replica in replicas:
+            progress = replica.peer_progress.get(peer)
+            while (
+                progress is not None
+                and replica.peer_progress.get(peer) is progress
+                and not progress.is_caught_up
+            ):
+                if not (replica.is_epoch_durable and await self._catch_up(replica, peer, progress, address)):
+                    break
+
+    async def _check_reachable(self, peer: str, address: str) -> bool:
+        """Ask with empty batches whether the peer is there; it learns the epochs by that."""
+        replicator = self._replicator
+        batches = [
+            Records(replica.partition, replica.epoch, [])
+            for replica in replicator.replicas.values()
+            if replica.epoch and replica.is_epoch_durable and peer in replica.peer_progress
+        ]
+        message = Replicate(replicator.store_id, batches, True)
+        answer = await replicator.transport.call(address, message, CALL_TIMEOUT_S)
+        if not isinstance(answer, Replicated):
+            return False
+        for partition, epoch in answer.refused.items():
+            replicator.on_rejected(peer, partition, epoch)
+        return True
+
+    async def _catch_up(
+        self, replica: PartitionReplica, peer: str, progress: PeerProgress, address: str
+    ) -> bool:
+        """Have a peer lack nothing; False where this store is the primary no longer or lost the peer.  The
+        link stays incomplete where another peer knew something newer meanwhile."""
+        if not progress.is_streaming:
+            progress.is_streaming = True
+            for proposal in list(replica.outstanding):
+                self._replicator.stream(peer).enqueue(
+                    OutgoingRecord(replica.partition, proposal), linger=False
+                )
+        paced = peer not in replica.replica_ids or replica.primary is not None
+        progress.needs_comparison = False
+        if not await self._compare(replica, peer, address, paced) or not progress.is_streaming:
+            return False
+        progress.is_caught_up = not progress.needs_comparison
+        self._replicator.serve_if_ready(replica)
+        return True
+
+    async def _compare(self, replica: PartitionReplica, peer: str, address: str, paced: bool) -> bool:
+        """Exchange all differences with a peer; whether this store is still the primary."""
+        replicator = self._replicator
+        epoch = replica.epoch
+        comparison = AntiEntropySession(
+            replica.table,
+            epoch,
+            replicator.store_id,
+            address,
+            replicator.transport,
+            replicator.log,
+            replicator.wall_ms,
+            paced,
+        )
+        failure: BaseException | None = None
+        try:
+            await comparison.run()
+        except (StaleEpochError, PeerError, StorageError, asyncio.CancelledError) as error:
+            failure = error  # what was learnt before counts all the same
+        if comparison.changed_keys:
+            self._adopt(replica, peer, comparison.changed_keys)
+        if isinstance(failure, StaleEpochError):
+            replicator.on_rejected(peer, failure.partition, failure.epoch)
+            return False
+        if failure is not None:
+            raise failure
+        return replica.epoch == epoch
+
+    def _adopt(self, replica: PartitionReplica, source: str, changed: list[MessageKey]) -> None:
+        """A peer knew something newer: the other peers lack it, too."""
+        for peer, progress in replica.peer_progress.items():
+            if peer != source:
+                progress.is_caught_up = False
+                progress.needs_comparison = True
+        if replica.primary is not None:
+            for key in changed:
+                replica.primary.restore(key, self._replicator.now(), self._replicator.wall_ms())
+            self._replicator.on_primary_changed(replica)
+        self.recover_all()
+
+    async def scrub(self) -> None:
+        """Compare one partition with one of its replicas."""
+        replicator = self._replicator
+        pairs = [
+            (replica, peer)
+            for replica in replicator.serving_replicas()
+            for peer, progress in replica.peer_progress.items()
+            if progress.is_caught_up
+        ]
+        if not pairs:
+            return
+        replica, peer = pairs[int(self._random_source() * len(pairs)) % len(pairs)]
+        address = replicator.address_of(peer)
+        if address is not None:
+            with suppress(PeerError, StorageError):
+                await self._compare(replica, peer, address, paced=True)
+
+    # Learners
+
+    def report_learners(self, now: float) -> None:
+        """Report to the head which learners have caught up, and which of those have been lost since.  Commits
+        wait for a reported learner until a newer placement is in force: its report may count until then."""
+        lost_since: dict[_LearnerKey, float] = {}
+        for replica in self._replicator.serving_replicas():
+            assert replica.placement is not None
+            for peer in replica.placement.learners:
+                progress = replica.peer_progress.get(peer)
+                if progress is not None and progress.is_caught_up:
+                    if self._is_due(replica, peer, now):
+                        self._replicator.start_task(self._report_caught_up(replica, peer))
+                elif peer in replica.required_learners:
+                    key = (replica.partition, replica.epoch, peer)
+                    lost_since[key] = self._lost_since.get(key, now)
+                    if now - lost_since[key] >= LOST_LEARNER_TIMEOUT_S and self._is_due(replica, peer, now):
+                        self._replicator.start_task(
+                            self._send_to_head(LearnerLost(replica.partition, replica.epoch, peer))
+                        )
+        self._lost_since = lost_since
+
+    def _is_due(self, replica: PartitionReplica, peer: str, now: float) -> bool:
+        """Whether the head is to be told again about a learner."""
+        key = (replica.partition, replica.epoch, peer)
+        if now - self._reported_at.get(key, -LEARNER_REPORT_INTERVAL_S) < LEARNER_REPORT_INTERVAL_S:
+            return False
+        self._reported_at = {
+            told: at for told, at in self._reported_at.items() if now - at < LEARNER_REPORT_INTERVAL_S
+        }
+        self._reported_at[key] = now
+        return True
+
+    async def _report_caught_up(self, replica: PartitionReplica, peer: str) -> None:
+        """From now on each commit needs this learner, too; what was committed before is compared once more,
+        so that the head may count on it."""
+        replicator = self._replicator
+        placement, address = replica.placement, replicator.address_of(peer)
+        if placement is None or address is None or replica.primary is None:
+            return
+        epoch = replica.epoch
+        try:
+            if peer not in replica.required_learners:
+                replica.required_learners.add(peer)
+                if not await self._compare(replica, peer, address, paced=True):
+                    self._reported_at.pop((replica.partition, epoch, peer), None)
+                    return
+        except (PeerError, StorageError):
+            return
+        if replica.epoch == epoch and peer in replica.required_learners:
+            await self._send_to_head(LearnerReady(replica.partition, epoch, peer))
+
+    async def _send_to_head(self, report: LearnerReady | LearnerLost) -> None:
+        replicator = self._replicator
+        view = replicator.state.view
+        voters = view.voters if view is not None else []
+        head = next((voter.address for voter in voters if view and voter.name == view.head), None)
+        if head is not None:
+            with suppress(PeerError):
+                await replicator.transport.call(head, report, CALL_TIMEOUT_S)
+
+
+def _first_storage_error(errors: ExceptionGroup[StorageError]) -> StorageError:
+    first: BaseException = errors
+    while isinstance(first, BaseExceptionGroup):
+        first = first.exceptions[0]
+    assert isinstance(first, StorageError)
+    return first
--- a/hollowusher/messages/time_of_day.py
+++ b/hollowusher/messages/steady_wall_clock.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 
-class TimeOfDay:
+class SteadyWallClock:
     """Milliseconds of the day's clock when first asked for, plus what the steady clock has moved since."""
 
     def __init__(self, wall_ms: Callable[[], int], steady_s: Callable[[], float]) -> None:
--- a/hollowusher/messages/service.py
+++ b/hollowusher/messages/store_service.py
@@ -21,14 +21,15 @@
 )
 from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.messages import records
-from hollowusher.messages.hosting import PartitionHost
-from hollowusher.messages.open_grants import OpenGrants
-from hollowusher.messages.primary import Grant, PartitionPrimary
-from hollowusher.messages.proposal import Proposal
-from hollowusher.messages.recovery import Recovery
-from hollowusher.messages.replicator import Replicator
-from hollowusher.messages.time_of_day import TimeOfDay
-from hollowusher.messages.waiting import JobWaiters
+from hollowusher.messages.job_waiters import JobWaiters
+from hollowusher.messages.partition.active_messages import LeaseGrant
+from hollowusher.messages.partition.partition_primary import PartitionPrimary
+from hollowusher.messages.partition.proposal import Proposal
+from hollowusher.messages.replication.partition_replica import PartitionReplica
+from hollowusher.messages.replication.partition_replicator import PartitionReplicator
+from hollowusher.messages.replication.replica_recovery import ReplicaRecovery
+from hollowusher.messages.steady_wall_clock import SteadyWallClock
+from hollowusher.messages.unacknowledged_grants import UnacknowledgedGrants
 from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer, Leased, LeaseRequest
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.messages import Put, PutAnswer, StatusAnswer, StatusRequest
@@ -37,29 +38,31 @@
 from hollowusher.transport.interface import Transport
 
 TICK_S = 0.25
-LONGEST_STEP_S = TICK_S + 0.15  # a longer one: this process did not run
+MAX_STEP_S = TICK_S + 0.15  # a longer one: this process did not run
 COMMIT_TIMEOUT_S = 3.0
 LEASE_COMMIT_TIMEOUT_S = 1.0
 SERVING_WAIT_S = 1.0  # how long a call waits for a takeover to finish
-RECOVER_EVERY_S = 0.5
-FORGET_EVERY_S = 5.0
-SCRUB_EVERY_S = 20.0
-CONFIRMED_WITHIN_S = 0.5  # a lease is extended, a state told, only if a quorum has followed within so long
-REFUSED_PAUSE_S = 0.3  # a dispatcher that may lease nothing is answered so much later
+RECOVERY_INTERVAL_S = 0.5
+FORGET_INTERVAL_S = 5.0
+SCRUB_INTERVAL_S = 20.0
+CONFIRMATION_MAX_AGE_S = (
+    0.5  # a lease is extended, a state told, only if a quorum has followed within so long
+)
+DEAD_DISPATCHER_PAUSE_S = 0.3  # a dispatcher that may lease nothing is answered so much later
 STOP_TIMEOUT_S = 4.0
 STOP_POLL_S = 0.05
-LOG_RESERVE_BYTES = 4 * 1024 * 1024  # new messages are refused before states lack room
+MAX_LOG_RESERVE_BYTES = 4 * 1024 * 1024  # new messages are refused before states lack room
 
 UNAVAILABLE = LeaseAnswer("unavailable")
 GONE = LeaseAnswer("gone")
 ENDED_STATES = ("completed", "dead_letter")
 
 
-class LeasedHere(NamedTuple):
+class LocalGrant(NamedTuple):
     """A grant and the partition that made it."""
 
-    host: PartitionHost
-    grant: Grant
+    replica: PartitionReplica
+    grant: LeaseGrant
 
 
 class StoreService:
@@ -73,7 +76,7 @@
         log: Log,
         state: ClusterState,
         settings: BootSettings,
-        chance: Callable[[], float],
+        random_source: Callable[[], float],
         wall_ms: Callable[[], int],
     ) -> None:
         self.me = me
@@ -81,11 +84,11 @@
         self._log = log
         self._state = state
         self._visibility_ms = settings.bounds.visibility_ms
-        self._chance = chance
-        self._wall_ms = time_of_day = TimeOfDay(wall_ms, self._now)
-        self._log_reserve = min(LOG_RESERVE_BYTES, log.free_bytes() // 8)
+        self._random_source = random_source
+        self._wall_ms = time_of_day = SteadyWallClock(wall_ms, self._now)
+        self._log_reserve = min(MAX_LOG_RESERVE_BYTES, log.free_bytes() // 8)
         status_ms = int(settings.bounds.status_s * 1000)
-        self._replicator = Replicator(
+        self._replicator = PartitionReplicator(
             store_id,
             transport,
             log,
@@ -95,18 +98,18 @@
             time_of_day,
             me.incarnation,
         )
-        self._recovery = Recovery(self._replicator, chance)
-        self._replicator.stepped = self._after
-        self._replicator.took_over = self._begin
-        self._replicator.recover = self._recovery.recover_all
-        self._grants = OpenGrants()
+        self._recovery = ReplicaRecovery(self._replicator, random_source)
+        self._replicator.on_primary_changed = self._process_effects
+        self._replicator.on_takeover_ready = self._start_serving
+        self._replicator.on_peers_behind = self._recovery.recover_all
+        self._grants = UnacknowledgedGrants()
         self._waiters = JobWaiters(store_id, transport, state, self._has_ready)
         self._serving_changed = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
         self._started = False
-        self._pauses = PauseDetector(LONGEST_STEP_S)
-        self._running_since = 0.0  # steady clock; the end of the last pause
+        self._pauses = PauseDetector(MAX_STEP_S)
+        self._resumed_at = 0.0  # steady clock; the end of the last pause
         self._next_recover = self._next_forget = self._next_scrub = 0.0
         self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {
             Put: self._put,
@@ -115,7 +118,7 @@
             Extend: self._extend,
             StatusRequest: self._status,
             Replicate: self._replicator.replicate,
-            Summary: self._replicator.summary,
+            Summary: self._replicator.answer_summary,
         }
 
     # Life
@@ -125,12 +128,12 @@
         self._replicator.replay()
         now = self._now()
         self._pauses.tick(now)
-        self._running_since = now
-        self._next_forget, self._next_scrub = now + FORGET_EVERY_S, now + SCRUB_EVERY_S
+        self._resumed_at = now
+        self._next_forget, self._next_scrub = now + FORGET_INTERVAL_S, now + SCRUB_INTERVAL_S
         self._started = True
-        self._state.add_listener(self._changed)
-        self._replicator.place()
-        self._replicator.run(self._tick())
+        self._state.add_listener(self._on_state_change)
+        self._replicator.apply_placement()
+        self._replicator.start_task(self._tick())
 
     def handles(self, message: Any) -> bool:
         """Whether a message is for this service."""
@@ -145,7 +148,7 @@
         """Planned end: serve until the placement has moved all primaries away, and every replica that another
         store is copying; at most a few seconds."""
         deadline = self._now() + STOP_TIMEOUT_S
-        while self._now() < deadline and any(host.is_needed_here for host in self._hosts.values()):
+        while self._now() < deadline and any(replica.is_needed_here for replica in self._replicas.values()):
             await asyncio.sleep(STOP_POLL_S)
         with suppress(StorageError, TimeoutError):
             async with asyncio.timeout(max(0.2, deadline - self._now())):
@@ -156,9 +159,9 @@
             self._timer.cancel()
         self._replicator.close()
 
-    def hosts(self) -> list[PartitionHost]:
+    def replicas(self) -> list[PartitionReplica]:
         """The partitions kept here, by number."""
-        return [host for _, host in sorted(self._hosts.items())]
+        return [replica for _, replica in sorted(self._replicas.items())]
 
     @property
     def storage_error(self) -> StorageError | None:
@@ -166,289 +169,304 @@
         return self._replicator.storage_error
 
     @property
-    def _hosts(self) -> dict[int, PartitionHost]:
-        return self._replicator.hosts
+    def _replicas(self) -> dict[int, PartitionReplica]:
+        return self._replicator.replicas
 
     # Calls of edge processes
 
     async def _put(self, put: Put) -> PutAnswer:
-        primary = await self._primary(put.partition)
+        primary = await self._wait_for_primary(put.partition)
         if primary is None:
-            return PutAnswer(self._why_not(put.partition))
+            return PutAnswer(self._unavailable_status(put.partition))
         if self.storage_error is not None or self._log.free_bytes() < self._log_reserve:
             return PutAnswer("unavailable")
         try:
             kept = primary.put(put.message, self._now(), self._wall_ms())
         except StorageError:
             return PutAnswer("unavailable")
-        self._after(self._hosts[put.partition])
+        self._process_effects(self._replicas[put.partition])
         if isinstance(kept, PutAnswer):
             return kept
-        if not await self._committed(kept):
+        if not await self._wait_for_commit(kept):
             return PutAnswer("unknown")
-        return PutAnswer("stored", records.reference_of(put.partition, kept.key))
+        return PutAnswer("stored", records.format_reference(put.partition, kept.key))
 
     async def _finish(self, finish: Finish) -> LeaseAnswer:
         lease = records.parse_lease_id(finish.lease)
         if lease is None:
             return GONE
-        primary = await self._primary(lease.partition)
+        primary = await self._wait_for_primary(lease.partition)
         if primary is None:
-            return LeaseAnswer(self._why_not(lease.partition))
-        host = self._hosts[lease.partition]
+            return LeaseAnswer(self._unavailable_status(lease.partition))
+        replica = self._replicas[lease.partition]
         try:
-            taken = primary.finish(lease, finish, self._now(), self._wall_ms())
+            outcome = primary.finish(lease, finish, self._now(), self._wall_ms())
         except StorageError:
             return UNAVAILABLE
-        self._after(host)
-        return await self._lease_answer(host, primary, taken)
+        self._process_effects(replica)
+        return await self._lease_answer(replica, primary, outcome)
 
     async def _extend(self, extend: Extend) -> LeaseAnswer:
         lease = records.parse_lease_id(extend.lease)
         if lease is None:
             return GONE
-        primary = await self._primary(lease.partition)
+        primary = await self._wait_for_primary(lease.partition)
         if primary is None:
-            return LeaseAnswer(self._why_not(lease.partition))
-        host = self._hosts[lease.partition]
+            return LeaseAnswer(self._unavailable_status(lease.partition))
+        replica = self._replicas[lease.partition]
         try:
-            taken = primary.extend(lease, self._now(), self._wall_ms())
+            outcome = primary.extend(lease, self._now(), self._wall_ms())
         except StorageError:
             return UNAVAILABLE
-        self._after(host)
-        if not await self._is_followed(host, primary):
+        self._process_effects(replica)
+        if not await self._has_quorum(replica, primary):
             return UNAVAILABLE
-        return await self._lease_answer(host, primary, taken)
+        return await self._lease_answer(replica, primary, outcome)
 
     async def _lease_answer(
-        self, host: PartitionHost, primary: PartitionPrimary, taken: Proposal | LeaseAnswer
+        self, replica: PartitionReplica, primary: PartitionPrimary, outcome: Proposal | LeaseAnswer
     ) -> LeaseAnswer:
         """The answer once it is certain: what was proposed is committed, and a lease is gone only if this
         was the primary still when it was asked about it."""
-        if isinstance(taken, Proposal):
-            return LeaseAnswer("taken") if await self._committed(taken) else UNAVAILABLE
-        if taken.status == GONE.status and not await self._is_followed(host, primary, from_now=True):
+        if isinstance(outcome, Proposal):
+            return LeaseAnswer("taken") if await self._wait_for_commit(outcome) else UNAVAILABLE
+        if outcome.status == GONE.status and not await self._has_quorum(replica, primary, from_now=True):
             return UNAVAILABLE
-        return taken
+        return outcome
 
     async def _status(self, request: StatusRequest) -> StatusAnswer:
         parsed = records.parse_reference(request.reference)
         if parsed is None:
             return StatusAnswer("unknown")
         partition, key = parsed
-        primary = await self._primary(partition)
+        primary = await self._wait_for_primary(partition)
         if primary is None:
-            return StatusAnswer(self._why_not(partition))
+            return StatusAnswer(self._unavailable_status(partition))
         answer = primary.status(key, request.want_body)
         if await self._is_certain(answer, partition, key, primary):
             return answer
         return StatusAnswer("unavailable")
 
     async def _is_certain(
-        self, answer: StatusAnswer, partition: int, key: records.Key, primary: PartitionPrimary
+        self, answer: StatusAnswer, partition: int, key: records.MessageKey, primary: PartitionPrimary
     ) -> bool:
         """Whether an answer about a message may be given.  The bytes of a message never change, a committed
         end stands for ever; that a message has not ended needs a quorum that followed lately, that there is
         none one that follows now."""
         if answer.body is not None:
             return True
-        host = self._hosts[partition]
+        replica = self._replicas[partition]
         if answer.state in ENDED_STATES:
-            ending = primary.uncommitted(key)
-            return ending is None or await self._committed(ending)
-        return await self._is_followed(host, primary, from_now=answer.state == "unknown")
+            ending = primary.uncommitted_proposal(key)
+            return ending is None or await self._wait_for_commit(ending)
+        return await self._has_quorum(replica, primary, from_now=answer.state == "unknown")
 
-    async def _is_followed(
-        self, host: PartitionHost, primary: PartitionPrimary, *, from_now: bool = False
+    async def _has_quorum(
+        self, replica: PartitionReplica, primary: PartitionPrimary, *, from_now: bool = False
     ) -> bool:
-        """Whether a quorum has followed this primary within `CONFIRMED_WITHIN_S` and since the last pause of
-        this process; `from_now`: whether it does so after this call."""
+        """Return whether a quorum still follows this primary.
+
+        It must have done so within `CONFIRMATION_MAX_AGE_S` and since the last pause of this process; with
+        `from_now`, after this call.
+        """
         now = self._now()
-        within_s = min(CONFIRMED_WITHIN_S, now - self._running_since)
-        if not from_now and host.confirmed_since(now, within_s):
+        within_s = min(CONFIRMATION_MAX_AGE_S, now - self._resumed_at)
+        if not from_now and replica.has_recent_quorum(now, within_s):
             return True
-        confirmation = primary.confirmation(now)
-        self._after(host)
-        return await self._committed(confirmation)
+        confirmation = primary.propose_confirmation(now)
+        self._process_effects(replica)
+        return await self._wait_for_commit(confirmation)
 
     async def _lease(self, request: LeaseRequest) -> Leased:
         service = request.service
         asked_at = self._now()
         deadline = asked_at + request.wait_ms / 1000
         if request.lost:
-            self._give_back_lost(request)
-        while request.most > 0 and not self._grants.is_lost(request):
-            self._waiters.asked(service)
+            self._return_lost_grants(request)
+        while request.most > 0 and not self._grants.is_abandoned(request):
+            self._waiters.record_request(service)
             leased_after_ms = round((self._now() - asked_at) * 1000)
-            jobs = await self._confirmed_jobs(self._take(request))
-            if self._grants.is_lost(request):
-                self._give_back_unrun([job.lease for job in jobs])
+            jobs = await self._confirmed_jobs(self._lease_from_primaries(request))
+            if self._grants.is_abandoned(request):
+                self._return_unrun([job.lease for job in jobs])
                 break
             now = self._now()
             token_at = self._next_token_time(service, now)
             if jobs or now >= deadline or not self._started:
                 next_ms = 0 if token_at is None else max(1, round((token_at - now) * 1000))
-                self._grants.note(request, jobs)
+                self._grants.record(request, jobs)
                 return Leased(jobs, next_ms, leased_after_ms)
-            if not self._may_lease(request):
-                await asyncio.sleep(min(REFUSED_PAUSE_S, deadline - now))
+            if not self._can_lease(request):
+                await asyncio.sleep(min(DEAD_DISPATCHER_PAUSE_S, deadline - now))
                 return Leased([])
             await self._waiters.wait(service, deadline if token_at is None else min(deadline, token_at))
         self._waiters.wake(service)  # what woke this one may be for another
         return Leased([])
 
-    def _give_back_lost(self, request: LeaseRequest) -> None:
+    def _return_lost_grants(self, request: LeaseRequest) -> None:
         """The answer to an earlier request never came to its dispatcher, which begins nothing of it."""
-        self._give_back_unrun(self._grants.lost(request))
+        self._return_unrun(self._grants.take_lost(request))
         self._waiters.wake_all(request.service)
 
-    def _give_back_unrun(self, leases: list[str]) -> None:
+    def _return_unrun(self, leases: list[str]) -> None:
         now, wall_ms = self._now(), self._wall_ms()
         for name in leases:
             lease = records.parse_lease_id(name)
-            host = None if lease is None else self._hosts.get(lease.partition)
-            if lease is None or host is None or host.primary is None:
+            replica = None if lease is None else self._replicas.get(lease.partition)
+            if lease is None or replica is None or replica.primary is None:
                 continue
             with suppress(StorageError):  # then the lease runs out
-                host.primary.finish(lease, Finish(name, "not_run"), now, wall_ms)
-            self._after(host)
+                replica.primary.finish(lease, Finish(name, "not_run"), now, wall_ms)
+            self._process_effects(replica)
 
-    def _may_lease(self, request: LeaseRequest) -> bool:
+    def _can_lease(self, request: LeaseRequest) -> bool:
         """Whether a dispatcher gets leases: those of one that is judged dead would be dealt out again at the
         next change of any member.  Pull leases outlive their dispatcher."""
-        return request.pull or self._may_live(request.dispatcher, request.incarnation)
+        return request.pull or self._may_be_alive(request.dispatcher, request.incarnation)
 
-    def _take(self, request: LeaseRequest) -> list[LeasedHere]:
+    def _lease_from_primaries(self, request: LeaseRequest) -> list[LocalGrant]:
         """Lease ready jobs from the partitions served here."""
         now, wall_ms = self._now(), self._wall_ms()
-        taken: list[LeasedHere] = []
-        if not self._may_lease(request):
-            return taken
-        for host in self._replicator.serving():
-            primary = host.primary
-            if primary is None or len(taken) >= request.most or primary.queue.first(request.service) is None:
+        outcome: list[LocalGrant] = []
+        if not self._can_lease(request):
+            return outcome
+        for replica in self._replicator.serving_replicas():
+            primary = replica.primary
+            if primary is None or len(outcome) >= request.most or primary.queue.peek(request.service) is None:
                 continue
             with suppress(StorageError):
-                grants = primary.lease(request, request.most - len(taken), now, wall_ms)
-                taken += [LeasedHere(host, grant) for grant in grants]
-            self._after(host)
+                grants = primary.lease(request, request.most - len(outcome), now, wall_ms)
+                outcome += [LocalGrant(replica, grant) for grant in grants]
+            self._process_effects(replica)
         self._waiters.wake(request.service)
-        return taken
+        return outcome
 
-    async def _confirmed_jobs(self, taken: list[LeasedHere]) -> list[Job]:
+    async def _confirmed_jobs(self, outcome: list[LocalGrant]) -> list[Job]:
         """The jobs whose leases a quorum knows; the others are given back."""
         jobs = []
-        for host, grant in taken:
-            committed = await self._is_committed(host, grant)
-            if host.primary is None:
+        for replica, grant in outcome:
+            committed = await self._is_committed(replica, grant)
+            if replica.primary is None:
                 continue
-            if committed and host.primary.holds(grant):
+            if committed and replica.primary.is_grant_valid(grant):
                 jobs.append(grant.job)
             else:
-                self._take_back(host, host.primary, grant)
+                self._cancel_grant(replica, replica.primary, grant)
         return jobs
 
-    def _take_back(self, host: PartitionHost, primary: PartitionPrimary, grant: Grant) -> None:
+    def _cancel_grant(self, replica: PartitionReplica, primary: PartitionPrimary, grant: LeaseGrant) -> None:
         """A grant that does not go out; a call-back is offered again after a pause."""
         now, wall_ms = self._now(), self._wall_ms()
         lease = records.parse_lease_id(grant.job.lease)
-        if lease is not None and lease.callback:
+        if lease is not None and lease.is_callback:
             primary.finish(lease, Finish(grant.job.lease, "not_run"), now, wall_ms)
         else:
-            primary.give_back(grant, now, wall_ms)
-        self._after(host)
+            primary.cancel_grant(grant, now, wall_ms)
+        self._process_effects(replica)
 
-    async def _is_committed(self, host: PartitionHost, grant: Grant) -> bool:
+    async def _is_committed(self, replica: PartitionReplica, grant: LeaseGrant) -> bool:
         """Whether a quorum knows a lease; for one without a record (a call-back's), follows its primary."""
         if grant.proposal is not None:
-            return await self._committed(grant.proposal)
-        return host.primary is not None and await self._is_followed(host, host.primary)
+            return await self._wait_for_commit(grant.proposal)
+        return replica.primary is not None and await self._has_quorum(replica, replica.primary)
 
     def _has_ready(self, service: str) -> bool:
         now = self._now()
-        return any(host.primary.has_ready(service, now) for host in self._hosts.values() if host.primary)
+        return any(
+            replica.primary.has_ready(service, now) for replica in self._replicas.values() if replica.primary
+        )
 
     def _next_token_time(self, service: str, now: float) -> float | None:
-        times = [host.primary.next_token_time(service, now) for host in self._hosts.values() if host.primary]
+        times = [
+            replica.primary.next_token_time(service, now)
+            for replica in self._replicas.values()
+            if replica.primary
+        ]
         return min((time for time in times if time is not None), default=None)
 
-    async def _committed(self, proposal: Proposal) -> bool:
+    async def _wait_for_commit(self, proposal: Proposal) -> bool:
         """Wait until a quorum has the record; False where that is not known in time."""
-        if proposal.committed:
+        if proposal.is_committed:
             return True
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        proposal.wait(partial(_resolve, future))
+        proposal.add_waiter(partial(_resolve, future))
         return await future
 
-    async def _primary(self, partition: int) -> PartitionPrimary | None:
+    async def _wait_for_primary(self, partition: int) -> PartitionPrimary | None:
         """The primary of a partition; a call waits a little for a takeover to finish."""
-        host = self._hosts.get(partition)
-        if host is not None and host.primary is not None:
-            return host.primary
+        replica = self._replicas.get(partition)
+        if replica is not None and replica.primary is not None:
+            return replica.primary
         deadline = self._now() + SERVING_WAIT_S
-        while host is not None and host.is_placed_here and host.epoch:
+        while replica is not None and replica.is_placed_primary and replica.epoch:
             try:
                 async with asyncio.timeout_at(deadline):
                     await self._serving_changed.wait()
             except TimeoutError:
                 return None
-            if host.primary is not None:
-                return host.primary
+            if replica.primary is not None:
+                return replica.primary
         return None
 
-    def _why_not(self, partition: int) -> str:
+    def _unavailable_status(self, partition: int) -> str:
         """The status to answer with where no primary serves here."""
-        host = self._hosts.get(partition)
-        taking_over = host is not None and host.is_placed_here and host.epoch > 0
+        replica = self._replicas.get(partition)
+        taking_over = replica is not None and replica.is_placed_primary and replica.epoch > 0
         return "unavailable" if taking_over else "not_primary"
 
     # Steps of the primaries
 
-    def _begin(self, host: PartitionHost) -> None:
+    def _start_serving(self, replica: PartitionReplica) -> None:
         """Enough replicas have been compared: serve."""
         now, wall_ms = self._now(), self._wall_ms()
-        host.primary = PartitionPrimary(
-            host.table, host.epoch, self._state.configuration, self._visibility_ms, self._chance, now, wall_ms
+        replica.primary = PartitionPrimary(
+            replica.table,
+            replica.epoch,
+            self._state.configuration,
+            self._visibility_ms,
+            self._random_source,
+            now,
+            wall_ms,
         )
-        host.primary.release_dispatchers(self._may_live, now, wall_ms)
-        self._after(host)
+        replica.primary.release_dispatchers(self._may_be_alive, now, wall_ms)
+        self._process_effects(replica)
         self._serving_changed.set()
         self._serving_changed = asyncio.Event()
 
-    def _after(self, host: PartitionHost) -> None:
+    def _process_effects(self, replica: PartitionReplica) -> None:
         """After any step of a primary: send what it proposed, wake who waits, watch the clock."""
-        primary = host.primary
+        primary = replica.primary
         if primary is None:
             return
         if primary.outbox:
             proposals, primary.outbox = primary.outbox, []
             for proposal in proposals:
-                self._replicator.propose(host, proposal)
-        if primary.queue.gained:
-            gained, primary.queue.gained = primary.queue.gained, set()
+                self._replicator.propose(replica, proposal)
+        if primary.queue.newly_ready_services:
+            gained, primary.queue.newly_ready_services = primary.queue.newly_ready_services, set()
             for service in gained:
                 self._waiters.wake(service)
-        self._arm(primary.next_time())
+        self._schedule_advance(primary.next_event_time())
 
-    def _changed(self, key: str) -> None:
+    def _on_state_change(self, key: str) -> None:
         """The cluster's state has changed."""
         if not self._started:
             return
         now, wall_ms = self._now(), self._wall_ms()
         if key == PLACEMENT:
-            self._replicator.place()
+            self._replicator.apply_placement()
         elif key == CONFIGURATION and self._state.configuration is not None:
-            for host in self._replicator.serving():
-                if host.primary is not None:
-                    host.primary.configure(self._state.configuration, now, wall_ms)
-                    self._after(host)
+            for replica in self._replicator.serving_replicas():
+                if replica.primary is not None:
+                    replica.primary.configure(self._state.configuration, now, wall_ms)
+                    self._process_effects(replica)
         elif key.startswith(MEMBER_PREFIX):
-            for host in self._replicator.serving():
-                if host.primary is not None:
-                    host.primary.release_dispatchers(self._may_live, now, wall_ms)
-                    self._after(host)
+            for replica in self._replicator.serving_replicas():
+                if replica.primary is not None:
+                    replica.primary.release_dispatchers(self._may_be_alive, now, wall_ms)
+                    self._process_effects(replica)
 
-    def _may_live(self, name: str, incarnation: int) -> bool:
+    def _may_be_alive(self, name: str, incarnation: int) -> bool:
         """Whether a dispatcher may still end its leases: not after a later life has begun, nor once it was
         judged dead.  One that leaves ends its deliveries itself."""
         member = self._state.members.get(name)
@@ -463,19 +481,19 @@
             await asyncio.sleep(TICK_S)
             now = self._now()
             self._notice_pause(now)
-            self._replicator.give_up_waiting(now, COMMIT_TIMEOUT_S, LEASE_COMMIT_TIMEOUT_S)
-            self._recovery.look_after_learners(now)
-            for host in self._hosts.values():
-                self._replicator.serve_if_complete(host)
+            self._replicator.time_out_waiters(now, COMMIT_TIMEOUT_S, LEASE_COMMIT_TIMEOUT_S)
+            self._recovery.report_learners(now)
+            for replica in self._replicas.values():
+                self._replicator.serve_if_ready(replica)
             if now >= self._next_recover:
-                self._next_recover = now + RECOVER_EVERY_S
+                self._next_recover = now + RECOVERY_INTERVAL_S
                 self._recovery.recover_all()
             if now >= self._next_forget:
-                self._next_forget = now + FORGET_EVERY_S
+                self._next_forget = now + FORGET_INTERVAL_S
                 self._forget(now)
             if now >= self._next_scrub:
-                self._next_scrub = now + SCRUB_EVERY_S
-                self._replicator.run(self._recovery.scrub())
+                self._next_scrub = now + SCRUB_INTERVAL_S
+                self._replicator.start_task(self._recovery.scrub())
 
     def _notice_pause(self, now: float) -> None:
         """While this process did not run, words of lease holders may have come that are still unread, and
@@ -483,19 +501,19 @@
         pause_s = self._pauses.tick(now)
         if not pause_s:
             return
-        self._running_since = now
-        for host in self._replicator.serving():
-            if host.primary is not None:
-                host.primary.postpone_leases(pause_s)
+        self._resumed_at = now
+        for replica in self._replicator.serving_replicas():
+            if replica.primary is not None:
+                replica.primary.postpone_leases(pause_s)
 
     def _forget(self, now: float) -> None:
-        for host in self._hosts.values():
-            forgotten = host.table.forget_expired(self._wall_ms())
-            if host.primary is not None and forgotten:
-                host.primary.forgotten(forgotten)
-        self._replicator.drop_moved(now)
+        for replica in self._replicas.values():
+            forgotten = replica.table.forget_expired(self._wall_ms())
+            if replica.primary is not None and forgotten:
+                replica.primary.forget(forgotten)
+        self._replicator.drop_moved_partitions(now)
 
-    def _arm(self, due: float | None) -> None:
+    def _schedule_advance(self, due: float | None) -> None:
         """Let time pass at the primaries when the next thing falls due."""
         if due is None or (self._timer is not None and self._timer_at <= due):
             return
@@ -508,10 +526,10 @@
         self._timer = None
         now, wall_ms = self._now(), self._wall_ms()
         self._notice_pause(now)
-        for host in self._replicator.serving():
-            if host.primary is not None:
-                host.primary.advance(now, wall_ms)
-                self._after(host)
+        for replica in self._replicator.serving_replicas():
+            if replica.primary is not None:
+                replica.primary.advance(now, wall_ms)
+                self._process_effects(replica)
 
     def _now(self) -> float:
         return self._replicator.clock()
--- a/hollowusher/messages/open_grants.py
+++ b/hollowusher/messages/unacknowledged_grants.py
@@ -11,10 +11,10 @@
 
 from hollowusher.protocol.leases import Job, LeaseRequest
 
-MOST_ASKERS = 4_096
+MAX_REQUESTERS = 4_096
 
 
-class Asker(NamedTuple):
+class LeaseRequester(NamedTuple):
     """Who asks for jobs, with one request at a time."""
 
     dispatcher: str
@@ -23,37 +23,37 @@
     pull: bool
 
 
-class Granted(NamedTuple):
+class GrantedLeases(NamedTuple):
     """The last answer to an asker that held jobs."""
 
     number: int
     leases: list[str]
 
 
-def _asker_of(request: LeaseRequest) -> Asker:
-    return Asker(request.dispatcher, request.incarnation, request.service, request.pull)
+def _requester_of(request: LeaseRequest) -> LeaseRequester:
+    return LeaseRequester(request.dispatcher, request.incarnation, request.service, request.pull)
 
 
-class OpenGrants:
+class UnacknowledgedGrants:
     """The last grants of each asker, and the last request that each has declared lost."""
 
     def __init__(self) -> None:
-        self._granted: dict[Asker, Granted] = {}
-        self._lost: dict[Asker, int] = {}
+        self._granted: dict[LeaseRequester, GrantedLeases] = {}
+        self._lost: dict[LeaseRequester, int] = {}
 
-    def note(self, request: LeaseRequest, jobs: list[Job]) -> None:
+    def record(self, request: LeaseRequest, jobs: list[Job]) -> None:
         """These jobs go out in answer to a request."""
         if not request.number:
             return
-        asker = _asker_of(request)
+        asker = _requester_of(request)
         self._granted.pop(asker, None)
         if jobs:
-            self._granted[asker] = Granted(request.number, [job.lease for job in jobs])
+            self._granted[asker] = GrantedLeases(request.number, [job.lease for job in jobs])
             _drop_oldest(self._granted)
 
-    def lost(self, request: LeaseRequest) -> list[str]:
+    def take_lost(self, request: LeaseRequest) -> list[str]:
         """The leases that were granted by the answer which a request declares lost; they are given once."""
-        asker = _asker_of(request)
+        asker = _requester_of(request)
         self._lost.pop(asker, None)
         self._lost[asker] = request.lost
         _drop_oldest(self._lost)
@@ -63,11 +63,11 @@
         del self._granted[asker]
         return granted.leases
 
-    def is_lost(self, request: LeaseRequest) -> bool:
+    def is_abandoned(self, request: LeaseRequest) -> bool:
         """Whether the asker has given up waiting for the answer to this request."""
-        return 0 < request.number <= self._lost.get(_asker_of(request), 0)
+        return 0 < request.number <= self._lost.get(_requester_of(request), 0)
 
 
-def _drop_oldest(entries: dict[Asker, Granted] | dict[Asker, int]) -> None:
-    while len(entries) > MOST_ASKERS:
+def _drop_oldest(entries: dict[LeaseRequester, GrantedLeases] | dict[LeaseRequester, int]) -> None:
+    while len(entries) > MAX_REQUESTERS:
         del entries[next(iter(entries))]
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -19,7 +19,7 @@
     StatusListenFailed,
     StoreStarted,
 )
-from hollowusher.messages.service import StoreService
+from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.membership import Member
 from hollowusher.roles.change_log import ChangeLog
 from hollowusher.roles.logs import describe_error, log
--- a/hollowusher/roles/store_site.py
+++ b/hollowusher/roles/store_site.py
@@ -12,7 +12,7 @@
 
 from hollowusher.console.store_report import DiskReport, StoreReport, kept_partitions
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.messages.service import StoreService
+from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.membership import Member
 from hollowusher.roles.status_site import StatusSite
 from hollowusher.storage.ring_log import RingLog
@@ -50,7 +50,7 @@
             0 if configuration is None else configuration.generation,
             round(now - self._started, 1),
             self._disk(now),
-            kept_partitions(self._service.hosts(), me.store_id),
+            kept_partitions(self._service.replicas(), me.store_id),
             self._figures(),
         )
 
--- a/hollowusher/simulation/model_check/partition_planted.py
+++ b/hollowusher/simulation/model_check/partition_planted.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from hollowusher.coordination.placement import planner, replica_states
-from hollowusher.messages.hosting import PartitionHost
+from hollowusher.messages.replication.partition_replica import PartitionReplica
 from hollowusher.simulation.model_check import partition_head
 
 OLD_GONE_S = 8.0
@@ -37,27 +37,27 @@
 
 def _commit_without_learner() -> dict[tuple[Any, str], Any]:
     """Commits do not wait for a learner that was reported."""
-    settle = PartitionHost._settle
+    settle = PartitionReplica._commit_if_replicated
 
-    def settle_without(self: PartitionHost, proposal: Any) -> bool:
-        self.required = set()
+    def settle_without(self: PartitionReplica, proposal: Any) -> bool:
+        self.required_learners = set()
         return settle(self, proposal)
 
-    return {(PartitionHost, "_settle"): settle_without}
+    return {(PartitionReplica, "_commit_if_replicated"): settle_without}
 
 
 def _epoch_led_again() -> dict[tuple[Any, str], Any]:
     """A restarted primary leads the epoch of its earlier life."""
 
-    def is_led_by(self: PartitionHost, incarnation: int) -> bool:
+    def is_led_by(self: PartitionReplica, incarnation: int) -> bool:
         return self.placement is not None and self.placement.primary == self.me
 
-    return {(PartitionHost, "_is_led_by"): is_led_by}
+    return {(PartitionReplica, "_is_led_by"): is_led_by}
 
 
 def _small_takeover() -> dict[tuple[Any, str], Any]:
     """A new primary serves without asking any other replica."""
-    return {(PartitionHost, "takeover_quorum"): property(lambda self: 1)}
+    return {(PartitionReplica, "takeover_quorum"): property(lambda self: 1)}
 
 
 PLANTED = {
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -8,10 +8,10 @@
 
 from hollowusher.configuration import orders
 from hollowusher.coordination.controller.state_service import StateService
-from hollowusher.messages.active import GONE, LeaseEnd
-from hollowusher.messages.leases import MessageLeases
-from hollowusher.messages.primary import PartitionPrimary
-from hollowusher.messages.records import Status
+from hollowusher.messages.partition.active_messages import GONE, LeaseOutcome
+from hollowusher.messages.partition.message_leases import MessageLeases
+from hollowusher.messages.partition.partition_primary import PartitionPrimary
+from hollowusher.messages.records import MessageStatus
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import LeaseAnswer
 from hollowusher.roles import edge
@@ -50,7 +50,7 @@
 
 @planted("MIXED")
 def _repeated_end_refused(patches: Patches) -> None:
-    patches.set(LeaseEnd, "is_repeat", lambda end, state: False)
+    patches.set(LeaseOutcome, "is_repeat", lambda end, state: False)
 
 
 @planted("LOST")
@@ -60,7 +60,7 @@
     def status(primary: PartitionPrimary, key: Any, want_body: bool) -> Any:
         answer = real(primary, key, want_body)
         entry = primary.table.entries.get(key)
-        ended = entry is not None and entry.status is Status.COMPLETED
+        ended = entry is not None and entry.status is MessageStatus.COMPLETED
         return evolve(answer, state="unknown") if ended else answer
 
     patches.set(PartitionPrimary, "status", status)
@@ -138,7 +138,7 @@
 @planted("TWICE", "MIXED")
 def _end_of_a_lost_lease_taken(patches: Patches) -> None:
     real = MessageLeases.finish
-    patches.set(MessageLeases, "lease_seconds", lambda leases, active, state: 0.05)
+    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
 
     def finish(leases: MessageLeases, lease: Any, request: Any, now: float, wall_ms: int) -> Any:
         answer = real(leases, lease, request, now, wall_ms)
--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -11,8 +11,8 @@
 from hollowusher.coordination.chain import chain_replicator
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
-from hollowusher.messages.primary import PartitionPrimary
-from hollowusher.messages.records import Status
+from hollowusher.messages.partition.partition_primary import PartitionPrimary
+from hollowusher.messages.records import MessageStatus
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ChainWritten
 from hollowusher.simulation.planted.registry import HERDS, Patches, attack, planted
@@ -123,7 +123,7 @@
     def status(primary: PartitionPrimary, key: Any, want_body: bool) -> Any:
         answer = real(primary, key, want_body)
         entry = primary.table.entries.get(key)
-        leased = entry is not None and entry.status is Status.LEASED
+        leased = entry is not None and entry.status is MessageStatus.LEASED
         return evolve(answer, state="completed") if leased else answer
 
     patches.set(PartitionPrimary, "status", status)
--- a/hollowusher/simulation/planted/queues.py
+++ b/hollowusher/simulation/planted/queues.py
@@ -7,11 +7,12 @@
 
 import attrs
 
-from hollowusher.messages.adoption import Adoption
-from hollowusher.messages.leases import MessageLeases
-from hollowusher.messages.lifecycle import MessageLifecycle
-from hollowusher.messages.primary import ActiveMessage, PartitionPrimary
-from hollowusher.messages.queue import MessageQueue, Stage, TokenBucket
+from hollowusher.messages.partition.active_messages import ActiveMessage
+from hollowusher.messages.partition.message_leases import MessageLeases
+from hollowusher.messages.partition.message_lifecycle import MessageLifecycle
+from hollowusher.messages.partition.message_queue import MessageQueue, QueueStage, TokenBucket
+from hollowusher.messages.partition.message_restorer import MessageRestorer
+from hollowusher.messages.partition.partition_primary import PartitionPrimary
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import Finish, LeaseAnswer
 from hollowusher.simulation.planted.registry import MOVES, NEVER_S, Patches, attack, planted
@@ -27,24 +28,24 @@
 
 @planted("ORDER")
 def _next_of_key_leaves_with_the_lease(patches: Patches) -> None:
-    real = MessageQueue.take
+    real = MessageQueue.lease_next
 
     def take(queue: MessageQueue, service: str) -> Any:
         message = real(queue, service)
         if message is not None and message.ordering_key:
-            lane = queue._lanes[message.service, message.ordering_key]
+            lane = queue._ordering_groups[message.service, message.ordering_key]
             if lane[0] is message and len(lane) > 1:
                 lane.append(lane.pop(0))
-                if lane[0].stage is Stage.WAITING:
+                if lane[0].stage is QueueStage.WAITING:
                     queue._schedule(lane[0], queue._now)
         return message
 
-    patches.set(MessageQueue, "take", take)
+    patches.set(MessageQueue, "lease_next", take)
 
 
 @planted("CEILING")
 def _ceiling_by_each_alone(patches: Patches) -> None:
-    patches.set(TokenBucket, "RATE_SHARE", 4.0)
+    patches.set(TokenBucket, "RATE_FRACTION", 4.0)
 
 
 @planted("CEILING", kinds=MOVES)
@@ -68,7 +69,7 @@
 
     def activate(lifecycle: MessageLifecycle, *arguments: Any) -> ActiveMessage:
         active = real(lifecycle, *arguments)
-        active.due_ms = 0
+        active.due_wall_ms = 0
         return active
 
     patches.set(MessageLifecycle, "activate", activate)
@@ -79,19 +80,19 @@
 
 @planted("TWICE")
 def _lease_lapses_early(patches: Patches) -> None:
-    patches.set(MessageLeases, "lease_seconds", lambda leases, active, state: 0.05)
+    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
 
 
 @planted("UNSERVED")
 def _lease_never_lapses(patches: Patches) -> None:
-    patches.set(MessageLeases, "lease_seconds", lambda leases, active, state: NEVER_S)
+    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: NEVER_S)
 
 
 def _on_finish(patches: Patches, change: Callable[[Finish], Finish]) -> None:
     real = PartitionPrimary.finish
 
     def finish(primary: PartitionPrimary, lease: Any, request: Finish, now: float, wall_ms: int) -> Any:
-        return real(primary, lease, request if lease.callback else change(request), now, wall_ms)
+        return real(primary, lease, request if lease.is_callback else change(request), now, wall_ms)
 
     patches.set(PartitionPrimary, "finish", finish)
 
@@ -99,7 +100,7 @@
 @planted("TWICE")
 def _every_end_taken(patches: Patches) -> None:
     real = PartitionPrimary.finish
-    patches.set(MessageLeases, "lease_seconds", lambda leases, active, state: 0.05)
+    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
 
     def finish(primary: PartitionPrimary, lease: Any, request: Finish, now: float, wall_ms: int) -> Any:
         answer = real(primary, lease, request, now, wall_ms)
@@ -193,4 +194,4 @@
 
 @planted("UNTOLD", kinds=MOVES)
 def _callback_forgotten_at_takeover(patches: Patches) -> None:
-    patches.set(Adoption, "adopt_ended", lambda adoption, entry, now, wall_ms: None)
+    patches.set(MessageRestorer, "restore_ended", lambda adoption, entry, now, wall_ms: None)
