--- a/tests/messages/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -10,10 +10,12 @@
 
 from hollowusher.configuration.model import read_document
 from hollowusher.messages import records
-from hollowusher.messages.primary import CALLBACK_LEASE_S, Grant, PartitionPrimary, callback_service
-from hollowusher.messages.proposal import Proposal
-from hollowusher.messages.records import Key, LeaseId, State, Status
-from hollowusher.messages.table import CLOCK_MARGIN_MS, PartitionTable, RecordCache
+from hollowusher.messages.partition.active_messages import LeaseGrant, callback_service_name
+from hollowusher.messages.partition.callback_jobs import CALLBACK_LEASE_S
+from hollowusher.messages.partition.partition_primary import PartitionPrimary
+from hollowusher.messages.partition.partition_table import CLOCK_MARGIN_MS, PartitionTable, RecordCache
+from hollowusher.messages.partition.proposal import Proposal
+from hollowusher.messages.records import LeaseId, MessageKey, MessageState, MessageStatus
 from hollowusher.protocol.leases import Finish, LeaseAnswer, LeaseRequest
 from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
 from hollowusher.storage.interface import StorageError
@@ -51,13 +53,13 @@
             for proposal in proposals:
                 self.primary.commit(proposal, self.now, self.wall_ms)
 
-    def stepped(self) -> None:
+    def on_primary_changed(self) -> None:
         if not self.hold:
             self.commit()
 
-    def put(self, new: NewMessage) -> Key:
+    def put(self, new: NewMessage) -> MessageKey:
         kept = self.primary.put(new, self.now, self.wall_ms)
-        self.stepped()
+        self.on_primary_changed()
         if isinstance(kept, Proposal):
             return kept.key
         parsed = records.parse_reference(kept.reference)
@@ -66,41 +68,41 @@
 
     def lease(
         self, most: int = 1, service: str = "s", pull: bool = False, dispatcher: str = "e"
-    ) -> list[Grant]:
+    ) -> list[LeaseGrant]:
         request = LeaseRequest(dispatcher, 1, service, most, 0, pull, 3_000 if pull else 0)
         grants = self.primary.lease(request, most, self.now, self.wall_ms)
-        self.stepped()
+        self.on_primary_changed()
         return grants
 
-    def finish(self, grant: Grant, result: str, signature: str = "", retry_ms: int = 0) -> str:
+    def finish(self, grant: LeaseGrant, result: str, signature: str = "", retry_ms: int = 0) -> str:
         finish = Finish(grant.job.lease, result, signature, retry_ms)
         answer = self.primary.finish(lease_of(grant), finish, self.now, self.wall_ms)
-        self.stepped()
+        self.on_primary_changed()
         return answer.status if isinstance(answer, LeaseAnswer) else "taken"
 
-    def extend(self, grant: Grant) -> str:
+    def extend(self, grant: LeaseGrant) -> str:
         answer = self.primary.extend(lease_of(grant), self.now, self.wall_ms)
-        self.stepped()
+        self.on_primary_changed()
         return answer.status if isinstance(answer, LeaseAnswer) else "taken"
 
     def sleep(self, seconds: float) -> None:
         """Let time pass, event by event."""
         until = self.now + seconds
-        while (due := self.primary.next_time()) is not None and due <= until:
+        while (due := self.primary.next_event_time()) is not None and due <= until:
             self.now = max(self.now, due)
             self.primary.advance(self.now, self.wall_ms)
-            self.stepped()
+            self.on_primary_changed()
         self.now = until
 
     def release_dispatchers(self, alive: Callable[[str, int], bool]) -> None:
         self.primary.release_dispatchers(alive, self.now, self.wall_ms)
-        self.stepped()
+        self.on_primary_changed()
 
     def configure(self, document: bytes) -> None:
         self.primary.configure(read_document(document), self.now, self.wall_ms)
-        self.stepped()
+        self.on_primary_changed()
 
-    def status(self, key: Key, body: bool = False) -> StatusAnswer:
+    def status(self, key: MessageKey, body: bool = False) -> StatusAnswer:
         return self.primary.status(key, body)
 
     def taken_over(self) -> Partition:
@@ -108,7 +110,7 @@
         return Partition(self.table, self.primary.epoch + 1, self.now)
 
 
-def lease_of(grant: Grant) -> LeaseId:
+def lease_of(grant: LeaseGrant) -> LeaseId:
     lease = records.parse_lease_id(grant.job.lease)
     assert lease is not None
     return lease
@@ -303,7 +305,7 @@
         partition = Partition()
         key = partition.put(message("m1"))
         bare = new_table()
-        for record in partition.table.records_beyond(partition.table.entries[key], None):
+        for record in partition.table.missing_records(partition.table.entries[key], None):
             bare.apply(record, partition.wall_ms)
         [grant] = partition.lease(pull=True)
         after = Partition(bare, epoch=2, now=partition.now)
@@ -330,7 +332,7 @@
         partition.put(message("m1"))
         bare = new_table()
         for entry in partition.table.entries.values():
-            for record in partition.table.records_beyond(entry, None):
+            for record in partition.table.missing_records(entry, None):
                 bare.apply(record, partition.wall_ms)
         [first] = partition.lease(pull=True)
         after = Partition(bare, epoch=1, now=partition.now + 0.5)
@@ -409,9 +411,9 @@
         hidden = old.put(message("m1"))
         after = Partition(epoch=2)
         kept = after.put(message("m1"))
-        for record in old.table.records_beyond(old.table.entries[hidden], None):
+        for record in old.table.missing_records(old.table.entries[hidden], None):
             after.table.apply(record, after.wall_ms)
-        after.primary.adopt(hidden, after.now, after.wall_ms)
+        after.primary.restore(hidden, after.now, after.wall_ms)
         after.commit()
         assert [lease_of(grant).key for grant in after.lease(most=5)] == [kept]
 
@@ -428,7 +430,7 @@
     def test_bodies_beyond_the_cache_come_from_the_log(self) -> None:
         partition = Partition(new_table(cache_bytes=10))
         key = partition.put(message("m1", body=b"x" * 1000))
-        assert partition.table.entries[key].put_record is None
+        assert partition.table.entries[key].read_put_record is None
         assert partition.status(key, body=True).body == b"x" * 1000
         assert partition.lease()[0].job.message.body == b"x" * 1000
 
@@ -499,9 +501,9 @@
         assert waits == pytest.approx([0.0, 0.3, 0.6, 1.2, 2.4, 3.0], abs=0.02)
 
     def test_addresses(self) -> None:
-        assert callback_service("http://10.0.0.4:8080/path") == "callback:10.0.0.4:8080"
-        assert callback_service("http://10.0.0.4/path") == "callback:10.0.0.4:80"
-        assert callback_service("nonsense") == callback_service("http://h:x/") == ""
+        assert callback_service_name("http://10.0.0.4:8080/path") == "callback:10.0.0.4:8080"
+        assert callback_service_name("http://10.0.0.4/path") == "callback:10.0.0.4:80"
+        assert callback_service_name("nonsense") == callback_service_name("http://h:x/") == ""
 
 
 class TestForgetting:
@@ -519,7 +521,7 @@
         assert partition.table.forget_expired(partition.wall_ms) == []
         partition.sleep(2.0)
         forgotten = partition.table.forget_expired(partition.wall_ms)
-        partition.primary.forgotten(forgotten)
+        partition.primary.forget(forgotten)
         assert sorted(forgotten) == [done, dead]
         states = [partition.status(key).state for key in (done, dead, waiting)]
         assert states == ["unknown", "unknown", "queued"]
@@ -541,24 +543,26 @@
 
 class TestRecords:
     def test_put_and_state_survive_packing(self) -> None:
-        put = records.Put(5, 6, 7, message("m1", headers=[["a", "b"]], body=bytes(range(256))))
+        put = records.AcceptedMessage(5, 6, 7, message("m1", headers=[["a", "b"]], body=bytes(range(256))))
         record = records.pack_put(3, (9, 1 << 60), put)
-        assert records.header_of(record) == (records.Kind.PUT, 3, 9, 1 << 60)
+        assert records.unpack_header(record) == (records.RecordKind.PUT, 3, 9, 1 << 60)
         assert records.unpack_put(record) == put
-        state = State((4, 5), Status.DEAD_LETTER, 2, 7, "e", 1, True, 3, 4, "failed", "", True, 9, "m1", URL)
+        state = MessageState(
+            (4, 5), MessageStatus.DEAD_LETTER, 2, 7, "e", 1, True, 3, 4, "failed", "", True, 9, "m1", URL
+        )
         record = records.pack_state(3, (1, 2), state)
-        assert records.unpack_state(record, records.header_of(record).version) == ((1, 2), state)
+        assert records.unpack_state(record, records.unpack_header(record).version) == ((1, 2), state)
 
     def test_names(self) -> None:
-        assert records.parse_reference(records.reference_of(3, (1, 2))) == (3, (1, 2))
+        assert records.parse_reference(records.format_reference(3, (1, 2))) == (3, (1, 2))
         for nonsense in ("", "1-2", "1-2-x", "1-2-3-4", "-1-2-3", "1-2-³"):
             assert records.parse_reference(nonsense) is None
         for callback in (False, True):
-            lease = records.lease_id_of(3, (1, 2), 4, callback)
+            lease = records.format_lease_id(3, (1, 2), 4, callback)
             assert records.parse_lease_id(lease) == LeaseId(3, (1, 2), 4, callback)
         for nonsense in ("", "1-2-3", "1-2-3-", "1-2-3-d4", "1-2-3-c"):
             assert records.parse_lease_id(nonsense) is None
-        assert len(records.reference_of(4095, (10**6, 1 << 62))) <= 64
+        assert len(records.format_reference(4095, (10**6, 1 << 62))) <= 64
 
 
 # Random plays against a plain model
@@ -569,7 +573,7 @@
     """What a plain observer knows of one message."""
 
     new: NewMessage
-    key: Key
+    key: MessageKey
     due: float
     stored: bool = False  # its put was acknowledged
     ended: bool = False  # an end of it was sent
@@ -592,7 +596,7 @@
         self.now = 100.0
         self.epoch = 0
         self.tables = [new_table() for _ in range(3)]
-        self.messages: dict[Key, ModelMessage] = {}
+        self.messages: dict[MessageKey, ModelMessage] = {}
         self.leases: dict[str, ModelMessage] = {}
         self.in_flight: list[tuple[int, Proposal, int]] = []  # epoch, proposal, replica that lacks it
         self.home = 0
@@ -609,12 +613,12 @@
         other = self.chance.choice([number for number in range(3) if number != home])
         one, two = self.tables[home], self.tables[other]
         for source, target in ((two, one), (one, two)):
-            found, _ = source.newer_than(target.versions(range(64)))
+            found, _ = source.records_newer_than(target.bucket_versions(range(64)))
             for record in found:
                 target.apply(record, self.wall_ms)
-        assert one.digests() == two.digests()
+        assert one.bucket_digests() == two.bucket_digests()
         for _, proposal, _ in self.in_flight:
-            proposal.answer(False)
+            proposal.resolve_waiters(False)
         self.in_flight.clear()
         self.home = home
         return PartitionPrimary(
@@ -646,7 +650,7 @@
                 continue
             if proposal.record:
                 self.tables[replica].apply(proposal.record, self.wall_ms)
-            if not proposal.committed:
+            if not proposal.is_committed:
                 self.primary.commit(proposal, self.now, self.wall_ms)
                 self.collect()
 
@@ -672,24 +676,24 @@
         entry = self.messages.setdefault(
             kept.key, ModelMessage(new, kept.key, self.now + new.delay_ms / 1000)
         )
-        kept.wait(lambda committed: setattr(entry, "stored", entry.stored or committed))
+        kept.add_waiter(lambda committed: setattr(entry, "stored", entry.stored or committed))
         self.collect()
 
     def lease(self) -> None:
         request = LeaseRequest("e", 1, "s", 3, 0, True, 3_000)
         for grant in self.primary.lease(request, self.chance.randint(1, 3), self.now, self.wall_ms):
             assert grant.proposal is not None
-            grant.proposal.wait(self.handing_out(grant))
+            grant.proposal.add_waiter(self.handing_out(grant))
         self.collect()
 
-    def handing_out(self, grant: Grant) -> Callable[[bool], None]:
+    def handing_out(self, grant: LeaseGrant) -> Callable[[bool], None]:
         def hand_out(committed: bool) -> None:
-            if committed and self.primary.holds(grant):
+            if committed and self.primary.is_grant_valid(grant):
                 self.granted(grant)
 
         return hand_out
 
-    def granted(self, grant: Grant) -> None:
+    def granted(self, grant: LeaseGrant) -> None:
         """A worker gets the job: nobody else may have it, nothing older of its key may be open."""
         entry = self.messages[lease_of(grant).key]
         self.grants += 1
@@ -729,7 +733,7 @@
         if entry.holder == lease:
             entry.holder = ""
         if isinstance(answer, Proposal):
-            answer.wait(lambda committed: self.took(entry, lease, result) if committed else None)
+            answer.add_waiter(lambda committed: self.took(entry, lease, result) if committed else None)
 
     def took(self, entry: ModelMessage, lease: str, result: str) -> None:
         """An end was acknowledged."""
@@ -799,8 +803,8 @@
     """What is leased next is what a search of a plain list finds."""
     chance = random.Random(seed)
     partition = Partition()
-    plain: dict[Key, ModelMessage] = {}
-    out: list[Grant] = []
+    plain: dict[MessageKey, ModelMessage] = {}
+    out: list[LeaseGrant] = []
     for number in range(800):
         partition.sleep(chance.random() * 0.05)
         step = chance.random()
--- a/tests/messages/test_queue.py
+++ b/tests/messages/test_queue.py
@@ -7,13 +7,19 @@
 
 import pytest
 
-from hollowusher.messages.queue import LATE_TURN, MessageQueue, QueuedMessage, Stage, TokenBucket
+from hollowusher.messages.partition.message_queue import (
+    LATE_LEASE_INTERVAL,
+    MessageQueue,
+    QueuedMessage,
+    QueueStage,
+    TokenBucket,
+)
 
 
 def queued(
-    number: int, priority: int = 0, due_ms: int = 0, key: str = "", service: str = "s"
+    number: int, priority: int = 0, due_wall_ms: int = 0, key: str = "", service: str = "s"
 ) -> QueuedMessage:
-    return QueuedMessage((1, number), service, priority, due_ms, key)
+    return QueuedMessage((1, number), service, priority, due_wall_ms, key)
 
 
 def add(
@@ -29,36 +35,36 @@
         queue = MessageQueue()
         for message in (queued(1, 1), queued(2, 0, 20), queued(3, 0, 10), queued(4, 0, 10)):
             add(queue, message)
-        assert [queue.take("s").key[1] for _ in range(4)] == [3, 4, 2, 1]  # type: ignore[union-attr]
-        assert queue.take("s") is None
+        assert [queue.lease_next("s").key[1] for _ in range(4)] == [3, 4, 2, 1]  # type: ignore[union-attr]
+        assert queue.lease_next("s") is None
 
     def test_a_message_given_back_goes_before_later_ones(self) -> None:
         queue = MessageQueue()
-        first = add(queue, queued(1, due_ms=1))
-        add(queue, queued(2, due_ms=2))
-        assert queue.take("s") is first
+        first = add(queue, queued(1, due_wall_ms=1))
+        add(queue, queued(2, due_wall_ms=2))
+        assert queue.lease_next("s") is first
         queue.release(first, 0.0, 0.0)
-        assert queue.take("s") is first
+        assert queue.lease_next("s") is first
 
     def test_services_do_not_mix(self) -> None:
         queue = MessageQueue()
         add(queue, queued(1, service="a"))
-        assert queue.take("b") is None
+        assert queue.lease_next("b") is None
         assert queue.ready_services() == ["a"]
 
     def test_uncommitted_messages_do_not_leave(self) -> None:
         queue = MessageQueue()
         message = queued(1)
         queue.add(message)
-        assert queue.take("s") is None
+        assert queue.lease_next("s") is None
         queue.release(message, 0.0, 0.0)
-        assert queue.take("s") is message
+        assert queue.lease_next("s") is message
 
     def test_a_held_message_does_not_leave(self) -> None:
         queue = MessageQueue()
         message = add(queue, queued(1))
-        queue.hold(message)
-        assert queue.take("s") is None
+        queue.suspend(message)
+        assert queue.lease_next("s") is None
 
 
 class TestDelay:
@@ -66,19 +72,19 @@
         queue = MessageQueue()
         message = add(queue, queued(1), ready_at=5.0)
         queue.advance(4.999)
-        assert queue.take("s") is None
-        assert queue.next_time() == 5.0
+        assert queue.lease_next("s") is None
+        assert queue.next_event_time() == 5.0
         queue.advance(5.0)
-        assert queue.gained == {"s"}
-        assert queue.take("s") is message
+        assert queue.newly_ready_services == {"s"}
+        assert queue.lease_next("s") is message
 
     def test_a_removed_message_leaves_no_timer(self) -> None:
         queue = MessageQueue()
         message = add(queue, queued(1), ready_at=5.0)
         queue.remove(message, 0.0)
-        assert queue.next_time() is None
+        assert queue.next_event_time() is None
         queue.advance(6.0)
-        assert queue.take("s") is None
+        assert queue.lease_next("s") is None
 
 
 class TestOrderingKeys:
@@ -86,59 +92,59 @@
         queue = MessageQueue()
         messages = [add(queue, queued(number, key="k")) for number in range(3)]
         for message in messages:
-            assert queue.take("s") is message
-            assert queue.take("s") is None
+            assert queue.lease_next("s") is message
+            assert queue.lease_next("s") is None
             queue.remove(message, 0.0)
 
     def test_a_delayed_one_holds_back_the_later_ones(self) -> None:
         queue = MessageQueue()
         first = add(queue, queued(1, key="k"), ready_at=5.0)
         second = add(queue, queued(2, key="k"))
-        assert queue.take("s") is None
+        assert queue.lease_next("s") is None
         queue.advance(5.0)
-        assert queue.take("s") is first
+        assert queue.lease_next("s") is first
         queue.release(first, 9.0, 5.0)  # failed: it waits again, and so does the second
-        assert queue.take("s") is None
+        assert queue.lease_next("s") is None
         queue.advance(9.0)
-        assert queue.take("s") is first
+        assert queue.lease_next("s") is first
         queue.remove(first, 9.0)
-        assert queue.take("s") is second
+        assert queue.lease_next("s") is second
 
     def test_a_later_delay_counts_after_the_first_has_ended(self) -> None:
         queue = MessageQueue()
         first = add(queue, queued(1, key="k"))
         second = add(queue, queued(2, key="k"), ready_at=5.0)
-        queue.take("s")
+        queue.lease_next("s")
         queue.remove(first, 1.0)
-        assert queue.take("s") is None
+        assert queue.lease_next("s") is None
         queue.advance(5.0)
-        assert queue.take("s") is second
+        assert queue.lease_next("s") is second
 
     def test_an_uncommitted_one_holds_back_the_later_ones(self) -> None:
         queue = MessageQueue()
         first = queued(1, key="k")
         queue.add(first)
         add(queue, queued(2, key="k"))
-        assert queue.take("s") is None
+        assert queue.lease_next("s") is None
         queue.release(first, 0.0, 0.0)
-        assert queue.take("s") is first
+        assert queue.lease_next("s") is first
 
     def test_an_older_one_that_turns_up_late_goes_first(self) -> None:
         queue = MessageQueue()
         later = add(queue, queued(5, key="k"))
         older = add(queue, queued(2, key="k"))
-        assert queue.take("s") is older
-        assert queue.take("s") is None
+        assert queue.lease_next("s") is older
+        assert queue.lease_next("s") is None
         queue.remove(older, 0.0)
-        assert queue.take("s") is later
+        assert queue.lease_next("s") is later
 
     def test_keys_of_other_services_and_other_keys_are_free(self) -> None:
         queue = MessageQueue()
         add(queue, queued(1, key="k"), ready_at=9.0)
         other = add(queue, queued(2, key="l"))
         foreign = add(queue, queued(3, key="k", service="t"))
-        assert queue.take("s") is other
-        assert queue.take("t") is foreign
+        assert queue.lease_next("s") is other
+        assert queue.lease_next("t") is foreign
 
 
 class PlainQueue:
@@ -182,7 +188,7 @@
             add(queue, real[number], entry["ready_at"], now)
         elif step < 0.7:
             expected = plain.candidates(now)
-            taken = queue.take("s")
+            taken = queue.lease_next("s")
             assert (taken.key[1] if taken else None) == (expected[0]["number"] if expected else None)
             if taken is not None:
                 expected[0]["stage"] = "leased"
@@ -197,7 +203,7 @@
             else:
                 entry["stage"], entry["ready_at"] = "queued", now + chance.random() * 0.3
                 queue.release(real[entry["number"]], entry["ready_at"], now)
-    assert sum(message.stage is not Stage.REMOVED for message in real.values()) == len(plain.messages)
+    assert sum(message.stage is not QueueStage.REMOVED for message in real.values()) == len(plain.messages)
 
 
 class TestTokenBucket:
@@ -212,7 +218,7 @@
         while now < 60.0:
             now += chance.expovariate(30.0) if chance.random() < 0.99 else 3.0
             for _ in range(bucket.available(now)):
-                bucket.take()
+                bucket.consume()
                 grants.append(now)
         for start in grants:
             assert sum(start <= grant < start + 5.0 for grant in grants) <= 19.5 * 5.0
@@ -220,15 +226,15 @@
     def test_is_used_nearly_whole(self) -> None:
         bucket, now, grants = TokenBucket(10.0, 0.0), 0.0, 0
         while now < 100.0:
-            now = bucket.next_time(now)
+            now = bucket.next_token_at(now)
             assert bucket.available(now) >= 1
-            bucket.take()
+            bucket.consume()
             grants += 1
         assert grants >= 960
 
     def test_a_slow_service_gets_its_single_grant(self) -> None:
         bucket = TokenBucket(0.5, 0.0)
-        assert bucket.next_time(0.0) == pytest.approx(1 / 0.485)
+        assert bucket.next_token_at(0.0) == pytest.approx(1 / 0.485)
         assert bucket.available(2.1) == 1
 
     def test_another_rate_counts_from_then_on(self) -> None:
@@ -242,7 +248,7 @@
 
     def released(self, queue: MessageQueue, number: int, at: float) -> QueuedMessage:
         """A message with an aim of one second, ready at a time."""
-        message = QueuedMessage((1, number), "s", 0, round(at * 1000), "", start_aim_s=1.0)
+        message = QueuedMessage((1, number), "s", 0, round(at * 1000), "", start_target_s=1.0)
         queue.add(message)
         queue.release(message, at, at)
         return message
@@ -252,9 +258,9 @@
         late = [self.released(queue, number, 0.0) for number in range(3)]
         in_time = self.released(queue, 9, 5.0)
         queue.advance(5.0)
-        assert queue.first("s") is in_time
-        assert [queue.take("s") for _ in range(4)] == [in_time, *late]
-        assert queue.take("s") is None
+        assert queue.peek("s") is in_time
+        assert [queue.lease_next("s") for _ in range(4)] == [in_time, *late]
+        assert queue.lease_next("s") is None
 
     def test_a_late_message_gets_its_turn_among_many_in_time(self) -> None:
         queue = MessageQueue()
@@ -262,17 +268,17 @@
         for number in range(2, 20):
             self.released(queue, number, 5.0)
         queue.advance(5.0)
-        taken = [queue.take("s") for _ in range(LATE_TURN)]
-        assert taken.index(late) == LATE_TURN - 1
+        taken = [queue.lease_next("s") for _ in range(LATE_LEASE_INTERVAL)]
+        assert taken.index(late) == LATE_LEASE_INTERVAL - 1
 
     def test_a_message_given_back_is_late_by_its_first_release(self) -> None:
         queue = MessageQueue()
         message = self.released(queue, 1, 0.0)
-        assert queue.take("s") is message
+        assert queue.lease_next("s") is message
         queue.release(message, 3.0, 3.0)
         newer = self.released(queue, 2, 3.0)
-        assert queue.take("s") is newer
-        assert queue.take("s") is message
+        assert queue.lease_next("s") is newer
+        assert queue.lease_next("s") is message
 
     def test_without_an_aim_nothing_is_late(self) -> None:
         queue = MessageQueue()
@@ -281,4 +287,4 @@
         queue.release(old, 0.0, 0.0)
         newer = self.released(queue, 2, 500.0)
         queue.advance(500.0)
-        assert [queue.take("s"), queue.take("s")] == [old, newer]
+        assert [queue.lease_next("s"), queue.lease_next("s")] == [old, newer]
--- a/tests/messages/test_recovery_end.py
+++ b/tests/messages/test_recovery_end.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from hollowusher.messages import recovery
-from hollowusher.messages.hosting import PartitionHost, PeerLink
-from hollowusher.messages.records import Key
-from hollowusher.messages.recovery import Recovery
-from hollowusher.messages.replicator import Replicator
+from hollowusher.messages.records import MessageKey
+from hollowusher.messages.replication import replica_recovery as recovery
+from hollowusher.messages.replication.partition_replica import PartitionReplica, PeerProgress
+from hollowusher.messages.replication.partition_replicator import PartitionReplicator
+from hollowusher.messages.replication.replica_recovery import ReplicaRecovery
 from hollowusher.transport.interface import PeerError
 
 
@@ -27,7 +27,7 @@
     """A comparison that has learnt of one key and then waits, or loses its peer."""
 
     def __init__(self, *_: object) -> None:
-        self.changed: list[Key] = [(1, 1)]
+        self.changed_keys: list[MessageKey] = [(1, 1)]
 
     async def run(self) -> None:
         await _Pause()
@@ -39,15 +39,22 @@
 
     def __init__(self) -> None:
         self.begun: list[Coroutine[Any, Any, Any]] = []
-        links = {"peer": PeerLink(), "other": PeerLink()}
-        self.host = SimpleNamespace(epoch=1, promised=True, links=links, table=None, primary=None)
+        links = {"peer": PeerProgress(), "other": PeerProgress()}
+        self.host = SimpleNamespace(
+            epoch=1, is_epoch_durable=True, peer_progress=links, table=None, primary=None
+        )
         replicator = SimpleNamespace(
-            hosts={0: self.host}, store_id="me", transport=None, log=None, wall_ms=None, run=self._begin
+            replicas={0: self.host},
+            store_id="me",
+            transport=None,
+            log=None,
+            wall_ms=None,
+            start_task=self._begin,
         )
-        self.recovery = Recovery(cast(Replicator, replicator), lambda: 0.5)
+        self.recovery = ReplicaRecovery(cast(PartitionReplicator, replicator), lambda: 0.5)
 
     def compare(self) -> Coroutine[Any, Any, bool]:
-        return self.recovery._compare(cast(PartitionHost, self.host), "peer", "address", False)
+        return self.recovery._compare(cast(PartitionReplica, self.host), "peer", "address", False)
 
     def _begin(self, work: Coroutine[Any, Any, Any]) -> None:
         self.begun.append(work)
@@ -56,7 +63,7 @@
 
 @pytest.fixture
 def store(monkeypatch: pytest.MonkeyPatch) -> _Store:
-    monkeypatch.setattr(recovery, "Comparison", _HalfDone)
+    monkeypatch.setattr(recovery, "AntiEntropySession", _HalfDone)
     return _Store()
 
 
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -8,11 +8,16 @@
 import pytest
 
 from hollowusher.messages import records
-from hollowusher.messages.comparing import answer_summary
-from hollowusher.messages.hosting import PartitionHost
-from hollowusher.messages.records import Key, State, Status
-from hollowusher.messages.replication import MOST_QUEUED_BYTES, Outgoing
-from hollowusher.messages.table import BUCKETS, CLOCK_MARGIN_MS, PartitionTable, RecordCache
+from hollowusher.messages.partition.partition_table import (
+    BUCKET_COUNT,
+    CLOCK_MARGIN_MS,
+    PartitionTable,
+    RecordCache,
+)
+from hollowusher.messages.records import MessageKey, MessageState, MessageStatus
+from hollowusher.messages.replication.anti_entropy import compare_with_summary
+from hollowusher.messages.replication.partition_replica import PartitionReplica
+from hollowusher.messages.replication.replication_stream import MAX_QUEUED_BYTES, OutgoingRecord
 from hollowusher.protocol.placement import PartitionPlacement
 from hollowusher.protocol.replication import Records, Replicate, Replicated, Summary
 from hollowusher.storage.memory import MemoryLog
@@ -28,24 +33,26 @@
 
 def put_record(sequence: int, body: bytes = b"body") -> bytes:
     new = message(f"m{sequence}", body=body)
-    return records.pack_put(0, (1, sequence), records.Put(EPOCH_MS, EPOCH_MS, 1, new))
+    return records.pack_put(0, (1, sequence), records.AcceptedMessage(EPOCH_MS, EPOCH_MS, 1, new))
 
 
-def state_record(key: Key, version: records.Version, status: Status, ended_ms: int = EPOCH_MS) -> bytes:
-    return records.pack_state(0, key, State(version, status, ended_ms=ended_ms, id=f"m{key[1]}"))
+def state_record(
+    key: MessageKey, version: records.RecordVersion, status: MessageStatus, ended_ms: int = EPOCH_MS
+) -> bytes:
+    return records.pack_state(0, key, MessageState(version, status, ended_wall_ms=ended_ms, id=f"m{key[1]}"))
 
 
-def host(cluster: StoreCluster, store: int, partition: int = 0) -> PartitionHost:
-    return cluster.stores[store].service._hosts[partition]
+def host(cluster: StoreCluster, store: int, partition: int = 0) -> PartitionReplica:
+    return cluster.stores[store].service._replicas[partition]
 
 
-def content(cluster: StoreCluster, store: int) -> dict[Key, list[int]]:
+def content(cluster: StoreCluster, store: int) -> dict[MessageKey, list[int]]:
     """What a store holds, but for what it may have forgotten."""
     kept_since = cluster.wall_ms() - 50_000
     return {
-        key: entry.summary()
+        key: entry.version_summary()
         for key, entry in sorted(host(cluster, store).table.entries.items())
-        if entry.state is None or not entry.status.ended or entry.state.ended_ms > kept_since
+        if entry.state is None or not entry.status.has_ended or entry.state.ended_wall_ms > kept_since
     }
 
 
@@ -53,11 +60,11 @@
     def test_records_merge_in_any_order(self) -> None:
         history = [
             put_record(1),
-            state_record((1, 1), (1, 3), Status.LEASED),
+            state_record((1, 1), (1, 3), MessageStatus.LEASED),
             put_record(2),
-            state_record((1, 1), (2, 1), Status.QUEUED),
-            state_record((1, 1), (2, 5), Status.COMPLETED),
-            state_record((1, 2), (2, 2), Status.DEAD_LETTER),
+            state_record((1, 1), (2, 1), MessageStatus.QUEUED),
+            state_record((1, 1), (2, 5), MessageStatus.COMPLETED),
+            state_record((1, 2), (2, 2), MessageStatus.DEAD_LETTER),
             put_record(4),
         ]
         expected: list[int] = []
@@ -66,11 +73,11 @@
             random.Random(seed).shuffle(shuffled)
             for record in shuffled:
                 table.apply(record, EPOCH_MS)
-            expected = expected or table.digests()
-            assert table.digests() == expected
-            assert table.entries[(1, 1)].status is Status.COMPLETED
-            assert table.put_record(table.entries[(1, 1)]) is None
-            assert table.put_record(table.entries[(1, 2)]) == put_record(2)
+            expected = expected or table.bucket_digests()
+            assert table.bucket_digests() == expected
+            assert table.entries[(1, 1)].status is MessageStatus.COMPLETED
+            assert table.read_put_record(table.entries[(1, 1)]) is None
+            assert table.read_put_record(table.entries[(1, 2)]) == put_record(2)
 
     def test_a_replay_gives_the_same_table(self) -> None:
         for seed in range(10):
@@ -80,16 +87,16 @@
             for sequence in range(50):
                 table.apply(put_record(sequence), EPOCH_MS)
                 if chance.random() < 0.5:
-                    status = chance.choice(list(Status))
+                    status = chance.choice(list(MessageStatus))
                     table.apply(state_record((1, sequence), (1, 100 + sequence), status), EPOCH_MS)
-            table.promise(7)
+            table.fence_older_epochs(7)
             log._unsynced.clear()
             after_log = log.crash(chance)
             after = new_table(after_log)
             for position, record in after_log.replay():
-                after.replayed(record, records.header_of(record), position, EPOCH_MS)
-            assert after.digests() == table.digests()
-            assert after.promised_epoch == 7
+                after.replay(record, records.unpack_header(record), position, EPOCH_MS)
+            assert after.bucket_digests() == table.bucket_digests()
+            assert after.minimum_epoch == 7
             assert after_log.free_bytes() == log.free_bytes()
 
     def test_everything_is_released_in_the_end(self) -> None:
@@ -98,7 +105,7 @@
         table = new_table(log)
         for sequence in range(10):
             table.apply(put_record(sequence), EPOCH_MS)
-            table.apply(state_record((1, sequence), (1, 50 + sequence), Status.DEAD_LETTER), EPOCH_MS)
+            table.apply(state_record((1, sequence), (1, 50 + sequence), MessageStatus.DEAD_LETTER), EPOCH_MS)
             table.apply(put_record(sequence), EPOCH_MS)
         assert table.forget_expired(EPOCH_MS + KEPT_MS) == []
         assert len(table.forget_expired(EPOCH_MS + KEPT_MS + 1)) == 10
@@ -107,7 +114,7 @@
 
     def test_a_forgotten_end_does_not_come_back(self) -> None:
         table = new_table()
-        table.apply(state_record((1, 1), (1, 2), Status.COMPLETED), EPOCH_MS + KEPT_MS + 1)
+        table.apply(state_record((1, 1), (1, 2), MessageStatus.COMPLETED), EPOCH_MS + KEPT_MS + 1)
         assert table.entries == {}
 
     def test_a_message_whose_end_was_forgotten_does_not_come_back(self) -> None:
@@ -116,55 +123,57 @@
         position = log.append(record)
         table = new_table(log)
         certain_ms = EPOCH_MS + 60_000 + KEPT_MS + 1  # retention, and then the time that ends are kept
-        table.replayed(record, records.header_of(record), position, certain_ms)
-        table.drop_outdated(certain_ms - 1)
+        table.replay(record, records.unpack_header(record), position, certain_ms)
+        table.drop_outdated_messages(certain_ms - 1)
         assert len(table.entries) == 1
-        table.drop_outdated(certain_ms)
+        table.drop_outdated_messages(certain_ms)
         assert table.entries == {}
 
     def test_records_survive_the_reuse_of_their_segments(self) -> None:
         log = MemoryLog(segment_bytes=4096, segments=16)
         table = new_table(log)
-        log.set_move(table.moved)
-        table.promise(3)
+        log.set_move(table.relocate)
+        table.fence_older_epochs(3)
         table.apply(put_record(0), EPOCH_MS)
-        table.apply(state_record((1, 0), (1, 1), Status.QUEUED), EPOCH_MS)
+        table.apply(state_record((1, 0), (1, 1), MessageStatus.QUEUED), EPOCH_MS)
 
         async def work() -> None:
             for sequence in range(2, 400):
                 table.apply(put_record(sequence, b"x" * 300), EPOCH_MS)
-                table.apply(state_record((1, sequence), (1, 500 + sequence), Status.COMPLETED), EPOCH_MS)
+                table.apply(
+                    state_record((1, sequence), (1, 500 + sequence), MessageStatus.COMPLETED), EPOCH_MS
+                )
                 for key in table.forget_expired(EPOCH_MS + KEPT_MS + 1):
                     assert key != (1, 0)
                 await log.sync()
 
         asyncio.run(work())
         first = table.entries[(1, 0)]
-        first.put_record = None
-        assert table.put_record(first) == put_record(0)
+        first.read_put_record = None
+        assert table.read_put_record(first) == put_record(0)
         after_log = log.crash(random.Random(1))
         after = new_table(after_log)
         for position, record in after_log.replay():
-            after.replayed(record, records.header_of(record), position, EPOCH_MS)
+            after.replay(record, records.unpack_header(record), position, EPOCH_MS)
         assert after.entries[(1, 0)].version == (1, 1)
-        assert after.promised_epoch == 3
+        assert after.minimum_epoch == 3
 
     def test_only_newer_epochs_are_promised(self) -> None:
         table = new_table()
-        table.promise(5)
-        table.promise(3)
-        assert table.promised_epoch == 5
+        table.fence_older_epochs(5)
+        table.fence_older_epochs(3)
+        assert table.minimum_epoch == 5
 
 
 class TestComparing:
     def settle(self, one: PartitionTable, other: PartitionTable) -> int:
         """Compare as the primary does, without a network; how many records went over."""
         moved = 0
-        buckets = answer_summary(other, Summary(0, 1, "x", one.digests())).buckets
+        buckets = compare_with_summary(other, Summary(0, 1, "x", one.bucket_digests())).buckets
         while buckets:
-            answer = answer_summary(other, Summary(0, 1, "x", [], one.versions(buckets)))
+            answer = compare_with_summary(other, Summary(0, 1, "x", [], one.bucket_versions(buckets)))
             more, incomplete = answer.extra
-            pushed = list(one.records_for(answer.wanted, incomplete))
+            pushed = list(one.requested_records(answer.wanted, incomplete))
             for record in answer.records:
                 one.apply(record, EPOCH_MS)
             for record in pushed:
@@ -179,15 +188,18 @@
         chance = random.Random(seed)
         one, other, whole = new_table(), new_table(), new_table()
         for sequence in range(300):
-            made = [put_record(sequence), state_record((1, sequence), (1, 1000 + sequence), Status.LEASED)]
+            made = [
+                put_record(sequence),
+                state_record((1, sequence), (1, 1000 + sequence), MessageStatus.LEASED),
+            ]
             if chance.random() < 0.3:
-                made.append(state_record((1, sequence), (2, sequence), Status.COMPLETED))
+                made.append(state_record((1, sequence), (2, sequence), MessageStatus.COMPLETED))
             for record in made:
                 chosen = chance.choice([(one,), (other,), (one, other)])
                 for table in (*chosen, whole):
                     table.apply(record, EPOCH_MS)
         self.settle(one, other)
-        assert one.digests() == other.digests() == whole.digests()
+        assert one.bucket_digests() == other.bucket_digests() == whole.bucket_digests()
         assert self.settle(one, other) == 0
 
     def test_only_differences_go_over(self) -> None:
@@ -195,23 +207,23 @@
         for sequence in range(500):
             for table in (one, other):
                 table.apply(put_record(sequence), EPOCH_MS)
-        one.apply(state_record((1, 7), (1, 900), Status.LEASED), EPOCH_MS)
+        one.apply(state_record((1, 7), (1, 900), MessageStatus.LEASED), EPOCH_MS)
         other.apply(put_record(600), EPOCH_MS)
         assert self.settle(one, other) == 2
 
     def test_a_large_difference_comes_in_parts(self) -> None:
         one, other = new_table(), new_table()
-        for sequence in range(0, 300 * BUCKETS, BUCKETS):
+        for sequence in range(0, 300 * BUCKET_COUNT, BUCKET_COUNT):
             other.apply(put_record(sequence, b"x" * 4_000), EPOCH_MS)
         assert self.settle(one, other) == 300
-        assert one.digests() == other.digests()
+        assert one.bucket_digests() == other.bucket_digests()
 
 
 class TestQuorums:
-    def make(self, replicas: int, tolerated: int) -> PartitionHost:
+    def make(self, replicas: int, tolerated: int) -> PartitionReplica:
         ids = [f"s{n}/d" for n in range(replicas)]
-        made = PartitionHost("s0/d", new_table())
-        made.place(PartitionPlacement(0, 1, "s0/d", ids), tolerated)
+        made = PartitionReplica("s0/d", new_table())
+        made.set_placement(PartitionPlacement(0, 1, "s0/d", ids), tolerated)
         return made
 
     @pytest.mark.parametrize(
@@ -233,7 +245,7 @@
             for number in range(1, 40):
                 await cluster.stored(message(f"m{number}"))
                 await asyncio.sleep(0.1)
-            assert not host(cluster, 0).links["store-3/d1"].joined
+            assert not host(cluster, 0).peer_progress["store-3/d1"].is_streaming
             await cluster.stores[2].start()
             await asyncio.sleep(2.0)
             await cluster.stored(message("last"))
@@ -254,7 +266,7 @@
             while not waiting.done():
                 await asyncio.sleep(0.0005)
                 queued = max(queued, stream._queued_bytes)
-            assert 4_000_000 < queued <= MOST_QUEUED_BYTES
+            assert 4_000_000 < queued <= MAX_QUEUED_BYTES
 
         play(work, segments=1024)
 
@@ -297,7 +309,7 @@
             await cluster.call(2, Replicate("store-2/d1", [Records(0, 7, [])], False))
             cluster.stores[2].kill()
             await cluster.stores[2].start()
-            assert host(cluster, 2).table.promised_epoch == 7
+            assert host(cluster, 2).table.minimum_epoch == 7
 
         for seed in range(4):
             play(work, seed=seed)
@@ -358,7 +370,7 @@
             assert key is not None
             for store, sequence in ((1, 1), (2, 2), (3, 3)):
                 host(cluster, store).table.apply(put_record(sequence), cluster.wall_ms())
-            newer = state_record(key[1], (1, key[1][1] + 50), Status.LEASED)
+            newer = state_record(key[1], (1, key[1][1] + 50), MessageStatus.LEASED)
             host(cluster, 4).table.apply(newer, cluster.wall_ms())
             cluster.place([cluster.entry(0, 2, 2)])
             await asyncio.sleep(0.5)
@@ -378,10 +390,10 @@
             await asyncio.sleep(0.1)
             stream = cluster.stores[0].service._replicator.stream("store-2/d1")
             put = asyncio.create_task(cluster.put(message("m1")))
-            while not any(lane.in_flight for lane in stream._lanes.values()):
+            while not any(lane.in_flight for lane in stream._ordering_groups.values()):
                 await asyncio.sleep(0.0001)
             for store in (1, 2):
-                host(cluster, store).table.promise(2)
+                host(cluster, store).table.fence_older_epochs(2)
             cluster.place([cluster.entry(0, 2, 0)])
             assert (await put).status == "stored"
             await asyncio.sleep(1.0)
@@ -495,9 +507,9 @@
                 await cluster.stored(message(f"m{number}"))
             cluster.place([cluster.entry(0, 2, 0, replicas=[0, 1, 3])])
             await asyncio.sleep(10.0)
-            assert 0 in cluster.stores[2].service._hosts
+            assert 0 in cluster.stores[2].service._replicas
             await asyncio.sleep(40.0)
-            assert 0 not in cluster.stores[2].service._hosts
+            assert 0 not in cluster.stores[2].service._replicas
             assert cluster.stores[2].log.free_bytes() >= empty
 
         play(work, stores=4)
@@ -680,11 +692,13 @@
         await cluster.stored(message("m0"))
         made = host(cluster, 0)
         assert made.primary is not None
-        proposal = made.primary.confirmation(cluster.loop.time())
+        proposal = made.primary.propose_confirmation(cluster.loop.time())
         made.primary.outbox = []
         made.outstanding[proposal] = None
         made.resign()
-        cluster.stores[0].service._replicator.acknowledged("store-2/d1", [Outgoing(0, proposal)], 1.0)
-        assert not proposal.committed
+        cluster.stores[0].service._replicator.on_acknowledged(
+            "store-2/d1", [OutgoingRecord(0, proposal)], 1.0
+        )
+        assert not proposal.is_committed
 
     play(work)
--- a/tests/messages/test_store_service.py
+++ b/tests/messages/test_store_service.py
@@ -228,8 +228,8 @@
             await asyncio.sleep(1.0)
             assert await cluster.finish(job.lease, "success") == "taken"
             assert (
-                cluster.stores[3].service._hosts[0].table.entries.keys()
-                == cluster.stores[0].service._hosts[0].table.entries.keys()
+                cluster.stores[3].service._replicas[0].table.entries.keys()
+                == cluster.stores[0].service._replicas[0].table.entries.keys()
             )
 
         play(work, stores=4)
--- a/tests/messages/test_wire_rules_delays.py
+++ b/tests/messages/test_wire_rules_delays.py
@@ -5,9 +5,9 @@
 import pytest
 
 from hollowusher.messages import records
-from hollowusher.messages.adoption import SKEW_MARGIN_MS
-from hollowusher.messages.records import Put, Status
-from hollowusher.messages.table import PartitionTable
+from hollowusher.messages.partition.message_restorer import CLOCK_SKEW_MARGIN_MS
+from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.records import AcceptedMessage, MessageStatus
 from tests.messages.test_partition import Partition, new_table
 from tests.support.message_store import EPOCH_MS, message
 
@@ -26,7 +26,7 @@
 
 def put_record(delay_ms: int, accepted_ms: int) -> bytes:
     kept = message("m", delay_ms=delay_ms)
-    return records.pack_put(0, (1, 7), Put(accepted_ms, accepted_ms + delay_ms, 1, kept))
+    return records.pack_put(0, (1, 7), AcceptedMessage(accepted_ms, accepted_ms + delay_ms, 1, kept))
 
 
 @pytest.mark.parametrize("ahead_ms", [-2_000, -300, 0, 300, 2_000])
@@ -51,8 +51,8 @@
     position = first.entries[(1, 7)].put_position
     assert position is not None
     table = PartitionTable(0, first._log, first._cache, 60_000)
-    table.replayed(record, records.header_of(record), position, accepted_ms + 400)
-    replica = Replica(table, accepted_s + 0.6, ahead_ms=SKEW_MARGIN_MS)
+    table.replay(record, records.unpack_header(record), position, accepted_ms + 400)
+    replica = Replica(table, accepted_s + 0.6, ahead_ms=CLOCK_SKEW_MARGIN_MS)
     replica.sleep(0.899)
     assert replica.lease() == []
     replica.sleep(0.010)
@@ -65,4 +65,4 @@
     table.apply(put_record(0, accepted_ms), accepted_ms)
     replica = Replica(table, 100.1, ahead_ms=-2_000)
     assert len(replica.lease()) == 1
-    assert replica.table.entries[(1, 7)].status is Status.LEASED
+    assert replica.table.entries[(1, 7)].status is MessageStatus.LEASED
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -12,7 +12,7 @@
 
 from hollowusher.configuration.boot import BootSettings, Bounds, FaultTolerance
 from hollowusher.coordination.cluster_state import CONFIGURATION, PLACEMENT, VIEW, ClusterState
-from hollowusher.messages.service import StoreService
+from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.acknowledgement import Done
 from hollowusher.protocol.distribution import Item
 from hollowusher.protocol.leases import Finish, Job, JobsWaiting, LeaseAnswer, Leased, LeaseRequest
