--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -23,7 +23,7 @@
 from hollowusher.configuration.order_history import LARGEST_HISTORY, pruned
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
-from hollowusher.protocol.operator_orders import OperatorAnswer
+from hollowusher.protocol.operator_orders import OperatorResponse
 
 PUT = "PUT"
 PATCH = "PATCH"
@@ -33,7 +33,7 @@
 DIGEST_BYTES = 16
 
 
-TOO_MANY_ORDERS = OperatorAnswer(503, b'{"error":"too many orders in the last minute"}')
+TOO_MANY_ORDERS = OperatorResponse(503, b'{"error":"too many orders in the last minute"}')
 
 
 @attrs.frozen
@@ -54,9 +54,9 @@
     item: str
     reason: str
 
-    def answer(self) -> OperatorAnswer:
+    def answer(self) -> OperatorResponse:
         """What the operator is told."""
-        return OperatorAnswer(self.status, orjson.dumps({"error": f"{self.item}: {self.reason}"}))
+        return OperatorResponse(self.status, orjson.dumps({"error": f"{self.item}: {self.reason}"}))
 
 
 @attrs.frozen
@@ -64,7 +64,7 @@
     """What an order does: the new control state, None where there is nothing to change, and the answer that
     is true once that state is committed."""
 
-    answer: OperatorAnswer
+    answer: OperatorResponse
     state: ControlState | None = None
 
 
@@ -123,8 +123,8 @@
     return None
 
 
-def _acknowledgement(generation: int) -> OperatorAnswer:
-    return OperatorAnswer(200, orjson.dumps({"generation": generation}))
+def _acknowledgement(generation: int) -> OperatorResponse:
+    return OperatorResponse(200, orjson.dumps({"generation": generation}))
 
 
 def _changed_document(state: ControlState, order: Order) -> Result[Document, Refusal]:
--- a/hollowusher/console/report.py
+++ b/hollowusher/console/report.py
@@ -14,7 +14,7 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement
-from hollowusher.protocol.worker_list import Worker
+from hollowusher.protocol.worker_list import PlatformWorker
 
 MOST_MEMBERS = 512
 MOST_PARTITIONS = 256
@@ -234,7 +234,7 @@
     return WorkersReport(len(workers), age_s, _by_service(workers))
 
 
-def _by_service(workers: list[Worker]) -> list[ServiceWorkers]:
+def _by_service(workers: list[PlatformWorker]) -> list[ServiceWorkers]:
     ready: Counter[str] = Counter()
     slots: Counter[str] = Counter()
     draining: Counter[str] = Counter()
--- a/hollowusher/console/status_api.py
+++ b/hollowusher/console/status_api.py
@@ -17,7 +17,7 @@
 from hollowusher.protocol.codec import as_document
 from hollowusher.protocol.control_status import ControlStatus
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import StatusAnswer
+from hollowusher.protocol.messages import MessageStatusResponse
 
 STATUS_PATH = "/status"
 MESSAGE_PATH = "/messages/{reference}"
@@ -30,7 +30,7 @@
 class MessageStates(Protocol):
     """What is needed of the stores' client."""
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> StatusAnswer:
+    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
         """Read the state of a message."""
 
 
--- a/hollowusher/coordination/chain/chain_replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -16,7 +16,13 @@
 from hollowusher.coordination.chain.state_store import MIN_THROUGHPUT_BYTES_PER_S, StateStore
 from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, RecordChunk
+from hollowusher.protocol.control_chain import (
+    ChainWrite,
+    ChainWritten,
+    ControlState,
+    ReadStateRecord,
+    StateRecordChunk,
+)
 from hollowusher.protocol.view import View, Voter
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import PeerError, Transport
@@ -163,7 +169,7 @@
 
     # -- records ---------------------------------------------------------------------------------------
 
-    def read_record(self, message: ReadRecord) -> RecordChunk:
+    def read_record(self, message: ReadStateRecord) -> StateRecordChunk:
         """A part of a document and history that are held here."""
         view = self.member.view
         if view is None or _conflict(message.cluster, view.cluster):
--- a/hollowusher/coordination/chain/record_fetcher.py
+++ b/hollowusher/coordination/chain/record_fetcher.py
@@ -21,7 +21,7 @@
 )
 from hollowusher.coordination.chain.state_store import MIN_THROUGHPUT_BYTES_PER_S, StateStore
 from hollowusher.protocol.codec import DecodeError
-from hollowusher.protocol.control_chain import ReadRecord, RecordChunk
+from hollowusher.protocol.control_chain import ReadStateRecord, StateRecordChunk
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import PeerError, Transport
 
@@ -50,7 +50,7 @@
         """Whether as many bytes are there as the record has."""
         return self._size is not None and len(self._data) == self._size
 
-    def take(self, chunk: RecordChunk) -> str:
+    def take(self, chunk: StateRecordChunk) -> str:
         """Add the next chunk; the reason why it is not taken, empty where it is."""
         if chunk.digest != self.digest:
             return "not held"
@@ -119,12 +119,12 @@
 
     async def _fetch_chunk(self, buffer: RecordBuffer) -> bool:
         """Ask for the next chunk; whether it came."""
-        question = ReadRecord(buffer.digest, buffer.offset, self._cluster)
+        question = ReadStateRecord(buffer.digest, buffer.offset, self._cluster)
         try:
             answer = await self._transport.call(self._source, question, CHUNK_TIMEOUT_S)
         except PeerError:
             return self._count_failure("no answer")
-        if not isinstance(answer, RecordChunk):
+        if not isinstance(answer, StateRecordChunk):
             return self._count_failure("no chunk")
         refused = buffer.take(answer)
         return self._count_failure(refused) if refused else True
@@ -149,10 +149,10 @@
         return False
 
 
-def read_chunk(record: StateRecord | None, offset: int) -> RecordChunk:
-    """The answer to `ReadRecord`."""
+def read_chunk(record: StateRecord | None, offset: int) -> StateRecordChunk:
+    """The answer to `ReadStateRecord`."""
     if record is None or not 0 <= offset < len(record.encoded):
-        return RecordChunk(b"", 0, offset, b"")
-    return RecordChunk(
+        return StateRecordChunk(b"", 0, offset, b"")
+    return StateRecordChunk(
         record.digest, len(record.encoded), offset, record.encoded[offset : offset + CHUNK_BYTES]
     )
--- a/hollowusher/coordination/chain/state_record.py
+++ b/hollowusher/coordination/chain/state_record.py
@@ -17,7 +17,7 @@
 DIGEST_BYTES = 16
 MAX_EMBEDDED_BYTES = 16 * 1024  # a record up to this size is saved together with the state
 MAX_INLINE_BYTES = 256 * 1024  # a record up to this size travels inside a `ChainWrite`
-CHUNK_BYTES = 256 * 1024  # the most that one `RecordChunk` carries
+CHUNK_BYTES = 256 * 1024  # the most that one `StateRecordChunk` carries
 MAX_RECORD_BYTES = 16 * 1024 * 1024  # a document of 8 MB and the longest history, with room to spare
 
 
--- a/hollowusher/coordination/cluster_state.py
+++ b/hollowusher/coordination/cluster_state.py
@@ -1,7 +1,7 @@
 """The state of the cluster as one process knows it, from the items that controllers distribute.  No I/O.
 
-Every value comes as an `Item` with a version, and an older value never replaces a newer one: within one
-incarnation of the process no value goes back.
+Every value comes as a `DistributedItem` with a version, and an older value never replaces a newer one: within
+one incarnation of the process no value goes back.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Iterable
 
 from hollowusher.configuration.model import Configuration, read_document
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.protocol.view import View
-from hollowusher.protocol.worker_list import WorkerList
+from hollowusher.protocol.worker_list import PlatformWorkerList
 
 CONFIGURATION = "configuration"
 PLACEMENT = "placement"
@@ -37,7 +37,7 @@
         self.placement: Placement | None = None
         self.view: View | None = None
         self.members: dict[str, Member] = {}
-        self.workers: WorkerList | None = None
+        self.workers: PlatformWorkerList | None = None
         self._partition_placements: dict[int, PartitionPlacement] = {}
         self._listeners: list[Listener] = []
 
@@ -47,7 +47,7 @@
         """Have `listener` called after each change, with the key of the item."""
         self._listeners.append(listener)
 
-    def apply(self, items: Iterable[Item], version_vector: dict[str, int]) -> list[str]:
+    def apply(self, items: Iterable[DistributedItem], version_vector: dict[str, int]) -> list[str]:
         """Store the newer ones of the items and return their keys.
 
         `version_vector` is that of the controller that sent the items; it is empty for items that were
@@ -64,7 +64,7 @@
                 listener(key)
         return changed
 
-    def _apply(self, item: Item) -> bool:
+    def _apply(self, item: DistributedItem) -> bool:
         known = self.versions.get(item.key)
         version = list(item.version)
         if known is not None and version < known:
@@ -76,7 +76,7 @@
         self._store_value(item)
         return True
 
-    def _store_value(self, item: Item) -> None:
+    def _store_value(self, item: DistributedItem) -> None:
         if item.key == CONFIGURATION:
             self.configuration = read_document(item.value)
         elif item.key == PLACEMENT:
@@ -91,14 +91,14 @@
 
     # ---- members
 
-    def items_missing_from(self, version_vector: dict[str, int]) -> list[Item]:
+    def items_missing_from(self, version_vector: dict[str, int]) -> list[DistributedItem]:
         """Return the known items of members that a process with this version vector has not received."""
         missing = []
         for name, member in self.members.items():
             key = MEMBER_PREFIX + name
             origin, counter = self._sources[key]
             if counter > version_vector.get(origin, 0):
-                missing.append(Item(key, self.versions[key], origin, counter, member))
+                missing.append(DistributedItem(key, self.versions[key], origin, counter, member))
         return missing
 
     def live_members(self, role: str | None = None) -> list[Member]:
--- a/hollowusher/coordination/consensus/bootstrap.py
+++ b/hollowusher/coordination/consensus/bootstrap.py
@@ -18,8 +18,8 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.consensus.paxos import first_view, is_same_cluster, quorum_size, voter_id
 from hollowusher.coordination.consensus.voter_set import choose_voters, required_voters
-from hollowusher.protocol.consensus import Decided, FirstTaken, ProposeFirst
-from hollowusher.protocol.view import Announce, OfferView, ReadView, View, ViewAnswer, Voter
+from hollowusher.protocol.consensus import FirstViewResponse, ProposeFirstView, ViewDecided
+from hollowusher.protocol.view import AnnounceController, OfferView, ReadView, View, ViewResponse, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 GATHER_S = 1.5
@@ -53,15 +53,17 @@
 async def fetch_newest_view(transport: Transport, addresses: Iterable[str]) -> View | None:
     """The newest decided view known at these addresses."""
     answers = await call_all(transport, addresses, ReadView(), QUERY_TIMEOUT_S)
-    views = [answer.view for answer in answers if isinstance(answer, ViewAnswer) and answer.view is not None]
+    views = [
+        answer.view for answer in answers if isinstance(answer, ViewResponse) and answer.view is not None
+    ]
     return max(views, key=lambda view: view.epoch, default=None)
 
 
 async def propose_first_view(transport: Transport, view: View) -> FirstViewOutcome:
     """Offer a first view to its voters."""
     addresses = [voter.address for voter in view.voters]
-    answers = await call_all(transport, addresses, ProposeFirst(view), QUERY_TIMEOUT_S)
-    taken = [answer for answer in answers if isinstance(answer, FirstTaken)]
+    answers = await call_all(transport, addresses, ProposeFirstView(view), QUERY_TIMEOUT_S)
+    taken = [answer for answer in answers if isinstance(answer, FirstViewResponse)]
     known = [answer.decided for answer in taken if answer.decided is not None]
     if known:
         return FirstViewOutcome(max(known, key=lambda decided: decided.epoch), None)
@@ -88,7 +90,7 @@
 class SeedService:
     """An edge process as a seed: it tells the newest view it knows, and makes the first one."""
 
-    MESSAGES: tuple[type, ...] = (Announce, Decided, OfferView, ReadView)
+    MESSAGES: tuple[type, ...] = (AnnounceController, ViewDecided, OfferView, ReadView)
 
     def __init__(
         self,
@@ -124,19 +126,19 @@
             self.view = view
             self._on_view(view)
 
-    async def handle(self, message: Any) -> ViewAnswer | None:
-        """Answer `Announce`, `OfferView` and `ReadView`, and take `Decided`; None for the rest."""
-        if isinstance(message, Decided):
+    async def handle(self, message: Any) -> ViewResponse | None:
+        """Answer a message by which a process looks for the view; None for any other message."""
+        if isinstance(message, ViewDecided):
             self.learn(message.view)
         elif isinstance(message, OfferView):
             self.learn(message.view)
-            return ViewAnswer(self.view)
-        elif isinstance(message, Announce):
+            return ViewResponse(self.view)
+        elif isinstance(message, AnnounceController):
             if message.bootstrap:
                 self._announced[message.voter.name] = message.voter
-            return ViewAnswer(self.view)
+            return ViewResponse(self.view)
         elif isinstance(message, ReadView):
-            return ViewAnswer(self.view)
+            return ViewResponse(self.view)
         return None
 
     async def _bootstrap(self, seeds: list[str]) -> None:
@@ -178,5 +180,5 @@
             self.learn(outcome.decided)
             addresses = {voter.address for voter in [*outcome.decided.voters, *self._announced.values()]}
             for address in sorted(addresses | set(self._settings.seed_addresses())):
-                self._transport.send(address, Decided(outcome.decided))
+                self._transport.send(address, ViewDecided(outcome.decided))
         return outcome.held or view
--- a/hollowusher/coordination/consensus/join_client.py
+++ b/hollowusher/coordination/consensus/join_client.py
@@ -8,7 +8,7 @@
 
 from hollowusher.coordination.consensus.bootstrap import SeedService, call_all, propose_first_view
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
-from hollowusher.protocol.view import Announce, ReadView, View, ViewAnswer, Voter
+from hollowusher.protocol.view import AnnounceController, ReadView, View, ViewResponse, Voter
 from hollowusher.transport.interface import Transport
 
 VIEW_QUERY_INTERVAL_S = 0.3
@@ -49,14 +49,14 @@
             return
         message: Any = ReadView()
         if self._bootstrap:
-            message = Announce(self._me, bootstrap=True)
+            message = AnnounceController(self._me, bootstrap=True)
             await self._seed.handle(message)
         await self._query(message, held.voters if held is not None else ())
 
     async def request_voter_role(self, view: View) -> None:
         """This controller, or its new disk, is no voter: ask the voters to make it one."""
         if self._is_due(ANNOUNCE_INTERVAL_S):
-            await self._query(Announce(self._me, cluster=view.cluster), view.voters)
+            await self._query(AnnounceController(self._me, cluster=view.cluster), view.voters)
 
     async def _complete_first_view(self, held: View) -> bool:
         """Bring a first view to its end whose proposer has gone silent; whether it is decided."""
@@ -75,7 +75,7 @@
         addresses = {voter.address for voter in voters} | set(self._seeds())
         addresses.discard(self._me.address)
         for answer in await call_all(self._transport, sorted(addresses), message, CALL_TIMEOUT_S):
-            if isinstance(answer, ViewAnswer) and answer.view is not None:
+            if isinstance(answer, ViewResponse) and answer.view is not None:
                 await self._consensus.learn(answer.view)
 
     def _is_due(self, interval: float) -> bool:
--- a/hollowusher/coordination/consensus/view_cache.py
+++ b/hollowusher/coordination/consensus/view_cache.py
@@ -9,7 +9,7 @@
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
 from hollowusher.coordination.consensus.view_discovery import SOLICITED_ORIGIN
 from hollowusher.protocol.codec import DecodeError, decode, encode
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.view import View
 from hollowusher.storage.interface import Slot, StorageError
 
@@ -32,7 +32,7 @@
             saved = self._slot.load()
             view = decode(saved) if saved is not None else None
         if isinstance(view, View):
-            self._state.apply([Item(VIEW, [view.epoch], SOLICITED_ORIGIN, 0, view)], {})
+            self._state.apply([DistributedItem(VIEW, [view.epoch], SOLICITED_ORIGIN, 0, view)], {})
         self._state.add_listener(self._on_change)
 
     async def run(self) -> None:
--- a/hollowusher/coordination/consensus/view_consensus.py
+++ b/hollowusher/coordination/consensus/view_consensus.py
@@ -16,12 +16,12 @@
     Accept,
     Accepted,
     ConfirmEpoch,
-    Decided,
     EpochConfirmed,
-    FirstTaken,
+    FirstViewResponse,
     Prepare,
     Promise,
-    ProposeFirst,
+    ProposeFirstView,
+    ViewDecided,
 )
 from hollowusher.protocol.view import View, Voter
 from hollowusher.storage.interface import Slot, StorageError
@@ -76,9 +76,9 @@
             await used
         return newer
 
-    async def accept_first_view(self, message: ProposeFirst) -> FirstTaken:
+    async def accept_first_view(self, message: ProposeFirstView) -> FirstViewResponse:
         """Hold the first proposed view 1."""
-        answer: FirstTaken = await self._request(self._machine.accept_first_view, message)
+        answer: FirstViewResponse = await self._request(self._machine.accept_first_view, message)
         return answer
 
     async def prepare(self, message: Prepare) -> Promise:
@@ -137,7 +137,7 @@
         """Tell the voters of a decided view, and some others, about it."""
         addresses = {voter.address for voter in [*view.voters, *further]} - {self._me.address}
         for address in sorted(addresses):
-            self._transport.send(address, Decided(view))
+            self._transport.send(address, ViewDecided(view))
 
     def _seconds_left(self, now: float) -> float:
         deadline = self._machine.deadline
--- a/hollowusher/coordination/consensus/view_discovery.py
+++ b/hollowusher/coordination/consensus/view_discovery.py
@@ -10,8 +10,8 @@
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
 from hollowusher.coordination.consensus.paxos import is_same_cluster
 from hollowusher.coordination.controller_selector import ControllerSelector
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.view import ReadView, View, ViewAnswer
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.view import ReadView, View, ViewResponse
 from hollowusher.transport.interface import PeerError, Transport
 
 QUERY_TIMEOUT_S = 0.6
@@ -58,14 +58,14 @@
         if known is not None and not is_same_cluster(known.cluster, view.cluster):
             self.foreign_rejections += 1
             return
-        self._state.apply([Item(VIEW, [view.epoch], SOLICITED_ORIGIN, 0, view)], {})
+        self._state.apply([DistributedItem(VIEW, [view.epoch], SOLICITED_ORIGIN, 0, view)], {})
 
     async def _query_address(self, address: str) -> None:
         try:
             answer = await self._transport.call(address, ReadView(), QUERY_TIMEOUT_S)
         except PeerError:
             return
-        if not isinstance(answer, ViewAnswer):
+        if not isinstance(answer, ViewResponse):
             return
         self._choice.health(address).record_answer()
         if answer.view is not None:
--- a/hollowusher/coordination/consensus/view_publisher.py
+++ b/hollowusher/coordination/consensus/view_publisher.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from hollowusher.protocol.view import OfferView, View, ViewAnswer
+from hollowusher.protocol.view import OfferView, View, ViewResponse
 from hollowusher.transport.interface import PeerError, Transport
 
 OFFER_TIMEOUT_S = 0.6
@@ -115,7 +115,7 @@
             answer = await self._transport.call(address, OfferView(view), OFFER_TIMEOUT_S)
         except PeerError:
             answer = None
-        known = answer.view if isinstance(answer, ViewAnswer) else None
+        known = answer.view if isinstance(answer, ViewResponse) else None
         if known is None or known.epoch < view.epoch:
             self._schedule.on_no_answer(address, _now())
             return
--- a/hollowusher/coordination/consensus/voter_state_machine.py
+++ b/hollowusher/coordination/consensus/voter_state_machine.py
@@ -19,7 +19,14 @@
 import attrs
 
 from hollowusher.coordination.consensus.paxos import Acceptor, Ballot, Proposer
-from hollowusher.protocol.consensus import Accept, Accepted, FirstTaken, Prepare, Promise, ProposeFirst
+from hollowusher.protocol.consensus import (
+    Accept,
+    Accepted,
+    FirstViewResponse,
+    Prepare,
+    Promise,
+    ProposeFirstView,
+)
 from hollowusher.protocol.view import View, Voter
 
 PHASE_TIMEOUT_S = 1.1  # for each of: the own promise on disk, a majority's promises, its acceptances
@@ -39,7 +46,7 @@
     """The answer to the request `request_id`; None where the disk has not taken it: no answer is given."""
 
     request_id: int
-    message: Promise | Accepted | FirstTaken | None
+    message: Promise | Accepted | FirstViewResponse | None
 
 
 @attrs.frozen
@@ -145,13 +152,13 @@
         self._send_when_durable(InstallView(view))
         return True
 
-    def accept_first_view(self, asker: int, message: ProposeFirst) -> None:
+    def accept_first_view(self, asker: int, message: ProposeFirstView) -> None:
         """Hold the first proposed view 1."""
         held = self.acceptor.accepted
         taken = self.acceptor.accept_first_view(message.view)
         if taken is not held:
             self._has_unsaved_vote = True
-        self._send_when_durable(SendResponse(asker, FirstTaken(taken, self.acceptor.decided)))
+        self._send_when_durable(SendResponse(asker, FirstViewResponse(taken, self.acceptor.decided)))
 
     def prepare(self, asker: int, message: Prepare) -> None:
         """Vote in the first phase."""
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -30,11 +30,17 @@
 from hollowusher.coordination.controller.state_service import StateService
 from hollowusher.coordination.controller.voter_group import VoterGroup
 from hollowusher.coordination.membership.pause_detector import PauseDetector
-from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Decided, Ping, Prepare, ProposeFirst
-from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, ReadState
+from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Ping, Prepare, ProposeFirstView, ViewDecided
+from hollowusher.protocol.control_chain import (
+    ChainWrite,
+    ChainWritten,
+    ControlState,
+    ReadControlState,
+    ReadStateRecord,
+)
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.operator_orders import ChangeConfiguration, ReadConfiguration
-from hollowusher.protocol.view import Announce, OfferView, ReadView, View, ViewAnswer, Voter
+from hollowusher.protocol.view import AnnounceController, OfferView, ReadView, View, ViewResponse, Voter
 from hollowusher.storage.interface import Slot
 from hollowusher.transport.interface import Transport
 
@@ -49,18 +55,18 @@
 
     MESSAGES: tuple[type, ...] = (
         Accept,
-        Announce,
+        AnnounceController,
         ChainWrite,
         ChangeConfiguration,
         ConfirmEpoch,
-        Decided,
+        ViewDecided,
         OfferView,
         Ping,
         Prepare,
-        ProposeFirst,
+        ProposeFirstView,
         ReadConfiguration,
-        ReadRecord,
-        ReadState,
+        ReadStateRecord,
+        ReadControlState,
         ReadView,
     )
 
@@ -272,35 +278,35 @@
             return await self._consensus.prepare(message)
         if isinstance(message, Accept):
             return await self._consensus.accept(message)
-        if isinstance(message, ProposeFirst):
+        if isinstance(message, ProposeFirstView):
             return await self._consensus.accept_first_view(message)
         if isinstance(message, ConfirmEpoch):
             return self._consensus.confirm(message)
-        if isinstance(message, Decided):
+        if isinstance(message, ViewDecided):
             await self._consensus.learn(message.view)
             return None
         if isinstance(message, OfferView):
             await self._consensus.learn(message.view)
-            return ViewAnswer(self.view)
+            return ViewResponse(self.view)
         if isinstance(message, Ping):
             return self._group.answer_ping(message)
-        if isinstance(message, Announce):
+        if isinstance(message, AnnounceController):
             return await self._take_announcement(message)
         if isinstance(message, ReadView):
-            return ViewAnswer(self.view)
+            return ViewResponse(self.view)
         return await self._handle_state(message)
 
     async def _handle_state(self, message: Any) -> Any:
         """Answer messages about the control state."""
         if isinstance(message, ChainWrite):
             return await self._receive(message)
-        if isinstance(message, ReadRecord):
+        if isinstance(message, ReadStateRecord):
             return self._replicator.read_record(message)
         if isinstance(message, ChangeConfiguration):
             return await self._states.change_configuration(message)
         if isinstance(message, ReadConfiguration):
             return await self._states.read_configuration(message)
-        if isinstance(message, ReadState):
+        if isinstance(message, ReadControlState):
             return await self._states.read_state(message)
         return None
 
@@ -314,11 +320,11 @@
                 await self._consensus.learn(newest)
         return await self._replicator.receive(write)
 
-    async def _take_announcement(self, message: Announce) -> ViewAnswer:
+    async def _take_announcement(self, message: AnnounceController) -> ViewResponse:
         known = self.view
         if known is not None and not is_same_cluster(known.cluster, message.cluster):
             self._seed.foreign_rejections += 1  # it is told of this cluster, and is nobody here
         elif not message.bootstrap:
             self._group.note_candidate(message.voter)
         await self._seed.handle(message)
-        return ViewAnswer(self.view)
+        return ViewResponse(self.view)
--- a/hollowusher/coordination/controller/departure.py
+++ b/hollowusher/coordination/controller/departure.py
@@ -17,7 +17,7 @@
 from hollowusher.coordination.consensus.reconfiguration import LivenessSnapshot, plan_chain
 from hollowusher.coordination.consensus.spare_controllers import SpareControllers
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
-from hollowusher.protocol.consensus import Decided, Ping, Pong
+from hollowusher.protocol.consensus import Ping, Pong, ViewDecided
 from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
@@ -85,7 +85,7 @@
         view = self._consensus.view
         if view is not None and not self._member.in_chain:
             others = [voter.address for voter in view.voters if voter.name != self._me.name]
-            await call_all(self._transport, others, Decided(view), ASK_TIMEOUT_S)
+            await call_all(self._transport, others, ViewDecided(view), ASK_TIMEOUT_S)
 
     def _plan_without_me(self, base: View) -> View | None:
         if self._member.epoch != base.epoch:
--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -28,15 +28,22 @@
 from hollowusher.coordination.placement.placement_manager import ControlChain, PlacementManager
 from hollowusher.coordination.placement.placement_manager import Update as Update
 from hollowusher.log_events import LogFunction, no_log
-from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.control_status import PartitionStatus
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.membership import Leaving, Member, ProbeLife, Register, Registered, Suspicion
-from hollowusher.protocol.operator_orders import OperatorAnswer
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.membership import (
+    CheckIncarnation,
+    Member,
+    MemberDeparting,
+    MemberRegistered,
+    MemberSuspected,
+    RegisterMember,
+)
+from hollowusher.protocol.operator_orders import OperatorResponse
 from hollowusher.protocol.view import View
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 from hollowusher.transport.interface import PeerError, Transport
 
 TICK_S = 0.1
@@ -46,14 +53,14 @@
 NEVER_READ = -1.0
 LONGEST_STEP_S = TICK_S + 0.3  # a longer one: this process did not run
 REFUSALS = (404, 409)
-UNAVAILABLE = OperatorAnswer(503, b'{"error":"no majority of the controllers can be reached"}')
+UNAVAILABLE = OperatorResponse(503, b'{"error":"no majority of the controllers can be reached"}')
 UNREAD_S = 0.1  # for so long after a pause what comes may have lain unread
 
 
 class ListReader(Protocol):
     """What the duties need of the platform's list."""
 
-    async def read(self) -> WorkerList | None:
+    async def read(self) -> PlatformWorkerList | None:
         """The whole list; None where nothing new is to be believed yet, `PlatformError` after a failure."""
 
 
@@ -64,7 +71,12 @@
 class HeadDuties:
     """The duties of one controller.  `is_newest` asks a majority whether its view is the newest still."""
 
-    MESSAGES: tuple[type, ...] = (Register, Leaving, Suspicion, *PlacementManager.MESSAGES)
+    MESSAGES: tuple[type, ...] = (
+        RegisterMember,
+        MemberDeparting,
+        MemberSuspected,
+        *PlacementManager.MESSAGES,
+    )
 
     def __init__(
         self,
@@ -111,7 +123,7 @@
     def _publish_member(self, member: Member) -> None:
         self._feed.publish(MEMBER_PREFIX + member.name, member_version(member), member)
 
-    def _on_item(self, item: Item) -> None:
+    def _on_item(self, item: DistributedItem) -> None:
         if item.key.startswith(MEMBER_PREFIX):
             self._directory.update(item.value, self._clock())
 
@@ -135,16 +147,16 @@
 
     async def handle(self, message: Any) -> Any:
         """Answer one of `MESSAGES`."""
-        if isinstance(message, Register):
+        if isinstance(message, RegisterMember):
             self._publish_member(message.member)
             view = self._controller.view
-            return Registered(0 if view is None else view.epoch)
-        if isinstance(message, Leaving):
+            return MemberRegistered(0 if view is None else view.epoch)
+        if isinstance(message, MemberDeparting):
             dead = self._directory.leaving_state(message)
             if dead is not None:
                 self._publish_member(dead)
-            return Done()
-        if isinstance(message, Suspicion):
+            return Acknowledgement()
+        if isinstance(message, MemberSuspected):
             self._take_suspicion(message)
             return None
         if isinstance(message, PlacementManager.MESSAGES):
@@ -154,10 +166,10 @@
     async def _certain(self, answer: Any) -> Any:
         """An answer of the placement's part.  A refusal rests on what is known here alone: one whose
         successor knows more must not give it."""
-        refused = isinstance(answer, OperatorAnswer) and answer.status in REFUSALS
+        refused = isinstance(answer, OperatorResponse) and answer.status in REFUSALS
         return UNAVAILABLE if refused and not await self._is_newest() else answer
 
-    def _take_suspicion(self, suspicion: Suspicion) -> None:
+    def _take_suspicion(self, suspicion: MemberSuspected) -> None:
         """Note a suspicion, unless it may have lain unread over a pause: it is repeated while it stands."""
         now = self._clock()
         self._notice_pause(now)
@@ -196,10 +208,10 @@
 
     async def _probe(self, member: Member) -> None:
         try:
-            probe = ProbeLife(member.name, member.incarnation)
+            probe = CheckIncarnation(member.name, member.incarnation)
             answer = await self._transport.call(member.address, probe, PROBE_TIMEOUT_S)
-            if not isinstance(answer, Done):
-                raise PeerError("ProbeLife", member.address, "another life is there")
+            if not isinstance(answer, Acknowledgement):
+                raise PeerError("CheckIncarnation", member.address, "another life is there")
             self._directory.clear_suspicion(member)
         except PeerError:
             self._notice_pause(self._clock())
@@ -239,7 +251,7 @@
             if view is not None and self._controller.is_head:
                 self._publish_workers(listed, view)
 
-    def _publish_workers(self, listed: WorkerList, view: View) -> None:
+    def _publish_workers(self, listed: PlatformWorkerList, view: View) -> None:
         """Distribute a list that says something new.  Its version is [epoch, incarnation, counter], which
         grows over changes of the head and over restarts of one."""
         known = self._feed.item(WORKERS)
@@ -250,10 +262,10 @@
         self._feed.publish(WORKERS, [*prefix, counter], listed)
 
 
-def _same_workers(known: Iterable[Worker], read: Iterable[Worker]) -> bool:
+def _same_workers(known: Iterable[PlatformWorker], read: Iterable[PlatformWorker]) -> bool:
     """Whether two lists say the same; the time left to warm up counts only as some or none."""
     return [_lasting(worker) for worker in known] == [_lasting(worker) for worker in read]
 
 
-def _lasting(worker: Worker) -> Worker:
+def _lasting(worker: PlatformWorker) -> PlatformWorker:
     return evolve(worker, warm_in_ms=min(1, worker.warm_in_ms))
--- a/hollowusher/coordination/controller/operator_api.py
+++ b/hollowusher/coordination/controller/operator_api.py
@@ -17,10 +17,10 @@
 from hollowusher.configuration.orders import MOST_BODY_BYTES, Refusal
 from hollowusher.protocol.operator_orders import (
     ChangeConfiguration,
-    OperatorAnswer,
+    OperatorResponse,
     ReadConfiguration,
     RecoverPartition,
-    Retire,
+    RetireStore,
 )
 from hollowusher.transport.interface import PeerError
 
@@ -28,7 +28,7 @@
 CHANGE_TIMEOUT_S = 3.0
 RETRY_AFTER_S = 1
 
-Forward = Callable[[Any], Awaitable[OperatorAnswer]]
+Forward = Callable[[Any], Awaitable[OperatorResponse]]
 
 
 class OperatorApi:
@@ -36,7 +36,7 @@
 
     def __init__(self, forward: Forward) -> None:
         self._forward = forward
-        self._tasks: set[asyncio.Future[OperatorAnswer]] = set()
+        self._tasks: set[asyncio.Future[OperatorResponse]] = set()
 
     def add_routes(self, application: web.Application) -> None:
         """Serve the operator's paths from an application (made with `client_max_size` of
@@ -67,10 +67,10 @@
         duration = _read_duration(body)
         if isinstance(duration, Refusal):
             return _response(duration.answer())
-        return await self._ask(Retire(request.match_info["node"], duration), CHANGE_TIMEOUT_S)
+        return await self._ask(RetireStore(request.match_info["node"], duration), CHANGE_TIMEOUT_S)
 
     async def _retirement(self, request: web.Request) -> web.Response:
-        return await self._ask(Retire(request.match_info["node"], None), QUESTION_TIMEOUT_S)
+        return await self._ask(RetireStore(request.match_info["node"], None), QUESTION_TIMEOUT_S)
 
     async def _recover_partition(self, request: web.Request) -> web.Response:
         body = await _read_body(request)
@@ -94,7 +94,7 @@
         except PeerError as error:
             return _unavailable(str(error))
 
-    def _finished(self, task: asyncio.Future[OperatorAnswer]) -> None:
+    def _finished(self, task: asyncio.Future[OperatorResponse]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
             task.exception()  # retrieved: a late failure concerns nobody any more
@@ -144,7 +144,7 @@
     return RecoverPartition(int(partition), named)
 
 
-def _response(answer: OperatorAnswer) -> web.Response:
+def _response(answer: OperatorResponse) -> web.Response:
     if answer.status == 503:
         return _unavailable("", answer.body)
     return web.Response(status=answer.status, body=answer.body, content_type="application/json")
--- a/hollowusher/coordination/controller/state_service.py
+++ b/hollowusher/coordination/controller/state_service.py
@@ -14,16 +14,16 @@
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
 from hollowusher.coordination.controller.voter_group import VoterGroup
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.control_chain import ControlState, ControlStateResponse, ReadControlState
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
 from hollowusher.protocol.view import Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 FORWARD_CHANGE_TIMEOUT_S = 2.8
 FORWARD_READ_TIMEOUT_S = 0.7
 
-UNAVAILABLE = OperatorAnswer(503, b'{"error":"no majority of the controllers can be reached"}')
-NOT_CONFIGURED = OperatorAnswer(404, b'{"error":"there is no configuration yet"}')
+UNAVAILABLE = OperatorResponse(503, b'{"error":"no majority of the controllers can be reached"}')
+NOT_CONFIGURED = OperatorResponse(404, b'{"error":"there is no configuration yet"}')
 
 
 class StateService:
@@ -46,7 +46,7 @@
         self._group = group
         self._ages = CommittedAges()
 
-    async def change_configuration(self, message: ChangeConfiguration) -> OperatorAnswer:
+    async def change_configuration(self, message: ChangeConfiguration) -> OperatorResponse:
         """An order of the operator; the head decides."""
         read = read_order(message.method, message.if_match, message.body)
         if read.is_error():
@@ -57,10 +57,10 @@
             head = newest.head if newest is not None else ""
             timeout = FORWARD_CHANGE_TIMEOUT_S + len(message.body) / MIN_THROUGHPUT_BYTES_PER_S
             answer = await self._forward(head, message, timeout)
-            return answer if isinstance(answer, OperatorAnswer) else UNAVAILABLE
+            return answer if isinstance(answer, OperatorResponse) else UNAVAILABLE
         return await self._take_order(read.ok)
 
-    async def _take_order(self, order: Order) -> OperatorAnswer:
+    async def _take_order(self, order: Order) -> OperatorResponse:
         """Head: check an order against the newest state and commit what it asks for."""
         outcomes: list[OrderOutcome] = []
 
@@ -84,23 +84,23 @@
             self._ages.note(self._member.committed.generation, now)
         return self._ages.no_longer_repeated(now)
 
-    async def read_configuration(self, message: ReadConfiguration) -> OperatorAnswer:
+    async def read_configuration(self, message: ReadConfiguration) -> OperatorResponse:
         """The newest configuration; the tail knows it."""
         if not self._member.is_tail:
             answer = await self._forward_read(message)
-            return answer if isinstance(answer, OperatorAnswer) else UNAVAILABLE
+            return answer if isinstance(answer, OperatorResponse) else UNAVAILABLE
         state = await self._confirmed_state()
         if state is None:
             return UNAVAILABLE
-        return OperatorAnswer(200, state.document) if state.generation else NOT_CONFIGURED
+        return OperatorResponse(200, state.document) if state.generation else NOT_CONFIGURED
 
-    async def read_state(self, message: ReadState) -> StateAnswer:
+    async def read_state(self, message: ReadControlState) -> ControlStateResponse:
         """The newest committed control state; the tail knows it."""
         if not self._member.is_tail:
             answer = await self._forward_read(message)
-            return answer if isinstance(answer, StateAnswer) else StateAnswer(None)
+            return answer if isinstance(answer, ControlStateResponse) else ControlStateResponse(None)
         state = await self._confirmed_state()
-        return StateAnswer(state, self._member.epoch)
+        return ControlStateResponse(state, self._member.epoch)
 
     async def _confirmed_state(self) -> ControlState | None:
         """Tail: its state, once a majority says that the view is still the newest."""
@@ -110,7 +110,7 @@
         state = self._member.committed
         return state if await self._consensus.majority_confirms(view.epoch) else None
 
-    async def _forward_read(self, message: ReadConfiguration | ReadState) -> Any:
+    async def _forward_read(self, message: ReadConfiguration | ReadControlState) -> Any:
         tail = self._consensus.view.tail if self._consensus.view is not None else ""
         return await self._forward(tail, message, FORWARD_READ_TIMEOUT_S)
 
--- a/hollowusher/coordination/controller/voter_group.py
+++ b/hollowusher/coordination/controller/voter_group.py
@@ -25,7 +25,7 @@
 from hollowusher.coordination.consensus.voter_set import VoterSetChange, plan_voter_set_change
 from hollowusher.coordination.controller.control_status import UNHEARD, VoterSigns
 from hollowusher.coordination.controller.departure import Departure
-from hollowusher.protocol.consensus import Decided, Ping, Pong
+from hollowusher.protocol.consensus import Ping, Pong, ViewDecided
 from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
@@ -184,7 +184,7 @@
         self._health.answered(pong, _now())
         view = self._consensus.view
         if view is not None and pong.epoch < view.epoch:
-            self._transport.send(voter.address, Decided(view))
+            self._transport.send(voter.address, ViewDecided(view))
         elif view is None or pong.epoch > view.epoch:
             await self._catch_up(voter.address)
 
--- a/hollowusher/coordination/controller/worker_list_reader.py
+++ b/hollowusher/coordination/controller/worker_list_reader.py
@@ -14,7 +14,7 @@
 import attrs
 import orjson
 
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
 CALL_TIMEOUT_S = 1.0
 MOST_PAGES = 10_000
@@ -38,7 +38,7 @@
 class Page:
     """One answer of the platform."""
 
-    workers: list[Worker]
+    workers: list[PlatformWorker]
     next_token: str | None
 
 
@@ -56,11 +56,11 @@
     return Page([_worker(entry) for entry in instances], token)
 
 
-def _worker(entry: Any) -> Worker:
+def _worker(entry: Any) -> PlatformWorker:
     if not isinstance(entry, dict):
         raise ValueError("instances: an entry is no object")
     state = _text(entry, "state")
-    return Worker(
+    return PlatformWorker(
         id=_text(entry, "id"),
         service=_text(entry, "upstream"),
         address=_address(entry),
@@ -101,11 +101,11 @@
     from such a reading stays for one more."""
 
     def __init__(self) -> None:
-        self._known: dict[str, Worker] = {}
+        self._known: dict[str, PlatformWorker] = {}
         self._missed: set[str] = set()
         self._empty_readings = 0
 
-    def take(self, workers: list[Worker], pages: int) -> list[Worker] | None:
+    def take(self, workers: list[PlatformWorker], pages: int) -> list[PlatformWorker] | None:
         """The list after a full reading; None where the reading is not to be believed yet."""
         read = {worker.id: worker for worker in workers}
         self._empty_readings = 0 if read else self._empty_readings + 1
@@ -156,9 +156,9 @@
         self._pacer = Pacer(rate_per_s)
         self._session: aiohttp.ClientSession | None = None
 
-    async def read(self) -> WorkerList | None:
+    async def read(self) -> PlatformWorkerList | None:
         """The list, None where a reading is not to be believed yet; `PlatformError` where it failed."""
-        workers: list[Worker] = []
+        workers: list[PlatformWorker] = []
         token: str | None = None
         for pages in range(1, MOST_PAGES):
             page = await self._page(token)
@@ -166,7 +166,7 @@
             token = page.next_token
             if token is None:
                 believed = self._keeper.take(workers, pages)
-                return None if believed is None else WorkerList(believed)
+                return None if believed is None else PlatformWorkerList(believed)
         raise PlatformError("read the list", self.address, "the pages have no end")
 
     async def close(self) -> None:
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -36,12 +36,19 @@
 from hollowusher.coordination.membership.failure_detector import FailureDetector
 from hollowusher.coordination.membership.member_directory import member_version
 from hollowusher.coordination.membership.pause_detector import PauseDetector
-from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
-from hollowusher.protocol.distribution import Item, PullUpdates, Repair, Updates
-from hollowusher.protocol.membership import Heartbeat, Leaving, Member, ProbeLife, Register, Registered
-from hollowusher.protocol.view import OfferView, ReadView, View, ViewAnswer, Voter
+from hollowusher.protocol.control_chain import ControlState, ControlStateResponse, ReadControlState
+from hollowusher.protocol.distribution import DistributedItem, PullUpdates, ReadRepair, UpdatesResponse
+from hollowusher.protocol.membership import (
+    CheckIncarnation,
+    Heartbeat,
+    Member,
+    MemberDeparting,
+    MemberRegistered,
+    RegisterMember,
+)
+from hollowusher.protocol.view import OfferView, ReadView, View, ViewResponse, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
 PULL_WAIT_MS = 1_000
@@ -61,7 +68,7 @@
     """One process's access to the cluster.  `me` is its present registration, `seeds` tells the seeds that
     the settings name at present."""
 
-    MESSAGES: tuple[type, ...] = (Heartbeat, OfferView, ReadView, ProbeLife, PullUpdates, Repair)
+    MESSAGES: tuple[type, ...] = (Heartbeat, OfferView, ReadView, CheckIncarnation, PullUpdates, ReadRepair)
 
     def __init__(
         self,
@@ -120,8 +127,8 @@
                 await self._view_discovery.find()
             for voter in self._readers():
                 asked_at = self._now()
-                answer = await self._try_call(voter.address, ReadState(), STATE_TIMEOUT_S)
-                if isinstance(answer, StateAnswer) and answer.state is not None:
+                answer = await self._try_call(voter.address, ReadControlState(), STATE_TIMEOUT_S)
+                if isinstance(answer, ControlStateResponse) and answer.state is not None:
                     self._connected_at = max(asked_at, self._connected_at)
                     self._apply_state(answer.state)
                     return
@@ -151,13 +158,13 @@
             self._publish(evolve(self.me, status=self.me.status + 1, leaving=True))
         with suppress(TimeoutError):
             async with asyncio.timeout(LEAVE_S):
-                await self._send_leaving(Leaving(self.me.name, self.me.incarnation))
+                await self._send_leaving(MemberDeparting(self.me.name, self.me.incarnation))
 
-    async def _send_leaving(self, message: Leaving) -> None:
+    async def _send_leaving(self, message: MemberDeparting) -> None:
         for voter in self._voters_by_preference():
             if voter.address == self.me.address:
                 continue
-            if isinstance(await self._try_call(voter.address, message, LEAVE_TIMEOUT_S), Done):
+            if isinstance(await self._try_call(voter.address, message, LEAVE_TIMEOUT_S), Acknowledgement):
                 return
 
     def seconds_since_contact(self, now: float) -> float:
@@ -193,16 +200,16 @@
         if isinstance(message, Heartbeat):
             self._monitor.record_heartbeat(message, self._now())
         elif isinstance(message, ReadView):
-            return ViewAnswer(self.state.view)
+            return ViewResponse(self.state.view)
         elif isinstance(message, OfferView):
             self.take_view(message.view)
-            return ViewAnswer(self.state.view)
+            return ViewResponse(self.state.view)
         elif isinstance(message, PullUpdates) and self._long_poll is not None:
             return await self._long_poll.answer(message)
-        elif isinstance(message, Repair):
+        elif isinstance(message, ReadRepair):
             self._take_repair(message)
-        elif isinstance(message, ProbeLife) and message.incarnation == self.me.incarnation:
-            return Done()
+        elif isinstance(message, CheckIncarnation) and message.incarnation == self.me.incarnation:
+            return Acknowledgement()
         return None
 
     # ---- the controllers
@@ -260,19 +267,21 @@
         if address in self._registered_at or self._leaving:
             return
         registration = self.me
-        answer = await self._transport.call(address, Register(registration), CALL_TIMEOUT_S)
-        if not isinstance(answer, Registered):
-            raise PeerError("Register", address, "no registration there")
+        answer = await self._transport.call(address, RegisterMember(registration), CALL_TIMEOUT_S)
+        if not isinstance(answer, MemberRegistered):
+            raise PeerError("RegisterMember", address, "no registration there")
         if registration is self.me:
             self._registered_at.add(address)
 
-    async def _pull(self, address: str, have: dict[str, int], take: Callable[[Updates], list[str]]) -> bool:
+    async def _pull(
+        self, address: str, have: dict[str, int], take: Callable[[UpdatesResponse], list[str]]
+    ) -> bool:
         """One long poll; False where the controller has lost most of the others, `PeerError` where none
         answers."""
         started = self._now()
         request = PullUpdates(self.me.name, have, PULL_WAIT_MS)
         answer = await self._transport.call(address, request, PULL_WAIT_MS / 1000 + PULL_MARGIN_S)
-        if not isinstance(answer, Updates):
+        if not isinstance(answer, UpdatesResponse):
             raise PeerError("PullUpdates", address, "no updates there")
         changed = take(answer)
         now = self._now()
@@ -286,11 +295,11 @@
             await asyncio.sleep(IDLE_PAUSE_S)
         return answer.connected
 
-    def _take(self, address: str, updates: Updates) -> list[str]:
+    def _take(self, address: str, updates: UpdatesResponse) -> list[str]:
         changed = self.state.apply(updates.items, updates.have)
         lacking = self.state.items_missing_from(updates.have)
         if lacking:
-            self._transport.send(address, Repair(lacking))
+            self._transport.send(address, ReadRepair(lacking))
         return changed
 
     # ---- a controller follows all others
@@ -335,12 +344,12 @@
             have[origin] = max(counter, have.get(origin, 0))
         return have
 
-    def _merge(self, address: str, updates: Updates) -> list[str]:
+    def _merge(self, address: str, updates: UpdatesResponse) -> list[str]:
         assert self._feed is not None
         self._peer_have[address] = updates.have
         return self._feed.merge(updates)
 
-    def _take_repair(self, repair: Repair) -> None:
+    def _take_repair(self, repair: ReadRepair) -> None:
         """Publish members' states that the controllers have lost; nothing else may come from a reader."""
         if self._feed is not None:
             for item in repair.items:
@@ -354,7 +363,7 @@
 
     # ---- applying what was learnt
 
-    def _apply(self, items: list[Item]) -> None:
+    def _apply(self, items: list[DistributedItem]) -> None:
         self.state.apply(items, {})
 
     def _apply_state(self, state: ControlState) -> None:
@@ -367,7 +376,7 @@
             if self._feed is not None:
                 self._feed.publish(key, [version], value)
             else:
-                self._apply([Item(key, [version], SOLICITED_ORIGIN, 0, value)])
+                self._apply([DistributedItem(key, [version], SOLICITED_ORIGIN, 0, value)])
 
     def _on_change(self, key: str) -> None:
         if key == VIEW:
--- a/hollowusher/coordination/distribution/feed.py
+++ b/hollowusher/coordination/distribution/feed.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from hollowusher.protocol.distribution import Item, PullUpdates, Updates
+from hollowusher.protocol.distribution import DistributedItem, PullUpdates, UpdatesResponse
 
 LONGEST_AGE_S = 1e6  # told for "never" and for all that is older
 BATCH_S = 0.02  # a waiting pull is answered this long after the first news, so that news travel together
-Listener = Callable[[Item], None]  # called with each item that replaced an older value
+Listener = Callable[[DistributedItem], None]  # called with each item that replaced an older value
 
 
 class Feed:
@@ -28,7 +28,7 @@
     def __init__(self, origin: str) -> None:
         self.origin = origin
         self._counter = 0
-        self._items: dict[str, Item] = {}
+        self._items: dict[str, DistributedItem] = {}
         self._have: dict[str, int] = {}
         self._listeners: list[Listener] = []
 
@@ -37,11 +37,11 @@
         """The version vector."""
         return dict(self._have)
 
-    def item(self, key: str) -> Item | None:
+    def item(self, key: str) -> DistributedItem | None:
         """The newest item of a key."""
         return self._items.get(key)
 
-    def items(self) -> list[Item]:
+    def items(self) -> list[DistributedItem]:
         """The newest items of all keys."""
         return list(self._items.values())
 
@@ -56,13 +56,13 @@
         if known is not None and numbers <= list(known.version):
             return False
         self._counter += 1
-        self._items[key] = item = Item(key, numbers, self.origin, self._counter, value)
+        self._items[key] = item = DistributedItem(key, numbers, self.origin, self._counter, value)
         self._have[self.origin] = self._counter
         self._prune()
         self._tell([item])
         return True
 
-    def merge(self, updates: Updates) -> list[str]:
+    def merge(self, updates: UpdatesResponse) -> list[str]:
         """Take the answer of another controller; the keys whose value has changed."""
         newer = [item for item in updates.items if self._take(item)]
         for origin, counter in updates.have.items():
@@ -72,13 +72,13 @@
         self._tell(newer)
         return [item.key for item in newer]
 
-    def answer(self, request: PullUpdates, connected: bool = True, age_s: float = 0.0) -> Updates:
+    def answer(self, request: PullUpdates, connected: bool = True, age_s: float = 0.0) -> UpdatesResponse:
         """The items beyond the reader's vector, and the vector it has after taking them."""
         items = [item for item in self._items.values() if item.counter > request.have.get(item.origin, 0)]
         items.sort(key=lambda item: (item.origin, item.counter))
-        return Updates(items, self.have, connected, math.ceil(1000 * min(age_s, LONGEST_AGE_S)))
+        return UpdatesResponse(items, self.have, connected, math.ceil(1000 * min(age_s, LONGEST_AGE_S)))
 
-    def _take(self, item: Item) -> bool:
+    def _take(self, item: DistributedItem) -> bool:
         """Keep an item if it is newer; True if its version is greater than the known one.
 
         Of two items with one version the same one wins everywhere, so that all feeds come to hold the same
@@ -99,7 +99,7 @@
         if len(self._have) > len(live):
             self._have = {origin: counter for origin, counter in self._have.items() if origin in live}
 
-    def _tell(self, items: list[Item]) -> None:
+    def _tell(self, items: list[DistributedItem]) -> None:
         for item in items:
             for listener in list(self._listeners):
                 listener(item)
@@ -121,11 +121,11 @@
         self._news = asyncio.Event()
         feed.listen(self._wake)
 
-    def _wake(self, _item: Item) -> None:
+    def _wake(self, _item: DistributedItem) -> None:
         self._news.set()
         self._news = asyncio.Event()
 
-    async def answer(self, request: PullUpdates) -> Updates:
+    async def answer(self, request: PullUpdates) -> UpdatesResponse:
         """The answer to a pull: at once if there are items for it, else when some come, at the latest after
         the time that the reader is willing to wait."""
         loop = asyncio.get_running_loop()
--- a/hollowusher/coordination/membership/failure_detector.py
+++ b/hollowusher/coordination/membership/failure_detector.py
@@ -20,7 +20,7 @@
 
 from hollowusher.coordination.member_role import MemberRole
 from hollowusher.coordination.membership.monitor_assignment import MonitorAssignment
-from hollowusher.protocol.membership import Heartbeat, Member, Suspicion
+from hollowusher.protocol.membership import Heartbeat, Member, MemberSuspected
 
 HEARTBEAT_INTERVAL_S = 0.2
 HEARTBEAT_TIMEOUT_S = 0.7
@@ -102,7 +102,7 @@
         self._last_heartbeat_sent_at = now
         return True
 
-    def tick(self, now: float) -> list[Suspicion]:
+    def tick(self, now: float) -> list[MemberSuspected]:
         """Return the suspicions to report now.  To be called several times within `MAX_TICK_INTERVAL_S`."""
         was_paused = self._last_tick is not None and now - self._last_tick > MAX_TICK_INTERVAL_S
         self._last_tick = now
@@ -116,6 +116,6 @@
             if monitored.is_report_due(now)
         ]
 
-    def _report(self, name: str, monitored: _MonitoredMember, now: float) -> Suspicion:
+    def _report(self, name: str, monitored: _MonitoredMember, now: float) -> MemberSuspected:
         monitored.last_report_at = now
-        return Suspicion(name, monitored.incarnation, self.name)
+        return MemberSuspected(name, monitored.incarnation, self.name)
--- a/hollowusher/coordination/membership/member_directory.py
+++ b/hollowusher/coordination/membership/member_directory.py
@@ -25,7 +25,7 @@
 from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.membership.suspicion_table import SuspicionTable
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.membership import Leaving, Member, Suspicion
+from hollowusher.protocol.membership import Member, MemberDeparting, MemberSuspected
 
 HEALTH_CHECK_AFTER_S = 1.0  # a suspicion without a majority is this old before the head checks the member
 
@@ -85,14 +85,14 @@
             for name in sorted(names)
         }
 
-    def leaving_state(self, leaving: Leaving) -> Member | None:
+    def leaving_state(self, leaving: MemberDeparting) -> Member | None:
         """Return the state to publish for a member that stops; None if that incarnation is not alive."""
         dead = self._dead_state(leaving.name, leaving.incarnation)
         return None if dead is None else evolve(dead, leaving=True)
 
     # ---- suspicions
 
-    def record_suspicion(self, suspicion: Suspicion, now: float) -> None:
+    def record_suspicion(self, suspicion: MemberSuspected, now: float) -> None:
         """Record a monitor's report; one about a dead or former incarnation changes nothing."""
         member = self.members.get(suspicion.name)
         if member is not None and member.alive and member.incarnation == suspicion.incarnation:
--- a/hollowusher/coordination/membership/suspicion_table.py
+++ b/hollowusher/coordination/membership/suspicion_table.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from hollowusher.protocol.membership import Suspicion
+from hollowusher.protocol.membership import MemberSuspected
 
 SUSPICION_VALIDITY_S = 1.5  # a few times `SUSPICION_REPEAT_S`, so that one lost message changes nothing
 
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self._records: dict[str, _SuspicionRecord] = {}
 
-    def record(self, suspicion: Suspicion, now: float) -> None:
+    def record(self, suspicion: MemberSuspected, now: float) -> None:
         """Add a report; one about another incarnation than before starts a new record."""
         record = self._records.get(suspicion.name)
         if record is None or record.incarnation != suspicion.incarnation or not record.current_reporters(now):
--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -28,12 +28,12 @@
 )
 from hollowusher.coordination.placement.replica_states import store_name
 from hollowusher.log_events import LogFunction, PartitionLost, PartitionRecovered, PartitionRestored, no_log
-from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.control_status import PartitionStatus
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.operator_orders import OperatorAnswer, RecoverPartition, Retire
+from hollowusher.protocol.operator_orders import OperatorResponse, RecoverPartition, RetireStore
 from hollowusher.protocol.placement import LearnerLost, LearnerReady, Placement
 from hollowusher.protocol.view import View
 
@@ -72,7 +72,7 @@
 class PlacementManager:
     """The placement's part of one controller's duties; it acts while its process is the chain's head."""
 
-    MESSAGES: tuple[type, ...] = (Retire, LearnerReady, LearnerLost, RecoverPartition)
+    MESSAGES: tuple[type, ...] = (RetireStore, LearnerReady, LearnerLost, RecoverPartition)
 
     def __init__(
         self,
@@ -102,8 +102,8 @@
         """Answer one of `MESSAGES`."""
         if isinstance(message, LearnerReady | LearnerLost):
             self._record_report(message)
-            return Done()
-        if isinstance(message, Retire):
+            return Acknowledgement()
+        if isinstance(message, RetireStore):
             return await self._retire_store(message)
         if isinstance(message, RecoverPartition):
             return await self._recover_partition(message)
@@ -234,12 +234,12 @@
             self._log(PartitionRestored(partition=number))
         self._logged_lost = set(lost)
 
-    async def _recover_partition(self, order: RecoverPartition) -> OperatorAnswer:
+    async def _recover_partition(self, order: RecoverPartition) -> OperatorResponse:
         """Go on with what is left of a partition, as the operator has ordered it."""
         state = self._controller.state
         if state is None or state.placement is None or not self._controller.is_head:
-            return OperatorAnswer(503)
-        answers: list[OperatorAnswer] = []
+            return OperatorResponse(503)
+        answers: list[OperatorResponse] = []
 
         def update(newest: ControlState) -> ControlState | None:
             assert newest.placement is not None
@@ -251,13 +251,13 @@
                 order.accept_loss_of,
             )
             if isinstance(found, RecoveryRejected):
-                answers.append(OperatorAnswer(found.status, orjson.dumps({"error": found.reason})))
+                answers.append(OperatorResponse(found.status, orjson.dumps({"error": found.reason})))
                 return None
-            answers.append(OperatorAnswer(200, orjson.dumps({"state": "recovered"})))
+            answers.append(OperatorResponse(200, orjson.dumps({"state": "recovered"})))
             return evolve(newest, placement=found)
 
         if not await self._controller.change(update) or not answers:
-            return OperatorAnswer(503)
+            return OperatorResponse(503)
         if answers[0].status == 200:
             self._log(PartitionRecovered(partition=order.partition, abandoned_replicas=order.accept_loss_of))
         return answers[0]
@@ -276,10 +276,10 @@
                 retiring[name] = COMPLETED
         return retiring
 
-    async def _retire_store(self, order: Retire) -> OperatorAnswer:
+    async def _retire_store(self, order: RetireStore) -> OperatorResponse:
         state = self._controller.state
         if state is None or not self._controller.is_head:
-            return OperatorAnswer(503)
+            return OperatorResponse(503)
         if order.duration_s is None or order.name in state.retiring:
             return _retirement_answer(state, order.name)
         rejection = self._retirement_rejection(state, order.name)
@@ -295,14 +295,14 @@
         newest = self._controller.state
         if newest is not None and order.name in newest.retiring:
             return _retirement_answer(newest, order.name)
-        return OperatorAnswer(503)
+        return OperatorResponse(503)
 
-    def _retirement_rejection(self, state: ControlState, name: str) -> OperatorAnswer | None:
+    def _retirement_rejection(self, state: ControlState, name: str) -> OperatorResponse | None:
         conditions = self._directory.store_conditions((), self._clock())
         if name not in conditions:
-            return OperatorAnswer(404, b'{"error":"no storage machine has this name"}')
+            return OperatorResponse(404, b'{"error":"no storage machine has this name"}')
         if not can_retire(name, conditions, state.retiring, self._tolerance):
-            return OperatorAnswer(409, b'{"error":"too few storage machines would remain"}')
+            return OperatorResponse(409, b'{"error":"too few storage machines would remain"}')
         return None
 
 
@@ -310,8 +310,8 @@
     return RUNNING in state.retiring.values()
 
 
-def _retirement_answer(state: ControlState, name: str) -> OperatorAnswer:
+def _retirement_answer(state: ControlState, name: str) -> OperatorResponse:
     progress = state.retiring.get(name)
     if progress is None:
-        return OperatorAnswer(404, b'{"error":"no order to empty this machine"}')
-    return OperatorAnswer(200, orjson.dumps({"state": progress}))
+        return OperatorResponse(404, b'{"error":"no order to empty this machine"}')
+    return OperatorResponse(200, orjson.dumps({"state": progress}))
--- a/hollowusher/delivery/callbacks.py
+++ b/hollowusher/delivery/callbacks.py
@@ -16,7 +16,7 @@
 from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
 from hollowusher.delivery.pool import ConnectionPool
 from hollowusher.delivery.reports import EndReporter
-from hollowusher.protocol.leases import Finish, Job, JobsWaiting
+from hollowusher.protocol.leases import FinishLease, JobsWaiting, LeasedJob
 
 MOST_CONNECTIONS = 4  # of one receiver: they accept few
 TIMEOUT_S = 3.0
@@ -31,8 +31,8 @@
 class CallbackClient(Protocol):
     """Sends call-backs to one receiver."""
 
-    async def post(self, job: Job) -> str:
-        """Tell the end; the result for `Finish`."""
+    async def post(self, job: LeasedJob) -> str:
+        """Tell the end; the result for `FinishLease`."""
 
     def close(self) -> None:
         """End all connections."""
@@ -44,7 +44,7 @@
     def __init__(self, address: str) -> None:
         self._pool = ConnectionPool(address, MOST_CONNECTIONS)
 
-    async def post(self, job: Job) -> str:
+    async def post(self, job: LeasedJob) -> str:
         """Tell the end; only a 200 means that it was heard."""
         deadline = asyncio.get_running_loop().time() + TIMEOUT_S
         try:
@@ -58,7 +58,7 @@
         self._pool.close()
 
 
-def callback_request(job: Job) -> bytes:
+def callback_request(job: LeasedJob) -> bytes:
     """Head and body of a call-back."""
     parts = urlsplit(job.message.callback_url)
     path = parts.path or "/"
@@ -77,7 +77,7 @@
 class _WaitingCallback:
     """A leased call-back that has not been begun; `begin_by` in the loop's time."""
 
-    job: Job
+    job: LeasedJob
     begin_by: float
 
 
@@ -164,7 +164,7 @@
                 receiver.client.close()
                 del self._receivers[name]
 
-    def _take(self, service: str, jobs: list[Job]) -> None:
+    def _take(self, service: str, jobs: list[LeasedJob]) -> None:
         receiver = self._receivers.get(service)
         if receiver is None:
             self._give_back(jobs)
@@ -204,8 +204,8 @@
             pause = min(LONGEST_PAUSE_S, PAUSE_S * 2 ** min(receiver.failures, 8))
             receiver.failures += 1
             receiver.rest_until = asyncio.get_running_loop().time() + pause
-        self._reporter.report_later(Finish(job.lease, result))
+        self._reporter.report_later(FinishLease(job.lease, result))
 
-    def _give_back(self, jobs: list[Job]) -> None:
+    def _give_back(self, jobs: list[LeasedJob]) -> None:
         for job in jobs:
             self._reporter.give_back(job.lease)
--- a/hollowusher/delivery/leasing.py
+++ b/hollowusher/delivery/leasing.py
@@ -12,7 +12,7 @@
 from hollowusher.configuration.model import Configuration
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.protocol.leases import Job, Leased, LeaseRequest
+from hollowusher.protocol.leases import LeasedJob, LeaseRequest, LeaseResponse
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import Placement
 from hollowusher.transport.interface import PeerError, Transport
@@ -62,8 +62,8 @@
     asked again, None where demand never grows by time alone."""
 
     wanted: Callable[[], int]
-    take: Callable[[list[Job]], None]
-    give_back: Callable[[list[Job]], None]
+    take: Callable[[list[LeasedJob]], None]
+    give_back: Callable[[list[LeasedJob]], None]
     recheck_s: Callable[[], float | None]
 
 
@@ -173,7 +173,7 @@
             if took < PACE_S:
                 await asyncio.sleep(PACE_S - took)
 
-    def _receive(self, jobs: list[Job], age_s: float) -> None:
+    def _receive(self, jobs: list[LeasedJob], age_s: float) -> None:
         """Take jobs whose leases are `age_s` old at most: the time since the request less the time that the
         store waited before it leased them, each by the steady clock of the one who measured it."""
         self._network.figures.leased += len(jobs)
@@ -203,7 +203,7 @@
             lost=lost,
         )
 
-    async def _ask(self, store: str, request: LeaseRequest) -> tuple[Leased | None, bool]:
+    async def _ask(self, store: str, request: LeaseRequest) -> tuple[LeaseResponse | None, bool]:
         """The answer of a store, None where there is none; and whether it may have granted something."""
         address = self._network.address(store)
         if address is None:
@@ -214,4 +214,4 @@
         except PeerError as error:
             self._network.figures.lease_failures += 1
             return None, error.sent
-        return (answer, False) if isinstance(answer, Leased) else (None, True)
+        return (answer, False) if isinstance(answer, LeaseResponse) else (None, True)
--- a/hollowusher/delivery/outcome.py
+++ b/hollowusher/delivery/outcome.py
@@ -22,7 +22,8 @@
 
 @attrs.frozen
 class DeliveryOutcome:
-    """`result` and `signature` are those of `Finish`; `retry_ms` is the wait wanted before the next lease.
+    """`result` and `signature` are those of `FinishLease`; `retry_ms` is the wait wanted before the next
+    lease.
     `started` is when the first byte was sent (None: nothing was), `took` how long the delivery took."""
 
     result: str  # "success" | "failed" | "refused" | "not_run" | "unknown"
--- a/hollowusher/delivery/pull.py
+++ b/hollowusher/delivery/pull.py
@@ -11,7 +11,7 @@
 from hollowusher.coordination.cluster_state import MEMBER_PREFIX, PLACEMENT
 from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
 from hollowusher.delivery.reports import EndReporter
-from hollowusher.protocol.leases import Job, JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 
 SOURCE_KEPT_S = 3.0
 SPARE_KEPT_S = 0.15  # a job whose call has ended is offered to the next call for so long
@@ -21,7 +21,7 @@
 class _Spare:
     """A leased job that no call waits for."""
 
-    job: Job
+    job: LeasedJob
     until: float
     timer: asyncio.TimerHandle
 
@@ -31,7 +31,7 @@
     """The calls of one service that wait, in order of arrival, and the jobs nobody waits for."""
 
     leases: LeaseGroup
-    calls: deque[asyncio.Future[Job | None]] = attrs.Factory(deque)
+    calls: deque[asyncio.Future[LeasedJob | None]] = attrs.Factory(deque)
     spare: deque[_Spare] = attrs.Factory(deque)
 
 
@@ -47,7 +47,7 @@
         self._stopping = False
         network.state.add_listener(self._changed)
 
-    async def pull(self, service: str, instance: str, wait_s: float) -> Job | None:
+    async def pull(self, service: str, instance: str, wait_s: float) -> LeasedJob | None:
         """A leased job for one free slot of a worker, None where none came within `wait_s` seconds."""
         if self._stopping:
             return None
@@ -56,7 +56,7 @@
         if job is not None or wait_s <= 0:
             return job
         loop = asyncio.get_running_loop()
-        call: asyncio.Future[Job | None] = loop.create_future()
+        call: asyncio.Future[LeasedJob | None] = loop.create_future()
         desk.calls.append(call)
         timer = loop.call_later(wait_s, _end_without_job, call)
         desk.leases.refresh()
@@ -70,7 +70,7 @@
             if call in desk.calls:
                 desk.calls.remove(call)
 
-    def _accept(self, job: Job | None) -> Job | None:
+    def _accept(self, job: LeasedJob | None) -> LeasedJob | None:
         """The job that a call was given, unless this process stood still meanwhile: then its lease is old."""
         if job is None:
             return None
@@ -118,12 +118,12 @@
         desk = self._desks[service]
         return sum(not call.done() for call in desk.calls) - len(desk.spare)
 
-    def _take(self, service: str, jobs: list[Job]) -> None:
+    def _take(self, service: str, jobs: list[LeasedJob]) -> None:
         desk = self._desks[service]
         for job in jobs:
             self._offer(desk, job)
 
-    def _offer(self, desk: _ServiceDesk, job: Job) -> None:
+    def _offer(self, desk: _ServiceDesk, job: LeasedJob) -> None:
         """Give a job to the call that has waited longest; with none, keep it for a moment."""
         loop = asyncio.get_running_loop()
         until = loop.time() + SPARE_KEPT_S
@@ -140,7 +140,7 @@
         timer = loop.call_at(until, self._spare_lapsed, desk)
         desk.spare.append(_Spare(job, until, timer))
 
-    def _take_spare(self, desk: _ServiceDesk) -> Job | None:
+    def _take_spare(self, desk: _ServiceDesk) -> LeasedJob | None:
         while desk.spare and desk.spare[0].until < asyncio.get_running_loop().time():
             self._spare_lapsed(desk)
         if not desk.spare:
@@ -150,7 +150,7 @@
         self._network.figures.pulled += 1
         return spare.job
 
-    def _return_job(self, desk: _ServiceDesk, call: asyncio.Future[Job | None]) -> None:
+    def _return_job(self, desk: _ServiceDesk, call: asyncio.Future[LeasedJob | None]) -> None:
         """The call was cancelled; a job that it had just got goes to the next one."""
         if call.done() and not call.cancelled():
             job = call.result()
@@ -165,7 +165,7 @@
         spare.timer.cancel()
         self._give_back([spare.job])
 
-    def _give_back(self, jobs: list[Job]) -> None:
+    def _give_back(self, jobs: list[LeasedJob]) -> None:
         for job in jobs:
             self._reporter.give_back(job.lease)
 
@@ -176,6 +176,6 @@
                     desk.leases.refresh()
 
 
-def _end_without_job(call: asyncio.Future[Job | None]) -> None:
+def _end_without_job(call: asyncio.Future[LeasedJob | None]) -> None:
     if not call.done():
         call.set_result(None)
--- a/hollowusher/delivery/reports.py
+++ b/hollowusher/delivery/reports.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.protocol.leases import Finish, LeaseAnswer
+from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
 from hollowusher.transport.interface import PeerError
 
 ANSWER_TIMEOUT_S = 10.0  # of one call, within which the store client repeats by itself
@@ -19,7 +19,7 @@
 class FinishClient(Protocol):
     """The part of the store client that takes ends.  `deadline` is in the loop's time."""
 
-    async def finish(self, request: Finish, deadline: float) -> LeaseAnswer:
+    async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         """End a lease; "unavailable" where the deadline came first."""
 
 
@@ -43,15 +43,15 @@
         if self._open >= MOST_OPEN:
             self._figures.ends_dropped += 1  # the lease runs out by itself
             return
-        self.report_later(Finish(lease, "not_run", retry_ms=retry_ms))
+        self.report_later(FinishLease(lease, "not_run", retry_ms=retry_ms))
 
-    def report_later(self, finish: Finish) -> None:
+    def report_later(self, finish: FinishLease) -> None:
         """Report an end in the background."""
         task = asyncio.get_running_loop().create_task(self.report(finish))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def report(self, finish: Finish) -> None:
+    async def report(self, finish: FinishLease) -> None:
         """Report an end until it is answered."""
         loop = asyncio.get_running_loop()
         until = loop.time() + PATIENCE_S
@@ -77,7 +77,7 @@
         for task in list(self._tasks):
             task.cancel()
 
-    async def _try(self, finish: Finish, deadline: float) -> bool:
+    async def _try(self, finish: FinishLease, deadline: float) -> bool:
         try:
             answer = await self._store_client.finish(finish, deadline)
         except PeerError:
--- a/hollowusher/delivery/worker_client.py
+++ b/hollowusher/delivery/worker_client.py
@@ -10,7 +10,7 @@
 from hollowusher.delivery.connection import Answer, ExchangeError
 from hollowusher.delivery.outcome import DeliveryOutcome, Ending
 from hollowusher.delivery.pool import ConnectionPool, NoFreeConnection
-from hollowusher.protocol.leases import Job
+from hollowusher.protocol.leases import LeasedJob
 from hollowusher.protocol.messages import NewMessage
 
 LATE_ANSWER_S = 0.4  # a worker's answer may be under way when the time of its message is over
@@ -47,7 +47,7 @@
 class WorkerClient(Protocol):
     """Delivers jobs to workers."""
 
-    async def deliver(self, endpoint: Endpoint, job: Job, timeout_s: float) -> DeliveryOutcome:
+    async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
         """Hand a job over and wait for its end; never raises but for cancellation."""
 
     def forget(self, endpoint: Endpoint) -> None:
@@ -79,7 +79,7 @@
         """Connections that stand or are being opened."""
         return sum(pool.open_count for pool in self._pools.values())
 
-    async def deliver(self, endpoint: Endpoint, job: Job, timeout_s: float) -> DeliveryOutcome:
+    async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
         """Hand a job over and wait for its end."""
         loop = asyncio.get_running_loop()
         began = loop.time()
--- a/hollowusher/dispatch/dispatcher.py
+++ b/hollowusher/dispatch/dispatcher.py
@@ -27,7 +27,7 @@
 from hollowusher.protocol.leases import JobsWaiting
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.messages import CALLBACK_PREFIX
-from hollowusher.protocol.worker_list import Worker
+from hollowusher.protocol.worker_list import PlatformWorker
 from hollowusher.transport.interface import Transport
 
 READY = "ready"
@@ -170,24 +170,24 @@
                 owned.setdefault(worker.service, []).append(self._listed_spec(pushed[worker.service], worker))
         return owned
 
-    def _listed(self, pushed: dict[str, Service]) -> Sequence[Worker]:
+    def _listed(self, pushed: dict[str, Service]) -> Sequence[PlatformWorker]:
         workers = self._state.workers
         listed = workers.workers if workers is not None else []
         return [
             worker for worker in listed if worker.service in pushed and pushed[worker.service].fixed is None
         ]
 
-    def _listed_spec(self, service: Service, worker: Worker) -> WorkerSpec:
+    def _listed_spec(self, service: Service, worker: PlatformWorker) -> WorkerSpec:
         endpoint = Endpoint(worker.address, worker.id, service.max_connections, service.idempotent)
         warm_at = self._listed_at + worker.warm_in_ms / 1000 if worker.warm_in_ms > 0 else 0.0
         return WorkerSpec(_destination(worker).key, endpoint, worker.capacity, warm_at)
 
 
-def _destination(worker: Worker) -> Destination:
+def _destination(worker: PlatformWorker) -> Destination:
     return worker_destination(worker.service, worker.id, worker.zone)
 
 
-def _destinations(services: Iterable[Service], workers: Iterable[Worker]) -> list[Destination]:
+def _destinations(services: Iterable[Service], workers: Iterable[PlatformWorker]) -> list[Destination]:
     """All destinations: every process counts the same ones, draining workers too, so that they agree."""
     fixed = [
         fixed_destination(service.name, service.fixed) for service in services if service.fixed is not None
--- a/hollowusher/dispatch/service_dispatch.py
+++ b/hollowusher/dispatch/service_dispatch.py
@@ -16,7 +16,7 @@
 from hollowusher.delivery.reports import EndReporter
 from hollowusher.delivery.worker_client import Endpoint, WorkerClient
 from hollowusher.dispatch.worker_control import WorkerControl
-from hollowusher.protocol.leases import Finish, Job
+from hollowusher.protocol.leases import FinishLease, LeasedJob
 
 SOURCE_KEPT_S = 3.0  # a store that is not the home is asked for so long after its last job
 FROZEN_S = 1.0  # a timer this late means that the process stood still
@@ -51,7 +51,7 @@
 class WaitingJob:
     """A leased job that has not been begun."""
 
-    job: Job
+    job: LeasedJob
     begin_by: float
     refused_by: list[str] = attrs.Factory(list)  # the workers that it was handed to, by key
 
@@ -128,7 +128,7 @@
         resumes = [worker.control.resumes_at(now, isolate) for worker in self._taking()]
         return max(RECHECK_LEAST_S, min([now + RECHECK_S, *resumes]) - now)
 
-    def take(self, jobs: list[Job]) -> None:
+    def take(self, jobs: list[LeasedJob]) -> None:
         """Leased jobs join the queue."""
         if not self._taking():
             self._give_back_jobs(jobs)
@@ -231,9 +231,11 @@
             self._ended(worker, job, outcome)
         if self._offer_again(waiting, outcome):
             return
-        await context.reporter.report(Finish(job.lease, outcome.result, outcome.signature, outcome.retry_ms))
+        await context.reporter.report(
+            FinishLease(job.lease, outcome.result, outcome.signature, outcome.retry_ms)
+        )
 
-    def _ended(self, worker: OwnedWorker, job: Job, outcome: DeliveryOutcome) -> None:
+    def _ended(self, worker: OwnedWorker, job: LeasedJob, outcome: DeliveryOutcome) -> None:
         now = self._loop.time()
         jitter = self._context.chance.uniform(0.8, 1.2)
         ending = outcome.ending
@@ -276,7 +278,7 @@
         self._give_back_jobs([waiting.job for waiting in self._queue])
         self._queue.clear()
 
-    def _give_back_jobs(self, jobs: list[Job]) -> None:
+    def _give_back_jobs(self, jobs: list[LeasedJob]) -> None:
         for job in jobs:
             self._context.reporter.give_back(job.lease)
 
--- a/hollowusher/intake/intake.py
+++ b/hollowusher/intake/intake.py
@@ -47,7 +47,7 @@
     store_lease_id,
     worker_lease_id,
 )
-from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer
+from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.placement import Placement
 
 SPARE_S = 0.05  # an answer leaves this long before its client gives up
@@ -330,18 +330,18 @@
         self.figures.pulls_served += 1
         return _job_answer(job)
 
-    def give_back(self, job: Job) -> None:
+    def give_back(self, job: LeasedJob) -> None:
         """Return a leased job that its worker will not get, unrun."""
         self.figures.jobs_given_back += 1
-        request = Finish(job.lease, "not_run")
+        request = FinishLease(job.lease, "not_run")
         self._run(self._store.finish(request, self._clock() + LEASE_CALL_TIMEOUT_S))
 
     async def _extend(self, request: IntakeRequest, message_id: str) -> IntakeAnswer:
         figures = self.figures
         lease = store_lease_id(request.headers.get(LEASE_ID, ""), message_id)
-        answer = LeaseAnswer("gone")
+        answer = LeaseUpdateResponse("gone")
         if lease is not None:
-            answer = await self._store.extend(Extend(lease), self._clock() + LEASE_CALL_TIMEOUT_S)
+            answer = await self._store.extend(ExtendLease(lease), self._clock() + LEASE_CALL_TIMEOUT_S)
         if answer.status == "taken":
             figures.extensions_taken += 1
             return TAKEN
@@ -357,9 +357,9 @@
         signature = headers.get(SIGNATURE, "")
         result = finish_result(headers.get(JOB_RESULT, ""), signature)
         lease = store_lease_id(headers.get(LEASE_ID, ""), message_id)
-        answer = LeaseAnswer("gone")
+        answer = LeaseUpdateResponse("gone")
         if lease is not None:
-            finish = Finish(lease, result, signature if result == "success" else "")
+            finish = FinishLease(lease, result, signature if result == "success" else "")
             answer = await self._store.finish(finish, self._clock() + LEASE_CALL_TIMEOUT_S)
         if answer.status == "taken":
             figures.ends_taken += 1
@@ -381,7 +381,7 @@
     return IntakeAnswer(503, b"not available", headers=(("Retry-After", seconds),))
 
 
-def _job_answer(job: Job) -> IntakeAnswer:
+def _job_answer(job: LeasedJob) -> IntakeAnswer:
     message = job.message
     headers = [
         (ATTEMPT_ID, message.id),
--- a/hollowusher/intake/pull_desk.py
+++ b/hollowusher/intake/pull_desk.py
@@ -4,11 +4,11 @@
 
 from typing import Protocol
 
-from hollowusher.protocol.leases import Job
+from hollowusher.protocol.leases import LeasedJob
 
 
 class PullDesk(Protocol):
     """Leases jobs for the pull calls that wait at this process."""
 
-    async def pull(self, service: str, instance: str, wait_s: float) -> Job | None:
+    async def pull(self, service: str, instance: str, wait_s: float) -> LeasedJob | None:
         """A leased job for one free slot of a worker, None where none came within `wait_s` seconds."""
--- a/hollowusher/intake/store_client.py
+++ b/hollowusher/intake/store_client.py
@@ -15,9 +15,15 @@
 
 from hollowusher.coordination.cluster_state import MEMBER_PREFIX, PLACEMENT, ClusterState
 from hollowusher.intake.peer_health import PeerHealth
-from hollowusher.protocol.leases import Extend, Finish, LeaseAnswer
+from hollowusher.protocol.leases import ExtendLease, FinishLease, LeaseUpdateResponse
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.messages import (
+    MessageStatusRequest,
+    MessageStatusResponse,
+    NewMessage,
+    PutRequest,
+    PutResponse,
+)
 from hollowusher.protocol.placement import PartitionPlacement
 from hollowusher.transport.interface import PeerError, Transport
 
@@ -26,7 +32,7 @@
 FIRST_PAUSE_S = 0.03
 LONGEST_PAUSE_S = 0.2
 REPEATED = ("not_primary", "unavailable")  # the answers after which another try may succeed
-AnswerType = TypeVar("AnswerType", LeaseAnswer, StatusAnswer)
+AnswerType = TypeVar("AnswerType", LeaseUpdateResponse, MessageStatusResponse)
 
 
 class MessageStore(Protocol):
@@ -34,16 +40,16 @@
 
     async def put(
         self, message: NewMessage, candidates: Sequence[int], deadline: float, refuse_at: float | None = None
-    ) -> PutAnswer:
+    ) -> PutResponse:
         """Keep a message."""
 
-    async def finish(self, request: Finish, deadline: float) -> LeaseAnswer:
+    async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         """End a lease."""
 
-    async def extend(self, request: Extend, deadline: float) -> LeaseAnswer:
+    async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
         """Prolong a lease."""
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> StatusAnswer:
+    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
         """Read the state of a message."""
 
 
@@ -97,7 +103,7 @@
 
     async def put(
         self, message: NewMessage, candidates: Sequence[int], deadline: float, refuse_at: float | None = None
-    ) -> PutAnswer:
+    ) -> PutResponse:
         """Keep a message in the first usable candidate partition.
 
         "stored"; "unavailable" where it is certain that it is not kept (given at `refuse_at` if that comes
@@ -110,22 +116,22 @@
         while True:
             now = self._clock()
             if now >= (patience if bound is None else deadline):
-                return PutAnswer("unavailable" if bound is None else "unknown")
+                return PutResponse("unavailable" if bound is None else "unknown")
             target = self._choose(candidates, refused, now) if bound is None else self._primary(bound)
             if target is None:
                 refused.clear()
                 await self._pause(backoff, patience if bound is None else deadline)
                 continue
             try:
-                request = Put(target.partition, _with_delay_left(message, now - started))
+                request = PutRequest(target.partition, _with_delay_left(message, now - started))
                 answer = await self._call(target, request, deadline)
             except _PrimaryMoved:
                 bound = target.partition
                 continue
             except PeerError as error:
-                answer = PutAnswer("unknown" if error.sent else "unavailable")
+                answer = PutResponse("unknown" if error.sent else "unavailable")
             if answer.status == "stored":
-                return PutAnswer("stored", answer.reference)
+                return PutResponse("stored", answer.reference)
             if answer.status not in REPEATED:
                 bound = target.partition
             if bound is None:
@@ -133,26 +139,36 @@
             else:
                 await self._pause(backoff, deadline)
 
-    async def finish(self, request: Finish, deadline: float) -> LeaseAnswer:
+    async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         """End a lease; "unavailable" where the deadline came first (it may have been ended)."""
         return await self._ask(
-            request.lease, request, deadline, LeaseAnswer("gone"), LeaseAnswer("unavailable"), _lease_settled
+            request.lease,
+            request,
+            deadline,
+            LeaseUpdateResponse("gone"),
+            LeaseUpdateResponse("unavailable"),
+            _lease_settled,
         )
 
-    async def extend(self, request: Extend, deadline: float) -> LeaseAnswer:
+    async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
         """Prolong a lease; "unavailable" where the deadline came first."""
         return await self._ask(
-            request.lease, request, deadline, LeaseAnswer("gone"), LeaseAnswer("unavailable"), _lease_settled
+            request.lease,
+            request,
+            deadline,
+            LeaseUpdateResponse("gone"),
+            LeaseUpdateResponse("unavailable"),
+            _lease_settled,
         )
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> StatusAnswer:
+    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
         """The state of a message; "unavailable" where the deadline came first."""
         return await self._ask(
             reference,
-            StatusRequest(reference, want_body),
+            MessageStatusRequest(reference, want_body),
             deadline,
-            StatusAnswer("unknown"),
-            StatusAnswer("unavailable"),
+            MessageStatusResponse("unknown"),
+            MessageStatusResponse("unavailable"),
             _status_settled,
         )
 
@@ -247,7 +263,7 @@
 
     async def _probe(self, target: _Target) -> None:
         """See whether a suspected store answers, without risking a message."""
-        request = StatusRequest(f"{target.partition}-0-0")
+        request = MessageStatusRequest(f"{target.partition}-0-0")
         with suppress(PeerError, _PrimaryMoved):
             await self._call(target, request, self._clock() + PROBE_TIMEOUT_S)
             self._wake()
@@ -297,9 +313,9 @@
     return changed
 
 
-def _lease_settled(answer: LeaseAnswer) -> bool:
+def _lease_settled(answer: LeaseUpdateResponse) -> bool:
     return answer.status not in REPEATED
 
 
-def _status_settled(answer: StatusAnswer) -> bool:
+def _status_settled(answer: MessageStatusResponse) -> bool:
     return answer.state not in REPEATED
--- a/hollowusher/messages/partition/active_messages.py
+++ b/hollowusher/messages/partition/active_messages.py
@@ -11,12 +11,12 @@
 from hollowusher.messages.partition.partition_table import MessageEntry
 from hollowusher.messages.partition.proposal import Proposal
 from hollowusher.messages.records import MessageState, MessageStatus
-from hollowusher.protocol.leases import Job, LeaseAnswer
+from hollowusher.protocol.leases import LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.messages import CALLBACK_PREFIX
 
 START_WITHIN_MS = 500
-TAKEN = LeaseAnswer("taken")
-GONE = LeaseAnswer("gone")
+TAKEN = LeaseUpdateResponse("taken")
+GONE = LeaseUpdateResponse("gone")
 RESULT_PRECEDENCE = {"not_run": 0, "unknown": 0, "failed": 1, "refused": 2, "success": 2}
 MAX_EARLIER_RESULTS = 4  # kept of each message: the holder of a lease repeats its end for a while only
 PUBLIC_STATES = {
@@ -66,7 +66,7 @@
 class LeaseGrant(NamedTuple):
     """One leased job; it may be handed out once its proposal (None: at once) has been committed."""
 
-    job: Job
+    job: LeasedJob
     proposal: Proposal | None
 
 
--- a/hollowusher/messages/partition/callback_jobs.py
+++ b/hollowusher/messages/partition/callback_jobs.py
@@ -22,7 +22,7 @@
 from hollowusher.messages.partition.proposal import Proposal
 from hollowusher.messages.partition.record_writer import RecordWriter
 from hollowusher.messages.records import LeaseId, MessageKey, MessageState
-from hollowusher.protocol.leases import Finish, Job, LeaseAnswer, LeaseRequest
+from hollowusher.protocol.leases import FinishLease, LeasedJob, LeaseRequest, LeaseUpdateResponse
 from hollowusher.protocol.messages import NewMessage
 
 CALLBACK_LEASE_S = 12.0
@@ -81,7 +81,9 @@
             grants.append(LeaseGrant(self._job(callback), None))
         return grants
 
-    def finish(self, lease: LeaseId, finish: Finish, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
+    def finish(
+        self, lease: LeaseId, finish: FinishLease, now: float, wall_ms: int
+    ) -> Proposal | LeaseUpdateResponse:
         """The end of a call-back's lease.  A proposal means: `taken` once it is committed."""
         entry = self._table.entries.get(lease.key)
         if entry is None or entry.state is None or not entry.state.callback_pending:
@@ -135,7 +137,7 @@
         told = attrs.evolve(state, version=version, callback_pending=False, callback_url="")
         return self._writer.propose_state(key, told, False, now, wall_ms)
 
-    def _job(self, callback: CallbackJob) -> Job:
+    def _job(self, callback: CallbackJob) -> LeasedJob:
         message = NewMessage(
             id=callback.id,
             route="",
@@ -148,4 +150,4 @@
         )
         lease = records.format_lease_id(self._table.partition, callback.key, callback.lease, is_callback=True)
         state_name = PUBLIC_STATES[callback.status]
-        return Job(lease, message, callback.failures, START_WITHIN_MS, state_name, callback.signature)
+        return LeasedJob(lease, message, callback.failures, START_WITHIN_MS, state_name, callback.signature)
--- a/hollowusher/messages/partition/message_leases.py
+++ b/hollowusher/messages/partition/message_leases.py
@@ -25,7 +25,7 @@
 from hollowusher.messages.partition.record_writer import RecordWriter
 from hollowusher.messages.partition.service_routing import ServiceRouting
 from hollowusher.messages.records import LeaseId, MessageState, MessageStatus
-from hollowusher.protocol.leases import Finish, Job, LeaseAnswer, LeaseRequest
+from hollowusher.protocol.leases import FinishLease, LeasedJob, LeaseRequest, LeaseUpdateResponse
 from hollowusher.storage.interface import StorageError
 
 PULL_GRACE_S = 0.3
@@ -117,7 +117,9 @@
 
     # Words of their holders
 
-    def finish(self, lease: LeaseId, finish: Finish, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
+    def finish(
+        self, lease: LeaseId, finish: FinishLease, now: float, wall_ms: int
+    ) -> Proposal | LeaseUpdateResponse:
         """The end of a lease.  A proposal means: `taken` once it is committed."""
         entry = self._table.entries.get(lease.key)
         if entry is None or finish.result not in RESULT_PRECEDENCE:
@@ -130,7 +132,7 @@
             return GONE
         return self._apply_result(active, entry, end, finish.retry_ms / 1000, now, wall_ms)
 
-    def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
+    def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseUpdateResponse:
         """A pull worker needs longer."""
         active = self._lifecycle.active.get(lease.key)
         entry = self._table.entries.get(lease.key)
@@ -190,7 +192,7 @@
         proposal = self._writer.propose_state(active.key, state, False, now, wall_ms, on_commit)
         self._lifecycle.mark_leased(active, state.lease, now + lasts_s)
         lease = records.format_lease_id(self._table.partition, active.key, state.lease)
-        return LeaseGrant(Job(lease, put.message, state.attempts, START_WITHIN_MS), proposal)
+        return LeaseGrant(LeasedJob(lease, put.message, state.attempts, START_WITHIN_MS), proposal)
 
     @staticmethod
     def _on_grant_committed(
--- a/hollowusher/messages/partition/partition_primary.py
+++ b/hollowusher/messages/partition/partition_primary.py
@@ -31,8 +31,8 @@
 from hollowusher.messages.partition.record_writer import RecordWriter
 from hollowusher.messages.partition.service_routing import ServiceRouting
 from hollowusher.messages.records import AcceptedMessage, LeaseId, MessageKey, MessageStatus
-from hollowusher.protocol.leases import Finish, LeaseAnswer, LeaseRequest
-from hollowusher.protocol.messages import CALLBACK_PREFIX, NewMessage, PutAnswer, StatusAnswer
+from hollowusher.protocol.leases import FinishLease, LeaseRequest, LeaseUpdateResponse
+from hollowusher.protocol.messages import CALLBACK_PREFIX, MessageStatusResponse, NewMessage, PutResponse
 
 
 class PartitionPrimary:
@@ -115,12 +115,12 @@
 
     # Putting
 
-    def put(self, message: NewMessage, now: float, wall_ms: int) -> Proposal | PutAnswer:
+    def put(self, message: NewMessage, now: float, wall_ms: int) -> Proposal | PutResponse:
         """Keep a message; the same id once.  A proposal is returned while it is not committed."""
         known = self._lifecycle.keys_by_id.get(message.id)
         if known is not None:
             waiting = self._writer.pending.get(known)
-            return waiting or PutAnswer("stored", records.format_reference(self.partition, known))
+            return waiting or PutResponse("stored", records.format_reference(self.partition, known))
         key = self._writer.next_version()
         generation = message.generation or self._routing.generation
         put = AcceptedMessage(wall_ms, wall_ms + message.delay_ms, generation, message)
@@ -153,7 +153,9 @@
             return None
         return bucket.next_token_at(now)
 
-    def finish(self, lease: LeaseId, finish: Finish, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
+    def finish(
+        self, lease: LeaseId, finish: FinishLease, now: float, wall_ms: int
+    ) -> Proposal | LeaseUpdateResponse:
         """The end of a lease.  A proposal means: `taken` once it is committed."""
         if lease.is_callback:
             return self._callbacks.finish(lease, finish, now, wall_ms)
@@ -167,7 +169,7 @@
         """A lease that never reached its dispatcher."""
         self._leases.cancel_grant(grant, now, wall_ms)
 
-    def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseAnswer:
+    def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseUpdateResponse:
         """A pull worker needs longer."""
         return self._leases.extend(lease, now, wall_ms)
 
@@ -205,17 +207,17 @@
 
     # Reading
 
-    def status(self, key: MessageKey, want_body: bool) -> StatusAnswer:
+    def status(self, key: MessageKey, want_body: bool) -> MessageStatusResponse:
         """Where a message stands, with its body if wanted and if it has not been completed."""
         entry = self.table.entries.get(key)
         if entry is None:
-            return StatusAnswer("unknown")
+            return MessageStatusResponse("unknown")
         body = None
         if want_body and entry.status is not MessageStatus.COMPLETED:
             put = self.table.read_accepted(entry)
             body = None if put is None else put.message.body
         signature = entry.state.signature if entry.state is not None else ""
-        return StatusAnswer(PUBLIC_STATES[entry.status], signature, body)
+        return MessageStatusResponse(PUBLIC_STATES[entry.status], signature, body)
 
     def waiting_services(self) -> list[str]:
         """The services with ready jobs, ceilings aside."""
--- a/hollowusher/messages/replication/anti_entropy.py
+++ b/hollowusher/messages/replication/anti_entropy.py
@@ -7,7 +7,13 @@
 
 from hollowusher.messages.partition.partition_table import PartitionTable
 from hollowusher.messages.records import MessageKey
-from hollowusher.protocol.replication import Difference, Records, Replicate, Replicated, Summary
+from hollowusher.protocol.replication import (
+    RecordBatch,
+    ReplicaDifference,
+    ReplicaSummary,
+    ReplicateRequest,
+    ReplicateResponse,
+)
 from hollowusher.storage.interface import Log
 from hollowusher.transport.interface import PeerError, Transport
 
@@ -54,7 +60,7 @@
         """Compare everything once; `PeerError` or `StaleEpochError` where that fails."""
         table = self._table
         answer = await self._request_difference(
-            Summary(table.partition, self._epoch, self._me, table.bucket_digests(), fence=True)
+            ReplicaSummary(table.partition, self._epoch, self._me, table.bucket_digests(), fence=True)
         )
         buckets = answer.buckets
         for start in range(0, len(buckets), BUCKETS_PER_REQUEST):
@@ -65,7 +71,7 @@
             versions = self._table.bucket_versions(buckets)
             partition = self._table.partition
             answer = await self._request_difference(
-                Summary(partition, self._epoch, self._me, [], versions, fence=True)
+                ReplicaSummary(partition, self._epoch, self._me, [], versions, fence=True)
             )
             learnt = self._merge(answer.records)
             if learnt:
@@ -88,21 +94,21 @@
 
     async def _push(self, found: Iterator[bytes]) -> None:
         for chunk in _chunks(found):
-            batch = Records(self._table.partition, self._epoch, chunk)
+            batch = RecordBatch(self._table.partition, self._epoch, chunk)
             answer = await self._transport.call(
-                self._address, Replicate(self._me, [batch], True), ANSWER_TIMEOUT_S
+                self._address, ReplicateRequest(self._me, [batch], True), ANSWER_TIMEOUT_S
             )
-            if not isinstance(answer, Replicated):
-                raise PeerError("Replicate", self._address, f"answered {type(answer).__name__}")
+            if not isinstance(answer, ReplicateResponse):
+                raise PeerError("ReplicateRequest", self._address, f"answered {type(answer).__name__}")
             if answer.refused:
                 raise StaleEpochError(self._table.partition, max(answer.refused.values()))
             if self._paced:
                 await self._pause(sum(map(len, chunk)))
 
-    async def _request_difference(self, summary: Summary) -> Difference:
+    async def _request_difference(self, summary: ReplicaSummary) -> ReplicaDifference:
         answer = await self._transport.call(self._address, summary, ANSWER_TIMEOUT_S)
-        if not isinstance(answer, Difference):
-            raise PeerError("Summary", self._address, f"answered {type(answer).__name__}")
+        if not isinstance(answer, ReplicaDifference):
+            raise PeerError("ReplicaSummary", self._address, f"answered {type(answer).__name__}")
         if answer.status == "stale":
             raise StaleEpochError(self._table.partition, answer.epoch)
         return answer
@@ -112,13 +118,13 @@
         await asyncio.sleep(size / PACED_BYTES_PER_S)
 
 
-def compare_with_summary(table: PartitionTable, summary: Summary) -> Difference:
+def compare_with_summary(table: PartitionTable, summary: ReplicaSummary) -> ReplicaDifference:
     """What a replica answers to a comparison."""
     if summary.buckets:
-        return Difference("ok", table.minimum_epoch, table.differing_buckets(summary.buckets))
+        return ReplicaDifference("ok", table.minimum_epoch, table.differing_buckets(summary.buckets))
     found, more = table.records_newer_than(summary.versions)
     wanted, incomplete = table.references_older_than(summary.versions)
-    return Difference("ok", table.minimum_epoch, [], found, wanted, [more, incomplete])
+    return ReplicaDifference("ok", table.minimum_epoch, [], found, wanted, [more, incomplete])
 
 
 def _chunks(found: Iterator[bytes]) -> Iterator[list[bytes]]:
--- a/hollowusher/messages/replication/partition_replicator.py
+++ b/hollowusher/messages/replication/partition_replicator.py
@@ -23,7 +23,12 @@
     StreamOwner,
 )
 from hollowusher.protocol.placement import PartitionPlacement
-from hollowusher.protocol.replication import Difference, Replicate, Replicated, Summary
+from hollowusher.protocol.replication import (
+    ReplicaDifference,
+    ReplicaSummary,
+    ReplicateRequest,
+    ReplicateResponse,
+)
 from hollowusher.storage.interface import Log, Position, StorageError
 from hollowusher.transport.interface import Transport
 
@@ -247,7 +252,7 @@
 
     # Answering other primaries
 
-    async def replicate(self, replicate: Replicate) -> Replicated:
+    async def replicate(self, replicate: ReplicateRequest) -> ReplicateResponse:
         """Take records; answered once they are durable or in memory, as asked for."""
         refused: dict[int, int] = {}
         durable = replicate.durable
@@ -264,16 +269,16 @@
                 replica.table.apply(record, wall_ms)
         if durable:
             await self.log.sync()
-        return Replicated(refused)
+        return ReplicateResponse(refused)
 
-    async def answer_summary(self, summary: Summary) -> Difference:
+    async def answer_summary(self, summary: ReplicaSummary) -> ReplicaDifference:
         """Answer a comparison; a newer epoch is promised durably first."""
         replica = self.replica(summary.partition)
         if summary.fence and summary.epoch > replica.table.minimum_epoch:
             self._fence_older_epochs(replica, summary.epoch)
             await self.log.sync()
         if summary.epoch < replica.table.minimum_epoch:
-            return Difference("stale", replica.table.minimum_epoch)
+            return ReplicaDifference("stale", replica.table.minimum_epoch)
         return compare_with_summary(replica.table, summary)
 
     @staticmethod
--- a/hollowusher/messages/replication/replica_recovery.py
+++ b/hollowusher/messages/replication/replica_recovery.py
@@ -15,7 +15,7 @@
 from hollowusher.messages.replication.partition_replicator import PartitionReplicator
 from hollowusher.messages.replication.replication_stream import OutgoingRecord
 from hollowusher.protocol.placement import LearnerLost, LearnerReady
-from hollowusher.protocol.replication import Records, Replicate, Replicated
+from hollowusher.protocol.replication import RecordBatch, ReplicateRequest, ReplicateResponse
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import PeerError
 
@@ -81,13 +81,13 @@
         """Ask with empty batches whether the peer is there; it learns the epochs by that."""
         replicator = self._replicator
         batches = [
-            Records(replica.partition, replica.epoch, [])
+            RecordBatch(replica.partition, replica.epoch, [])
             for replica in replicator.replicas.values()
             if replica.epoch and replica.is_epoch_durable and peer in replica.peer_progress
         ]
-        message = Replicate(replicator.store_id, batches, True)
+        message = ReplicateRequest(replicator.store_id, batches, True)
         answer = await replicator.transport.call(address, message, CALL_TIMEOUT_S)
-        if not isinstance(answer, Replicated):
+        if not isinstance(answer, ReplicateResponse):
             return False
         for partition, epoch in answer.refused.items():
             replicator.on_rejected(peer, partition, epoch)
--- a/hollowusher/messages/replication/replication_stream.py
+++ b/hollowusher/messages/replication/replication_stream.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from hollowusher.messages.partition.proposal import Proposal
-from hollowusher.protocol.replication import Records, Replicate, Replicated
+from hollowusher.protocol.replication import RecordBatch, ReplicateRequest, ReplicateResponse
 from hollowusher.transport.interface import PeerError, Transport
 
 ANSWER_TIMEOUT_S = 1.0
@@ -165,21 +165,25 @@
         if lane.queue and lane.timer is None:
             self._flush(lane)
 
-    async def _call(self, durable: bool, batch: list[OutgoingRecord], epochs: dict[int, int]) -> Replicated:
+    async def _call(
+        self, durable: bool, batch: list[OutgoingRecord], epochs: dict[int, int]
+    ) -> ReplicateResponse:
         address = self._owner.address_of(self.peer)
         if address is None:
-            raise PeerError("Replicate", self.peer, "no address", sent=False)
+            raise PeerError("ReplicateRequest", self.peer, "no address", sent=False)
         by_partition: dict[int, list[bytes]] = {}
         for partition, proposal in batch:
             records = by_partition.setdefault(partition, [])
             if proposal.record:
                 records.append(proposal.record)
         batches = [
-            Records(partition, epochs[partition], records) for partition, records in by_partition.items()
+            RecordBatch(partition, epochs[partition], records) for partition, records in by_partition.items()
         ]
-        answer = await self._transport.call(address, Replicate(self._me, batches, durable), ANSWER_TIMEOUT_S)
-        if not isinstance(answer, Replicated):
-            raise PeerError("Replicate", address, f"answered {type(answer).__name__}")
+        answer = await self._transport.call(
+            address, ReplicateRequest(self._me, batches, durable), ANSWER_TIMEOUT_S
+        )
+        if not isinstance(answer, ReplicateResponse):
+            raise PeerError("ReplicateRequest", address, f"answered {type(answer).__name__}")
         return answer
 
     def _update_latency(self, took_s: float) -> None:
--- a/hollowusher/messages/store_service.py
+++ b/hollowusher/messages/store_service.py
@@ -30,10 +30,17 @@
 from hollowusher.messages.replication.replica_recovery import ReplicaRecovery
 from hollowusher.messages.steady_wall_clock import SteadyWallClock
 from hollowusher.messages.unacknowledged_grants import UnacknowledgedGrants
-from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer, Leased, LeaseRequest
+from hollowusher.protocol.leases import (
+    ExtendLease,
+    FinishLease,
+    LeasedJob,
+    LeaseRequest,
+    LeaseResponse,
+    LeaseUpdateResponse,
+)
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import Put, PutAnswer, StatusAnswer, StatusRequest
-from hollowusher.protocol.replication import Replicate, Summary
+from hollowusher.protocol.messages import MessageStatusRequest, MessageStatusResponse, PutRequest, PutResponse
+from hollowusher.protocol.replication import ReplicaSummary, ReplicateRequest
 from hollowusher.storage.interface import Log, StorageError
 from hollowusher.transport.interface import Transport
 
@@ -53,8 +60,8 @@
 STOP_POLL_S = 0.05
 MAX_LOG_RESERVE_BYTES = 4 * 1024 * 1024  # new messages are refused before states lack room
 
-UNAVAILABLE = LeaseAnswer("unavailable")
-GONE = LeaseAnswer("gone")
+UNAVAILABLE = LeaseUpdateResponse("unavailable")
+GONE = LeaseUpdateResponse("gone")
 ENDED_STATES = ("completed", "dead_letter")
 
 
@@ -112,13 +119,13 @@
         self._resumed_at = 0.0  # steady clock; the end of the last pause
         self._next_recover = self._next_forget = self._next_scrub = 0.0
         self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {
-            Put: self._put,
+            PutRequest: self._put,
             LeaseRequest: self._lease,
-            Finish: self._finish,
-            Extend: self._extend,
-            StatusRequest: self._status,
-            Replicate: self._replicator.replicate,
-            Summary: self._replicator.answer_summary,
+            FinishLease: self._finish,
+            ExtendLease: self._extend,
+            MessageStatusRequest: self._status,
+            ReplicateRequest: self._replicator.replicate,
+            ReplicaSummary: self._replicator.answer_summary,
         }
 
     # Life
@@ -174,30 +181,30 @@
 
     # Calls of edge processes
 
-    async def _put(self, put: Put) -> PutAnswer:
+    async def _put(self, put: PutRequest) -> PutResponse:
         primary = await self._wait_for_primary(put.partition)
         if primary is None:
-            return PutAnswer(self._unavailable_status(put.partition))
+            return PutResponse(self._unavailable_status(put.partition))
         if self.storage_error is not None or self._log.free_bytes() < self._log_reserve:
-            return PutAnswer("unavailable")
+            return PutResponse("unavailable")
         try:
             kept = primary.put(put.message, self._now(), self._wall_ms())
         except StorageError:
-            return PutAnswer("unavailable")
+            return PutResponse("unavailable")
         self._process_effects(self._replicas[put.partition])
-        if isinstance(kept, PutAnswer):
+        if isinstance(kept, PutResponse):
             return kept
         if not await self._wait_for_commit(kept):
-            return PutAnswer("unknown")
-        return PutAnswer("stored", records.format_reference(put.partition, kept.key))
+            return PutResponse("unknown")
+        return PutResponse("stored", records.format_reference(put.partition, kept.key))
 
-    async def _finish(self, finish: Finish) -> LeaseAnswer:
+    async def _finish(self, finish: FinishLease) -> LeaseUpdateResponse:
         lease = records.parse_lease_id(finish.lease)
         if lease is None:
             return GONE
         primary = await self._wait_for_primary(lease.partition)
         if primary is None:
-            return LeaseAnswer(self._unavailable_status(lease.partition))
+            return LeaseUpdateResponse(self._unavailable_status(lease.partition))
         replica = self._replicas[lease.partition]
         try:
             outcome = primary.finish(lease, finish, self._now(), self._wall_ms())
@@ -206,13 +213,13 @@
         self._process_effects(replica)
         return await self._lease_answer(replica, primary, outcome)
 
-    async def _extend(self, extend: Extend) -> LeaseAnswer:
+    async def _extend(self, extend: ExtendLease) -> LeaseUpdateResponse:
         lease = records.parse_lease_id(extend.lease)
         if lease is None:
             return GONE
         primary = await self._wait_for_primary(lease.partition)
         if primary is None:
-            return LeaseAnswer(self._unavailable_status(lease.partition))
+            return LeaseUpdateResponse(self._unavailable_status(lease.partition))
         replica = self._replicas[lease.partition]
         try:
             outcome = primary.extend(lease, self._now(), self._wall_ms())
@@ -224,31 +231,35 @@
         return await self._lease_answer(replica, primary, outcome)
 
     async def _lease_answer(
-        self, replica: PartitionReplica, primary: PartitionPrimary, outcome: Proposal | LeaseAnswer
-    ) -> LeaseAnswer:
+        self, replica: PartitionReplica, primary: PartitionPrimary, outcome: Proposal | LeaseUpdateResponse
+    ) -> LeaseUpdateResponse:
         """The answer once it is certain: what was proposed is committed, and a lease is gone only if this
         was the primary still when it was asked about it."""
         if isinstance(outcome, Proposal):
-            return LeaseAnswer("taken") if await self._wait_for_commit(outcome) else UNAVAILABLE
+            return LeaseUpdateResponse("taken") if await self._wait_for_commit(outcome) else UNAVAILABLE
         if outcome.status == GONE.status and not await self._has_quorum(replica, primary, from_now=True):
             return UNAVAILABLE
         return outcome
 
-    async def _status(self, request: StatusRequest) -> StatusAnswer:
+    async def _status(self, request: MessageStatusRequest) -> MessageStatusResponse:
         parsed = records.parse_reference(request.reference)
         if parsed is None:
-            return StatusAnswer("unknown")
+            return MessageStatusResponse("unknown")
         partition, key = parsed
         primary = await self._wait_for_primary(partition)
         if primary is None:
-            return StatusAnswer(self._unavailable_status(partition))
+            return MessageStatusResponse(self._unavailable_status(partition))
         answer = primary.status(key, request.want_body)
         if await self._is_certain(answer, partition, key, primary):
             return answer
-        return StatusAnswer("unavailable")
+        return MessageStatusResponse("unavailable")
 
     async def _is_certain(
-        self, answer: StatusAnswer, partition: int, key: records.MessageKey, primary: PartitionPrimary
+        self,
+        answer: MessageStatusResponse,
+        partition: int,
+        key: records.MessageKey,
+        primary: PartitionPrimary,
     ) -> bool:
         """Whether an answer about a message may be given.  The bytes of a message never change, a committed
         end stands for ever; that a message has not ended needs a quorum that followed lately, that there is
@@ -277,7 +288,7 @@
         self._process_effects(replica)
         return await self._wait_for_commit(confirmation)
 
-    async def _lease(self, request: LeaseRequest) -> Leased:
+    async def _lease(self, request: LeaseRequest) -> LeaseResponse:
         service = request.service
         asked_at = self._now()
         deadline = asked_at + request.wait_ms / 1000
@@ -295,13 +306,13 @@
             if jobs or now >= deadline or not self._started:
                 next_ms = 0 if token_at is None else max(1, round((token_at - now) * 1000))
                 self._grants.record(request, jobs)
-                return Leased(jobs, next_ms, leased_after_ms)
+                return LeaseResponse(jobs, next_ms, leased_after_ms)
             if not self._can_lease(request):
                 await asyncio.sleep(min(DEAD_DISPATCHER_PAUSE_S, deadline - now))
-                return Leased([])
+                return LeaseResponse([])
             await self._waiters.wait(service, deadline if token_at is None else min(deadline, token_at))
         self._waiters.wake(service)  # what woke this one may be for another
-        return Leased([])
+        return LeaseResponse([])
 
     def _return_lost_grants(self, request: LeaseRequest) -> None:
         """The answer to an earlier request never came to its dispatcher, which begins nothing of it."""
@@ -316,7 +327,7 @@
             if lease is None or replica is None or replica.primary is None:
                 continue
             with suppress(StorageError):  # then the lease runs out
-                replica.primary.finish(lease, Finish(name, "not_run"), now, wall_ms)
+                replica.primary.finish(lease, FinishLease(name, "not_run"), now, wall_ms)
             self._process_effects(replica)
 
     def _can_lease(self, request: LeaseRequest) -> bool:
@@ -341,7 +352,7 @@
         self._waiters.wake(request.service)
         return outcome
 
-    async def _confirmed_jobs(self, outcome: list[LocalGrant]) -> list[Job]:
+    async def _confirmed_jobs(self, outcome: list[LocalGrant]) -> list[LeasedJob]:
         """The jobs whose leases a quorum knows; the others are given back."""
         jobs = []
         for replica, grant in outcome:
@@ -359,7 +370,7 @@
         now, wall_ms = self._now(), self._wall_ms()
         lease = records.parse_lease_id(grant.job.lease)
         if lease is not None and lease.is_callback:
-            primary.finish(lease, Finish(grant.job.lease, "not_run"), now, wall_ms)
+            primary.finish(lease, FinishLease(grant.job.lease, "not_run"), now, wall_ms)
         else:
             primary.cancel_grant(grant, now, wall_ms)
         self._process_effects(replica)
--- a/hollowusher/messages/unacknowledged_grants.py
+++ b/hollowusher/messages/unacknowledged_grants.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from hollowusher.protocol.leases import Job, LeaseRequest
+from hollowusher.protocol.leases import LeasedJob, LeaseRequest
 
 MAX_REQUESTERS = 4_096
 
@@ -41,7 +41,7 @@
         self._granted: dict[LeaseRequester, GrantedLeases] = {}
         self._lost: dict[LeaseRequester, int] = {}
 
-    def record(self, request: LeaseRequest, jobs: list[Job]) -> None:
+    def record(self, request: LeaseRequest, jobs: list[LeasedJob]) -> None:
         """These jobs go out in answer to a request."""
         if not request.number:
             return
--- a/hollowusher/protocol/acknowledgement.py
+++ b/hollowusher/protocol/acknowledgement.py
@@ -6,5 +6,5 @@
 
 
 @message(7)
-class Done:
+class Acknowledgement:
     """A plain acknowledgement."""
--- a/hollowusher/protocol/call_rules.py
+++ b/hollowusher/protocol/call_rules.py
@@ -11,22 +11,28 @@
 
 import attrs
 
-from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Decided, Ping, Prepare, ProposeFirst
-from hollowusher.protocol.control_chain import ChainWrite, ReadRecord, ReadState
+from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Ping, Prepare, ProposeFirstView, ViewDecided
+from hollowusher.protocol.control_chain import ChainWrite, ReadControlState, ReadStateRecord
 from hollowusher.protocol.control_status import ReadControlStatus
-from hollowusher.protocol.distribution import PullUpdates, Repair
-from hollowusher.protocol.leases import Extend, Finish, JobsWaiting, LeaseRequest
-from hollowusher.protocol.membership import Heartbeat, Leaving, ProbeLife, Register, Suspicion
-from hollowusher.protocol.messages import Put, StatusRequest
+from hollowusher.protocol.distribution import PullUpdates, ReadRepair
+from hollowusher.protocol.leases import ExtendLease, FinishLease, JobsWaiting, LeaseRequest
+from hollowusher.protocol.membership import (
+    CheckIncarnation,
+    Heartbeat,
+    MemberDeparting,
+    MemberSuspected,
+    RegisterMember,
+)
+from hollowusher.protocol.messages import MessageStatusRequest, PutRequest
 from hollowusher.protocol.operator_orders import (
     ChangeConfiguration,
     ReadConfiguration,
     RecoverPartition,
-    Retire,
+    RetireStore,
 )
 from hollowusher.protocol.placement import LearnerLost, LearnerReady
-from hollowusher.protocol.replication import Replicate, Summary
-from hollowusher.protocol.view import Announce, OfferView, ReadView
+from hollowusher.protocol.replication import ReplicaSummary, ReplicateRequest
+from hollowusher.protocol.view import AnnounceController, OfferView, ReadView
 
 
 class Addressee(enum.Enum):
@@ -39,7 +45,7 @@
     STORE = "the store of that name, with the disk that holds the replicas"
 
 
-class Repeat(enum.Enum):
+class Idempotence(enum.Enum):
     """What makes a second arrival of a message harmless."""
 
     READ = "it changes nothing"
@@ -55,59 +61,59 @@
     """How one type of message may be sent."""
 
     addressee: Addressee
-    repeat: Repeat
+    idempotence: Idempotence
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether the same message may be sent again where it is not known what became of it."""
-        return self.repeat is not Repeat.NEVER
+        return self.idempotence is not Idempotence.NEVER
 
 
 CALL_RULES: dict[type, CallRule] = {
     # finding the system
-    ReadView: CallRule(Addressee.ANYBODY, Repeat.READ),
-    Announce: CallRule(Addressee.ANYBODY, Repeat.LATEST),
-    OfferView: CallRule(Addressee.ANYBODY, Repeat.BY_VERSION),
+    ReadView: CallRule(Addressee.ANYBODY, Idempotence.READ),
+    AnnounceController: CallRule(Addressee.ANYBODY, Idempotence.LATEST),
+    OfferView: CallRule(Addressee.ANYBODY, Idempotence.BY_VERSION),
     # agreement and chain
-    ProposeFirst: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    Prepare: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
-    Accept: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
-    ConfirmEpoch: CallRule(Addressee.VOTER_DISK, Repeat.READ),
-    Decided: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    Ping: CallRule(Addressee.VOTER, Repeat.READ),
-    ChainWrite: CallRule(Addressee.VOTER_DISK, Repeat.BY_VERSION),
-    ReadRecord: CallRule(Addressee.VOTER, Repeat.READ),
+    ProposeFirstView: CallRule(Addressee.VOTER, Idempotence.BY_VERSION),
+    Prepare: CallRule(Addressee.VOTER_DISK, Idempotence.BY_VERSION),
+    Accept: CallRule(Addressee.VOTER_DISK, Idempotence.BY_VERSION),
+    ConfirmEpoch: CallRule(Addressee.VOTER_DISK, Idempotence.READ),
+    ViewDecided: CallRule(Addressee.VOTER, Idempotence.BY_VERSION),
+    Ping: CallRule(Addressee.VOTER, Idempotence.READ),
+    ChainWrite: CallRule(Addressee.VOTER_DISK, Idempotence.BY_VERSION),
+    ReadStateRecord: CallRule(Addressee.VOTER, Idempotence.READ),
     # members and distributed values
-    Register: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    Leaving: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    Heartbeat: CallRule(Addressee.MEMBER, Repeat.LATEST),
-    Suspicion: CallRule(Addressee.VOTER, Repeat.LATEST),
-    ProbeLife: CallRule(Addressee.MEMBER, Repeat.READ),
-    PullUpdates: CallRule(Addressee.VOTER, Repeat.READ),
-    Repair: CallRule(Addressee.VOTER, Repeat.BY_VERSION),
-    ReadState: CallRule(Addressee.VOTER, Repeat.READ),
+    RegisterMember: CallRule(Addressee.VOTER, Idempotence.BY_VERSION),
+    MemberDeparting: CallRule(Addressee.VOTER, Idempotence.BY_VERSION),
+    Heartbeat: CallRule(Addressee.MEMBER, Idempotence.LATEST),
+    MemberSuspected: CallRule(Addressee.VOTER, Idempotence.LATEST),
+    CheckIncarnation: CallRule(Addressee.MEMBER, Idempotence.READ),
+    PullUpdates: CallRule(Addressee.VOTER, Idempotence.READ),
+    ReadRepair: CallRule(Addressee.VOTER, Idempotence.BY_VERSION),
+    ReadControlState: CallRule(Addressee.VOTER, Idempotence.READ),
     # the operator, forwarded
-    ChangeConfiguration: CallRule(Addressee.VOTER, Repeat.NEVER),
-    Retire: CallRule(Addressee.VOTER, Repeat.NEVER),
-    RecoverPartition: CallRule(Addressee.VOTER, Repeat.NEVER),
-    ReadConfiguration: CallRule(Addressee.VOTER, Repeat.READ),
-    ReadControlStatus: CallRule(Addressee.VOTER, Repeat.READ),
+    ChangeConfiguration: CallRule(Addressee.VOTER, Idempotence.NEVER),
+    RetireStore: CallRule(Addressee.VOTER, Idempotence.NEVER),
+    RecoverPartition: CallRule(Addressee.VOTER, Idempotence.NEVER),
+    ReadConfiguration: CallRule(Addressee.VOTER, Idempotence.READ),
+    ReadControlStatus: CallRule(Addressee.VOTER, Idempotence.READ),
     # messages
-    Put: CallRule(Addressee.STORE, Repeat.BY_ID),
-    LeaseRequest: CallRule(Addressee.STORE, Repeat.LEASED_TWICE),
-    Finish: CallRule(Addressee.STORE, Repeat.BY_ID),
-    Extend: CallRule(Addressee.STORE, Repeat.BY_ID),
-    StatusRequest: CallRule(Addressee.STORE, Repeat.READ),
-    JobsWaiting: CallRule(Addressee.MEMBER, Repeat.LATEST),
+    PutRequest: CallRule(Addressee.STORE, Idempotence.BY_ID),
+    LeaseRequest: CallRule(Addressee.STORE, Idempotence.LEASED_TWICE),
+    FinishLease: CallRule(Addressee.STORE, Idempotence.BY_ID),
+    ExtendLease: CallRule(Addressee.STORE, Idempotence.BY_ID),
+    MessageStatusRequest: CallRule(Addressee.STORE, Idempotence.READ),
+    JobsWaiting: CallRule(Addressee.MEMBER, Idempotence.LATEST),
     # replicas
-    Replicate: CallRule(Addressee.STORE, Repeat.BY_VERSION),
-    Summary: CallRule(Addressee.STORE, Repeat.BY_VERSION),
-    LearnerReady: CallRule(Addressee.VOTER, Repeat.LATEST),
-    LearnerLost: CallRule(Addressee.VOTER, Repeat.LATEST),
+    ReplicateRequest: CallRule(Addressee.STORE, Idempotence.BY_VERSION),
+    ReplicaSummary: CallRule(Addressee.STORE, Idempotence.BY_VERSION),
+    LearnerReady: CallRule(Addressee.VOTER, Idempotence.LATEST),
+    LearnerLost: CallRule(Addressee.VOTER, Idempotence.LATEST),
 }
-STRICTEST = CallRule(Addressee.MEMBER, Repeat.NEVER)  # of a message that has no rule
+DEFAULT_RULE = CallRule(Addressee.MEMBER, Idempotence.NEVER)  # of a message that has no rule
 
 
-def rule_of(message: object) -> CallRule:
+def call_rule_of(message: object) -> CallRule:
     """The rule of a message."""
-    return CALL_RULES.get(type(message), STRICTEST)
+    return CALL_RULES.get(type(message), DEFAULT_RULE)
--- a/hollowusher/protocol/codec.py
+++ b/hollowusher/protocol/codec.py
@@ -13,7 +13,7 @@
 import attrs
 import ormsgpack
 
-MOST_TAG = 127
+MAX_TAG = 127
 NO_TAG = 0  # of plain values
 _OPTIONS = ormsgpack.OPT_NON_STR_KEYS
 MessageType = TypeVar("MessageType", bound=type)
@@ -34,7 +34,7 @@
 
     def register(cls: MessageType) -> MessageType:
         made = attrs.frozen(cls)
-        if tag in _types or not 1 <= tag <= MOST_TAG:
+        if tag in _types or not 1 <= tag <= MAX_TAG:
             raise ValueError(f"message tag {tag} of {cls.__name__} is taken or out of range")
         _types[tag] = made
         _tags[made] = tag
--- a/hollowusher/protocol/consensus.py
+++ b/hollowusher/protocol/consensus.py
@@ -51,23 +51,23 @@
 
 
 @message(18)
-class Decided:
+class ViewDecided:
     """One-way: a view has been decided."""
 
     view: View
 
 
 @message(37)
-class ProposeFirst:
+class ProposeFirstView:
     """Asks a controller with an empty disk to take this as view 1."""
 
     view: View
 
 
 @message(38)
-class FirstTaken:
-    """Answer to `ProposeFirst`: the first view that the controller holds durably, and the newest view that
-    it knows to be decided."""
+class FirstViewResponse:
+    """Answer to `ProposeFirstView`: the first view that the controller holds durably, and the newest view
+    that it knows to be decided."""
 
     taken: View | None
     decided: View | None = None
--- a/hollowusher/protocol/control_chain.py
+++ b/hollowusher/protocol/control_chain.py
@@ -27,7 +27,7 @@
     """From the head towards the tail: keep this state durably, pass it on, then answer.
 
     A document and history that the receiver holds, or that are too large for one message, are left out of
-    `state` and named by `record`; a receiver that lacks them asks for them (`ReadRecord`)."""
+    `state` and named by `record`; a receiver that lacks them asks for them (`ReadStateRecord`)."""
 
     epoch: int
     state: ControlState
@@ -48,14 +48,14 @@
 
 
 @message(29)
-class ReadState:
+class ReadControlState:
     """Asks the chain's tail for the control state (a started scheduler does, before it serves)."""
 
     forwarded: bool = False
 
 
 @message(30)
-class StateAnswer:
+class ControlStateResponse:
     """The committed control state, None where it could not be confirmed."""
 
     state: ControlState | None
@@ -63,7 +63,7 @@
 
 
 @message(108)
-class ReadRecord:
+class ReadStateRecord:
     """Asks a controller for a part of the document and history that a state names by their digest."""
 
     digest: bytes  # empty: those of the newest state that the controller holds
@@ -72,8 +72,8 @@
 
 
 @message(109)
-class RecordChunk:
-    """Answer to `ReadRecord`; an empty `digest` where the controller does not hold it."""
+class StateRecordChunk:
+    """Answer to `ReadStateRecord`; an empty `digest` where the controller does not hold it."""
 
     digest: bytes
     size: int  # of the whole
--- a/hollowusher/protocol/distribution.py
+++ b/hollowusher/protocol/distribution.py
@@ -8,7 +8,7 @@
 
 
 @message(31)
-class Item:
+class DistributedItem:
     """One distributed value.  Of two items with one key the one with the greater `version` counts."""
 
     key: str  # "configuration" | "placement" | "view" | "member/NAME" | "workers"
@@ -28,19 +28,19 @@
 
 
 @message(33)
-class Updates:
+class UpdatesResponse:
     """Answer to `PullUpdates`.  `connected` is False where the controller has lost most of the others, so
     that what it gives may be old; `age_ms`: how long ago it had word from most of them."""
 
-    items: list[Item]
+    items: list[DistributedItem]
     have: dict[str, int]
     connected: bool = True
     age_ms: int = 0
 
 
 @message(46)
-class Repair:
+class ReadRepair:
     """One-way, from a reader to the controller it pulls from: items that the controller lacks, because the
     one that published them ended before any other had pulled them."""
 
-    items: list[Item]
+    items: list[DistributedItem]
--- a/hollowusher/protocol/leases.py
+++ b/hollowusher/protocol/leases.py
@@ -24,7 +24,7 @@
 
 
 @message(54)
-class Job:
+class LeasedJob:
     """A leased job.  `attempt` counts earlier deliveries of the message."""
 
     lease: str
@@ -36,18 +36,18 @@
 
 
 @message(55)
-class Leased:
+class LeaseResponse:
     """Answer to `LeaseRequest`.  `next_ms`: when a ceiling or delay lets more jobs go, 0: unknown.
     `leased_after_ms`: how long after the request had come the jobs were leased; so the asker knows how old
     the leases are at most, whoever stood still meanwhile."""
 
-    jobs: list[Job]
+    jobs: list[LeasedJob]
     next_ms: int = 0
     leased_after_ms: int = 0
 
 
 @message(56)
-class Finish:
+class FinishLease:
     """The end of a lease.  Sent again until it is answered.
 
     `result`: "success" (with signature) | "failed" (the worker answered 500) | "refused" (422: never) |
@@ -60,14 +60,14 @@
 
 
 @message(57)
-class Extend:
+class ExtendLease:
     """A pull worker needs longer."""
 
     lease: str
 
 
 @message(58)
-class LeaseAnswer:
+class LeaseUpdateResponse:
     """`taken`: durable (a repeat gets the same).  `gone`: the lease is no longer valid.  `not_primary`."""
 
     status: str  # "taken" | "gone" | "not_primary" | "unavailable"
--- a/hollowusher/protocol/membership.py
+++ b/hollowusher/protocol/membership.py
@@ -35,15 +35,15 @@
 
 
 @message(2)
-class Register:
+class RegisterMember:
     """A process announces itself to a controller (also: it refutes its death with a higher status)."""
 
     member: Member
 
 
 @message(3)
-class Registered:
-    """Answer to `Register`; `epoch` is the newest view that the controller knows, 0 for none."""
+class MemberRegistered:
+    """Answer to `RegisterMember`; `epoch` is the newest view that the controller knows, 0 for none."""
 
     epoch: int
 
@@ -57,7 +57,7 @@
 
 
 @message(5)
-class Suspicion:
+class MemberSuspected:
     """One-way, from a monitor to every controller: no sign of life within the time allowed."""
 
     name: str
@@ -66,7 +66,7 @@
 
 
 @message(6)
-class Leaving:
+class MemberDeparting:
     """A process tells a controller that it is about to stop (after SIGTERM)."""
 
     name: str
@@ -74,9 +74,9 @@
 
 
 @message(117)
-class ProbeLife:
-    """Asks whether this very life of a process is there.  The answer is `Done`, and none from a later life;
-    another process at its address refuses the call."""
+class CheckIncarnation:
+    """Asks whether this very incarnation of a process is there.  The answer is `Acknowledgement`, and none
+    from a later incarnation; another process at its address refuses the call."""
 
     name: str
     incarnation: int
--- a/hollowusher/protocol/messages.py
+++ b/hollowusher/protocol/messages.py
@@ -34,7 +34,7 @@
 
 
 @message(51)
-class Put:
+class PutRequest:
     """Keep a message in a partition.  The same id may be put again: it is kept once."""
 
     partition: int
@@ -42,7 +42,7 @@
 
 
 @message(52)
-class PutAnswer:
+class PutResponse:
     """`stored`: a quorum has it on disk.  `not_primary`: nothing was kept.  `unavailable`: nothing was kept
     and nothing will be; `unknown`: it may have been kept."""
 
@@ -51,7 +51,7 @@
 
 
 @message(59)
-class StatusRequest:
+class MessageStatusRequest:
     """State of a message, with its body if wanted."""
 
     reference: str
@@ -59,7 +59,7 @@
 
 
 @message(60)
-class StatusAnswer:
+class MessageStatusResponse:
     """`state`: "queued" | "completed" | "dead_letter" | "unknown" (no such message) | "not_primary" |
     "unavailable"."""
 
--- a/hollowusher/protocol/operator_orders.py
+++ b/hollowusher/protocol/operator_orders.py
@@ -23,7 +23,7 @@
 
 
 @message(27)
-class OperatorAnswer:
+class OperatorResponse:
     """The HTTP answer an operator is to get; 503 where nothing can be promised."""
 
     status: int
@@ -31,7 +31,7 @@
 
 
 @message(28)
-class Retire:
+class RetireStore:
     """Operator's order to empty a store machine, forwarded to the head.  `duration_s` None only asks."""
 
     name: str
--- a/hollowusher/protocol/replication.py
+++ b/hollowusher/protocol/replication.py
@@ -10,7 +10,7 @@
 
 
 @message(62)
-class Records:
+class RecordBatch:
     """Records of one partition from its primary, in the order it made them."""
 
     partition: int
@@ -19,23 +19,23 @@
 
 
 @message(63)
-class Replicate:
+class ReplicateRequest:
     """A batch from a primary to a replica; answered once it is durable (`durable`) or in memory."""
 
     sender: str  # store id
-    batches: list[Records]
+    batches: list[RecordBatch]
     durable: bool
 
 
 @message(64)
-class Replicated:
-    """Answer to `Replicate`: the partitions refused, with the newer epoch known for each."""
+class ReplicateResponse:
+    """Answer to `ReplicateRequest`: the partitions refused, with the newer epoch known for each."""
 
     refused: dict[int, int]
 
 
 @message(65)
-class Summary:
+class ReplicaSummary:
     """What a new primary, a learner or the scrubber compares: a digest for each bucket of a partition, or
     the versions held in some buckets.  Asking with an epoch fences all older epochs at the answerer."""
 
@@ -48,8 +48,8 @@
 
 
 @message(66)
-class Difference:
-    """Answer to `Summary`: the buckets that differ, or the records that the asker lacks or has older."""
+class ReplicaDifference:
+    """Answer to `ReplicaSummary`: the buckets that differ, or the records that the asker lacks."""
 
     status: str  # "ok" | "stale" (a newer epoch is known)
     epoch: int
--- a/hollowusher/protocol/view.py
+++ b/hollowusher/protocol/view.py
@@ -44,16 +44,16 @@
 
 
 @message(13)
-class ViewAnswer:
+class ViewResponse:
     """The newest decided view, None where there is none yet."""
 
     view: View | None
 
 
 @message(36)
-class Announce:
+class AnnounceController:
     """A controller makes itself known: to the seeds while the system starts for the first time
-    (`bootstrap`), to the voters while it is none of them.  The answer is a `ViewAnswer`."""
+    (`bootstrap`), to the voters while it is none of them.  The answer is a `ViewResponse`."""
 
     voter: Voter
     bootstrap: bool = False
@@ -62,7 +62,7 @@
 
 @message(100)
 class OfferView:
-    """To a seed, from a process that holds a decided view.  The answer is a `ViewAnswer` with the newest view
-    that the seed knows now."""
+    """To a seed, from a process that holds a decided view.  The answer is a `ViewResponse` with the newest
+    view that the seed knows now."""
 
     view: View
--- a/hollowusher/protocol/worker_list.py
+++ b/hollowusher/protocol/worker_list.py
@@ -6,7 +6,7 @@
 
 
 @message(34)
-class Worker:
+class PlatformWorker:
     """One worker of the platform's list."""
 
     id: str
@@ -20,7 +20,7 @@
 
 
 @message(35)
-class WorkerList:
+class PlatformWorkerList:
     """The whole list as read by the duty holder."""
 
-    workers: list[Worker]
+    workers: list[PlatformWorker]
--- a/hollowusher/roles/operator_site.py
+++ b/hollowusher/roles/operator_site.py
@@ -14,14 +14,14 @@
 from hollowusher.console.status_api import StatusApi
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.controller.operator_api import OperatorApi
-from hollowusher.protocol.operator_orders import OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.operator_orders import OperatorResponse, ReadConfiguration
 from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 from hollowusher.transport.tcp import split_address
 
 FORWARD_TIMEOUT_S = 2.8
 QUESTION_TIMEOUT_S = 0.8
-UNAVAILABLE = OperatorAnswer(503)
+UNAVAILABLE = OperatorResponse(503)
 
 
 class OperatorForward:
@@ -35,7 +35,7 @@
         self._transport = transport
         self._handle = handle
 
-    async def __call__(self, message: Any) -> OperatorAnswer:
+    async def __call__(self, message: Any) -> OperatorResponse:
         """The answer of whoever decides on the message."""
         view = self._state.view
         if view is None:
@@ -49,7 +49,7 @@
         else:
             timeout = QUESTION_TIMEOUT_S if question else FORWARD_TIMEOUT_S
             answer = await self._transport.call(wanted.address, message, timeout)
-        if not isinstance(answer, OperatorAnswer):
+        if not isinstance(answer, OperatorResponse):
             raise PeerError(type(message).__name__, wanted.address, "no answer for an operator")
         return answer
 
--- a/hollowusher/simulation/network.py
+++ b/hollowusher/simulation/network.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hollowusher.protocol.codec import MOST_TAG, decode, encode, tag_of
+from hollowusher.protocol.codec import MAX_TAG, decode, encode, tag_of
 from hollowusher.protocol.identity import Hello, Identity
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer, fail_call
@@ -379,7 +379,7 @@
         loop = self.network.loop
         deadline = loop.time() + timeout
         connection = await self._connection(address, step, timeout)
-        number = next(self._numbers) * (MOST_TAG + 1) + tag_of(message)
+        number = next(self._numbers) * (MAX_TAG + 1) + tag_of(message)
         future: asyncio.Future[Any] = loop.create_future()
         connection.waiting[number] = future
         received = connection.bytes_received
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -13,7 +13,7 @@
 from hollowusher.messages.partition.partition_primary import PartitionPrimary
 from hollowusher.messages.records import MessageStatus
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.leases import LeaseAnswer
+from hollowusher.protocol.leases import LeaseUpdateResponse
 from hollowusher.roles import edge
 from hollowusher.simulation import stand_ins
 from hollowusher.simulation.http import HttpRequest
@@ -142,6 +142,6 @@
 
     def finish(leases: MessageLeases, lease: Any, request: Any, now: float, wall_ms: int) -> Any:
         answer = real(leases, lease, request, now, wall_ms)
-        return LeaseAnswer("taken") if answer is GONE else answer
+        return LeaseUpdateResponse("taken") if answer is GONE else answer
 
     patches.set(MessageLeases, "finish", finish)
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -20,7 +20,7 @@
 from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ChainWrite
-from hollowusher.protocol.view import ReadView, ViewAnswer
+from hollowusher.protocol.view import ReadView, ViewResponse
 from hollowusher.simulation.planted.registry import NEVER_S, Patches, attack, planted
 from hollowusher.simulation.world import Size
 
@@ -91,10 +91,10 @@
 
     async def handle(seed: SeedService, message: Any) -> Any:
         answer = await real_seed(seed, message)
-        return ViewAnswer(None) if isinstance(answer, ViewAnswer) else answer
+        return ViewResponse(None) if isinstance(answer, ViewResponse) else answer
 
     async def ask(client: ClusterClient, message: Any) -> Any:
-        return ViewAnswer(None) if isinstance(message, ReadView) else await real_client(client, message)
+        return ViewResponse(None) if isinstance(message, ReadView) else await real_client(client, message)
 
     patches.set(SeedService, "handle", handle)
     patches.set(ClusterClient, "handle", ask)
--- a/hollowusher/simulation/planted/partitions.py
+++ b/hollowusher/simulation/planted/partitions.py
@@ -12,8 +12,8 @@
 from hollowusher.messages.partition.partition_table import PartitionTable
 from hollowusher.messages.replication.partition_replica import PartitionReplica
 from hollowusher.messages.store_service import StoreService
-from hollowusher.protocol.leases import LeaseAnswer
-from hollowusher.protocol.messages import PutAnswer
+from hollowusher.protocol.leases import LeaseUpdateResponse
+from hollowusher.protocol.messages import PutResponse
 from hollowusher.simulation.planted.registry import HERDS, MOVES, Patches, attack, planted
 from hollowusher.storage.memory import MemoryLog, MemorySlot
 from hollowusher.transport.interface import PeerError
@@ -112,21 +112,21 @@
 
 @planted("LOST", "MIXED", "UNSERVED", kinds=("store_alone",))
 def _put_answered_before_commit(patches: Patches) -> None:
-    async def put(service: StoreService, request: Any) -> PutAnswer:
+    async def put(service: StoreService, request: Any) -> PutResponse:
         primary = await service._wait_for_primary(request.partition)
         if primary is None:
-            return PutAnswer("not_primary")
+            return PutResponse("not_primary")
         kept = primary.put(request.message, service._now(), service._wall_ms())
         service._process_effects(service._replicas[request.partition])
-        if isinstance(kept, PutAnswer):
+        if isinstance(kept, PutResponse):
             return kept
-        return PutAnswer("stored", records.format_reference(request.partition, kept.key))
+        return PutResponse("stored", records.format_reference(request.partition, kept.key))
 
     real_init = StoreService.__init__
 
     def init(service: StoreService, *arguments: Any) -> None:
         real_init(service, *arguments)
-        kind = next(kind for kind in service._handlers if kind.__name__ == "Put")
+        kind = next(kind for kind in service._handlers if kind.__name__ == "PutRequest")
         service._handlers[kind] = lambda request: put(service, request)
 
     patches.set(StoreService, "__init__", init)
@@ -134,8 +134,8 @@
 
 @planted("TWICE", "MIXED", "LOST", kinds=("store_alone",))
 def _end_not_recorded_before_answer(patches: Patches) -> None:
-    async def answer(service: StoreService, taken: Any) -> LeaseAnswer:
-        return taken if isinstance(taken, LeaseAnswer) else LeaseAnswer("taken")
+    async def answer(service: StoreService, taken: Any) -> LeaseUpdateResponse:
+        return taken if isinstance(taken, LeaseUpdateResponse) else LeaseUpdateResponse("taken")
 
     patches.set(StoreService, "_lease_answer", answer)
 
@@ -150,7 +150,7 @@
         except PeerError as error:
             raise PeerError(error.step, error.peer, error.reason, sent=False) from None
         except store_client._PrimaryMoved:
-            raise PeerError("Put", target.address, "moved", sent=False) from None
+            raise PeerError("PutRequest", target.address, "moved", sent=False) from None
 
     patches.set(store_client.StoreClient, "_call", call)
 
@@ -167,9 +167,9 @@
 def _unknown_put_answered_503(patches: Patches) -> None:
     real = store_client.StoreClient.put
 
-    async def put(client: Any, *arguments: Any, **named: Any) -> PutAnswer:
+    async def put(client: Any, *arguments: Any, **named: Any) -> PutResponse:
         answer = await real(client, *arguments, **named)
-        return PutAnswer("unavailable") if answer.status == "unknown" else answer
+        return PutResponse("unavailable") if answer.status == "unknown" else answer
 
     patches.set(store_client.StoreClient, "put", put)
 
--- a/hollowusher/simulation/planted/queues.py
+++ b/hollowusher/simulation/planted/queues.py
@@ -14,7 +14,7 @@
 from hollowusher.messages.partition.message_restorer import MessageRestorer
 from hollowusher.messages.partition.partition_primary import PartitionPrimary
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.leases import Finish, LeaseAnswer
+from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
 from hollowusher.simulation.planted.registry import MOVES, NEVER_S, Patches, attack, planted
 from hollowusher.simulation.stand_ins import SimulatedCallbackClient
 
@@ -88,10 +88,10 @@
     patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: NEVER_S)
 
 
-def _on_finish(patches: Patches, change: Callable[[Finish], Finish]) -> None:
+def _on_finish(patches: Patches, change: Callable[[FinishLease], FinishLease]) -> None:
     real = PartitionPrimary.finish
 
-    def finish(primary: PartitionPrimary, lease: Any, request: Finish, now: float, wall_ms: int) -> Any:
+    def finish(primary: PartitionPrimary, lease: Any, request: FinishLease, now: float, wall_ms: int) -> Any:
         return real(primary, lease, request if lease.is_callback else change(request), now, wall_ms)
 
     patches.set(PartitionPrimary, "finish", finish)
@@ -102,10 +102,10 @@
     real = PartitionPrimary.finish
     patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
 
-    def finish(primary: PartitionPrimary, lease: Any, request: Finish, now: float, wall_ms: int) -> Any:
+    def finish(primary: PartitionPrimary, lease: Any, request: FinishLease, now: float, wall_ms: int) -> Any:
         answer = real(primary, lease, request, now, wall_ms)
-        gone = isinstance(answer, LeaseAnswer) and answer.status == "gone"
-        return LeaseAnswer("taken") if gone else answer
+        gone = isinstance(answer, LeaseUpdateResponse) and answer.status == "gone"
+        return LeaseUpdateResponse("taken") if gone else answer
 
     patches.set(PartitionPrimary, "finish", finish)
 
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -22,7 +22,7 @@
 from hollowusher.delivery.worker_client import LATE_ANSWER_S, Endpoint, belongs, judge, request_bytes
 from hollowusher.intake.admission import IntakeRequest
 from hollowusher.intake.intake import Intake
-from hollowusher.protocol.leases import Job
+from hollowusher.protocol.leases import LeasedJob
 from hollowusher.protocol.membership import Member
 from hollowusher.simulation.http import Exchange, HttpAnswer, HttpFailure, HttpNetwork, HttpRequest
 from hollowusher.simulation.world import Seams
@@ -51,7 +51,7 @@
         self._http = http
         self._host = host
 
-    async def deliver(self, endpoint: Endpoint, job: Job, timeout_s: float) -> DeliveryOutcome:
+    async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
         """Hand a job over and wait for its end."""
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -85,7 +85,7 @@
         self._host = host
         self._address = address
 
-    async def post(self, job: Job) -> str:
+    async def post(self, job: LeasedJob) -> str:
         """Tell the end; only a 200 means that it was heard."""
         request = parse_request(callback_request(job))
         try:
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from hollowusher.protocol.call_rules import Addressee, rule_of
+from hollowusher.protocol.call_rules import Addressee, call_rule_of
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.identity import Hello, Identity
 from hollowusher.protocol.membership import Member
@@ -62,7 +62,9 @@
         voter = self._voters.get(address)
         if voter is None or voter is member:  # by far the most calls
             return member or self._anybody
-        if member is None or (rule_of(message).addressee in OF_VOTERS and not self._reused(address, voter)):
+        if member is None or (
+            call_rule_of(message).addressee in OF_VOTERS and not self._reused(address, voter)
+        ):
             return voter
         return member
 
@@ -102,7 +104,7 @@
         own, meant = self.own, hello.meant
         if _differ(own.cluster, meant.cluster):
             return "another cluster"
-        addressee = rule_of(message).addressee
+        addressee = call_rule_of(message).addressee
         if addressee is Addressee.ANYBODY or not own.name or not meant.name:
             return ""
         if own.name != meant.name:
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -20,7 +20,7 @@
 from contextlib import suppress
 from typing import Any, cast
 
-from hollowusher.protocol.codec import MOST_TAG, DecodeError, decode, encode, tag_of
+from hollowusher.protocol.codec import MAX_TAG, DecodeError, decode, encode, tag_of
 from hollowusher.protocol.identity import Hello, Identity
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer, fail_call
 from hollowusher.transport.peers import PeerDirectory, names_exactly
@@ -279,7 +279,7 @@
             raise PeerError(step, address, "connection lost", sent=False)
         if connection.transport.get_write_buffer_size() > MOST_UNSENT_BYTES:
             raise PeerError(step, address, "too much unsent", sent=False)
-        number = next(self._numbers) * (MOST_TAG + 1) + tag_of(message)
+        number = next(self._numbers) * (MAX_TAG + 1) + tag_of(message)
         future: asyncio.Future[Any] = loop.create_future()
         connection.waiting[number] = future
         received = connection.bytes_received
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -36,12 +36,12 @@
 from hollowusher.console.tables import table
 from hollowusher.console.views import configuration_tables, lacks, members_table, message_table, status_tables
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import StatusAnswer
+from hollowusher.protocol.messages import MessageStatusResponse
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.protocol.view import View, Voter
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
 CONFIGURATION = traffic.configuration("127.0.0.9:8080") | {"generation": 7}
 DOCUMENT = orjson.dumps(CONFIGURATION)
@@ -81,21 +81,21 @@
 
 def known(*items: tuple[str, Any]) -> ClusterState:
     state = ClusterState()
-    state.apply([Item(key, [1], "test", 1, value) for key, value in items], {})
+    state.apply([DistributedItem(key, [1], "test", 1, value) for key, value in items], {})
     return state
 
 
 def whole_state(listed: list[Member], placed: Placement) -> ClusterState:
     view = View(2, [Voter(name, "d", "a") for name in EDGES], ["edge-2", "edge-1", "edge-3"])
     workers = [
-        Worker(f"w-{n}", "confirmations", f"10.0.0.{n}:80", "z", 4, "ready" if n else "draining")
+        PlatformWorker(f"w-{n}", "confirmations", f"10.0.0.{n}:80", "z", 4, "ready" if n else "draining")
         for n in range(3)
     ]
     return known(
         ("view", view),
         ("configuration", DOCUMENT),
         ("placement", placed),
-        ("workers", WorkerList(workers)),
+        ("workers", PlatformWorkerList(workers)),
         *((f"member/{each.name}", each) for each in listed),
     )
 
@@ -262,14 +262,14 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> StatusAnswer:
+    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
         """The states of two messages."""
         known_states = {
-            "3-1-17": StatusAnswer("completed", "w.1"),
-            "2-1-1": StatusAnswer("unavailable"),
-            "17": StatusAnswer("queued"),
+            "3-1-17": MessageStatusResponse("completed", "w.1"),
+            "2-1-1": MessageStatusResponse("unavailable"),
+            "17": MessageStatusResponse("queued"),
         }
-        return known_states.get(reference, StatusAnswer("unknown"))
+        return known_states.get(reference, MessageStatusResponse("unknown"))
 
     def last_order(self) -> tuple[str, str, str | None, bytes]:
         """The method, path, If-Match and body of the last order."""
@@ -329,7 +329,7 @@
     admin: Admin, run: Callable[..., Result]
 ) -> None:
     admin.now = 130.0
-    admin.state.apply([Item("workers", [2], "test", 2, WorkerList([]))], {})
+    admin.state.apply([DistributedItem("workers", [2], "test", 2, PlatformWorkerList([]))], {})
     admin.now = 133.0
     shown = run("status", "--check")
     assert shown.exit_code == 0, shown.output
@@ -343,7 +343,7 @@
 
 def test_status_can_fail_where_something_lacks(admin: Admin, run: Callable[..., Result]) -> None:
     dead = member("store-2", 5, status=1)
-    admin.state.apply([Item("member/store-2", [2], "test", 2, dead)], {})
+    admin.state.apply([DistributedItem("member/store-2", [2], "test", 2, dead)], {})
     assert run("status").exit_code == 0
     checked = run("status", "--check")
     assert checked.exit_code == 4
--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -389,7 +389,7 @@
     keeper = ViewCache(slot, state)
     keeper.load()
     task = asyncio.ensure_future(keeper.run())
-    state.apply([distribution.Item("view", [view.epoch], "origin/1", 1, view)], {})
+    state.apply([distribution.DistributedItem("view", [view.epoch], "origin/1", 1, view)], {})
     while slot.load() is None:
         await asyncio.sleep(0.05)
     task.cancel()
@@ -526,8 +526,8 @@
 
 def call_rule(message: object) -> tuple[int, bool]:
     """How a message may be sent: the place of its addressee among all kinds of them, and whether again."""
-    rule = call_rules.rule_of(message)
-    return list(call_rules.Addressee).index(rule.addressee), rule.repeatable
+    rule = call_rules.call_rule_of(message)
+    return list(call_rules.Addressee).index(rule.addressee), rule.is_idempotent
 
 
 MESSAGE_FIELDS: dict[int, tuple[str, ...]] = {
--- a/tests/coordination/chain/test_large_documents.py
+++ b/tests/coordination/chain/test_large_documents.py
@@ -12,7 +12,7 @@
 
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse
 from hollowusher.protocol.placement import Placement
 from tests.support.controller_cluster import Cluster, Node, document, run_virtual
 
@@ -51,7 +51,7 @@
     if not task.done() or task.cancelled():
         return 503
     answer = task.result()
-    assert isinstance(answer, OperatorAnswer)
+    assert isinstance(answer, OperatorResponse)
     return answer.status
 
 
--- a/tests/coordination/chain/test_rejected_messages.py
+++ b/tests/coordination/chain/test_rejected_messages.py
@@ -17,7 +17,13 @@
 )
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control_chain import ChainWrite, ChainWritten, ControlState, ReadRecord, RecordChunk
+from hollowusher.protocol.control_chain import (
+    ChainWrite,
+    ChainWritten,
+    ControlState,
+    ReadStateRecord,
+    StateRecordChunk,
+)
 from hollowusher.storage.memory import MemorySlot
 from tests.coordination.chain.test_large_documents import (
     large_body,
@@ -113,7 +119,7 @@
 # -- records -----------------------------------------------------------------------------------------------
 
 
-def chunks(record: StateRecord) -> list[RecordChunk]:
+def chunks(record: StateRecord) -> list[StateRecordChunk]:
     return [read_chunk(record, offset) for offset in range(0, len(record.encoded), CHUNK_BYTES)]
 
 
@@ -132,7 +138,7 @@
     record, other = record_of(LARGE), record_of(LARGE, "y")
     first, second, *_ = chunks(record)
     buffer = RecordBuffer(record.digest)
-    assert buffer.take(RecordChunk(b"", 0, 0, b"")) == "not held"
+    assert buffer.take(StateRecordChunk(b"", 0, 0, b"")) == "not held"
     assert buffer.take(chunks(other)[0]) == "not held"
     assert buffer.take(second) == "cut short"
     assert buffer.take(evolve(first, data=b"")) == "cut short"
@@ -162,8 +168,8 @@
 def test_questions_beyond_a_record_or_for_one_not_held_are_answered_truthfully() -> None:
     record = record_of(100)
     for offset in (-1, len(record.encoded), 10**9):
-        assert read_chunk(record, offset) == RecordChunk(b"", 0, offset, b"")
-    assert read_chunk(None, 0) == RecordChunk(b"", 0, 0, b"")
+        assert read_chunk(record, offset) == StateRecordChunk(b"", 0, offset, b"")
+    assert read_chunk(None, 0) == StateRecordChunk(b"", 0, 0, b"")
 
 
 @virtual
@@ -173,10 +179,10 @@
     await cluster.put_somewhere(1, 0)
     held = member(cluster["b"])
     held.view = evolve(held.view, cluster="this one")
-    answer = await cluster["b"].running.handle(ReadRecord(b"", 0, "another"))
-    assert answer == RecordChunk(b"", 0, 0, b"")
+    answer = await cluster["b"].running.handle(ReadStateRecord(b"", 0, "another"))
+    assert answer == StateRecordChunk(b"", 0, 0, b"")
     assert cluster["b"].running.refused_writes["record: another cluster"] == 1
-    answer = await cluster["b"].running.handle(ReadRecord(b"", 0, "this one"))
+    answer = await cluster["b"].running.handle(ReadStateRecord(b"", 0, "this one"))
     assert answer.digest == make_record(held.state).digest
 
 
@@ -193,7 +199,7 @@
     class Breaking:
         """A network that breaks off in the middle."""
 
-        async def call(self, address: str, message: ReadRecord, timeout: float) -> Any:
+        async def call(self, address: str, message: ReadStateRecord, timeout: float) -> Any:
             asked.append(message.offset)
             if len(asked) == 5:
                 return evolve(await source.running.handle(message), data=b"")
--- a/tests/coordination/consensus/test_view_consensus.py
+++ b/tests/coordination/consensus/test_view_consensus.py
@@ -16,11 +16,11 @@
     Accept,
     Accepted,
     ConfirmEpoch,
-    Decided,
-    FirstTaken,
+    FirstViewResponse,
     Prepare,
     Promise,
-    ProposeFirst,
+    ProposeFirstView,
+    ViewDecided,
 )
 from hollowusher.protocol.view import View, Voter
 from hollowusher.storage.interface import StorageError
@@ -163,11 +163,11 @@
             return await agreement.prepare(message)
         if isinstance(message, Accept):
             return await agreement.accept(message)
-        if isinstance(message, ProposeFirst):
+        if isinstance(message, ProposeFirstView):
             return await agreement.accept_first_view(message)
         if isinstance(message, ConfirmEpoch):
             return agreement.confirm(message)
-        if isinstance(message, Decided):
+        if isinstance(message, ViewDecided):
             await agreement.learn(message.view)
         return None
 
@@ -239,7 +239,7 @@
         nodes["a"].start()
         post.held = []
         post.loses = lambda address, answer: False
-        post.holds = lambda address, message: address == "b:1" or isinstance(message, Decided)
+        post.holds = lambda address, message: address == "b:1" or isinstance(message, ViewDecided)
         assert await propose(nodes["a"], Y)
 
         post.held = late
@@ -274,16 +274,16 @@
         node.disk.full = True
         for _ in range(3):  # the second one finds the view in memory already
             try:
-                answer = await node.running.accept_first_view(ProposeFirst(BASE))
+                answer = await node.running.accept_first_view(ProposeFirstView(BASE))
             except StorageError:
                 continue
             assert answer.taken is None, "answered though it is not on disk"
         node.disk.full = False
-        assert await node.running.accept_first_view(ProposeFirst(BASE)) == FirstTaken(BASE, None)
+        assert await node.running.accept_first_view(ProposeFirstView(BASE)) == FirstViewResponse(BASE, None)
         node.lose_power()
         node.start()
         other = first_view(VOTERS[:2], "cluster-2")
-        assert await node.running.accept_first_view(ProposeFirst(other)) == FirstTaken(BASE, None)
+        assert await node.running.accept_first_view(ProposeFirstView(other)) == FirstViewResponse(BASE, None)
 
     run_virtual(check())
 
--- a/tests/coordination/consensus/test_view_discovery.py
+++ b/tests/coordination/consensus/test_view_discovery.py
@@ -15,9 +15,9 @@
 from hollowusher.coordination.consensus.view_cache import ViewCache
 from hollowusher.coordination.consensus.view_publisher import SeedSchedule
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
-from hollowusher.protocol.consensus import Decided
+from hollowusher.protocol.consensus import ViewDecided
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.view import Announce, OfferView, View, ViewAnswer, Voter
+from hollowusher.protocol.view import AnnounceController, OfferView, View, ViewResponse, Voter
 from tests.support.controller_cluster import Cluster, VirtualSlot, VirtualTransport, run_virtual
 
 SEEDS = ("10.0.9.1", "10.0.9.2", "10.0.9.3")
@@ -144,7 +144,7 @@
         for node in cluster.nodes.values():
             await node.start()
         view = View(1, [Voter(n.name, n.disk_id, n.address) for n in cluster.nodes.values()], ["a", "b", "c"])
-        await cluster["a"].running.handle(Decided(view))
+        await cluster["a"].running.handle(ViewDecided(view))
         for _ in range(3):
             await cluster.until(lambda: seed.epoch > 0, FOUND_WITHIN_S)  # noqa: B023
             await seed.kill()
@@ -237,7 +237,7 @@
             {"a": 1, "b": 1, "c": 1},
         )
         for node in cluster.nodes.values():
-            await node.running.handle(Decided(view))
+            await node.running.handle(ViewDecided(view))
         old = cluster["c"]
         for number, name in enumerate("cba"):
             await cluster[name].kill()
@@ -269,15 +269,15 @@
         assert seed.seed is not None
         for view in (foreign, older):
             answers = [await seed.handle(OfferView(view)), await cluster["a"].running.handle(OfferView(view))]
-            assert answers == [ViewAnswer(known), ViewAnswer(known)]
-            await cluster["a"].running.handle(Decided(view))
-            await seed.handle(Decided(view))
+            assert answers == [ViewResponse(known), ViewResponse(known)]
+            await cluster["a"].running.handle(ViewDecided(view))
+            await seed.handle(ViewDecided(view))
             seed.client.take_view(view)
         assert seed.state.view == known and cluster["a"].running.view == known
         assert seed.seed.foreign_rejections == 2 and seed.client.foreign_views == 1
         assert cluster["a"].running.foreign_rejections == 2
-        ghost = Announce(Voter("b", "other-disk", cluster["b"].address), cluster="other")
-        assert await cluster["a"].running.handle(ghost) == ViewAnswer(known)
+        ghost = AnnounceController(Voter("b", "other-disk", cluster["b"].address), cluster="other")
+        assert await cluster["a"].running.handle(ghost) == ViewResponse(known)
         assert cluster["a"].running.foreign_rejections == 3
         await asyncio.sleep(3.0)
         assert cluster["a"].running.view == known
--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -14,7 +14,12 @@
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Prepare, Promise
-from hollowusher.protocol.control_chain import ChainWrite, ControlState, ReadState, StateAnswer
+from hollowusher.protocol.control_chain import (
+    ChainWrite,
+    ControlState,
+    ControlStateResponse,
+    ReadControlState,
+)
 from hollowusher.protocol.view import Voter
 from tests.support.controller_cluster import FULL, STUCK, Cluster, run_virtual
 
@@ -384,8 +389,10 @@
     cluster = Cluster("abc")
     await cluster.first_start()
     assert await cluster["a"].put(1, 0) == 200
-    answer = await cluster["a"].running.handle(ReadState())
-    assert isinstance(answer, StateAnswer) and answer.state is not None and answer.state.generation == 1
+    answer = await cluster["a"].running.handle(ReadControlState())
+    assert (
+        isinstance(answer, ControlStateResponse) and answer.state is not None and answer.state.generation == 1
+    )
 
 
 @virtual
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import WORKERS
-from hollowusher.protocol.operator_orders import Retire
+from hollowusher.protocol.operator_orders import RetireStore
 from tests.support.controllers import Core, play
 
 SHAPES = ("all", "in", "out", "one")
@@ -92,7 +92,7 @@
         async def work(core: Core) -> None:
             await core.start()
             head = core.leader()
-            order, question = Retire("store-nowhere", 10.0), Retire("store-nowhere", None)
+            order, question = RetireStore("store-nowhere", 10.0), RetireStore("store-nowhere", None)
             for message in (order, question):
                 assert (await head.process.run(head.duties.handle(message))).status == 404
             core.cut(head.name, "all")
--- a/tests/coordination/controller/test_fencing_head_roles.py
+++ b/tests/coordination/controller/test_fencing_head_roles.py
@@ -10,10 +10,10 @@
 from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.protocol.control_chain import ControlState
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.membership import Member, Suspicion
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.membership import Member, MemberSuspected
 from hollowusher.protocol.view import View
-from hollowusher.protocol.worker_list import WorkerList
+from hollowusher.protocol.worker_list import PlatformWorkerList
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.transport.interface import PeerError
 
@@ -32,7 +32,7 @@
 
 
 class _Reader:
-    async def read(self) -> WorkerList | None:
+    async def read(self) -> PlatformWorkerList | None:
         return None
 
 
@@ -76,13 +76,13 @@
         for member in members:
             self.feed.publish(f"member/{member.name}", [1, 0], member)
 
-    def _note(self, item: Item) -> None:
+    def _note(self, item: DistributedItem) -> None:
         if isinstance(item.value, Member) and not item.value.alive:
             self.deaths.append(item.value.name)
 
     def hear(self, reporter: str) -> None:
         """A suspicion of b arrives; a frozen process reads it when it wakes."""
-        self.process.run(self.duties.handle(Suspicion("b", 1, reporter)))
+        self.process.run(self.duties.handle(MemberSuspected("b", 1, reporter)))
 
     async def freeze_for(self, seconds: float) -> None:
         self.loop.freeze(self.process)
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -16,9 +16,9 @@
 from hollowusher.coordination.controller.operator_api import OperatorApi
 from hollowusher.protocol.operator_orders import (
     ChangeConfiguration,
-    OperatorAnswer,
+    OperatorResponse,
     ReadConfiguration,
-    Retire,
+    RetireStore,
 )
 from hollowusher.transport.interface import PeerError
 
@@ -28,12 +28,12 @@
 class Deciders:
     """Remembers what came, and answers as told."""
 
-    def __init__(self, answer: OperatorAnswer | Exception | None) -> None:
+    def __init__(self, answer: OperatorResponse | Exception | None) -> None:
         self.answer = answer
         self.messages: list[Any] = []
         self.finished = 0
 
-    async def forward(self, message: Any) -> OperatorAnswer:
+    async def forward(self, message: Any) -> OperatorResponse:
         self.messages.append(message)
         if isinstance(self.answer, Exception):
             raise self.answer
@@ -55,7 +55,7 @@
 
 
 def test_orders_become_messages_and_answers_come_back() -> None:
-    deciders = Deciders(OperatorAnswer(200, b'{"generation":7}'))
+    deciders = Deciders(OperatorResponse(200, b'{"generation":7}'))
 
     async def conversation(client: Client) -> None:
         put = await client.put("/config", data=b"{}", headers={"If-Match": "5"})
@@ -72,8 +72,8 @@
         ChangeConfiguration("PATCH", 6, b"[]"),
         ChangeConfiguration("PUT", None, b"{}"),
         ReadConfiguration(),
-        Retire("storage-a-1", 10.0),
-        Retire("storage-a-1", None),
+        RetireStore("storage-a-1", 10.0),
+        RetireStore("storage-a-1", None),
     ]
 
 
@@ -83,18 +83,18 @@
         answer = await client.post("/retire/n", json={"durationS": 0})
         assert answer.status == status and await answer.json() == {"error": "why"}
 
-    talk(Deciders(OperatorAnswer(status, b'{"error":"why"}')), conversation)
+    talk(Deciders(OperatorResponse(status, b'{"error":"why"}')), conversation)
 
 
 @pytest.mark.parametrize(
     "answer",
     [
-        OperatorAnswer(503),
-        OperatorAnswer(503, b'{"error":"no majority"}'),
+        OperatorResponse(503),
+        OperatorResponse(503, b'{"error":"no majority"}'),
         PeerError("call", "10.0.0.1:1", "gone"),
     ],
 )
-def test_nothing_known_is_a_503_that_says_when_to_come_again(answer: OperatorAnswer | Exception) -> None:
+def test_nothing_known_is_a_503_that_says_when_to_come_again(answer: OperatorResponse | Exception) -> None:
     async def conversation(client: Client) -> None:
         for method, path in (("PUT", "/config"), ("GET", "/config"), ("GET", "/retire/n")):
             response = await client.request(method, path, data=b"{}")
@@ -118,7 +118,7 @@
 
 def test_a_change_goes_on_after_its_caller_was_told_503(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "CHANGE_TIMEOUT_S", 0.0)
-    deciders = Deciders(OperatorAnswer(200, b"{}"))
+    deciders = Deciders(OperatorResponse(200, b"{}"))
 
     async def conversation(client: Client) -> None:
         await client.put("/config", data=b"{}")
@@ -130,7 +130,7 @@
 
 
 def test_what_cannot_be_read_is_refused_here() -> None:
-    deciders = Deciders(OperatorAnswer(200))
+    deciders = Deciders(OperatorResponse(200))
 
     async def conversation(client: Client) -> None:
         for wrong in ("x", "-1", "5.0", "", "9" * 40):
--- a/tests/coordination/controller/test_orders_races.py
+++ b/tests/coordination/controller/test_orders_races.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
 from tests.support.controller_cluster import Cluster, Node, document, run_virtual
 
 SEEDS = 40
@@ -31,7 +31,7 @@
     if not task.done() or task.cancelled():
         return 503
     answer = task.result()
-    assert isinstance(answer, OperatorAnswer)
+    assert isinstance(answer, OperatorResponse)
     return answer.status
 
 
--- a/tests/coordination/controller/test_voters_replaced.py
+++ b/tests/coordination/controller/test_voters_replaced.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hollowusher.protocol.consensus import Ping, Pong, Prepare, Promise
-from hollowusher.protocol.view import Announce, View, Voter
+from hollowusher.protocol.view import AnnounceController, View, Voter
 from tests.coordination.controller.voter_hunt import CATCH_UP_S, run_hunt
 from tests.support.controller_cluster import STUCK, Cluster, Node, run_virtual
 
@@ -155,7 +155,7 @@
         await cluster["b"].kill()
         ghost = Voter("ghost", "disk-ghost", "10.0.0.99:7780", "z9")
         for _ in range(40):
-            await cluster["a"].running.handle(Announce(ghost))
+            await cluster["a"].running.handle(AnnounceController(ghost))
             await asyncio.sleep(0.2)
         assert voter_names(cluster["a"]) == "abc"
         assert await cluster.put_somewhere(1, 0) < 1.0
--- a/tests/coordination/controller/test_worker_list_reader.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -20,7 +20,7 @@
     PlatformReader,
     parse_page,
 )
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
 ENTRY: dict[str, Any] = {
     "upstream": "huvo11a",
@@ -46,11 +46,11 @@
     return {**ENTRY, **changes}
 
 
-def worker(identifier: str) -> Worker:
-    return Worker(identifier, "service", "10.0.0.1:80", "z", 4, "ready")
+def worker(identifier: str) -> PlatformWorker:
+    return PlatformWorker(identifier, "service", "10.0.0.1:80", "z", 4, "ready")
 
 
-def names(workers: list[Worker] | None) -> list[str] | None:
+def names(workers: list[PlatformWorker] | None) -> list[str] | None:
     return None if workers is None else [found.id for found in workers]
 
 
@@ -61,7 +61,7 @@
     read = parse_page(page(ENTRY, token="p-50"))
     assert read.next_token == "p-50"
     assert read.workers == [
-        Worker("i-7f3a91c2", "huvo11a", "10.128.0.9:8080", "rabat-a", 12, "ready", 0, "v1")
+        PlatformWorker("i-7f3a91c2", "huvo11a", "10.128.0.9:8080", "rabat-a", 12, "ready", 0, "v1")
     ]
 
 
@@ -243,7 +243,7 @@
     async def work(reader: PlatformReader) -> None:
         for _ in range(2):
             listed = await reader.read()
-            assert isinstance(listed, WorkerList) and names(listed.workers) == ["a", "b", "c"]
+            assert isinstance(listed, PlatformWorkerList) and names(listed.workers) == ["a", "b", "c"]
         assert reader.calls == 6
 
     read_from(answer, work)
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -23,13 +23,13 @@
 from hollowusher.coordination.placement.initial_placement import PARTITION_COUNT
 from hollowusher.coordination.placement.planner import is_store_placed
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.control_chain import ControlState, ReadState, StateAnswer
-from hollowusher.protocol.distribution import Item, PullUpdates, Updates
-from hollowusher.protocol.membership import Heartbeat, Leaving, Member, ProbeLife
-from hollowusher.protocol.operator_orders import OperatorAnswer, Retire
+from hollowusher.protocol.control_chain import ControlState, ControlStateResponse, ReadControlState
+from hollowusher.protocol.distribution import DistributedItem, PullUpdates, UpdatesResponse
+from hollowusher.protocol.membership import CheckIncarnation, Heartbeat, Member, MemberDeparting
+from hollowusher.protocol.operator_orders import OperatorResponse, RetireStore
 from hollowusher.protocol.placement import LearnerReady, Placement
-from hollowusher.protocol.view import ReadView, View, ViewAnswer, Voter
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.view import ReadView, View, ViewResponse, Voter
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
 
@@ -45,7 +45,7 @@
         self.head = ""
         self.confirms = True  # whether reads are answered
         self.nodes: list[Node] = []
-        self.lists: list[WorkerList | None] = []
+        self.lists: list[PlatformWorkerList | None] = []
         self.readings: list[float] = []
 
     def decide(self, view: View) -> None:
@@ -86,7 +86,7 @@
             self.chain.commit(wanted)
         return True
 
-    async def read(self) -> WorkerList | None:
+    async def read(self) -> PlatformWorkerList | None:
         """The platform's list, as a stand-in of its reader."""
         self.chain.readings.append(asyncio.get_running_loop().time())
         if not self.chain.lists:
@@ -162,10 +162,10 @@
                 tasks.create_task(self.duties.run())
 
     async def handle(self, message: Any) -> Any:
-        if isinstance(message, ReadState):
-            return StateAnswer(self.cluster.chain.state if self.cluster.chain.confirms else None)
+        if isinstance(message, ReadControlState):
+            return ControlStateResponse(self.cluster.chain.state if self.cluster.chain.confirms else None)
         if isinstance(message, ReadView) and self.controller:
-            return ViewAnswer(self.cluster.chain.view)
+            return ViewResponse(self.cluster.chain.view)
         if self.duties is not None and isinstance(message, HeadDuties.MESSAGES):
             return await self.duties.handle(message)
         if isinstance(message, ClusterClient.MESSAGES):
@@ -483,7 +483,11 @@
         for zone in range(3):
             feed = cluster.nodes[f"core{zone}"].feed
             assert feed is not None
-            feed.merge(Updates([Item("configuration", [2], "a-old/1", 5, DOCUMENT % 2)], {"a-old/1": 5}))
+            feed.merge(
+                UpdatesResponse(
+                    [DistributedItem("configuration", [2], "a-old/1", 5, DOCUMENT % 2)], {"a-old/1": 5}
+                )
+            )
         for name in ("a-core", "z-core"):
             node = cluster.add(name, "edge", f"10.0.1.{1 + len(cluster.nodes)}", "z0", 1, True, "new-disk")
             await cluster.until(lambda name=name: cluster.all_see(name, (1, 0)), 2.0)  # type: ignore[misc]
@@ -513,7 +517,7 @@
         duties = cluster.nodes["core0"].duties
         assert duties is not None
         cluster.loop.freeze(cluster.nodes["store2"].process)
-        await duties.handle(Leaving("store2", 1))
+        await duties.handle(MemberDeparting("store2", 1))
         await cluster.until(lambda: cluster.nodes["edge0"].sees("store2") == (1, 1), 0.5)
         assert cluster.nodes["core1"].sees("store2") == (1, 0)
         cluster.chain.head = ""  # nobody judges
@@ -552,7 +556,7 @@
         await asyncio.sleep(6.0)
         duties = cluster.nodes["core2"].duties
         assert duties is not None
-        await duties.handle(Leaving("edge0", 1))
+        await duties.handle(MemberDeparting("edge0", 1))
         await cluster.until(lambda: cluster.nodes["store0"].sees("edge0") == (1, 1), 2.0)
         now = cluster.loop.time()
         for node in cluster.living():
@@ -641,7 +645,7 @@
         probes: list[str] = []
 
         def watch(source: str, target: str, message: Any) -> None:
-            if isinstance(message, ProbeLife) and target == cluster.nodes["store1"].address:
+            if isinstance(message, CheckIncarnation) and target == cluster.nodes["store1"].address:
                 probes.append(source)
 
         cluster.network.watch = watch
@@ -845,8 +849,8 @@
 async def retire(cluster: Cluster, name: str, duration_s: float | None = 10.0) -> tuple[int, bytes]:
     duties = cluster.nodes[cluster.chain.head].duties
     assert duties is not None
-    answer = await duties.handle(Retire(name, duration_s))
-    assert isinstance(answer, OperatorAnswer)
+    answer = await duties.handle(RetireStore(name, duration_s))
+    assert isinstance(answer, OperatorResponse)
     return answer.status, answer.body
 
 
@@ -888,8 +892,8 @@
         await cluster.calm()
         duties = cluster.nodes["core1"].duties
         assert duties is not None
-        answer = await duties.handle(Retire("store0", 1.0))
-        assert answer == OperatorAnswer(503)
+        answer = await duties.handle(RetireStore("store0", 1.0))
+        assert answer == OperatorResponse(503)
         assert cluster.chain.state.retiring == {}
 
     play(work, stores=4)
@@ -906,29 +910,31 @@
 # ---- the platform's list
 
 
-def worker(identifier: str, state: str = "ready", warm_in_ms: int = 0) -> Worker:
-    return Worker(identifier, "service", "10.9.0.1:80", "z0", 4, state, warm_in_ms)
+def worker(identifier: str, state: str = "ready", warm_in_ms: int = 0) -> PlatformWorker:
+    return PlatformWorker(identifier, "service", "10.9.0.1:80", "z0", 4, state, warm_in_ms)
 
 
-def listed(cluster: Cluster) -> list[Worker] | None:
+def listed(cluster: Cluster) -> list[PlatformWorker] | None:
     found = cluster.nodes["edge2"].state.workers
     return None if found is None else found.workers
 
 
 def test_the_list_is_read_once_a_second_and_sent_only_when_it_says_something_new() -> None:
     async def work(cluster: Cluster) -> None:
-        cluster.chain.lists = [WorkerList([worker("a", warm_in_ms=9000)])]
+        cluster.chain.lists = [PlatformWorkerList([worker("a", warm_in_ms=9000)])]
         await cluster.calm()
         await cluster.until(lambda: listed(cluster) == [worker("a", warm_in_ms=9000)], 3.0)
         cluster.chain.readings.clear()
         version = cluster.nodes["edge2"].state.versions["workers"]
-        cluster.chain.lists = [WorkerList([worker("a", warm_in_ms=5000)])]
+        cluster.chain.lists = [PlatformWorkerList([worker("a", warm_in_ms=5000)])]
         await asyncio.sleep(10.0)
         assert 9 <= len(cluster.chain.readings) <= 11
         assert cluster.nodes["edge2"].state.versions["workers"] == version
-        cluster.chain.lists = [WorkerList([worker("a", "draining")])]
+        cluster.chain.lists = [PlatformWorkerList([worker("a", "draining")])]
         await cluster.until(
-            lambda: cluster.all_have(lambda state: state.workers == WorkerList([worker("a", "draining")])),
+            lambda: cluster.all_have(
+                lambda state: state.workers == PlatformWorkerList([worker("a", "draining")])
+            ),
             1.2,
         )
         cluster.chain.lists = []  # the platform is down: the last list stays
@@ -940,11 +946,11 @@
 
 def test_a_new_head_reads_soon_and_its_list_counts() -> None:
     async def work(cluster: Cluster) -> None:
-        cluster.chain.lists = [WorkerList([worker("a")])]
+        cluster.chain.lists = [PlatformWorkerList([worker("a")])]
         await cluster.calm()
         await cluster.until(lambda: listed(cluster) == [worker("a")], 3.0)
         cluster.kill("core0")
-        cluster.chain.lists = [WorkerList([worker("b")])]
+        cluster.chain.lists = [PlatformWorkerList([worker("b")])]
         cluster.chain.readings.clear()
         cluster.chain.decide(cluster.view(2, ("core1", "core2")))
         await cluster.until(lambda: listed(cluster) == [worker("b")], 0.6)
@@ -955,13 +961,13 @@
 
 def test_a_head_that_restarts_in_its_epoch_is_believed_again() -> None:
     async def work(cluster: Cluster) -> None:
-        cluster.chain.lists = [WorkerList([worker("a")])]
+        cluster.chain.lists = [PlatformWorkerList([worker("a")])]
         await cluster.calm()
         for identifier in ("b", "c"):
-            cluster.chain.lists = [WorkerList([worker(identifier)])]
+            cluster.chain.lists = [PlatformWorkerList([worker(identifier)])]
             await cluster.until(lambda wanted=identifier: listed(cluster) == [worker(wanted)], 2.0)  # type: ignore[misc]
         cluster.restart("core0")
-        cluster.chain.lists = [WorkerList([worker("d")])]
+        cluster.chain.lists = [PlatformWorkerList([worker("d")])]
         await cluster.until(lambda: listed(cluster) == [worker("d")], 3.0)
 
     play(work)
@@ -969,16 +975,16 @@
 
 def test_a_list_read_after_all_controllers_have_restarted_is_believed() -> None:
     async def work(cluster: Cluster) -> None:
-        cluster.chain.lists = [WorkerList([worker("a")])]
+        cluster.chain.lists = [PlatformWorkerList([worker("a")])]
         await cluster.calm()
         for identifier in ("b", "c"):
-            cluster.chain.lists = [WorkerList([worker(identifier)])]
+            cluster.chain.lists = [PlatformWorkerList([worker(identifier)])]
             await cluster.until(lambda wanted=identifier: listed(cluster) == [worker(wanted)], 2.0)  # type: ignore[misc]
         for zone in range(3):
             cluster.kill(f"core{zone}")
         for zone in range(3):
             cluster.restart(f"core{zone}")
-        cluster.chain.lists = [WorkerList([worker("d")])]
+        cluster.chain.lists = [PlatformWorkerList([worker("d")])]
         await cluster.until(lambda: listed(cluster) == [worker("d")], 3.0)
 
     play(work)
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -11,8 +11,8 @@
 from hollowusher.coordination.distribution.feed import Feed, LongPoll
 from hollowusher.intake.intake import Intake
 from hollowusher.protocol.codec import decode, encode, evolve
-from hollowusher.protocol.control_chain import ReadState
-from hollowusher.protocol.distribution import PullUpdates, Updates
+from hollowusher.protocol.control_chain import ReadControlState
+from hollowusher.protocol.distribution import PullUpdates, UpdatesResponse
 from tests.coordination.distribution.test_cluster_client import DOCUMENT, Cluster, play
 from tests.intake.test_intake import World, request
 from tests.intake.test_intake import play as play_intake
@@ -48,11 +48,11 @@
 
 class TestAge:
     def test_an_answer_tells_how_long_ago_its_controller_had_word_from_most(self) -> None:
-        async def ask(age_s: float) -> Updates:
+        async def ask(age_s: float) -> UpdatesResponse:
             poll = LongPoll(Feed("a/1"), lambda: True, lambda: age_s)
             answer = await poll.answer(PullUpdates("reader", {}, 0))
             told = decode(encode(answer))
-            assert isinstance(told, Updates)
+            assert isinstance(told, UpdatesResponse)
             return told
 
         assert asyncio.run(ask(1.25)).age_ms == 1250
@@ -147,7 +147,7 @@
             asked: list[str] = []
 
             def watch(source: str, target: str, message: object) -> None:
-                if isinstance(message, ReadState):
+                if isinstance(message, ReadControlState):
                     asked.append(target)
 
             cluster.network.watch = watch
--- a/tests/coordination/distribution/test_feed.py
+++ b/tests/coordination/distribution/test_feed.py
@@ -11,13 +11,13 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.distribution.feed import Feed, LongPoll
 from hollowusher.protocol.codec import decode, encode
-from hollowusher.protocol.distribution import Item, PullUpdates, Updates
+from hollowusher.protocol.distribution import DistributedItem, PullUpdates, UpdatesResponse
 from hollowusher.protocol.membership import Member
 from hollowusher.simulation.loop import VirtualLoop
 
 
-def pull(source: Feed, target: Feed) -> Updates:
-    answer: Updates = decode(encode(source.answer(PullUpdates("reader", target.have, 0))))
+def pull(source: Feed, target: Feed) -> UpdatesResponse:
+    answer: UpdatesResponse = decode(encode(source.answer(PullUpdates("reader", target.have, 0))))
     target.merge(answer)
     return answer
 
@@ -63,8 +63,12 @@
     feed.listen(lambda item: told.append(item.value))
     feed.publish("configuration", [7], "seven")
     changed = feed.merge(
-        Updates(
-            [Item("configuration", [6], "b/1", 1, "six"), Item("view", [1], "b/1", 2, "view")], {"b/1": 2}
+        UpdatesResponse(
+            [
+                DistributedItem("configuration", [6], "b/1", 1, "six"),
+                DistributedItem("view", [1], "b/1", 2, "view"),
+            ],
+            {"b/1": 2},
         )
     )
     assert changed == ["view"]
--- a/tests/coordination/membership/test_failure_detector.py
+++ b/tests/coordination/membership/test_failure_detector.py
@@ -11,7 +11,7 @@
     FailureDetector,
 )
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.membership import Heartbeat, Suspicion
+from hollowusher.protocol.membership import Heartbeat, MemberSuspected
 from tests.support.members import edge_member, store_member
 
 
@@ -25,7 +25,7 @@
 
 def ticks(
     detector: FailureDetector, start: float, end: float, step: float = 0.1
-) -> list[tuple[float, Suspicion]]:
+) -> list[tuple[float, MemberSuspected]]:
     found = []
     now = start
     while now <= end:
@@ -41,7 +41,7 @@
     gaps = [later - earlier for earlier, later in pairwise(times)]
     assert len(gaps) >= 2
     assert all(SUSPICION_REPEAT_S <= gap < SUSPICION_REPEAT_S + 0.15 for gap in gaps)
-    assert all(suspicion == Suspicion("s", 1, "e0") for _, suspicion in found)
+    assert all(suspicion == MemberSuspected("s", 1, "e0") for _, suspicion in found)
 
 
 def test_a_heartbeat_ends_the_suspicion() -> None:
--- a/tests/coordination/membership/test_health_check.py
+++ b/tests/coordination/membership/test_health_check.py
@@ -6,25 +6,25 @@
 
 import pytest
 
-from hollowusher.protocol.acknowledgement import Done
-from hollowusher.protocol.membership import ProbeLife
+from hollowusher.protocol.acknowledgement import Acknowledgement
+from hollowusher.protocol.membership import CheckIncarnation
 from tests.coordination.distribution.test_cluster_client import Cluster, play
 
 
 async def check(cluster: Cluster, name: str, incarnation: int) -> object:
     """Return the answer of the process at a node's address when it is asked for one incarnation."""
     node = cluster.nodes[name]
-    return await cluster.nodes["core0"].transport.call(node.address, ProbeLife(name, incarnation), 0.5)
+    return await cluster.nodes["core0"].transport.call(node.address, CheckIncarnation(name, incarnation), 0.5)
 
 
 def test_a_process_does_not_answer_for_a_former_incarnation() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
-        assert await check(cluster, "store1", 1) == Done()
+        assert await check(cluster, "store1", 1) == Acknowledgement()
         cluster.restart("store1")
         await asyncio.sleep(1.0)
         assert await check(cluster, "store1", 1) is None
-        assert await check(cluster, "store1", 2) == Done()
+        assert await check(cluster, "store1", 2) == Acknowledgement()
 
     play(work)
 
