--- a/tests/coordination/membership/test_member_directory.py
+++ b/tests/coordination/membership/test_member_directory.py
@@ -4,7 +4,7 @@
 
 from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.coordination.membership.monitor_assignment import choose_monitors
-from hollowusher.protocol.membership import Leaving, Member, Suspicion
+from hollowusher.protocol.membership import Member, MemberDeparting, MemberSuspected
 from tests.support.members import edge_member, store_member
 
 EDGES = [edge_member(f"e{number}") for number in range(6)]
@@ -29,14 +29,14 @@
 
 def test_leaving_gives_an_odd_status_once_and_only_to_that_incarnation() -> None:
     directory = directory_of(store_member("s", 2))
-    assert directory.leaving_state(Leaving("s", 1)) is None
-    dead = directory.leaving_state(Leaving("s", 2))
+    assert directory.leaving_state(MemberDeparting("s", 1)) is None
+    dead = directory.leaving_state(MemberDeparting("s", 2))
     assert dead is not None
     assert dead.status == 1
     assert not dead.alive
     directory.update(dead, 1.0)
-    assert directory.leaving_state(Leaving("s", 2)) is None
-    assert directory.leaving_state(Leaving("unknown", 1)) is None
+    assert directory.leaving_state(MemberDeparting("s", 2)) is None
+    assert directory.leaving_state(MemberDeparting("unknown", 1)) is None
 
 
 def test_a_live_process_refutes_its_death_with_the_next_even_status() -> None:
@@ -63,7 +63,7 @@
 
 def suspected_by(directory: MemberDirectory, name: str, reporters: list[str], now: float) -> list[str]:
     for reporter in reporters:
-        directory.record_suspicion(Suspicion(name, directory.members[name].incarnation, reporter), now)
+        directory.record_suspicion(MemberSuspected(name, directory.members[name].incarnation, reporter), now)
     return [member.name for member in directory.confirmed_dead(now)]
 
 
@@ -85,7 +85,7 @@
     assert suspected_by(directory, "s", monitors[:1], 1.0) == []
     assert suspected_by(directory, "s", monitors[1:2], 3.0) == []
     directory.update(store_member("s", 2), 3.1)
-    directory.record_suspicion(Suspicion("s", 1, monitors[2]), 3.2)
+    directory.record_suspicion(MemberSuspected("s", 1, monitors[2]), 3.2)
     assert directory.confirmed_dead(3.2) == []
     assert suspected_by(directory, "s", monitors[:1], 3.2) == []
 
@@ -112,7 +112,7 @@
 def test_the_head_checks_a_suspect_without_a_majority_against_it() -> None:
     directory = directory_of(*EDGES, store_member("s"))
     monitors = choose_monitors("s", EDGE_NAMES)
-    suspicion = Suspicion("s", 1, monitors[0])
+    suspicion = MemberSuspected("s", 1, monitors[0])
     for now in (1.0, 1.5, 2.0):
         directory.record_suspicion(suspicion, now)
     assert directory.unconfirmed_suspects(1.9) == []
@@ -128,7 +128,7 @@
 def test_a_failed_check_of_a_former_incarnation_does_not_count_for_the_next() -> None:
     directory = directory_of(*EDGES, store_member("s"))
     for now in (1.0, 1.5, 2.0):
-        directory.record_suspicion(Suspicion("s", 1, choose_monitors("s", EDGE_NAMES)[0]), now)
+        directory.record_suspicion(MemberSuspected("s", 1, choose_monitors("s", EDGE_NAMES)[0]), now)
     [suspect] = directory.unconfirmed_suspects(2.1)
     directory.update(store_member("s", 2), 2.2)
     assert directory.unreachable_state(suspect, 2.3) is None
@@ -137,7 +137,7 @@
 def test_a_leaving_member_is_distinguished_from_a_dead_one() -> None:
     directory = MemberDirectory(0.0)
     directory.update(edge_member("a"), 0.0)
-    leaving = directory.leaving_state(Leaving("a", 1))
+    leaving = directory.leaving_state(MemberDeparting("a", 1))
     assert leaving is not None
     assert not leaving.alive
     assert leaving.leaving
--- a/tests/coordination/membership/test_suspicion_table.py
+++ b/tests/coordination/membership/test_suspicion_table.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from hollowusher.coordination.membership.suspicion_table import SUSPICION_VALIDITY_S, SuspicionTable
-from hollowusher.protocol.membership import Suspicion
+from hollowusher.protocol.membership import MemberSuspected
 
 
 def test_a_report_is_valid_for_its_time_and_each_monitor_for_itself() -> None:
     table = SuspicionTable()
-    table.record(Suspicion("s", 1, "e0"), 0.0)
-    table.record(Suspicion("s", 1, "e1"), 1.0)
+    table.record(MemberSuspected("s", 1, "e0"), 0.0)
+    table.record(MemberSuspected("s", 1, "e1"), 1.0)
     assert table.reporters("s", SUSPICION_VALIDITY_S) == {"e0", "e1"}
     assert table.reporters("s", SUSPICION_VALIDITY_S + 0.1) == {"e1"}
     table.remove_expired(SUSPICION_VALIDITY_S + 0.1)
@@ -22,16 +22,16 @@
 def test_the_first_report_counts_as_long_as_some_monitor_repeats() -> None:
     table = SuspicionTable()
     for now in (0.0, 1.0, 2.0):
-        table.record(Suspicion("s", 1, "e0"), now)
+        table.record(MemberSuspected("s", 1, "e0"), now)
     assert table.is_suspected_for("s", 2.0, 2.0)
-    table.record(Suspicion("s", 1, "e0"), 2.1 + SUSPICION_VALIDITY_S)  # all former reports have expired
+    table.record(MemberSuspected("s", 1, "e0"), 2.1 + SUSPICION_VALIDITY_S)  # all former reports have expired
     assert not table.is_suspected_for("s", 0.1, 2.1 + SUSPICION_VALIDITY_S)
 
 
 def test_a_report_about_another_incarnation_starts_anew() -> None:
     table = SuspicionTable()
-    table.record(Suspicion("s", 1, "e0"), 0.0)
-    table.record(Suspicion("s", 2, "e1"), 1.0)
+    table.record(MemberSuspected("s", 1, "e0"), 0.0)
+    table.record(MemberSuspected("s", 2, "e1"), 1.0)
     assert table.incarnation("s") == 2
     assert table.reporters("s", 1.0) == {"e1"}
     assert not table.is_suspected_for("s", 1.0, 1.0)
@@ -39,8 +39,8 @@
 
 def test_removed_members_are_suspected_by_nobody() -> None:
     table = SuspicionTable()
-    table.record(Suspicion("s", 1, "e0"), 0.0)
-    table.record(Suspicion("t", 1, "e0"), 0.0)
+    table.record(MemberSuspected("s", 1, "e0"), 0.0)
+    table.record(MemberSuspected("t", 1, "e0"), 0.0)
     table.remove("s")
     assert table.reporters("s", 0.0) == set()
     table.clear()
--- a/tests/coordination/placement/test_zone_homes.py
+++ b/tests/coordination/placement/test_zone_homes.py
@@ -6,7 +6,7 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.placement.initial_placement import rank_partitions
 from hollowusher.coordination.placement.partitioner import ZonePartitioner, has_single_home
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 
@@ -21,8 +21,8 @@
     placement = Placement(
         1, [PartitionPlacement(number, 1, stores[number % len(stores)], stores) for number in range(16)]
     )
-    items = [Item(f"member/{member.name}", [1, 0], "", 0, member) for member in members]
-    state.apply([*items, Item("placement", [1], "", 0, placement)], {})
+    items = [DistributedItem(f"member/{member.name}", [1, 0], "", 0, member) for member in members]
+    state.apply([*items, DistributedItem("placement", [1], "", 0, placement)], {})
     state.configuration = configuration
     return state
 
--- a/tests/coordination/test_cluster_state.py
+++ b/tests/coordination/test_cluster_state.py
@@ -8,17 +8,17 @@
 from hypothesis import strategies as st
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.protocol.view import View
-from hollowusher.protocol.worker_list import WorkerList
+from hollowusher.protocol.worker_list import PlatformWorkerList
 
 DOCUMENT = b'{"generation":%d,"routes":[],"upstreams":[],"limits":{}}'
 
 
-def item(key: str, version: int, value: Any, origin: str = "a/1", counter: int = 1) -> Item:
-    return Item(key, [version], origin, counter, value)
+def item(key: str, version: int, value: Any, origin: str = "a/1", counter: int = 1) -> DistributedItem:
+    return DistributedItem(key, [version], origin, counter, value)
 
 
 def store(name: str, disk: str, status: int = 0) -> Member:
@@ -59,7 +59,9 @@
     state.apply([], {"a/1": 5, "b/1": 2})
     state.apply([], {"a/1": 3, "c/1": 1})
     assert state.version_vector == {"a/1": 5, "c/1": 1}
-    state.apply([item("workers", 1, WorkerList([]))], {})  # items asked for otherwise say nothing of it
+    state.apply(
+        [item("workers", 1, PlatformWorkerList([]))], {}
+    )  # items asked for otherwise say nothing of it
     assert state.version_vector == {"a/1": 5, "c/1": 1}
 
 
@@ -103,7 +105,7 @@
     makers: dict[str, Any] = {
         "view": lambda version: View(version, [], ["n"]),
         "placement": lambda version: Placement(version, []),
-        "workers": lambda version: WorkerList([]),
+        "workers": lambda version: PlatformWorkerList([]),
     }
     greatest: dict[str, int] = {}
     for key, version in course:
--- a/tests/delivery/test_callbacks.py
+++ b/tests/delivery/test_callbacks.py
@@ -15,7 +15,7 @@
 from hollowusher.delivery.reports import EndReporter
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.leases import Job, JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 from hollowusher.simulation.loop import VirtualLoop
 from tests.delivery.test_delivery import Exchange, real, serving
 from tests.support.dispatch import (
@@ -33,7 +33,7 @@
 RECEIVER = "callback:10.20.0.4:8080"
 
 
-def owed(number: int, state: str = "completed", signature: str = "sig", service: str = RECEIVER) -> Job:
+def owed(number: int, state: str = "completed", signature: str = "sig", service: str = RECEIVER) -> LeasedJob:
     url = f"http://{service.partition(':')[2]}/done?a=1"
     return evolve(job(number, service=service, callback_url=url), state=state, signature=signature)
 
@@ -53,7 +53,7 @@
         self.addresses.append(address)
         return self
 
-    async def post(self, job: Job) -> str:
+    async def post(self, job: LeasedJob) -> str:
         self.out += 1
         self.most_out = max(self.most_out, self.out)
         await asyncio.sleep(self.run_s)
--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -12,7 +12,7 @@
 from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
 from hollowusher.messages.unacknowledged_grants import MAX_REQUESTERS, UnacknowledgedGrants
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.leases import Job, Leased, LeaseRequest
+from hollowusher.protocol.leases import LeasedJob, LeaseRequest, LeaseResponse
 from hollowusher.protocol.membership import Member
 from hollowusher.simulation.network import host_of
 from tests.support.calls import message
@@ -25,8 +25,8 @@
     return evolve(LeaseRequest("edge-1", 1, "s", most, 0, number=number, lost=lost), **changes)
 
 
-def jobs(*leases: str) -> list[Job]:
-    return [Job(lease, message("m"), 0, 500) for lease in leases]
+def jobs(*leases: str) -> list[LeasedJob]:
+    return [LeasedJob(lease, message("m"), 0, 500) for lease in leases]
 
 
 class TestOpenGrants:
@@ -69,7 +69,7 @@
         assert len(grants._granted) == len(grants._lost) == MAX_REQUESTERS
 
 
-def group(cluster: StoreCluster, taken: list[Job], wanted: int = 1) -> LeaseGroup:
+def group(cluster: StoreCluster, taken: list[LeasedJob], wanted: int = 1) -> LeaseGroup:
     """The lease requests of edge-1 for service s, which takes so many jobs."""
     state = ClusterState()
     cluster.tell(state)
@@ -84,16 +84,16 @@
     return LeaseGroup("s", network, demand, keep_empty_s=3.0)
 
 
-def lose_answers(cluster: StoreCluster, count: int) -> list[Leased]:
+def lose_answers(cluster: StoreCluster, count: int) -> list[LeaseResponse]:
     """Have the next answers that hold jobs meet a reset of their connection; those answers."""
     transport = cluster.network.listeners[cluster.stores[0].address]
     handler = transport.handler
     assert handler is not None
-    answers: list[Leased] = []
+    answers: list[LeaseResponse] = []
 
     async def losing(request: Any) -> Any:
         answer = await handler(request)
-        if isinstance(answer, Leased) and answer.jobs and len(answers) < count:
+        if isinstance(answer, LeaseResponse) and answer.jobs and len(answers) < count:
             answers.append(answer)
             cluster.network.reset_connections(host_of(EDGE_ADDRESS))
         return answer
@@ -107,7 +107,7 @@
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         lost = lose_answers(cluster, times)
-        taken: list[Job] = []
+        taken: list[LeasedJob] = []
         leases = group(cluster, taken)
         leases.refresh()
         await cluster.stored(message("m", ordering_key="k"))
@@ -126,7 +126,7 @@
 def test_jobs_that_came_are_not_given_back_when_a_later_request_is_lost() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
-        taken: list[Job] = []
+        taken: list[LeasedJob] = []
         leases = group(cluster, taken, wanted=2)
         leases.refresh()
         await cluster.stored(message("m1"))
@@ -149,8 +149,8 @@
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         await cluster.stored(message("m"))
-        assert await cluster.call(0, asked(8, lost=7, most=0)) == Leased([])
-        assert await cluster.call(0, asked(7)) == Leased([])
+        assert await cluster.call(0, asked(8, lost=7, most=0)) == LeaseResponse([])
+        assert await cluster.call(0, asked(7)) == LeaseResponse([])
         answer = await cluster.call(0, asked(9))
         assert [job.message.id for job in answer.jobs] == ["m"]
 
@@ -162,9 +162,9 @@
         await cluster.start()
         waiting = asyncio.ensure_future(cluster.call(0, asked(7, wait_ms=1_000)))
         await asyncio.sleep(0.1)
-        assert await cluster.call(0, asked(8, lost=7, most=0)) == Leased([])
+        assert await cluster.call(0, asked(8, lost=7, most=0)) == LeaseResponse([])
         await cluster.stored(message("m"))
-        assert await waiting == Leased([])
+        assert await waiting == LeaseResponse([])
         answer = await cluster.call(0, asked(9))
         assert len(answer.jobs) == 1
 
--- a/tests/delivery/test_calls_workers.py
+++ b/tests/delivery/test_calls_workers.py
@@ -9,7 +9,7 @@
 
 from hollowusher.delivery.outcome import DeliveryOutcome
 from hollowusher.delivery.worker_client import Endpoint, HttpWorkerClient
-from hollowusher.protocol.leases import Job
+from hollowusher.protocol.leases import LeasedJob
 from tests.delivery.test_delivery import Exchange, answer, serving
 from tests.support.calls import message
 
@@ -17,7 +17,7 @@
 
 
 async def deliver(client: HttpWorkerClient, endpoint: Endpoint, identifier: str) -> DeliveryOutcome:
-    return await client.deliver(endpoint, Job("0-1-1-2", message(identifier), 0, 5_000), TIMEOUT_S)
+    return await client.deliver(endpoint, LeasedJob("0-1-1-2", message(identifier), 0, 5_000), TIMEOUT_S)
 
 
 @pytest.mark.parametrize("most_connections", [64, 1])
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -16,7 +16,7 @@
 from hollowusher.delivery.outcome import Ending
 from hollowusher.delivery.reports import PATIENCE_S, EndReporter
 from hollowusher.delivery.worker_client import LATE_ANSWER_S, Endpoint, HttpWorkerClient, belongs, judge
-from hollowusher.protocol.leases import Finish, LeaseAnswer
+from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.transport.interface import PeerError
 from tests.support.dispatch import job, play
@@ -577,15 +577,15 @@
 
     def __init__(self, script: list[str]) -> None:
         self.script = script
-        self.calls: list[Finish] = []
+        self.calls: list[FinishLease] = []
 
-    async def finish(self, request: Finish, deadline: float) -> LeaseAnswer:
+    async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         self.calls.append(request)
         await asyncio.sleep(0.01)
         word = self.script.pop(0) if self.script else "taken"
         if word == "error":
-            raise PeerError("Finish", "s", "gone")
-        return LeaseAnswer(word)
+            raise PeerError("FinishLease", "s", "gone")
+        return LeaseUpdateResponse(word)
 
 
 class TestEndReporter:
@@ -594,8 +594,8 @@
             for last in ("taken", "gone"):
                 stub = FinishStub(["unavailable", "error", "not_primary", last, "never"])
                 figures = DeliveryFigures()
-                await EndReporter(stub, figures).report(Finish("0-1-1-1", "success", "s"))
-                assert stub.calls == [Finish("0-1-1-1", "success", "s")] * 4
+                await EndReporter(stub, figures).report(FinishLease("0-1-1-1", "success", "s"))
+                assert stub.calls == [FinishLease("0-1-1-1", "success", "s")] * 4
                 assert (figures.ends_reported, figures.ends_gone) == ((1, 0) if last == "taken" else (0, 1))
 
         play(work)
@@ -604,7 +604,7 @@
         async def work(loop: VirtualLoop) -> None:
             stub, figures = FinishStub(["unavailable"] * 10_000), DeliveryFigures()
             began = loop.time()
-            await EndReporter(stub, figures).report(Finish("0-1-1-1", "success", "s"))
+            await EndReporter(stub, figures).report(FinishLease("0-1-1-1", "success", "s"))
             assert PATIENCE_S <= loop.time() - began < PATIENCE_S + 5
             assert figures.ends_dropped == 1
 
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -21,7 +21,7 @@
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.dispatch.worker_control import WorkerControl
 from hollowusher.protocol.codec import evolve
-from hollowusher.protocol.leases import Job, JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from tests.support.dispatch import (
     STORE_1,
@@ -199,7 +199,7 @@
         play(work)
 
 
-def owed(number: int) -> Job:
+def owed(number: int) -> LeasedJob:
     return evolve(
         job(number, service=RECEIVER, callback_url="http://10.20.0.4:8080/done"),
         state="completed",
@@ -213,7 +213,7 @@
     def __init__(self) -> None:
         self.heard: list[str] = []
 
-    async def post(self, told: Job) -> str:
+    async def post(self, told: LeasedJob) -> str:
         self.heard.append(told.message.id)
         await asyncio.sleep(1.0)
         return "success"
--- a/tests/dispatch/test_pull_desk.py
+++ b/tests/dispatch/test_pull_desk.py
@@ -10,7 +10,7 @@
 from hollowusher.delivery.pull import SPARE_KEPT_S, LeasingPullDesk
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.intake.pull_desk import PullDesk
-from hollowusher.protocol.leases import Job, JobsWaiting
+from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 from hollowusher.simulation.loop import VirtualLoop
 from tests.support.dispatch import (
     ADDRESSES,
@@ -38,7 +38,7 @@
     return cluster, stores, subject, subject.pull_desk
 
 
-def waiting(desk: PullDesk, calls: int, wait_s: float = 1.0) -> list[asyncio.Task[Job | None]]:
+def waiting(desk: PullDesk, calls: int, wait_s: float = 1.0) -> list[asyncio.Task[LeasedJob | None]]:
     return [asyncio.create_task(desk.pull("svc", f"i-{n}", wait_s)) for n in range(calls)]
 
 
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -28,9 +28,9 @@
 from hollowusher.intake.intake import DRAINING_PULL_S, SPARE_S, Intake, IntakeAnswer, IntakeLimits
 from hollowusher.intake.load import LoadGate
 from hollowusher.intake.worker_calls import finish_result, store_lease_id, worker_lease_id
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer
-from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
+from hollowusher.protocol.messages import MessageStatusResponse, NewMessage, PutResponse
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.simulation.loop import VirtualLoop
 
@@ -279,9 +279,9 @@
     """Answers as told; `hold` makes it wait for `release`."""
 
     def __init__(self) -> None:
-        self.put_answer = PutAnswer("stored", "3-1-17")
-        self.lease_answer = LeaseAnswer("taken")
-        self.status_answer = StatusAnswer("queued", body=b"bytes")
+        self.put_answer = PutResponse("stored", "3-1-17")
+        self.lease_answer = LeaseUpdateResponse("taken")
+        self.status_answer = MessageStatusResponse("queued", body=b"bytes")
         self.calls: list[Any] = []
         self.candidates: list[int] = []
         self.times: tuple[float, float | None] = (0, None)
@@ -290,7 +290,7 @@
 
     async def put(
         self, message: NewMessage, candidates: Sequence[int], deadline: float, refuse_at: float | None = None
-    ) -> PutAnswer:
+    ) -> PutResponse:
         self.calls.append(message)
         self.candidates = list(candidates)
         self.times = (deadline, refuse_at)
@@ -298,15 +298,15 @@
             await self.release.wait()
         return self.put_answer
 
-    async def finish(self, request: Finish, deadline: float) -> LeaseAnswer:
+    async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         self.calls.append(request)
         return self.lease_answer
 
-    async def extend(self, request: Extend, deadline: float) -> LeaseAnswer:
+    async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
         self.calls.append(request)
         return self.lease_answer
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> StatusAnswer:
+    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
         self.calls.append((reference, want_body))
         return self.status_answer
 
@@ -314,22 +314,24 @@
 class FakeDesk:
     """Has one job or none."""
 
-    def __init__(self, job: Job | None) -> None:
+    def __init__(self, job: LeasedJob | None) -> None:
         self.job = job
         self.calls: list[tuple[str, str, float]] = []
 
-    async def pull(self, service: str, instance: str, wait_s: float) -> Job | None:
+    async def pull(self, service: str, instance: str, wait_s: float) -> LeasedJob | None:
         self.calls.append((service, instance, wait_s))
         return self.job
 
 
-JOB = Job("3-1-17-2", NewMessage("id1", "r", "pulled", "PUT", "/a/1?q", HOST, b"job"), 0, 500)
+JOB = LeasedJob("3-1-17-2", NewMessage("id1", "r", "pulled", "PUT", "/a/1?q", HOST, b"job"), 0, 500)
 
 
 class World:
     """An intake over fakes."""
 
-    def __init__(self, loop: VirtualLoop, job: Job | None = None, limits: IntakeLimits | None = None) -> None:
+    def __init__(
+        self, loop: VirtualLoop, job: LeasedJob | None = None, limits: IntakeLimits | None = None
+    ) -> None:
         self.loop = loop
         self.state = ClusterState()
         self.store = FakeStore()
@@ -345,10 +347,14 @@
 
     def place(self, version: int, partitions: list[int]) -> None:
         entries = [PartitionPlacement(number, 1, "one/d", ["one/d"]) for number in partitions]
-        self.state.apply([Item("placement", [version], "c", version, Placement(version, entries))], {})
+        self.state.apply(
+            [DistributedItem("placement", [version], "c", version, Placement(version, entries))], {}
+        )
 
     def configure(self, version: int, document: dict[str, Any]) -> None:
-        self.state.apply([Item("configuration", [version], "c", version, orjson.dumps(document))], {})
+        self.state.apply(
+            [DistributedItem("configuration", [version], "c", version, orjson.dumps(document))], {}
+        )
 
     async def accept(self, wanted: IntakeRequest, gone: bool = False) -> IntakeAnswer:
         return await self.intake.accept(wanted, lambda: gone)
@@ -356,7 +362,7 @@
 
 def play(
     work: Callable[[World], Coroutine[Any, Any, Any]],
-    job: Job | None = None,
+    job: LeasedJob | None = None,
     limits: IntakeLimits | None = None,
 ) -> None:
     loop = VirtualLoop()
@@ -404,7 +410,7 @@
     @pytest.mark.parametrize("deadline, seconds", [("1000", "0"), ("5000", "1")])
     def test_a_message_kept_nowhere_may_be_sent_again(self, deadline: str, seconds: str) -> None:
         async def work(world: World) -> None:
-            world.store.put_answer = PutAnswer("unavailable")
+            world.store.put_answer = PutResponse("unavailable")
             answer = await world.accept(request(X_Deadline_Ms=deadline))
             assert (answer.status, header(answer, "Retry-After")) == (503, seconds)
             assert world.intake.figures.refused_unavailable == 1
@@ -413,7 +419,7 @@
 
     def test_an_uncertain_message_gets_no_promise(self) -> None:
         async def work(world: World) -> None:
-            world.store.put_answer = PutAnswer("unknown")
+            world.store.put_answer = PutResponse("unknown")
             answer = await world.accept(request())
             assert (answer.status, header(answer, "Retry-After")) == (504, None)
             assert world.intake.figures.unknown == 1
@@ -496,12 +502,12 @@
     @pytest.mark.parametrize(
         "state, body",
         [
-            (StatusAnswer("queued"), {"state": "queued"}),
-            (StatusAnswer("completed", "3e1b"), {"state": "completed", "signature": "3e1b"}),
-            (StatusAnswer("dead_letter", "ignored"), {"state": "dead_letter"}),
+            (MessageStatusResponse("queued"), {"state": "queued"}),
+            (MessageStatusResponse("completed", "3e1b"), {"state": "completed", "signature": "3e1b"}),
+            (MessageStatusResponse("dead_letter", "ignored"), {"state": "dead_letter"}),
         ],
     )
-    def test_a_state_is_told(self, state: StatusAnswer, body: dict[str, str]) -> None:
+    def test_a_state_is_told(self, state: MessageStatusResponse, body: dict[str, str]) -> None:
         async def work(world: World) -> None:
             world.store.status_answer = state
             answer = await world.accept(request("/message/3-1-17", "GET"))
@@ -514,15 +520,15 @@
     @pytest.mark.parametrize(
         "answer, status",
         [
-            (StatusAnswer("queued", body=b"\x00b"), 200),
-            (StatusAnswer("dead_letter", body=b"\x00b"), 200),
-            (StatusAnswer("completed"), 404),
-            (StatusAnswer("queued"), 503),
-            (StatusAnswer("unknown"), 404),
-            (StatusAnswer("unavailable"), 503),
+            (MessageStatusResponse("queued", body=b"\x00b"), 200),
+            (MessageStatusResponse("dead_letter", body=b"\x00b"), 200),
+            (MessageStatusResponse("completed"), 404),
+            (MessageStatusResponse("queued"), 503),
+            (MessageStatusResponse("unknown"), 404),
+            (MessageStatusResponse("unavailable"), 503),
         ],
     )
-    def test_a_body_is_given_back(self, answer: StatusAnswer, status: int) -> None:
+    def test_a_body_is_given_back(self, answer: MessageStatusResponse, status: int) -> None:
         async def work(world: World) -> None:
             world.store.status_answer = answer
             found = await world.accept(request("/message-body/3-1-17", "GET"))
@@ -535,7 +541,7 @@
     @pytest.mark.parametrize("state, status", [("unknown", 404), ("unavailable", 503), ("not_primary", 503)])
     def test_only_what_is_certain_is_404(self, state: str, status: int) -> None:
         async def work(world: World) -> None:
-            world.store.status_answer = StatusAnswer(state)
+            world.store.status_answer = MessageStatusResponse(state)
             assert (await world.accept(request("/message/3-1-17", "GET"))).status == status
 
         play(work)
@@ -581,7 +587,7 @@
             assert header(answer, "X-Ordering-Key") == "k"
 
         message: Any = JOB.message
-        play(work, Job("3-1-17-2", attrs.evolve(message, ordering_key="k"), 0, 500))
+        play(work, LeasedJob("3-1-17-2", attrs.evolve(message, ordering_key="k"), 0, 500))
 
     def test_no_job(self) -> None:
         async def work(world: World) -> None:
@@ -596,7 +602,7 @@
             answer = await world.accept(worker_request("/pull/pulled", X_Instance_Id="i"), gone=True)
             assert answer.status == 204
             await world.intake.settle()
-            assert world.store.calls == [Finish("3-1-17-2", "not_run")]
+            assert world.store.calls == [FinishLease("3-1-17-2", "not_run")]
             assert world.intake.figures.jobs_given_back == 1
 
         play(work, JOB)
@@ -644,8 +650,8 @@
     @pytest.mark.parametrize(
         "path, expected",
         [
-            ("/job-end/id1", Finish("3-1-17-2", "success", "sig")),
-            ("/job-extend/id1", Extend("3-1-17-2")),
+            ("/job-end/id1", FinishLease("3-1-17-2", "success", "sig")),
+            ("/job-extend/id1", ExtendLease("3-1-17-2")),
         ],
     )
     @pytest.mark.parametrize(
@@ -659,7 +665,7 @@
     )
     def test_the_stores_answer_decides(self, path: str, expected: Any, answer: str, status: int) -> None:
         async def work(world: World) -> None:
-            world.store.lease_answer = LeaseAnswer(answer)
+            world.store.lease_answer = LeaseUpdateResponse(answer)
             found = await world.accept(
                 worker_request(
                     path,
@@ -694,7 +700,7 @@
                     X_Server_Signature="sig",
                 )
             )
-            assert world.store.calls == [Finish("3-1-17-2", "failed")]
+            assert world.store.calls == [FinishLease("3-1-17-2", "failed")]
 
         play(work)
 
--- a/tests/intake/test_intake_http.py
+++ b/tests/intake/test_intake_http.py
@@ -14,9 +14,9 @@
 from hollowusher.intake.intake import Intake, IntakeLimits
 from hollowusher.intake.server import EdgeFrontend
 from hollowusher.intake.worker_calls import worker_lease_id
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.leases import Extend, Finish, Job, LeaseAnswer
-from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
+from hollowusher.protocol.messages import MessageStatusResponse, NewMessage, PutResponse
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.transport.tcp import split_address
 
@@ -28,17 +28,17 @@
     "upstreams": [{"name": "plain"}, {"name": "pulled", "pull": True}],
     "limits": LIMITS,
 }
-JOB = Job("3-1-17-2", NewMessage("id1", "r", "pulled", "POST", "/a/1", HOST, b"job"), 0, 500)
+JOB = LeasedJob("3-1-17-2", NewMessage("id1", "r", "pulled", "POST", "/a/1", HOST, b"job"), 0, 500)
 
 
 class FakeStore:
     """Answers as told and keeps what it was given; while `held`, puts wait."""
 
     def __init__(self) -> None:
-        self.put_answer = PutAnswer("stored", "3-1-17")
-        self.lease_answer = LeaseAnswer("taken")
+        self.put_answer = PutResponse("stored", "3-1-17")
+        self.lease_answer = LeaseUpdateResponse("taken")
         self.messages: list[Any] = []
-        self.finished: list[Finish] = []
+        self.finished: list[FinishLease] = []
         self.finish_seen = asyncio.Event()
         self.put_seen = asyncio.Event()
         self.may_answer = asyncio.Event()
@@ -47,7 +47,7 @@
 
     async def put(
         self, message: NewMessage, candidates: Any, deadline: float, refuse_at: float | None = None
-    ) -> PutAnswer:
+    ) -> PutResponse:
         self.messages.append(message)
         self.put_seen.set()
         await self.may_answer.wait()
@@ -55,28 +55,28 @@
             raise self.failure
         return self.put_answer
 
-    async def finish(self, request: Finish, deadline: float) -> LeaseAnswer:
+    async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         self.finished.append(request)
         self.finish_seen.set()
         return self.lease_answer
 
-    async def extend(self, request: Extend, deadline: float) -> LeaseAnswer:
+    async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
         return self.lease_answer
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> StatusAnswer:
-        return StatusAnswer("queued", body=b"\x00\xffbytes" if want_body else None)
+    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
+        return MessageStatusResponse("queued", body=b"\x00\xffbytes" if want_body else None)
 
 
 class FakeDesk:
     """Gives its job once it may."""
 
     def __init__(self) -> None:
-        self.job: Job | None = None
+        self.job: LeasedJob | None = None
         self.asked = asyncio.Event()
         self.may_answer = asyncio.Event()
         self.may_answer.set()
 
-    async def pull(self, service: str, instance: str, wait_s: float) -> Job | None:
+    async def pull(self, service: str, instance: str, wait_s: float) -> LeasedJob | None:
         self.asked.set()
         await self.may_answer.wait()
         return self.job
@@ -134,7 +134,7 @@
             self.state, self.store, self.desk, lambda _, partitions: list(partitions), loop.time, limits
         )
         placement = Placement(1, [PartitionPlacement(0, 1, "one/d", ["one/d"])])
-        self.state.apply([Item("placement", [1], "c", 1, placement)], {})
+        self.state.apply([DistributedItem("placement", [1], "c", 1, placement)], {})
         self.configure(1, DOCUMENT)
         self.edge = EdgeFrontend(
             self.intake, "127.0.0.1:0", "127.0.0.1:0", lambda: self.ready, self.errors.append
@@ -142,7 +142,9 @@
         self._clients: list[Client] = []
 
     def configure(self, version: int, document: dict[str, Any]) -> None:
-        self.state.apply([Item("configuration", [version], "c", version, orjson.dumps(document))], {})
+        self.state.apply(
+            [DistributedItem("configuration", [version], "c", version, orjson.dumps(document))], {}
+        )
 
     async def client(self, address: str = "") -> Client:
         host, port = split_address(address or self.edge.frontend.address)
@@ -260,11 +262,11 @@
     @pytest.mark.parametrize(
         "answer, status, retry",
         [
-            (PutAnswer("unavailable"), 503, "0"),
-            (PutAnswer("unknown"), 504, None),
+            (PutResponse("unavailable"), 503, "0"),
+            (PutResponse("unknown"), 504, None),
         ],
     )
-    def test_what_the_store_says(self, answer: PutAnswer, status: int, retry: str | None) -> None:
+    def test_what_the_store_says(self, answer: PutResponse, status: int, retry: str | None) -> None:
         async def work(world: World) -> None:
             world.store.put_answer = answer
             found = await (await world.client()).ask(post())
@@ -531,7 +533,7 @@
                 worker_call("/job-end/id1", X_Lease_Id=lease, X_Job_Result="200", X_Server_Signature="sig")
             )
             assert (extended.status, ended.status) == (200, 200)
-            assert world.store.finished == [Finish("3-1-17-2", "success", "sig")]
+            assert world.store.finished == [FinishLease("3-1-17-2", "success", "sig")]
 
         play(work)
 
@@ -547,7 +549,7 @@
     @pytest.mark.parametrize("answer, status", [("gone", 409), ("unavailable", 503)])
     def test_an_end_that_is_not_taken(self, answer: str, status: int) -> None:
         async def work(world: World) -> None:
-            world.store.lease_answer = LeaseAnswer(answer)
+            world.store.lease_answer = LeaseUpdateResponse(answer)
             found = await (await world.client()).ask(
                 worker_call("/job-end/id1", X_Lease_Id=worker_lease_id("3-1-17-2", "id1"), X_Job_Result="500")
             )
@@ -566,7 +568,7 @@
             await asyncio.sleep(0.01)
             world.desk.may_answer.set()
             await world.store.finish_seen.wait()
-            assert world.store.finished == [Finish("3-1-17-2", "not_run")]
+            assert world.store.finished == [FinishLease("3-1-17-2", "not_run")]
 
         play(work)
 
--- a/tests/intake/test_store_client.py
+++ b/tests/intake/test_store_client.py
@@ -12,17 +12,23 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.intake.peer_health import PROBE_PAUSE_S, SILENCE_S, PeerHealth
 from hollowusher.intake.store_client import CALL_TIMEOUT_S, StoreClient, partition_of
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.leases import Extend, Finish, LeaseAnswer
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.leases import ExtendLease, FinishLease, LeaseUpdateResponse
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.messages import (
+    MessageStatusRequest,
+    MessageStatusResponse,
+    NewMessage,
+    PutRequest,
+    PutResponse,
+)
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.transport.interface import Handler, PeerError
 
 ONE, TWO, THREE = "10.0.0.1:7780", "10.0.0.2:7780", "10.0.0.3:7780"
 MESSAGE = NewMessage("id1", "r", "s", "POST", "/x/", "a.example", b"body")
-STORED = PutAnswer("stored", "0-1-1")
+STORED = PutResponse("stored", "0-1-1")
 
 
 class SilentStore:
@@ -72,11 +78,13 @@
     def puts(self) -> list[tuple[str, int]]:
         """Address and partition of every put."""
         return [
-            (address, message.partition) for _, address, message in self.calls if isinstance(message, Put)
+            (address, message.partition)
+            for _, address, message in self.calls
+            if isinstance(message, PutRequest)
         ]
 
     def probes(self) -> list[str]:
-        return [address for _, address, message in self.calls if isinstance(message, StatusRequest)]
+        return [address for _, address, message in self.calls if isinstance(message, MessageStatusRequest)]
 
 
 def refused(address: str) -> PeerError:
@@ -92,12 +100,12 @@
     entries = [
         PartitionPlacement(number, epoch, f"{name}/d", [f"{name}/d"]) for number, name in primaries.items()
     ]
-    state.apply([Item("placement", [version], "c/1", version, Placement(version, entries))], {})
+    state.apply([DistributedItem("placement", [version], "c/1", version, Placement(version, entries))], {})
 
 
 def announce(state: ClusterState, name: str, address: str, incarnation: int = 1) -> None:
     member = Member(name, "store", address, "z", "r", incarnation, "d")
-    state.apply([Item(f"member/{name}", [incarnation], "c/1", incarnation, member)], {})
+    state.apply([DistributedItem(f"member/{name}", [incarnation], "c/1", incarnation, member)], {})
 
 
 def cluster() -> ClusterState:
@@ -126,7 +134,7 @@
 
     async def put(
         self, candidates: list[int], deadline: float = 1.0, refuse_at: float | None = None
-    ) -> PutAnswer:
+    ) -> PutResponse:
         return await self.client.put(
             MESSAGE, candidates, self.at(deadline), None if refuse_at is None else self.at(refuse_at)
         )
@@ -151,8 +159,8 @@
     @pytest.mark.parametrize(
         "answer",
         [
-            PutAnswer("not_primary"),
-            PutAnswer("unavailable"),
+            PutResponse("not_primary"),
+            PutResponse("unavailable"),
             refused(ONE),
         ],
         ids=["not_primary", "unavailable", "refused"],
@@ -165,7 +173,7 @@
         play({ONE: [answer], TWO: [STORED]}, work)
 
     @pytest.mark.parametrize(
-        "answer", [PutAnswer("unknown"), lost(ONE), SilentStore()], ids=["unknown", "lost", "silent"]
+        "answer", [PutResponse("unknown"), lost(ONE), SilentStore()], ids=["unknown", "lost", "silent"]
     )
     def test_an_uncertain_put_is_repeated_at_the_same_partition_only(self, answer: Any) -> None:
         async def work(world: World) -> None:
@@ -182,7 +190,7 @@
 
         play(
             {
-                ONE: [lost(ONE), PutAnswer("unavailable"), refused(ONE), PutAnswer("not_primary")],
+                ONE: [lost(ONE), PutResponse("unavailable"), refused(ONE), PutResponse("not_primary")],
                 TWO: [STORED],
             },
             work,
@@ -257,7 +265,7 @@
             place(world.state, 2, {0: "three", 1: "two"}, epoch=2)
             assert (await waiting).status == "unknown"
 
-        play({ONE: [SilentStore()], TWO: [STORED], THREE: [PutAnswer("unavailable")]}, work)
+        play({ONE: [SilentStore()], TWO: [STORED], THREE: [PutResponse("unavailable")]}, work)
 
     def test_the_delay_left_shrinks_with_the_wait(self) -> None:
         async def work(world: World) -> None:
@@ -288,7 +296,7 @@
             await world.put([0, 1])
             assert world.transport.puts()[3:] == [(TWO, 1), (ONE, 0)]
 
-        play({ONE: [refused(ONE), StatusAnswer("unknown"), STORED], TWO: [STORED]}, work)
+        play({ONE: [refused(ONE), MessageStatusResponse("unknown"), STORED], TWO: [STORED]}, work)
 
     def test_an_ordered_message_waits_for_the_probe(self) -> None:
         async def work(world: World) -> None:
@@ -296,7 +304,7 @@
             assert world.transport.puts() == [(ONE, 0), (ONE, 0)]
             assert PROBE_PAUSE_S < world.now() < PROBE_PAUSE_S + 0.25
 
-        play({ONE: [refused(ONE), StatusAnswer("unknown"), STORED]}, work)
+        play({ONE: [refused(ONE), MessageStatusResponse("unknown"), STORED]}, work)
 
     def test_a_new_placement_ends_it(self) -> None:
         async def work(world: World) -> None:
@@ -337,7 +345,13 @@
             assert await first == STORED
             assert not world.client.suspect(ONE)
 
-        play({ONE: [SlowAnswer(0.4, STORED), SlowAnswer(0.4, StatusAnswer("unknown"))], TWO: [STORED]}, work)
+        play(
+            {
+                ONE: [SlowAnswer(0.4, STORED), SlowAnswer(0.4, MessageStatusResponse("unknown"))],
+                TWO: [STORED],
+            },
+            work,
+        )
 
     def test_another_answer_from_the_same_store_shows_that_it_lives(self) -> None:
         async def work(world: World) -> None:
@@ -348,7 +362,7 @@
             assert not world.client.suspect(ONE)
             await slow
 
-        play({ONE: [SlowAnswer(0.4, STORED), StatusAnswer("queued")]}, work)
+        play({ONE: [SlowAnswer(0.4, STORED), MessageStatusResponse("queued")]}, work)
 
     def test_probes_are_spaced(self) -> None:
         async def work(world: World) -> None:
@@ -385,18 +399,18 @@
 class TestLeasesAndStates:
     def test_an_end_is_repeated_until_it_is_taken(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.client.finish(Finish("0-1-1-1", "success", "s"), world.at(1))
-            assert answer == LeaseAnswer("taken")
+            answer = await world.client.finish(FinishLease("0-1-1-1", "success", "s"), world.at(1))
+            assert answer == LeaseUpdateResponse("taken")
             assert len(world.transport.calls) == 5
 
         play(
             {
                 ONE: [
-                    LeaseAnswer("not_primary"),
-                    LeaseAnswer("unavailable"),
+                    LeaseUpdateResponse("not_primary"),
+                    LeaseUpdateResponse("unavailable"),
                     lost(ONE),
                     refused(ONE),
-                    LeaseAnswer("taken"),
+                    LeaseUpdateResponse("taken"),
                 ]
             },
             work,
@@ -404,29 +418,31 @@
 
     def test_gone_is_an_answer(self) -> None:
         async def work(world: World) -> None:
-            assert await world.client.extend(Extend("0-1-1-1"), world.at(1)) == LeaseAnswer("gone")
+            assert await world.client.extend(ExtendLease("0-1-1-1"), world.at(1)) == LeaseUpdateResponse(
+                "gone"
+            )
             assert len(world.transport.calls) == 1
 
-        play({ONE: [LeaseAnswer("gone")]}, work)
+        play({ONE: [LeaseUpdateResponse("gone")]}, work)
 
     def test_the_deadline_ends_the_repeats(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.client.finish(Finish("0-1-1-1", "success"), world.at(0.7))
-            assert answer == LeaseAnswer("unavailable")
+            answer = await world.client.finish(FinishLease("0-1-1-1", "success"), world.at(0.7))
+            assert answer == LeaseUpdateResponse("unavailable")
             assert world.now() == pytest.approx(0.7, abs=0.01)
             assert len(world.transport.calls) < 12
 
-        play({ONE: [LeaseAnswer("not_primary")]}, work)
+        play({ONE: [LeaseUpdateResponse("not_primary")]}, work)
 
     def test_a_status_follows_its_partition(self) -> None:
         async def work(world: World) -> None:
             waiting = asyncio.create_task(world.client.status("0-1-1", True, world.at(1)))
             await asyncio.sleep(0.1)
             place(world.state, 2, {0: "three"}, epoch=2)
-            assert await waiting == StatusAnswer("queued", body=b"x")
+            assert await waiting == MessageStatusResponse("queued", body=b"x")
             assert world.now() == pytest.approx(0.101)
 
-        play({ONE: [SilentStore()], THREE: [StatusAnswer("queued", body=b"x")]}, work)
+        play({ONE: [SilentStore()], THREE: [MessageStatusResponse("queued", body=b"x")]}, work)
 
     def test_a_silent_call_is_repeated_before_the_deadline(self) -> None:
         async def work(world: World) -> None:
@@ -434,13 +450,15 @@
             assert answer.state == "completed"
             assert world.now() < CALL_TIMEOUT_S + 0.1
 
-        play({ONE: [SilentStore(), StatusAnswer("completed", "s")]}, work)
+        play({ONE: [SilentStore(), MessageStatusResponse("completed", "s")]}, work)
 
     def test_names_that_no_partition_can_have_are_known_not_to_exist(self) -> None:
         async def work(world: World) -> None:
             for reference in ("", "abc", "7", "x-1-1", "-1-1", "77-1-1", "9999999999-1-1", "٣-1-1"):
                 assert (await world.client.status(reference, False, world.at(1))).state == "unknown"
-                assert (await world.client.finish(Finish(reference, "failed"), world.at(1))).status == "gone"
+                assert (
+                    await world.client.finish(FinishLease(reference, "failed"), world.at(1))
+                ).status == "gone"
             assert world.transport.calls == []
 
         play({}, work)
--- a/tests/intake/test_wire_rules_keys.py
+++ b/tests/intake/test_wire_rules_keys.py
@@ -9,7 +9,7 @@
 from hollowusher.intake.intake import _job_answer
 from hollowusher.messages import records
 from hollowusher.messages.records import AcceptedMessage
-from hollowusher.protocol.leases import Job
+from hollowusher.protocol.leases import LeasedJob
 from hollowusher.protocol.messages import NewMessage
 from tests.intake.test_intake import INDEX, admitted, request
 
@@ -24,7 +24,7 @@
 
 def pulled_key(kept: NewMessage) -> str | None:
     """The ordering key that a pull worker reads."""
-    headers = _job_answer(Job("0-1-1-2", kept, 0, 500)).headers
+    headers = _job_answer(LeasedJob("0-1-1-2", kept, 0, 500)).headers
     values = [value for name, value in headers if name == "X-Ordering-Key"]
     assert len(values) <= 1
     return values[0] if values else None
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -12,7 +12,7 @@
 from hollowusher.intake.intake import Intake
 from hollowusher.intake.store_client import StoreClient
 from hollowusher.intake.worker_calls import worker_lease_id
-from hollowusher.protocol.leases import Job
+from hollowusher.protocol.leases import LeasedJob
 from hollowusher.simulation.loop import SimulatedProcess
 from hollowusher.simulation.network import host_of
 from tests.support.message_store import StoreCluster, message, play
@@ -33,7 +33,7 @@
         store = StoreClient(transport, self.state, cluster.loop.time)
         self.intake = Intake(self.state, store, None, lambda service, partitions: [0], cluster.loop.time)
 
-    async def call(self, path: str, job: Job, result: str = "") -> int:
+    async def call(self, path: str, job: LeasedJob, result: str = "") -> int:
         """A worker's word about a job; the status of the answer."""
         self.cluster.tell(self.state)
         headers = {"Host": "10.0.0.1", "X-Lease-Id": worker_lease_id(job.lease, job.message.id)}
@@ -45,14 +45,14 @@
         answer = await self.intake.accept(IntakeRequest("POST", target, CIMultiDict(headers), b""))
         return answer.status
 
-    async def end(self, job: Job, result: str) -> int:
+    async def end(self, job: LeasedJob, result: str) -> int:
         return await self.call("job-end", job, result)
 
-    async def extend(self, job: Job) -> int:
+    async def extend(self, job: LeasedJob) -> int:
         return await self.call("job-extend", job)
 
 
-async def pulled(cluster: StoreCluster) -> tuple[Edge, Edge, Job]:
+async def pulled(cluster: StoreCluster) -> tuple[Edge, Edge, LeasedJob]:
     """Two edges, and a job that a pull worker holds."""
     await cluster.start()
     edges = Edge(cluster, 11), Edge(cluster, 12)
--- a/tests/messages/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from hollowusher.protocol.leases import Extend, Leased, LeaseRequest
+from hollowusher.protocol.leases import ExtendLease, LeaseRequest, LeaseResponse
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import StatusRequest
+from hollowusher.protocol.messages import MessageStatusRequest
 from tests.support.message_store import EDGE_ADDRESS, StoreCluster, message, play
 
 RECEIVER = "callback:10.9.0.1:8080"
@@ -95,7 +95,7 @@
             reference = await cluster.stored(message("m0"))
             cluster.stores[0].freeze()
             cluster.stores[0].deaf = True
-            question = asyncio.create_task(cluster.call(0, StatusRequest(reference), timeout=30.0))
+            question = asyncio.create_task(cluster.call(0, MessageStatusRequest(reference), timeout=30.0))
             cluster.place([cluster.entry(0, 2, primary=1)])
             await asyncio.sleep(frozen_s)
             [job] = await cluster.lease(store=1)
@@ -115,7 +115,7 @@
             [job] = await cluster.lease(store=1, pull=True, visibility_ms=3_000)
             assert await cluster.finish(job.lease, "success", store=1) == "taken"
             assert await cluster.finish(job.lease, "success", store=0) == "unavailable"
-            assert (await cluster.call(0, Extend(job.lease))).status == "unavailable"
+            assert (await cluster.call(0, ExtendLease(job.lease))).status == "unavailable"
 
         play(work)
 
@@ -130,7 +130,7 @@
             )
             await asyncio.sleep(0.9)
             cluster.stores[0].freeze()
-            extending = asyncio.create_task(cluster.call(0, Extend(job.lease), timeout=30.0))
+            extending = asyncio.create_task(cluster.call(0, ExtendLease(job.lease), timeout=30.0))
             await asyncio.sleep(frozen_s)
             cluster.stores[0].thaw()
             assert (await extending).status == "taken"
@@ -263,7 +263,7 @@
             await asyncio.sleep(1.0)
             cluster.stores[0].thaw()
             answer = await asking
-            assert isinstance(answer, Leased)
+            assert isinstance(answer, LeaseResponse)
             assert len(answer.jobs) == 1
             assert 690 <= answer.leased_after_ms <= 740
 
--- a/tests/messages/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -16,8 +16,8 @@
 from hollowusher.messages.partition.partition_table import CLOCK_MARGIN_MS, PartitionTable, RecordCache
 from hollowusher.messages.partition.proposal import Proposal
 from hollowusher.messages.records import LeaseId, MessageKey, MessageState, MessageStatus
-from hollowusher.protocol.leases import Finish, LeaseAnswer, LeaseRequest
-from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
+from hollowusher.protocol.leases import FinishLease, LeaseRequest, LeaseUpdateResponse
+from hollowusher.protocol.messages import MessageStatusResponse, NewMessage, PutResponse
 from hollowusher.storage.interface import StorageError
 from hollowusher.storage.memory import MemoryLog
 from tests.support.message_store import EPOCH_MS, configuration, message
@@ -75,15 +75,15 @@
         return grants
 
     def finish(self, grant: LeaseGrant, result: str, signature: str = "", retry_ms: int = 0) -> str:
-        finish = Finish(grant.job.lease, result, signature, retry_ms)
+        finish = FinishLease(grant.job.lease, result, signature, retry_ms)
         answer = self.primary.finish(lease_of(grant), finish, self.now, self.wall_ms)
         self.on_primary_changed()
-        return answer.status if isinstance(answer, LeaseAnswer) else "taken"
+        return answer.status if isinstance(answer, LeaseUpdateResponse) else "taken"
 
     def extend(self, grant: LeaseGrant) -> str:
         answer = self.primary.extend(lease_of(grant), self.now, self.wall_ms)
         self.on_primary_changed()
-        return answer.status if isinstance(answer, LeaseAnswer) else "taken"
+        return answer.status if isinstance(answer, LeaseUpdateResponse) else "taken"
 
     def sleep(self, seconds: float) -> None:
         """Let time pass, event by event."""
@@ -102,7 +102,7 @@
         self.primary.configure(read_document(document), self.now, self.wall_ms)
         self.on_primary_changed()
 
-    def status(self, key: MessageKey, body: bool = False) -> StatusAnswer:
+    def status(self, key: MessageKey, body: bool = False) -> MessageStatusResponse:
         return self.primary.status(key, body)
 
     def taken_over(self) -> Partition:
@@ -122,14 +122,14 @@
         key = partition.put(message("m1"))
         [grant] = partition.lease()
         assert partition.finish(grant, "success", "sig") == "taken"
-        assert partition.status(key, body=True) == StatusAnswer("completed", "sig", None)
+        assert partition.status(key, body=True) == MessageStatusResponse("completed", "sig", None)
 
     def test_a_refused_message_is_dead_and_keeps_its_body(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
         [grant] = partition.lease()
         partition.finish(grant, "refused")
-        assert partition.status(key, body=True) == StatusAnswer("dead_letter", "", b"m1")
+        assert partition.status(key, body=True) == MessageStatusResponse("dead_letter", "", b"m1")
 
     def test_attempts_count_failures_alone(self) -> None:
         partition = Partition()
@@ -209,7 +209,7 @@
         partition = Partition()
         key = partition.put(message("m1", generation=1))
         partition.configure(configuration(2, routes=[]))
-        assert partition.status(key, body=True) == StatusAnswer("dead_letter", "", b"m1")
+        assert partition.status(key, body=True) == MessageStatusResponse("dead_letter", "", b"m1")
 
     def test_a_message_of_a_newer_configuration_stays(self) -> None:
         partition = Partition()
@@ -285,7 +285,7 @@
         [grant] = partition.lease(pull=True)
         assert partition.finish(grant, "not_run") == "taken"
         assert partition.finish(grant, "success", "sig") == "taken"
-        assert partition.status(key) == StatusAnswer("completed", "sig")
+        assert partition.status(key) == MessageStatusResponse("completed", "sig")
         assert partition.finish(grant, "not_run") == "gone"
         partition.sleep(5.0)
         assert partition.lease() == []
@@ -403,7 +403,7 @@
         assert partition.lease() == []
         partition.commit()
         third = partition.primary.put(message("m1"), partition.now, partition.wall_ms)
-        assert isinstance(third, PutAnswer) and third.status == "stored"
+        assert isinstance(third, PutResponse) and third.status == "stored"
 
     def test_a_message_that_turns_up_twice_runs_once(self) -> None:
         old = Partition()
@@ -669,7 +669,7 @@
                 retention_ms=10_000_000,
             )
         kept = self.primary.put(new, self.now, self.wall_ms)
-        if isinstance(kept, PutAnswer):
+        if isinstance(kept, PutResponse):
             parsed = records.parse_reference(kept.reference)
             assert parsed is not None and parsed[1] in self.messages
             return
@@ -721,9 +721,11 @@
         result = self.chance.choice(["success", "success", "failed", "refused", "not_run", "unknown"])
         parsed = records.parse_lease_id(lease)
         assert parsed is not None
-        answer = self.primary.finish(parsed, Finish(lease, result, f"sig {lease}"), self.now, self.wall_ms)
+        answer = self.primary.finish(
+            parsed, FinishLease(lease, result, f"sig {lease}"), self.now, self.wall_ms
+        )
         self.collect()
-        if isinstance(answer, LeaseAnswer) and answer.status == "gone":
+        if isinstance(answer, LeaseUpdateResponse) and answer.status == "gone":
             return
         last = len(entry.failures_sent | {lease}) >= entry.new.max_attempts
         entry.ended |= result in ("success", "refused") or (result == "failed" and last)
@@ -753,7 +755,7 @@
         assert parsed is not None
         answer = self.primary.extend(parsed, self.now, self.wall_ms)
         self.collect()
-        if answer == LeaseAnswer("taken"):
+        if answer == LeaseUpdateResponse("taken"):
             entry.holder, entry.held_until = lease, self.now + self.VISIBILITY_S
 
     def pass_time(self) -> None:
@@ -878,7 +880,7 @@
             partition.finish(grant, "success", "sig")
         log.failing = ""
         assert partition.finish(grant, "success", "sig") == "taken"
-        assert partition.status(key) == StatusAnswer("completed", "sig")
+        assert partition.status(key) == MessageStatusResponse("completed", "sig")
 
     def test_a_lease_that_could_not_run_out_runs_out_later(self) -> None:
         partition, log = self.partition()
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -19,7 +19,7 @@
 from hollowusher.messages.replication.partition_replica import PartitionReplica
 from hollowusher.messages.replication.replication_stream import MAX_QUEUED_BYTES, OutgoingRecord
 from hollowusher.protocol.placement import PartitionPlacement
-from hollowusher.protocol.replication import Records, Replicate, Replicated, Summary
+from hollowusher.protocol.replication import RecordBatch, ReplicaSummary, ReplicateRequest, ReplicateResponse
 from hollowusher.storage.memory import MemoryLog
 from hollowusher.transport.interface import PeerError
 from tests.support.message_store import EPOCH_MS, StoreCluster, message, play
@@ -169,9 +169,9 @@
     def settle(self, one: PartitionTable, other: PartitionTable) -> int:
         """Compare as the primary does, without a network; how many records went over."""
         moved = 0
-        buckets = compare_with_summary(other, Summary(0, 1, "x", one.bucket_digests())).buckets
+        buckets = compare_with_summary(other, ReplicaSummary(0, 1, "x", one.bucket_digests())).buckets
         while buckets:
-            answer = compare_with_summary(other, Summary(0, 1, "x", [], one.bucket_versions(buckets)))
+            answer = compare_with_summary(other, ReplicaSummary(0, 1, "x", [], one.bucket_versions(buckets)))
             more, incomplete = answer.extra
             pushed = list(one.requested_records(answer.wanted, incomplete))
             for record in answer.records:
@@ -271,13 +271,13 @@
         play(work, segments=1024)
 
     def test_batches_are_shared(self) -> None:
-        batches: list[Replicate] = []
+        batches: list[ReplicateRequest] = []
 
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
             cluster.network.watch = lambda _, __, sent: (
-                batches.append(sent) if isinstance(sent, Replicate) else None
+                batches.append(sent) if isinstance(sent, ReplicateRequest) else None
             )
             await asyncio.gather(*(cluster.stored(message(f"m{number}")) for number in range(1, 50)))
             assert content(cluster, 1) == content(cluster, 0) or content(cluster, 2) == content(cluster, 0)
@@ -290,15 +290,15 @@
             await cluster.start()
             cluster.place([cluster.entry(0, 5, primary=1)])
             await asyncio.sleep(0.5)
-            old = Replicate("store-1/d1", [Records(0, 1, [put_record(1)])], True)
-            assert await cluster.call(2, old) == Replicated({0: 5})
-            summary = Summary(0, 4, "store-1/d1", [0] * 64, fence=True)
+            old = ReplicateRequest("store-1/d1", [RecordBatch(0, 1, [put_record(1)])], True)
+            assert await cluster.call(2, old) == ReplicateResponse({0: 5})
+            summary = ReplicaSummary(0, 4, "store-1/d1", [0] * 64, fence=True)
             assert (await cluster.call(2, summary)).status == "stale"
             cluster.stores[2].kill()
             await cluster.stores[2].start()
             with pytest.raises(PeerError, match="reset"):
                 await cluster.call(2, old)
-            assert await cluster.call(2, old) == Replicated({0: 5})
+            assert await cluster.call(2, old) == ReplicateResponse({0: 5})
             assert (1, 1) not in host(cluster, 2).table.entries
 
         play(work)
@@ -306,7 +306,7 @@
     def test_an_epoch_learnt_with_records_is_promised_durably(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
-            await cluster.call(2, Replicate("store-2/d1", [Records(0, 7, [])], False))
+            await cluster.call(2, ReplicateRequest("store-2/d1", [RecordBatch(0, 7, [])], False))
             cluster.stores[2].kill()
             await cluster.stores[2].start()
             assert host(cluster, 2).table.minimum_epoch == 7
@@ -320,7 +320,7 @@
             await cluster.stored(message("m0"))
             await asyncio.sleep(0.1)
             for store in cluster.stores[1:]:
-                fence = Summary(0, 9, "x", [0] * 64, fence=True)
+                fence = ReplicaSummary(0, 9, "x", [0] * 64, fence=True)
                 assert (await cluster.edge.call(store.address, fence, 1.0)).status == "ok"
             begun = cluster.loop.time()
             assert (await cluster.put(message("m1"))).status == "unknown"
--- a/tests/messages/test_store_service.py
+++ b/tests/messages/test_store_service.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from hollowusher.protocol.leases import Extend, LeaseRequest
+from hollowusher.protocol.leases import ExtendLease, LeaseRequest
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import StatusAnswer
+from hollowusher.protocol.messages import MessageStatusResponse
 from tests.support.message_store import EDGE_ADDRESS, SYNC_S, StoreCluster, configuration, message, play
 
 
@@ -17,12 +17,14 @@
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m1"))
-            assert await cluster.status(reference, body=True) == StatusAnswer("queued", "", b"m1")
+            assert await cluster.status(reference, body=True) == MessageStatusResponse("queued", "", b"m1")
             [job] = await cluster.lease()
             assert (job.message.id, job.message.body, job.attempt) == ("m1", b"m1", 0)
             assert await cluster.lease() == []
             assert await cluster.finish(job.lease, "success", signature="sig") == "taken"
-            assert await cluster.status(reference, body=True) == StatusAnswer("completed", "sig", None)
+            assert await cluster.status(reference, body=True) == MessageStatusResponse(
+                "completed", "sig", None
+            )
 
         play(work)
 
@@ -61,7 +63,7 @@
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             assert await cluster.finish("nonsense", "success") == "gone"
-            assert (await cluster.call(0, Extend("0-1-2"))).status == "gone"
+            assert (await cluster.call(0, ExtendLease("0-1-2"))).status == "gone"
             assert (await cluster.status("x")).state == "unknown"
             assert (await cluster.status("0-1-1")).state == "unknown"
             assert (await cluster.status("7-1-1")).state == "not_primary"
@@ -384,11 +386,11 @@
             cluster.announce(Member("edge-1", "edge", EDGE_ADDRESS, "z", "r", 2))
             for _ in range(4):
                 await asyncio.sleep(1.0)
-                assert (await cluster.call(0, Extend(job.lease))).status == "taken"
+                assert (await cluster.call(0, ExtendLease(job.lease))).status == "taken"
             last_word = cluster.loop.time()
             assert len(await cluster.lease(pull=True, wait_ms=10_000, visibility_ms=3_000)) == 1
             assert cluster.loop.time() - last_word >= 3.0
-            assert (await cluster.call(0, Extend(job.lease))).status == "gone"
+            assert (await cluster.call(0, ExtendLease(job.lease))).status == "gone"
             assert await cluster.finish(job.lease, "success") == "gone"
 
         play(work)
@@ -404,7 +406,7 @@
             await asyncio.sleep(5.0)
             cluster.stores[0].thaw()
             await asyncio.sleep(0.2)
-            assert (await cluster.call(0, Extend(job.lease), timeout=20.0)).status == "taken"
+            assert (await cluster.call(0, ExtendLease(job.lease), timeout=20.0)).status == "taken"
             assert await other == []
 
         play(work)
@@ -416,7 +418,7 @@
             [job] = await cluster.lease(pull=True, visibility_ms=30_000)
             cluster.stores[0].cut(*cluster.stores[1:])
             await asyncio.sleep(1.0)
-            assert (await cluster.call(0, Extend(job.lease))).status == "unavailable"
+            assert (await cluster.call(0, ExtendLease(job.lease))).status == "unavailable"
 
         play(work)
 
--- a/tests/protocol/test_calls_rules.py
+++ b/tests/protocol/test_calls_rules.py
@@ -5,43 +5,53 @@
 import pytest
 
 from hollowusher.protocol import codec, identity
-from hollowusher.protocol.acknowledgement import Done
-from hollowusher.protocol.call_rules import CALL_RULES, STRICTEST, Addressee, Repeat, rule_of
-from hollowusher.protocol.consensus import Accepted, EpochConfirmed, FirstTaken, Pong, Promise
-from hollowusher.protocol.control_chain import ChainWritten, ControlState, RecordChunk, StateAnswer
+from hollowusher.protocol.acknowledgement import Acknowledgement
+from hollowusher.protocol.call_rules import CALL_RULES, DEFAULT_RULE, Addressee, Idempotence, call_rule_of
+from hollowusher.protocol.consensus import Accepted, EpochConfirmed, FirstViewResponse, Pong, Promise
+from hollowusher.protocol.control_chain import (
+    ChainWritten,
+    ControlState,
+    ControlStateResponse,
+    StateRecordChunk,
+)
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
-from hollowusher.protocol.distribution import Item, Updates
+from hollowusher.protocol.distribution import DistributedItem, UpdatesResponse
 from hollowusher.protocol.identity import Hello
-from hollowusher.protocol.leases import Job, LeaseAnswer, Leased
-from hollowusher.protocol.membership import Member, Registered
-from hollowusher.protocol.messages import NewMessage, PutAnswer, StatusAnswer
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, RecoverPartition, Retire
+from hollowusher.protocol.leases import LeasedJob, LeaseResponse, LeaseUpdateResponse
+from hollowusher.protocol.membership import Member, MemberRegistered
+from hollowusher.protocol.messages import MessageStatusResponse, NewMessage, PutResponse
+from hollowusher.protocol.operator_orders import (
+    ChangeConfiguration,
+    OperatorResponse,
+    RecoverPartition,
+    RetireStore,
+)
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.protocol.replication import Difference, Records, Replicated
-from hollowusher.protocol.view import Announce, OfferView, ReadView, View, ViewAnswer, Voter
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.replication import RecordBatch, ReplicaDifference, ReplicateResponse
+from hollowusher.protocol.view import AnnounceController, OfferView, ReadView, View, ViewResponse, Voter
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
 ANSWERS = {
-    Registered,
-    Done,
-    ViewAnswer,
+    MemberRegistered,
+    Acknowledgement,
+    ViewResponse,
     Promise,
     Accepted,
     ChainWritten,
-    OperatorAnswer,
-    StateAnswer,
-    Updates,
-    FirstTaken,
+    OperatorResponse,
+    ControlStateResponse,
+    UpdatesResponse,
+    FirstViewResponse,
     Pong,
     EpochConfirmed,
-    RecordChunk,
+    StateRecordChunk,
     ControlStatus,
-    PutAnswer,
-    Leased,
-    LeaseAnswer,
-    StatusAnswer,
-    Replicated,
-    Difference,
+    PutResponse,
+    LeaseResponse,
+    LeaseUpdateResponse,
+    MessageStatusResponse,
+    ReplicateResponse,
+    ReplicaDifference,
 }
 PARTS = {  # only sent inside others
     identity.Identity,
@@ -52,16 +62,16 @@
     PartitionPlacement,
     Placement,
     ControlState,
-    Item,
-    Worker,
-    WorkerList,
+    DistributedItem,
+    PlatformWorker,
+    PlatformWorkerList,
     VoterStatus,
     PartitionStatus,
     NewMessage,
-    Job,
-    Records,
+    LeasedJob,
+    RecordBatch,
 }
-ORDERS = {ChangeConfiguration, Retire, RecoverPartition}
+ORDERS = {ChangeConfiguration, RetireStore, RecoverPartition}
 
 
 def production_types() -> list[type]:
@@ -75,28 +85,30 @@
 
 
 def test_only_an_operators_orders_are_never_repeated_by_the_program() -> None:
-    never = {kind for kind, rule in CALL_RULES.items() if not rule.repeatable}
+    never = {kind for kind, rule in CALL_RULES.items() if not rule.is_idempotent}
     assert never == ORDERS
 
 
 def test_only_those_that_look_for_the_system_mean_whoever_is_there() -> None:
     anybody = {kind for kind, rule in CALL_RULES.items() if rule.addressee is Addressee.ANYBODY}
-    assert anybody == {ReadView, Announce, OfferView}
+    assert anybody == {ReadView, AnnounceController, OfferView}
 
 
 def test_a_message_without_a_rule_is_held_to_the_strictest() -> None:
-    assert rule_of([1, 2]) is STRICTEST
-    assert not STRICTEST.repeatable and STRICTEST.addressee is Addressee.MEMBER
+    assert call_rule_of([1, 2]) is DEFAULT_RULE
+    assert not DEFAULT_RULE.is_idempotent and DEFAULT_RULE.addressee is Addressee.MEMBER
 
 
-@pytest.mark.parametrize("kind", [kind for kind, rule in CALL_RULES.items() if rule.repeat is Repeat.BY_ID])
+@pytest.mark.parametrize(
+    "kind", [kind for kind, rule in CALL_RULES.items() if rule.idempotence is Idempotence.BY_ID]
+)
 def test_a_message_that_is_harmless_by_an_id_carries_one(kind: type) -> None:
     fields = {field.name for field in kind.__attrs_attrs__}  # type: ignore[attr-defined]
     assert fields & {"lease", "message"}
 
 
 @pytest.mark.parametrize(
-    "kind", [kind for kind, rule in CALL_RULES.items() if rule.repeat is Repeat.BY_VERSION]
+    "kind", [kind for kind, rule in CALL_RULES.items() if rule.idempotence is Idempotence.BY_VERSION]
 )
 def test_a_message_that_is_harmless_by_a_version_carries_one(kind: type) -> None:
     fields = {field.name for field in kind.__attrs_attrs__}  # type: ignore[attr-defined]
--- a/tests/protocol/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -31,10 +31,10 @@
 )
 from hollowusher.protocol.codec import DecodeError, decode, encode, evolve, message
 from hollowusher.protocol.control_chain import ControlState
-from hollowusher.protocol.membership import Member, Registered
+from hollowusher.protocol.membership import Member, MemberRegistered
 from hollowusher.protocol.messages import NewMessage
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.protocol.replication import Replicated
+from hollowusher.protocol.replication import ReplicateResponse
 from hollowusher.protocol.view import View, Voter
 
 TAGS: dict[ModuleType, set[int]] = {  # the tag numbers of the messages that each module defines
@@ -137,11 +137,11 @@
 
 
 def test_messages_do_not_change() -> None:
-    done = Registered(3)
+    done = MemberRegistered(3)
     with pytest.raises(attrs.exceptions.FrozenInstanceError):
         done.epoch = 4  # type: ignore[misc]
-    assert evolve(done, epoch=4) == Registered(4)
-    assert done == Registered(3)
+    assert evolve(done, epoch=4) == MemberRegistered(4)
+    assert done == MemberRegistered(3)
 
 
 def test_only_registered_types_are_sent() -> None:
@@ -150,7 +150,7 @@
 
 
 def test_keys_of_maps_may_be_numbers() -> None:
-    assert decode(encode(Replicated({3: 9}))) == Replicated({3: 9})
+    assert decode(encode(ReplicateResponse({3: 9}))) == ReplicateResponse({3: 9})
 
 
 @pytest.mark.parametrize(
--- a/tests/roles/test_calls_orders.py
+++ b/tests/roles/test_calls_orders.py
@@ -7,13 +7,13 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.identity import Identity
 from hollowusher.protocol.operator_orders import (
     ChangeConfiguration,
-    OperatorAnswer,
+    OperatorResponse,
     ReadConfiguration,
-    Retire,
+    RetireStore,
 )
 from hollowusher.protocol.view import View, Voter
 from hollowusher.roles.operator_site import OperatorForward
@@ -53,11 +53,11 @@
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=["silence", "reset", "nobody there", "another process"])
-@pytest.mark.parametrize("order", [ORDER, Retire("store-1", 10.0)], ids=["configuration", "retire"])
+@pytest.mark.parametrize("order", [ORDER, RetireStore("store-1", 10.0)], ids=["configuration", "retire"])
 def test_an_order_goes_to_the_head_once(order: Any, failure: PeerError) -> None:
     state = ClusterState()
     view = View(1, [Voter("a", "da", HEAD), Voter("b", "db", TAIL)], ["a", "b"])
-    state.apply([Item("view", [1], "a/1", 1, view)], {})
+    state.apply([DistributedItem("view", [1], "a/1", 1, view)], {})
     transport = FailingTransport(failure)
 
     async def handle(message: Any) -> Any:
@@ -96,6 +96,6 @@
         cluster.join_all()
         await cluster.put_somewhere(1, 0)  # unchanged, it is acknowledged: it has been taken, or is now
         answer = await other.running.handle(ReadConfiguration())
-        assert isinstance(answer, OperatorAnswer) and answer.status == 200
+        assert isinstance(answer, OperatorResponse) and answer.status == 200
 
     run_virtual(scene())
--- a/tests/roles/test_change_log.py
+++ b/tests/roles/test_change_log.py
@@ -8,7 +8,7 @@
 
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.log_events import LogEvent
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.protocol.view import View, Voter
@@ -28,14 +28,14 @@
     return logged
 
 
-def member(status: int, leaving: bool = False) -> Item:
+def member(status: int, leaving: bool = False) -> DistributedItem:
     value = Member("m", "store", "m:1", "z", "r", 7, "d", status=status, leaving=leaving)
-    return Item("member/m", [7, status], "", 0, value)
+    return DistributedItem("member/m", [7, status], "", 0, value)
 
 
-def placement(version: int, primary: str) -> Item:
+def placement(version: int, primary: str) -> DistributedItem:
     value = Placement(version, [PartitionPlacement(3, version, primary, ["a/1", "b/1"])])
-    return Item("placement", [version], "", 0, value)
+    return DistributedItem("placement", [version], "", 0, value)
 
 
 def test_the_head_tells_of_members_views_and_placements(lines: list[dict[str, Any]]) -> None:
@@ -47,7 +47,7 @@
             member(0),
             member(1),
             member(3, leaving=True),
-            Item("view", [4], "", 0, view),
+            DistributedItem("view", [4], "", 0, view),
             placement(1, "a/1"),
             placement(2, "b/1"),
             placement(3, "b/1"),
--- a/tests/roles/test_control_question.py
+++ b/tests/roles/test_control_question.py
@@ -9,7 +9,7 @@
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_status import ControlStatus, ReadControlStatus, VoterStatus
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.view import Voter
 from hollowusher.roles.control_question import ControlQuestion
 from hollowusher.transport.interface import Handler, PeerError, Transport
@@ -52,7 +52,7 @@
 def ask(controllers: Controllers, me: str = "edge-9") -> ControlStatus | None:
     state = ClusterState()
     view = first_view([Voter(name, f"disk-{name}", f"{name}:7780") for name in NAMES])
-    state.apply([Item(VIEW, [1], "test", 1, view)], {})
+    state.apply([DistributedItem(VIEW, [1], "test", 1, view)], {})
 
     async def here(message: Any) -> Any:
         return await controllers.call(f"{me}:7780", message, 1.0)
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.membership import Heartbeat
 from hollowusher.simulation.invariants import Rules, broken
 from hollowusher.simulation.loop import DeadlockError, LivelockError, SimulatedProcess, VirtualLoop
@@ -165,7 +165,7 @@
     async def handle(self, message: Any) -> Any:
         self.received.append(message)
         await asyncio.sleep(self.work_s)
-        return Done()
+        return Acknowledgement()
 
     async def begin(self, transport: SimulatedTransport | None = None) -> None:
         await (transport or self.there).start(self.handle)
@@ -186,7 +186,7 @@
             pair = Pair(loop)
             await pair.begin()
             sent = Heartbeat("client", 7)
-            assert await pair.here.call(THERE, sent, 1.0) == Done()
+            assert await pair.here.call(THERE, sent, 1.0) == Acknowledgement()
             assert pair.received == [sent] and pair.received[0] is not sent
 
         play(work)
@@ -259,7 +259,7 @@
             await asyncio.sleep(5)
             pair.network.join_all()
             await asyncio.sleep(1)
-            assert len(pair.received) == 1 and await pair.call(2) == Done()
+            assert len(pair.received) == 1 and await pair.call(2) == Acknowledgement()
 
         play(work)
 
@@ -271,7 +271,7 @@
             loop.freeze(pair.server)
             loop.call_outside(2.0, loop.thaw, pair.server)
             begun = loop.time()
-            assert await pair.call(1, timeout=5) == Done()
+            assert await pair.call(1, timeout=5) == Acknowledgement()
             assert loop.time() - begun == pytest.approx(2.0, abs=0.1)
 
         play(work)
@@ -290,7 +290,7 @@
             await pair.begin(again)
             error, took = await pair.failure()
             assert took < 0.1 and error.reason == "connection reset"
-            assert await pair.call(1) == Done()
+            assert await pair.call(1) == Acknowledgement()
 
         play(work)
 
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -19,7 +19,7 @@
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.identity import Hello, Identity
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
 from hollowusher.protocol.view import View
 from hollowusher.storage.interface import StorageError
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
@@ -320,13 +320,13 @@
         """Send a whole configuration to this machine; the status."""
         body = orjson.dumps(document(generation))
         answer = await self.running.handle(ChangeConfiguration("PUT", if_match, body))
-        assert isinstance(answer, OperatorAnswer)
+        assert isinstance(answer, OperatorResponse)
         return answer.status
 
     async def read(self) -> tuple[int, int]:
         """Ask this machine for the configuration: the status, and its generation."""
         answer = await self.running.handle(ReadConfiguration())
-        assert isinstance(answer, OperatorAnswer)
+        assert isinstance(answer, OperatorResponse)
         return answer.status, orjson.loads(answer.body)["generation"] if answer.status == 200 else 0
 
 
--- a/tests/support/controllers.py
+++ b/tests/support/controllers.py
@@ -21,10 +21,10 @@
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
 from hollowusher.storage.memory import MemorySlot
@@ -49,11 +49,13 @@
         self.readings = 0
         self.answers_after_s = READ_S
 
-    async def read(self) -> WorkerList | None:
+    async def read(self) -> PlatformWorkerList | None:
         self.readings += 1
         number = self.readings
         await asyncio.sleep(self.answers_after_s)
-        return WorkerList([Worker(f"i-{number}", "s", f"10.9.0.1:{1000 + number}", "z", 1, "ready", 0)])
+        return PlatformWorkerList(
+            [PlatformWorker(f"i-{number}", "s", f"10.9.0.1:{1000 + number}", "z", 1, "ready", 0)]
+        )
 
 
 class CoreNode:
@@ -69,7 +71,7 @@
         self.platform = Platform()
         self.state = ClusterState()
         self.feed = Feed(f"{name}/1")
-        self.published: list[Item] = []
+        self.published: list[DistributedItem] = []
         self.controller: Controller
         self.duties: HeadDuties
         self.client: ClusterClient
@@ -118,7 +120,7 @@
             tasks.create_task(self.client.run())
             tasks.create_task(self.duties.run())
 
-    def _note(self, item: Item) -> None:
+    def _note(self, item: DistributedItem) -> None:
         if item.origin == self.feed.origin:
             self.published.append(item)
 
@@ -141,9 +143,9 @@
         answer = await self._ask(ReadConfiguration())
         return answer.status, orjson.loads(answer.body)["generation"] if answer.status == 200 else 0
 
-    async def _ask(self, message: Any) -> OperatorAnswer:
+    async def _ask(self, message: Any) -> OperatorResponse:
         answer = await self.process.run(self.controller.handle(message))
-        assert isinstance(answer, OperatorAnswer)
+        assert isinstance(answer, OperatorResponse)
         return answer
 
 
--- a/tests/support/dispatch.py
+++ b/tests/support/dispatch.py
@@ -16,12 +16,18 @@
 from hollowusher.delivery.outcome import DeliveryOutcome, Ending
 from hollowusher.delivery.worker_client import Endpoint
 from hollowusher.dispatch.dispatcher import Dispatcher
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.leases import Finish, Job, LeaseAnswer, Leased, LeaseRequest
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.leases import (
+    FinishLease,
+    LeasedJob,
+    LeaseRequest,
+    LeaseResponse,
+    LeaseUpdateResponse,
+)
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.messages import NewMessage
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.protocol.worker_list import Worker, WorkerList
+from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 from hollowusher.simulation.loop import VirtualLoop
 from hollowusher.transport.interface import PeerError
 
@@ -61,8 +67,8 @@
     state: str = "ready",
     warm_in_ms: int = 0,
     zone: str = "z1",
-) -> Worker:
-    return Worker(f"i-{number}", service, f"10.2.0.{number}:8080", zone, capacity, state, warm_in_ms)
+) -> PlatformWorker:
+    return PlatformWorker(f"i-{number}", service, f"10.2.0.{number}:8080", zone, capacity, state, warm_in_ms)
 
 
 def route(name: str = "r1", upstream: str = "svc", timeout_ms: int = 1000) -> Route:
@@ -76,9 +82,9 @@
     start_within_ms: int = 500,
     body: bytes = b"x",
     **fields: Any,
-) -> Job:
+) -> LeasedJob:
     message = NewMessage(f"m{number}", route_name, service, "POST", "/p", "r1.example", body, **fields)
-    return Job(f"0-1-{number}-1", message, 0, start_within_ms)
+    return LeasedJob(f"0-1-{number}-1", message, 0, start_within_ms)
 
 
 class Cluster:
@@ -89,7 +95,7 @@
         members: list[Member],
         services: list[Service],
         routes: list[Route],
-        workers: list[Worker],
+        workers: list[PlatformWorker],
         primary: str = STORE_1,
     ) -> None:
         self.state = ClusterState()
@@ -102,7 +108,7 @@
 
     def put(self, key: str, value: Any) -> None:
         self._version += 1
-        self.state.apply([Item(key, [self._version], "c/1", self._version, value)], {})
+        self.state.apply([DistributedItem(key, [self._version], "c/1", self._version, value)], {})
 
     def place(self, primary: str) -> None:
         entry = PartitionPlacement(0, self._version + 1, primary, [STORE_1, STORE_2])
@@ -112,8 +118,8 @@
         document = Configuration(self._version + 1, routes, services)
         self.put("configuration", orjson.dumps(document.to_dict()))
 
-    def list_workers(self, workers: list[Worker]) -> None:
-        self.put("workers", WorkerList(workers))
+    def list_workers(self, workers: list[PlatformWorker]) -> None:
+        self.put("workers", PlatformWorkerList(workers))
 
 
 class LeasingStores:
@@ -121,18 +127,18 @@
 
     def __init__(self) -> None:
         self.address = "10.0.0.9:7780"
-        self.queues: dict[tuple[str, str], deque[Job]] = {}
+        self.queues: dict[tuple[str, str], deque[LeasedJob]] = {}
         self.requests: list[tuple[float, str, LeaseRequest]] = []
         self.outstanding: dict[tuple[str, str], int] = {}
         self.most_outstanding = 0
-        self.finished: dict[str, Finish] = {}
+        self.finished: dict[str, FinishLease] = {}
         self.finish_times: dict[str, float] = {}
         self.finish_calls = 0
         self.refuse_finishes = 0  # so many finishes are answered "unavailable" first
         self.down: set[str] = set()
         self._changed = asyncio.Event()
 
-    def add(self, store_id: str, jobs: list[Job]) -> None:
+    def add(self, store_id: str, jobs: list[LeasedJob]) -> None:
         for each in jobs:
             self.queues.setdefault((ADDRESSES[store_id], each.message.service), deque()).append(each)
         self._changed.set()
@@ -152,7 +158,7 @@
         finally:
             self.outstanding[key] -= 1
 
-    async def _lease(self, key: tuple[str, str], request: LeaseRequest) -> Leased:
+    async def _lease(self, key: tuple[str, str], request: LeaseRequest) -> LeaseResponse:
         loop = asyncio.get_running_loop()
         asked = loop.time()
         until = asked + request.wait_ms / 1000
@@ -161,10 +167,10 @@
                 async with asyncio.timeout_at(until):
                     await self._changed.wait()
             except TimeoutError:
-                return Leased([])
+                return LeaseResponse([])
         queue = self.queues[key]
         jobs = [queue.popleft() for _ in range(min(request.most, len(queue)))]
-        return Leased(jobs, leased_after_ms=round((loop.time() - asked) * 1000))
+        return LeaseResponse(jobs, leased_after_ms=round((loop.time() - asked) * 1000))
 
     def send(self, address: str, message: Any) -> None:
         raise AssertionError("nothing is sent one-way")
@@ -175,16 +181,16 @@
     async def close(self) -> None:
         raise AssertionError
 
-    async def finish(self, request: Finish, deadline: float) -> LeaseAnswer:
+    async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         self.finish_calls += 1
         await asyncio.sleep(LATENCY_S)
         if self.refuse_finishes > 0:
             self.refuse_finishes -= 1
-            return LeaseAnswer("unavailable")
+            return LeaseUpdateResponse("unavailable")
         assert request.lease not in self.finished, "an end that was taken is reported again"
         self.finished[request.lease] = request
         self.finish_times[request.lease] = clock()
-        return LeaseAnswer("taken")
+        return LeaseUpdateResponse("taken")
 
     def results(self) -> dict[str, int]:
         counts: dict[str, int] = {}
@@ -209,7 +215,7 @@
         self.forgotten: list[Endpoint] = []
         self._gates: dict[str, asyncio.Semaphore] = {}
 
-    async def deliver(self, endpoint: Endpoint, job: Job, timeout_s: float) -> DeliveryOutcome:
+    async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
         loop, address = asyncio.get_running_loop(), endpoint.address
         self.endpoints.append(endpoint)
         self.timeouts.append(timeout_s)
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -13,11 +13,24 @@
 from hollowusher.configuration.boot import BootSettings, Bounds, FaultTolerance
 from hollowusher.coordination.cluster_state import CONFIGURATION, PLACEMENT, VIEW, ClusterState
 from hollowusher.messages.store_service import StoreService
-from hollowusher.protocol.acknowledgement import Done
-from hollowusher.protocol.distribution import Item
-from hollowusher.protocol.leases import Finish, Job, JobsWaiting, LeaseAnswer, Leased, LeaseRequest
+from hollowusher.protocol.acknowledgement import Acknowledgement
+from hollowusher.protocol.distribution import DistributedItem
+from hollowusher.protocol.leases import (
+    FinishLease,
+    JobsWaiting,
+    LeasedJob,
+    LeaseRequest,
+    LeaseResponse,
+    LeaseUpdateResponse,
+)
 from hollowusher.protocol.membership import Member
-from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
+from hollowusher.protocol.messages import (
+    MessageStatusRequest,
+    MessageStatusResponse,
+    NewMessage,
+    PutRequest,
+    PutResponse,
+)
 from hollowusher.protocol.placement import LearnerLost, LearnerReady, PartitionPlacement, Placement
 from hollowusher.protocol.view import View, Voter
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
@@ -118,7 +131,7 @@
     def thaw(self) -> None:
         self.cluster.loop.thaw(self.process)
 
-    def apply(self, item: Item) -> None:
+    def apply(self, item: DistributedItem) -> None:
         """Learn an item, as part of this store's process."""
         if self.process.alive and not self.deaf:
             self.cluster.loop.call_soon(self.state.apply, [item], {}, context=self.process.context.copy())
@@ -140,7 +153,7 @@
         self.tolerated = tolerated
         self.segments = segments
         self.stores = [Store(self, f"store-{n}", f"10.0.0.{n}:7780") for n in range(1, stores + 1)]
-        self.items: dict[str, Item] = {}
+        self.items: dict[str, DistributedItem] = {}
         self.announced: list[JobsWaiting] = []
         self.learners_ready: list[LearnerReady] = []
         self.learners_lost: list[LearnerLost] = []
@@ -194,7 +207,7 @@
 
     def _add(self, key: str, value: Any) -> None:
         self._version += 1
-        item = self.items[key] = Item(key, [self._version], "head/1", self._version, value)
+        item = self.items[key] = DistributedItem(key, [self._version], "head/1", self._version, value)
         for store in self.stores:
             store.apply(item)
 
@@ -206,16 +219,16 @@
             self.learners_ready.append(heard)
         if isinstance(heard, LearnerLost):
             self.learners_lost.append(heard)
-        return Done()
+        return Acknowledgement()
 
     # Calls of the edge process
 
     async def call(self, store: int, request: Any, timeout: float = 10.0) -> Any:
         return await self.edge.call(self.stores[store].address, request, timeout)
 
-    async def put(self, new: NewMessage, store: int = 0, partition: int = 0) -> PutAnswer:
-        answer = await self.call(store, Put(partition, new))
-        assert isinstance(answer, PutAnswer)
+    async def put(self, new: NewMessage, store: int = 0, partition: int = 0) -> PutResponse:
+        answer = await self.call(store, PutRequest(partition, new))
+        assert isinstance(answer, PutResponse)
         return answer
 
     async def stored(self, new: NewMessage, store: int = 0) -> str:
@@ -233,22 +246,22 @@
         pull: bool = False,
         visibility_ms: int = 0,
         incarnation: int = 1,
-    ) -> list[Job]:
+    ) -> list[LeasedJob]:
         request = LeaseRequest("edge-1", incarnation, service, most, wait_ms, pull, visibility_ms)
         answer = await self.call(store, request, timeout=wait_ms / 1000 + 10)
-        assert isinstance(answer, Leased)
+        assert isinstance(answer, LeaseResponse)
         return answer.jobs
 
     async def finish(
         self, lease: str, result: str, store: int = 0, signature: str = "", retry_ms: int = 0
     ) -> str:
-        answer = await self.call(store, Finish(lease, result, signature, retry_ms))
-        assert isinstance(answer, LeaseAnswer)
+        answer = await self.call(store, FinishLease(lease, result, signature, retry_ms))
+        assert isinstance(answer, LeaseUpdateResponse)
         return answer.status
 
-    async def status(self, reference: str, store: int = 0, body: bool = False) -> StatusAnswer:
-        answer = await self.call(store, StatusRequest(reference, body))
-        assert isinstance(answer, StatusAnswer)
+    async def status(self, reference: str, store: int = 0, body: bool = False) -> MessageStatusResponse:
+        answer = await self.call(store, MessageStatusRequest(reference, body))
+        assert isinstance(answer, MessageStatusResponse)
         return answer
 
 
--- a/tests/support/order_model.py
+++ b/tests/support/order_model.py
@@ -17,7 +17,7 @@
 from hollowusher.configuration.orders import read_order
 from hollowusher.coordination.controller.controller import Controller
 from hollowusher.protocol.control_chain import ControlState
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
 from tests.support.controller_cluster import Cluster, document
 
 CALL_TIMEOUT_S = 1.0
@@ -33,7 +33,7 @@
     if_match: int
     body: bytes
     acknowledged_at: float | None = None
-    refused: list[OperatorAnswer] = attrs.Factory(list)
+    refused: list[OperatorResponse] = attrs.Factory(list)
 
     @property
     def digest(self) -> bytes:
@@ -108,7 +108,7 @@
         """Those that run now."""
         return [node.controller for node in self.cluster.nodes.values() if node.controller is not None]
 
-    async def call(self, message: Any) -> OperatorAnswer | None:
+    async def call(self, message: Any) -> OperatorResponse | None:
         """Ask any controller; None where no answer came in time.  The call goes on all the same."""
         running = [node for node in self.cluster.nodes.values() if node.controller is not None]
         if not running:
@@ -118,7 +118,7 @@
         if not task.done() or task.cancelled():
             return None
         answer = task.result()
-        assert isinstance(answer, OperatorAnswer)
+        assert isinstance(answer, OperatorResponse)
         return answer
 
     async def send(self, order: SentOrder) -> bool:
--- a/tests/support/order_traffic.py
+++ b/tests/support/order_traffic.py
@@ -8,7 +8,7 @@
 import orjson
 
 from hollowusher.protocol.codec import encode
-from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorAnswer, ReadConfiguration
+from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
 from tests.support.controller_cluster import Cluster, document
 
 PATIENCE_S = 1.0
@@ -66,7 +66,7 @@
                 return False
         return False
 
-    async def _ask(self, message: ReadConfiguration | ChangeConfiguration) -> OperatorAnswer | None:
+    async def _ask(self, message: ReadConfiguration | ChangeConfiguration) -> OperatorResponse | None:
         """The answer of some controller, None where it gives none in time; it ends with its process."""
         up = [node.transport for node in self.cluster.nodes.values() if node.controller is not None]
         transport = self._chance.choice(up) if up else None
@@ -77,5 +77,5 @@
         if not done or work.cancelled():
             return None
         answer = work.result()
-        assert isinstance(answer, OperatorAnswer)
+        assert isinstance(answer, OperatorResponse)
         return answer
--- a/tests/support/store_world.py
+++ b/tests/support/store_world.py
@@ -11,8 +11,14 @@
 
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.placement.replica_states import store_name
-from hollowusher.protocol.messages import NewMessage, Put, PutAnswer, StatusAnswer, StatusRequest
-from hollowusher.protocol.operator_orders import OperatorAnswer, Retire
+from hollowusher.protocol.messages import (
+    MessageStatusRequest,
+    MessageStatusResponse,
+    NewMessage,
+    PutRequest,
+    PutResponse,
+)
+from hollowusher.protocol.operator_orders import OperatorResponse, RetireStore
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.programs import build_program
@@ -143,8 +149,8 @@
         )
         deadline = self.loop.time() + 6.0
         while self.loop.time() < deadline:
-            answer = await self._ask(partition, Put(partition, message))
-            if isinstance(answer, PutAnswer) and answer.status == "stored":
+            answer = await self._ask(partition, PutRequest(partition, message))
+            if isinstance(answer, PutResponse) and answer.status == "stored":
                 self.accepted[message_id] = answer.reference
                 return True
             await asyncio.sleep(0.1)
@@ -162,8 +168,11 @@
         assert parsed is not None
         partition = parsed[0]
         for _ in range(40):
-            answer = await self._ask(partition, StatusRequest(reference, False))
-            if isinstance(answer, StatusAnswer) and answer.state not in ("unavailable", "not_primary"):
+            answer = await self._ask(partition, MessageStatusRequest(reference, False))
+            if isinstance(answer, MessageStatusResponse) and answer.state not in (
+                "unavailable",
+                "not_primary",
+            ):
                 return answer.state == "queued"
             await asyncio.sleep(0.2)
         return False
@@ -179,7 +188,7 @@
 
     # -- orders
 
-    async def head_call(self, message: Any) -> OperatorAnswer:
+    async def head_call(self, message: Any) -> OperatorResponse:
         """An operator's order, taken to the head."""
         for _ in range(20):
             view = self.state.view
@@ -189,13 +198,13 @@
                 answer = await self.transport.call(address, message, 3.0)
             except PeerError:
                 answer = None
-            if isinstance(answer, OperatorAnswer) and answer.status != 503:
+            if isinstance(answer, OperatorResponse) and answer.status != 503:
                 return answer
             await asyncio.sleep(0.1)
         raise AssertionError("the head does not answer")
 
-    async def retire(self, name: str, duration_s: float | None) -> OperatorAnswer:
-        return await self.head_call(Retire(name, duration_s))
+    async def retire(self, name: str, duration_s: float | None) -> OperatorResponse:
+        return await self.head_call(RetireStore(name, duration_s))
 
     def living_ids(self) -> set[str]:
         """The store ids of the processes that run and are known to."""
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -11,13 +11,13 @@
 
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.distribution.peer_names import present
-from hollowusher.protocol.acknowledgement import Done
-from hollowusher.protocol.codec import MOST_TAG, encode, evolve, tag_of
+from hollowusher.protocol.acknowledgement import Acknowledgement
+from hollowusher.protocol.codec import MAX_TAG, encode, evolve, tag_of
 from hollowusher.protocol.consensus import ConfirmEpoch, Ping
-from hollowusher.protocol.distribution import Item
+from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.identity import Hello, Identity
-from hollowusher.protocol.membership import Member, Register
-from hollowusher.protocol.messages import Put, StatusRequest
+from hollowusher.protocol.membership import Member, RegisterMember
+from hollowusher.protocol.messages import MessageStatusRequest, PutRequest
 from hollowusher.protocol.view import ReadView, View, Voter
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
@@ -29,7 +29,7 @@
 
 WITHIN_S = 20.0  # only a test that hangs takes this long
 OWN = Identity("c1", "store-2", 7, "d2")
-PUT = Put(0, message("m1"))
+PUT = PutRequest(0, message("m1"))
 
 
 def directory_of(own: Identity) -> PeerDirectory:
@@ -101,7 +101,13 @@
     present(directory, Member("edge-1", "edge", "10.0.0.9:7780", "z", "r", 4, "d9"), state)
     member = store_member("store-1", "10.0.0.1:7780", 5)
     view = View(1, [Voter("a", "da", "10.0.0.3:7780")], ["a"], cluster="c1")
-    state.apply([Item("member/store-1", [5, 0], "a/1", 1, member), Item("view", [1], "a/1", 2, view)], {})
+    state.apply(
+        [
+            DistributedItem("member/store-1", [5, 0], "a/1", 1, member),
+            DistributedItem("view", [1], "a/1", 2, view),
+        ],
+        {},
+    )
     assert directory.own == Identity("c1", "edge-1", 4, "d9")
     assert directory.meant(member.address, PUT) == Identity("c1", "store-1", 5, "d")
     assert directory.name_of("10.0.0.3:7780") == "a"
@@ -154,7 +160,11 @@
     async def scene(pair: Pair) -> None:
         with pytest.raises(WrongPeer) as caught:
             await pair.call(PUT)
-        assert (caught.value.sent, caught.value.found.name, caught.value.step) == (False, "store-9", "Put")
+        assert (caught.value.sent, caught.value.found.name, caught.value.step) == (
+            False,
+            "store-9",
+            "PutRequest",
+        )
         assert not pair.client.connected(pair.server.address)
         assert taken == []
         assert pair.server.peers.figures.refused == 1
@@ -172,7 +182,7 @@
         taken.append(asked)
 
     async def scene(pair: Pair) -> None:
-        pair.client.send(pair.server.address, StatusRequest("0-1-1"))
+        pair.client.send(pair.server.address, MessageStatusRequest("0-1-1"))
         while pair.client.peers.figures.misdirected == 0:
             await asyncio.sleep(0)
         assert not pair.client.connected(pair.server.address)
@@ -197,18 +207,18 @@
 
 def test_calls_that_the_process_has_taken_are_answered_after_a_refusal_on_their_connection() -> None:
     async def handler(asked: Any) -> Any:
-        if isinstance(asked, Register):
+        if isinstance(asked, RegisterMember):
             await release.wait()
-        return Done()
+        return Acknowledgement()
 
     async def scene(pair: Pair) -> None:
-        slow = asyncio.ensure_future(pair.call(Register(store_member("x", "10.0.0.5:7780", 1))))
+        slow = asyncio.ensure_future(pair.call(RegisterMember(store_member("x", "10.0.0.5:7780", 1))))
         await asyncio.sleep(0.01)
         pair.believe("store-7", 3)
         with pytest.raises(WrongPeer):
             await pair.call(PUT)
         release.set()
-        assert await slow == Done()
+        assert await slow == Acknowledgement()
 
     release = asyncio.Event()
     play("store-1", handler, scene)
@@ -225,11 +235,9 @@
     async def scene() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(1 << 16)
-            number = (MOST_TAG + 1) + tag_of(PUT)  # of the first call, which is a put
-            other = (MOST_TAG + 1) + tag_of(StatusRequest(""))
-            writer.write(
-                frame(number - (MOST_TAG + 1), ANSWER, "before") + frame(other, ANSWER, "other kind")
-            )
+            number = (MAX_TAG + 1) + tag_of(PUT)  # of the first call, which is a put
+            other = (MAX_TAG + 1) + tag_of(MessageStatusRequest(""))
+            writer.write(frame(number - (MAX_TAG + 1), ANSWER, "before") + frame(other, ANSWER, "other kind"))
             writer.write(frame(number, ANSWER, "right") + frame(number, ANSWER, "again"))
             await reader.read()
             writer.close()
@@ -252,12 +260,12 @@
 
 def test_an_answer_after_the_time_out_goes_to_no_other_call() -> None:
     async def handler(asked: Any) -> Any:
-        if isinstance(asked, StatusRequest):
+        if isinstance(asked, MessageStatusRequest):
             await release.wait()
         return asked
 
     async def scene(pair: Pair) -> None:
-        late = asyncio.ensure_future(pair.call(StatusRequest("0-1-1"), 0.05))
+        late = asyncio.ensure_future(pair.call(MessageStatusRequest("0-1-1"), 0.05))
         await asyncio.sleep(0.01)
         assert await pair.call(PUT) == PUT  # so the connection stays
         with pytest.raises(PeerError):
--- a/tests/transport/test_calls_late.py
+++ b/tests/transport/test_calls_late.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.view import ReadView
 from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
 from hollowusher.simulation.network import Network
@@ -37,10 +37,10 @@
 
         async def handler(asked: Any) -> Any:
             loop.leapt_s = FROZEN_S  # the answer is written in this turn; the time-out is due in the next one
-            return Done()
+            return Acknowledgement()
 
         await server.start(handler)
-        assert await client.call(server.address, ReadView(), TIMEOUT_S) == Done()
+        assert await client.call(server.address, ReadView(), TIMEOUT_S) == Acknowledgement()
         await client.close()
         await server.close()
 
@@ -64,10 +64,10 @@
         async def handler(asked: Any) -> Any:
             loop.freeze(caller)
             loop.call_outside(FROZEN_S, loop.thaw, caller)
-            return Done()
+            return Acknowledgement()
 
         await server.start(handler)
-        assert await caller.run(client.call(server.address, ReadView(), TIMEOUT_S)) == Done()
+        assert await caller.run(client.call(server.address, ReadView(), TIMEOUT_S)) == Acknowledgement()
 
     try:
         loop.play(scene())
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from hollowusher.protocol.acknowledgement import Done
+from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.codec import encode
-from hollowusher.protocol.control_chain import ReadState
-from hollowusher.protocol.membership import Registered
+from hollowusher.protocol.control_chain import ReadControlState
+from hollowusher.protocol.membership import MemberRegistered
 from hollowusher.protocol.view import ReadView
 from hollowusher.transport import tcp
 from hollowusher.transport.interface import Handler, PeerError
@@ -82,8 +82,8 @@
 
 def test_calls_share_a_connection_and_get_their_own_answers() -> None:
     async def scene(pair: Pair) -> None:
-        answers = await asyncio.gather(*(pair.call(Registered(number)) for number in range(50)))
-        assert answers == [Registered(number) for number in range(50)]
+        answers = await asyncio.gather(*(pair.call(MemberRegistered(number)) for number in range(50)))
+        assert answers == [MemberRegistered(number) for number in range(50)]
         assert len(pair.server.accepted) == 1
         assert pair.client.connected(pair.server.address)
 
@@ -92,14 +92,14 @@
 
 def test_an_answer_does_not_wait_for_an_earlier_call() -> None:
     async def scene(pair: Pair) -> None:
-        slow = asyncio.ensure_future(pair.call(Registered(1)))
-        assert await pair.call(Registered(2)) == Registered(2)
+        slow = asyncio.ensure_future(pair.call(MemberRegistered(1)))
+        assert await pair.call(MemberRegistered(2)) == MemberRegistered(2)
         assert not slow.done()
         release.set()
-        assert await slow == Registered(1)
+        assert await slow == MemberRegistered(1)
 
     async def handler(message: Any) -> Any:
-        if message == Registered(1):
+        if message == MemberRegistered(1):
             await release.wait()
         return message
 
@@ -110,7 +110,7 @@
 def test_large_messages_come_whole() -> None:
     async def scene(pair: Pair) -> None:
         body = bytes(3 * 1024 * 1024)
-        assert await pair.call([Registered(1), body]) == [Registered(1), body]
+        assert await pair.call([MemberRegistered(1), body]) == [MemberRegistered(1), body]
 
     play(echo, scene)
 
@@ -131,11 +131,11 @@
 
 def test_one_way_messages_come_and_get_no_answer() -> None:
     async def scene(pair: Pair) -> None:
-        pair.client.send(pair.server.address, Registered(1))
-        assert await came.get() == Registered(1)
-        pair.client.send(pair.server.address, Registered(2))
-        assert await came.get() == Registered(2)
-        pair.client.send("127.0.0.1:1", Registered(3))  # nobody is there: nothing happens
+        pair.client.send(pair.server.address, MemberRegistered(1))
+        assert await came.get() == MemberRegistered(1)
+        pair.client.send(pair.server.address, MemberRegistered(2))
+        assert await came.get() == MemberRegistered(2)
+        pair.client.send("127.0.0.1:1", MemberRegistered(3))  # nobody is there: nothing happens
 
     async def handler(message: Any) -> Any:
         came.put_nowait(message)
@@ -166,7 +166,7 @@
         assert error.reason == "no answer in 0.05 s"
         while pair.client.connected(pair.server.address):
             await asyncio.sleep(0)
-        assert await pair.call(Done()) == Done()
+        assert await pair.call(Acknowledgement()) == Acknowledgement()
 
     play(silent_to_read_view, scene)
 
@@ -174,18 +174,18 @@
 def test_a_call_right_after_one_that_was_given_up_opens_another_connection() -> None:
     async def scene(pair: Pair) -> None:
         await error_of(pair.call(ReadView(), SHORT_S))
-        assert await pair.call(Done()) == Done()
+        assert await pair.call(Acknowledgement()) == Acknowledgement()
 
     play(silent_to_read_view, scene)
 
 
 def test_a_connection_on_which_other_answers_come_stays() -> None:
     async def scene(pair: Pair) -> None:
-        await pair.call(Done())
+        await pair.call(Acknowledgement())
         (connection,) = pair.server.accepted
         late = asyncio.ensure_future(pair.call(ReadView(), 2 * SHORT_S))
         await asyncio.sleep(0)
-        assert await pair.call(Done()) == Done()
+        assert await pair.call(Acknowledgement()) == Acknowledgement()
         await error_of(late)
         assert pair.server.accepted == {connection}
 
@@ -194,7 +194,7 @@
 
 def test_a_peer_that_goes_ends_its_calls_at_once() -> None:
     async def scene(pair: Pair) -> None:
-        waiting = [asyncio.ensure_future(pair.call(message)) for message in (ReadView(), ReadState())]
+        waiting = [asyncio.ensure_future(pair.call(message)) for message in (ReadView(), ReadControlState())]
         await reached.wait()
         await pair.server.close()
         for call in waiting:
@@ -202,7 +202,7 @@
             assert (error.reason, error.sent) == ("connection lost", True)
 
     async def handler(message: Any) -> Any:
-        if message == ReadState():
+        if message == ReadControlState():
             reached.set()
         await asyncio.Event().wait()
 
@@ -224,12 +224,12 @@
 )
 def test_a_bad_frame_ends_its_connection_and_touches_nobody_else(data: bytes) -> None:
     async def scene(pair: Pair) -> None:
-        assert await pair.call(Registered(1)) == Registered(1)
+        assert await pair.call(MemberRegistered(1)) == MemberRegistered(1)
         reader, writer = await pair.raw()
         writer.write(data)
         assert await ended(reader)
         writer.close()
-        assert await pair.call(Registered(2)) == Registered(2)
+        assert await pair.call(MemberRegistered(2)) == MemberRegistered(2)
         assert len(pair.server.accepted) == 1
 
     play(echo, scene)
@@ -238,12 +238,12 @@
 def test_frames_may_come_byte_by_byte_and_several_at_once() -> None:
     async def scene(pair: Pair) -> None:
         reader, writer = await pair.raw()
-        first, others = frame(1, REQUEST, Registered(1)), frame(2, REQUEST, Registered(2)) * 2
+        first, others = frame(1, REQUEST, MemberRegistered(1)), frame(2, REQUEST, MemberRegistered(2)) * 2
         for place in range(len(first)):
             writer.write(first[place : place + 1])
             await writer.drain()
-        writer.write(frame(9, ONE_WAY, Registered(9)) + others)
-        wanted = frame(1, ANSWER, Registered(1)) + frame(2, ANSWER, Registered(2)) * 2
+        writer.write(frame(9, ONE_WAY, MemberRegistered(9)) + others)
+        wanted = frame(1, ANSWER, MemberRegistered(1)) + frame(2, ANSWER, MemberRegistered(2)) * 2
         assert await reader.readexactly(len(wanted)) == wanted
         writer.close()
 
@@ -253,8 +253,12 @@
 def test_an_answer_nobody_asked_for_is_nothing() -> None:
     async def scene(pair: Pair) -> None:
         reader, writer = await pair.raw()
-        writer.write(frame(1, ANSWER, Done()) + frame(2, 77, Done()) + frame(3, REQUEST, Done()))
-        wanted = frame(3, ANSWER, Done())
+        writer.write(
+            frame(1, ANSWER, Acknowledgement())
+            + frame(2, 77, Acknowledgement())
+            + frame(3, REQUEST, Acknowledgement())
+        )
+        wanted = frame(3, ANSWER, Acknowledgement())
         assert await reader.readexactly(len(wanted)) == wanted
         writer.close()
 
@@ -263,9 +267,9 @@
 
 def test_a_peer_that_does_not_read_is_not_written_to_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(pair: Pair) -> None:
-        await pair.call(Done())
+        await pair.call(Acknowledgement())
         monkeypatch.setattr(tcp, "MOST_UNSENT_BYTES", -1)
-        error = await error_of(pair.call(Done()))
+        error = await error_of(pair.call(Acknowledgement()))
         assert (error.reason, error.sent) == ("too much unsent", False)
 
     play(echo, scene)
