--- a/hollowusher/simulation/__main__.py
+++ b/hollowusher/simulation/__main__.py
@@ -14,8 +14,8 @@
 import click
 
 if TYPE_CHECKING:
-    from hollowusher.simulation.day import DayPlan
-    from hollowusher.simulation.planted import Planted
+    from hollowusher.simulation.planted import PlantedFault
+    from hollowusher.simulation.simulation_run import SimulationPlan
 
 HASH_SEED = "PYTHONHASHSEED"
 USUAL_SEEDS = "1-5"
@@ -27,10 +27,10 @@
 @click.option("--traffic", "traffic_s", default=30.0, help="Seconds of traffic a day.")
 @click.option("--calm", "calm_s", default=20.0, help="Seconds of calm at the end of a day.")
 @click.option("--rate", default=25.0, help="Messages a second.")
-@click.option("--kinds", default="", help="Only these troubles, separated by commas.")
-@click.option("--quiet-days", is_flag=True, help="Days without any trouble.")
+@click.option("--kinds", default="", help="Only these faults, separated by commas.")
+@click.option("--quiet-days", is_flag=True, help="Days without any fault.")
 @click.option("--go-on", is_flag=True, help="Do not stop at the first seed with a break.")
-@click.option("--verbose", is_flag=True, help="Print all breaks and troubles of each seed.")
+@click.option("--verbose", is_flag=True, help="Print all breaks and faults of each seed.")
 @click.option("--script", "script_file", default="", help="Play the days of a script (a TOML file).")
 @click.option("--planted", "planted_names", default="", help="Planted faults to be found: names, or all.")
 def main(
@@ -47,15 +47,15 @@
     planted_names: str,
 ) -> None:
     """Play seeds and judge them; the exit code is 1 if any rule was broken, or a planted fault not found."""
-    from hollowusher.simulation.day import DayPlan
+    from hollowusher.simulation.simulation_run import SimulationPlan
 
-    plan = DayPlan(
+    plan = SimulationPlan(
         traffic_s=traffic_s,
         calm_s=calm_s,
         rate=rate,
-        troubles=not quiet_days,
-        worker_troubles=not quiet_days,
-        kinds=tuple(kinds.split(",")) if kinds else None,
+        inject_faults=not quiet_days,
+        inject_worker_faults=not quiet_days,
+        fault_kinds=tuple(kinds.split(",")) if kinds else None,
     )
     first, _, last = (seeds or USUAL_SEEDS).partition("-")
     numbers = range(int(first), int(last or first) + 1)
@@ -67,22 +67,24 @@
     sys.exit(0 if play_seeds(numbers, plan, until, go_on, verbose) else 1)
 
 
-def play_seeds(numbers: Sequence[int], plan: DayPlan, until: float, go_on: bool, verbose: bool) -> bool:
+def play_seeds(
+    numbers: Sequence[int], plan: SimulationPlan, until: float, go_on: bool, verbose: bool
+) -> bool:
     """Whether all seeds kept all rules."""
-    from hollowusher.simulation.day import play_day
     from hollowusher.simulation.programs import build_program
+    from hollowusher.simulation.simulation_run import run_seed
 
     kept = True
     for seed in numbers:
         if time.monotonic() > until:
             break
-        result = play_day(seed, plan, build_program)
+        result = run_seed(seed, plan, build_program)
         figures = ", ".join(f"{name} {value:.6g}" for name, value in result.figures.items())
-        click.echo(f"seed {seed}: {result.first or 'all rules kept'}; {figures}")
+        click.echo(f"seed {seed}: {result.first_problem or 'all rules kept'}; {figures}")
         if verbose:
-            for line in [*result.played, *map(str, result.broken), *result.failures]:
+            for line in [*result.fault_log, *map(str, result.violations), *result.failures]:
                 click.echo(f"  {line}")
-        kept = kept and not result.first
+        kept = kept and not result.first_problem
         if not kept and not go_on:
             break
     return kept
@@ -90,59 +92,59 @@
 
 def play_script(file: str, seeds: Sequence[int], rate: float, go_on: bool, verbose: bool) -> bool:
     """Whether the days of a script kept all rules, with the given seeds or its own."""
-    from hollowusher.simulation.day import scripted
     from hollowusher.simulation.faults.script import read_script
+    from hollowusher.simulation.simulation_run import plan_of_script
 
     script = read_script(Path(file))
-    return play_seeds(seeds or script.seeds, scripted(script, rate), float("inf"), go_on, verbose)
+    return play_seeds(seeds or script.seeds, plan_of_script(script, rate), float("inf"), go_on, verbose)
 
 
-def find_planted(names: str, numbers: range, plan: DayPlan) -> bool:
+def find_planted(names: str, numbers: range, plan: SimulationPlan) -> bool:
     """Whether each planted fault breaks one of its rules within the seeds."""
-    from hollowusher.simulation.planted import PLANTED
+    from hollowusher.simulation.planted import PLANTED_FAULTS
 
-    chosen = list(PLANTED) if names == "all" else names.split(",")
+    chosen = list(PLANTED_FAULTS) if names == "all" else names.split(",")
     found = [_find(name, numbers, plan) for name in chosen]
     click.echo(f"{sum(found)} of {len(found)} planted faults found")
     return all(found)
 
 
-def _find(name: str, numbers: range, plan: DayPlan) -> bool:
-    from hollowusher.simulation.day import play_day
-    from hollowusher.simulation.planted import PLANTED, planting
+def _find(name: str, numbers: range, plan: SimulationPlan) -> bool:
+    from hollowusher.simulation.planted import PLANTED_FAULTS, planting
     from hollowusher.simulation.programs import build_program
+    from hollowusher.simulation.simulation_run import run_seed
 
-    fault = PLANTED[name]
+    fault = PLANTED_FAULTS[name]
     if fault.test:
         return _tests_find(fault)
     for seed in numbers:
         with planting(name):
-            result = play_day(seed, fault.plan(plan), build_program)
-        hits = [broken for broken in result.broken if broken.rule in fault.rules]
+            result = run_seed(seed, fault.plan(plan), build_program)
+        hits = [broken for broken in result.violations if broken.rule in fault.rules]
         if not hits:
             continue
-        without = play_day(seed, fault.plan(plan), build_program)
-        if any(broken.rule in fault.rules for broken in without.broken):
-            click.echo(f"{name}: seed {seed} breaks without the fault, too: {without.first}")
+        without = run_seed(seed, fault.plan(plan), build_program)
+        if any(broken.rule in fault.rules for broken in without.violations):
+            click.echo(f"{name}: seed {seed} breaks without the fault, too: {without.first_problem}")
             continue
         first = min(hits, key=lambda broken: (fault.rules.index(broken.rule), broken.at))
         click.echo(f"{name}: found at seed {seed}: {first}")
         return True
-    other = result.first or "nothing broken"
+    other = result.first_problem or "nothing broken"
     click.echo(f"{name}: NOT FOUND in seeds {numbers.start}-{numbers.stop - 1} (last: {other})")
     return False
 
 
-def _tests_find(fault: Planted) -> bool:
+def _tests_find(fault: PlantedFault) -> bool:
     """Whether the tests named by a fault that the simulation cannot reach fail with it."""
     import pytest
 
     from hollowusher.simulation.planted import planting
 
-    told = io.StringIO()
-    with planting(fault.name), contextlib.redirect_stdout(told):
+    printed = io.StringIO()
+    with planting(fault.name), contextlib.redirect_stdout(printed):
         code = pytest.main(["-q", "-x", "-n", "0", "-p", "no:cacheprovider", fault.test])
-    failed = next((line for line in told.getvalue().splitlines() if line.startswith("FAILED")), "")
+    failed = next((line for line in printed.getvalue().splitlines() if line.startswith("FAILED")), "")
     found = code == pytest.ExitCode.TESTS_FAILED
     click.echo(f"{fault.name}: {'found by' if found else 'NOT FOUND by'} {fault.test}: {failed}")
     return bool(found)
--- a/hollowusher/simulation/actors.py
+++ b/hollowusher/simulation/actors.py
@@ -8,22 +8,22 @@
 
 import orjson
 
-from hollowusher.simulation.http import (
-    Exchange,
-    HttpAnswer,
-    HttpFailure,
+from hollowusher.simulation.http_network import (
+    HttpExchange,
+    HttpExchangeError,
     HttpNetwork,
     HttpRequest,
-    SilentServer,
+    HttpResponse,
+    UnresponsiveServerError,
 )
 from hollowusher.simulation.network import host_of
 from hollowusher.simulation.observations import (
-    Arrival,
-    CallbackCall,
-    LeaseEnd,
+    AcceptedLeaseEnd,
+    DeliveryArrival,
     Observations,
-    RepeatedEnd,
-    Run,
+    ReceivedCallback,
+    RepeatedLeaseEnd,
+    WorkerRun,
 )
 
 NOT_EXECUTED = "X-Not-Executed"
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Behaviour:
+class WorkerBehaviour:
     """How workers of a service act.  Shares are of the runs."""
 
     work_s: tuple[float, float] = (0.02, 0.2)
@@ -48,7 +48,7 @@
     repeated_end_share: float = 0.05  # of the job ends that were taken: sent again at once
 
 
-class Stamps:
+class SignatureSource:
     """Signatures, each given once."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
         return f"{self._given:x}.stamp"
 
 
-class SharedTable:
+class IdempotencyTable:
     """The ids that the workers of an idempotent service share: "" while running, else the first success."""
 
     def __init__(self) -> None:
@@ -68,36 +68,36 @@
 
 
 @dataclass
-class Outside:
+class ActorContext:
     """What all actors need."""
 
     http: HttpNetwork
-    seen: Observations
-    stamps: Stamps
-    chance: random.Random
+    observations: Observations
+    signatures: SignatureSource
+    random_source: random.Random
 
     def now(self) -> float:
         """The virtual time."""
         return self.http.network.loop.time()
 
 
-class PushWorker:
-    """One life of a worker that takes deliveries: listed, or a fixed endpoint with a ceiling (`rate`)."""
+class SimulatedPushWorker:
+    """One incarnation of a worker that is pushed to: listed, or a fixed endpoint with a rate limit."""
 
     process = None
 
     def __init__(
         self,
-        outside: Outside,
+        context: ActorContext,
         service: str,
         name: str,
         address: str,
         capacity: int,
-        behaviour: Behaviour,
-        table: SharedTable | None = None,
+        behaviour: WorkerBehaviour,
+        table: IdempotencyTable | None = None,
         rate: float = 0.0,
     ) -> None:
-        self.outside = outside
+        self.context = context
         self.service = service
         self.name = name
         self.address = address
@@ -112,31 +112,33 @@
         self._queued = 0
         self._slots = asyncio.Semaphore(capacity)
         self._allowance = rate
-        self._allowed_at = outside.now()
-        self._last_answer: HttpAnswer | None = None
+        self._allowed_at = context.now()
+        self._last_answer: HttpResponse | None = None
 
     def start(self) -> None:
         """Listen."""
-        self.outside.http.network.power_on(host_of(self.address))
-        self.outside.http.listen(self.address, self)
+        self.context.http.network.power_on(host_of(self.address))
+        self.context.http.listen(self.address, self)
 
     def crash(self) -> None:
         """End at once."""
         self.alive = False
-        self.outside.http.silence(self.address)
-        self.outside.http.server_ended(self, host_of(self.address))
+        self.context.http.stop_listening(self.address)
+        self.context.http.server_ended(self, host_of(self.address))
 
-    async def serve(self, exchange: Exchange) -> HttpAnswer | None:
+    async def serve(self, exchange: HttpExchange) -> HttpResponse | None:
         """Take a delivery."""
         request = exchange.request
         identifier = request.header(ATTEMPT)
         target = request.header("X-Target-Instance")
         if target and target != self.name:
-            return HttpAnswer(421, {ATTEMPT: identifier})
+            return HttpResponse(421, {ATTEMPT: identifier})
         if request.method == "GET":
-            return HttpAnswer(200, {"X-Instance-Id": self.name})
+            return HttpResponse(200, {"X-Instance-Id": self.name})
         if self._rate:
-            self.outside.seen.arrivals.append(Arrival(self.service, identifier, self.outside.now()))
+            self.context.observations.arrivals.append(
+                DeliveryArrival(self.service, identifier, self.context.now())
+            )
             if not self._within_rate():
                 return self._not_run(429, identifier)
         if self._busy + self._queued >= self.capacity + 2:
@@ -146,7 +148,7 @@
         return await self._work(exchange, identifier)
 
     def _within_rate(self) -> bool:
-        now = self.outside.now()
+        now = self.context.now()
         self._allowance = min(self._allowance + (now - self._allowed_at) * self._rate, 2 * self._rate)
         self._allowed_at = now
         if self._allowance < 1:
@@ -154,17 +156,17 @@
         self._allowance -= 1
         return True
 
-    def _not_run(self, status: int, identifier: str) -> HttpAnswer:
-        return HttpAnswer(status, {NOT_EXECUTED: "1", ATTEMPT: identifier})
+    def _not_run(self, status: int, identifier: str) -> HttpResponse:
+        return HttpResponse(status, {NOT_EXECUTED: "1", ATTEMPT: identifier})
 
-    def _repeat(self, identifier: str) -> HttpAnswer:
+    def _repeat(self, identifier: str) -> HttpResponse:
         assert self._table is not None
         stamp = self._table.known[identifier]
         if not stamp:
             return self._not_run(409, identifier)
-        return HttpAnswer(200, {ATTEMPT: identifier, SIGNATURE: stamp})
+        return HttpResponse(200, {ATTEMPT: identifier, SIGNATURE: stamp})
 
-    async def _work(self, exchange: Exchange, identifier: str) -> HttpAnswer | None:
+    async def _work(self, exchange: HttpExchange, identifier: str) -> HttpResponse | None:
         self._queued += 1
         await self._slots.acquire()
         self._queued -= 1
@@ -183,59 +185,62 @@
             if self._table is not None and self._table.known.get(identifier) == "":
                 del self._table.known[identifier]
 
-    async def _run(self, exchange: Exchange, identifier: str) -> HttpAnswer | None:
-        outside, chance, behaviour = self.outside, self.outside.chance, self.behaviour
-        run = Run(identifier, self.service, self.name, outside.now(), exchange.request.body)
+    async def _run(self, exchange: HttpExchange, identifier: str) -> HttpResponse | None:
+        context, random_source, behaviour = self.context, self.context.random_source, self.behaviour
+        run = WorkerRun(identifier, self.service, self.name, context.now(), exchange.request.body)
         run.ordering_key = exchange.request.header("X-Ordering-Key")
-        outside.seen.runs.append(run)
-        await asyncio.sleep(chance.uniform(*behaviour.work_s) * self.slow)
-        if not self.alive or exchange.closed.is_set() or chance.random() < behaviour.reset_share:
+        context.observations.runs.append(run)
+        await asyncio.sleep(random_source.uniform(*behaviour.work_s) * self.slow)
+        if not self.alive or exchange.closed.is_set() or random_source.random() < behaviour.reset_share:
             run.result = "broken"
             return None
         status = self._outcome(run)
-        run.ended_at = outside.now()
+        run.ended_at = context.now()
         headers = {ATTEMPT: identifier}
         if status == 200:
             headers[SIGNATURE] = run.signature
-        drawn = chance.random()
+        drawn = random_source.random()
         if drawn > 1 - behaviour.garbled_share and self._last_answer is not None:
             return self._last_answer  # of another message
-        exchange.on_read = lambda: setattr(run, "read_at", outside.now())
-        self._last_answer = HttpAnswer(status, headers)
+        exchange.on_read = lambda: setattr(run, "read_at", context.now())
+        self._last_answer = HttpResponse(status, headers)
         if drawn < behaviour.lost_answer_share:
             return None
         if drawn < behaviour.lost_answer_share + behaviour.silent_share:
-            raise SilentServer
-        return HttpAnswer(status, headers)
+            raise UnresponsiveServerError
+        return HttpResponse(status, headers)
 
-    def _outcome(self, run: Run) -> int:
+    def _outcome(self, run: WorkerRun) -> int:
         if run.body.startswith(POISON):
             run.result = "refused"
             return 422
-        if run.body.startswith(ALWAYS_FAILS) or self.outside.chance.random() < self.behaviour.failed_share:
+        if (
+            run.body.startswith(ALWAYS_FAILS)
+            or self.context.random_source.random() < self.behaviour.failed_share
+        ):
             run.result = "failed"
             return 500
-        run.result, run.signature = "success", self.outside.stamps.next()
+        run.result, run.signature = "success", self.context.signatures.next()
         if self._table is not None:
             self._table.known[run.id] = run.signature
         return 200
 
 
-class PullWorker:
+class SimulatedPullWorker:
     """A worker that asks for jobs through the entry, a loop for each slot."""
 
     def __init__(
         self,
-        outside: Outside,
+        context: ActorContext,
         service: str,
         name: str,
         host: str,
         slots: int,
-        behaviour: Behaviour,
+        behaviour: WorkerBehaviour,
         choose_edge: object,
         visibility_s: float,
     ) -> None:
-        self.outside = outside
+        self.context = context
         self.service = service
         self.name = name
         self.host = host
@@ -249,7 +254,7 @@
 
     def start(self) -> None:
         """Begin to pull."""
-        self.outside.http.network.power_on(self.host)
+        self.context.http.network.power_on(self.host)
         self._tasks = [asyncio.get_running_loop().create_task(self._slot()) for _ in range(self._slots)]
 
     def crash(self) -> None:
@@ -258,12 +263,12 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _call(self, target: str, headers: dict[str, str], timeout: float) -> HttpAnswer | None:
+    async def _call(self, target: str, headers: dict[str, str], timeout: float) -> HttpResponse | None:
         address = self._choose_edge()  # type: ignore[operator]
         request = HttpRequest("POST", target, headers)
         try:
-            return await self.outside.http.exchange(self.host, address, request, timeout)
-        except HttpFailure:
+            return await self.context.http.exchange(self.host, address, request, timeout)
+        except HttpExchangeError:
             return None
 
     async def _slot(self) -> None:
@@ -275,37 +280,40 @@
                 continue
             await self._work(answer)
 
-    async def _work(self, job: HttpAnswer) -> None:
-        outside, behaviour, chance = self.outside, self.behaviour, self.outside.chance
+    async def _work(self, job: HttpResponse) -> None:
+        context, behaviour, random_source = self.context, self.behaviour, self.context.random_source
         identifier, lease = job.header(ATTEMPT), job.header("X-Lease-Id")
-        if chance.random() < 0.02:
+        if random_source.random() < 0.02:
             await self._end(identifier, lease, 503, "")
             return
-        run = Run(identifier, self.service, self.name, outside.now(), job.body)
-        outside.seen.runs.append(run)
+        run = WorkerRun(identifier, self.service, self.name, context.now(), job.body)
+        context.observations.runs.append(run)
         extender = asyncio.get_running_loop().create_task(self._extend(identifier, lease))
         try:
-            await asyncio.sleep(chance.uniform(*behaviour.work_s) * self.slow)
-            if chance.random() < behaviour.reset_share:
+            await asyncio.sleep(random_source.uniform(*behaviour.work_s) * self.slow)
+            if random_source.random() < behaviour.reset_share:
                 run.result = "broken"
                 return
             status = self._outcome(run)
-            run.ended_at = outside.now()
+            run.ended_at = context.now()
         finally:
             extender.cancel()
             if not run.result:
                 run.result = "broken"
         if await self._end(identifier, lease, status, run.signature):
-            run.read_at = outside.now()
+            run.read_at = context.now()
 
-    def _outcome(self, run: Run) -> int:
+    def _outcome(self, run: WorkerRun) -> int:
         if run.body.startswith(POISON):
             run.result = "refused"
             return 422
-        if run.body.startswith(ALWAYS_FAILS) or self.outside.chance.random() < self.behaviour.failed_share:
+        if (
+            run.body.startswith(ALWAYS_FAILS)
+            or self.context.random_source.random() < self.behaviour.failed_share
+        ):
             run.result = "failed"
             return 500
-        run.result, run.signature = "success", self.outside.stamps.next()
+        run.result, run.signature = "success", self.context.signatures.next()
         return 200
 
     async def _extend(self, identifier: str, lease: str) -> None:
@@ -321,28 +329,30 @@
             answer = await self._call(f"/job-end/{identifier}", headers, END_TIMEOUT_S)
             if answer is not None and answer.status in (200, 409):
                 if answer.status == 200:
-                    seen = LeaseEnd(identifier, lease, status, self.outside.now())
-                    self.outside.seen.lease_ends.append(seen)
+                    seen = AcceptedLeaseEnd(identifier, lease, status, self.context.now())
+                    self.context.observations.lease_ends.append(seen)
                     await self._repeat_end(identifier, lease, headers)
                 return answer.status == 200
             await asyncio.sleep(0.25)
         return False
 
     async def _repeat_end(self, identifier: str, lease: str, headers: dict[str, str]) -> None:
-        if self.outside.chance.random() >= self.behaviour.repeated_end_share:
+        if self.context.random_source.random() >= self.behaviour.repeated_end_share:
             return
         answer = await self._call(f"/job-end/{identifier}", headers, END_TIMEOUT_S)
         status = None if answer is None else answer.status
-        self.outside.seen.repeated_ends.append(RepeatedEnd(identifier, lease, status, self.outside.now()))
+        self.context.observations.repeated_ends.append(
+            RepeatedLeaseEnd(identifier, lease, status, self.context.now())
+        )
 
 
-class Receiver:
+class SimulatedCallbackReceiver:
     """A receiver of call-backs: few at a time, sometimes slow or failing."""
 
     process = None
 
-    def __init__(self, outside: Outside, address: str, most: int = 4) -> None:
-        self.outside = outside
+    def __init__(self, context: ActorContext, address: str, most: int = 4) -> None:
+        self.context = context
         self.address = address
         self.failing = False
         self._most = most
@@ -350,31 +360,31 @@
 
     def start(self) -> None:
         """Listen."""
-        self.outside.http.network.power_on(host_of(self.address))
-        self.outside.http.listen(self.address, self)
+        self.context.http.network.power_on(host_of(self.address))
+        self.context.http.listen(self.address, self)
 
-    async def serve(self, exchange: Exchange) -> HttpAnswer | None:
+    async def serve(self, exchange: HttpExchange) -> HttpResponse | None:
         """Take a call-back."""
-        request, chance = exchange.request, self.outside.chance
+        request, random_source = exchange.request, self.context.random_source
         if self._busy >= self._most:
             return None
         self._busy += 1
         try:
-            await asyncio.sleep(chance.uniform(0.002, 0.05))
+            await asyncio.sleep(random_source.uniform(0.002, 0.05))
         finally:
             self._busy -= 1
-        told = orjson.loads(request.body)
-        status = 503 if self.failing or chance.random() < 0.05 else 200
+        callback = orjson.loads(request.body)
+        status = 503 if self.failing or random_source.random() < 0.05 else 200
         url = f"http://{self.address}{request.target}"
-        call = CallbackCall(
-            told.get("id", ""),
+        call = ReceivedCallback(
+            callback.get("id", ""),
             url,
-            told.get("state", ""),
-            told.get("signature", ""),
-            self.outside.now(),
+            callback.get("state", ""),
+            callback.get("signature", ""),
+            self.context.now(),
             status,
         )
-        self.outside.seen.callbacks.append(call)
-        if chance.random() < 0.02:
+        self.context.observations.callbacks.append(call)
+        if random_source.random() < 0.02:
             return None
-        return HttpAnswer(status)
+        return HttpResponse(status)
--- a/hollowusher/simulation/clients.py
+++ b/hollowusher/simulation/clients.py
@@ -9,16 +9,16 @@
 
 import orjson
 
-from hollowusher.simulation.http import HttpFailure, HttpNetwork, HttpRequest
-from hollowusher.simulation.observations import Observations, SentMessage, StateAnswer
+from hollowusher.simulation.http_network import HttpExchangeError, HttpNetwork, HttpRequest
+from hollowusher.simulation.observations import MessageStateResponse, Observations, SentMessage
 
-ASK_TIMEOUT_S = 2.0
-PROMISES = (408, 421, 429, 503)
+QUERY_TIMEOUT_S = 2.0
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 HOST = "client.example"
 
 
 @dataclass(frozen=True)
-class Stream:
+class MessageStream:
     """Messages on one route."""
 
     route: str
@@ -37,31 +37,31 @@
 
 @dataclass(frozen=True)
 class EdgeAddress:
-    """A scheduler as clients reach it, and which life of its process it is."""
+    """A scheduler as clients reach it, and which incarnation of its process it is."""
 
     name: str
     frontend: str
-    life: int
+    incarnation: int
 
 
-class Clients:
+class MessageClients:
     """All clients of the day."""
 
     def __init__(
         self,
         http: HttpNetwork,
         seen: Observations,
-        chance: random.Random,
+        random_source: random.Random,
         host: str,
         choose_edge: Callable[[], EdgeAddress],
-        noted: Callable[[EdgeAddress, float], None],
+        on_response: Callable[[EdgeAddress, float], None],
     ) -> None:
         self.http = http
-        self.seen = seen
-        self.chance = chance
+        self.observations = seen
+        self.random_source = random_source
         self.host = host
         self._choose_edge = choose_edge
-        self._noted = noted
+        self._on_response = on_response
         self._sent = 0
         self._tasks: set[asyncio.Task[None]] = set()
         http.network.power_on(host)
@@ -69,50 +69,54 @@
     def _now(self) -> float:
         return self.http.network.loop.time()
 
-    async def play(self, stream: Stream, until: float) -> None:
+    async def play(self, stream: MessageStream, until: float) -> None:
         """Send a stream's messages at random times."""
         while True:
-            pause = self.chance.expovariate(stream.rate)
+            pause = self.random_source.expovariate(stream.rate)
             if self._now() + pause >= until:
                 return
             await asyncio.sleep(pause)
-            self.post_one(stream)
+            self.post(stream)
 
-    def post_one(self, stream: Stream) -> None:
+    def post(self, stream: MessageStream) -> None:
         """Send one message, with its retries."""
         task = asyncio.get_running_loop().create_task(self._post(stream))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def settle(self) -> None:
+    async def wait_for_pending(self) -> None:
         """Wait for all that is under way."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    async def _post(self, stream: Stream) -> None:
-        key = f"key-{self.chance.randrange(stream.keys)}" if stream.keys else ""
-        delay_s = self.chance.uniform(0.2, 3.0) if self.chance.random() < stream.delayed_share else 0.0
+    async def _post(self, stream: MessageStream) -> None:
+        key = f"key-{self.random_source.randrange(stream.keys)}" if stream.keys else ""
+        delay_s = (
+            self.random_source.uniform(0.2, 3.0)
+            if self.random_source.random() < stream.delayed_share
+            else 0.0
+        )
         begin = self._now()
         for _ in range(stream.retries + 1):
             left = begin + stream.deadline_s - self._now()
             if left <= 0.05:
                 return
-            message = await self._try(stream, key, delay_s, left)
-            if message.status not in PROMISES:
+            message = await self._attempt(stream, key, delay_s, left)
+            if message.status not in NOT_RUN_STATUSES:
                 break
-            await asyncio.sleep(self.chance.uniform(0.02, 0.2))
-        if message.accepted and self.chance.random() < 0.15:
-            await asyncio.sleep(self.chance.uniform(0.0, 6.0))
-            await self.ask(message)
+            await asyncio.sleep(self.random_source.uniform(0.02, 0.2))
+        if message.accepted and self.random_source.random() < 0.15:
+            await asyncio.sleep(self.random_source.uniform(0.0, 6.0))
+            await self.query_state(message)
 
-    async def _try(self, stream: Stream, key: str, delay_s: float, left: float) -> SentMessage:
+    async def _attempt(self, stream: MessageStream, key: str, delay_s: float, left: float) -> SentMessage:
         self._sent += 1
         number = self._sent
         identifier = f"m{number:06d}"
         edge = self._choose_edge()
         callback = ""
         if stream.callback_hosts:
-            callback = f"http://{self.chance.choice(stream.callback_hosts)}/done"
+            callback = f"http://{self.random_source.choice(stream.callback_hosts)}/done"
         body = self._body(stream, identifier)
         message = SentMessage(
             identifier,
@@ -123,24 +127,26 @@
             delay_s,
             callback,
             edge.name,
-            edge.life,
+            edge.incarnation,
             self._now(),
             reference=identifier,
         )
-        self.seen.messages[identifier] = message
+        self.observations.messages[identifier] = message
         await self._exchange(stream, message, edge, left)
         return message
 
-    def _body(self, stream: Stream, identifier: str) -> bytes:
-        drawn = self.chance.random()
+    def _body(self, stream: MessageStream, identifier: str) -> bytes:
+        drawn = self.random_source.random()
         mark = b""
         if drawn < stream.poison_share:
             mark = b"poison "
         elif drawn < stream.poison_share + stream.failing_share:
             mark = b"always-fails "
-        return mark + identifier.encode() + b" " + self.chance.randbytes(stream.body_bytes)
+        return mark + identifier.encode() + b" " + self.random_source.randbytes(stream.body_bytes)
 
-    async def _exchange(self, stream: Stream, message: SentMessage, edge: EdgeAddress, left: float) -> None:
+    async def _exchange(
+        self, stream: MessageStream, message: SentMessage, edge: EdgeAddress, left: float
+    ) -> None:
         headers = {"Host": HOST, "X-Attempt-Id": message.id, "X-Deadline-Ms": str(round(left * 1000))}
         if message.ordering_key:
             headers["X-Ordering-Key"] = message.ordering_key
@@ -151,42 +157,44 @@
         request = HttpRequest("POST", f"{stream.path_prefix}{message.id}", headers, message.body)
         try:
             answer = await self.http.exchange(self.host, edge.frontend, request, left)
-        except HttpFailure:
+        except HttpExchangeError:
             return
         message.status = answer.status
         message.answered_at = self._now()
         message.reference = answer.header("X-Message-Ref") or message.id
-        self._noted(edge, message.sent_at)
+        self._on_response(edge, message.sent_at)
 
-    async def ask(self, message: SentMessage, final: bool = False) -> StateAnswer | None:
+    async def query_state(self, message: SentMessage, final: bool = False) -> MessageStateResponse | None:
         """Ask for a message's state; for its body too where it has not ended or at the end of the day."""
         answer = await self._get(message, f"/message/{message.reference}")
         if answer is None:
             return None
         status, body = answer
-        seen = StateAnswer(message.id, self._now(), status, final=final)
+        seen = MessageStateResponse(message.id, self._now(), status, final=final)
         if status == 200:
-            told = orjson.loads(body)
-            seen.state, seen.signature = told["state"], told.get("signature", "")
+            status = orjson.loads(body)
+            seen.state, seen.signature = status["state"], status.get("signature", "")
             if seen.state != "completed":
                 found = await self._get(message, f"/message-body/{message.reference}")
                 if found is not None and found[0] == 200:
                     seen.body = found[1]
-        self.seen.states.append(seen)
+        self.observations.states.append(seen)
         return seen
 
     async def _get(self, message: SentMessage, target: str) -> tuple[int, bytes] | None:
         request = HttpRequest("GET", target, {"Host": HOST})
         try:
-            answer = await self.http.exchange(self.host, self._choose_edge().frontend, request, ASK_TIMEOUT_S)
-        except HttpFailure:
+            answer = await self.http.exchange(
+                self.host, self._choose_edge().frontend, request, QUERY_TIMEOUT_S
+            )
+        except HttpExchangeError:
             return None
         return answer.status, answer.body
 
-    async def ask_until_known(self, message: SentMessage, give_up_at: float) -> None:
+    async def query_until_known(self, message: SentMessage, give_up_at: float) -> None:
         """At the end of the day: ask again after every failure."""
         while self._now() < give_up_at:
-            seen = await self.ask(message, final=True)
+            seen = await self.query_state(message, final=True)
             if seen is not None and (seen.state == "completed" or seen.body is not None):
                 return
             await asyncio.sleep(0.3)
--- a/hollowusher/simulation/deployment.py
+++ b/hollowusher/simulation/deployment.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from hollowusher.simulation import plain_model as model
+from hollowusher.simulation import reference_model as model
 
 PUSH, PULL, FIXED, OTHER = "push", "pull", "fixed", "other"
 FIXED_ADDRESS = "172.20.0.3:8066"
--- a/hollowusher/simulation/loop.py
+++ b/hollowusher/simulation/event_loop.py
@@ -18,9 +18,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-MOST_CALLBACKS_AT_ONE_TIME = 500_000
-LEAST_TIMER_S = 0.00002
-Result = TypeVar("Result")
+MAX_CALLBACKS_PER_INSTANT = 500_000
+MIN_TIMER_S = 0.00002
+ResultT = TypeVar("ResultT")
 
 
 class DeadlockError(Exception):
@@ -32,7 +32,7 @@
 
 
 class SimulatedProcess:
-    """One life of a program: all that it schedules runs in its own context and ends with it."""
+    """One incarnation of a program: all that it schedules runs in its own context and ends with it."""
 
     def __init__(self, name: str, incarnation: int = 1) -> None:
         self.name = name
@@ -42,26 +42,26 @@
         self.context = contextvars.Context()
         self.context.run(_current_process.set, self)
         self.failures: list[str] = []  # errors that nobody caught
-        self._held: list[asyncio.Handle] = []
+        self._deferred: list[asyncio.Handle] = []
         self._tasks: list[asyncio.Task[Any]] = []  # kept, so that a killed task is never finalized early
 
     def __repr__(self) -> str:
         return f"{self.name}#{self.incarnation}"
 
-    def run(self, work: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
+    def run(self, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
         """Run a coroutine as part of this process."""
         return asyncio.get_running_loop().create_task(work, context=self.context.copy())
 
-    def hold(self, handle: asyncio.Handle) -> None:
+    def defer(self, handle: asyncio.Handle) -> None:
         """Keep a callback until the process is thawed."""
-        self._held.append(handle)
+        self._deferred.append(handle)
 
-    def take_held(self) -> list[asyncio.Handle]:
+    def take_deferred(self) -> list[asyncio.Handle]:
         """The callbacks kept, oldest first."""
-        held, self._held = self._held, []
-        return held
+        deferred, self._deferred = self._deferred, []
+        return deferred
 
-    def remember(self, task: asyncio.Task[Any]) -> None:
+    def track(self, task: asyncio.Task[Any]) -> None:
         """Hold on to a task of this process."""
         self._tasks.append(task)
         if len(self._tasks) > 2_000:
@@ -78,7 +78,7 @@
         """End at once: nothing of it runs again."""
         self.alive = False
         self.collect_failures()
-        self._held.clear()
+        self._deferred.clear()
         for task in self._tasks:
             task._log_destroy_pending = False  # type: ignore[attr-defined]
 
@@ -125,24 +125,24 @@
         super().__init__(coro, loop=loop, name=name, context=context)
         process = context.get(_current_process) if context is not None else current_process()
         if process is not None:
-            process.remember(self)
+            process.track(self)
 
 
-class VirtualLoop(asyncio.BaseEventLoop):
+class VirtualTimeLoop(asyncio.BaseEventLoop):
     """The event loop; `time()` starts at 1000 s so that no code takes zero for a time."""
 
     def __init__(self) -> None:
         super().__init__()
         self._now = 1000.0
         self._numbers = itertools.count()
-        self._due: list[tuple[float, int, asyncio.TimerHandle]] = []
-        self._runnable: deque[asyncio.Handle] = deque()
-        self._callbacks_now = 0
+        self._timers: list[tuple[float, int, asyncio.TimerHandle]] = []
+        self._ready: deque[asyncio.Handle] = deque()
+        self._callbacks_this_instant = 0
         self.callbacks = 0
         self.failures: list[str] = []
-        self._every_task: weakref.WeakSet[asyncio.Task[Any]] = weakref.WeakSet()
+        self._all_tasks: weakref.WeakSet[asyncio.Task[Any]] = weakref.WeakSet()
         self.set_task_factory(self._make_task)
-        self.set_exception_handler(self._take_failure)
+        self.set_exception_handler(self._record_failure)
 
     def time(self) -> float:
         """The virtual time in seconds."""
@@ -160,7 +160,7 @@
     ) -> asyncio.Handle:
         """Run a callback at the present virtual time, after those already ready."""
         handle = asyncio.Handle(callback, args, self, context)
-        self._runnable.append(handle)
+        self._ready.append(handle)
         return handle
 
     def call_at(  # type: ignore[override]
@@ -171,10 +171,10 @@
         context: Any = None,
     ) -> asyncio.TimerHandle:
         """Run a callback at a virtual time; equal times run in the order of the calls.  A timer takes
-        `LEAST_TIMER_S` at the least, so that timers alone cannot make time stand."""
-        when = max(when, self._now + LEAST_TIMER_S)
+        `MIN_TIMER_S` at the least, so that timers alone cannot make time stand."""
+        when = max(when, self._now + MIN_TIMER_S)
         timer = asyncio.TimerHandle(when, callback, args, self, context)
-        heapq.heappush(self._due, (when, next(self._numbers), timer))
+        heapq.heappush(self._timers, (when, next(self._numbers), timer))
         return timer
 
     def call_later(  # type: ignore[override]
@@ -216,28 +216,28 @@
     def thaw(self, process: SimulatedProcess) -> None:
         """Let a frozen process go on with what it missed."""
         process.frozen = False
-        self._runnable.extend(process.take_held())
+        self._ready.extend(process.take_deferred())
 
-    def play(self, work: Coroutine[Any, Any, Result]) -> Result:
+    def play(self, work: Coroutine[Any, Any, ResultT]) -> ResultT:
         """Run a main coroutine to its end; `DeadlockError` where it can never end."""
         return self.run_until_complete(work)
 
     def shut(self) -> None:
         """Forget everything that is still to run, and close."""
-        for task in list(self._every_task):
+        for task in list(self._all_tasks):
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             work = task.get_coro()
             if inspect.iscoroutine(work) and inspect.getcoroutinestate(work) == inspect.CORO_CREATED:
                 work.close()  # it was never begun, and is not to be reported as never awaited
-        self._runnable.clear()
-        self._due.clear()
+        self._ready.clear()
+        self._timers.clear()
         self.close()
 
     def _run_once(self) -> None:
-        if not self._runnable:
-            self._advance()
-        while self._runnable and not self._stopping:  # type: ignore[attr-defined]
-            self._run_handle(self._runnable.popleft())
+        if not self._ready:
+            self._advance_time()
+        while self._ready and not self._stopping:  # type: ignore[attr-defined]
+            self._run_handle(self._ready.popleft())
 
     def _run_handle(self, handle: asyncio.Handle) -> None:
         if handle.cancelled():
@@ -247,35 +247,35 @@
         if process is not None and not process.alive:
             return
         if process is not None and process.frozen:
-            process.hold(handle)
+            process.defer(handle)
             return
         self.callbacks += 1
-        self._callbacks_now += 1
-        if self._callbacks_now > MOST_CALLBACKS_AT_ONE_TIME:
+        self._callbacks_this_instant += 1
+        if self._callbacks_this_instant > MAX_CALLBACKS_PER_INSTANT:
             raise LivelockError(f"time stands at {self._now:.6f}; last callback: {handle!r}")
         handle._run()
 
-    def _advance(self) -> None:
-        while self._due and self._due[0][2].cancelled():
-            heapq.heappop(self._due)
-        if not self._due:
+    def _advance_time(self) -> None:
+        while self._timers and self._timers[0][2].cancelled():
+            heapq.heappop(self._timers)
+        if not self._timers:
             raise DeadlockError(self._describe_tasks())
-        if self._due[0][0] > self._now:
-            self._now = self._due[0][0]
-            self._callbacks_now = 0
-        while self._due and self._due[0][0] <= self._now:
-            self._runnable.append(heapq.heappop(self._due)[2])
+        if self._timers[0][0] > self._now:
+            self._now = self._timers[0][0]
+            self._callbacks_this_instant = 0
+        while self._timers and self._timers[0][0] <= self._now:
+            self._ready.append(heapq.heappop(self._timers)[2])
 
     def _describe_tasks(self) -> str:
-        waiting = sorted(repr(task.get_coro()) for task in self._every_task if not task.done())
+        waiting = sorted(repr(task.get_coro()) for task in self._all_tasks if not task.done())
         return "nothing can happen any more; waiting: " + "; ".join(waiting[:10])
 
     def _make_task(self, loop: Any, coro: Any, context: Any = None) -> asyncio.Task[Any]:
         task = _VirtualTask(coro, loop=loop, context=context)
-        self._every_task.add(task)
+        self._all_tasks.add(task)
         return task
 
-    def _take_failure(self, loop: Any, details: dict[str, Any]) -> None:
+    def _record_failure(self, loop: Any, details: dict[str, Any]) -> None:
         error = details.get("exception")
         text = f"{details.get('message')}: {type(error).__name__}: {error}"
         process = current_process()
--- a/hollowusher/simulation/faults/machines.py
+++ b/hollowusher/simulation/faults/machines.py
@@ -4,105 +4,105 @@
 
 import asyncio
 
+from hollowusher.simulation.cluster import CATCH_UP_S, SimulatedMachine
 from hollowusher.simulation.faults import disks
-from hollowusher.simulation.faults.processes import tell_to_stop
-from hollowusher.simulation.faults.stage import Stage, Wanted, trouble
-from hollowusher.simulation.observations import Retirement
-from hollowusher.simulation.world import CATCH_UP_S, Machine
+from hollowusher.simulation.faults.context import FaultContext, FaultRequest, fault_kind
+from hollowusher.simulation.faults.processes import terminate_gracefully
+from hollowusher.simulation.observations import StoreRetirement
 
 RETIRE_S = 10.0
 MOST_MACHINES_ADDED = 2
 
 
-@trouble("replace", 3)
-async def replace(stage: Stage, wanted: Wanted) -> None:
+@fault_kind("replace", 3)
+async def replace(context: FaultContext, request: FaultRequest) -> None:
     """A machine that counts is gone for good; an empty one comes at another address.  Planned: the new one
     first, then SIGTERM."""
-    old = stage.pick(wanted)
-    if wanted.how == "planned" or (wanted.how == "" and stage.chance.random() < 0.4):
-        await _replace_planned(stage, wanted, old)
+    old = context.choose_machine(request)
+    if request.how == "planned" or (request.how == "" and context.random_source.random() < 0.4):
+        await _replace_planned(context, request, old)
     else:
-        await _replace_lost(stage, wanted, old)
-
-
-async def _replace_lost(stage: Stage, wanted: Wanted, old: Machine) -> None:
-    world = stage.world
-    noted = stage.begin("replace", old.name, [old])
-    world.power_off(old)
-    world.remove(old)
-    await stage.wait(wanted, 0.3, 1.0, 3.0, 8.0)
-    new = world.add_machine(old.role, old.zone, with_disk=True)
-    world.start(new)
-    noted.host = f"{old.name} by {new.name}"
-    stage.end(noted, catching_up=True)
-
-
-async def _replace_planned(stage: Stage, wanted: Wanted, old: Machine) -> None:
-    world = stage.world
-    new = world.add_machine(old.role, old.zone, with_disk=True)
-    noted = stage.begin("replace_planned", f"{old.name} by {new.name}", [old], planned=True)
-    world.start(new)
-    started_at = stage.now()
-    await stage.wait(wanted, 0.3, 1.0, CATCH_UP_S)
-    await tell_to_stop(stage, old)
-    world.power_off(old)
-    world.remove(old)
-    stage.end(noted)
-    stage.tolerance.replaced(old.name, started_at, stage.now())
-
-
-@trouble("add", 0.8)
-async def add(stage: Stage, wanted: Wanted) -> None:
+        await _replace_lost(context, request, old)
+
+
+async def _replace_lost(context: FaultContext, request: FaultRequest, old: SimulatedMachine) -> None:
+    cluster = context.cluster
+    fault = context.begin("replace", old.name, [old])
+    cluster.power_off(old)
+    cluster.remove(old)
+    await context.wait(request, 0.3, 1.0, 3.0, 8.0)
+    new = cluster.add_machine(old.role, old.zone, with_disk=True)
+    cluster.start(new)
+    fault.host = f"{old.name} by {new.name}"
+    context.end(fault, catching_up=True)
+
+
+async def _replace_planned(context: FaultContext, request: FaultRequest, old: SimulatedMachine) -> None:
+    cluster = context.cluster
+    new = cluster.add_machine(old.role, old.zone, with_disk=True)
+    fault = context.begin("replace_planned", f"{old.name} by {new.name}", [old], planned=True)
+    cluster.start(new)
+    started_at = context.now()
+    await context.wait(request, 0.3, 1.0, CATCH_UP_S)
+    await terminate_gracefully(context, old)
+    cluster.power_off(old)
+    cluster.remove(old)
+    context.end(fault)
+    context.tolerance.record_replacement(old.name, started_at, context.now())
+
+
+@fault_kind("add", 0.8)
+async def add(context: FaultContext, request: FaultRequest) -> None:
     """A machine is added."""
-    role = wanted.how or stage.chance.choice(("edge", "store", "controller"))
-    if stage.world.added >= MOST_MACHINES_ADDED and not wanted.how:
+    role = request.how or context.random_source.choice(("edge", "store", "controller"))
+    if context.cluster.added_machines >= MOST_MACHINES_ADDED and not request.how:
         return
-    await _add(stage, role)
+    await _add(context, role)
 
 
-async def _add(stage: Stage, role: str) -> Machine:
-    zone = stage.chance.choice(stage.world.zones())
-    stage.world.added += 1
-    new = stage.world.add_machine("store" if role == "store" else "edge", zone, with_disk=role != "edge")
-    noted = stage.begin("add", f"{role} {new.name}", [new], planned=True)
-    stage.world.start(new)
-    stage.end(noted)
+async def _add(context: FaultContext, role: str) -> SimulatedMachine:
+    zone = context.random_source.choice(context.cluster.zones())
+    context.cluster.added_machines += 1
+    new = context.cluster.add_machine("store" if role == "store" else "edge", zone, with_disk=role != "edge")
+    fault = context.begin("add", f"{role} {new.name}", [new], planned=True)
+    context.cluster.start(new)
+    context.end(fault)
     return new
 
 
-@trouble("retire", 2)
-async def retire(stage: Stage, wanted: Wanted) -> None:
+@fault_kind("retire", 2)
+async def retire(context: FaultContext, request: FaultRequest) -> None:
     """A store is emptied and then taken away with its disk; at times others lose their disks, one after the
     other, right after it began."""
-    if stage.operator is None:
+    if context.operator is None:
         return
-    if len(stage.world.of("store")) <= 2 * stage.world.size.faults + 1:
-        await _add(stage, "store")
+    if len(context.cluster.machines_with_role("store")) <= 2 * context.cluster.size.faults + 1:
+        await _add(context, "store")
         await asyncio.sleep(CATCH_UP_S)
-    machine = stage.pick(wanted, stage.world.of("store"))
-    wipe = wanted.how == "wipe" or (wanted.how == "" and stage.chance.random() < 0.5)
-    noted = stage.begin("retire_wipe" if wipe else "retire", machine.name, planned=True)
-    asked_at = stage.now()
-    emptied = asyncio.ensure_future(stage.operator.retire(machine.name, wanted.for_s or RETIRE_S))
+    machine = context.choose_machine(request, context.cluster.machines_with_role("store"))
+    wipe = request.how == "wipe" or (request.how == "" and context.random_source.random() < 0.5)
+    fault = context.begin("retire_wipe" if wipe else "retire", machine.name, planned=True)
+    asked_at = context.now()
+    emptied = asyncio.ensure_future(context.operator.retire(machine.name, request.for_s or RETIRE_S))
     if wipe:
-        await asyncio.sleep(stage.chance.uniform(0.0, 1.0))
-        others = [each for each in stage.world.of("store") if each is not machine]
-        await disks.lose(stage, Wanted("disk", stage.chance.choice(others).name))
+        await asyncio.sleep(context.random_source.uniform(0.0, 1.0))
+        others = [each for each in context.cluster.machines_with_role("store") if each is not machine]
+        await disks.lose(context, FaultRequest("disk", context.random_source.choice(others).name))
     completed = await emptied
-    stage.world.seen.retirements.append(
-        Retirement(machine.name, asked_at, stage.now(), completed, RETIRE_S, wipe)
+    context.cluster.observations.retirements.append(
+        StoreRetirement(machine.name, asked_at, context.now(), completed, RETIRE_S, wipe)
     )
     if completed:
-        stage.world.power_off(machine)
-        stage.world.remove(machine)
-        stage.tolerance.forget(machine.name)
-    stage.end(noted)
+        context.cluster.power_off(machine)
+        context.cluster.remove(machine)
+        context.tolerance.forget(machine.name)
+    context.end(fault)
 
 
-@trouble("seed_turnover", 1)
-async def seed_turnover(stage: Stage, wanted: Wanted) -> None:
+@fault_kind("seed_turnover", 1)
+async def seed_turnover(context: FaultContext, request: FaultRequest) -> None:
     """The settings name other seeds, edge machines without a disk too."""
-    how = wanted.how or stage.chance.choice(("plain", "any"))
-    stage.world.choose_seeds(stage.chance, plain=how == "plain")
-    noted = stage.begin("seed_turnover", " ".join(stage.world.seeds), planned=True)
-    stage.end(noted)
+    how = request.how or context.random_source.choice(("plain", "any"))
+    context.cluster.choose_seeds(context.random_source, plain=how == "plain")
+    fault = context.begin("seed_turnover", " ".join(context.cluster.seed_addresses), planned=True)
+    context.end(fault)
--- a/hollowusher/simulation/faults/script.py
+++ b/hollowusher/simulation/faults/script.py
@@ -1,4 +1,4 @@
-"""A day's troubles as a script: a TOML file of entries with a time and a kind.
+"""A day's faults as a script: a TOML file of entries with a time and a kind.
 
     seeds = [1, 2]
     traffic_s = 20
@@ -10,7 +10,7 @@
     machine = "store-1"   # left out: drawn by lot
     how = "planned"
     for_s = 1.0
-    beside = false        # true: it does not wait for the troubles before it
+    beside = false        # true: it does not wait for the faults before it
 
 An entry that loses a machine that counts waits until the deployment bears the loss.
 """
@@ -22,8 +22,8 @@
 from pathlib import Path
 from typing import Any
 
-from hollowusher.simulation.faults.stage import KINDS, Wanted
-from hollowusher.simulation.world import Size
+from hollowusher.simulation.cluster import DeploymentSize
+from hollowusher.simulation.faults.context import FAULT_KINDS, FaultRequest
 
 
 class ScriptError(Exception):
@@ -31,28 +31,28 @@
 
 
 @dataclass(frozen=True)
-class ScriptedTrouble:
+class ScriptedFault:
     """One entry."""
 
     at: float  # seconds from the start of traffic
-    wanted: Wanted
+    request: FaultRequest
     beside: bool = False
 
 
 @dataclass(frozen=True)
-class Script:
+class FaultScript:
     """A day of one's own."""
 
     name: str
-    troubles: tuple[ScriptedTrouble, ...]
+    faults: tuple[ScriptedFault, ...]
     seeds: tuple[int, ...] = (1,)
     traffic_s: float = 20.0
     calm_s: float = 20.0
-    size: Size = field(default_factory=Size)
+    size: DeploymentSize = field(default_factory=DeploymentSize)
     changes: bool = True
 
 
-def read_script(path: Path) -> Script:
+def read_script(path: Path) -> FaultScript:
     """The script in a file."""
     try:
         return parse_script(path.stem, path.read_text())
@@ -60,19 +60,19 @@
         raise ScriptError(f"{path}: {error}") from None
 
 
-def parse_script(name: str, text: str) -> Script:
+def parse_script(name: str, text: str) -> FaultScript:
     """The script of a file's text."""
     document = tomllib.loads(text)
-    troubles = tuple(_entry(entry) for entry in document.pop("trouble", []))
-    size = Size(**document.pop("size", {}))
+    faults = tuple(_entry(entry) for entry in document.pop("trouble", []))
+    size = DeploymentSize(**document.pop("size", {}))
     seeds = tuple(document.pop("seeds", [1]))
-    return Script(name, troubles, seeds, size=size, **document)
+    return FaultScript(name, faults, seeds, size=size, **document)
 
 
-def _entry(entry: dict[str, Any]) -> ScriptedTrouble:
+def _entry(entry: dict[str, Any]) -> ScriptedFault:
     words = dict(entry)
     at, beside = float(words.pop("at")), bool(words.pop("beside", False))
-    wanted = Wanted(**words)
-    if wanted.kind not in KINDS:
-        raise KeyError(f"no trouble is called {wanted.kind}")
-    return ScriptedTrouble(at, wanted, beside)
+    request = FaultRequest(**words)
+    if request.kind not in FAULT_KINDS:
+        raise KeyError(f"no fault is called {request.kind}")
+    return ScriptedFault(at, request, beside)
--- a/hollowusher/simulation/faults/tolerance.py
+++ b/hollowusher/simulation/faults/tolerance.py
@@ -6,27 +6,27 @@
 
 from __future__ import annotations
 
-FOR_GOOD = float("inf")
+NEVER = float("inf")
 
 
-class Tolerance:
-    """The losses of a deployment that bears `machines` of them at a time."""
+class LossTolerance:
+    """The losses of a deployment that bears `max_losses` of them at a time."""
 
-    def __init__(self, machines: int, catch_up_s: float) -> None:
-        self.machines = machines
+    def __init__(self, max_losses: int, catch_up_s: float) -> None:
+        self.max_losses = max_losses
         self.catch_up_s = catch_up_s
         self._lost_until: dict[str, float] = {}  # name -> when it stops counting
 
-    def lose(self, name: str) -> None:
+    def record_loss(self, name: str) -> None:
         """A machine is lost from now on."""
-        self._lost_until[name] = FOR_GOOD
+        self._lost_until[name] = NEVER
 
-    def returned(self, name: str, now: float) -> None:
+    def record_return(self, name: str, now: float) -> None:
         """A lost machine is back, or the successor of a removed one has started, at `now`."""
         if name in self._lost_until:
             self._lost_until[name] = now + self.catch_up_s
 
-    def replaced(self, name: str, successor_started_at: float, now: float) -> None:
+    def record_replacement(self, name: str, successor_started_at: float, now: float) -> None:
         """A machine is gone whose successor started before it went."""
         if name in self._lost_until:
             self._lost_until[name] = max(now, successor_started_at + self.catch_up_s)
@@ -35,17 +35,17 @@
         """A machine is gone that does not count as a loss (it has been emptied)."""
         self._lost_until.pop(name, None)
 
-    def lost(self, now: float) -> list[str]:
+    def lost_machines(self, now: float) -> list[str]:
         """The machines that count as lost."""
         return sorted(name for name, until in self._lost_until.items() if until > now)
 
-    def allowed_at(self, now: float, count: int = 1) -> float:
-        """The earliest time, not before `now`, at which `count` further machines may be lost; `FOR_GOOD`
+    def next_loss_allowed_at(self, now: float, count: int = 1) -> float:
+        """The earliest time, not before `now`, at which `count` further machines may be lost; `NEVER`
         where that waits for a machine that has not returned, or is never borne."""
-        if count > self.machines:
-            return FOR_GOOD
+        if count > self.max_losses:
+            return NEVER
         ends = sorted(until for until in self._lost_until.values() if until > now)
-        most_lost = self.machines - count
+        most_lost = self.max_losses - count
         if len(ends) <= most_lost:
             return now
         return ends[len(ends) - most_lost - 1]
--- a/hollowusher/simulation/http.py
+++ b/hollowusher/simulation/http_network.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from hollowusher.simulation.loop import SimulatedProcess, current_process
-from hollowusher.simulation.network import Network, host_of
+from hollowusher.simulation.event_loop import SimulatedProcess, current_process
+from hollowusher.simulation.network import SimulatedNetwork, host_of
 
 RESEND_S = 0.2
 
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A whole request."""
+    """A complete request."""
 
     method: str
     target: str
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True)
-class HttpAnswer:
-    """A whole answer."""
+class HttpResponse:
+    """A complete answer."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
@@ -46,7 +46,7 @@
         return next((value for key, value in self.headers.items() if key.lower() == wanted), default)
 
 
-class HttpFailure(Exception):
+class HttpExchangeError(Exception):
     """An exchange without an answer.  `sent` is False where the server certainly never saw the request."""
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -55,7 +55,7 @@
         self.sent = sent
 
 
-class Exchange:
+class HttpExchange:
     """One request on its way; servers see whether its caller has left."""
 
     def __init__(self, request: HttpRequest, source: str, caller: SimulatedProcess | None) -> None:
@@ -63,41 +63,41 @@
         self.source = source
         self.caller = caller
         self.reached = False
-        self.server: Server | None = None
+        self.server: HttpServer | None = None
         self.closed = asyncio.Event()
-        self.read = False  # the caller has taken the whole answer
+        self.read = False  # the caller has taken the complete answer
         self.on_read: Callable[[], None] | None = None
 
 
-class Server(Protocol):
+class HttpServer(Protocol):
     """Something that answers HTTP at an address."""
 
     @property
     def process(self) -> SimulatedProcess | None:
         """The process that it belongs to; None outside the system."""
 
-    async def serve(self, exchange: Exchange) -> HttpAnswer | None:
+    async def serve(self, exchange: HttpExchange) -> HttpResponse | None:
         """The answer; None closes the connection without one."""
 
 
-class SilentServer(Exception):
+class UnresponsiveServerError(Exception):
     """Raised by a server that never answers and keeps the connection open."""
 
 
 class HttpNetwork:
-    """All HTTP servers of the world, by address."""
+    """All HTTP servers of the cluster, by address."""
 
-    def __init__(self, network: Network) -> None:
+    def __init__(self, network: SimulatedNetwork) -> None:
         self.network = network
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, HttpServer] = {}
         self.exchanges = 0
-        self._open: dict[Exchange, asyncio.Future[HttpAnswer]] = {}
+        self._open: dict[HttpExchange, asyncio.Future[HttpResponse]] = {}
 
-    def listen(self, address: str, server: Server) -> None:
+    def listen(self, address: str, server: HttpServer) -> None:
         """Have a server answer at an address."""
         self.servers[address] = server
 
-    def silence(self, address: str) -> None:
+    def stop_listening(self, address: str) -> None:
         """Nothing listens at an address any more."""
         self.servers.pop(address, None)
 
@@ -112,7 +112,7 @@
                 exchange.closed.set()
                 del self._open[exchange]
 
-    def server_ended(self, server: Server, host: str) -> None:
+    def server_ended(self, server: HttpServer, host: str) -> None:
         """The exchanges that a server had open are reset, where its host can still say so."""
         for exchange, future in list(self._open.items()):
             if exchange.server is server:
@@ -120,11 +120,11 @@
                 if self.network.reaches(host, exchange.source):
                     self.network.loop.call_outside(self.network.delay(), _fail, future, "reset", True)
 
-    async def exchange(self, source: str, address: str, request: HttpRequest, timeout: float) -> HttpAnswer:
-        """The answer of the server at `address`; `HttpFailure` where none came."""
+    async def exchange(self, source: str, address: str, request: HttpRequest, timeout: float) -> HttpResponse:
+        """The answer of the server at `address`; `HttpExchangeError` where none came."""
         loop = self.network.loop
-        exchange = Exchange(request, source, current_process())
-        future: asyncio.Future[HttpAnswer] = loop.create_future()
+        exchange = HttpExchange(request, source, current_process())
+        future: asyncio.Future[HttpResponse] = loop.create_future()
         self._open[exchange] = future
         self.exchanges += 1
         loop.call_outside(self.network.delay(), self._arrive, exchange, address, future)
@@ -132,7 +132,7 @@
             async with asyncio.timeout(timeout):
                 answer = await future
         except TimeoutError:
-            raise HttpFailure("timeout", exchange.reached) from None
+            raise HttpExchangeError("timeout", exchange.reached) from None
         finally:
             exchange.closed.set()
             self._open.pop(exchange, None)
@@ -141,12 +141,12 @@
             exchange.on_read()
         return answer
 
-    def _arrive(self, exchange: Exchange, address: str, future: asyncio.Future[HttpAnswer]) -> None:
+    def _arrive(self, exchange: HttpExchange, address: str, future: asyncio.Future[HttpResponse]) -> None:
         if exchange.closed.is_set() or future.done():
             return
         network = self.network
         there = host_of(address)
-        if network.refuses(exchange.source, there):
+        if network.rejects(exchange.source, there):
             network.loop.call_outside(network.delay(), _fail, future, "refused", False)
             return
         if not (network.reaches(exchange.source, there) and network.reaches(there, exchange.source)):
@@ -165,16 +165,20 @@
             network.loop.call_outside(0.0, _spawn, network.loop, work)
 
     async def _serve(
-        self, exchange: Exchange, server: Server, host: str, future: asyncio.Future[HttpAnswer]
+        self, exchange: HttpExchange, server: HttpServer, host: str, future: asyncio.Future[HttpResponse]
     ) -> None:
         try:
             answer = await server.serve(exchange)
-        except SilentServer:
+        except UnresponsiveServerError:
             return
         self.network.loop.call_outside(self.network.delay(), self._return, exchange, host, answer, future)
 
     def _return(
-        self, exchange: Exchange, host: str, answer: HttpAnswer | None, future: asyncio.Future[HttpAnswer]
+        self,
+        exchange: HttpExchange,
+        host: str,
+        answer: HttpResponse | None,
+        future: asyncio.Future[HttpResponse],
     ) -> None:
         if future.done() or exchange.closed.is_set():
             return
@@ -190,7 +194,7 @@
     loop.create_task(work)
 
 
-def _fail(future: asyncio.Future[HttpAnswer], reason: str, sent: bool) -> None:
+def _fail(future: asyncio.Future[HttpResponse], reason: str, sent: bool) -> None:
     if not future.done():
-        future.set_exception(HttpFailure(reason, sent))
+        future.set_exception(HttpExchangeError(reason, sent))
         future.exception()
--- a/hollowusher/simulation/model_check/commands.py
+++ b/hollowusher/simulation/model_check/commands.py
@@ -9,11 +9,11 @@
 
 from hollowusher.coordination.chain.chain_member import ChainMember
 from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
-from hollowusher.simulation.model_check.chain_model import ChainBounds, ChainModel
 from hollowusher.simulation.model_check.consensus_model import ConsensusBounds, ConsensusModel
-from hollowusher.simulation.model_check.explorer import Bounds, Model, explore
+from hollowusher.simulation.model_check.control_chain_model import ChainBounds, ControlChainModel
+from hollowusher.simulation.model_check.explorer import ExplorableModel, SearchBounds, explore
 from hollowusher.simulation.model_check.partition_command import partition
-from hollowusher.simulation.model_check.planted import CHAIN_FAULTS, CONSENSUS_FAULTS
+from hollowusher.simulation.model_check.planted_control import CHAIN_FAULTS, CONSENSUS_FAULTS
 
 PARTS = ("agreement", "chain")
 
@@ -60,21 +60,21 @@
     planted: str,
 ) -> None:
     """Agreement, control chain and changes of the voters."""
-    bounds = Bounds(depth, states, seconds)
+    bounds = SearchBounds(depth, states, seconds)
     agreement = ConsensusBounds(controllers, proposals, restarts, wipes, failures, replace, epochs, fine)
-    models: dict[str, Model[Any, Any]] = {}
+    models: dict[str, ExplorableModel[Any, Any]] = {}
     if part in ("all", "agreement") and (not planted or planted in CONSENSUS_FAULTS):
         models["agreement"] = ConsensusModel(agreement, CONSENSUS_FAULTS.get(planted, VoterStateMachine))
     if part in ("all", "chain") and (not planted or planted in CHAIN_FAULTS):
         chain = ChainBounds(controllers, views, orders, restarts, wipes, int(replace))
-        models["chain"] = ChainModel(chain, CHAIN_FAULTS.get(planted, ChainMember))
+        models["chain"] = ControlChainModel(chain, CHAIN_FAULTS.get(planted, ChainMember))
     if not models:
         raise click.BadParameter(f"no planted fault {planted!r} in this part")
     results = [_check(name, model, bounds) for name, model in models.items()]
     sys.exit(0 if all(results) else 1)
 
 
-def _check(name: str, model: Model[Any, Any], bounds: Bounds) -> bool:
+def _check(name: str, model: ExplorableModel[Any, Any], bounds: SearchBounds) -> bool:
     """Explore one model and print what was found; whether all properties hold."""
     outcome = explore(model, bounds)
     click.echo(f"{name}: {outcome.summary()}")
--- a/hollowusher/simulation/model_check/consensus_model.py
+++ b/hollowusher/simulation/model_check/consensus_model.py
@@ -56,10 +56,10 @@
 
 
 @attrs.frozen
-class Request:
+class ConsensusRequest:
     """A vote asked for."""
 
-    life: int  # of the asker
+    incarnation: int  # of the asker
     ask: voter_state_machine.SendRequest
 
     @property
@@ -72,10 +72,10 @@
 
 
 @attrs.frozen
-class Reply:
+class ConsensusReply:
     """A voter's answer."""
 
-    request: Request
+    request: ConsensusRequest
     message: Any
 
     @property
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen
-class Notice:
+class DecidedNotice:
     """A view that its proposer takes for decided, told to one controller."""
 
     receiver: str
@@ -107,24 +107,24 @@
         return view
 
 
-Message = Request | Reply | Notice | DurableVote
+Message = ConsensusRequest | ConsensusReply | DecidedNotice | DurableVote
 
 
 @attrs.define
-class Node:
+class ConsensusNode:
     """One controller: its process and its disk."""
 
     voter: Voter
     machine: VoterStateMachine
     disk: bytes | None
-    life: int = 1
+    incarnation: int = 1
     attempts: int = 0  # proposals made
     saving: bytes | None = None  # a save is under way
     unanswered: frozenset[int] = frozenset()  # requests taken, whose answers wait for the disk
     votes: frozenset[DurableVote] = frozenset()  # acceptances in memory, not yet on disk
 
 
-class Input(NamedTuple):
+class NodeInput(NamedTuple):
     """What a process meets."""
 
     kind: str
@@ -133,7 +133,7 @@
     plan: int = -1
 
 
-class State(NamedTuple):
+class ConsensusState(NamedTuple):
     """Numbers of the processes' states and the messages ever sent (one bit each), and what has happened."""
 
     nodes: tuple[int, ...]
@@ -144,11 +144,11 @@
     failures: int = 0
 
 
-class Step(NamedTuple):
+class ConsensusStep(NamedTuple):
     """For the trace."""
 
     node: str
-    input: Input
+    input: NodeInput
     answered: bool = False  # its answer has reached the proposer
 
 
@@ -162,29 +162,29 @@
         self._controllers = [Voter(name, f"disk-{name}", f"{name}:1") for name in names]
         self._base = first_view(self._controllers[: bounds.controllers], "cluster")
         self._places = {voter.name: place for place, voter in enumerate(self._controllers)}
-        self._nodes: Interner[Node] = Interner(fingerprint)
+        self._nodes: Interner[ConsensusNode] = Interner(fingerprint)
         self._messages: Interner[Message] = Interner(fingerprint)
         self._noted = 0  # the bits of messages that only the properties read
         self._replies = 0  # the bits of answers
         self._votes = 0  # accepted durably in the step under way
-        self._known: dict[tuple[int, Input], tuple[int, int]] = {}
+        self._known: dict[tuple[int, NodeInput], tuple[int, int]] = {}
         self._judge = cache(self._judged)
 
-    def initial(self) -> State:
-        return State(tuple(self._nodes.number(self._first(voter)) for voter in self._controllers), 0)
+    def initial(self) -> ConsensusState:
+        return ConsensusState(tuple(self._nodes.number(self._first(voter)) for voter in self._controllers), 0)
 
-    def _first(self, voter: Voter) -> Node:
+    def _first(self, voter: Voter) -> ConsensusNode:
         acceptor = Acceptor(voter.name, voter.disk_id)
         acceptor.learn(self._base)
         disk = acceptor.dump()
-        return Node(voter, self._make_machine(voter.name, voter.disk_id, disk), disk)
+        return ConsensusNode(voter, self._make_machine(voter.name, voter.disk_id, disk), disk)
 
     # -- what can happen -----------------------------------------------------------------------------------
 
-    def steps(self, state: State) -> Iterator[tuple[Step, State]]:
+    def steps(self, state: ConsensusState) -> Iterator[tuple[ConsensusStep, ConsensusState]]:
         for number in _bits(state.network & ~self._noted):
             place = self._places[self._messages[number].receiver]
-            for step, after in self._step(state, place, Input("deliver", number), state[2:]):
+            for step, after in self._step(state, place, NodeInput("deliver", number), state[2:]):
                 if self._bounds.fine:
                     yield step, after
                 else:
@@ -192,63 +192,69 @@
         for place, node in enumerate(state.nodes):
             yield from self._own_steps(state, place, self._nodes[node])
 
-    def _answered(self, step: Step, state: State) -> Iterator[tuple[Step, State]]:
+    def _answered(
+        self, step: ConsensusStep, state: ConsensusState
+    ) -> Iterator[tuple[ConsensusStep, ConsensusState]]:
         """The answers that a step has given are lost, or reach the proposer at once."""
         replies = state.network & self._replies
         state = state._replace(network=state.network & ~replies)
         yield step, state
         for number in _bits(replies):
             place = self._places[self._messages[number].receiver]
-            for _, after in self._step(state, place, Input("deliver", number), state[2:]):
+            for _, after in self._step(state, place, NodeInput("deliver", number), state[2:]):
                 yield step._replace(answered=True), after
 
-    def _own_steps(self, state: State, place: int, node: Node) -> Iterator[tuple[Step, State]]:
+    def _own_steps(
+        self, state: ConsensusState, place: int, node: ConsensusNode
+    ) -> Iterator[tuple[ConsensusStep, ConsensusState]]:
         bounds = self._bounds
         proposals, restarts, wipes, failures = state[2:]
         if node.saving is not None:
-            yield from self._step(state, place, Input("saved"), state[2:])
+            yield from self._step(state, place, NodeInput("saved"), state[2:])
             if failures < bounds.failures:
                 counts = (proposals, restarts, wipes, failures + 1)
                 for kept in (True, False):
-                    yield from self._step(state, place, Input("save failed", kept=kept), counts)
+                    yield from self._step(state, place, NodeInput("save failed", kept=kept), counts)
         epoch = node.machine.acceptor.epoch
         if proposals < bounds.proposals and place < bounds.proposals and epoch <= bounds.epochs:
             yield from self._proposals(state, place, node)
         if restarts < bounds.restarts:
             counts = (proposals, restarts + 1, wipes, failures)
             for kept in (True, False) if node.saving is not None else (False,):
-                yield from self._step(state, place, Input("restart", kept=kept), counts)
+                yield from self._step(state, place, NodeInput("restart", kept=kept), counts)
         if wipes < bounds.wipes:
             counts = (proposals, restarts, wipes + 1, failures)
-            yield from self._step(state, place, Input("wipe"), counts)
+            yield from self._step(state, place, NodeInput("wipe"), counts)
 
-    def _proposals(self, state: State, place: int, node: Node) -> Iterator[tuple[Step, State]]:
+    def _proposals(
+        self, state: ConsensusState, place: int, node: ConsensusNode
+    ) -> Iterator[tuple[ConsensusStep, ConsensusState]]:
         if node.machine.proposing:
-            yield from self._step(state, place, Input("abandon"), state[2:])
+            yield from self._step(state, place, NodeInput("abandon"), state[2:])
             return
         counts = (state.proposals + 1, *state[3:])
         for plan in range(1 + self._bounds.replaces):
-            yield from self._step(state, place, Input("propose", plan=plan), counts)
+            yield from self._step(state, place, NodeInput("propose", plan=plan), counts)
 
     def _step(
-        self, state: State, place: int, what: Input, counts: tuple[int, ...]
-    ) -> Iterator[tuple[Step, State]]:
+        self, state: ConsensusState, place: int, what: NodeInput, counts: tuple[int, ...]
+    ) -> Iterator[tuple[ConsensusStep, ConsensusState]]:
         before = state.nodes[place]
         after, sent = self._local(before, what)
         network = state.network | sent
         if after == before and network == state.network:
             return
         nodes = (*state.nodes[:place], after, *state.nodes[place + 1 :])
-        yield Step(self._controllers[place].name, what), State(nodes, network, *counts)
+        yield ConsensusStep(self._controllers[place].name, what), ConsensusState(nodes, network, *counts)
 
-    def _local(self, number: int, what: Input) -> tuple[int, int]:
+    def _local(self, number: int, what: NodeInput) -> tuple[int, int]:
         """One process's step: its state after it, and what it sends."""
         found = self._known.get((number, what))
         if found is None:
             found = self._known[number, what] = self._play(number, what)
         return found
 
-    def _play(self, number: int, what: Input) -> tuple[int, int]:
+    def _play(self, number: int, what: NodeInput) -> tuple[int, int]:
         node = clone(self._nodes[number])
         self._votes = 0
         if what.kind == "deliver":
@@ -271,14 +277,14 @@
         self._noted |= self._votes
         return self._nodes.number(node), sent
 
-    def _deliver(self, node: Node, number: int) -> None:
+    def _deliver(self, node: ConsensusNode, number: int) -> None:
         message = self._messages[number]
-        if isinstance(message, Notice):
+        if isinstance(message, DecidedNotice):
             node.machine.learn(message.view)
-        elif isinstance(message, Reply):
-            if message.request.life == node.life:
+        elif isinstance(message, ConsensusReply):
+            if message.request.incarnation == node.incarnation:
                 node.machine.answered(message.request.ask, message.message, NOW)
-        elif isinstance(message, Request) and number not in node.unanswered:
+        elif isinstance(message, ConsensusRequest) and number not in node.unanswered:
             node.unanswered |= {number}
             asked = message.ask.message
             if isinstance(asked, Prepare):
@@ -286,13 +292,13 @@
             else:
                 node.machine.accept(number, asked)
 
-    def _end_save(self, node: Node, kept: bool, taken: bool) -> None:
+    def _end_save(self, node: ConsensusNode, kept: bool, taken: bool) -> None:
         if kept:
             self._keep(node)
         node.saving = None
         node.machine.saved(taken, NOW)
 
-    def _keep(self, node: Node) -> None:
+    def _keep(self, node: ConsensusNode) -> None:
         """What is being saved is on disk, and with it all that has been accepted up to it."""
         node.disk = node.saving
         held = Acceptor(node.voter.name, node.voter.disk_id, node.disk)
@@ -302,7 +308,7 @@
             self._votes |= self._bit(vote)
 
     @staticmethod
-    def _note_vote(node: Node) -> None:
+    def _note_vote(node: ConsensusNode) -> None:
         """Remember an acceptance until it is on disk."""
         acceptor = node.machine.acceptor
         held = Acceptor(node.voter.name, node.voter.disk_id, node.disk)
@@ -310,21 +316,21 @@
             vote = DurableVote(voter_id(node.voter), acceptor.accepted_ballot, encode(acceptor.accepted))
             node.votes |= {vote}
 
-    def _restart(self, node: Node, kept: bool) -> None:
+    def _restart(self, node: ConsensusNode, kept: bool) -> None:
         if kept:
             self._keep(node)
         node.saving = None
         node.votes = frozenset()
         node.unanswered = frozenset()
-        node.life += 1
+        node.incarnation += 1
         node.machine = self._make_machine(node.voter.name, node.voter.disk_id, node.disk)
 
-    def _wipe(self, node: Node) -> None:
+    def _wipe(self, node: ConsensusNode) -> None:
         node.disk = None
         node.voter = evolve(node.voter, disk_id=node.voter.disk_id + "'")
         self._restart(node, kept=False)
 
-    def _plan(self, node: Node, number: int) -> Callable[[View], View]:
+    def _plan(self, node: ConsensusNode, number: int) -> Callable[[View], View]:
         """A view that no other proposal makes."""
         mark = {f"{node.voter.name}{node.attempts}": number}
 
@@ -336,7 +342,7 @@
 
         return plan
 
-    def _collect(self, node: Node) -> int:
+    def _collect(self, node: ConsensusNode) -> int:
         """Carry out the machine's outputs; the bits of what has been sent and noted."""
         sent = 0
         while outputs := node.machine.take_instructions():
@@ -347,29 +353,29 @@
                 self._end_save(node, True, True)
         return sent
 
-    def _carry_out(self, node: Node, output: voter_state_machine.Instruction) -> int:
+    def _carry_out(self, node: ConsensusNode, output: voter_state_machine.Instruction) -> int:
         if isinstance(output, voter_state_machine.SaveAcceptor):
             node.saving = output.value
         elif isinstance(output, voter_state_machine.SendRequest):
-            return self._bit(Request(node.life, output))
+            return self._bit(ConsensusRequest(node.incarnation, output))
         elif isinstance(output, voter_state_machine.SendResponse):
             node.unanswered -= {output.request_id}
             if output.message is None:
                 return 0
             request = self._messages[output.request_id]
-            assert isinstance(request, Request)
+            assert isinstance(request, ConsensusRequest)
             assert not isinstance(output.message, FirstViewResponse)
             if not output.message.granted and output.message.decided is None and not self._bounds.fine:
                 return 0
-            reply = self._bit(Reply(request, output.message))
+            reply = self._bit(ConsensusReply(request, output.message))
             self._replies |= reply
             return reply
         elif isinstance(output, voter_state_machine.BroadcastDecision):
-            notice = self._bit(Notice("", output.view))
+            notice = self._bit(DecidedNotice("", output.view))
             self._noted |= notice
             proposers = self._controllers[: self._bounds.proposals]
             for controller in proposers if output.view.epoch <= self._bounds.epochs else ():
-                notice |= self._bit(Notice(controller.name, output.view))
+                notice |= self._bit(DecidedNotice(controller.name, output.view))
             return notice
         return 0
 
@@ -378,12 +384,12 @@
 
     # -- properties ----------------------------------------------------------------------------------------
 
-    def violation(self, state: State) -> str:
+    def violation(self, state: ConsensusState) -> str:
         return self._judge(state.network & self._noted)
 
     def _judged(self, network: int) -> str:
         messages = [self._messages[number] for number in _bits(network)]
-        views = [message.view for message in messages if isinstance(message, Notice)]
+        views = [message.view for message in messages if isinstance(message, DecidedNotice)]
         votes = [message for message in messages if isinstance(message, DurableVote)]
         base = self._base
         while True:
@@ -399,11 +405,11 @@
 
     # -- traces --------------------------------------------------------------------------------------------
 
-    def tell(self, label: Step) -> str:
+    def describe_step(self, label: ConsensusStep) -> str:
         what = label.input
         if what.kind == "deliver":
             answered = ", and is answered" if label.answered else ""
-            return f"{label.node} takes {_told(self._messages[what.message])}{answered}"
+            return f"{label.node} takes {_describe_message(self._messages[what.message])}{answered}"
         if what.kind == "propose":
             return f"{label.node} proposes {'a replacement' if what.plan == _REPLACEMENT else 'a chain'}"
         if what.kind in ("restart", "save failed"):
@@ -428,21 +434,21 @@
     return chosen
 
 
-def _told(message: Message) -> str:
-    if isinstance(message, Notice):
-        return f"Decided(view {message.view.epoch} {_mark(message.view)})"
-    if isinstance(message, Request):
+def _describe_message(message: Message) -> str:
+    if isinstance(message, DecidedNotice):
+        return f"Decided(view {message.view.epoch} {_proposal_name(message.view)})"
+    if isinstance(message, ConsensusRequest):
         asked = message.ask.message
-        value = f", {_mark(asked.view)}" if isinstance(asked, Accept) else ""
+        value = f", {_proposal_name(asked.view)}" if isinstance(asked, Accept) else ""
         return f"{type(asked).__name__}({decode_ballot(asked.ballot)}{value}) of {message.sender}"
-    if isinstance(message, Reply):
+    if isinstance(message, ConsensusReply):
         granted = "granted" if message.message.granted else "refused"
         kind = type(message.message).__name__
         return f"{kind}({decode_ballot(message.message.ballot)}, {granted}) of {message.request.receiver}"
     return "a note"
 
 
-def _mark(view: View) -> str:
+def _proposal_name(view: View) -> str:
     return ",".join(view.since)
 
 
--- a/hollowusher/simulation/model_check/chain_model.py
+++ b/hollowusher/simulation/model_check/control_chain_model.py
@@ -59,31 +59,31 @@
     settled: bool = True  # begin with the first view in force
 
 
-class Write(NamedTuple):
+class StateWrite(NamedTuple):
     """A state on its way to the next member of the chain."""
 
     receiver: str
     sender: str
-    life: int
+    incarnation: int
     encoded: bytes
 
 
-class Written(NamedTuple):
+class StateWriteAck(NamedTuple):
     """The answer to a write: the tail has it."""
 
     receiver: str
-    life: int
+    incarnation: int
     encoded: bytes
 
 
-class Notice(NamedTuple):
+class ViewNotice(NamedTuple):
     """A decided view; to nobody: a note for the properties."""
 
     receiver: str
     encoded: bytes
 
 
-class Committed(NamedTuple):
+class CommittedState(NamedTuple):
     """Note: the tail has saved this state."""
 
     epoch: int
@@ -91,14 +91,14 @@
     receiver: str = ""
 
 
-class Acknowledged(NamedTuple):
+class AcknowledgedOrder(NamedTuple):
     """Note: an operator was told that this order is taken."""
 
     generation: int
     receiver: str = ""
 
 
-class Claim(NamedTuple):
+class CompletenessClaim(NamedTuple):
     """Note: this voter has said that it holds every committed state in this epoch."""
 
     voter: str
@@ -106,11 +106,11 @@
     receiver: str = ""
 
 
-Message = Write | Written | Notice | Committed | Acknowledged | Claim
+Message = StateWrite | StateWriteAck | ViewNotice | CommittedState | AcknowledgedOrder | CompletenessClaim
 
 
 @attrs.define
-class Node:
+class ChainNode:
     """One controller: its process and its disk."""
 
     voter: Voter
@@ -118,24 +118,24 @@
     member: ChainMember
     vote_disk: bytes | None
     state_disk: bytes | None
-    life: int = 1
+    incarnation: int = 1
     saving: ChainWrite | None = None
-    askers: frozenset[Write] = frozenset()  # writes taken in this life that are not answered yet
+    askers: frozenset[StateWrite] = frozenset()  # writes taken in this life that are not answered yet
     passed_on: bytes = b""  # the newest write sent on in this life
     pending: int = 0  # the order that is being brought into force
 
 
-class Read(NamedTuple):
+class PendingRead(NamedTuple):
     """A read of an old state that waits for a majority to confirm the epoch."""
 
     place: int
-    life: int
+    incarnation: int
     view: bytes  # in which it was begun
     confirmed: frozenset[str] = frozenset()
     done: bool = False
 
 
-class State(NamedTuple):
+class ChainState(NamedTuple):
     """Numbers of the processes' states, the messages ever sent (one bit each), and what has happened."""
 
     nodes: tuple[int, ...]
@@ -144,10 +144,10 @@
     orders: int = 0
     restarts: int = 0
     wipes: int = 0
-    read: Read | None = None
+    read: PendingRead | None = None
 
 
-class ChainModel:
+class ControlChainModel:
     """See `explorer.Model`."""
 
     def __init__(self, bounds: ChainBounds, make_member: MakeMember = ChainMember) -> None:
@@ -157,7 +157,7 @@
         self._controllers = [Voter(name, f"disk-{name}", f"{name}:1") for name in names]
         self._base = first_view(self._controllers[: bounds.controllers], "cluster")
         self._places = {voter.name: place for place, voter in enumerate(self._controllers)}
-        self._nodes: Interner[Node] = Interner(fingerprint)
+        self._nodes: Interner[ChainNode] = Interner(fingerprint)
         self._messages: Interner[Message] = Interner(_message_key)
         self._known: dict[tuple[int, str, int], tuple[int, int]] = {}
         self._played: dict[Hashable, tuple[tuple[int, ...], int] | None] = {}
@@ -166,16 +166,16 @@
         self._noted = 0
         self._sent = 0  # by the step under way
 
-    def initial(self) -> State:
+    def initial(self) -> ChainState:
         self._sent = 0
         nodes = [self._first(voter) for voter in self._controllers]
         for node in nodes:
             self._after(node)
-        self._note(Notice("", encode(self._base)))
-        state = State(tuple(self._nodes.number(node) for node in nodes), self._sent)
+        self._note(ViewNotice("", encode(self._base)))
+        state = ChainState(tuple(self._nodes.number(node) for node in nodes), self._sent)
         return self._in_force(state) if self._bounds.settled else state
 
-    def _in_force(self, state: State) -> State:
+    def _in_force(self, state: ChainState) -> ChainState:
         """The state once the first view is in force on the whole chain."""
         bounds, self._bounds = (
             self._bounds,
@@ -186,11 +186,11 @@
         self._bounds = bounds
         return state
 
-    def _first(self, voter: Voter) -> Node:
+    def _first(self, voter: Voter) -> ChainNode:
         acceptor = Acceptor(voter.name, voter.disk_id)
         acceptor.learn(self._base)
         disk = acceptor.dump()
-        node = Node(
+        node = ChainNode(
             voter,
             VoterStateMachine(voter.name, voter.disk_id, disk),
             self._make_member(voter.name, voter.disk_id, None),
@@ -202,18 +202,18 @@
 
     # -- what can happen -----------------------------------------------------------------------------------
 
-    def steps(self, state: State) -> Iterator[tuple[str, State]]:
+    def steps(self, state: ChainState) -> Iterator[tuple[str, ChainState]]:
         if state.read is not None:
             yield from self._read_steps(state, state.read)
         for number in _bits(state.network & ~self._noted):
             message = self._messages[number]
             place = self._places[message.receiver]
-            label = f"{message.receiver} takes {_told(message)}"
+            label = f"{message.receiver} takes {_describe_message(message)}"
             yield from self._step(state, place, label, partial(self._take, message), number)
         for place, number in enumerate(state.nodes):
             yield from self._own_steps(state, place, self._nodes[number])
 
-    def _own_steps(self, state: State, place: int, node: Node) -> Iterator[tuple[str, State]]:
+    def _own_steps(self, state: ChainState, place: int, node: ChainNode) -> Iterator[tuple[str, ChainState]]:
         name, member = node.voter.name, node.member
         if node.saving is not None:
             yield from self._step(state, place, f"{name}: state saved", self._state_saved)
@@ -237,12 +237,17 @@
         if state.read is None and member.is_readable and self._old(state, node):
             yield (
                 f"{name} begins a read of an old state",
-                state._replace(read=Read(place, node.life, encode(member.view))),
+                state._replace(read=PendingRead(place, node.incarnation, encode(member.view))),
             )
 
     def _step(
-        self, state: State, place: int, label: str, change: Callable[[Node], object], message: int = -1
-    ) -> Iterator[tuple[str, State]]:
+        self,
+        state: ChainState,
+        place: int,
+        label: str,
+        change: Callable[[ChainNode], object],
+        message: int = -1,
+    ) -> Iterator[tuple[str, ChainState]]:
         before = state.nodes[place]
         known = self._known.get((before, label, message))
         if known is None:
@@ -256,18 +261,18 @@
             nodes = (*state.nodes[:place], after, *state.nodes[place + 1 :])
             yield label, state._replace(nodes=nodes, network=state.network | sent)
 
-    def _take(self, message: Message, node: Node) -> None:
-        if isinstance(message, Notice):
+    def _take(self, message: Message, node: ChainNode) -> None:
+        if isinstance(message, ViewNotice):
             node.machine.learn(_decoded(message.encoded))
-        elif isinstance(message, Write) and node.saving is None:
+        elif isinstance(message, StateWrite) and node.saving is None:
             write: ChainWrite = _decoded(message.encoded)
             if node.member.accepts(write):
                 node.askers |= {message}
                 node.saving = write
-        elif isinstance(message, Written) and message.life == node.life:
+        elif isinstance(message, StateWriteAck) and message.incarnation == node.incarnation:
             self._have_committed(node, _decoded(message.encoded))
 
-    def _state_saved(self, node: Node) -> None:
+    def _state_saved(self, node: ChainNode) -> None:
         write = node.saving
         assert write is not None
         node.state_disk = encode_write(write)
@@ -278,29 +283,29 @@
         node.passed_on = encode(write)
         following = node.member.successor()
         if following is not None:
-            self._send(Write(following, node.voter.name, node.life, encode(write)))
+            self._send(StateWrite(following, node.voter.name, node.incarnation, encode(write)))
         else:
-            self._note(Committed(write.epoch, encode(write.state)))
+            self._note(CommittedState(write.epoch, encode(write.state)))
             self._have_committed(node, write)
 
-    def _have_committed(self, node: Node, write: ChainWrite) -> None:
+    def _have_committed(self, node: ChainNode, write: ChainWrite) -> None:
         node.member.commit(write)
         for asker in node.askers:
             if asker.encoded == encode(write):
-                self._send(Written(asker.sender, asker.life, asker.encoded))
+                self._send(StateWriteAck(asker.sender, asker.incarnation, asker.encoded))
 
-    def _flush(self, node: Node) -> None:
+    def _flush(self, node: ChainNode) -> None:
         write = node.member.begin()
         if encode(write) != node.passed_on:  # else it is under way, and may arrive at any time
             node.saving = write
 
-    def _order(self, generation: int, node: Node) -> None:
+    def _order(self, generation: int, node: ChainNode) -> None:
         state = node.member.state
         wanted = evolve(state, generation=generation, history=[*state.history, [generation, ""]])
         node.saving = node.member.begin(wanted)
         node.pending = generation
 
-    def _restart(self, kept: bool, node: Node) -> None:
+    def _restart(self, kept: bool, node: ChainNode) -> None:
         if kept:
             assert node.saving is not None
             node.state_disk = encode_write(node.saving)
@@ -308,7 +313,7 @@
         node.askers = frozenset()
         node.passed_on = b""
         node.pending = 0
-        node.life += 1
+        node.incarnation += 1
         name, disk = node.voter.name, node.voter.disk_id
         node.machine = VoterStateMachine(name, disk, node.vote_disk)
         node.member = self._make_member(name, disk, node.state_disk)
@@ -316,23 +321,23 @@
         if view is not None:
             node.member.install(view)
 
-    def _wipe(self, node: Node) -> None:
+    def _wipe(self, node: ChainNode) -> None:
         node.voter = evolve(node.voter, disk_id=node.voter.disk_id + "'")
         node.vote_disk = node.state_disk = None
         self._restart(False, node)
 
-    def _after(self, node: Node) -> None:
+    def _after(self, node: ChainNode) -> None:
         """Carry out what the voting machine says, and note what the step has brought."""
         self._perform(node)
         node.machine.acceptor.foreign_rejections = 0
         member = node.member
         if node.pending and member.is_committed and member.state.generation == node.pending:
-            self._note(Acknowledged(node.pending))
+            self._note(AcknowledgedOrder(node.pending))
             node.pending = 0
         if member.complete:
-            self._note(Claim(voter_id(node.voter), member.epoch))
+            self._note(CompletenessClaim(voter_id(node.voter), member.epoch))
 
-    def _perform(self, node: Node) -> list[voter_state_machine.Instruction]:
+    def _perform(self, node: ChainNode) -> list[voter_state_machine.Instruction]:
         """Save and learn; the outputs for others."""
         others: list[voter_state_machine.Instruction] = []
         while outputs := node.machine.take_instructions():
@@ -343,16 +348,16 @@
                 elif isinstance(output, voter_state_machine.InstallView):
                     node.member.install(output.view)
                 elif isinstance(output, voter_state_machine.BroadcastDecision):
-                    self._note(Notice("", encode(output.view)))
+                    self._note(ViewNotice("", encode(output.view)))
                     for controller in self._controllers:
-                        self._send(Notice(controller.name, encode(output.view)))
+                        self._send(ViewNotice(controller.name, encode(output.view)))
                 else:
                     others.append(output)
         return others
 
     # -- ballots -------------------------------------------------------------------------------------------
 
-    def _ballots(self, state: State, place: int, node: Node) -> Iterator[tuple[str, State]]:
+    def _ballots(self, state: ChainState, place: int, node: ChainNode) -> Iterator[tuple[str, ChainState]]:
         base = node.machine.acceptor.decided
         if base is None or not is_voter(base, node.voter.name, node.voter.disk_id):
             return
@@ -363,12 +368,12 @@
                     for reached in combinations(quorum, count):
                         yield from self._ballot(state, place, planned, quorum, reached)
 
-    def _plans(self, state: State, node: Node, base: View) -> list[View]:
+    def _plans(self, state: ChainState, node: ChainNode, base: View) -> list[View]:
         """The views that this controller may propose, whatever it has heard from the others."""
         claims = {
             message.voter
             for message in map(self._messages.__getitem__, _bits(state.network & self._noted))
-            if isinstance(message, Claim) and message.epoch == base.epoch
+            if isinstance(message, CompletenessClaim) and message.epoch == base.epoch
         }
         names = [voter.name for voter in base.voters]
         complete = {voter.name for voter in base.voters if voter_id(voter) in claims}
@@ -387,8 +392,8 @@
         return list(unique.values())
 
     def _ballot(
-        self, state: State, place: int, planned: View, quorum: Iterable[str], reached: tuple[str, ...]
-    ) -> Iterator[tuple[str, State]]:
+        self, state: ChainState, place: int, planned: View, quorum: Iterable[str], reached: tuple[str, ...]
+    ) -> Iterator[tuple[str, ChainState]]:
         """One ballot: promises of the quorum, acceptances of those reached."""
         places = [place, *(self._places[name] for name in quorum)]
         before = tuple(state.nodes[one] for one in places)
@@ -428,7 +433,7 @@
             self._after(node)
         return tuple(self._nodes.number(node) for node in (proposer, *others)), self._sent
 
-    def _asks(self, proposer: Node) -> list[voter_state_machine.SendRequest]:
+    def _asks(self, proposer: ChainNode) -> list[voter_state_machine.SendRequest]:
         return [
             output
             for output in self._perform(proposer)
@@ -436,7 +441,7 @@
         ]
 
     def _ask(
-        self, proposer: Node, voter: Node, asks: list[voter_state_machine.SendRequest], kind: type
+        self, proposer: ChainNode, voter: ChainNode, asks: list[voter_state_machine.SendRequest], kind: type
     ) -> list[voter_state_machine.SendRequest]:
         """Have one voter answer the request of this kind; what the proposer asks then."""
         for ask in asks:
@@ -454,20 +459,20 @@
 
     # -- reads ---------------------------------------------------------------------------------------------
 
-    def _old(self, state: State, node: Node) -> bool:
+    def _old(self, state: ChainState, node: ChainNode) -> bool:
         """Whether an order was acknowledged that the tail's committed state does not hold."""
         held = node.member.committed
         kept = {generation for generation, _ in held.history} if held is not None else set()
         return bool(self._acknowledged(state) - kept)
 
-    def _acknowledged(self, state: State) -> set[int]:
+    def _acknowledged(self, state: ChainState) -> set[int]:
         messages = map(self._messages.__getitem__, _bits(state.network & self._noted))
-        return {message.generation for message in messages if isinstance(message, Acknowledged)}
+        return {message.generation for message in messages if isinstance(message, AcknowledgedOrder)}
 
-    def _read_steps(self, state: State, read: Read) -> Iterator[tuple[str, State]]:
+    def _read_steps(self, state: ChainState, read: PendingRead) -> Iterator[tuple[str, ChainState]]:
         reader = self._nodes[state.nodes[read.place]]
         view: View = _decoded(read.view)
-        if reader.life != read.life or read.done:
+        if reader.incarnation != read.incarnation or read.done:
             return
         for voter in view.voters:
             node = self._nodes[state.nodes[self._places[voter.name]]]
@@ -480,16 +485,16 @@
 
     # -- losses --------------------------------------------------------------------------------------------
 
-    def _newest(self, state: State) -> View:
+    def _newest(self, state: ChainState) -> View:
         messages = map(self._messages.__getitem__, _bits(state.network & self._noted))
-        views: list[View] = [_decoded(one.encoded) for one in messages if isinstance(one, Notice)]
+        views: list[View] = [_decoded(one.encoded) for one in messages if isinstance(one, ViewNotice)]
         return max(views, key=lambda view: view.epoch)
 
-    def _intact(self, state: State, view: View) -> list[Node]:
+    def _intact(self, state: ChainState, view: View) -> list[ChainNode]:
         nodes = [self._nodes[number] for number in state.nodes]
         return [node for node in nodes if is_voter(view, node.voter.name, node.voter.disk_id)]
 
-    def _may_lose(self, state: State, place: int) -> bool:
+    def _may_lose(self, state: ChainState, place: int) -> bool:
         view = self._newest(state)
         intact = self._intact(state, view)
         in_force = all(
@@ -500,7 +505,7 @@
         voter = self._nodes[state.nodes[place]].voter
         return len(intact) == len(view.voters) and in_force and find_voter(view, voter.name) is not None
 
-    def _can_go_on(self, state: State) -> bool:
+    def _can_go_on(self, state: ChainState) -> bool:
         """Whether the disks that are left can decide the next view and hold every committed state."""
         view = self._newest(state)
         known = self._going_on.get((state.nodes, view.epoch))
@@ -508,7 +513,7 @@
             known = self._going_on[state.nodes, view.epoch] = self._survives(state, view)
         return known
 
-    def _survives(self, state: State, view: View) -> bool:
+    def _survives(self, state: ChainState, view: View) -> bool:
         intact = self._intact(state, view)
         if len(intact) < quorum_size(view):
             return False
@@ -520,7 +525,7 @@
 
     # -- properties ----------------------------------------------------------------------------------------
 
-    def violation(self, state: State) -> str:
+    def violation(self, state: ChainState) -> str:
         if state.read is not None and state.read.done:
             return "a confirmed read gave a state older than an acknowledged one"
         reason = self._judge(state.network & self._noted)
@@ -530,12 +535,12 @@
 
     def _judged(self, notes: int) -> str:
         messages = [self._messages[number] for number in _bits(notes)]
-        epochs = [_decoded(one.encoded).epoch for one in messages if isinstance(one, Notice)]
+        epochs = [_decoded(one.encoded).epoch for one in messages if isinstance(one, ViewNotice)]
         if len(epochs) != len(set(epochs)):
             return "two views were decided for one epoch"
-        return _history_broken([one for one in messages if isinstance(one, Committed)])
+        return _history_broken([one for one in messages if isinstance(one, CommittedState)])
 
-    def tell(self, label: str) -> str:
+    def describe_step(self, label: str) -> str:
         return label
 
     def _send(self, message: Message) -> None:
@@ -547,7 +552,7 @@
         self._noted |= bit
 
 
-def _history_broken(committed: list[Committed]) -> str:
+def _history_broken(committed: list[CommittedState]) -> str:
     """Each committed state holds what was committed in earlier epochs, and one order follows the other."""
     states: list[tuple[int, ControlState]] = [(one.epoch, _decoded(one.encoded)) for one in committed]
     for epoch, state in states:
@@ -562,7 +567,7 @@
     return ""
 
 
-def _holds_all(node: Node, view: View) -> bool:
+def _holds_all(node: ChainNode, view: View) -> bool:
     """Whether this member may become head after `view`, once it has learnt it."""
     since = view.since.get(node.voter.name)
     return since is not None and (since == 1 or node.member.state_epoch >= since)
@@ -595,10 +600,10 @@
     return "".join(names) or "nobody"
 
 
-def _told(message: Message) -> str:
-    if isinstance(message, Notice):
+def _describe_message(message: Message) -> str:
+    if isinstance(message, ViewNotice):
         return f"view {_decoded(message.encoded).epoch}"
-    if isinstance(message, Write | Written):
+    if isinstance(message, StateWrite | StateWriteAck):
         write: ChainWrite = _decoded(message.encoded)
         kind = type(message).__name__.lower()
         return f"{kind} of epoch {write.epoch}, state {write.state.sequence}"
--- a/hollowusher/simulation/model_check/explorer.py
+++ b/hollowusher/simulation/model_check/explorer.py
@@ -11,28 +11,28 @@
 
 import attrs
 
-State = TypeVar("State", bound=Hashable)
-Label = TypeVar("Label")  # what the model needs to tell of a step
+StateT = TypeVar("StateT", bound=Hashable)
+StepT = TypeVar("StepT")  # what the model needs to tell of a step
 
 
-class Model(Protocol[State, Label]):
+class ExplorableModel(Protocol[StateT, StepT]):
     """What is explored."""
 
-    def initial(self) -> State:
+    def initial(self) -> StateT:
         """The state in which everything begins."""
 
-    def steps(self, state: State) -> Iterable[tuple[Label, State]]:
+    def steps(self, state: StateT) -> Iterable[tuple[StepT, StateT]]:
         """All that can happen next; steps that change nothing may be left in."""
 
-    def tell(self, label: Label) -> str:
+    def describe_step(self, label: StepT) -> str:
         """The line of a trace for a step."""
 
-    def violation(self, state: State) -> str:
+    def violation(self, state: StateT) -> str:
         """The property that does not hold in this state, empty where all hold."""
 
 
 @attrs.frozen
-class Bounds:
+class SearchBounds:
     """Where the search ends."""
 
     depth: int  # most steps from the initial state
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Outcome:
+class SearchOutcome:
     """What a search has found."""
 
     states: int
@@ -67,18 +67,18 @@
         )
 
 
-class _Search(Generic[State, Label]):
+class _Search(Generic[StateT, StepT]):
     """One search under way."""
 
-    def __init__(self, model: Model[State, Label], bounds: Bounds) -> None:
+    def __init__(self, model: ExplorableModel[StateT, StepT], bounds: SearchBounds) -> None:
         self._model = model
         self._bounds = bounds
-        self._numbers: dict[State, int] = {}
-        self._came_from: list[tuple[int, Label | None]] = []
+        self._numbers: dict[StateT, int] = {}
+        self._came_from: list[tuple[int, StepT | None]] = []
         self._transitions = 0
         self._started = time.monotonic()
 
-    def run(self) -> Outcome:
+    def run(self) -> SearchOutcome:
         initial = self._model.initial()
         self._visit(initial, -1, None)
         reason = self._model.violation(initial)
@@ -87,7 +87,7 @@
         frontier = [initial]
         depth = 0
         while frontier and depth < self._bounds.depth:
-            following: list[State] = []
+            following: list[StateT] = []
             for state in frontier:
                 broken = self._expand(state, following)
                 if broken is not None:
@@ -98,7 +98,7 @@
             depth += bool(frontier)
         return self._outcome(depth, None, exhausted=not frontier)
 
-    def _expand(self, state: State, following: list[State]) -> State | None:
+    def _expand(self, state: StateT, following: list[StateT]) -> StateT | None:
         """Visit what can follow a state; the first one that breaks a property."""
         number = self._numbers[state]
         for label, after in self._model.steps(state):
@@ -111,7 +111,7 @@
             following.append(after)
         return None
 
-    def _visit(self, state: State, origin: int, label: Label | None) -> None:
+    def _visit(self, state: StateT, origin: int, label: StepT | None) -> None:
         self._numbers[state] = len(self._came_from)
         self._came_from.append((origin, label))
 
@@ -126,10 +126,10 @@
         violation: str = "",
         complete: bool = True,
         exhausted: bool = False,
-    ) -> Outcome:
+    ) -> SearchOutcome:
         seconds = time.monotonic() - self._started
         trace = self._trace(broken) if broken is not None else []
-        return Outcome(
+        return SearchOutcome(
             len(self._numbers), self._transitions, depth, complete, exhausted, seconds, violation, trace
         )
 
@@ -139,10 +139,10 @@
         while number > 0:
             number, label = self._came_from[number]
             if label is not None:
-                lines.append(self._model.tell(label))
+                lines.append(self._model.describe_step(label))
         return lines[::-1]
 
 
-def explore(model: Model[Any, Any], bounds: Bounds) -> Outcome:
+def explore(model: ExplorableModel[Any, Any], bounds: SearchBounds) -> SearchOutcome:
     """Visit all states within the bounds, until one breaks a property."""
     return _Search(model, bounds).run()
--- a/hollowusher/simulation/model_check/partition_head.py
+++ b/hollowusher/simulation/model_check/head_model.py
@@ -9,7 +9,7 @@
 from hollowusher.coordination.placement.planner import LearnerReport, plan_placement
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import Placement
-from hollowusher.simulation.model_check.partition_store import TOLERANCE
+from hollowusher.simulation.model_check.store_model import TOLERANCE
 
 TICK_S = 0.5
 LONG_AGO = -40  # ticks: a store that was there from the beginning is steady
--- a/hollowusher/simulation/model_check/partition_command.py
+++ b/hollowusher/simulation/model_check/partition_command.py
@@ -7,14 +7,16 @@
 
 import click
 
-from hollowusher.simulation.model_check.explorer import Bounds, Outcome, explore
-from hollowusher.simulation.model_check.partition import PLANS, PartitionModel, Plan
-from hollowusher.simulation.model_check.partition_planted import PLANTED, planting
+from hollowusher.simulation.model_check.explorer import SearchBounds, SearchOutcome, explore
+from hollowusher.simulation.model_check.partition_model import SCENARIOS, PartitionModel, PartitionScenario
+from hollowusher.simulation.model_check.planted_partition import PLANTED_RULES, planting
 
-NAMES = [plan.name for plan in PLANS]
+NAMES = [plan.name for plan in SCENARIOS]
 
 
-def check_plan(plan: Plan, delays: int, bounds: Bounds, planted: str = "", order: int = 0) -> Outcome:
+def check_plan(
+    plan: PartitionScenario, delays: int, bounds: SearchBounds, planted: str = "", order: int = 0
+) -> SearchOutcome:
     """Explore one plan, with a planted fault if one is named."""
     with planting(planted):
         return explore(PartitionModel(plan, delays, order), bounds)
@@ -26,13 +28,13 @@
 @click.option("--orders", default=2, help="How many fixed orders of steps are tried, from the first on.")
 @click.option("--states", default=5_000_000, help="Stop each plan after so many states.")
 @click.option("--seconds", default=600.0, help="Stop each plan after so many seconds.")
-@click.option("--planted", default="", help=f"A planted fault to be found: {', '.join(PLANTED)}.")
+@click.option("--planted", default="", help=f"A planted fault to be found: {', '.join(PLANTED_RULES)}.")
 def partition(plans: str, delays: int, orders: int, states: int, seconds: float, planted: str) -> None:
     """One partition of the store: replicas, epochs, learners, losses, an emptied machine."""
-    chosen = [plan for plan in PLANS if plans == "all" or plan.name in plans.split(",")]
+    chosen = [plan for plan in SCENARIOS if plans == "all" or plan.name in plans.split(",")]
     kept = True
     for plan, order in product(chosen, range(orders)):
-        outcome = check_plan(plan, delays, Bounds(100_000, states, seconds), planted, order)
+        outcome = check_plan(plan, delays, SearchBounds(100_000, states, seconds), planted, order)
         click.echo(f"{plan.name}, order {order}: {outcome.summary()}")
         if outcome.violation:
             click.echo(f"{plan.name}, order {order}: {outcome.violation}, after:")
--- a/hollowusher/simulation/model_check/partition.py
+++ b/hollowusher/simulation/model_check/partition_model.py
@@ -30,12 +30,12 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.simulation.model_check.partition_head import LONG_AGO, TICK_S, HeadModel
-from hollowusher.simulation.model_check.partition_store import (
+from hollowusher.simulation.model_check.head_model import LONG_AGO, TICK_S, HeadModel
+from hollowusher.simulation.model_check.store_model import (
     PARTITION,
     TOLERANCE,
-    Comparison,
-    Serving,
+    PendingComparison,
+    PrimaryStandIn,
     StoreModel,
 )
 
@@ -44,15 +44,15 @@
 SUCCESSOR_TICKS = 2  # from a loss to the start of what takes its place
 CATCH_UP_TICKS = 8  # 4 s: from that start to the next loss
 RESTART_TICKS = 1  # after a loss of power
-DEAF_TICKS = 4
+OUTAGE_TICKS = 4
 EVENT_TICKS = 2  # the next event comes so soon after the last one, or after it is allowed
-TELL_AGAIN_TICKS = 4  # reports are repeated
+REPORT_REPEAT_TICKS = 4  # reports are repeated
 CALM_TICKS = 18  # after the last event
 Label = tuple[Any, ...]
 
 
 @attrs.frozen
-class Plan:
+class PartitionScenario:
     """What may happen in a run."""
 
     name: str
@@ -62,27 +62,27 @@
     power_losses: int = 0
     deaf: int = 0  # how often a store may miss placements for a while
     retire: bool = False
-    planned: bool = False  # the first loss is announced: the successor is there, the store is told to stop
+    planned: bool = False  # the first loss is announced: the successor is there, the store is asked to stop
     new_name: bool = True  # the successor has another name
     eager_puts: bool = False  # a message may begin between any two steps
 
 
-PLANS = (
-    Plan("replace"),
-    Plan("wipe", new_name=False),
-    Plan("planned", planned=True),
-    Plan("power", disk_losses=0, power_losses=2),
-    Plan("deaf", disk_losses=1, power_losses=1, deaf=1),
-    Plan("restart", puts=2, disk_losses=0, power_losses=1, eager_puts=True),
-    Plan("retire", stores=4, disk_losses=1, retire=True, new_name=False),
+SCENARIOS = (
+    PartitionScenario("replace"),
+    PartitionScenario("wipe", new_name=False),
+    PartitionScenario("planned", planned=True),
+    PartitionScenario("power", disk_losses=0, power_losses=2),
+    PartitionScenario("deaf", disk_losses=1, power_losses=1, deaf=1),
+    PartitionScenario("restart", puts=2, disk_losses=0, power_losses=1, eager_puts=True),
+    PartitionScenario("retire", stores=4, disk_losses=1, retire=True, new_name=False),
 )
 
 
 @attrs.define(eq=False)
-class World:
+class PartitionSystem:
     """One state."""
 
-    plan: Plan
+    plan: PartitionScenario
     head: HeadModel
     stores: dict[str, StoreModel]
     tick: int = 0
@@ -96,7 +96,7 @@
     reports: list[tuple[int, str, bool]] = attrs.Factory(list)  # on their way to the head
     next_loss: int = 0  # no disk is lost before this tick
     last_event: int = 0
-    kept: dict[MessageKey, str] = attrs.Factory(dict)  # acknowledged messages
+    acknowledged_puts: dict[MessageKey, str] = attrs.Factory(dict)  # acknowledged messages
     committers: dict[int, tuple[str, int]] = attrs.Factory(dict)  # epoch -> store and life
     broken: str = ""
 
@@ -116,7 +116,7 @@
             tuple(sorted(self.reports)),
             self.next_loss,
             self.last_event,
-            tuple(sorted(self.kept.items())),
+            tuple(sorted(self.acknowledged_puts.items())),
             tuple(sorted(self.committers.items())),
             self.broken,
         )
@@ -147,14 +147,14 @@
         return (store for _, store in sorted(self.stores.items()) if store.alive)
 
 
-def initial_world(plan: Plan) -> World:
+def initial_system(plan: PartitionScenario) -> PartitionSystem:
     """All stores are there, the first one is the primary and serves."""
     names = [f"s{number}" for number in range(plan.stores)]
     stores = {name: StoreModel(name, "d") for name in names}
     ids = [store.store_id for store in stores.values()]
     entry = PartitionPlacement(PARTITION, 1, ids[0], ids[:3], [], 1)
     head = HeadModel(Placement(1, [entry]))
-    world = World(plan, head, stores)
+    world = PartitionSystem(plan, head, stores)
     for store in stores.values():
         store.start()
         store.known = 1
@@ -166,14 +166,14 @@
             replica.is_epoch_durable = True
             for progress in replica.peer_progress.values():
                 progress.is_streaming = progress.is_caught_up = True
-            replica.primary = Serving(1)  # type: ignore[assignment]
+            replica.primary = PrimaryStandIn(1)  # type: ignore[assignment]
         elif store.store_id in entry.replicas:
             replica.table.fence_older_epochs(1)
         store.log.flush()
     return world
 
 
-def _register(world: World, store: StoreModel, tick: int) -> None:
+def _register(world: PartitionSystem, store: StoreModel, tick: int) -> None:
     member = Member(store.name, "store", f"{store.name}:1", store.name, "r", store.incarnation, store.disk)
     world.head.learn(member, tick)
     world.ended.pop(store.name, None)
@@ -182,7 +182,7 @@
 # ---- what may happen next
 
 
-def protocol_steps(world: World) -> list[Label]:
+def protocol_steps(world: PartitionSystem) -> list[Label]:
     """All that goes on by itself."""
     found: list[Label] = []
     for store in world.members_of():
@@ -194,14 +194,14 @@
     return found
 
 
-def _store_steps(world: World, store: StoreModel) -> Iterator[Label]:
+def _store_steps(world: PartitionSystem, store: StoreModel) -> Iterator[Label]:
     replica = store.running
     name = store.name
-    if store.known < world.head.placement.version and world.tick >= store.deaf_until:
+    if store.known < world.head.placement.version and world.tick >= store.outage_until:
         yield ("learn", name)
-    if store.awaits_disk:
+    if store.awaits_sync:
         yield ("sync", name)
-    for key, peer in store.acknowledged:
+    for key, peer in store.pending_acknowledgements:
         yield ("acknowledge", name, key, peer)
     for peer in store.comparisons:
         yield ("take in", name, peer)
@@ -213,27 +213,30 @@
         if not progress.is_caught_up and peer not in store.comparisons and world.reachable(peer) is not None:
             yield ("ask", name, peer)
         for proposal in replica.outstanding if progress.is_streaming else ():
-            if peer not in proposal.acknowledged_by and (proposal.key, peer) not in store.acknowledged:
+            if (
+                peer not in proposal.acknowledged_by
+                and (proposal.key, peer) not in store.pending_acknowledgements
+            ):
                 yield ("send", name, peer, proposal.key)
     if replica.primary is not None:
         yield from _learner_steps(world, store)
 
 
-def _learner_steps(world: World, store: StoreModel) -> Iterator[Label]:
+def _learner_steps(world: PartitionSystem, store: StoreModel) -> Iterator[Label]:
     replica = store.running
     assert replica.placement is not None
     for learner in replica.placement.learners:
         progress = replica.peer_progress.get(learner)
         complete = progress is not None and progress.is_caught_up
-        untold = (replica.epoch, learner, True) not in store.told and learner not in store.comparisons
+        untold = (replica.epoch, learner, True) not in store.reported and learner not in store.comparisons
         if complete and untold and world.by_id(learner) is not None:
             yield ("report", store.name, learner)
         lost = learner in replica.required_learners and not complete
-        if lost and (replica.epoch, learner, False) not in store.told and world.by_id(learner) is None:
+        if lost and (replica.epoch, learner, False) not in store.reported and world.by_id(learner) is None:
             yield ("tell lost", store.name, learner)
 
 
-def quiet_events(world: World) -> list[Label]:
+def quiet_events(world: PartitionSystem) -> list[Label]:
     """What is done to the system only while nothing is under way."""
     plan = world.plan
     found: list[Label] = [("detect", name) for name in sorted(world.ended)]
@@ -248,17 +251,17 @@
     return found
 
 
-def _in_time(world: World) -> bool:
+def _in_time(world: PartitionSystem) -> bool:
     """Whether a further event may come: what comes later finds the same as what comes now."""
     return world.tick <= max(world.last_event, world.next_loss) + EVENT_TICKS
 
 
-def _puts(world: World) -> list[Label]:
+def _puts(world: PartitionSystem) -> list[Label]:
     serving = [store for store in world.members_of() if store.running.primary is not None]
     return [("put", store.name) for store in serving if world.puts < world.plan.puts]
 
 
-def events(world: World) -> list[Label]:
+def events(world: PartitionSystem) -> list[Label]:
     """What may be done to the system between any two steps."""
     plan = world.plan
     found: list[Label] = []
@@ -279,7 +282,7 @@
 # ---- one step
 
 
-def step(world: World, label: Label) -> World:
+def step(world: PartitionSystem, label: Label) -> PartitionSystem:
     """The state after a step."""
     after = _copy(world, label)
     _STEPS[label[0]](after, *label[1:])
@@ -287,8 +290,8 @@
     return after
 
 
-def _copy(world: World, label: Label) -> World:
-    """The world as it is, with own copies of the stores that a step names; the others are shared."""
+def _copy(world: PartitionSystem, label: Label) -> PartitionSystem:
+    """The cluster as it is, with own copies of the stores that a step names; the others are shared."""
     touched = {part.partition("/")[0] for part in label[1:] if isinstance(part, str)}
     stores = {
         name: store.copy() if name in touched or label[0] == "tick" else store
@@ -301,12 +304,12 @@
         starts=list(world.starts),
         ended=dict(world.ended),
         reports=list(world.reports),
-        kept=dict(world.kept),
+        acknowledged_puts=dict(world.acknowledged_puts),
         committers=dict(world.committers),
     )
 
 
-def _learn(world: World, name: str) -> None:
+def _learn(world: PartitionSystem, name: str) -> None:
     store = world.stores[name]
     store.known = world.head.placement.version
     replica = store.running
@@ -320,7 +323,7 @@
             _committed(world, store, proposal)
 
 
-def _sync(world: World, name: str) -> None:
+def _sync(world: PartitionSystem, name: str) -> None:
     store = world.stores[name]
     replica = store.running
     store.log.flush()
@@ -331,15 +334,15 @@
             _committed(world, store, proposal)
 
 
-def _committed(world: World, store: StoreModel, proposal: Proposal) -> None:
+def _committed(world: PartitionSystem, store: StoreModel, proposal: Proposal) -> None:
     replica = store.running
-    world.kept[proposal.key] = records.unpack_put(proposal.record).message.id
+    world.acknowledged_puts[proposal.key] = records.unpack_put(proposal.record).message.id
     committer = (store.store_id, store.incarnation)
     if world.committers.setdefault(replica.epoch, committer) != committer:
         world.broken = f"two lives commit in epoch {replica.epoch}"
 
 
-def _send(world: World, name: str, peer: str, key: MessageKey) -> None:
+def _send(world: PartitionSystem, name: str, peer: str, key: MessageKey) -> None:
     store = world.stores[name]
     replica = store.running
     receiver = world.by_id(peer)
@@ -351,7 +354,7 @@
     if refused:
         _refused(store, peer, refused)
     else:
-        store.acknowledged.append((key, peer))
+        store.pending_acknowledgements.append((key, peer))
 
 
 def _refused(store: StoreModel, peer: str, epoch: int) -> None:
@@ -363,22 +366,22 @@
         replica.peer_progress[peer].is_streaming = replica.peer_progress[peer].is_caught_up = False
 
 
-def _acknowledge(world: World, name: str, key: MessageKey, peer: str) -> None:
+def _acknowledge(world: PartitionSystem, name: str, key: MessageKey, peer: str) -> None:
     store = world.stores[name]
-    store.acknowledged.remove((key, peer))
+    store.pending_acknowledgements.remove((key, peer))
     for proposal in [each for each in store.running.outstanding if each.key == key]:
         if store.running.acknowledge(proposal, peer):
             _committed(world, store, proposal)
 
 
-def _ask(world: World, name: str, peer: str) -> None:
+def _ask(world: PartitionSystem, name: str, peer: str) -> None:
     progress = world.stores[name].running.peer_progress[peer]
     progress.is_streaming = True
     progress.needs_comparison = False
     _compare(world, name, peer, for_report=False)
 
 
-def _compare(world: World, name: str, peer: str, for_report: bool) -> None:
+def _compare(world: PartitionSystem, name: str, peer: str, for_report: bool) -> None:
     """A peer answers a comparison, having promised the epoch."""
     store, other = world.stores[name], world.by_id(peer)
     replica = store.running
@@ -394,10 +397,10 @@
     versions = replica.table.bucket_versions(buckets)
     newer, _ = other.running.table.records_newer_than(versions)
     wanted, incomplete = other.running.table.references_older_than(versions)
-    store.comparisons[peer] = Comparison(replica.epoch, newer, wanted, incomplete, for_report)
+    store.comparisons[peer] = PendingComparison(replica.epoch, newer, wanted, incomplete, for_report)
 
 
-def _take_in(world: World, name: str, peer: str) -> None:
+def _take_in(world: PartitionSystem, name: str, peer: str) -> None:
     """Merge what a peer knew better, send it what it lacks."""
     store = world.stores[name]
     replica = store.running
@@ -419,13 +422,13 @@
         _refused(store, peer, refused)
     elif comparison.for_report:
         if peer in replica.required_learners:
-            store.told.add((replica.epoch, peer, True))
+            store.reported.add((replica.epoch, peer, True))
             world.reports.append((replica.epoch, peer, True))
     elif progress.is_streaming:
         progress.is_caught_up = not progress.needs_comparison
 
 
-def _adopt(world: World, store: StoreModel, source: str, learnt: list[MessageKey]) -> None:
+def _adopt(world: PartitionSystem, store: StoreModel, source: str, learnt: list[MessageKey]) -> None:
     replica = store.running
     for peer, progress in replica.peer_progress.items():
         if peer != source:
@@ -435,16 +438,16 @@
         _vouch(world, store, learnt)
 
 
-def _vouch(world: World, store: StoreModel, keys: list[MessageKey]) -> None:
+def _vouch(world: PartitionSystem, store: StoreModel, keys: list[MessageKey]) -> None:
     """A client that asks or repeats his message is told that it is kept."""
     table = store.running.table
     for key in keys:
         put = table.read_accepted(table.entries[key])
         assert put is not None
-        world.kept[key] = put.message.id
+        world.acknowledged_puts[key] = put.message.id
 
 
-def _may_serve(world: World, store: StoreModel) -> bool:
+def _may_serve(world: PartitionSystem, store: StoreModel) -> bool:
     replica = store.running
     former = replica.former_replicas
     replica.former_replicas = [replica for replica in former if world.head.living(replica)]
@@ -453,12 +456,12 @@
     return may_serve
 
 
-def _serve(world: World, name: str) -> None:
+def _serve(world: PartitionSystem, name: str) -> None:
     """Begin to serve: all that the primary knows counts as kept."""
     store = world.stores[name]
     replica = store.running
-    replica.primary = Serving(replica.epoch)  # type: ignore[assignment]
-    for key, message_id in world.kept.items():
+    replica.primary = PrimaryStandIn(replica.epoch)  # type: ignore[assignment]
+    for key, message_id in world.acknowledged_puts.items():
         entry = replica.table.entries.get(key)
         put = None if entry is None else replica.table.read_accepted(entry)
         if put is None or put.message.id != message_id:
@@ -467,24 +470,24 @@
     _vouch(world, store, list(replica.table.entries))
 
 
-def _report(world: World, name: str, learner: str) -> None:
+def _report(world: PartitionSystem, name: str, learner: str) -> None:
     """From now on commits need the learner; what was committed before is compared once more."""
     store = world.stores[name]
     if learner in store.running.required_learners:
-        store.told.add((store.running.epoch, learner, True))
+        store.reported.add((store.running.epoch, learner, True))
         world.reports.append((store.running.epoch, learner, True))
         return
     store.running.required_learners.add(learner)
     _compare(world, name, learner, for_report=True)
 
 
-def _tell_lost(world: World, name: str, learner: str) -> None:
+def _tell_lost(world: PartitionSystem, name: str, learner: str) -> None:
     store = world.stores[name]
-    store.told.add((store.running.epoch, learner, False))
+    store.reported.add((store.running.epoch, learner, False))
     world.reports.append((store.running.epoch, learner, False))
 
 
-def _hear(world: World, report: tuple[int, str, bool]) -> None:
+def _hear(world: PartitionSystem, report: tuple[int, str, bool]) -> None:
     world.reports.remove(report)
     epoch, learner, ready = report
     key = (PARTITION, epoch, learner)
@@ -494,7 +497,7 @@
     taken[key] = world.tick
 
 
-def _plan(world: World) -> None:
+def _plan(world: PartitionSystem) -> None:
     before = world.entry
     placement = world.head.plan(world.tick)
     assert placement is not None
@@ -503,19 +506,21 @@
         store = world.stores.get(learner.partition("/")[0])
         if store is None or store.store_id != learner:
             continue  # its disk has just been lost
-        lacking = set(world.kept) - store.log.durable_keys()
+        lacking = set(world.acknowledged_puts) - store.log.durable_keys()
         if lacking:
-            world.broken = f"learner {learner} was promoted without {[world.kept[key] for key in lacking]}"
+            world.broken = (
+                f"learner {learner} was promoted without {[world.acknowledged_puts[key] for key in lacking]}"
+            )
 
 
-def _detect(world: World, name: str) -> None:
+def _detect(world: PartitionSystem, name: str) -> None:
     del world.ended[name]
     member = world.head.members[name]
     if member.alive:
         world.head.learn(evolve(member, status=member.status + 1), world.tick)
 
 
-def _registered(world: World, name: str) -> None:
+def _registered(world: PartitionSystem, name: str) -> None:
     (due,) = [each for each in world.starts if each[1] == name]
     world.starts.remove(due)
     store = world.stores[name]
@@ -523,7 +528,7 @@
     _register(world, store, world.tick)
 
 
-def _put(world: World, name: str) -> None:
+def _put(world: PartitionSystem, name: str) -> None:
     world.puts += 1
     world.last_event = world.tick
     key = world.stores[name].put(f"m{world.puts}")
@@ -531,7 +536,7 @@
         world.broken = f"message m{world.puts} gets the key of another one"
 
 
-def _lose(world: World, name: str) -> None:
+def _lose(world: PartitionSystem, name: str) -> None:
     """The machine is gone with its disk; an empty one takes its place."""
     new_name = f"{name}n" if world.plan.new_name else name
     _remove(world, name)
@@ -541,7 +546,7 @@
     world.next_loss = world.tick + SUCCESSOR_TICKS + CATCH_UP_TICKS
 
 
-def _remove(world: World, name: str) -> None:
+def _remove(world: PartitionSystem, name: str) -> None:
     world.disk_losses += 1
     world.last_event = world.tick
     del world.stores[name]
@@ -549,7 +554,7 @@
         world.ended[name] = world.tick
 
 
-def _stop(world: World, name: str) -> None:
+def _stop(world: PartitionSystem, name: str) -> None:
     """A planned replacement: the successor is there, the store leaves in order and is gone for good once it
     has waited for the copies of its replica, or for its time."""
     successor = StoreModel(f"{name}n", "d1")
@@ -557,7 +562,7 @@
     successor.start()
     _register(world, successor, world.tick)
     store = world.stores[name]
-    store.leaving = True
+    store.departing = True
     member = world.head.members[name]
     world.head.learn(evolve(member, status=member.status + 1, leaving=True), world.tick)
     world.last_event = world.tick
@@ -565,7 +570,7 @@
     world.next_loss = world.tick + CATCH_UP_TICKS
 
 
-def _power(world: World, name: str, keep: bool) -> None:
+def _power(world: PartitionSystem, name: str, keep: bool) -> None:
     world.power_losses += 1
     world.last_event = world.tick
     world.stores[name].end(keep)
@@ -573,30 +578,30 @@
     world.starts.append((world.tick + RESTART_TICKS, name))
 
 
-def _deafen(world: World, name: str) -> None:
+def _deafen(world: PartitionSystem, name: str) -> None:
     world.deaf += 1
     world.last_event = world.tick
-    world.stores[name].deaf_until = world.tick + DEAF_TICKS
+    world.stores[name].outage_until = world.tick + OUTAGE_TICKS
 
 
-def _retire(world: World, name: str) -> None:
+def _retire(world: PartitionSystem, name: str) -> None:
     world.retired = True
     world.last_event = world.tick
     world.head.retiring.add(name)
 
 
-def _tick(world: World) -> None:
+def _tick(world: PartitionSystem) -> None:
     world.tick += 1
     world.head.forget_old_reports(world.tick)
-    if world.tick % TELL_AGAIN_TICKS == 0:
+    if world.tick % REPORT_REPEAT_TICKS == 0:
         for store in world.members_of():
-            store.told.clear()
+            store.reported.clear()
     for store in list(world.members_of()):
-        if store.leaving and not (store.running.is_needed_here or _copied(world, store)):
+        if store.departing and not (store.running.is_needed_here or _copied(world, store)):
             del world.stores[store.name]
 
 
-def _copied(world: World, store: StoreModel) -> bool:
+def _copied(world: PartitionSystem, store: StoreModel) -> bool:
     """Whether a leaving store still has to wait: its replica has not been replaced, and there is time."""
     return store.store_id in world.entry.replicas and world.tick < world.last_event + CATCH_UP_TICKS - 1
 
@@ -628,21 +633,21 @@
 # ---- what has to hold
 
 
-def _check(world: World) -> None:
+def _check(world: PartitionSystem) -> None:
     if world.broken:
         return
     durable = [store.durable_keys() for store in world.stores.values()]
-    for key, message_id in world.kept.items():
+    for key, message_id in world.acknowledged_puts.items():
         if not any(key in keys for keys in durable):
             world.broken = f"kept message {message_id} is on no disk any more"
 
 
-def is_over(world: World) -> bool:
+def is_over(world: PartitionSystem) -> bool:
     """Whether all has been calm for so long that everything has to be whole again."""
     return world.tick >= world.last_event + CALM_TICKS
 
 
-def not_whole(world: World) -> str:
+def find_incomplete_recovery(world: PartitionSystem) -> str:
     """What is missing after the calm."""
     entry = world.entry
     primary = world.by_id(entry.primary)
@@ -652,19 +657,19 @@
         return f"after the calm the replicas are {entry.replicas}: the next loss is not borne"
     if any(replica.partition("/")[0] in world.head.retiring for replica in entry.replicas):
         return "after the calm a machine is not emptied"
-    for key, message_id in world.kept.items():
+    for key, message_id in world.acknowledged_puts.items():
         holders = [store for store in world.members_of() if key in store.durable_keys()]
         if sum(store.store_id in entry.replicas for store in holders) <= TOLERANCE:
             return f"after the calm kept message {message_id} is on too few replicas"
     return ""
 
 
-class ModelState:
-    """A state as the explorer needs it: the world, the steps that are put off, and how many more may be."""
+class PartitionState:
+    """A state as the explorer needs it: the cluster, the steps that are put off, and how many more may be."""
 
     __slots__ = ("_hash", "_key", "deferred", "delays", "world")
 
-    def __init__(self, world: World, deferred: tuple[Label, ...], delays: int) -> None:
+    def __init__(self, world: PartitionSystem, deferred: tuple[Label, ...], delays: int) -> None:
         self.world = world
         self.deferred = deferred
         self.delays = delays
@@ -675,43 +680,43 @@
         return self._hash
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, ModelState) and self._hash == other._hash and self._key == other._key
+        return isinstance(other, PartitionState) and self._hash == other._hash and self._key == other._key
 
 
 class PartitionModel:
     """The model of one plan, for the explorer."""
 
-    def __init__(self, plan: Plan, delays: int = 0, order: int = 0) -> None:
+    def __init__(self, plan: PartitionScenario, delays: int = 0, order: int = 0) -> None:
         self._plan = plan
         self._delays = delays
         self._order = order
 
-    def initial(self) -> ModelState:
+    def initial(self) -> PartitionState:
         """All is well."""
-        return ModelState(initial_world(self._plan), (), self._delays)
+        return PartitionState(initial_system(self._plan), (), self._delays)
 
-    def steps(self, state: ModelState) -> Iterator[tuple[Label, ModelState]]:
+    def steps(self, state: PartitionState) -> Iterator[tuple[Label, PartitionState]]:
         """All that can happen next."""
         world = state.world
         if world.broken or is_over(world):
             return
         for label in events(world):
-            yield label, ModelState(step(world, label), state.deferred, state.delays)
+            yield label, PartitionState(step(world, label), state.deferred, state.delays)
         possible = sorted(protocol_steps(world), key=self._rank)
         ready = [label for label in possible if label not in state.deferred]
         overdue = [name for name, at in world.ended.items() if world.tick - at >= DETECTION_TICKS]
         if ready:
-            yield ready[0], ModelState(step(world, ready[0]), state.deferred, state.delays)
+            yield ready[0], PartitionState(step(world, ready[0]), state.deferred, state.delays)
             if state.delays and len(ready) > 1:
                 deferred = (*state.deferred, ready[0])
-                yield ("put off", *ready[0]), ModelState(world, deferred, state.delays - 1)
+                yield ("put off", *ready[0]), PartitionState(world, deferred, state.delays - 1)
         elif possible:
-            yield ("go on",), ModelState(world, (), state.delays)
+            yield ("go on",), PartitionState(world, (), state.delays)
         else:
             for label in quiet_events(world):
-                yield label, ModelState(step(world, label), (), state.delays)
+                yield label, PartitionState(step(world, label), (), state.delays)
         if not possible and not overdue:
-            yield ("tick",), ModelState(step(world, ("tick",)), (), state.delays)
+            yield ("tick",), PartitionState(step(world, ("tick",)), (), state.delays)
 
     def _rank(self, label: Label) -> int:
         """The place of a step in the fixed order: as listed, the head's steps first, or drawn by chance."""
@@ -721,13 +726,13 @@
             return 0 if label[0] in ("hear", "plan") else 1
         return crc32(f"{self._order} {label}".encode())
 
-    def tell(self, label: Label) -> str:
+    def describe_step(self, label: Label) -> str:
         """The line of a trace for a step."""
         return " ".join(map(str, label))
 
-    def violation(self, state: ModelState) -> str:
+    def violation(self, state: PartitionState) -> str:
         """The property that does not hold."""
         world = state.world
         if world.broken:
             return world.broken
-        return not_whole(world) if is_over(world) and not protocol_steps(world) else ""
+        return find_incomplete_recovery(world) if is_over(world) and not protocol_steps(world) else ""
--- a/hollowusher/simulation/model_check/partition_planted.py
+++ b/hollowusher/simulation/model_check/planted_partition.py
@@ -8,7 +8,7 @@
 
 from hollowusher.coordination.placement import planner, replica_states
 from hollowusher.messages.replication.partition_replica import PartitionReplica
-from hollowusher.simulation.model_check import partition_head
+from hollowusher.simulation.model_check import head_model as partition_head
 
 OLD_GONE_S = 8.0
 
@@ -60,7 +60,7 @@
     return {(PartitionReplica, "takeover_quorum"): property(lambda self: 1)}
 
 
-PLANTED = {
+PLANTED_RULES = {
     "old-planner": _old_planner,
     "early-promotion": _early_promotion,
     "commit-without-learner": _commit_without_learner,
@@ -72,7 +72,7 @@
 @contextmanager
 def planting(name: str) -> Iterator[None]:
     """Have a wrong rule in force; an empty name plants nothing."""
-    changes = PLANTED[name]() if name else {}
+    changes = PLANTED_RULES[name]() if name else {}
     before = {(owner, attribute): owner.__dict__[attribute] for owner, attribute in changes}
     partition_head._PLANNED.clear()
     try:
--- a/hollowusher/simulation/model_check/partition_store.py
+++ b/hollowusher/simulation/model_check/store_model.py
@@ -81,14 +81,14 @@
 
 
 @attrs.define(eq=False)
-class Serving:
+class PrimaryStandIn:
     """Stands for the primary of a partition that has been taken over."""
 
     epoch: int
 
 
 @attrs.define(eq=False)
-class Comparison:
+class PendingComparison:
     """The answer of a peer that is still to be taken in."""
 
     epoch: int
@@ -100,20 +100,22 @@
 
 @attrs.define(eq=False)
 class StoreModel:
-    """One machine with one disk, and the present life of its process."""
+    """One machine with one disk, and the present incarnation of its process."""
 
     name: str
     disk: str
     log: ModelLog = attrs.Factory(ModelLog)
     incarnation: int = 0
     alive: bool = False
-    leaving: bool = False
+    departing: bool = False
     known: int = -1  # version of the placement that this life has taken up
-    deaf_until: int = 0  # learns no placement before this tick
+    outage_until: int = 0  # learns no placement before this tick
     replica: PartitionReplica | None = None
-    comparisons: dict[str, Comparison] = attrs.Factory(dict)  # peer -> its answer
-    acknowledged: list[tuple[MessageKey, str]] = attrs.Factory(list)  # answers of peers that are under way
-    told: set[tuple[int, str, bool]] = attrs.Factory(set)  # reports made: epoch, learner, ready or lost
+    comparisons: dict[str, PendingComparison] = attrs.Factory(dict)  # peer -> its answer
+    pending_acknowledgements: list[tuple[MessageKey, str]] = attrs.Factory(
+        list
+    )  # answers of peers that are under way
+    reported: set[tuple[int, str, bool]] = attrs.Factory(set)  # reports made: epoch, learner, ready or lost
     _key: tuple[object, ...] | None = None
     _kept: set[MessageKey] | None = None
 
@@ -135,14 +137,14 @@
             table.replay(record, records.unpack_header(record), position, 0)
         self.replica = PartitionReplica(self.store_id, table)
         self.incarnation += 1
-        self.alive, self.leaving, self.known = True, False, -1
+        self.alive, self.departing, self.known = True, False, -1
 
     def end(self, keep: bool) -> None:
         """The process ends; of what was not synced nothing or everything stays."""
         self.log.crash(keep)
         self.replica = None
         self.alive = False
-        self.comparisons, self.acknowledged, self.told = {}, [], set()
+        self.comparisons, self.pending_acknowledgements, self.reported = {}, [], set()
 
     def promise(self, epoch: int) -> None:
         """As a replica: follow a newer primary, durably."""
@@ -174,7 +176,7 @@
         return key
 
     @property
-    def awaits_disk(self) -> bool:
+    def awaits_sync(self) -> bool:
         """Whether a sync would let something go on."""
         replica = self.replica
         if replica is None:
@@ -210,15 +212,15 @@
             self.disk,
             self.incarnation,
             self.alive,
-            self.leaving,
+            self.departing,
             self.known,
-            self.deaf_until,
+            self.outage_until,
             tuple(self.log.records),
             self.log.durable,
             None if replica is None else _replica_key(replica),
             tuple((peer, _comparison_key(each)) for peer, each in sorted(self.comparisons.items())),
-            tuple(sorted(self.acknowledged)),
-            tuple(sorted(self.told)),
+            tuple(sorted(self.pending_acknowledgements)),
+            tuple(sorted(self.reported)),
         )
 
 
@@ -233,7 +235,7 @@
     )  # fmt: skip
 
 
-def _comparison_key(comparison: Comparison) -> tuple[object, ...]:
+def _comparison_key(comparison: PendingComparison) -> tuple[object, ...]:
     return (
         comparison.epoch,
         tuple(comparison.newer),
--- a/hollowusher/simulation/network.py
+++ b/hollowusher/simulation/network.py
@@ -17,7 +17,7 @@
 
 from hollowusher.protocol.codec import MAX_TAG, decode, encode, tag_of
 from hollowusher.protocol.identity import Hello, Identity
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer, fail_call
 from hollowusher.transport.peers import PeerDirectory
 
@@ -27,13 +27,13 @@
 
 
 @dataclass
-class Delays:
-    """One-way delays in seconds: between `least` and `most`, and with `slow_share` up to `slow_most`."""
+class LinkDelays:
+    """One-way delays: from `min_s` to `max_s`, with `slow_probability` up to `slow_max_s`."""
 
-    least: float = 0.0004
-    most: float = 0.0015
-    slow_share: float = 0.0
-    slow_most: float = 0.05
+    min_s: float = 0.0004
+    max_s: float = 0.0015
+    slow_probability: float = 0.0
+    slow_max_s: float = 0.05
 
 
 def host_of(address: str) -> str:
@@ -41,70 +41,72 @@
     return address.rpartition(":")[0]
 
 
-class Network:
+class SimulatedNetwork:
     """All machines' links.  Hosts are addresses without port."""
 
-    def __init__(self, loop: VirtualLoop, chance: random.Random, delays: Delays | None = None) -> None:
+    def __init__(
+        self, loop: VirtualTimeLoop, random_source: random.Random, delays: LinkDelays | None = None
+    ) -> None:
         self.loop = loop
-        self.chance = chance
-        self.delays = delays or Delays()
-        self.reset_share = 0.0  # how many frames reset their connection in place of arriving
-        self.slow_hosts: dict[str, float] = {}  # host -> what its links add to each delay
+        self.random_source = random_source
+        self.delays = delays or LinkDelays()
+        self.reset_probability = 0.0  # how many frames reset their connection in place of arriving
+        self.added_delay_s: dict[str, float] = {}  # host -> what its links add to each delay
         self.powered: set[str] = set()
         self.listeners: dict[str, SimulatedTransport] = {}
-        self.connections: list[Connection] = []
+        self.connections: list[SimulatedConnection] = []
         self.messages = 0
         self.handler_failures: list[str] = []
-        self.watch: Callable[[str, str, Any], None] | None = None  # (from, to, message) of each arrival
-        self._cut: set[tuple[str, str]] = set()
-        self._refusing: set[tuple[str, str]] = set()  # cuts that answer with a reset in place of silence
+        self.observer: Callable[[str, str, Any], None] | None = None  # (from, to, message) of each arrival
+        self._blocked: set[tuple[str, str]] = set()
+        self._rejecting: set[tuple[str, str]] = set()  # cuts that answer with a reset in place of silence
 
-    def cut(self, source: str, target: str, both: bool = True, refuse: bool = False) -> None:
+    def block(self, source: str, target: str, both: bool = True, refuse: bool = False) -> None:
         """Nothing gets from one host to another; with `refuse` connections break, new ones are refused."""
         pairs = {(source, target), (target, source)} if both else {(source, target)}
-        self._cut |= pairs
+        self._blocked |= pairs
         if not refuse:
             return
-        self._refusing |= pairs
+        self._rejecting |= pairs
         for connection in list(self.connections):
             if {connection.client_host, connection.server_host} == {source, target}:
                 connection.reset()
 
-    def refuses(self, source: str, target: str) -> bool:
+    def rejects(self, source: str, target: str) -> bool:
         """Whether bytes from one host to the other are answered with a reset."""
-        return (source, target) in self._refusing or (target, source) in self._refusing
+        return (source, target) in self._rejecting or (target, source) in self._rejecting
 
-    def join(self, source: str, target: str, both: bool = True) -> None:
+    def heal(self, source: str, target: str, both: bool = True) -> None:
         """End a cut; what it held up goes on."""
         pairs = {(source, target), (target, source)} if both else {(source, target)}
-        self._cut -= pairs
-        self._refusing -= pairs
+        self._blocked -= pairs
+        self._rejecting -= pairs
         self._flush()
 
-    def join_all(self) -> None:
+    def heal_all(self) -> None:
         """End all cuts."""
-        self._cut.clear()
-        self._refusing.clear()
+        self._blocked.clear()
+        self._rejecting.clear()
         self._flush()
 
     def _flush(self) -> None:
         for connection in list(self.connections):
             connection.flush()
 
-    def is_cut(self, source: str, target: str) -> bool:
+    def is_blocked(self, source: str, target: str) -> bool:
         """Whether bytes from one host do not reach the other."""
-        return source != target and (source, target) in self._cut
+        return source != target and (source, target) in self._blocked
 
     def reaches(self, source: str, target: str) -> bool:
         """Whether both hosts have power and the way is open."""
-        return target in self.powered and source in self.powered and not self.is_cut(source, target)
+        return target in self.powered and source in self.powered and not self.is_blocked(source, target)
 
     def delay(self) -> float:
         """A one-way delay."""
         delays = self.delays
-        if delays.slow_share and self.chance.random() < delays.slow_share:
-            return self.chance.uniform(delays.most, delays.slow_most)
-        return self.chance.uniform(delays.least, delays.most)
+        if delays.slow_probability and self.random_source.random() < delays.slow_probability:
+            return self.random_source.uniform(delays.max_s, delays.slow_max_s)
+        return self.random_source.uniform(delays.min_s, delays.max_s)
 
     def power_off(self, host: str) -> None:
         """The host falls silent; its connections are gone without a word."""
@@ -139,7 +141,7 @@
     """Frames on their way from one end of a connection to the other, in order."""
 
     def __init__(
-        self, connection: Connection, source: str, target: str, deliver: Callable[[bytes], None]
+        self, connection: SimulatedConnection, source: str, target: str, deliver: Callable[[bytes], None]
     ) -> None:
         self.connection = connection
         self.source = source
@@ -147,13 +149,13 @@
         self.deliver = deliver
         self.frames: deque[tuple[float, bytes]] = deque()
         self.last_arrival = 0.0
-        self._waiting = False
+        self._is_scheduled = False
         self._stalled_since: float | None = None
 
-    def put(self, frame: bytes) -> None:
+    def send(self, frame: bytes) -> None:
         """Send a frame."""
         network = self.connection.network
-        added = network.slow_hosts.get(self.source, 0.0) + network.slow_hosts.get(self.target, 0.0)
+        added = network.added_delay_s.get(self.source, 0.0) + network.added_delay_s.get(self.target, 0.0)
         arrival = max(network.loop.time() + network.delay() + added, self.last_arrival)
         self.last_arrival = arrival
         self.frames.append((arrival, frame))
@@ -161,14 +163,14 @@
 
     def schedule(self) -> None:
         """Wait for the first frame's arrival, if that is not yet under way."""
-        if self._waiting or not self.frames or self.connection.closed:
+        if self._is_scheduled or not self.frames or self.connection.closed:
             return
-        self._waiting = True
+        self._is_scheduled = True
         loop = self.connection.network.loop
         loop.call_outside(max(self.frames[0][0] - loop.time(), 0.0), self._arrive)
 
     def _arrive(self) -> None:
-        self._waiting = False
+        self._is_scheduled = False
         if self.connection.closed or not self.frames:
             return
         network = self.connection.network
@@ -177,7 +179,7 @@
             return
         self._stalled_since = None
         _, frame = self.frames.popleft()
-        if network.reset_share and network.chance.random() < network.reset_share:
+        if network.reset_probability and network.random_source.random() < network.reset_probability:
             self.connection.reset()
             return
         network.messages += 1
@@ -189,26 +191,28 @@
         loop = self.connection.network.loop
         if self._stalled_since is None:
             self._stalled_since = loop.time()
-            loop.call_outside(USER_TIMEOUT_S, self._give_up, self._stalled_since)
+            loop.call_outside(USER_TIMEOUT_S, self._time_out, self._stalled_since)
 
-    def _give_up(self, since: float) -> None:
+    def _time_out(self, since: float) -> None:
         if self._stalled_since == since and not self.connection.closed:
-            self.connection.lose_end(self.source, "timed out")
+            self.connection.drop_end(self.source, "timed out")
 
     def flush(self) -> None:
         """The way may be open again: sent again after a while."""
         network = self.connection.network
         if self._stalled_since is not None and network.reaches(self.source, self.target):
             self._stalled_since = None
-            again = network.loop.time() + network.chance.uniform(0.0, 0.4)
+            again = network.loop.time() + network.random_source.uniform(0.0, 0.4)
             self.frames[0] = (again, self.frames[0][1])
             self.schedule()
 
 
-class Connection:
+class SimulatedConnection:
     """A connection from one process to the address of another."""
 
-    def __init__(self, network: Network, client: SimulatedTransport, server: SimulatedTransport) -> None:
+    def __init__(
+        self, network: SimulatedNetwork, client: SimulatedTransport, server: SimulatedTransport
+    ) -> None:
         self.network = network
         self.client = client
         self.server = server
@@ -217,21 +221,21 @@
         self.closed = False
         self.misdirected = False  # another process than the one meant is there
         self.bytes_received = 0
-        self.waiting: dict[int, asyncio.Future[Any]] = {}
-        self._there = _Direction(self, self.client_host, self.server_host, self._to_server)
-        self._back = _Direction(self, self.server_host, self.client_host, self._to_client)
+        self.pending: dict[int, asyncio.Future[Any]] = {}
+        self._outbound = _Direction(self, self.client_host, self.server_host, self._to_server)
+        self._inbound = _Direction(self, self.server_host, self.client_host, self._to_client)
         network.connections.append(self)
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the connection stands and leads to the process meant."""
         return not self.closed and not self.misdirected
 
-    def request(self, number: int, kind: int, message: Any) -> None:
+    def send_request(self, number: int, kind: int, message: Any) -> None:
         """Send from the client's end, with the greeting that is in force on the connection."""
         peers = self.client.peers
         hello = Hello(peers.own, peers.meant(self.server.address, message))
-        self._there.put(encode([number, kind, message, hello]))
+        self._outbound.send(encode([number, kind, message, hello]))
 
     def _to_server(self, frame: bytes) -> None:
         if not self.server.process.alive or self.server.closed:
@@ -241,10 +245,10 @@
         reason = self.server.peers.refusal(hello, message)
         if reason:
             self.server.peers.refuse(hello, reason)
-            self._back.put(encode([number, REFUSED, self.server.peers.own]))
+            self._inbound.send(encode([number, REFUSED, self.server.peers.own]))
             return
-        if self.network.watch is not None:
-            self.network.watch(self.client.address, self.server.address, message)
+        if self.network.observer is not None:
+            self.network.observer(self.client.address, self.server.address, message)
         self.server.process.run(self._handle(number, kind, message))
 
     async def _handle(self, number: int, kind: int, message: Any) -> None:
@@ -260,7 +264,7 @@
         else:
             kind = ANSWER if kind == REQUEST else kind
         if kind != ONE_WAY and not self.closed:
-            self._back.put(encode([number, kind, answer]))
+            self._inbound.send(encode([number, kind, answer]))
 
     def _to_client(self, frame: bytes) -> None:
         if not self.client.process.alive:
@@ -270,7 +274,7 @@
         if kind == REFUSED:
             self._refused(number, answer)
             return
-        future = self.waiting.pop(number, None)
+        future = self.pending.pop(number, None)
         if future is None or future.done():
             self.client.peers.figures.answers_dropped += 1
             return
@@ -283,40 +287,40 @@
         """Another process is there; calls it has taken before may still be answered."""
         self.client.peers.figures.misdirected += 1
         self.misdirected = True
-        future = self.waiting.pop(number, None)
+        future = self.pending.pop(number, None)
         if future is not None:
             fail_call(future, WrongPeer("call", self.server.address, found))
-        if not self.waiting:
+        if not self.pending:
             self.abort()
 
     def flush(self) -> None:
         """Go on with frames that a cut held up."""
-        self._there.flush()
-        self._back.flush()
+        self._outbound.flush()
+        self._inbound.flush()
 
     def reset(self) -> None:
         """The connection breaks: what has not arrived is lost, waiting calls fail."""
         self.abort()
-        self.fail_waiting("connection reset")
+        self.fail_pending("connection reset")
 
     def abort(self) -> None:
         """Drop it without failing the client's calls (its own process does so)."""
         self.closed = True
-        self._there.frames.clear()
-        self._back.frames.clear()
+        self._outbound.frames.clear()
+        self._inbound.frames.clear()
         if self in self.network.connections:
             self.network.connections.remove(self)
 
-    def lose_end(self, host: str, reason: str) -> None:
+    def drop_end(self, host: str, reason: str) -> None:
         """One end gives the connection up."""
         self.abort()
         if host == self.client_host:
-            self.fail_waiting(reason)
+            self.fail_pending(reason)
 
-    def fail_waiting(self, reason: str) -> None:
+    def fail_pending(self, reason: str) -> None:
         """All calls that wait for an answer fail."""
-        waiting, self.waiting = self.waiting, {}
-        for future in waiting.values():
+        pending, self.pending = self.pending, {}
+        for future in pending.values():
             fail_call(future, PeerError("call", self.server.address, reason))
 
     def host_lost_power(self, host: str) -> None:
@@ -324,7 +328,7 @@
         if host == self.client_host:
             self.abort()
         elif host == self.server_host:
-            self._back.frames.clear()
+            self._inbound.frames.clear()
 
     def process_ended(self, process: SimulatedProcess) -> None:
         """The kernel of that end closes the connection."""
@@ -341,7 +345,7 @@
 class SimulatedTransport:
     """The `Transport` of one process."""
 
-    def __init__(self, network: Network, process: SimulatedProcess, address: str) -> None:
+    def __init__(self, network: SimulatedNetwork, process: SimulatedProcess, address: str) -> None:
         self.network = network
         self.process = process
         self.address = address
@@ -349,8 +353,8 @@
         self.handler: Handler | None = None
         self.closed = False
         self._numbers = itertools.count(1)
-        self._connections: dict[str, Connection] = {}
-        self._connecting: dict[str, asyncio.Future[Connection]] = {}
+        self._connections: dict[str, SimulatedConnection] = {}
+        self._connecting: dict[str, asyncio.Future[SimulatedConnection]] = {}
 
     async def start(self, handler: Handler) -> None:
         """Listen, and give each message that comes to `handler`."""
@@ -371,7 +375,7 @@
     def connected(self, address: str) -> bool:
         """Whether a connection to the peer stands."""
         connection = self._connections.get(address)
-        return connection is not None and connection.usable
+        return connection is not None and connection.is_usable
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
         """The answer of the process at `address`; `PeerError` where none came in time."""
@@ -381,9 +385,9 @@
         connection = await self._connection(address, step, timeout)
         number = next(self._numbers) * (MAX_TAG + 1) + tag_of(message)
         future: asyncio.Future[Any] = loop.create_future()
-        connection.waiting[number] = future
+        connection.pending[number] = future
         received = connection.bytes_received
-        connection.request(number, REQUEST, message)
+        connection.send_request(number, REQUEST, message)
         try:
             async with asyncio.timeout_at(deadline):
                 return await future
@@ -398,14 +402,14 @@
         except PeerError as error:
             raise PeerError(step, address, error.reason) from None
         finally:
-            connection.waiting.pop(number, None)
+            connection.pending.pop(number, None)
 
     def send(self, address: str, message: Any) -> None:
         """Send without an answer; lost where the peer cannot be reached."""
         encode(message)  # a message that cannot be encoded is the sender's fault, found here
         connection = self._connections.get(address)
-        if connection is not None and connection.usable:
-            connection.request(0, ONE_WAY, message)
+        if connection is not None and connection.is_usable:
+            connection.send_request(0, ONE_WAY, message)
             return
         self.process.run(self._send_later(address, message))
 
@@ -414,17 +418,17 @@
             connection = await self._connection(address, type(message).__name__, CONNECT_TIMEOUT_S)
         except PeerError:
             return
-        connection.request(0, ONE_WAY, message)
+        connection.send_request(0, ONE_WAY, message)
 
-    async def _connection(self, address: str, step: str, timeout: float) -> Connection:
+    async def _connection(self, address: str, step: str, timeout: float) -> SimulatedConnection:
         connection = self._connections.get(address)
-        if connection is not None and connection.usable:
+        if connection is not None and connection.is_usable:
             return connection
         future = self._connecting.get(address)
         if future is None:
             future = self.network.loop.create_future()
             self._connecting[address] = future
-            self._open(address, future)
+            self._begin_connect(address, future)
         try:
             return await asyncio.wait_for(asyncio.shield(future), min(timeout, CONNECT_TIMEOUT_S))
         except TimeoutError:
@@ -432,34 +436,36 @@
         except ConnectionError as error:
             raise PeerError(step, address, f"no connection: {error}", sent=False) from None
 
-    def _open(self, address: str, future: asyncio.Future[Connection]) -> None:
+    def _begin_connect(self, address: str, future: asyncio.Future[SimulatedConnection]) -> None:
         loop = self.network.loop
-        loop.call_outside(self.network.delay(), self._at_peer, address, future)
-        loop.call_outside(CONNECT_TIMEOUT_S, self._no_connection, address, future, "timed out")
+        loop.call_outside(self.network.delay(), self._reach_peer, address, future)
+        loop.call_outside(CONNECT_TIMEOUT_S, self._fail_connect, address, future, "timed out")
 
-    def _at_peer(self, address: str, future: asyncio.Future[Connection]) -> None:
+    def _reach_peer(self, address: str, future: asyncio.Future[SimulatedConnection]) -> None:
         here, there = host_of(self.address), host_of(address)
         network = self.network
-        if network.refuses(here, there):
-            network.loop.call_outside(network.delay(), self._no_connection, address, future, "refused")
+        if network.rejects(here, there):
+            network.loop.call_outside(network.delay(), self._fail_connect, address, future, "refused")
             return
         if not (network.reaches(here, there) and network.reaches(there, here)):
             return
         listener = network.listeners.get(address)
         if listener is None:
-            network.loop.call_outside(network.delay(), self._no_connection, address, future, "refused")
+            network.loop.call_outside(network.delay(), self._fail_connect, address, future, "refused")
             return
-        network.loop.call_outside(network.delay(), self._opened, address, future, listener)
+        network.loop.call_outside(network.delay(), self._complete_connect, address, future, listener)
 
-    def _opened(self, address: str, future: asyncio.Future[Connection], server: SimulatedTransport) -> None:
+    def _complete_connect(
+        self, address: str, future: asyncio.Future[SimulatedConnection], server: SimulatedTransport
+    ) -> None:
         if future.done() or not self.process.alive:
             return
         self._connecting.pop(address, None)
-        connection = Connection(self.network, self, server)
+        connection = SimulatedConnection(self.network, self, server)
         self._connections[address] = connection
         future.set_result(connection)
 
-    def _no_connection(self, address: str, future: asyncio.Future[Connection], reason: str) -> None:
+    def _fail_connect(self, address: str, future: asyncio.Future[SimulatedConnection], reason: str) -> None:
         if future.done():
             return
         self._connecting.pop(address, None)
--- a/hollowusher/simulation/observations.py
+++ b/hollowusher/simulation/observations.py
@@ -21,7 +21,7 @@
     delay_s: float
     callback_url: str
     edge: str
-    edge_life: int
+    edge_incarnation: int
     sent_at: float
     status: int | None = None  # None: no answer
     answered_at: float | None = None
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class Run:
+class WorkerRun:
     """A worker's work on a message.  `result`: "success", "failed" (500), "refused" (422), "broken" (no
     answer was made), "" while it works."""
 
@@ -46,12 +46,12 @@
     ended_at: float | None = None
     result: str = ""
     signature: str = ""
-    read_at: float | None = None  # when the whole answer was read by the sender
+    read_at: float | None = None  # when the complete answer was read by the sender
     ordering_key: str | None = None  # as the worker saw it; None where it is not told
 
 
 @dataclass
-class Arrival:
+class DeliveryArrival:
     """A delivery that reached a service with a ceiling, run or not."""
 
     service: str
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class LeaseEnd:
+class AcceptedLeaseEnd:
     """A pull worker's end that was accepted with 200."""
 
     id: str
@@ -70,7 +70,7 @@
 
 
 @dataclass
-class RepeatedEnd:
+class RepeatedLeaseEnd:
     """An end that was taken with 200 and came again at once; `status` is the second answer, None for none."""
 
     id: str
@@ -80,16 +80,16 @@
 
 
 @dataclass
-class StopSeen:
-    """An edge process that was ready was told to stop; whether it still counted as ready seconds later."""
+class ObservedShutdown:
+    """An edge process that was ready was asked to stop; whether it still counted as ready seconds later."""
 
     edge: str
-    told_at: float
+    requested_at: float
     still_ready: bool
 
 
 @dataclass
-class Retirement:
+class StoreRetirement:
     """An order to empty a store."""
 
     store: str
@@ -101,7 +101,7 @@
 
 
 @dataclass
-class Unwell:
+class LivenessFailure:
     """Something that is not in order though all has been calm for a while."""
 
     subject: str
@@ -110,7 +110,7 @@
 
 
 @dataclass
-class StateAnswer:
+class MessageStateResponse:
     """Answer to `GET /message` and, with `body`, `GET /message-body`."""
 
     id: str
@@ -123,7 +123,7 @@
 
 
 @dataclass
-class CallbackCall:
+class ReceivedCallback:
     """A call-back as its receiver saw it."""
 
     id: str
@@ -141,11 +141,11 @@
     number: int
     if_match: int
     generation: int
-    document: dict[str, Any]  # the whole configuration that it makes
+    document: dict[str, Any]  # the complete configuration that it makes
     valid: bool
     first_sent_at: float = 0.0
     acknowledged_at: float | None = None
-    refused_at: float | None = None
+    rejected_at: float | None = None
     answers: list[tuple[float, int | None]] = field(default_factory=list)
 
 
@@ -161,18 +161,18 @@
 
 
 @dataclass
-class GenerationSeen:
+class ObservedGeneration:
     """Which configuration an edge process worked with when it answered a request."""
 
     edge: str
-    life: int
+    incarnation: int
     generation: int
     at: float
 
 
 @dataclass
-class Trouble:
-    """A disturbance by the world.  `planned`: SIGTERM only."""
+class InjectedFault:
+    """A disturbance by the cluster.  `planned`: SIGTERM only."""
 
     kind: str
     host: str
@@ -186,19 +186,19 @@
     """Everything that was seen."""
 
     messages: dict[str, SentMessage] = field(default_factory=dict)
-    runs: list[Run] = field(default_factory=list)
-    arrivals: list[Arrival] = field(default_factory=list)
-    lease_ends: list[LeaseEnd] = field(default_factory=list)
-    states: list[StateAnswer] = field(default_factory=list)
-    callbacks: list[CallbackCall] = field(default_factory=list)
+    runs: list[WorkerRun] = field(default_factory=list)
+    arrivals: list[DeliveryArrival] = field(default_factory=list)
+    lease_ends: list[AcceptedLeaseEnd] = field(default_factory=list)
+    states: list[MessageStateResponse] = field(default_factory=list)
+    callbacks: list[ReceivedCallback] = field(default_factory=list)
     orders: list[ConfigurationOrder] = field(default_factory=list)
     reads: list[ConfigurationRead] = field(default_factory=list)
-    generations: list[GenerationSeen] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
-    repeated_ends: list[RepeatedEnd] = field(default_factory=list)
-    stops: list[StopSeen] = field(default_factory=list)
-    retirements: list[Retirement] = field(default_factory=list)
-    unwell: list[Unwell] = field(default_factory=list)
+    generations: list[ObservedGeneration] = field(default_factory=list)
+    faults: list[InjectedFault] = field(default_factory=list)
+    repeated_ends: list[RepeatedLeaseEnd] = field(default_factory=list)
+    shutdowns: list[ObservedShutdown] = field(default_factory=list)
+    retirements: list[StoreRetirement] = field(default_factory=list)
+    liveness_failures: list[LivenessFailure] = field(default_factory=list)
     calm_since: float = 0.0  # no disturbance after this
     traffic_ended_at: float = 0.0
     ended_at: float = 0.0
--- a/hollowusher/simulation/operators.py
+++ b/hollowusher/simulation/operator.py
@@ -10,36 +10,36 @@
 
 import orjson
 
-from hollowusher.simulation import plain_model as model
-from hollowusher.simulation.http import HttpAnswer, HttpFailure, HttpNetwork, HttpRequest
+from hollowusher.simulation import reference_model as model
+from hollowusher.simulation.http_network import HttpExchangeError, HttpNetwork, HttpRequest, HttpResponse
 from hollowusher.simulation.observations import ConfigurationOrder, ConfigurationRead, Observations
 
-SILENCE_S = 1.0
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.0
+CALL_TIMEOUT_S = 1.0
+INITIAL_DELAY_S = 0.1
+MAX_DELAY_S = 1.0
 FINAL_ANSWERS = (400, 409, 412, 413, 422)
-MOST_OTHER_REFUSALS = 3
-MOST_REDIRECTS = 2
+MAX_OTHER_REJECTIONS = 3
+MAX_REDIRECTS = 2
 RETIRE_POLL_S = 0.3
 
 
-class Operator:
+class SimulatedOperator:
     """Sends orders to any scheduler that serves the control plane; answers may be lost on their way."""
 
     def __init__(
         self,
         http: HttpNetwork,
-        seen: Observations,
-        chance: random.Random,
+        observations: Observations,
+        random_source: random.Random,
         host: str,
         admins: Callable[[], list[str]],
-        lost_answers: float = 0.1,
+        lost_answer_probability: float = 0.1,
     ) -> None:
         self.http = http
-        self.seen = seen
+        self.observations = observations
         self.host = host
-        self.lost_answers = lost_answers
-        self._chance = chance
+        self.lost_answer_probability = lost_answer_probability
+        self._random_source = random_source
         self._admins = admins
         self._orders = 0
         http.network.power_on(host)
@@ -47,27 +47,27 @@
     def _now(self) -> float:
         return self.http.network.loop.time()
 
-    async def _exchange(self, request: HttpRequest, asked: list[str]) -> tuple[HttpAnswer | None, str]:
+    async def _exchange(self, request: HttpRequest, asked: list[str]) -> tuple[HttpResponse | None, str]:
         """One call, with its redirects; None where no answer came (or it was lost).  Machines that were
         `asked` before are asked again only after all others."""
         admins = self._admins()
-        address = self._chance.choice([each for each in admins if each not in asked] or admins)
-        for _ in range(MOST_REDIRECTS + 1):
+        address = self._random_source.choice([each for each in admins if each not in asked] or admins)
+        for _ in range(MAX_REDIRECTS + 1):
             try:
-                answer = await self.http.exchange(self.host, address, request, SILENCE_S)
-            except HttpFailure:
+                answer = await self.http.exchange(self.host, address, request, CALL_TIMEOUT_S)
+            except HttpExchangeError:
                 return None, address
             if answer.status != 307:
                 break
             address = answer.header("Location").removeprefix("http://").partition("/")[0]
-        lost = self._chance.random() < self.lost_answers
+        lost = self._random_source.random() < self.lost_answer_probability
         return (None if lost else answer), address
 
     def order(self, if_match: int, document: dict[str, Any], valid: bool = True) -> ConfigurationOrder:
         """Note a change that is to be sent."""
         self._orders += 1
         made = ConfigurationOrder(self._orders, if_match, document["generation"], document, valid)
-        self.seen.orders.append(made)
+        self.observations.orders.append(made)
         return made
 
     async def send(
@@ -75,7 +75,7 @@
     ) -> bool | None:
         """Send an order until it is answered, at first to the address `first`: True taken, False refused,
         None unknown."""
-        pause, refusals = FIRST_PAUSE_S, 0
+        pause, refusals = INITIAL_DELAY_S, 0
         asked = [each for each in self._admins() if each != first] if first else []
         if not order.first_sent_at:
             order.first_sent_at = self._now()
@@ -90,28 +90,30 @@
                 return True
             if status is not None and 400 <= status < 500 and status not in (408, 429):
                 refusals += 1
-                if status in FINAL_ANSWERS or refusals >= MOST_OTHER_REFUSALS:
-                    order.refused_at = self._now()
+                if status in FINAL_ANSWERS or refusals >= MAX_OTHER_REJECTIONS:
+                    order.rejected_at = self._now()
                     return False
             await asyncio.sleep(pause)
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            pause = min(pause * 2, MAX_DELAY_S)
         return None
 
     async def read(self, give_up_at: float, final: bool = False) -> dict[str, Any] | None:
         """The configuration read back."""
-        pause = FIRST_PAUSE_S
+        pause = INITIAL_DELAY_S
         while self._now() < give_up_at:
             asked_at = self._now()
             answer, edge = await self._exchange(HttpRequest("GET", "/config"), [])
             if answer is not None and answer.status == 200:
                 document: dict[str, Any] = orjson.loads(answer.body)
-                self.seen.reads.append(ConfigurationRead(self._now(), asked_at, edge, document, final))
+                self.observations.reads.append(
+                    ConfigurationRead(self._now(), asked_at, edge, document, final)
+                )
                 return document
             await asyncio.sleep(pause)
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            pause = min(pause * 2, MAX_DELAY_S)
         return None
 
-    async def empty(self, name: str, duration_s: float, give_up_at: float) -> bool:
+    async def retire_store(self, name: str, duration_s: float, give_up_at: float) -> bool:
         """Order a store to be emptied and ask until that is done; whether it was done in time."""
         order = HttpRequest("POST", f"/retire/{name}", {}, orjson.dumps({"durationS": duration_s}))
         question = HttpRequest("GET", f"/retire/{name}")
@@ -129,7 +131,7 @@
 
 
 def put_request(order: ConfigurationOrder) -> HttpRequest:
-    """A whole configuration."""
+    """A complete configuration."""
     headers = {"If-Match": str(order.if_match), "Content-Type": "application/json"}
     return HttpRequest("PUT", "/config", headers, orjson.dumps(order.document))
 
@@ -140,25 +142,25 @@
     return HttpRequest("PATCH", "/config", headers, orjson.dumps(patch))
 
 
-class ChangePlan:
+class ChangeGenerator:
     """Random changes: extra routes come and go, time-outs alter."""
 
-    def __init__(self, chance: random.Random, base: dict[str, Any], extra_service: str) -> None:
-        self._chance = chance
+    def __init__(self, random_source: random.Random, base: dict[str, Any], extra_service: str) -> None:
+        self._random_source = random_source
         self._extra_service = extra_service
         self._extra = 0
         self.base = base
         self.route_rules: dict[str, model.RouteRules] = {}
 
     def next_patch(self, generation: int) -> tuple[dict[str, Any], dict[str, Any]]:
-        """A PATCH and the whole configuration that it makes of the newest known one."""
-        patch: dict[str, Any] = {"generation": generation + self._chance.randint(1, 3)}
+        """A PATCH and the complete configuration that it makes of the newest known one."""
+        patch: dict[str, Any] = {"generation": generation + self._random_source.randint(1, 3)}
         extras = [route["name"] for route in self.base["routes"] if route["name"].startswith("extra-")]
-        if extras and self._chance.random() < 0.4:
-            patch["delete"] = {"routes": [self._chance.choice(extras)]}
-        elif self._chance.random() < 0.3:
-            route = copy.deepcopy(self._chance.choice(self.base["routes"]))
-            route["targetLatencyMs"] = self._chance.randint(50, 300)
+        if extras and self._random_source.random() < 0.4:
+            patch["delete"] = {"routes": [self._random_source.choice(extras)]}
+        elif self._random_source.random() < 0.3:
+            route = copy.deepcopy(self._random_source.choice(self.base["routes"]))
+            route["targetLatencyMs"] = self._random_source.randint(50, 300)
             patch["upsert"] = {"routes": [route]}
         else:
             patch["upsert"] = {"routes": [self._new_route()]}
@@ -180,7 +182,7 @@
         """A configuration that must not be taken."""
         document = copy.deepcopy(self.base)
         document["generation"] = generation + 1
-        kind = self._chance.randrange(4)
+        kind = self._random_source.randrange(4)
         if kind == 0:
             document["routes"][0]["upstream"] = "no-such-service"
         elif kind == 1:
--- a/hollowusher/simulation/changes.py
+++ b/hollowusher/simulation/operator_changes.py
@@ -6,91 +6,93 @@
 import random
 from typing import Any
 
+from hollowusher.simulation.cluster import SimulatedCluster
 from hollowusher.simulation.deployment import OPERATOR_HOST, OTHER, first_configuration, route_rules
-from hollowusher.simulation.entry import Entry
+from hollowusher.simulation.edge_selector import EdgeSelector
 from hollowusher.simulation.observations import ConfigurationOrder
-from hollowusher.simulation.operators import ChangePlan, Operator, patch_request, put_request
-from hollowusher.simulation.plain_model import RouteRules
-from hollowusher.simulation.world import World
-
-MOST_SETUP_S = 20.0
-GIVE_UP_S = 25.0
-READ_BACK_S = 10.0
-INVALID_S = 6.0
-AGAIN_S = 3.0
+from hollowusher.simulation.operator import ChangeGenerator, SimulatedOperator, patch_request, put_request
+from hollowusher.simulation.reference_model import RouteRules
+
+SETUP_TIMEOUT_S = 20.0
+CHANGE_TIMEOUT_S = 25.0
+READ_BACK_TIMEOUT_S = 10.0
+INVALID_ORDER_TIMEOUT_S = 6.0
+REPEAT_TIMEOUT_S = 3.0
 SECOND_ORDER_SHARE = 0.4
 
 
-class Changes:
+class OperatorChanges:
     """The operators with what they know of the newest configuration."""
 
-    def __init__(self, world: World, entry: Entry, rules: dict[str, RouteRules]) -> None:
-        self.world = world
+    def __init__(
+        self, cluster: SimulatedCluster, edge_selector: EdgeSelector, rules: dict[str, RouteRules]
+    ) -> None:
+        self.cluster = cluster
         self.rules = rules
         self.document = first_configuration()
-        self.operator = Operator(
-            world.http, world.seen, world.random("operator"), OPERATOR_HOST, self._admins
+        self.operator = SimulatedOperator(
+            cluster.http, cluster.observations, cluster.random("operator"), OPERATOR_HOST, self._admins
         )
-        self._entry = entry
+        self._edge_selector = edge_selector
         self._newest = 0  # the newest generation known to the operators
-        self._chance = world.random("changes")
-        self._plan = ChangePlan(self._chance, self.document, OTHER)
+        self._random_source = cluster.random("changes")
+        self._plan = ChangeGenerator(self._random_source, self.document, OTHER)
 
     def _now(self) -> float:
-        return self.world.loop.time()
+        return self.cluster.loop.time()
 
     def _admins(self) -> list[str]:
-        return [machine.admin for machine in self.world.of("edge")]
+        return [machine.admin_address for machine in self.cluster.machines_with_role("edge")]
 
-    async def first(self) -> bool:
+    async def send_first_configuration(self) -> bool:
         """Send the first configuration until it is taken."""
         order = self._order(self.document)
-        taken = await self.operator.send(order, put_request(order), self._now() + MOST_SETUP_S)
-        self._take(order)
+        taken = await self.operator.send(order, put_request(order), self._now() + SETUP_TIMEOUT_S)
+        self._adopt(order)
         return taken is True
 
     def _order(self, document: dict[str, Any]) -> ConfigurationOrder:
         self.rules.update(route_rules(document))
         return self.operator.order(self._newest, document)
 
-    def _take(self, order: ConfigurationOrder) -> None:
+    def _adopt(self, order: ConfigurationOrder) -> None:
         if order.generation > self._newest:
             self.document, self._newest = order.document, order.generation
 
     async def play(self, until: float) -> None:
         """Changes at random times."""
-        chance = self._chance
+        random_source = self._random_source
         while True:
-            await asyncio.sleep(chance.uniform(0.5, 5.0))
+            await asyncio.sleep(random_source.uniform(0.5, 5.0))
             if self._now() >= until:
                 return
-            drawn = chance.random()
+            drawn = random_source.random()
             if drawn < 0.15:
                 await self._send_invalid()
             elif drawn < 0.3:
-                await self.operator.read(self._now() + AGAIN_S)
+                await self.operator.read(self._now() + REPEAT_TIMEOUT_S)
             elif drawn < 0.5:
                 await self.race()
             else:
-                await self._change_and_repeat(chance)
+                await self._change_and_repeat(random_source)
 
     async def read_often(self, until: float) -> None:
         """Read the configuration again and again."""
-        chance = self.world.random("reads")
+        random_source = self.cluster.random("reads")
         while self._now() < until:
-            await asyncio.sleep(chance.uniform(0.2, 1.5))
-            await self.operator.read(self._now() + AGAIN_S)
+            await asyncio.sleep(random_source.uniform(0.2, 1.5))
+            await self.operator.read(self._now() + REPEAT_TIMEOUT_S)
 
     async def change(self, first: str = "") -> None:
-        """Send a change, to the admin address `first` before others."""
-        await self.send_change(self._now() + GIVE_UP_S, first)
+        """Send a change, to the admin address `send_first_configuration` before others."""
+        await self.send_change(self._now() + CHANGE_TIMEOUT_S, first)
 
     async def send_change(self, give_up_at: float, first: str = "") -> bool:
         """Send a change; whether it was acknowledged."""
         patch, order = self._next()
         taken = await self.operator.send(order, patch_request(order, patch), give_up_at, first)
         if taken:
-            self._take(order)
+            self._adopt(order)
         else:
             await self._read_back()
         return taken is True
@@ -105,29 +107,31 @@
         for _ in range(count):
             await self.change()
 
-    async def _change_and_repeat(self, chance: random.Random) -> None:
+    async def _change_and_repeat(self, random_source: random.Random) -> None:
         patch, order = self._next()
-        request = patch_request(order, patch) if chance.random() < 0.7 else put_request(order)
-        if not await self.operator.send(order, request, self._now() + GIVE_UP_S):
+        request = patch_request(order, patch) if random_source.random() < 0.7 else put_request(order)
+        if not await self.operator.send(order, request, self._now() + CHANGE_TIMEOUT_S):
             await self._read_back()
             return
-        self._take(order)
-        if chance.random() < SECOND_ORDER_SHARE:
-            await asyncio.sleep(chance.uniform(0.0, 2.0))
-            await self.operator.send(order, request, self._now() + AGAIN_S)
+        self._adopt(order)
+        if random_source.random() < SECOND_ORDER_SHARE:
+            await asyncio.sleep(random_source.uniform(0.0, 2.0))
+            await self.operator.send(order, request, self._now() + REPEAT_TIMEOUT_S)
 
     async def race(self, first: str = "", second: str = "") -> None:
         """Send two changes on one version at once."""
         made = [self._next(), self._next()]
         taken = await asyncio.gather(
             *(
-                self.operator.send(order, patch_request(order, patch), self._now() + GIVE_UP_S, address)
+                self.operator.send(
+                    order, patch_request(order, patch), self._now() + CHANGE_TIMEOUT_S, address
+                )
                 for (patch, order), address in zip(made, (first, second), strict=True)
             )
         )
         winners = [order for (_, order), won in zip(made, taken, strict=True) if won]
         if winners:
-            self._take(winners[0])
+            self._adopt(winners[0])
         else:
             await self._read_back()
 
@@ -135,24 +139,24 @@
         self._plan.base = self.document
         invalid = self._plan.invalid(self._newest)
         order = self.operator.order(self._newest, invalid, valid=False)
-        await self.operator.send(order, put_request(order), self._now() + INVALID_S)
+        await self.operator.send(order, put_request(order), self._now() + INVALID_ORDER_TIMEOUT_S)
 
     async def _read_back(self) -> None:
-        document = await self.operator.read(self._now() + READ_BACK_S)
+        document = await self.operator.read(self._now() + READ_BACK_TIMEOUT_S)
         if document is not None and document["generation"] >= self._newest:
             self.document, self._newest = document, document["generation"]
 
-    # ---- what troubles have the operators do
+    # ---- what faults have the operators do
 
     def lose_answers(self, share: float) -> None:
         """From now on lose this share of the answers; an order goes to another machine then."""
-        self.operator.lost_answers = share
+        self.operator.lost_answer_probability = share
 
     async def retire(self, name: str, duration_s: float) -> bool:
         """Have a store emptied; whether that was completed in time."""
         give_up_at = self._now() + 2 * duration_s
-        return await self.operator.empty(name, duration_s, give_up_at)
+        return await self.operator.retire_store(name, duration_s, give_up_at)
 
-    def lure(self, name: str) -> None:
+    def prefer_machine(self, name: str) -> None:
         """Have workers come to this machine before others; empty: to any."""
-        self._entry.lured_to = name
+        self._edge_selector.preferred_machine = name
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -16,8 +16,8 @@
 from hollowusher.protocol.leases import LeaseUpdateResponse
 from hollowusher.roles import edge
 from hollowusher.simulation import stand_ins
-from hollowusher.simulation.http import HttpRequest
-from hollowusher.simulation.planted.registry import NEVER_S, Patches, attack, planted
+from hollowusher.simulation.http_network import HttpRequest
+from hollowusher.simulation.planted.registry import NEVER_S, Patches, fault_at, planted_fault
 from hollowusher.simulation.stand_ins import SimulatedFrontend
 
 
@@ -30,30 +30,30 @@
         kept = {name: value for name, value in request.headers.items() if name.lower() not in dropped}
         return HttpRequest(request.method, request.target, kept, request.body)
 
-    patches.set(stand_ins, "parse_request", parse)
+    patches.replace(stand_ins, "parse_request", parse)
 
 
-@planted("ROUTE")
+@planted_fault("ROUTE")
 def _message_to_a_used_address(patches: Patches) -> None:
     _on_requests(patches, "x-target-instance")
 
 
-@planted("UNASKED")
+@planted_fault("UNASKED")
 def _ordering_key_dropped(patches: Patches) -> None:
     _on_requests(patches, "x-ordering-key")
 
 
-@planted("MIXED", "TWICE", "LOST")
+@planted_fault("MIXED", "TWICE", "LOST")
 def _answer_of_another_message_taken(patches: Patches) -> None:
-    patches.set(stand_ins, "belongs", lambda answer, identifier: True)
+    patches.replace(stand_ins, "belongs", lambda answer, identifier: True)
 
 
-@planted("MIXED")
+@planted_fault("MIXED")
 def _repeated_end_refused(patches: Patches) -> None:
-    patches.set(LeaseOutcome, "is_repeat", lambda end, state: False)
+    patches.replace(LeaseOutcome, "is_repeat", lambda end, state: False)
 
 
-@planted("LOST")
+@planted_fault("LOST")
 def _end_forgotten(patches: Patches) -> None:
     real = PartitionPrimary.status
 
@@ -63,10 +63,10 @@
         ended = entry is not None and entry.status is MessageStatus.COMPLETED
         return evolve(answer, state="unknown") if ended else answer
 
-    patches.set(PartitionPrimary, "status", status)
+    patches.replace(PartitionPrimary, "status", status)
 
 
-@planted("BUDGET", "STALE")
+@planted_fault("BUDGET", "STALE")
 def _failures_without_end(patches: Patches) -> None:
     real = MessageLeases.finish
 
@@ -74,10 +74,10 @@
         failed = request.result in ("failed", "refused")
         return real(leases, lease, evolve(request, result="unknown") if failed else request, now, wall_ms)
 
-    patches.set(MessageLeases, "finish", finish)
+    patches.replace(MessageLeases, "finish", finish)
 
 
-@planted("DRAIN", kinds=("stop", "roll"))
+@planted_fault("DRAIN", fault_kinds=("stop", "roll"))
 def _ready_after_sigterm(patches: Patches) -> None:
     def drain(frontend: SimulatedFrontend) -> None:
         frontend._intake.drain()
@@ -85,18 +85,18 @@
     async def stop(frontend: SimulatedFrontend, grace_s: float) -> None:
         await frontend.frontend.stop(NEVER_S)
 
-    patches.set(edge, "NOT_READY_BEFORE_STOP_S", 5.0)
-    patches.set(SimulatedFrontend, "drain", drain)
-    patches.set(SimulatedFrontend, "stop", stop)
+    patches.replace(edge, "NOT_READY_BEFORE_STOP_S", 5.0)
+    patches.replace(SimulatedFrontend, "drain", drain)
+    patches.replace(SimulatedFrontend, "stop", stop)
 
 
-@planted(
+@planted_fault(
     "CONFIG",
     script=(
-        attack(2, "cut_core", "edge-1", for_s=8.0, how="near"),
-        attack(6, "flood", how="calm", beside=True),
-        attack(15, "cut_core", "edge-2", for_s=8.0, how="near"),
-        attack(19, "flood", how="calm", beside=True),
+        fault_at(2, "cut_core", "edge-1", for_s=8.0, how="near"),
+        fault_at(6, "flood", how="calm", beside=True),
+        fault_at(15, "cut_core", "edge-2", for_s=8.0, how="near"),
+        fault_at(19, "flood", how="calm", beside=True),
     ),
 )
 def _refusal_without_a_majority(patches: Patches) -> None:
@@ -106,23 +106,23 @@
         outcome = orders.apply_order(service._member.state, order)
         return outcome.answer if outcome.answer.status != 200 else await real(service, order)
 
-    patches.set(StateService, "_take_order", take)
+    patches.replace(StateService, "_take_order", take)
 
 
-@planted(
+@planted_fault(
     "CONFIG",
     script=(
-        attack(1, "ack_lost", for_s=25.0),
-        attack(2, "flood", beside=True),
-        attack(2.5, "flood", beside=True),
-        attack(9, "race", beside=True),
+        fault_at(1, "ack_lost", for_s=25.0),
+        fault_at(2, "flood", beside=True),
+        fault_at(2.5, "flood", beside=True),
+        fault_at(9, "race", beside=True),
     ),
 )
 def _order_history_cut_short(patches: Patches) -> None:
-    patches.set(orders, "pruned", lambda history, *bounds: history[-1:])
+    patches.replace(orders, "pruned", lambda history, *bounds: history[-1:])
 
 
-@planted("CONFIG", kinds=("ack_lost", "flood", "race"))
+@planted_fault("CONFIG", fault_kinds=("ack_lost", "flood", "race"))
 def _same_order_taken_twice(patches: Patches) -> None:
     real = orders.apply_order
 
@@ -132,16 +132,16 @@
 
     from hollowusher.coordination.controller import state_service
 
-    patches.set(state_service, "apply_order", apply)
+    patches.replace(state_service, "apply_order", apply)
 
 
-@planted("TWICE", "MIXED")
+@planted_fault("TWICE", "MIXED")
 def _end_of_a_lost_lease_taken(patches: Patches) -> None:
     real = MessageLeases.finish
-    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
+    patches.replace(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
 
     def finish(leases: MessageLeases, lease: Any, request: Any, now: float, wall_ms: int) -> Any:
         answer = real(leases, lease, request, now, wall_ms)
         return LeaseUpdateResponse("taken") if answer is GONE else answer
 
-    patches.set(MessageLeases, "finish", finish)
+    patches.replace(MessageLeases, "finish", finish)
