--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -15,13 +15,15 @@
 from hollowusher.messages.records import MessageStatus
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ChainWritten
-from hollowusher.simulation.planted.registry import HERDS, Patches, attack, planted
-from hollowusher.simulation.stand_ins import ProcessParts
+from hollowusher.simulation.planted.registry import SIMULTANEOUS_FAULTS, Patches, fault_at, planted_fault
+from hollowusher.simulation.stand_ins import SimulatedRoleProcess
 
 # ---- the control plane
 
 
-@planted("LOST", "CONFIG", kinds=("kill", "power", "disk", "cut", "cut_one_way", *HERDS))
+@planted_fault(
+    "LOST", "CONFIG", fault_kinds=("kill", "power", "disk", "cut", "cut_one_way", *SIMULTANEOUS_FAULTS)
+)
 def _chain_answers_from_the_head(patches: Patches) -> None:
     async def pass_on(replicator: Any, write: Any) -> ChainWritten:
         asyncio.get_running_loop().create_task(_later(replicator, write))
@@ -34,41 +36,43 @@
         await asyncio.sleep(2.0)
         await real(replicator, write)
 
-    real = patches.set(chain_replicator.ChainReplicator, "_forward_to_successor", pass_on)
+    real = patches.replace(chain_replicator.ChainReplicator, "_forward_to_successor", pass_on)
 
 
-@planted("CONFIG", script=(attack(2, "cut_core", "edge-3", for_s=10.0), attack(15, "cut_core", for_s=10.0)))
+@planted_fault(
+    "CONFIG", script=(fault_at(2, "cut_core", "edge-3", for_s=10.0), fault_at(15, "cut_core", for_s=10.0))
+)
 def _reads_not_confirmed(patches: Patches) -> None:
     async def confirms(agreement: ViewConsensus, epoch: int) -> bool:
         return True
 
-    patches.set(ViewConsensus, "majority_confirms", confirms)
+    patches.replace(ViewConsensus, "majority_confirms", confirms)
     from hollowusher.coordination.controller.voter_group import VoterGroup
 
-    patches.set(VoterGroup, "has_quorum", lambda group, view: True)
+    patches.replace(VoterGroup, "has_quorum", lambda group, view: True)
 
 
-@planted(
+@planted_fault(
     "LOST",
     "CONFIG",
     "MIXED",
     "TWICE",
     script=(
-        attack(3, "disk", "edge-1", for_s=0.5),
-        attack(3.1, "power", "edge-2", for_s=2.0, beside=True),
-        attack(3.2, "kill", "edge-3", for_s=0.6, beside=True),
-        attack(10, "herd_disk", "edge-1"),
-        attack(20, "herd_disk", "edge-3"),
+        fault_at(3, "disk", "edge-1", for_s=0.5),
+        fault_at(3.1, "power", "edge-2", for_s=2.0, beside=True),
+        fault_at(3.2, "kill", "edge-3", for_s=0.6, beside=True),
+        fault_at(10, "herd_disk", "edge-1"),
+        fault_at(20, "herd_disk", "edge-3"),
     ),
 )
 def _wiped_voter_votes(patches: Patches) -> None:
-    async def disk_id(parts: ProcessParts) -> str:
+    async def disk_id(parts: SimulatedRoleProcess) -> str:
         return f"disk of {parts.settings.node_name}"
 
-    patches.set(ProcessParts, "_disk_id", disk_id)
+    patches.replace(SimulatedRoleProcess, "_disk_id", disk_id)
 
 
-@planted("CONFIG")
+@planted_fault("CONFIG")
 def _if_match_not_checked(patches: Patches) -> None:
     real = orders.apply_order
 
@@ -78,20 +82,20 @@
 
     from hollowusher.coordination.controller import state_service
 
-    patches.set(state_service, "apply_order", apply)
+    patches.replace(state_service, "apply_order", apply)
 
 
-@planted("CONFIG")
+@planted_fault("CONFIG")
 def _repeated_order_forgotten(patches: Patches) -> None:
-    patches.set(orders, "_generation_taken", lambda state, digest: None)
+    patches.replace(orders, "_generation_taken", lambda state, digest: None)
 
 
-@planted("CONFIG")
+@planted_fault("CONFIG")
 def _generation_not_checked(patches: Patches) -> None:
-    patches.set(orders, "_check_generation", lambda state, content: None)
+    patches.replace(orders, "_check_generation", lambda state, content: None)
 
 
-@planted(test="tests/coordination/test_cluster_state.py")
+@planted_fault(test="tests/coordination/test_cluster_state.py")
 def _older_items_replace_newer(patches: Patches) -> None:
     def apply(state: ClusterState, item: Any) -> bool:
         state._sources[item.key] = (item.origin, item.counter)
@@ -101,10 +105,10 @@
         state._store_value(item)
         return True
 
-    patches.set(ClusterState, "_apply", apply)
+    patches.replace(ClusterState, "_apply", apply)
 
 
-@planted("CONFIG", "UNSERVED", "ROUTE", "MIXED")
+@planted_fault("CONFIG", "UNSERVED", "ROUTE", "MIXED")
 def _configuration_not_distributed(patches: Patches) -> None:
     real = ClusterState._apply
 
@@ -113,10 +117,10 @@
             return False
         return real(state, item)
 
-    patches.set(ClusterState, "_apply", apply)
+    patches.replace(ClusterState, "_apply", apply)
 
 
-@planted("LOST", "MIXED")
+@planted_fault("LOST", "MIXED")
 def _completed_told_too_soon(patches: Patches) -> None:
     real = PartitionPrimary.status
 
@@ -126,4 +130,4 @@
         leased = entry is not None and entry.status is MessageStatus.LEASED
         return evolve(answer, state="completed") if leased else answer
 
-    patches.set(PartitionPrimary, "status", status)
+    patches.replace(PartitionPrimary, "status", status)
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -21,24 +21,24 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ChainWrite
 from hollowusher.protocol.view import ReadView, ViewResponse
-from hollowusher.simulation.planted.registry import NEVER_S, Patches, attack, planted
-from hollowusher.simulation.world import Size
+from hollowusher.simulation.cluster import DeploymentSize
+from hollowusher.simulation.planted.registry import NEVER_S, Patches, fault_at, planted_fault
 
-DARK_WITH_PLAIN_SEEDS = (attack(3, "seed_turnover", how="plain"), attack(4, "dark"))
+DARK_WITH_PLAIN_SEEDS = (fault_at(3, "seed_turnover", how="plain"), fault_at(4, "dark"))
 TWO_REPLACED = (
-    attack(3, "replace", "edge-3", for_s=1.0),
-    attack(4, "replace", "edge-2", for_s=1.0),
-    attack(5, "replace", "edge-1", for_s=1.0),
+    fault_at(3, "replace", "edge-3", for_s=1.0),
+    fault_at(4, "replace", "edge-2", for_s=1.0),
+    fault_at(5, "replace", "edge-1", for_s=1.0),
 )
 
 
 # ---- votes and views
 
 
-@planted("LIVENESS", "CONFIG", "LOST", kinds=("herd_kill", "herd_power", "dark"))
+@planted_fault("LIVENESS", "CONFIG", "LOST", fault_kinds=("herd_kill", "herd_power", "dark"))
 def _votes_never_saved(patches: Patches) -> None:
     real = Acceptor.dump
-    patches.set(Acceptor, "dump", lambda acceptor: real(Acceptor(acceptor.name, acceptor.disk_id)))
+    patches.replace(Acceptor, "dump", lambda acceptor: real(Acceptor(acceptor.name, acceptor.disk_id)))
 
 
 def _released_at_once(patches: Patches, kind: type[Any]) -> None:
@@ -53,39 +53,39 @@
         else:
             real(machine, output)
 
-    patches.set(VoterStateMachine, "_send_when_durable", when_durable)
+    patches.replace(VoterStateMachine, "_send_when_durable", when_durable)
 
 
-@planted(test="tests/coordination/consensus/test_view_consensus.py")
+@planted_fault(test="tests/coordination/consensus/test_view_consensus.py")
 def _ballot_used_again(patches: Patches) -> None:
     _released_at_once(patches, voter_state_machine._OwnVote)
 
 
-@planted(test="tests/coordination/consensus/test_view_consensus.py")
+@planted_fault(test="tests/coordination/consensus/test_view_consensus.py")
 def _promise_sent_before_it_is_saved(patches: Patches) -> None:
     _released_at_once(patches, voter_state_machine.SendResponse)
 
 
-@planted("CONFIG", "LOST", "LIVENESS", kinds=("cut_core", "cut_both", "race"))
+@planted_fault("CONFIG", "LOST", "LIVENESS", fault_kinds=("cut_core", "cut_both", "race"))
 def _majority_of_one(patches: Patches) -> None:
     for module in (view, view_consensus, reconfiguration):
         if "quorum_size" in module.__dict__:
-            patches.set(module, "quorum_size", lambda base: 1)
+            patches.replace(module, "quorum_size", lambda base: 1)
         if "min_chain_length" in module.__dict__:
-            patches.set(module, "min_chain_length", lambda base: 1)
+            patches.replace(module, "min_chain_length", lambda base: 1)
 
 
-@planted("LIVENESS", script=TWO_REPLACED)
+@planted_fault("LIVENESS", script=TWO_REPLACED)
 def _voter_never_removed(patches: Patches) -> None:
-    patches.set(voter_plan, "_voters_to_replace", lambda base, health, now: [])
+    patches.replace(voter_plan, "_voters_to_replace", lambda base, health, now: [])
 
 
-@planted("LIVENESS", script=TWO_REPLACED)
+@planted_fault("LIVENESS", script=TWO_REPLACED)
 def _newcomers_never_vote(patches: Patches) -> None:
-    patches.set(voter_group, "plan_voter_set_change", lambda *arguments, **named: None)
+    patches.replace(voter_group, "plan_voter_set_change", lambda *arguments, **named: None)
 
 
-@planted("LIVENESS", "LOST", script=DARK_WITH_PLAIN_SEEDS, size=Size(plain_edges=3))
+@planted_fault("LIVENESS", "LOST", script=DARK_WITH_PLAIN_SEEDS, size=DeploymentSize(plain_edges=3))
 def _seed_forgets_the_view(patches: Patches) -> None:
     real_seed, real_client = SeedService.handle, ClusterClient.handle
 
@@ -96,8 +96,8 @@
     async def ask(client: ClusterClient, message: Any) -> Any:
         return ViewResponse(None) if isinstance(message, ReadView) else await real_client(client, message)
 
-    patches.set(SeedService, "handle", handle)
-    patches.set(ClusterClient, "handle", ask)
+    patches.replace(SeedService, "handle", handle)
+    patches.replace(ClusterClient, "handle", ask)
 
 
 # ---- the chain's state as a whole
@@ -111,69 +111,69 @@
         kept = real(replicator, write)
         return None if kept is None else evolve(kept, state=evolve(kept.state, **lost))
 
-    patches.set(ChainReplicator, "_fill_record", whole)
+    patches.replace(ChainReplicator, "_fill_record", whole)
 
 
-@planted(
+@planted_fault(
     "CONFIG",
     script=(
-        attack(2, "ack_lost", how="all", for_s=3.0),
-        attack(3, "kill", "edge-1", for_s=1.0, beside=True),
-        attack(12, "ack_lost", how="all", for_s=3.0),
-        attack(13, "kill", "edge-2", for_s=1.0, beside=True),
+        fault_at(2, "ack_lost", how="all", for_s=3.0),
+        fault_at(3, "kill", "edge-1", for_s=1.0, beside=True),
+        fault_at(12, "ack_lost", how="all", for_s=3.0),
+        fault_at(13, "kill", "edge-2", for_s=1.0, beside=True),
     ),
 )
 def _history_not_passed_on(patches: Patches) -> None:
     _passed_on(patches, history=[])
 
 
-@planted(
+@planted_fault(
     "LIVENESS",
     "LOST",
     "MIXED",
     "TWICE",
     "UNSERVED",
     script=(
-        attack(2, "kill", "store-1", for_s=2.0),
-        attack(7, "disk", "store-2", for_s=1.0),
-        attack(13, "power", "edge-1", for_s=4.0),
-        attack(20, "disk", "store-3", for_s=1.0),
+        fault_at(2, "kill", "store-1", for_s=2.0),
+        fault_at(7, "disk", "store-2", for_s=1.0),
+        fault_at(13, "power", "edge-1", for_s=4.0),
+        fault_at(20, "disk", "store-3", for_s=1.0),
     ),
 )
 def _placement_not_passed_on(patches: Patches) -> None:
     _passed_on(patches, placement=None)
 
 
-@planted(
+@planted_fault(
     "RETIRE",
     script=(
-        attack(3, "retire", "store-1", how="plain"),
-        attack(4.5, "power", "edge-1", for_s=4.0, beside=True),
+        fault_at(3, "retire", "store-1", how="plain"),
+        fault_at(4.5, "power", "edge-1", for_s=4.0, beside=True),
     ),
-    size=Size(3, 1, 4),
+    size=DeploymentSize(3, 1, 4),
 )
 def _retiring_not_passed_on(patches: Patches) -> None:
     _passed_on(patches, retiring={})
 
 
-@planted(test="tests/coordination/chain/test_chain.py")
+@planted_fault(test="tests/coordination/chain/test_chain.py")
 def _state_of_an_older_epoch_installed(patches: Patches) -> None:
     def keep(member: ChainMember, write: ChainWrite) -> None:
         member.state, member.state_epoch = write.state, member.epoch
 
-    patches.set(ChainReplicator, "_rejection_reason", lambda replicator, write: "")
-    patches.set(ChainMember, "accepts", lambda member, write: member.in_chain)
-    patches.set(ChainMember, "keep", keep)
+    patches.replace(ChainReplicator, "_rejection_reason", lambda replicator, write: "")
+    patches.replace(ChainMember, "accepts", lambda member, write: member.in_chain)
+    patches.replace(ChainMember, "keep", keep)
 
 
-@planted(
+@planted_fault(
     "CONFIG",
     "LOST",
     script=(
-        attack(2, "cut_core", "edge-1", for_s=3.0, how="refuse"),
-        attack(9, "cut_core", "edge-2", for_s=3.0, how="refuse"),
-        attack(16, "cut_core", "edge-3", for_s=3.0, how="refuse"),
-        attack(23, "cut_core", "edge-1", for_s=3.0, how="refuse"),
+        fault_at(2, "cut_core", "edge-1", for_s=3.0, how="refuse"),
+        fault_at(9, "cut_core", "edge-2", for_s=3.0, how="refuse"),
+        fault_at(16, "cut_core", "edge-3", for_s=3.0, how="refuse"),
+        fault_at(23, "cut_core", "edge-1", for_s=3.0, how="refuse"),
     ),
 )
 def _chain_skips_a_silent_member(patches: Patches) -> None:
@@ -188,28 +188,28 @@
             replicator._on_state(committed)
         return evolve(answer, ok=True, unreachable="")
 
-    patches.set(ChainReplicator, "_forward_to_successor", pass_on)
+    patches.replace(ChainReplicator, "_forward_to_successor", pass_on)
 
 
 # ---- placements
 
 
-@planted("LIVENESS", script=(attack(3, "disk", "store-1", for_s=1.0),))
+@planted_fault("LIVENESS", script=(fault_at(3, "disk", "store-1", for_s=1.0),))
 def _lost_disk_not_replaced(patches: Patches) -> None:
     real = placement_planner.PlacementPlanner._needs_copy
 
     def needs(planner: Any, replica: str) -> bool:
         return real(planner, replica) and not planner._states.has_lost_disk(replica)
 
-    patches.set(placement_planner.PlacementPlanner, "_needs_copy", needs)
+    patches.replace(placement_planner.PlacementPlanner, "_needs_copy", needs)
 
 
-@planted("LIVENESS", script=(attack(3, "replace", "store-1", for_s=1.0, how="lost"),))
+@planted_fault("LIVENESS", script=(fault_at(3, "replace", "store-1", for_s=1.0, how="lost"),))
 def _gone_store_not_replaced(patches: Patches) -> None:
-    patches.set(placement_planner.PlacementPlanner, "_needs_copy", lambda planner, replica: False)
+    patches.replace(placement_planner.PlacementPlanner, "_needs_copy", lambda planner, replica: False)
 
 
-@planted("LOST", "UNSERVED", "LIVENESS", kinds=("disk", "replace"))
+@planted_fault("LOST", "UNSERVED", "LIVENESS", fault_kinds=("disk", "replace"))
 def _learner_promoted_early(patches: Patches) -> None:
     real = placement_planner.PlacementPlanner.promote_learners
 
@@ -217,22 +217,28 @@
         entry = planner.entries[number]
         real(planner, number, [(number, entry.epoch, learner) for learner in entry.learners])
 
-    patches.set(placement_planner.PlacementPlanner, "promote_learners", promote)
+    patches.replace(placement_planner.PlacementPlanner, "promote_learners", promote)
 
 
-@planted("LOST", "LIVENESS", "UNSERVED", kinds=("retire",), size=Size(3, 1, 4))
+@planted_fault("LOST", "LIVENESS", "UNSERVED", fault_kinds=("retire",), size=DeploymentSize(3, 1, 4))
 def _emptied_too_early(patches: Patches) -> None:
-    patches.set(placement_manager, "is_store_placed", lambda planned, name: False)
-    patches.set(placement_manager, "RETIRED_AFTER_S", 0.0)
+    patches.replace(placement_manager, "is_store_placed", lambda planned, name: False)
+    patches.replace(placement_manager, "RETIRED_AFTER_S", 0.0)
 
 
-@planted("LIVENESS", "RETIRE", kinds=("retire",), size=Size(3, 1, 4))
+@planted_fault("LIVENESS", "RETIRE", fault_kinds=("retire",), size=DeploymentSize(3, 1, 4))
 def _emptied_never(patches: Patches) -> None:
-    patches.set(placement_manager, "RETIRED_AFTER_S", NEVER_S)
+    patches.replace(placement_manager, "RETIRED_AFTER_S", NEVER_S)
 
 
-@planted(
-    "TWICE", "MIXED", "ORDER", "LOST", "CEILING", "UNSERVED", kinds=("replace", "retire", "stop", "split")
+@planted_fault(
+    "TWICE",
+    "MIXED",
+    "ORDER",
+    "LOST",
+    "CEILING",
+    "UNSERVED",
+    fault_kinds=("replace", "retire", "stop", "split"),
 )
 def _moved_primary_serves_on(patches: Patches) -> None:
     real = PartitionReplica.set_placement
@@ -241,13 +247,13 @@
         if replica.primary is None or placed.primary == replica.me:
             real(replica, placed, tolerated)
 
-    patches.set(PartitionReplica, "place", place)
+    patches.replace(PartitionReplica, "place", place)
 
 
-@planted(test="tests/messages/test_store_service.py")
+@planted_fault(test="tests/messages/test_store_service.py")
 def _lease_given_without_followers(patches: Patches) -> None:
     async def committed(service: StoreService, replica: Any, grant: Any) -> bool:
         return True
 
-    patches.set(StoreService, "_is_committed", committed)
-    patches.set(PartitionReplica, "has_recent_quorum", lambda replica, now, within_s: True)
+    patches.replace(StoreService, "_is_committed", committed)
+    patches.replace(PartitionReplica, "has_recent_quorum", lambda replica, now, within_s: True)
--- a/hollowusher/simulation/planted/partitions.py
+++ b/hollowusher/simulation/planted/partitions.py
@@ -14,30 +14,36 @@
 from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.leases import LeaseUpdateResponse
 from hollowusher.protocol.messages import PutResponse
-from hollowusher.simulation.planted.registry import HERDS, MOVES, Patches, attack, planted
+from hollowusher.simulation.planted.registry import (
+    SIMULTANEOUS_FAULTS,
+    TAKEOVER_FAULTS,
+    Patches,
+    fault_at,
+    planted_fault,
+)
 from hollowusher.storage.memory import MemoryLog, MemorySlot
 from hollowusher.transport.interface import PeerError
 
 # ---- storage
 
 
-@planted("LOST", "MIXED", "UNSERVED", kinds=HERDS)
+@planted_fault("LOST", "MIXED", "UNSERVED", fault_kinds=SIMULTANEOUS_FAULTS)
 def _no_sync_before_202(patches: Patches) -> None:
     async def sync(log: MemoryLog) -> None:
         await asyncio.sleep(0)
 
-    patches.set(MemoryLog, "sync", sync)
+    patches.replace(MemoryLog, "sync", sync)
 
 
-@planted("LOST", "CONFIG", kinds=HERDS)
+@planted_fault("LOST", "CONFIG", fault_kinds=SIMULTANEOUS_FAULTS)
 def _control_state_not_saved(patches: Patches) -> None:
     async def save(replicator: Any) -> bool:
         return True
 
-    patches.set(chain_replicator.ChainReplicator, "_save", save)
+    patches.replace(chain_replicator.ChainReplicator, "_save", save)
 
 
-@planted("LOST", "CONFIG", kinds=HERDS)
+@planted_fault("LOST", "CONFIG", fault_kinds=SIMULTANEOUS_FAULTS)
 def _slots_saved_later(patches: Patches) -> None:
     real = MemorySlot.save
 
@@ -48,13 +54,13 @@
         await asyncio.sleep(0.5)
         await work
 
-    patches.set(MemorySlot, "save", save)
+    patches.replace(MemorySlot, "save", save)
 
 
 # ---- replication
 
 
-@planted("LOST", "MIXED", "UNSERVED", kinds=("store_alone",))
+@planted_fault("LOST", "MIXED", "UNSERVED", fault_kinds=("store_alone",))
 def _one_replica_commits(patches: Patches) -> None:
     real = PartitionReplica.set_placement
 
@@ -62,25 +68,25 @@
         real(replica, placement, tolerated)
         replica.commit_quorum = 1
 
-    patches.set(PartitionReplica, "set_placement", place)
+    patches.replace(PartitionReplica, "set_placement", place)
 
 
-@planted(test="tests/messages/test_replication.py")
+@planted_fault(test="tests/messages/test_replication.py")
 def _fence_not_checked(patches: Patches) -> None:
-    patches.set(PartitionTable, "fence_older_epochs", lambda table, epoch: None)
+    patches.replace(PartitionTable, "fence_older_epochs", lambda table, epoch: None)
 
 
-@planted(test="tests/messages/test_replication.py")
+@planted_fault(test="tests/messages/test_replication.py")
 def _old_primary_serves_on(patches: Patches) -> None:
-    patches.set(PartitionReplica, "resign", lambda replica: None)
+    patches.replace(PartitionReplica, "resign", lambda replica: None)
 
 
-@planted("LOST", "MIXED", "TWICE", "ORDER", "UNSERVED", kinds=("lag_kill",))
+@planted_fault("LOST", "MIXED", "TWICE", "ORDER", "UNSERVED", fault_kinds=("lag_kill",))
 def _takeover_without_comparing(patches: Patches) -> None:
-    patches.set(PartitionReplica, "may_serve", lambda replica, now: True)
+    patches.replace(PartitionReplica, "may_serve", lambda replica, now: True)
 
 
-@planted("MIXED", "TWICE", "ORDER", "LOST", kinds=("herd_kill", "kill"))
+@planted_fault("MIXED", "TWICE", "ORDER", "LOST", fault_kinds=("herd_kill", "kill"))
 def _oldest_state_wins_at_replay(patches: Patches) -> None:
     real = PartitionTable.replay
 
@@ -92,10 +98,10 @@
                 return
         real(table, record, header, position, wall_ms)
 
-    patches.set(PartitionTable, "replay", replayed)
+    patches.replace(PartitionTable, "replay", replayed)
 
 
-@planted("MIXED", "LOST", "TWICE", "UNSERVED", kinds=("disk", "stop"))
+@planted_fault("MIXED", "LOST", "TWICE", "UNSERVED", fault_kinds=("disk", "stop"))
 def _learned_states_ignored(patches: Patches) -> None:
     real = PartitionTable._merge_state
 
@@ -104,13 +110,13 @@
             return None
         return real(table, record, version, wall_ms, position)
 
-    patches.set(PartitionTable, "_merge_state", merge)
+    patches.replace(PartitionTable, "_merge_state", merge)
 
 
 # ---- answers to edge processes
 
 
-@planted("LOST", "MIXED", "UNSERVED", kinds=("store_alone",))
+@planted_fault("LOST", "MIXED", "UNSERVED", fault_kinds=("store_alone",))
 def _put_answered_before_commit(patches: Patches) -> None:
     async def put(service: StoreService, request: Any) -> PutResponse:
         primary = await service._wait_for_primary(request.partition)
@@ -129,18 +135,18 @@
         kind = next(kind for kind in service._handlers if kind.__name__ == "PutRequest")
         service._handlers[kind] = lambda request: put(service, request)
 
-    patches.set(StoreService, "__init__", init)
+    patches.replace(StoreService, "__init__", init)
 
 
-@planted("TWICE", "MIXED", "LOST", kinds=("store_alone",))
+@planted_fault("TWICE", "MIXED", "LOST", fault_kinds=("store_alone",))
 def _end_not_recorded_before_answer(patches: Patches) -> None:
     async def answer(service: StoreService, taken: Any) -> LeaseUpdateResponse:
         return taken if isinstance(taken, LeaseUpdateResponse) else LeaseUpdateResponse("taken")
 
-    patches.set(StoreService, "_lease_answer", answer)
+    patches.replace(StoreService, "_lease_answer", answer)
 
 
-@planted("REFUSED", kinds=(*MOVES, "resets"))
+@planted_fault("REFUSED", fault_kinds=(*TAKEOVER_FAULTS, "resets"))
 def _put_repeated_to_another_partition(patches: Patches) -> None:
     real = store_client.StoreClient._call
 
@@ -152,16 +158,16 @@
         except store_client._PrimaryMoved:
             raise PeerError("PutRequest", target.address, "moved", sent=False) from None
 
-    patches.set(store_client.StoreClient, "_call", call)
+    patches.replace(store_client.StoreClient, "_call", call)
 
 
-@planted(
+@planted_fault(
     "REFUSED",
     script=(
-        attack(1, "resets", for_s=5.0),
-        attack(9, "resets", for_s=5.0),
-        attack(17, "kill", "store-1", for_s=1.0),
-        attack(18, "resets", for_s=5.0, beside=True),
+        fault_at(1, "resets", for_s=5.0),
+        fault_at(9, "resets", for_s=5.0),
+        fault_at(17, "kill", "store-1", for_s=1.0),
+        fault_at(18, "resets", for_s=5.0, beside=True),
     ),
 )
 def _unknown_put_answered_503(patches: Patches) -> None:
@@ -171,10 +177,10 @@
         answer = await real(client, *arguments, **named)
         return PutResponse("unavailable") if answer.status == "unknown" else answer
 
-    patches.set(store_client.StoreClient, "put", put)
+    patches.replace(store_client.StoreClient, "put", put)
 
 
-@planted("TWICE", "MIXED", kinds=(*MOVES, "resets"))
+@planted_fault("TWICE", "MIXED", fault_kinds=(*TAKEOVER_FAULTS, "resets"))
 def _repeated_put_kept_twice(patches: Patches) -> None:
     real = PartitionPrimary.put
 
@@ -182,4 +188,4 @@
         primary._lifecycle.keys_by_id.pop(message.id, None)
         return real(primary, message, now, wall_ms)
 
-    patches.set(PartitionPrimary, "put", put)
+    patches.replace(PartitionPrimary, "put", put)
--- a/hollowusher/simulation/planted/queues.py
+++ b/hollowusher/simulation/planted/queues.py
@@ -15,18 +15,18 @@
 from hollowusher.messages.partition.partition_primary import PartitionPrimary
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
-from hollowusher.simulation.planted.registry import MOVES, NEVER_S, Patches, attack, planted
+from hollowusher.simulation.planted.registry import NEVER_S, TAKEOVER_FAULTS, Patches, fault_at, planted_fault
 from hollowusher.simulation.stand_ins import SimulatedCallbackClient
 
 # ---- the queue
 
 
-@planted("ORDER")
+@planted_fault("ORDER")
 def _ordering_key_ignored(patches: Patches) -> None:
-    patches.set(MessageQueue, "_is_first", lambda queue, message: True)
+    patches.replace(MessageQueue, "_is_first", lambda queue, message: True)
 
 
-@planted("ORDER")
+@planted_fault("ORDER")
 def _next_of_key_leaves_with_the_lease(patches: Patches) -> None:
     real = MessageQueue.lease_next
 
@@ -40,30 +40,30 @@
                     queue._schedule(lane[0], queue._now)
         return message
 
-    patches.set(MessageQueue, "lease_next", take)
+    patches.replace(MessageQueue, "lease_next", take)
 
 
-@planted("CEILING")
+@planted_fault("CEILING")
 def _ceiling_by_each_alone(patches: Patches) -> None:
-    patches.set(TokenBucket, "RATE_FRACTION", 4.0)
+    patches.replace(TokenBucket, "RATE_FRACTION", 4.0)
 
 
-@planted("CEILING", kinds=MOVES)
+@planted_fault("CEILING", fault_kinds=TAKEOVER_FAULTS)
 def _ceiling_saved_up(patches: Patches) -> None:
-    patches.set(TokenBucket, "BURST_S", 10.0)
+    patches.replace(TokenBucket, "BURST_S", 10.0)
 
 
-@planted("EARLY")
+@planted_fault("EARLY")
 def _delay_forgotten(patches: Patches) -> None:
     real = PartitionPrimary.put
 
     def put(primary: PartitionPrimary, message: Any, now: float, wall_ms: int) -> Any:
         return real(primary, evolve(message, delay_ms=0), now, wall_ms)
 
-    patches.set(PartitionPrimary, "put", put)
+    patches.replace(PartitionPrimary, "put", put)
 
 
-@planted("EARLY", kinds=MOVES)
+@planted_fault("EARLY", fault_kinds=TAKEOVER_FAULTS)
 def _delay_lost_at_takeover(patches: Patches) -> None:
     real = MessageLifecycle.activate
 
@@ -72,20 +72,20 @@
         active.due_wall_ms = 0
         return active
 
-    patches.set(MessageLifecycle, "activate", activate)
+    patches.replace(MessageLifecycle, "activate", activate)
 
 
 # ---- leases and ends
 
 
-@planted("TWICE")
+@planted_fault("TWICE")
 def _lease_lapses_early(patches: Patches) -> None:
-    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
+    patches.replace(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
 
 
-@planted("UNSERVED")
+@planted_fault("UNSERVED")
 def _lease_never_lapses(patches: Patches) -> None:
-    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: NEVER_S)
+    patches.replace(MessageLeases, "lease_duration_s", lambda leases, active, state: NEVER_S)
 
 
 def _on_finish(patches: Patches, change: Callable[[FinishLease], FinishLease]) -> None:
@@ -94,45 +94,45 @@
     def finish(primary: PartitionPrimary, lease: Any, request: FinishLease, now: float, wall_ms: int) -> Any:
         return real(primary, lease, request if lease.is_callback else change(request), now, wall_ms)
 
-    patches.set(PartitionPrimary, "finish", finish)
+    patches.replace(PartitionPrimary, "finish", finish)
 
 
-@planted("TWICE")
+@planted_fault("TWICE")
 def _every_end_taken(patches: Patches) -> None:
     real = PartitionPrimary.finish
-    patches.set(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
+    patches.replace(MessageLeases, "lease_duration_s", lambda leases, active, state: 0.05)
 
     def finish(primary: PartitionPrimary, lease: Any, request: FinishLease, now: float, wall_ms: int) -> Any:
         answer = real(primary, lease, request, now, wall_ms)
         gone = isinstance(answer, LeaseUpdateResponse) and answer.status == "gone"
         return LeaseUpdateResponse("taken") if gone else answer
 
-    patches.set(PartitionPrimary, "finish", finish)
+    patches.replace(PartitionPrimary, "finish", finish)
 
 
-@planted("MIXED", "LOST")
+@planted_fault("MIXED", "LOST")
 def _lost_answer_counts_as_attempt(patches: Patches) -> None:
     _on_finish(patches, lambda end: evolve(end, result="failed") if end.result == "unknown" else end)
 
 
-@planted("MIXED", "LOST")
+@planted_fault("MIXED", "LOST")
 def _refusal_counts_as_attempt(patches: Patches) -> None:
     _on_finish(patches, lambda end: evolve(end, result="failed") if end.result == "not_run" else end)
 
 
-@planted("MIXED", "LOST")
+@planted_fault("MIXED", "LOST")
 def _lost_answer_taken_for_success(patches: Patches) -> None:
     _on_finish(
         patches, lambda end: evolve(end, result="success", signature="") if end.result == "unknown" else end
     )
 
 
-@planted("STALE")
+@planted_fault("STALE")
 def _failed_attempts_not_counted(patches: Patches) -> None:
     _on_finish(patches, lambda end: evolve(end, result="unknown") if end.result == "failed" else end)
 
 
-@planted("MIXED", "LOST")
+@planted_fault("MIXED", "LOST")
 def _one_attempt_too_few(patches: Patches) -> None:
     real = MessageLifecycle.activate
 
@@ -141,10 +141,10 @@
         active.max_attempts = max(1, active.max_attempts - 1)
         return active
 
-    patches.set(MessageLifecycle, "activate", activate)
+    patches.replace(MessageLifecycle, "activate", activate)
 
 
-@planted("MIXED", "LOST")
+@planted_fault("MIXED", "LOST")
 def _retention_too_short(patches: Patches) -> None:
     real = MessageLifecycle.activate
 
@@ -157,20 +157,20 @@
             min(retained_until, retained_until - 6.0),
         )
 
-    patches.set(MessageLifecycle, "activate", activate)
+    patches.replace(MessageLifecycle, "activate", activate)
 
 
-@planted("EXPIRED", "STALE", script=(attack(2, "workers_down", for_s=14.0),))
+@planted_fault("EXPIRED", "STALE", script=(fault_at(2, "workers_down", for_s=14.0),))
 def _retention_ignored(patches: Patches) -> None:
     real = MessageLifecycle.activate
 
     def activate(lifecycle: MessageLifecycle, key: Any, put: Any, retained_until: float) -> ActiveMessage:
         return real(lifecycle, key, put, NEVER_S)
 
-    patches.set(MessageLifecycle, "activate", activate)
+    patches.replace(MessageLifecycle, "activate", activate)
 
 
-@planted("MIXED")
+@planted_fault("MIXED")
 def _wrong_stamp_after_repeat(patches: Patches) -> None:
     real = PartitionPrimary.status
 
@@ -178,10 +178,10 @@
         answer = real(primary, key, want_body)
         return evolve(answer, signature=answer.signature[::-1])
 
-    patches.set(PartitionPrimary, "status", status)
+    patches.replace(PartitionPrimary, "status", status)
 
 
-@planted("UNTOLD")
+@planted_fault("UNTOLD")
 def _failed_callback_counts_as_told(patches: Patches) -> None:
     real = SimulatedCallbackClient.post
 
@@ -189,9 +189,9 @@
         await real(client, job)
         return "success"
 
-    patches.set(SimulatedCallbackClient, "post", post)
+    patches.replace(SimulatedCallbackClient, "post", post)
 
 
-@planted("UNTOLD", kinds=MOVES)
+@planted_fault("UNTOLD", fault_kinds=TAKEOVER_FAULTS)
 def _callback_forgotten_at_takeover(patches: Patches) -> None:
-    patches.set(MessageRestorer, "restore_ended", lambda adoption, entry, now, wall_ms: None)
+    patches.replace(MessageRestorer, "restore_ended", lambda adoption, entry, now, wall_ms: None)
--- a/hollowusher/simulation/planted/registry.py
+++ b/hollowusher/simulation/planted/registry.py
@@ -1,4 +1,4 @@
-"""What planted faults are: changes of the real parts, the troubles that bring them to light, and the rules of
+"""What planted faults are: changes of the real parts, the faults that bring them to light, and the rules of
 which one must be broken.
 """
 
@@ -9,17 +9,17 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from hollowusher.simulation.day import DayPlan
-from hollowusher.simulation.faults.script import ScriptedTrouble
-from hollowusher.simulation.faults.stage import Wanted
-from hollowusher.simulation.world import Size
+from hollowusher.simulation.cluster import DeploymentSize
+from hollowusher.simulation.faults.context import FaultRequest
+from hollowusher.simulation.faults.script import ScriptedFault
+from hollowusher.simulation.simulation_run import SimulationPlan
 
-HERDS = ("herd_kill", "herd_power", "herd_disk")
-MOVES = ("kill", "power", "freeze", "cut", "cut_one_way", "stop")
+SIMULTANEOUS_FAULTS = ("herd_kill", "herd_power", "herd_disk")
+TAKEOVER_FAULTS = ("kill", "power", "freeze", "cut", "cut_one_way", "stop")
 NEVER_S = 1e9
 
 
-def attack(
+def fault_at(
     at: float,
     kind: str,
     machine: str = "",
@@ -28,9 +28,9 @@
     how: str = "",
     count: int | None = None,
     beside: bool = False,
-) -> ScriptedTrouble:
-    """A trouble at a time of a planted fault's day."""
-    return ScriptedTrouble(at, Wanted(kind, machine, for_s, how, count), beside)
+) -> ScriptedFault:
+    """A fault at a time of a planted fault's day."""
+    return ScriptedFault(at, FaultRequest(kind, machine, for_s, how, count), beside)
 
 
 class Patches:
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self._saved: list[tuple[Any, str, Any]] = []
 
-    def set(self, owner: Any, name: str, value: Any) -> Any:
+    def replace(self, owner: Any, name: str, value: Any) -> Any:
         """Replace an attribute; the one before."""
         before = owner.__dict__[name]
         self._saved.append((owner, name, before))
@@ -53,42 +53,42 @@
         self._saved.clear()
 
 
-Plant = Callable[[Patches], None]
+PlantFunction = Callable[[Patches], None]
 
 
 @dataclass(frozen=True)
-class Planted:
-    """One planted fault, the troubles that bring it to light, and the rules of which one must be broken."""
+class PlantedFault:
+    """One planted fault, the faults that bring it to light, and the rules of which one must be broken."""
 
     name: str
-    plant: Plant
+    plant: PlantFunction
     rules: tuple[str, ...]
-    kinds: tuple[str, ...] | None = None
-    script: tuple[ScriptedTrouble, ...] | None = None
-    size: Size | None = None
+    fault_kinds: tuple[str, ...] | None = None
+    script: tuple[ScriptedFault, ...] | None = None
+    size: DeploymentSize | None = None
     test: str = ""  # the tests that find it where the simulation cannot reach it
 
-    def plan(self, base: DayPlan) -> DayPlan:
+    def plan(self, base: SimulationPlan) -> SimulationPlan:
         """The day that is played with it."""
-        size = self.size or (Size() if self.script else base.size)
-        return replace(base, kinds=self.kinds, script=self.script, size=size)
+        size = self.size or (DeploymentSize() if self.script else base.size)
+        return replace(base, fault_kinds=self.fault_kinds, script=self.script, size=size)
 
 
-PLANTED: dict[str, Planted] = {}
+PLANTED_FAULTS: dict[str, PlantedFault] = {}
 
 
-def planted(
+def planted_fault(
     *rules: str,
-    kinds: tuple[str, ...] | None = None,
-    script: tuple[ScriptedTrouble, ...] | None = None,
-    size: Size | None = None,
+    fault_kinds: tuple[str, ...] | None = None,
+    script: tuple[ScriptedFault, ...] | None = None,
+    size: DeploymentSize | None = None,
     test: str = "",
-) -> Callable[[Plant], Plant]:
+) -> Callable[[PlantFunction], PlantFunction]:
     """Register a planted fault by its function's name."""
 
-    def register(plant: Plant) -> Plant:
+    def register(plant: PlantFunction) -> PlantFunction:
         name = plant.__name__.strip("_").replace("_", "-")
-        PLANTED[name] = Planted(name, plant, rules, kinds, script, size, test)
+        PLANTED_FAULTS[name] = PlantedFault(name, plant, rules, fault_kinds, script, size, test)
         return plant
 
     return register
@@ -98,7 +98,7 @@
 def planting(name: str) -> Iterator[None]:
     """Have a planted fault in place."""
     patches = Patches()
-    PLANTED[name].plant(patches)
+    PLANTED_FAULTS[name].plant(patches)
     try:
         yield
     finally:
--- a/hollowusher/simulation/programs.py
+++ b/hollowusher/simulation/programs.py
@@ -1,4 +1,4 @@
-"""The roles as programs of the simulated world: the real parts, joined by simulated seams.
+"""The roles as programs of the simulated world: the real parts, joined by simulated environments.
 
 `serve_edge` and `serve_store` run as they are; where they would open sockets or files, they get stand-ins
 while they run in a simulated process, and the real things elsewhere.
@@ -22,101 +22,122 @@
 from hollowusher.roles import logs as logs_module
 from hollowusher.roles import operator_site as operator_module
 from hollowusher.roles import store as store_module
+from hollowusher.simulation.cluster import ProcessEnvironment, Program
 from hollowusher.simulation.stand_ins import (
     DISK_ID_SLOT,
-    ProcessParts,
     SimulatedCallbackClient,
     SimulatedFrontend,
     SimulatedOperatorSite,
     SimulatedPlatformReader,
+    SimulatedRoleProcess,
     SimulatedWorkerClient,
 )
-from hollowusher.simulation.world import Program, Seams
 
 LOGGED_FAILURES = (HandlerFailed, RequestFailed, TaskFailed)
-_seams: contextvars.ContextVar[Seams] = contextvars.ContextVar("seams")
+_environment: contextvars.ContextVar[ProcessEnvironment] = contextvars.ContextVar("environment")
 
 
-def _instead(module: Any, name: str, stand_in: Callable[..., Any]) -> None:
-    """Have `module.name(...)` call `stand_in(seams, ...)` in simulated processes."""
+def _substitute(module: Any, name: str, stand_in: Callable[..., Any]) -> None:
+    """Have `module.name(...)` call `stand_in(environment, ...)` in simulated processes."""
     real = getattr(module, name)
 
     def choose(*arguments: Any, **named: Any) -> Any:
-        seams = _seams.get(None)
-        return real(*arguments, **named) if seams is None else stand_in(seams, *arguments, **named)
+        environment = _environment.get(None)
+        return (
+            real(*arguments, **named) if environment is None else stand_in(environment, *arguments, **named)
+        )
 
     setattr(module, name, choose)
 
 
-def _log(seams: Seams, event: LogEvent) -> None:
+def _log(environment: ProcessEnvironment, event: LogEvent) -> None:
     if isinstance(event, LOGGED_FAILURES):
-        seams.note(f"{event.name} {event.fields()}")
+        environment.report_failure(f"{event.name} {event.fields()}")
 
 
-async def _serve_operator(seams: Seams, address: str, forward: Any, status: Any) -> SimulatedOperatorSite:
-    site = SimulatedOperatorSite(seams, OperatorApi(forward))
+async def _serve_operator(
+    environment: ProcessEnvironment, address: str, forward: Any, status: Any
+) -> SimulatedOperatorSite:
+    site = SimulatedOperatorSite(environment, OperatorApi(forward))
     await site.start()
     return site
 
 
-def _callbacks(seams: Seams, network: Any, reporter: Any, owns: Any) -> CallbackDelivery:
+def _callbacks(environment: ProcessEnvironment, network: Any, reporter: Any, owns: Any) -> CallbackDelivery:
     return CallbackDelivery(
-        network, reporter, owns, lambda address: SimulatedCallbackClient(seams.http, seams.host, address)
+        network,
+        reporter,
+        owns,
+        lambda address: SimulatedCallbackClient(environment.http, environment.host, address),
     )
 
 
-def _join_edge() -> None:
-    _instead(edge_module, "Process", lambda seams, settings, path, role: ProcessParts(seams, settings, role))
-    _instead(edge_module, "HttpWorkerClient", lambda seams: SimulatedWorkerClient(seams.http, seams.host))
-    _instead(
+def _substitute_edge_parts() -> None:
+    _substitute(
+        edge_module,
+        "Process",
+        lambda environment, settings, path, role: SimulatedRoleProcess(environment, settings, role),
+    )
+    _substitute(
+        edge_module,
+        "HttpWorkerClient",
+        lambda environment: SimulatedWorkerClient(environment.http, environment.host),
+    )
+    _substitute(
         edge_module,
         "EdgeFrontend",
-        lambda seams, intake, frontend, readiness, ready, report: SimulatedFrontend(
-            seams, intake, frontend, readiness, ready
+        lambda environment, intake, frontend, readiness, ready, report: SimulatedFrontend(
+            environment, intake, frontend, readiness, ready
         ),
     )
-    _instead(control_module, "SlotFile", lambda seams, path: seams.disk.slot(path.name))
-    _instead(
+    _substitute(control_module, "SlotFile", lambda environment, path: environment.disk.slot(path.name))
+    _substitute(
         control_module,
         "PlatformReader",
-        lambda seams, address, rate_per_s: SimulatedPlatformReader(
-            seams.http, seams.host, address, rate_per_s
+        lambda environment, address, rate_per_s: SimulatedPlatformReader(
+            environment.http, environment.host, address, rate_per_s
         ),
     )
-    _instead(operator_module, "serve_operator", _serve_operator)
-    _instead(dispatcher_module, "CallbackDelivery", _callbacks)
+    _substitute(operator_module, "serve_operator", _serve_operator)
+    _substitute(dispatcher_module, "CallbackDelivery", _callbacks)
 
 
-def _join_store() -> None:
-    _instead(store_module, "Process", lambda seams, settings, path, role: ProcessParts(seams, settings, role))
-    _instead(store_module, "RingLog", lambda seams, folder, segment_bytes, segments: seams.disk.log())
-    _instead(store_module, "SlotFile", lambda seams, path: seams.disk.slot(path.name))
-    _instead(store_module, "wall_ms", lambda seams: seams.wall_ms())
+def _substitute_store_parts() -> None:
+    _substitute(
+        store_module,
+        "Process",
+        lambda environment, settings, path, role: SimulatedRoleProcess(environment, settings, role),
+    )
+    _substitute(
+        store_module, "RingLog", lambda environment, folder, segment_bytes, segments: environment.disk.log()
+    )
+    _substitute(store_module, "SlotFile", lambda environment, path: environment.disk.slot(path.name))
+    _substitute(store_module, "wall_ms", lambda environment: environment.wall_ms())
 
 
-def _join_logs() -> None:
+def _substitute_logs() -> None:
     """Every module that logs: failures are noted, the rest is dropped."""
     real = logs_module.log
     for name, module in list(sys.modules.items()):
         if name.startswith("hollowusher.") and getattr(module, "log", None) is real:
-            _instead(module, "log", _log)
+            _substitute(module, "log", _log)
 
 
-_join_edge()
-_join_store()
-_join_logs()
+_substitute_edge_parts()
+_substitute_store_parts()
+_substitute_logs()
 
 
 class RoleProgram:
-    """One life of a role."""
+    """One incarnation of a role."""
 
-    def __init__(self, seams: Seams) -> None:
-        self._seams = seams
-        seams.transport.process.context.run(_seams.set, seams)
+    def __init__(self, environment: ProcessEnvironment) -> None:
+        self._environment = environment
+        environment.transport.process.context.run(_environment.set, environment)
 
     async def run(self) -> None:
-        """Serve until told to stop."""
-        settings = self._seams.settings
+        """Serve until asked to stop."""
+        settings = self._environment.settings
         if settings.serves == ["storage"]:
             await store_module.serve_store(settings, "")
         else:
@@ -124,32 +145,32 @@
 
     def stop(self) -> None:
         """SIGTERM."""
-        if self._seams.parts is not None:
-            self._seams.parts.stopping.set()
+        if self._environment.role_process is not None:
+            self._environment.role_process.stopping.set()
 
-    def hang_up(self, settings: BootSettings) -> None:
+    def reload_settings(self, settings: BootSettings) -> None:
         """SIGHUP."""
-        if self._seams.parts is not None:
-            self._seams.parts.settings = settings
+        if self._environment.role_process is not None:
+            self._environment.role_process.settings = settings
 
-    def generation(self) -> int:
+    def configuration_generation(self) -> int:
         """The configuration in force here."""
-        parts = self._seams.parts
-        configuration = None if parts is None else parts.state.configuration
+        role_process = self._environment.role_process
+        configuration = None if role_process is None else role_process.state.configuration
         return 0 if configuration is None else configuration.generation
 
-    def knowledge(self) -> ClusterState | None:
+    def cluster_state(self) -> ClusterState | None:
         """What it knows of the cluster."""
-        parts = self._seams.parts
-        return None if parts is None else parts.state
+        role_process = self._environment.role_process
+        return None if role_process is None else role_process.state
 
-    def disk_identity(self) -> str:
+    def disk_id(self) -> str:
         """The identity of its disk, empty where it has none yet."""
-        disk = self._seams.disk
+        disk = self._environment.disk
         held = None if disk is None else disk.slot(DISK_ID_SLOT).load()
         return "" if held is None else held.decode()
 
 
-def build_program(seams: Seams) -> Program:
+def build_program(environment: ProcessEnvironment) -> Program:
     """The program of a machine's role."""
-    return RoleProgram(seams)
+    return RoleProgram(environment)
--- a/hollowusher/simulation/plain_model.py
+++ b/hollowusher/simulation/reference_model.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hollowusher.simulation.observations import ConfigurationOrder, Observations, Run, SentMessage
+from hollowusher.simulation.observations import ConfigurationOrder, Observations, SentMessage, WorkerRun
 
 NEVER = float("inf")
 
@@ -25,9 +25,9 @@
     ordered: bool
 
 
-def runs_of(seen: Observations, message: str) -> list[Run]:
+def runs_of(observations: Observations, message: str) -> list[WorkerRun]:
     """The runs of a message in the order they started."""
-    return sorted((run for run in seen.runs if run.id == message), key=lambda run: run.started_at)
+    return sorted((run for run in observations.runs if run.id == message), key=lambda run: run.started_at)
 
 
 def route_names(order: ConfigurationOrder) -> set[str]:
@@ -37,13 +37,13 @@
 
 def may_be_in_force(order: ConfigurationOrder) -> bool:
     """Whether a change may have been taken."""
-    return order.valid and (order.acknowledged_at is not None or order.refused_at is None)
+    return order.valid and (order.acknowledged_at is not None or order.rejected_at is None)
 
 
-def route_dropped_at(seen: Observations, route: str, since: float) -> float:
+def route_dropped_at(observations: Observations, route: str, since: float) -> float:
     """The first time, from `since` on, at which a configuration that has dropped this route may be in force.
     An edge process may accept a message by an older configuration shortly after that."""
-    orders = [order for order in seen.orders if may_be_in_force(order) and order.first_sent_at > 0]
+    orders = [order for order in observations.orders if may_be_in_force(order) and order.first_sent_at > 0]
     added = min((order.generation for order in orders if route in route_names(order)), default=None)
     if added is None:
         return NEVER
@@ -55,12 +55,12 @@
     return max(since, min(times, default=NEVER))
 
 
-def ended_at(seen: Observations, message: SentMessage, rules: RouteRules) -> float:
+def ended_at(observations: Observations, message: SentMessage, rules: RouteRules) -> float:
     """When a message ended by the rules: success, refused for good, attempts used up, its time passed, or its
     route dropped; `NEVER` where none of that has been seen."""
     ends = [message.sent_at + rules.retention_s]
     failures = 0
-    for run in sorted(runs_of(seen, message.id), key=lambda run: run.ended_at or NEVER):
+    for run in sorted(runs_of(observations, message.id), key=lambda run: run.ended_at or NEVER):
         if run.ended_at is None:
             continue
         if run.result in ("success", "refused"):
@@ -69,36 +69,38 @@
             failures += 1
             if failures == rules.max_attempts:
                 ends.append(run.ended_at)
-    ends.append(route_dropped_at(seen, message.route, message.sent_at))
+    ends.append(route_dropped_at(observations, message.route, message.sent_at))
     return min(ends)
 
 
-def stamps(seen: Observations, message: str) -> set[str]:
+def signatures_of(observations: Observations, message: str) -> set[str]:
     """The signatures of successful runs."""
-    return {run.signature for run in runs_of(seen, message) if run.result == "success"}
+    return {run.signature for run in runs_of(observations, message) if run.result == "success"}
 
 
-def may_be_dead(seen: Observations, message: SentMessage, rules: RouteRules, at: float) -> bool:
+def may_be_dead_letter(
+    observations: Observations, message: SentMessage, rules: RouteRules, at: float
+) -> bool:
     """Whether `dead_letter` may be said at a time: the message has ended (by something other than a success
     that was read, which would be `completed`)."""
-    return ended_at(seen, message, rules) <= at
+    return ended_at(observations, message, rules) <= at
 
 
-def troubled(seen: Observations, begin: float, end: float, contact_s: float) -> bool:
-    """Whether unplanned trouble touched the span, or the `contact_s` before it."""
+def has_unplanned_fault(observations: Observations, begin: float, end: float, contact_s: float) -> bool:
+    """Whether unplanned fault touched the span, or the `contact_s` before it."""
     return any(
-        not trouble.planned
-        and trouble.begun_at <= end
-        and (trouble.ended_at is None or trouble.ended_at >= begin - contact_s)
-        for trouble in seen.troubles
+        not fault.planned
+        and fault.begun_at <= end
+        and (fault.ended_at is None or fault.ended_at >= begin - contact_s)
+        for fault in observations.faults
     )
 
 
-def disturbed(seen: Observations, begin: float, end: float, contact_s: float) -> bool:
-    """Whether any trouble, planned or not, touched the span or the `contact_s` before it."""
+def has_fault(observations: Observations, begin: float, end: float, contact_s: float) -> bool:
+    """Whether any fault, planned or not, touched the span or the `contact_s` before it."""
     return any(
-        trouble.begun_at <= end and (trouble.ended_at is None or trouble.ended_at >= begin - contact_s)
-        for trouble in seen.troubles
+        fault.begun_at <= end and (fault.ended_at is None or fault.ended_at >= begin - contact_s)
+        for fault in observations.faults
     )
 
 
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -24,15 +24,21 @@
 from hollowusher.intake.intake import Intake
 from hollowusher.protocol.leases import LeasedJob
 from hollowusher.protocol.membership import Member
-from hollowusher.simulation.http import Exchange, HttpAnswer, HttpFailure, HttpNetwork, HttpRequest
-from hollowusher.simulation.world import Seams
+from hollowusher.simulation.cluster import ProcessEnvironment
+from hollowusher.simulation.http_network import (
+    HttpExchange,
+    HttpExchangeError,
+    HttpNetwork,
+    HttpRequest,
+    HttpResponse,
+)
 from hollowusher.storage.identity import claim_incarnation, next_incarnation
 
 CALLBACK_TIMEOUT_S = 3.0
 LIST_TIMEOUT_S = 1.0
 STOP_POLL_S = 0.02
 DISK_ID_SLOT = "disk-id"
-LIFE_SLOT = "life"
+INCARNATION_SLOT = "life"
 
 
 def parse_request(sent: bytes) -> HttpRequest:
@@ -60,7 +66,7 @@
             answer = await self._http.exchange(
                 self._host, endpoint.address, request, timeout_s + LATE_ANSWER_S
             )
-        except HttpFailure as failure:
+        except HttpExchangeError as failure:
             took = loop.time() - began
             if failure.sent:
                 return DeliveryOutcome("unknown", Ending.LOST, started=began, took=took, reason=str(failure))
@@ -90,7 +96,7 @@
         request = parse_request(callback_request(job))
         try:
             answer = await self._http.exchange(self._host, self._address, request, CALLBACK_TIMEOUT_S)
-        except HttpFailure:
+        except HttpExchangeError:
             return "unknown"
         return "success" if answer.status == 200 else "failed"
 
@@ -111,7 +117,7 @@
         request = HttpRequest("GET", f"/instances{query}")
         try:
             answer = await self._http.exchange(self._host, self.address, request, LIST_TIMEOUT_S)
-        except HttpFailure as failure:
+        except HttpExchangeError as failure:
             raise aiohttp.ClientError(str(failure)) from None
         if answer.status != 200:
             raise PlatformError("read the list", self.address, f"status {answer.status}")
@@ -122,11 +128,14 @@
     """An HTTP server of a process, while it listens."""
 
     def __init__(
-        self, seams: Seams, address: str, answer: Callable[[Exchange], Coroutine[Any, Any, HttpAnswer | None]]
+        self,
+        environment: ProcessEnvironment,
+        address: str,
+        answer: Callable[[HttpExchange], Coroutine[Any, Any, HttpResponse | None]],
     ) -> None:
-        self.process = seams.transport.process
+        self.process = environment.transport.process
         self.busy = 0
-        self._http = seams.http
+        self._http = environment.http
         self._address = address
         self._answer = answer
 
@@ -134,7 +143,7 @@
         """Listen."""
         self._http.listen(self._address, self)
 
-    async def serve(self, exchange: Exchange) -> HttpAnswer | None:
+    async def serve(self, exchange: HttpExchange) -> HttpResponse | None:
         """Answer a request."""
         self.busy += 1
         try:
@@ -144,7 +153,7 @@
 
     async def stop(self, grace_s: float) -> None:
         """Listen no more, and wait for the requests under way."""
-        self._http.silence(self._address)
+        self._http.stop_listening(self._address)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_s
         while self.busy and loop.time() < deadline:
@@ -155,10 +164,15 @@
     """The servers for clients and for `/readyz` of an edge process."""
 
     def __init__(
-        self, seams: Seams, intake: Intake, address: str, readiness: str, ready: Callable[[], bool]
+        self,
+        environment: ProcessEnvironment,
+        intake: Intake,
+        address: str,
+        readiness: str,
+        ready: Callable[[], bool],
     ) -> None:
-        self.frontend = _Listener(seams, address, self._serve)
-        self.readiness = _Listener(seams, readiness, self._readyz)
+        self.frontend = _Listener(environment, address, self._serve)
+        self.readiness = _Listener(environment, readiness, self._readyz)
         self._intake = intake
         self._ready = ready
         self._draining = False
@@ -174,23 +188,23 @@
         await self.frontend.stop(grace_s)
         await self.readiness.stop(0.0)
 
-    async def _serve(self, exchange: Exchange) -> HttpAnswer | None:
+    async def _serve(self, exchange: HttpExchange) -> HttpResponse | None:
         request = exchange.request
         asked = IntakeRequest(request.method, request.target, CIMultiDict(request.headers), request.body)
         answer = await self._intake.accept(asked, exchange.closed.is_set)
         headers = {"Content-Type": answer.content_type, **dict(answer.headers)}
-        return HttpAnswer(answer.status, headers, answer.body)
+        return HttpResponse(answer.status, headers, answer.body)
 
-    async def _readyz(self, exchange: Exchange) -> HttpAnswer | None:
-        return HttpAnswer(200 if self._ready() and not self._draining else 503)
+    async def _readyz(self, exchange: HttpExchange) -> HttpResponse | None:
+        return HttpResponse(200 if self._ready() and not self._draining else 503)
 
 
 class SimulatedOperatorSite:
     """The operator's HTTP interface of an edge process."""
 
-    def __init__(self, seams: Seams, api: OperatorApi) -> None:
+    def __init__(self, environment: ProcessEnvironment, api: OperatorApi) -> None:
         self._api = api
-        self._listener = _Listener(seams, seams.settings.bind.admin, self._serve)
+        self._listener = _Listener(environment, environment.settings.bind.admin, self._serve)
 
     async def start(self) -> None:
         """Listen."""
@@ -200,7 +214,7 @@
         """Listen no more."""
         await self._listener.stop(0.0)
 
-    async def _serve(self, exchange: Exchange) -> HttpAnswer | None:
+    async def _serve(self, exchange: HttpExchange) -> HttpResponse | None:
         asked: Any = _OperatorRequest(exchange.request)
         read = exchange.request.method == "GET"
         if asked.match_info["node"]:
@@ -208,7 +222,7 @@
         else:
             response = await (self._api._read(asked) if read else self._api._change(asked))
         body = response.body if isinstance(response.body, bytes) else b""
-        return HttpAnswer(response.status, dict(response.headers), body)
+        return HttpResponse(response.status, dict(response.headers), body)
 
 
 class _OperatorRequest:
@@ -226,32 +240,32 @@
         return self._body
 
 
-class ProcessParts:
+class SimulatedRoleProcess:
     """In place of `hollowusher.roles.process.Process`: identity, transport and an orderly end."""
 
-    def __init__(self, seams: Seams, settings: BootSettings, role: str) -> None:
+    def __init__(self, environment: ProcessEnvironment, settings: BootSettings, role: str) -> None:
         self.settings = settings
         self.role = role
-        self.chance = seams.chance
+        self.chance = environment.random_source
         self.stopping = asyncio.Event()
-        self.transport = seams.transport
+        self.transport = environment.transport
         self.state = ClusterState()
         self.folder = PurePosixPath(settings.data_dir) if settings.data_dir else None
         self.watch = SimpleNamespace(refused=0)
-        self._seams = seams
+        self._environment = environment
         self._tasks: set[asyncio.Task[Any]] = set()
-        seams.parts = self
+        environment.role_process = self
 
     async def identify(self, controller: bool) -> Member:
         """This process as the others will know it."""
-        seams, settings = self._seams, self.settings
+        environment, settings = self._environment, self.settings
         disk_id = ""
-        if seams.disk is not None:
+        if environment.disk is not None:
             disk_id = await self._disk_id()
-            life = seams.disk.slot(LIFE_SLOT)
-            incarnation = await claim_incarnation(life, seams.wall_ms(), self.chance)
+            incarnation_slot = environment.disk.slot(INCARNATION_SLOT)
+            incarnation = await claim_incarnation(incarnation_slot, environment.wall_ms(), self.chance)
         else:
-            incarnation = next_incarnation(seams.wall_ms(), None, self.chance)
+            incarnation = next_incarnation(environment.wall_ms(), None, self.chance)
         return Member(
             settings.node_name,
             self.role,
@@ -266,8 +280,8 @@
         )
 
     async def _disk_id(self) -> str:
-        assert self._seams.disk is not None
-        slot = self._seams.disk.slot(DISK_ID_SLOT)
+        assert self._environment.disk is not None
+        slot = self._environment.disk.slot(DISK_ID_SLOT)
         held = slot.load()
         if held is None:
             held = f"{self.chance.getrandbits(64):016x}".encode()
@@ -282,7 +296,7 @@
         return task
 
     def listen_for_signals(self) -> None:
-        """The world sets `stopping` itself."""
+        """The cluster sets `stopping` itself."""
 
     async def close(self) -> None:
         """End what still runs."""
@@ -297,5 +311,5 @@
             return
         error = task.exception()
         if error is not None:
-            self._seams.note(f"a part failed: {error!r}")
+            self._environment.report_failure(f"a part failed: {error!r}")
             self.stopping.set()
--- /dev/null
+++ b/hollowusher/simulation/worker_fleet.py
@@ -0,0 +1,174 @@
+"""The workers of a day and what happens to them: crashes, releases, addresses that are used again."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+
+from hollowusher.simulation.actors import (
+    ActorContext,
+    IdempotencyTable,
+    SimulatedCallbackReceiver,
+    SimulatedPullWorker,
+    SimulatedPushWorker,
+    WorkerBehaviour,
+)
+from hollowusher.simulation.cluster import ADDRESS_REUSE_S, WORKER_LIST_ADDRESS, ZONES, SimulatedCluster
+from hollowusher.simulation.deployment import (
+    FIXED,
+    FIXED_ADDRESS,
+    FIXED_RATE,
+    LIST_LAG_S,
+    OTHER,
+    PULL,
+    PUSH,
+    RECEIVERS,
+    VISIBILITY_S,
+)
+from hollowusher.simulation.worker_list_server import WorkerListing, WorkerListServer
+
+FEWEST_LISTED = 3
+SLOTS = {PUSH: 3, OTHER: 2}
+
+
+class WorkerFleet:
+    """All workers, receivers, and the platform's list of them."""
+
+    def __init__(
+        self, cluster: SimulatedCluster, context: ActorContext, pull_address: Callable[[], str]
+    ) -> None:
+        self.cluster = cluster
+        self.context = context
+        self.push_workers: dict[str, SimulatedPushWorker] = {}
+        self.pull_workers: list[SimulatedPullWorker] = []
+        self._pull_address = pull_address
+        self._list = WorkerListServer(cluster.http, WORKER_LIST_ADDRESS, LIST_LAG_S, 50.0)
+        self._numbers = 0
+
+    def start(self) -> None:
+        """Have all workers and receivers there."""
+        self._list.start()
+        for number in range(4):
+            self._start_push_worker(PUSH, f"10.128.0.{number + 1}:8080")
+        self._start_push_worker(OTHER, "10.128.0.5:8080")
+        for number in range(3):
+            self._start_pull_worker(number)
+        fixed = SimulatedPushWorker(
+            self.context,
+            FIXED,
+            "fixed-1",
+            FIXED_ADDRESS,
+            40,
+            WorkerBehaviour(),
+            IdempotencyTable(),
+            FIXED_RATE,
+        )
+        fixed.start()
+        self.push_workers[fixed.name] = fixed
+        for address in RECEIVERS:
+            SimulatedCallbackReceiver(self.context, address).start()
+
+    def _start_pull_worker(self, number: int) -> None:
+        host = f"10.129.0.{number + 1}"
+        worker = SimulatedPullWorker(
+            self.context, PULL, f"pull-{number}", host, 4, WorkerBehaviour(), self._pull_address, VISIBILITY_S
+        )
+        worker.start()
+        self.pull_workers.append(worker)
+
+    def _start_push_worker(self, service: str, address: str) -> None:
+        self._numbers += 1
+        name = f"i-{self._numbers:04d}"
+        worker = SimulatedPushWorker(self.context, service, name, address, SLOTS[service], WorkerBehaviour())
+        worker.start()
+        self.push_workers[name] = worker
+        zone = ZONES[self._numbers % len(ZONES)]
+        self._list.put(WorkerListing(name, service, address, zone, SLOTS[service]))
+
+    def _listed(self) -> list[SimulatedPushWorker]:
+        return [
+            worker
+            for worker in self.push_workers.values()
+            if worker.alive and worker.service in SLOTS and not worker.draining
+        ]
+
+    async def inject_worker_faults(self, until: float) -> None:
+        """Crashes, releases, and losses of all at once."""
+        random_source = self.cluster.random("worker troubles")
+        while True:
+            await asyncio.sleep(random_source.uniform(1.0, 6.0))
+            if self.cluster.loop.time() >= until:
+                return
+            listed = self._listed()
+            if len(listed) < FEWEST_LISTED:
+                continue
+            drawn = random_source.random()
+            if drawn < 0.1:
+                down_s = random_source.uniform(1.0, 12.0)
+                await asyncio.gather(*(self._crash(each, random_source, down_s) for each in listed))
+            elif drawn < 0.4:
+                await self._crash(random_source.choice(listed), random_source)
+            elif drawn < 0.6:
+                await self._exchange_addresses(random_source)
+            else:
+                await self._release(random_source.choice(listed), random_source)
+
+    async def crash_all(self, seconds: float) -> None:
+        """All listed workers crash, and others come after so long."""
+        random_source = self.cluster.random("workers down")
+        await asyncio.gather(*(self._crash(worker, random_source, seconds) for worker in self._listed()))
+
+    async def inject_endpoint_faults(self, until: float) -> None:
+        """The fixed endpoint is down or slow for a while."""
+        random_source = self.cluster.random("endpoint troubles")
+        endpoint = self.push_workers["fixed-1"]
+        while True:
+            await asyncio.sleep(random_source.uniform(3.0, 15.0))
+            if self.cluster.loop.time() >= until:
+                return
+            if random_source.random() < 0.4:
+                endpoint.slow = random_source.uniform(2.0, 8.0)
+            else:
+                endpoint.crash()
+            await asyncio.sleep(random_source.uniform(1.0, 8.0))
+            endpoint.slow = 1.0
+            if not endpoint.alive:
+                endpoint.alive = True
+                endpoint.start()
+
+    async def _crash(
+        self, worker: SimulatedPushWorker, random_source: random.Random, down_s: float = 0.0
+    ) -> None:
+        worker.crash()
+        await asyncio.sleep(random_source.uniform(0.5, 3.0))
+        self._list.remove(worker.name)
+        await asyncio.sleep(down_s + random_source.uniform(0.0, 2.0))
+        self._start_push_worker(worker.service, worker.address)
+
+    async def _exchange_addresses(self, random_source: random.Random) -> None:
+        """A worker of each listed service crashes, and each one's address goes to the other service as soon
+        as that may be, while the list may still name the old ones."""
+        listed = self._listed()
+        crashed = [
+            random_source.choice(chosen)
+            for service in (PUSH, OTHER)
+            if (chosen := [worker for worker in listed if worker.service == service])
+        ]
+        for worker in crashed:
+            worker.crash()
+        await asyncio.sleep(ADDRESS_REUSE_S)
+        for worker in crashed:
+            self._start_push_worker(OTHER if worker.service == PUSH else PUSH, worker.address)
+        await asyncio.sleep(random_source.uniform(0.0, 2.0))
+        for worker in crashed:
+            self._list.remove(worker.name)
+
+    async def _release(self, worker: SimulatedPushWorker, random_source: random.Random) -> None:
+        worker.draining = True
+        self._list.drain(worker.name)
+        await asyncio.sleep(3.0 + LIST_LAG_S + random_source.uniform(0.5, 3.0))
+        worker.crash()
+        self._list.remove(worker.name)
+        await asyncio.sleep(ADDRESS_REUSE_S)
+        self._start_push_worker(worker.service, worker.address)
--- a/hollowusher/simulation/platform.py
+++ b/hollowusher/simulation/worker_list_server.py
@@ -7,14 +7,14 @@
 
 import orjson
 
-from hollowusher.simulation.http import Exchange, HttpAnswer, HttpNetwork
+from hollowusher.simulation.http_network import HttpExchange, HttpNetwork, HttpResponse
 from hollowusher.simulation.network import host_of
 
 PAGE = 50
 
 
 @dataclass(frozen=True)
-class Listing:
+class WorkerListing:
     """One worker of the list."""
 
     id: str
@@ -52,8 +52,8 @@
         self.rate = rate
         self.calls = 0
         self.refused = 0
-        self._now: dict[str, Listing] = {}
-        self._past: deque[tuple[float, list[Listing]]] = deque([(0.0, [])])
+        self._now: dict[str, WorkerListing] = {}
+        self._past: deque[tuple[float, list[WorkerListing]]] = deque([(0.0, [])])
         self._recent: deque[float] = deque()
 
     def start(self) -> None:
@@ -61,7 +61,7 @@
         self.http.network.power_on(host_of(self.address))
         self.http.listen(self.address, self)
 
-    def put(self, listing: Listing) -> None:
+    def put(self, listing: WorkerListing) -> None:
         """Add or change a worker."""
         self._now[listing.id] = listing
         self._record()
@@ -78,14 +78,14 @@
     def _record(self) -> None:
         self._past.append((self.http.network.loop.time(), list(self._now.values())))
 
-    def shown(self) -> list[Listing]:
+    def shown(self) -> list[WorkerListing]:
         """The list as it is shown now."""
         before = self.http.network.loop.time() - self.lag_s
         while len(self._past) > 1 and self._past[1][0] <= before:
             self._past.popleft()
         return self._past[0][1]
 
-    async def serve(self, exchange: Exchange) -> HttpAnswer | None:
+    async def serve(self, exchange: HttpExchange) -> HttpResponse | None:
         """Answer a page of the list."""
         now = self.http.network.loop.time()
         while self._recent and self._recent[0] <= now - 1:
@@ -93,15 +93,15 @@
         self.calls += 1
         if len(self._recent) >= self.rate:
             self.refused += 1
-            return HttpAnswer(429)
+            return HttpResponse(429)
         self._recent.append(now)
         path, _, query = exchange.request.target.partition("?")
         if path != "/instances":
-            return HttpAnswer(404)
+            return HttpResponse(404)
         words = dict(part.partition("=")[::2] for part in query.split("&") if part)
         first = int(words.get("pageToken", "p-0").removeprefix("p-"))
         listed = [each for each in self.shown() if words.get("zone", each.zone) == each.zone]
         following = f"p-{first + PAGE}" if first + PAGE < len(listed) else None
         page = [each.document() for each in listed[first : first + PAGE]]
         body = orjson.dumps({"instances": page, "nextPageToken": following})
-        return HttpAnswer(200, {"Content-Type": "application/json"}, body)
+        return HttpResponse(200, {"Content-Type": "application/json"}, body)
--- a/tests/coordination/consensus/test_voter_set_model.py
+++ b/tests/coordination/consensus/test_voter_set_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hollowusher.simulation.model_check.explorer import Bounds, explore
+from hollowusher.simulation.model_check.explorer import SearchBounds, explore
 from tests.coordination.consensus.voter_set_model import VotersModel, older_planner
 
 SIZES = {
@@ -18,12 +18,12 @@
 @pytest.mark.parametrize("name", SIZES)
 def test_after_each_repair_the_next_loss_is_borne(name: str) -> None:
     controllers, losses, newcomers, voters = SIZES[name]
-    outcome = explore(VotersModel(controllers, losses, newcomers, voters=voters), Bounds(100))
+    outcome = explore(VotersModel(controllers, losses, newcomers, voters=voters), SearchBounds(100))
     assert outcome.violation == "", outcome.trace
     assert outcome.exhausted and outcome.states > 30
 
 
 def test_the_older_planner_never_removes_a_voter_and_is_found_out() -> None:
-    outcome = explore(VotersModel(3, losses=2, newcomers=1, planner=older_planner), Bounds(100))
+    outcome = explore(VotersModel(3, losses=2, newcomers=1, planner=older_planner), SearchBounds(100))
     assert "voters" in outcome.violation
     assert any("comes" in line for line in outcome.trace)
--- a/tests/coordination/consensus/voter_set_model.py
+++ b/tests/coordination/consensus/voter_set_model.py
@@ -154,7 +154,7 @@
             return f"quiet with {len(living)} of {len(view.voters)} voters living: no further loss is borne"
         return ""
 
-    def tell(self, label: str) -> str:
+    def describe_step(self, label: str) -> str:
         return label
 
 
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -29,7 +29,7 @@
     else:
         core.cut(victim, trouble)
         await asyncio.sleep(seconds)
-        core.network.join_all()
+        core.network.heal_all()
     before = core.acknowledged
     await asyncio.sleep(8.0)
     assert core.acknowledged > before, "no order was taken for 8 s after all was calm"
@@ -78,7 +78,7 @@
                 while core.loop.time() < until:
                     assert (await core[name].read())[0] == 503
                     await asyncio.sleep(0.02)
-                core.network.join_all()
+                core.network.heal_all()
                 await asyncio.sleep(6.0)
                 assert await core[name].read() == (200, 2)
 
@@ -172,7 +172,7 @@
             )
             new = core.leader()
             await core.until(lambda: any(item.key == WORKERS for item in new.published), 3.0)
-            core.network.join_all()
+            core.network.heal_all()
             await asyncio.sleep(3.0)
             assert new.controller.view is not None
             for node in core.nodes.values():
--- a/tests/coordination/controller/test_fencing_head_roles.py
+++ b/tests/coordination/controller/test_fencing_head_roles.py
@@ -14,7 +14,7 @@
 from hollowusher.protocol.membership import Member, MemberSuspected
 from hollowusher.protocol.view import View
 from hollowusher.protocol.worker_list import PlatformWorkerList
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
 from hollowusher.transport.interface import PeerError
 
 NAMES = ("a", "b", "c", "d")
@@ -56,7 +56,7 @@
 
 
 class _Head:
-    def __init__(self, loop: VirtualLoop) -> None:
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
         self.process = SimulatedProcess("a")
         self.feed = Feed("a/1")
@@ -91,7 +91,7 @@
 
 
 def play(work: Any) -> None:
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
 
     async def main() -> None:
         head = _Head(loop)
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -30,8 +30,8 @@
 from hollowusher.protocol.placement import LearnerReady, Placement
 from hollowusher.protocol.view import ReadView, View, ViewResponse, Voter
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
-from hollowusher.simulation.network import Network
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
+from hollowusher.simulation.network import SimulatedNetwork
 
 DOCUMENT = b'{"generation":%d,"routes":[],"upstreams":[]}'
 
@@ -180,9 +180,9 @@
 class Cluster:
     """Three zones: in each a controller, an edge process without a disk, and stores."""
 
-    def __init__(self, loop: VirtualLoop, stores: int = 3) -> None:
+    def __init__(self, loop: VirtualTimeLoop, stores: int = 3) -> None:
         self.loop = loop
-        self.network = Network(loop, random.Random(5))
+        self.network = SimulatedNetwork(loop, random.Random(5))
         self.chain = Chain()
         self.tasks: list[asyncio.Task[None]] = []
         self.nodes: dict[str, Node] = {}
@@ -260,7 +260,7 @@
 
 def play(work: Callable[[Cluster], Coroutine[Any, Any, None]], **options: Any) -> None:
     """Run a test in virtual time; nothing may have failed unseen."""
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     try:
 
         async def main() -> None:
@@ -319,13 +319,13 @@
         cluster.chain.confirms = False
         cluster.chain.commit(evolve(cluster.chain.state, generation=7, document=DOCUMENT % 7))
         for zone in range(3):
-            cluster.network.cut("10.1.0.2", f"10.{zone}.0.1")
+            cluster.network.block("10.1.0.2", f"10.{zone}.0.1")
         node = cluster.restart("edge1")
         await asyncio.sleep(0.1)
         task = node.process.run(node.client.confirmed_start())
         await asyncio.sleep(2.0)
         assert not task.done() and node.state.configuration is None
-        cluster.network.join_all()
+        cluster.network.heal_all()
         await asyncio.sleep(1.0)
         assert not task.done()  # the chain cannot confirm yet
         cluster.chain.confirms = True
@@ -393,7 +393,7 @@
             if type(message).__name__ == "PullUpdates" and not source.endswith(".0.1:7780"):
                 pulls.add((source, target))
 
-        cluster.network.watch = watch
+        cluster.network.observer = watch
         await asyncio.sleep(3.0)
         assert pulls and all(source.split(".")[1] == target.split(".")[1] for source, target in pulls)
 
@@ -425,7 +425,7 @@
         await cluster.calm()
         await asyncio.sleep(1.5)
         for other in (0, 2):
-            cluster.network.cut("10.1.0.1", f"10.{other}.0.1")
+            cluster.network.block("10.1.0.1", f"10.{other}.0.1")
         await asyncio.sleep(4.0)
         cluster.chain.state = evolve(cluster.chain.state, generation=5, document=DOCUMENT % 5)
         for name in ("core0", "core2"):
@@ -445,7 +445,7 @@
         assert cluster.nodes["core1"].client.seconds_since_majority(now) > 3.0
         assert cluster.nodes["edge1"].client.seconds_since_contact(now) < 2.0
         assert cluster.nodes["edge1"].client.seconds_since_majority(now) < 2.0
-        cluster.network.join_all()
+        cluster.network.heal_all()
         await cluster.until(lambda: cluster.nodes["core1"].state.configuration is not None, 3.0)
 
     play(work)
@@ -499,7 +499,7 @@
                 pulls.append(message.reader)
 
         await asyncio.sleep(2.0)
-        cluster.network.watch = watch
+        cluster.network.observer = watch
         await asyncio.sleep(5.0)
         assert all(12 <= pulls.count(name) <= 18 for name in ("a-core", "z-core"))
 
@@ -513,7 +513,7 @@
         await cluster.calm()
         await asyncio.sleep(1.5)
         for other in (1, 2):
-            cluster.network.cut("10.0.0.1", f"10.{other}.0.1")
+            cluster.network.block("10.0.0.1", f"10.{other}.0.1")
         duties = cluster.nodes["core0"].duties
         assert duties is not None
         cluster.loop.freeze(cluster.nodes["store2"].process)
@@ -524,7 +524,7 @@
         await asyncio.sleep(4.0)  # connections over the cut have ended, nothing is on its way
         cluster.power_off("core0")
         cluster.restart("core0")
-        cluster.network.join_all()
+        cluster.network.heal_all()
         others = [node for node in cluster.living() if node.name != "store2"]
         await cluster.until(lambda: all(node.sees("store2") == (1, 1) for node in others), 3.0)
         cluster.loop.thaw(cluster.nodes["store2"].process)
@@ -641,14 +641,14 @@
         await cluster.calm()
         edges = [name for name in cluster.nodes if not name.startswith("store")]
         deaf = next(name for name in choose_monitors("store1", edges) if not name.startswith("core0"))
-        cluster.network.cut(cluster.nodes["store1"].host, cluster.nodes[deaf].host, both=False)
+        cluster.network.block(cluster.nodes["store1"].host, cluster.nodes[deaf].host, both=False)
         probes: list[str] = []
 
         def watch(source: str, target: str, message: Any) -> None:
             if isinstance(message, CheckIncarnation) and target == cluster.nodes["store1"].address:
                 probes.append(source)
 
-        cluster.network.watch = watch
+        cluster.network.observer = watch
         await asyncio.sleep(12.0)
         assert cluster.nodes["core0"].sees("store1") == (1, 0)
         assert 3 <= len(probes) <= 12 and set(probes) == {cluster.nodes["core0"].address}
@@ -687,9 +687,9 @@
             cluster.loop.thaw(node.process)
         elif event == "cut":
             target = chance.choice(list(cluster.nodes.values()))
-            cluster.network.cut(node.host, target.host, both=chance.random() < 0.7)
+            cluster.network.block(node.host, target.host, both=chance.random() < 0.7)
         elif event == "join":
-            cluster.network.join_all()
+            cluster.network.heal_all()
         elif event == "configure" or event == "disk":
             generation = cluster.chain.state.generation + 1
             cluster.chain.commit(
@@ -705,7 +705,7 @@
             for key, version in other.state.versions.items():
                 assert version >= seen.get((other.process, key), []), (seed, step, other.name, key)
                 seen[other.process, key] = list(version)
-    cluster.network.join_all()
+    cluster.network.heal_all()
     for node in cluster.living():
         cluster.loop.thaw(node.process)
     for zone in range(3):
@@ -734,7 +734,7 @@
                 heartbeats.append(message.name)
 
         before = cluster.network.messages
-        cluster.network.watch = watch
+        cluster.network.observer = watch
         await asyncio.sleep(30.0)
         assert all(cluster.all_see(name, (1, 0)) for name in cluster.nodes)
         each = {name: heartbeats.count(name) for name in cluster.nodes}
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -33,17 +33,17 @@
 
 def cut_one_way_in(cluster: Cluster) -> None:
     for other in (CORES[0], CORES[2]):
-        cluster.network.cut(other, CORES[1], both=False)
+        cluster.network.block(other, CORES[1], both=False)
 
 
 def cut_one_way_out(cluster: Cluster) -> None:
     for other in (CORES[0], CORES[2]):
-        cluster.network.cut(CORES[1], other, both=False)
+        cluster.network.block(CORES[1], other, both=False)
 
 
 def cut_all(cluster: Cluster) -> None:
     for other in (CORES[0], CORES[2]):
-        cluster.network.cut(CORES[1], other)
+        cluster.network.block(CORES[1], other)
 
 
 class TestAge:
@@ -72,13 +72,13 @@
             await asyncio.sleep(1.5)
             cut(cluster)
             for other in (CORES[0], CORES[2]):
-                cluster.network.cut("10.1.0.2", other)
+                cluster.network.block("10.1.0.2", other)
             cut_at = cluster.loop.time()
             client = cluster.nodes["edge1"].client
             while (now := cluster.loop.time()) < cut_at + 20.0:
                 assert client.seconds_since_majority(now) >= now - cut_at - last_word_s - SLACK_S
                 await asyncio.sleep(0.05)
-            cluster.network.join_all()
+            cluster.network.heal_all()
             await cluster.until(lambda: client.seconds_since_majority(cluster.loop.time()) < 1.0, 6.0)
 
         play(work)
@@ -111,7 +111,7 @@
             await asyncio.sleep(0.1)
             for other in CORES:
                 if other != node.host:
-                    cluster.network.cut(node.host, other)
+                    cluster.network.block(node.host, other)
             await asyncio.sleep(frozen_s)
             publish(cluster, 6, "core0", "core2")
             cluster.loop.thaw(node.process)
@@ -143,20 +143,20 @@
             publish(cluster, 5, "core0", "core2")
             node = cluster.add("edge9", "edge", "10.1.0.9", "z1", 1, False, "")
             for other in (CORES[0], CORES[2]):
-                cluster.network.cut("10.1.0.9", other)
+                cluster.network.block("10.1.0.9", other)
             asked: list[str] = []
 
             def watch(source: str, target: str, message: object) -> None:
                 if isinstance(message, ReadControlState):
                     asked.append(target)
 
-            cluster.network.watch = watch
+            cluster.network.observer = watch
             cluster.chain.confirms = False  # as the controller that lacks a majority answers
             await asyncio.sleep(0.001)
             starting = node.process.run(node.client.confirmed_start())
             await asyncio.sleep(20.0)
             assert not starting.done() and asked
-            cluster.network.join_all()
+            cluster.network.heal_all()
             cluster.chain.confirms = True
             await asyncio.wait_for(starting, 6.0)
             assert node.state.configuration is not None and node.state.configuration.generation == 5
--- a/tests/coordination/distribution/test_feed.py
+++ b/tests/coordination/distribution/test_feed.py
@@ -13,7 +13,7 @@
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.distribution import DistributedItem, PullUpdates, UpdatesResponse
 from hollowusher.protocol.membership import Member
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
 
 
 def pull(source: Feed, target: Feed) -> UpdatesResponse:
@@ -188,7 +188,7 @@
         answer = await poll.answer(PullUpdates("reader", answer.have, 1000))
         assert answer.items == [] and abs(loop.time() - started - 1.0) < 0.001
 
-    virtual = VirtualLoop()
+    virtual = VirtualTimeLoop()
     try:
         virtual.play(play())
     finally:
@@ -200,7 +200,7 @@
         poll = LongPoll(Feed("a/1"), lambda: False)
         assert not (await poll.answer(PullUpdates("reader", {}, 0))).connected
 
-    virtual = VirtualLoop()
+    virtual = VirtualTimeLoop()
     try:
         virtual.play(play())
     finally:
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -17,7 +17,7 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.operator_orders import RecoverPartition
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from tests.support.store_world import StoreWorld, play
+from tests.support.store_scenario import StoreScenario, play
 
 PLACEMENT = Placement(
     7,
@@ -88,7 +88,7 @@
 
 
 def test_a_partition_without_majority_stands_still_until_the_order_and_is_whole_again_after_it() -> None:
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         await asyncio.sleep(1.0)
         lost = [system.lose_for_good(name) for name in ("store-1", "store-2")]
@@ -99,19 +99,19 @@
         alone = [
             entry
             for entry in system.placement.partitions
-            if sum(replica in system.living_ids() for replica in entry.replicas) == 1
+            if sum(replica in system.running_store_ids() for replica in entry.replicas) == 1
         ]
         assert alone  # those whose primary was lost; a primary that lives fills new replicas by itself
         for entry in alone:
             given_up = [replica for replica in entry.replicas if not replica.startswith("store-3/")]
-            refused = await system.head_call(RecoverPartition(entry.partition, given_up[:1]))
+            refused = await system.call_head(RecoverPartition(entry.partition, given_up[:1]))
             assert refused.status == 409 and b"not named" in refused.body
-            answer = await system.head_call(RecoverPartition(entry.partition, given_up))
+            answer = await system.call_head(RecoverPartition(entry.partition, given_up))
             assert answer.status == 200, answer.body
             assert orjson.loads(answer.body) == {"state": "recovered"}
-            again = await system.head_call(RecoverPartition(entry.partition, given_up))
+            again = await system.call_head(RecoverPartition(entry.partition, given_up))
             assert again.status == 409
-        await system.until(lambda: set(system.borne()) == {3}, 10.0)
+        await system.until(lambda: set(system.running_replica_counts()) == {3}, 10.0)
         assert await system.put()
         assert await system.lost() == []  # each was on all three replicas before
 
--- a/tests/coordination/placement/test_store_epochs.py
+++ b/tests/coordination/placement/test_store_epochs.py
@@ -52,11 +52,11 @@
         primary.kill()  # its own disk has not taken the record
         put.cancel()
         primary.cut(second)
-        cluster.network.join("10.0.0.1", "10.0.0.3")
+        cluster.network.heal("10.0.0.1", "10.0.0.3")
         await primary.start()
         await asyncio.sleep(1.5)
         accepted = (await cluster.put(message("m2"))).status == "stored"
-        cluster.network.join_all()
+        cluster.network.heal_all()
         primary.kill()
         cluster.place([attrs.evolve(first, epoch=3, primary="store-2/d1", primary_incarnation=1)])  # type: ignore[misc]
         await asyncio.sleep(3.0)
--- a/tests/coordination/placement/test_store_replacement.py
+++ b/tests/coordination/placement/test_store_replacement.py
@@ -6,26 +6,26 @@
 
 import pytest
 
-from tests.support.store_world import CATCH_UP_S, StoreWorld, play
+from tests.support.store_scenario import CATCH_UP_S, StoreScenario, play
 
 
-async def lose_the_next(system: StoreWorld, victim: str) -> None:
+async def lose_the_next(system: StoreScenario, victim: str) -> None:
     """The disk of another store is lost, and the machine returns empty."""
     await system.lose_disk_and_return(victim)
 
 
-async def check_all_stands(system: StoreWorld, replicas: int) -> None:
+async def check_all_stands(system: StoreScenario, replicas: int) -> None:
     """Everything accepted is found, new messages are taken, and the next loss would be borne again."""
     assert await system.lost() == []
     assert await system.put()
-    await system.until(lambda: set(system.borne()) == {replicas}, CATCH_UP_S)
+    await system.until(lambda: set(system.running_replica_counts()) == {replicas}, CATCH_UP_S)
 
 
 @pytest.mark.parametrize("victim", ["store-2", "store-3"])
 @pytest.mark.parametrize("name", ["store-1", "store-9"])
 @pytest.mark.parametrize("stores", [3, 4])
 def test_a_lost_store_is_replaced_before_the_next_disk_is_lost(victim: str, name: str, stores: int) -> None:
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         system.lose_for_good("store-1")
         await asyncio.sleep(1.0)
@@ -44,13 +44,13 @@
 def test_a_planned_replacement_is_done_before_the_next_disk_is_lost(victim: str, stores: int) -> None:
     """The successor starts first, then the old store is told to stop and is gone for good."""
 
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         successor = system.add_store("store-9", "10.0.1.1", "zone-a")
         started_at = system.loop.time()
         await system.start_slowly(successor)
         await asyncio.sleep(0.5)
-        await system.world.terminate(system.world.machines["store-1"], 6.0)
+        await system.cluster.terminate(system.cluster.machines["store-1"], 6.0)
         system.lose_for_good("store-1")
         await asyncio.sleep(max(0.0, started_at + CATCH_UP_S - system.loop.time()))
         await lose_the_next(system, victim)
@@ -62,7 +62,7 @@
 def test_copies_of_many_bytes_are_in_time() -> None:
     """20 MB of records at each store, and messages go on while they are copied."""
 
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         for _ in range(10):
             await system.put_many(160, size=12_500)
         system.lose_for_good("store-1")
@@ -80,11 +80,11 @@
 
 
 def test_a_restart_within_a_second_and_a_half_moves_nothing() -> None:
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(32)
         before = [(entry.partition, sorted(entry.replicas)) for entry in system.placement.partitions]
-        machine = system.world.machines["store-1"]
-        system.world.kill(machine)
+        machine = system.cluster.machines["store-1"]
+        system.cluster.kill(machine)
         await system.start_slowly(machine)
         for _ in range(40):
             await asyncio.sleep(0.1)
@@ -95,18 +95,18 @@
 
 
 def test_a_store_that_returns_after_its_copies_were_given_away_gets_some_again() -> None:
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(64)
-        machine = system.world.machines["store-1"]
+        machine = system.cluster.machines["store-1"]
         had = system.replicas_of("store-1")
-        system.world.kill(machine)
+        system.cluster.kill(machine)
         await asyncio.sleep(10.0)
-        assert system.replicas_of("store-1") == 0 and system.borne() == {3: 16}
+        assert system.replicas_of("store-1") == 0 and system.running_replica_counts() == {3: 16}
         await system.start_slowly(machine)
         fewest = 3
         for _ in range(450):
             await asyncio.sleep(0.1)
-            fewest = min(fewest, *system.borne())
+            fewest = min(fewest, *system.running_replica_counts())
         assert fewest == 3  # a move never lessens the number of living replicas
         assert system.replicas_of("store-1") >= had - 2
         assert await system.lost() == []
@@ -115,7 +115,7 @@
 
 
 def test_an_added_store_gets_replicas_while_all_is_calm() -> None:
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         await system.start_slowly(system.add_store("store-9", "10.0.1.1", "zone-a"))
         await asyncio.sleep(60.0)
--- a/tests/coordination/placement/test_store_retire.py
+++ b/tests/coordination/placement/test_store_retire.py
@@ -8,12 +8,12 @@
 import pytest
 
 from hollowusher.coordination.placement.planner import is_store_placed
-from tests.support.store_world import StoreWorld, play
+from tests.support.store_scenario import StoreScenario, play
 
 DURATION_S = 10.0
 
 
-async def finish(system: StoreWorld, name: str, within_s: float) -> float:
+async def finish(system: StoreScenario, name: str, within_s: float) -> float:
     """Seconds until the machine is emptied."""
     started = system.loop.time()
     while True:
@@ -25,19 +25,19 @@
         await asyncio.sleep(0.1)
 
 
-async def check_emptied(system: StoreWorld, name: str) -> None:
+async def check_emptied(system: StoreScenario, name: str) -> None:
     """Nothing names it, it is switched off for good, and every message is found."""
     await system.until(lambda: not is_store_placed(system.placement, name), 1.0)
     system.lose_for_good(name)
     assert await system.lost() == []
     assert await system.put()
-    await system.until(lambda: set(system.borne()) == {3}, 6.0)
+    await system.until(lambda: set(system.running_replica_counts()) == {3}, 6.0)
 
 
 @pytest.mark.parametrize("victim", ["store-2", "store-3", "store-4"])
 @pytest.mark.parametrize("delay_s", [0.0, 0.3, 1.0, 2.0])
 def test_a_machine_is_emptied_though_another_loses_its_disk(victim: str, delay_s: float) -> None:
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         for _ in range(4):
             await system.put_many(160, size=12_500)
         answer = await system.retire("store-1", DURATION_S)
@@ -54,7 +54,7 @@
 def test_two_disks_are_lost_one_after_the_other_while_a_machine_is_emptied() -> None:
     """The second one is lost as soon as the first machine has caught up."""
 
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(160, size=2_500)
         assert (await system.retire("store-1", DURATION_S)).status == 200
         await system.lose_disk_and_return("store-2", 0.5)
@@ -69,7 +69,7 @@
 def test_a_machine_that_is_emptied_goes_on_as_a_source() -> None:
     """The only other copy of what is committed is lost: the machine to be emptied has the last one."""
 
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         assert (await system.retire("store-1", DURATION_S)).status == 200
         await asyncio.sleep(0.1)
@@ -82,7 +82,7 @@
 
 
 def test_orders_that_cannot_be_taken_are_refused_truthfully_and_change_nothing() -> None:
-    async def work(system: StoreWorld) -> None:
+    async def work(system: StoreScenario) -> None:
         before = system.placement
         assert (await system.retire("store-9", DURATION_S)).status == 404
         assert (await system.retire("edge-1", DURATION_S)).status == 404
--- a/tests/delivery/test_callbacks.py
+++ b/tests/delivery/test_callbacks.py
@@ -16,7 +16,7 @@
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
 from tests.delivery.test_delivery import Exchange, real, serving
 from tests.support.dispatch import (
     SETTINGS,
@@ -76,7 +76,7 @@
 
 class TestCallbackDelivery:
     def test_owed_call_backs_are_sent_and_their_ends_reported(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver()
             stores, subject, figures = made(receiver)
             stores.add(STORE_1, [owed(n) for n in range(10)])
@@ -92,7 +92,7 @@
         play(work)
 
     def test_at_most_four_at_a_time(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver(run_s=0.5)
             stores, subject, _ = made(receiver)
             stores.add(STORE_1, [owed(n) for n in range(20)])
@@ -106,7 +106,7 @@
         play(work)
 
     def test_a_failing_receiver_rests_and_its_failures_are_reported(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver(run_s=0.01, script=["failed", "unknown"] * 4)
             stores, subject, figures = made(receiver)
             stores.add(STORE_1, [owed(n) for n in range(20)])
@@ -120,7 +120,7 @@
         play(work)
 
     def test_a_source_is_asked_until_it_has_been_empty_for_ten_seconds(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver()
             stores, subject, _ = made(receiver)
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
@@ -138,7 +138,7 @@
         play(work)
 
     def test_only_the_owner_asks(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             stores, subject, _ = made(ModelReceiver(), owns=False)
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             await asyncio.sleep(1)
@@ -147,7 +147,7 @@
         play(work)
 
     def test_each_receiver_has_one_owner_among_the_edge_processes(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster = Cluster([edge(f"e{n}") for n in range(1, 5)], [], [], [])
             stores = [LeasingStores() for _ in range(4)]
             subjects = [
@@ -176,7 +176,7 @@
         play(work)
 
     def test_a_stop_waits_for_posts_and_gives_back_the_rest(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver(run_s=0.5)
             stores, subject, _ = made(receiver)
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -17,7 +17,7 @@
 from hollowusher.delivery.reports import PATIENCE_S, EndReporter
 from hollowusher.delivery.worker_client import LATE_ANSWER_S, Endpoint, HttpWorkerClient, belongs, judge
 from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
 from hollowusher.transport.interface import PeerError
 from tests.support.dispatch import job, play
 
@@ -590,7 +590,7 @@
 
 class TestEndReporter:
     def test_repeated_until_taken_or_gone(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             for last in ("taken", "gone"):
                 stub = FinishStub(["unavailable", "error", "not_primary", last, "never"])
                 figures = DeliveryFigures()
@@ -601,7 +601,7 @@
         play(work)
 
     def test_given_up_after_minutes(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             stub, figures = FinishStub(["unavailable"] * 10_000), DeliveryFigures()
             began = loop.time()
             await EndReporter(stub, figures).report(FinishLease("0-1-1-1", "success", "s"))
@@ -611,7 +611,7 @@
         play(work)
 
     def test_settling_waits_for_reports_but_not_beyond_the_deadline(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             stub, figures = FinishStub(["unavailable"] * 10_000), DeliveryFigures()
             reporter = EndReporter(stub, figures)
             reporter.give_back("0-1-1-1")
@@ -626,7 +626,7 @@
         play(work)
 
     def test_a_bounded_number_of_given_back_jobs_waits(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             stub, figures = FinishStub(["unavailable"] * 10_000), DeliveryFigures()
             reporter = EndReporter(stub, figures)
             for number in range(5):
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -20,7 +20,7 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import JobsWaiting
 from hollowusher.protocol.membership import Member
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
 from tests.support.dispatch import (
     ADDRESSES,
     STORE_1,
@@ -288,7 +288,7 @@
 
 class TestDispatcher:
     def test_jobs_run_in_time_and_their_ends_are_reported(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
             subject = dispatcher(cluster, stores, workers)
@@ -306,7 +306,7 @@
         play(work)
 
     def test_one_request_is_outstanding_at_each_source(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
             subject.start()
@@ -321,7 +321,7 @@
         play(work)
 
     def test_an_idle_service_is_asked_for_about_once_a_second(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
             subject.start()
@@ -332,7 +332,7 @@
         play(work)
 
     def test_owners_share_the_workers_and_each_hands_over_only_to_its_own(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=8, members=3), LeasingStores()
             clients = [model(cluster) for _ in range(3)]
             subjects = [dispatcher(cluster, stores, clients[n], f"e{n + 1}") for n in range(3)]
@@ -350,7 +350,7 @@
         play(work)
 
     def test_a_member_that_dies_leaves_its_workers_to_the_others(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=8, members=2), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
             subject.start()
@@ -362,7 +362,7 @@
         play(work)
 
     def test_jobs_follow_the_placement_to_the_new_primary(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
             subject.start()
@@ -380,7 +380,7 @@
         play(work)
 
     def test_a_store_where_jobs_wait_is_asked_until_it_has_been_empty_for_a_while(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
             subject.start()
@@ -396,7 +396,7 @@
         play(work)
 
     def test_a_store_that_fails_is_asked_again_with_growing_pauses(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             stores.down.add(ADDRESSES[STORE_1])
             subject = dispatcher(cluster, stores, model(cluster))
@@ -415,7 +415,7 @@
         play(work)
 
     def test_nothing_new_goes_to_a_draining_worker_and_its_jobs_in_hand_end(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
             subject = dispatcher(cluster, stores, workers)
@@ -435,7 +435,7 @@
         play(work)
 
     def test_a_worker_no_longer_listed_gets_nothing_new(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1), LeasingStores()
             workers = model(cluster)
             subject = dispatcher(cluster, stores, workers)
@@ -457,7 +457,7 @@
         play(work)
 
     def test_a_worker_listed_anew_at_an_address_is_another_one(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1), LeasingStores()
             workers = model(cluster)
             workers.answers[listed(1).address] = DeliveryOutcome("not_run", Ending.GONE)
@@ -478,7 +478,7 @@
         play(work)
 
     def test_a_refused_job_is_offered_to_another_worker(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
             workers.answers[listed(1).address] = DeliveryOutcome("not_run", Ending.FULL)
@@ -493,7 +493,7 @@
         play(work)
 
     def test_under_a_rate_ceiling_a_refused_job_goes_back_to_the_store(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             cluster.configure([Service("svc", rate_per_s=20.0)], [route()])
             workers = model(cluster)
@@ -512,7 +512,7 @@
         play(work)
 
     def test_a_job_that_no_worker_takes_in_its_time_is_given_back(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=1), LeasingStores()
             workers = model(cluster, run_s=3.0)
             subject = dispatcher(cluster, stores, workers)
@@ -534,7 +534,7 @@
         play(work)
 
     def test_workers_are_not_flooded_when_the_list_tells_too_many_slots(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=20), LeasingStores()
             workers = ModelWorkers({listed(1).address: 3}, places=1)
             subject = dispatcher(cluster, stores, workers)
@@ -549,7 +549,7 @@
         play(work)
 
     def test_a_dropped_route_gives_its_jobs_back_unrun(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
             subject = dispatcher(cluster, stores, workers)
@@ -564,7 +564,7 @@
         play(work)
 
     def test_a_service_that_is_gone_gets_nothing(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
             subject = dispatcher(cluster, stores, workers)
@@ -579,7 +579,7 @@
         play(work)
 
     def test_the_timeout_is_that_of_the_configuration_in_force(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
             subject = dispatcher(cluster, stores, workers)
@@ -593,7 +593,7 @@
         play(work)
 
     def test_a_fixed_endpoint_is_delivered_to_without_an_instance(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             address = "10.3.0.1:9000"
             cluster = Cluster([edge("e1")], [Service("svc", fixed=address, max_connections=7)], [route()], [])
             stores, workers = LeasingStores(), ModelWorkers({address: 4})
@@ -609,7 +609,7 @@
         play(work)
 
     def test_pull_services_are_not_pushed(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             cluster.configure([Service("svc", pull=True)], [route()])
             subject = dispatcher(cluster, stores, model(cluster))
@@ -621,7 +621,7 @@
         play(work)
 
     def test_an_end_is_reported_until_a_store_takes_it_and_never_rerun(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
             stores.refuse_finishes = 10
@@ -637,7 +637,7 @@
         play(work)
 
     def test_a_job_whose_time_is_over_is_given_back_from_anywhere_in_the_queue(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=1), LeasingStores()
             workers = model(cluster, run_s=2.0)
             subject = dispatcher(cluster, stores, workers)
@@ -656,7 +656,7 @@
         play(work)
 
     def test_a_planned_stop_gives_back_what_has_not_begun_and_waits_for_the_rest(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster, run_s=1.0)
             subject = dispatcher(cluster, stores, workers)
@@ -679,7 +679,7 @@
         play(work)
 
     def test_after_a_freeze_nothing_that_was_leased_before_is_begun(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=1), LeasingStores()
             workers = model(cluster, run_s=0.3)
             process = SimulatedProcess("e1")
@@ -710,7 +710,7 @@
         play(work)
 
     def test_a_stop_ends_within_its_grace(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster, run_s=100.0)
             subject = dispatcher(cluster, stores, workers)
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -22,7 +22,7 @@
 from hollowusher.dispatch.worker_control import WorkerControl
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
 from tests.support.dispatch import (
     STORE_1,
     STORE_2,
@@ -56,7 +56,7 @@
     return await process.run(begin())
 
 
-async def freeze_for(loop: VirtualLoop, process: SimulatedProcess, seconds: float) -> None:
+async def freeze_for(loop: VirtualTimeLoop, process: SimulatedProcess, seconds: float) -> None:
     loop.freeze(process)
     await asyncio.sleep(seconds)
     loop.thaw(process)
@@ -65,7 +65,7 @@
 class TestLeases:
     @pytest.mark.parametrize("frozen_s", [0.9, 1.5, 5.0, 20.0])
     def test_jobs_of_an_answer_that_was_read_late_are_given_back(self, frozen_s: float) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores, workers = pushing()
             process = SimulatedProcess("e1")
             await start(process, cluster, stores, workers)
@@ -80,7 +80,7 @@
         play(work)
 
     def test_jobs_that_were_leased_late_in_a_long_poll_are_begun(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores, workers = pushing()
             await start(SimulatedProcess("e1"), cluster, stores, workers)
             await asyncio.sleep(0.95)
@@ -93,7 +93,7 @@
     def test_a_job_whose_hand_over_was_frozen_is_not_begun(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """The process stands still after it has chosen the worker and before the delivery's first step."""
 
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores, workers = pushing()
             process = SimulatedProcess("e1")
             real = WorkerControl.handed
@@ -133,7 +133,7 @@
     def test_nothing_is_sent_on_a_connection_that_stood_only_after_a_freeze(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             opened = _SilentConnection()
 
             async def connect(pool: ConnectionPool, deadline: float, may_have_run: bool = False) -> Any:
@@ -152,7 +152,7 @@
 class TestPullWorkers:
     @pytest.mark.parametrize("frozen_s", [0.5, 5.0, 20.0])
     def test_a_spare_job_is_not_handed_out_after_a_freeze(self, frozen_s: float) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster = Cluster([edge("e1")], [Service("svc", pull=True)], [route()], [])
             stores, process = LeasingStores(), SimulatedProcess("e1")
             subject = await start(process, cluster, stores, ModelWorkers({}))
@@ -176,7 +176,7 @@
     def test_a_job_that_was_given_to_a_call_before_a_freeze_is_given_back(
         self, frozen_s: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster = Cluster([edge("e1")], [Service("svc", pull=True)], [route()], [])
             stores, process = LeasingStores(), SimulatedProcess("e1")
             subject = await start(process, cluster, stores, ModelWorkers({}))
@@ -224,7 +224,7 @@
 
 class TestCallBacks:
     def test_call_backs_leased_before_a_long_freeze_are_given_back(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores, figures = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryFigures()
             network = LeaseNetwork(
                 cluster.state.members["e1"], stores, cluster.state, rank_partitions, figures
--- a/tests/dispatch/test_pull_desk.py
+++ b/tests/dispatch/test_pull_desk.py
@@ -11,7 +11,7 @@
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.intake.pull_desk import PullDesk
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
 from tests.support.dispatch import (
     ADDRESSES,
     SETTINGS,
@@ -44,7 +44,7 @@
 
 class TestPullDesk:
     def test_a_call_gets_a_job_that_waits_at_the_store(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             stores.add(STORE_1, [job(1)])
             assert await desk.pull("svc", "i-1", 1.0) == job(1)
@@ -55,7 +55,7 @@
         play(work)
 
     def test_a_call_that_waits_gets_a_job_as_soon_as_it_comes(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             call = asyncio.create_task(desk.pull("svc", "i-1", 5.0))
             await asyncio.sleep(2.5)
@@ -66,7 +66,7 @@
         play(work)
 
     def test_a_call_ends_without_a_job_after_its_wait(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, _, _, desk = made()
             assert await desk.pull("svc", "i-1", 1.5) is None
             assert clock() == pytest.approx(1.5)
@@ -76,7 +76,7 @@
         play(work)
 
     def test_nothing_is_asked_for_while_no_call_waits(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             await desk.pull("svc", "i-1", 0.5)
             await asyncio.sleep(2)
@@ -87,7 +87,7 @@
         play(work)
 
     def test_calls_are_served_in_the_order_of_their_arrival(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             calls = waiting(desk, 4)
             await asyncio.sleep(0.1)
@@ -98,7 +98,7 @@
         play(work)
 
     def test_one_request_for_all_calls_that_wait(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             waiting(desk, 6, 3.0)
             await asyncio.sleep(1.5)
@@ -108,7 +108,7 @@
         play(work)
 
     def test_a_job_nobody_waits_for_is_offered_to_the_next_call(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             assert await desk.pull("svc", "i-1", 0.5) is None  # the store's long poll goes on
             stores.add(STORE_1, [job(1)])
@@ -120,7 +120,7 @@
         play(work)
 
     def test_else_it_is_given_back_unrun(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             assert await desk.pull("svc", "i-1", 0.5) is None
             stores.add(STORE_1, [job(1)])
@@ -130,7 +130,7 @@
         play(work)
 
     def test_a_cancelled_calls_job_goes_to_the_next_call(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, _, _, desk = made()
             first, second = waiting(desk, 2, 5.0)
             await asyncio.sleep(0.1)
@@ -142,7 +142,7 @@
         play(work)
 
     def test_a_cancelled_call_is_not_counted(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, _, desk = made()
             first, second = waiting(desk, 2, 5.0)
             await asyncio.sleep(0.1)
@@ -155,7 +155,7 @@
         play(work)
 
     def test_other_stores_where_jobs_wait_are_asked_while_calls_wait(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, subject, desk = made()
             subject.handle(JobsWaiting("svc", STORE_2))
             await asyncio.sleep(0.1)
@@ -169,7 +169,7 @@
         play(work)
 
     def test_the_new_primary_is_asked_after_a_change(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores, _, desk = made()
             call = waiting(desk, 1, 5.0)[0]
             await asyncio.sleep(0.1)
@@ -182,7 +182,7 @@
         play(work)
 
     def test_a_stop_ends_calls_and_gives_back_what_comes_later(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             _, stores, subject, desk = made()
             calls = waiting(desk, 2, 5.0)
             await asyncio.sleep(0.3)
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -32,7 +32,7 @@
 from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.messages import MessageStatusResponse, NewMessage, PutResponse
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
 
 HOST = "boye61.example"
 
@@ -330,7 +330,7 @@
     """An intake over fakes."""
 
     def __init__(
-        self, loop: VirtualLoop, job: LeasedJob | None = None, limits: IntakeLimits | None = None
+        self, loop: VirtualTimeLoop, job: LeasedJob | None = None, limits: IntakeLimits | None = None
     ) -> None:
         self.loop = loop
         self.state = ClusterState()
@@ -365,7 +365,7 @@
     job: LeasedJob | None = None,
     limits: IntakeLimits | None = None,
 ) -> None:
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     try:
         loop.play(work(World(loop, job, limits)))
     finally:
--- a/tests/intake/test_store_client.py
+++ b/tests/intake/test_store_client.py
@@ -23,7 +23,7 @@
     PutResponse,
 )
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
 from hollowusher.transport.interface import Handler, PeerError
 
 ONE, TWO, THREE = "10.0.0.1:7780", "10.0.0.2:7780", "10.0.0.3:7780"
@@ -120,7 +120,7 @@
 class World:
     """A client over a scripted transport in virtual time; deadlines count from the start."""
 
-    def __init__(self, loop: VirtualLoop, scripts: dict[str, list[Any]]) -> None:
+    def __init__(self, loop: VirtualTimeLoop, scripts: dict[str, list[Any]]) -> None:
         self.loop = loop
         self.state = cluster()
         self.transport = ScriptedTransport(scripts)
@@ -141,7 +141,7 @@
 
 
 def play(scripts: dict[str, list[Any]], work: Callable[[World], Coroutine[Any, Any, Any]]) -> None:
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     try:
         loop.play(work(World(loop, scripts)))
     finally:
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -13,7 +13,7 @@
 from hollowusher.intake.store_client import StoreClient
 from hollowusher.intake.worker_calls import worker_lease_id
 from hollowusher.protocol.leases import LeasedJob
-from hollowusher.simulation.loop import SimulatedProcess
+from hollowusher.simulation.event_loop import SimulatedProcess
 from hollowusher.simulation.network import host_of
 from tests.support.message_store import StoreCluster, message, play
 
--- a/tests/messages/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -207,7 +207,7 @@
             cluster.stores[0].cut(*cluster.stores[1:])
             await asyncio.sleep(1.0)
             assert await cluster.lease(service=RECEIVER, wait_ms=100) == []
-            cluster.network.join_all()
+            cluster.network.heal_all()
             [told] = await cluster.lease(service=RECEIVER, wait_ms=5_000)
             assert await cluster.finish(told.lease, "success") == "taken"
 
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -276,7 +276,7 @@
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
-            cluster.network.watch = lambda _, __, sent: (
+            cluster.network.observer = lambda _, __, sent: (
                 batches.append(sent) if isinstance(sent, ReplicateRequest) else None
             )
             await asyncio.gather(*(cluster.stored(message(f"m{number}")) for number in range(1, 50)))
@@ -479,7 +479,7 @@
             cluster.stores[1].cut(cluster.stores[2])
             cluster.place([cluster.entry(0, 3, 1, replicas=[0, 1, 3])])
             await asyncio.sleep(0.3)
-            cluster.network.join_all()
+            cluster.network.heal_all()
             state = "unavailable"
             while state == "unavailable":
                 state = (await cluster.status(reference, store=1)).state
@@ -636,7 +636,7 @@
         elif kind == "freeze":
             store.thaw()
         elif kind == "cut":
-            self.cluster.network.join_all()
+            self.cluster.network.heal_all()
 
     async def all_at_once(self) -> None:
         for store in self.cluster.stores:
--- a/tests/messages/test_store_service.py
+++ b/tests/messages/test_store_service.py
@@ -133,7 +133,7 @@
             await cluster.stored(message("m0"))
             cluster.stores[0].cut(*cluster.stores[1:])
             assert await cluster.lease(wait_ms=1_500) == []
-            cluster.network.join_all()
+            cluster.network.heal_all()
             await asyncio.sleep(2.0)
             assert len(await cluster.lease(wait_ms=1_000)) == 1
 
--- a/tests/simulation/model_check/test_chain_model.py
+++ b/tests/simulation/model_check/test_chain_model.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from hollowusher.simulation.model_check.chain_model import ChainBounds, ChainModel
-from hollowusher.simulation.model_check.explorer import Bounds, explore
-from hollowusher.simulation.model_check.planted import CHAIN_FAULTS
+from hollowusher.simulation.model_check.control_chain_model import ChainBounds, ControlChainModel
+from hollowusher.simulation.model_check.explorer import SearchBounds, explore
+from hollowusher.simulation.model_check.planted_control import CHAIN_FAULTS
 
 SOUND = {
     "one change of the view": (ChainBounds(3, views=1, orders=1), 60, True),
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize("name", SOUND)
 def test_no_committed_state_is_lost(name: str) -> None:
     bounds, depth, everything = SOUND[name]
-    outcome = explore(ChainModel(bounds), Bounds(depth))
+    outcome = explore(ControlChainModel(bounds), SearchBounds(depth))
     assert outcome.violation == "", outcome.trace
     assert outcome.complete and outcome.exhausted == everything
 
@@ -30,6 +30,6 @@
 
 @pytest.mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found(name: str) -> None:
-    outcome = explore(ChainModel(PLANTED[name], CHAIN_FAULTS[name]), Bounds(20))
+    outcome = explore(ControlChainModel(PLANTED[name], CHAIN_FAULTS[name]), SearchBounds(20))
     assert outcome.violation == "a state committed in epoch 1 was lost in epoch 2"
     assert outcome.trace
--- a/tests/simulation/model_check/test_consensus_model.py
+++ b/tests/simulation/model_check/test_consensus_model.py
@@ -7,8 +7,8 @@
 
 from hollowusher.simulation.model_check.commands import main
 from hollowusher.simulation.model_check.consensus_model import ConsensusBounds, ConsensusModel
-from hollowusher.simulation.model_check.explorer import Bounds, explore
-from hollowusher.simulation.model_check.planted import CONSENSUS_FAULTS
+from hollowusher.simulation.model_check.explorer import SearchBounds, explore
+from hollowusher.simulation.model_check.planted_control import CONSENSUS_FAULTS
 
 SOUND = {
     "one proposal, everything apart": (ConsensusBounds(3, proposals=1, restarts=1, fine=True), 60, True),
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("name", SOUND)
 def test_one_view_for_each_epoch(name: str) -> None:
     bounds, depth, everything = SOUND[name]
-    outcome = explore(ConsensusModel(bounds), Bounds(depth))
+    outcome = explore(ConsensusModel(bounds), SearchBounds(depth))
     assert outcome.violation == "", outcome.trace
     assert outcome.complete and outcome.exhausted == everything
     assert outcome.states > 100
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found(name: str) -> None:
     bounds, expected = PLANTED[name]
-    outcome = explore(ConsensusModel(bounds, CONSENSUS_FAULTS[name]), Bounds(12))
+    outcome = explore(ConsensusModel(bounds, CONSENSUS_FAULTS[name]), SearchBounds(12))
     assert expected in outcome.violation
     assert outcome.trace
 
--- a/tests/simulation/model_check/test_partition_model.py
+++ b/tests/simulation/model_check/test_partition_model.py
@@ -6,13 +6,13 @@
 from click.testing import CliRunner
 
 from hollowusher.simulation.model_check.commands import main
-from hollowusher.simulation.model_check.explorer import Bounds
-from hollowusher.simulation.model_check.partition import PLANS
+from hollowusher.simulation.model_check.explorer import SearchBounds
 from hollowusher.simulation.model_check.partition_command import check_plan
+from hollowusher.simulation.model_check.partition_model import SCENARIOS
 
-BY_NAME = {plan.name: plan for plan in PLANS}
-ENOUGH = Bounds(10_000, 40_000, 120.0)
-SHORT = Bounds(10_000, 2_500, 60.0)
+BY_NAME = {plan.name: plan for plan in SCENARIOS}
+ENOUGH = SearchBounds(10_000, 40_000, 120.0)
+SHORT = SearchBounds(10_000, 2_500, 60.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/simulation/test_simulated_days.py
+++ b/tests/simulation/test_simulated_days.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from hollowusher.simulation.faults import injector as troublemaker
+from hollowusher.simulation.faults import injector
+from hollowusher.simulation.faults.context import FAULT_KINDS, FaultRequest
 from hollowusher.simulation.faults.script import ScriptError, parse_script, read_script
-from hollowusher.simulation.faults.stage import KINDS, Wanted
-from hollowusher.simulation.planted import PLANTED
+from hollowusher.simulation.planted import PLANTED_FAULTS
 
 DAYS = sorted((Path(__file__).parent / "days").glob("*.toml"))
 PLAYED_HERE = ("2-two-operators", "4-many-changes")  # the others by command: `--script FILE`
@@ -33,7 +33,9 @@
             'seeds = [4]\n[size]\nstores = 4\n[[trouble]]\nat = 2\nkind = "replace"\nhow = "planned"\n',
         )
         assert script.seeds == (4,) and script.size.stores == 4
-        assert script.troubles[0].at == 2.0 and script.troubles[0].wanted == Wanted("replace", how="planned")
+        assert script.faults[0].at == 2.0 and script.faults[0].request == FaultRequest(
+            "replace", how="planned"
+        )
 
     def test_a_misspelt_key_is_named(self, tmp_path: Path) -> None:
         file = tmp_path / "bad.toml"
@@ -48,10 +50,10 @@
             read_script(file)
 
     def test_there_is_a_day_for_each_point(self) -> None:
-        assert troublemaker.MODULES
+        assert injector.MODULES
         assert {day.name[0] for day in DAYS} >= set("12345")
         for day in DAYS:
-            assert all(entry.wanted.kind in KINDS for entry in read_script(day).troubles)
+            assert all(entry.request.kind in FAULT_KINDS for entry in read_script(day).faults)
 
 
 class TestDays:
@@ -75,15 +77,15 @@
     def test_there_are_enough_of_control(self) -> None:
         control = [
             fault
-            for fault in PLANTED.values()
+            for fault in PLANTED_FAULTS.values()
             if fault.plant.__module__.rpartition(".")[2] in ("control", "membership", "calls")
         ]
         assert len(control) >= 30
 
     def test_each_names_kinds_that_there_are(self) -> None:
-        for fault in PLANTED.values():
-            named = {entry.wanted.kind for entry in fault.script or ()} | set(fault.kinds or ())
-            assert named <= KINDS.keys(), fault.name
+        for fault in PLANTED_FAULTS.values():
+            named = {entry.request.kind for entry in fault.script or ()} | set(fault.fault_kinds or ())
+            assert named <= FAULT_KINDS.keys(), fault.name
 
     def test_a_fault_of_control_is_found(self) -> None:
         done = run_simulation("--planted", "history-not-passed-on", "--seeds", "1-2", "--rate", "6")
--- a/tests/simulation/test_simulated_invariants.py
+++ b/tests/simulation/test_simulated_invariants.py
@@ -4,22 +4,22 @@
 
 from typing import Any, ClassVar
 
-from hollowusher.simulation.invariants import Rules, broken
+from hollowusher.simulation.invariants import DeploymentRules, find_violations
 from hollowusher.simulation.observations import (
-    CallbackCall,
     ConfigurationOrder,
     ConfigurationRead,
+    InjectedFault,
+    LivenessFailure,
+    MessageStateResponse,
     Observations,
-    RepeatedEnd,
-    Retirement,
-    Run,
+    ObservedShutdown,
+    ReceivedCallback,
+    RepeatedLeaseEnd,
     SentMessage,
-    StateAnswer,
-    StopSeen,
-    Trouble,
-    Unwell,
+    StoreRetirement,
+    WorkerRun,
 )
-from hollowusher.simulation.plain_model import RouteRules
+from hollowusher.simulation.reference_model import RouteRules
 
 
 class History:
@@ -28,7 +28,7 @@
     ROUTES: ClassVar = {"r": RouteRules("r", "push", 2, 100.0, 2.0, ordered=False)}
 
     def __init__(self) -> None:
-        self.seen = Observations(calm_since=30.0, ended_at=50.0)
+        self.observations = Observations(calm_since=30.0, ended_at=50.0)
 
     def sent(self, identifier: str, at: float = 1.0, **changes: Any) -> SentMessage:
         message = SentMessage(
@@ -36,32 +36,34 @@
         )
         for name, value in changes.items():
             setattr(message, name, value)
-        self.seen.messages[identifier] = message
+        self.observations.messages[identifier] = message
         return message
 
-    def ran(self, identifier: str, at: float, result: str = "success", key: str | None = None) -> Run:
+    def ran(self, identifier: str, at: float, result: str = "success", key: str | None = None) -> WorkerRun:
         signature = "s1" if result == "success" else ""
-        run = Run(identifier, "push", "w", at, b"body", at + 0.2, result, signature, at + 0.21)
+        run = WorkerRun(identifier, "push", "w", at, b"body", at + 0.2, result, signature, at + 0.21)
         run.ordering_key = key
-        self.seen.runs.append(run)
+        self.observations.runs.append(run)
         return run
 
     def order(
         self, base: int, generation: int, acknowledged: float | None = None, refused: float | None = None
     ) -> ConfigurationOrder:
         document = {"generation": generation, "limits": {}, "upstreams": [], "routes": [{"name": "r"}]}
-        number = len(self.seen.orders) + 1
+        number = len(self.observations.orders) + 1
         order = ConfigurationOrder(
             number, base, generation, document, True, 1.0 + number, acknowledged, refused
         )
-        self.seen.orders.append(order)
+        self.observations.orders.append(order)
         return order
 
     def read_back(self, order: ConfigurationOrder) -> None:
-        self.seen.reads.append(ConfigurationRead(45.0, 44.9, "edge-1", order.document, final=True))
+        self.observations.reads.append(ConfigurationRead(45.0, 44.9, "edge-1", order.document, final=True))
 
-    def broken(self) -> list[str]:
-        return sorted({found.rule for found in broken(self.seen, Rules(self.ROUTES, {}))})
+    def violated_rules(self) -> list[str]:
+        return sorted(
+            {found.rule for found in find_violations(self.observations, DeploymentRules(self.ROUTES, {}))}
+        )
 
 
 class TestMessages:
@@ -71,55 +73,55 @@
         history = History()
         history.sent("a", ordering_key="k")
         run = history.ran("a", 2.0, key="k")
-        assert history.broken() == []
+        assert history.violated_rules() == []
         run.ordering_key = "other"
-        assert history.broken() == ["UNASKED"]
+        assert history.violated_rules() == ["UNASKED"]
 
     def test_a_key_that_was_never_sent_is_unasked(self) -> None:
         history = History()
         history.sent("a")
         history.ran("a", 2.0, key="made up")
-        assert history.broken() == ["UNASKED"]
+        assert history.violated_rules() == ["UNASKED"]
 
     def test_a_run_before_its_delay_is_over(self) -> None:
         history = History()
         history.sent("a", delay_s=3.0)
         history.ran("a", 3.75)
-        assert "ORDER" not in history.broken()
+        assert "ORDER" not in history.violated_rules()
         history.ran("a", 3.6)
-        assert "ORDER" in history.broken()
+        assert "ORDER" in history.violated_rules()
 
     def test_failures_are_limited(self) -> None:
         history = History()
         history.sent("a")
         for number in range(6):
             history.ran("a", 2.0 + number, "failed")
-        assert history.broken() == []
+        assert history.violated_rules() == []
         history.ran("a", 9.0, "failed")
-        assert history.broken() == ["BUDGET"]
+        assert history.violated_rules() == ["BUDGET"]
 
     def test_refusals_for_good_are_limited(self) -> None:
         history = History()
         history.sent("a")
         for number in range(3):
             history.ran("a", 2.0 + number, "refused")
-        assert history.broken() == []
+        assert history.violated_rules() == []
         history.ran("a", 9.0, "refused")
-        assert history.broken() == ["BUDGET"]
+        assert history.violated_rules() == ["BUDGET"]
 
     def test_a_refused_repeat_of_a_taken_end(self) -> None:
         history = History()
-        history.seen.repeated_ends.append(RepeatedEnd("a", "lease", 200, 20.0))
-        history.seen.repeated_ends.append(RepeatedEnd("a", "lease", None, 20.0))
-        assert history.broken() == []
-        history.seen.repeated_ends.append(RepeatedEnd("a", "lease", 409, 20.0))
-        assert history.broken() == ["MIXED"]
+        history.observations.repeated_ends.append(RepeatedLeaseEnd("a", "lease", 200, 20.0))
+        history.observations.repeated_ends.append(RepeatedLeaseEnd("a", "lease", None, 20.0))
+        assert history.violated_rules() == []
+        history.observations.repeated_ends.append(RepeatedLeaseEnd("a", "lease", 409, 20.0))
+        assert history.violated_rules() == ["MIXED"]
 
     def test_a_refused_repeat_counts_only_for_machines_in_touch(self) -> None:
         history = History()
-        history.seen.repeated_ends.append(RepeatedEnd("a", "lease", 409, 20.0))
-        history.seen.troubles.append(Trouble("freeze", "edge-1", 17.0, 18.0))
-        assert history.broken() == []
+        history.observations.repeated_ends.append(RepeatedLeaseEnd("a", "lease", 409, 20.0))
+        history.observations.faults.append(InjectedFault("freeze", "edge-1", 17.0, 18.0))
+        assert history.violated_rules() == []
 
 
 class TestForgotten:
@@ -129,41 +131,47 @@
         history = History()
         history.sent("a")
         history.ran("a", 2.0)
-        history.seen.states.append(StateAnswer("a", 2.9, 404))
-        assert history.broken() == []
-        history.seen.states.append(StateAnswer("a", 3.2, 404))
-        assert history.broken() == ["LOST"]
+        history.observations.states.append(MessageStateResponse("a", 2.9, 404))
+        assert history.violated_rules() == []
+        history.observations.states.append(MessageStateResponse("a", 3.2, 404))
+        assert history.violated_rules() == ["LOST"]
 
     def test_unknown_in_trouble_is_not_counted(self) -> None:
         history = History()
         history.sent("a")
         history.ran("a", 2.0)
-        history.seen.states.append(StateAnswer("a", 8.0, 410))
-        history.seen.troubles.append(Trouble("cut", "edge-1", 5.0, 6.0))
-        assert history.broken() == []
+        history.observations.states.append(MessageStateResponse("a", 8.0, 410))
+        history.observations.faults.append(InjectedFault("cut", "edge-1", 5.0, 6.0))
+        assert history.violated_rules() == []
 
     def test_queued_at_the_end_while_nothing_is_done(self) -> None:
         history = History()
         history.sent("a")
-        history.seen.states.append(StateAnswer("a", 49.0, 200, "queued", body=b"body", final=True))
-        assert history.broken() == ["LOST", "UNSERVED"]
+        history.observations.states.append(
+            MessageStateResponse("a", 49.0, 200, "queued", body=b"body", final=True)
+        )
+        assert history.violated_rules() == ["LOST", "UNSERVED"]
 
     def test_queued_at_the_end_while_others_succeed(self) -> None:
         history = History()
         history.sent("a")
         history.sent("b")
         history.ran("b", 48.0)
-        history.seen.states.append(StateAnswer("a", 49.0, 200, "queued", body=b"body", final=True))
-        assert history.broken() == ["UNSERVED"]
+        history.observations.states.append(
+            MessageStateResponse("a", 49.0, 200, "queued", body=b"body", final=True)
+        )
+        assert history.violated_rules() == ["UNSERVED"]
 
     def test_three_call_backs_missing(self) -> None:
         history = History()
         for name in "abc":
             history.sent(name, callback_url="http://h/done")
             history.ran(name, 2.0)
-        assert history.broken() == ["LOST", "UNTOLD"]
-        history.seen.callbacks.append(CallbackCall("a", "http://h/done", "completed", "s1", 3.0, 200))
-        assert history.broken() == ["UNTOLD"]
+        assert history.violated_rules() == ["LOST", "UNTOLD"]
+        history.observations.callbacks.append(
+            ReceivedCallback("a", "http://h/done", "completed", "s1", 3.0, 200)
+        )
+        assert history.violated_rules() == ["UNTOLD"]
 
 
 class TestControl:
@@ -173,9 +181,9 @@
         history = History()
         first = history.order(0, 2, acknowledged=2.5)
         history.read_back(first)
-        assert history.broken() == []
+        assert history.violated_rules() == []
         history.order(2, 4, refused=8.0)
-        assert history.broken() == ["CONFIG"]
+        assert history.violated_rules() == ["CONFIG"]
 
     def test_an_order_is_refused_where_another_may_be_in_force(self) -> None:
         history = History()
@@ -183,28 +191,28 @@
         other = history.order(2, 3)
         history.order(2, 4, refused=8.0)
         history.read_back(other)
-        assert history.broken() == []
+        assert history.violated_rules() == []
 
     def test_ready_after_sigterm(self) -> None:
         history = History()
-        history.seen.stops.append(StopSeen("edge-1", 10.0, still_ready=False))
-        assert history.broken() == []
-        history.seen.stops.append(StopSeen("edge-1", 20.0, still_ready=True))
-        assert history.broken() == ["DRAIN"]
+        history.observations.shutdowns.append(ObservedShutdown("edge-1", 10.0, still_ready=False))
+        assert history.violated_rules() == []
+        history.observations.shutdowns.append(ObservedShutdown("edge-1", 20.0, still_ready=True))
+        assert history.violated_rules() == ["DRAIN"]
 
     def test_a_store_is_emptied_in_time(self) -> None:
         history = History()
-        history.seen.retirements.append(Retirement("store-1", 10.0, 19.0, True, 10.0, False))
-        assert history.broken() == []
-        history.seen.retirements.append(Retirement("store-1", 10.0, 21.0, True, 10.0, False))
-        assert history.broken() == ["RETIRE"]
+        history.observations.retirements.append(StoreRetirement("store-1", 10.0, 19.0, True, 10.0, False))
+        assert history.violated_rules() == []
+        history.observations.retirements.append(StoreRetirement("store-1", 10.0, 21.0, True, 10.0, False))
+        assert history.violated_rules() == ["RETIRE"]
 
     def test_a_store_that_is_never_emptied(self) -> None:
         history = History()
-        history.seen.retirements.append(Retirement("store-1", 10.0, 19.0, False, 10.0, True))
-        assert history.broken() == ["RETIRE"]
+        history.observations.retirements.append(StoreRetirement("store-1", 10.0, 19.0, False, 10.0, True))
+        assert history.violated_rules() == ["RETIRE"]
 
     def test_liveness(self) -> None:
         history = History()
-        history.seen.unwell.append(Unwell("order", "was not taken", 43.0))
-        assert history.broken() == ["LIVENESS"]
+        history.observations.liveness_failures.append(LivenessFailure("order", "was not taken", 43.0))
+        assert history.violated_rules() == ["LIVENESS"]
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -14,30 +14,30 @@
 
 from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.membership import Heartbeat
-from hollowusher.simulation.invariants import Rules, broken
-from hollowusher.simulation.loop import DeadlockError, LivelockError, SimulatedProcess, VirtualLoop
-from hollowusher.simulation.network import Network, SimulatedTransport
+from hollowusher.simulation.event_loop import DeadlockError, LivelockError, SimulatedProcess, VirtualTimeLoop
+from hollowusher.simulation.invariants import DeploymentRules, find_violations
+from hollowusher.simulation.network import SimulatedNetwork, SimulatedTransport
 from hollowusher.simulation.observations import (
-    Arrival,
-    CallbackCall,
+    AcceptedLeaseEnd,
     ConfigurationOrder,
     ConfigurationRead,
-    GenerationSeen,
-    LeaseEnd,
+    DeliveryArrival,
+    InjectedFault,
+    MessageStateResponse,
     Observations,
-    Run,
+    ObservedGeneration,
+    ReceivedCallback,
     SentMessage,
-    StateAnswer,
-    Trouble,
+    WorkerRun,
 )
-from hollowusher.simulation.plain_model import RouteRules
+from hollowusher.simulation.reference_model import RouteRules
 from hollowusher.transport.interface import PeerError
 
 HERE, THERE = "10.0.0.1:7780", "10.0.0.2:7780"
 
 
-def play(work: Callable[[VirtualLoop], Coroutine[Any, Any, Any]]) -> Any:
-    loop = VirtualLoop()
+def play(work: Callable[[VirtualTimeLoop], Coroutine[Any, Any, Any]]) -> Any:
+    loop = VirtualTimeLoop()
     try:
         return loop.play(work(loop))
     finally:
@@ -46,7 +46,7 @@
 
 class TestVirtualLoop:
     def test_time_jumps_to_the_next_timer(self) -> None:
-        async def work(loop: VirtualLoop) -> float:
+        async def work(loop: VirtualTimeLoop) -> float:
             begun = loop.time()
             await asyncio.sleep(3_600)
             return loop.time() - begun
@@ -54,7 +54,7 @@
         assert play(work) == pytest.approx(3_600)
 
     def test_timeouts_run_on_virtual_time(self) -> None:
-        async def work(loop: VirtualLoop) -> float:
+        async def work(loop: VirtualTimeLoop) -> float:
             begun = loop.time()
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(2.5):
@@ -64,16 +64,16 @@
         assert play(work) == pytest.approx(2.5)
 
     def test_a_wait_that_nothing_can_end_is_a_deadlock(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             await loop.create_future()
 
         with pytest.raises(DeadlockError, match="work"):
             play(work)
 
     def test_standing_time_is_a_livelock(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr("hollowusher.simulation.loop.MOST_CALLBACKS_AT_ONE_TIME", 1_000)
+        monkeypatch.setattr("hollowusher.simulation.event_loop.MAX_CALLBACKS_PER_INSTANT", 1_000)
 
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             while True:
                 await asyncio.sleep(0)
 
@@ -81,7 +81,7 @@
             play(work)
 
     def test_threads_are_refused(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             await loop.run_in_executor(None, lambda: None)
 
         with pytest.raises(RuntimeError):
@@ -97,7 +97,7 @@
             finally:
                 seen.append("finally")
 
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             process = SimulatedProcess("a")
             process.run(victim())
             await asyncio.sleep(5)
@@ -110,12 +110,12 @@
     def test_a_frozen_process_goes_on_later(self) -> None:
         seen: list[float] = []
 
-        async def ticks(loop: VirtualLoop) -> None:
+        async def ticks(loop: VirtualTimeLoop) -> None:
             while True:
                 await asyncio.sleep(1)
                 seen.append(loop.time() - 1000)
 
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             process = SimulatedProcess("a")
             process.run(ticks(loop))
             await asyncio.sleep(2.5)
@@ -137,7 +137,7 @@
         async def parent() -> None:
             asyncio.get_running_loop().create_task(child())
 
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             process = SimulatedProcess("a")
             process.run(parent())
             await asyncio.sleep(0.5)
@@ -151,9 +151,9 @@
 class Pair:
     """Two processes on two hosts; the second answers after `work_s`."""
 
-    def __init__(self, loop: VirtualLoop, seed: int = 1) -> None:
+    def __init__(self, loop: VirtualTimeLoop, seed: int = 1) -> None:
         self.loop = loop
-        self.network = Network(loop, random.Random(seed))
+        self.network = SimulatedNetwork(loop, random.Random(seed))
         self.client, self.server = SimulatedProcess("client"), SimulatedProcess("server")
         self.here = self.network.transport(self.client, HERE)
         self.there = self.network.transport(self.server, THERE)
@@ -182,7 +182,7 @@
 
 class TestNetwork:
     def test_a_call_is_answered_with_copies(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             sent = Heartbeat("client", 7)
@@ -192,7 +192,7 @@
         play(work)
 
     def test_a_dead_process_refuses_at_once(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             error, took = await pair.failure()
             assert not error.sent and took < 0.1
@@ -200,7 +200,7 @@
         play(work)
 
     def test_a_machine_without_power_is_silent(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             pair.network.power_off("10.0.0.2")
@@ -210,7 +210,7 @@
         play(work)
 
     def test_a_process_killed_under_a_call_resets_it(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             await pair.call()
@@ -223,48 +223,48 @@
         play(work)
 
     def test_a_cut_answer_leaves_the_call_done_but_unanswered(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             await pair.call()
-            pair.network.cut("10.0.0.2", "10.0.0.1", both=False)
+            pair.network.block("10.0.0.2", "10.0.0.1", both=False)
             error, took = await pair.failure(timeout=0.5)
             assert error.sent and took == pytest.approx(0.5) and len(pair.received) == 2
 
         play(work)
 
     def test_what_a_short_cut_holds_arrives_later_and_in_order(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             await pair.call(0)
-            pair.network.cut("10.0.0.1", "10.0.0.2", both=False)
+            pair.network.block("10.0.0.1", "10.0.0.2", both=False)
             for number in range(1, 6):
                 pair.here.send(THERE, Heartbeat("client", number))
             await asyncio.sleep(1)
             assert len(pair.received) == 1
-            pair.network.join_all()
+            pair.network.heal_all()
             await asyncio.sleep(1)
             assert [message.incarnation for message in pair.received] == list(range(6))
 
         play(work)
 
     def test_a_long_cut_loses_what_it_held(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             await pair.call(0)
-            pair.network.cut("10.0.0.1", "10.0.0.2")
+            pair.network.block("10.0.0.1", "10.0.0.2")
             pair.here.send(THERE, Heartbeat("client", 1))
             await asyncio.sleep(5)
-            pair.network.join_all()
+            pair.network.heal_all()
             await asyncio.sleep(1)
             assert len(pair.received) == 1 and await pair.call(2) == Acknowledgement()
 
         play(work)
 
     def test_a_frozen_peer_takes_the_call_but_answers_after_the_thaw(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             await pair.call(0)
@@ -277,7 +277,7 @@
         play(work)
 
     def test_a_call_to_a_restarted_process_on_the_old_connection_fails_and_the_next_succeeds(self) -> None:
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.begin()
             await pair.call(0)
@@ -298,7 +298,7 @@
         async def fail(message: Any) -> Any:
             raise KeyError("x")
 
-        async def work(loop: VirtualLoop) -> None:
+        async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             await pair.there.start(fail)
             error, _ = await pair.failure()
@@ -307,7 +307,7 @@
         play(work)
 
     def test_one_seed_gives_one_history(self) -> None:
-        async def history(loop: VirtualLoop) -> list[float]:
+        async def history(loop: VirtualTimeLoop) -> list[float]:
             pair = Pair(loop, seed=5)
             await pair.begin()
             times = []
@@ -326,10 +326,10 @@
         "r": RouteRules("r", "push", 2, 100.0, 2.0, ordered=False),
         "o": RouteRules("o", "fixed", 2, 100.0, 2.0, ordered=True),
     }
-    RULES: ClassVar = Rules(ROUTES, {"fixed": 10.0})
+    RULES: ClassVar = DeploymentRules(ROUTES, {"fixed": 10.0})
 
     @staticmethod
-    def seen(end: float = 50.0) -> Observations:
+    def observations(end: float = 50.0) -> Observations:
         return Observations(calm_since=30.0, ended_at=end)
 
     @staticmethod
@@ -373,146 +373,149 @@
         service: str = "push",
     ) -> None:
         signature = stamp if result == "success" else ""
-        run = Run(identifier, service, "w", at, b"body", at + 0.2, result, signature, at + 0.21)
+        run = WorkerRun(identifier, service, "w", at, b"body", at + 0.2, result, signature, at + 0.21)
         run.read_at = run.read_at if read else None
         seen.runs.append(run)
 
-    def broken(self, seen: Observations, rules: Rules | None = None) -> list[str]:
+    def violated_rules(self, seen: Observations, rules: DeploymentRules | None = None) -> list[str]:
         if not seen.reads and seen.orders:
             raise AssertionError("a history with orders needs a final read")
-        return sorted({found.rule for found in broken(seen, rules or self.RULES)})
+        return sorted({found.rule for found in find_violations(seen, rules or self.RULES)})
 
     def test_a_served_message_breaks_nothing(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a", callback="http://h/done")
         self.ran(seen, "a", 2.0)
-        seen.states.append(StateAnswer("a", 40.0, 200, "completed", "s1", final=True))
-        seen.callbacks.append(CallbackCall("a", "http://h/done", "completed", "s1", 3.0, 200))
-        assert self.broken(seen) == []
+        seen.states.append(MessageStateResponse("a", 40.0, 200, "completed", "s1", final=True))
+        seen.callbacks.append(ReceivedCallback("a", "http://h/done", "completed", "s1", 3.0, 200))
+        assert self.violated_rules(seen) == []
 
     def test_lost(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
-        seen.states.append(StateAnswer("a", 40.0, 404, final=True))
-        assert "LOST" in self.broken(seen)
+        seen.states.append(MessageStateResponse("a", 40.0, 404, final=True))
+        assert "LOST" in self.violated_rules(seen)
 
     def test_lost_when_told_as_dead_without_an_end(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
-        seen.states.append(StateAnswer("a", 40.0, 200, "dead_letter", body=b"body", final=True))
-        assert {"LOST", "MIXED"} <= set(self.broken(seen))
+        seen.states.append(MessageStateResponse("a", 40.0, 200, "dead_letter", body=b"body", final=True))
+        assert {"LOST", "MIXED"} <= set(self.violated_rules(seen))
 
     def test_a_queued_message_with_its_body_is_not_lost(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
-        seen.states.append(StateAnswer("a", 40.0, 200, "queued", body=b"body", final=True))
-        assert self.broken(seen) == ["UNSERVED"]
+        seen.states.append(MessageStateResponse("a", 40.0, 200, "queued", body=b"body", final=True))
+        assert self.violated_rules(seen) == ["UNSERVED"]
 
     def test_order(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a", "o", 1.0, key="k")
         self.sent(seen, "b", "o", 2.0, key="k")
         self.ran(seen, "b", 3.0, service="fixed")
         self.ran(seen, "a", 3.1, service="fixed")
-        assert self.broken(seen) == ["ORDER"]
+        assert self.violated_rules(seen) == ["ORDER"]
 
     def test_messages_sent_at_once_have_no_order(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a", "o", 1.0, key="k")
         self.sent(seen, "b", "o", 1.05, key="k")
         self.ran(seen, "b", 3.0, service="fixed")
         self.ran(seen, "a", 3.1, service="fixed")
-        assert self.broken(seen) == []
+        assert self.violated_rules(seen) == []
 
     def test_twice_in_calm_times_only(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
         self.ran(seen, "a", 2.0)
         self.ran(seen, "a", 4.0, stamp="s2")
-        assert self.broken(seen) == ["TWICE"]
-        seen.troubles.append(Trouble("kill", "store-1", 3.0, 3.5))
-        assert self.broken(seen) == []
+        assert self.violated_rules(seen) == ["TWICE"]
+        seen.faults.append(InjectedFault("kill", "store-1", 3.0, 3.5))
+        assert self.violated_rules(seen) == []
 
     def test_a_success_that_was_not_read_may_run_again(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
         self.ran(seen, "a", 2.0, read=False)
         self.ran(seen, "a", 4.0, stamp="s2")
-        assert self.broken(seen) == []
+        assert self.violated_rules(seen) == []
 
     def test_two_lease_ends(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
         self.ran(seen, "a", 2.0)
-        seen.lease_ends += [LeaseEnd("a", "l1", 500, 1.0), LeaseEnd("a", "l2", 200, 2.0)]
-        assert self.broken(seen) == []
-        seen.lease_ends.append(LeaseEnd("a", "l3", 200, 3.0))
-        assert self.broken(seen) == ["TWICE"]
+        seen.lease_ends += [AcceptedLeaseEnd("a", "l1", 500, 1.0), AcceptedLeaseEnd("a", "l2", 200, 2.0)]
+        assert self.violated_rules(seen) == []
+        seen.lease_ends.append(AcceptedLeaseEnd("a", "l3", 200, 3.0))
+        assert self.violated_rules(seen) == ["TWICE"]
 
     def test_refused(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a", status=503)
-        assert self.broken(seen) == []
+        assert self.violated_rules(seen) == []
         self.ran(seen, "a", 2.0)
-        assert self.broken(seen) == ["REFUSED"]
+        assert self.violated_rules(seen) == ["REFUSED"]
 
     def test_unasked_and_route(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.ran(seen, "never-sent", 2.0)
         self.sent(seen, "a")
         self.ran(seen, "a", 2.0, service="fixed")
-        assert self.broken(seen) == ["ROUTE", "UNASKED"]
+        assert self.violated_rules(seen) == ["ROUTE", "UNASKED"]
 
     def test_mixed_stamp_and_state(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
         self.ran(seen, "a", 2.0)
-        seen.states.append(StateAnswer("a", 5.0, 200, "completed", "another"))
-        assert self.broken(seen) == ["MIXED"]
+        seen.states.append(MessageStateResponse("a", 5.0, 200, "completed", "another"))
+        assert self.violated_rules(seen) == ["MIXED"]
 
     def test_an_end_does_not_change(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
         self.ran(seen, "a", 2.0)
-        seen.states += [StateAnswer("a", 5.0, 200, "completed", "s1"), StateAnswer("a", 6.0, 200, "queued")]
-        assert self.broken(seen) == ["MIXED"]
+        seen.states += [
+            MessageStateResponse("a", 5.0, 200, "completed", "s1"),
+            MessageStateResponse("a", 6.0, 200, "queued"),
+        ]
+        assert self.violated_rules(seen) == ["MIXED"]
 
     def test_dead_after_all_attempts(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a")
         self.ran(seen, "a", 2.0, "failed")
-        seen.states.append(StateAnswer("a", 5.0, 200, "dead_letter", body=b"body"))
-        assert "MIXED" in self.broken(seen)
+        seen.states.append(MessageStateResponse("a", 5.0, 200, "dead_letter", body=b"body"))
+        assert "MIXED" in self.violated_rules(seen)
         self.ran(seen, "a", 3.0, "failed")
-        assert self.broken(seen) == []
+        assert self.violated_rules(seen) == []
 
     def test_ceiling(self) -> None:
-        seen = self.seen()
-        seen.arrivals += [Arrival("fixed", f"m{number}", 1.0 + number / 20) for number in range(60)]
-        assert self.broken(seen) == []
-        seen.arrivals += [Arrival("fixed", f"n{number}", 1.0 + number / 20) for number in range(60)]
-        assert self.broken(seen) == ["CEILING"]
+        seen = self.observations()
+        seen.arrivals += [DeliveryArrival("fixed", f"m{number}", 1.0 + number / 20) for number in range(60)]
+        assert self.violated_rules(seen) == []
+        seen.arrivals += [DeliveryArrival("fixed", f"n{number}", 1.0 + number / 20) for number in range(60)]
+        assert self.violated_rules(seen) == ["CEILING"]
 
     def test_early(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a", delay_s=3.0)
         self.ran(seen, "a", 3.8)
-        assert self.broken(seen) == ["EARLY"]
+        assert self.violated_rules(seen) == ["EARLY"]
 
     def test_run_after_its_retention(self) -> None:
-        seen = self.seen(end=150.0)
+        seen = self.observations(end=150.0)
         self.sent(seen, "a")
         self.ran(seen, "a", 105.0)
-        assert self.broken(seen) == []
+        assert self.violated_rules(seen) == []
         self.ran(seen, "a", 110.0)
-        assert "EXPIRED" in self.broken(seen)
+        assert "EXPIRED" in self.violated_rules(seen)
 
     def test_stale_and_untold(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a", callback="http://h/done")
         self.ran(seen, "a", 2.0)
-        seen.states.append(StateAnswer("a", 45.0, 200, "queued", body=b"body", final=True))
-        assert self.broken(seen) == ["STALE", "UNTOLD"]
+        seen.states.append(MessageStateResponse("a", 45.0, 200, "queued", body=b"body", final=True))
+        assert self.violated_rules(seen) == ["STALE", "UNTOLD"]
 
     @staticmethod
     def order(
@@ -537,61 +540,61 @@
         seen.reads.append(ConfigurationRead(at, at - 0.1, "edge-1", order.document, final=True))
 
     def test_configuration_kept(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         seen.orders += [self.order(1, 0, 2, 3.0), self.order(2, 2, 4, 5.0)]
         self.read(seen, seen.orders[1])
-        assert self.broken(seen) == []
+        assert self.violated_rules(seen) == []
 
     def test_acknowledged_configuration_lost(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         seen.orders += [self.order(1, 0, 2, 3.0), self.order(2, 2, 4, 5.0)]
         self.read(seen, seen.orders[0])
-        assert self.broken(seen) == ["CONFIG", "LOST"]
+        assert self.violated_rules(seen) == ["CONFIG", "LOST"]
 
     def test_two_changes_on_one_version(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         seen.orders += [self.order(1, 0, 2, 3.0), self.order(2, 0, 2, 4.0, routes=("r", "o"))]
         self.read(seen, seen.orders[1])
-        assert self.broken(seen) == ["CONFIG"]
+        assert self.violated_rules(seen) == ["CONFIG"]
 
     def test_refused_configuration_in_force(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         seen.orders.append(self.order(1, 0, 2, None, refused=3.0))
         self.read(seen, seen.orders[0])
-        assert self.broken(seen) == ["CONFIG"]
+        assert self.violated_rules(seen) == ["CONFIG"]
 
     def test_acknowledged_change_refused_later(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         seen.orders.append(self.order(1, 0, 2, 3.0, refused=4.0))
         self.read(seen, seen.orders[0])
-        assert self.broken(seen) == ["CONFIG"]
+        assert self.violated_rules(seen) == ["CONFIG"]
 
     def test_a_message_ends_when_its_route_is_dropped(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         self.sent(seen, "a", at=4.2)
-        seen.states.append(StateAnswer("a", 40.0, 200, "dead_letter", body=b"body", final=True))
+        seen.states.append(MessageStateResponse("a", 40.0, 200, "dead_letter", body=b"body", final=True))
         seen.orders += [self.order(1, 0, 2, 3.0), self.order(2, 2, 4, None, routes=())]
         self.read(seen, seen.orders[1])
-        assert self.broken(seen) == []
-        seen.orders[1].refused_at = 6.0
+        assert self.violated_rules(seen) == []
+        seen.orders[1].rejected_at = 6.0
         self.read(seen, seen.orders[0])
-        assert {"LOST", "MIXED"} <= set(self.broken(seen))
+        assert {"LOST", "MIXED"} <= set(self.violated_rules(seen))
 
     def test_configuration_never_goes_back_in_a_life(self) -> None:
-        seen = self.seen()
-        seen.generations += [GenerationSeen("edge-1", 1, 4, 5.0), GenerationSeen("edge-1", 2, 2, 6.0)]
-        assert self.broken(seen) == []
-        seen.generations.append(GenerationSeen("edge-1", 2, 1, 7.0))
-        assert self.broken(seen) == ["CONFIG"]
+        seen = self.observations()
+        seen.generations += [ObservedGeneration("edge-1", 1, 4, 5.0), ObservedGeneration("edge-1", 2, 2, 6.0)]
+        assert self.violated_rules(seen) == []
+        seen.generations.append(ObservedGeneration("edge-1", 2, 1, 7.0))
+        assert self.violated_rules(seen) == ["CONFIG"]
 
     def test_configuration_reaches_calm_processes_in_time(self) -> None:
-        seen = self.seen()
+        seen = self.observations()
         seen.orders += [self.order(1, 0, 2, 3.0), self.order(2, 2, 4, 5.0)]
         self.read(seen, seen.orders[1])
-        seen.generations.append(GenerationSeen("edge-1", 1, 2, 7.0))
-        assert self.broken(seen) == []
-        seen.generations.append(GenerationSeen("edge-1", 1, 2, 9.0))
-        assert self.broken(seen) == ["CONFIG"]
+        seen.generations.append(ObservedGeneration("edge-1", 1, 2, 7.0))
+        assert self.violated_rules(seen) == []
+        seen.generations.append(ObservedGeneration("edge-1", 1, 2, 9.0))
+        assert self.violated_rules(seen) == ["CONFIG"]
 
 
 class TestWholeDays:
--- a/tests/simulation/test_wire_rules_drain.py
+++ b/tests/simulation/test_wire_rules_drain.py
@@ -6,43 +6,48 @@
 
 import pytest
 
-from hollowusher.simulation.day import Day, DayPlan
+from hollowusher.simulation.cluster import READINESS_PORT, SimulatedMachine
 from hollowusher.simulation.deployment import CLIENT_HOST
-from hollowusher.simulation.http import HttpFailure, HttpRequest
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
+from hollowusher.simulation.http_network import HttpExchangeError, HttpRequest
 from hollowusher.simulation.programs import build_program
-from hollowusher.simulation.world import READINESS_PORT, Machine
+from hollowusher.simulation.simulation_run import SimulationPlan, SimulationRun
 
 GRACE_S = 6.0
 AT_ONCE_S = 0.1
 STEP_S = 0.05
 
 
-async def is_ready(day: Day, machine: Machine) -> bool:
+async def is_ready(run: SimulationRun, machine: SimulatedMachine) -> bool:
     """What the platform would be told now."""
     address = f"{machine.ip}:{READINESS_PORT}"
     try:
-        answer = await day.world.http.exchange(CLIENT_HOST, address, HttpRequest("GET", "/readyz"), 0.04)
-    except HttpFailure:
+        answer = await run.cluster.http.exchange(CLIENT_HOST, address, HttpRequest("GET", "/readyz"), 0.04)
+    except HttpExchangeError:
         return False
     return answer.status == 200
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_all_edges_told_to_stop_at_once_are_unready_at_once_and_for_good(seed: int) -> None:
-    loop = VirtualLoop()
-    day = Day(loop, seed, DayPlan(troubles=False, worker_troubles=False, changes=False), build_program)
+    loop = VirtualTimeLoop()
+    run = SimulationRun(
+        loop,
+        seed,
+        SimulationPlan(inject_faults=False, inject_worker_faults=False, changes=False),
+        build_program,
+    )
 
     async def scene() -> None:
-        watch = asyncio.get_running_loop().create_task(day.entry.watch_readiness())
-        await day._begin()
-        edges = day.world.of("edge")
-        assert all([await is_ready(day, machine) for machine in edges])
-        stops = [asyncio.ensure_future(day.world.terminate(machine, GRACE_S)) for machine in edges]
+        watch = asyncio.get_running_loop().create_task(run.edge_selector.check_readiness())
+        await run._begin()
+        edges = run.cluster.machines_with_role("edge")
+        assert all([await is_ready(run, machine) for machine in edges])
+        stops = [asyncio.ensure_future(run.cluster.terminate(machine, GRACE_S)) for machine in edges]
         await asyncio.sleep(AT_ONCE_S)
         until = loop.time() + GRACE_S - 1.0
         while loop.time() < until:
-            assert not any([await is_ready(day, machine) for machine in edges])
+            assert not any([await is_ready(run, machine) for machine in edges])
             await asyncio.sleep(STEP_S)
         for stop in stops:
             stop.cancel()
--- a/tests/support/controllers.py
+++ b/tests/support/controllers.py
@@ -25,8 +25,8 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
-from hollowusher.simulation.network import Network
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
+from hollowusher.simulation.network import SimulatedNetwork
 from hollowusher.storage.memory import MemorySlot
 
 SYNC_S = 0.005
@@ -152,10 +152,10 @@
 class Core:
     """All controllers, and what they took themselves for."""
 
-    def __init__(self, loop: VirtualLoop, names: str, seed: int = 1) -> None:
+    def __init__(self, loop: VirtualTimeLoop, names: str, seed: int = 1) -> None:
         self.loop = loop
         self.seed = seed
-        self.network = Network(loop, random.Random(seed))
+        self.network = SimulatedNetwork(loop, random.Random(seed))
         self.nodes = {name: CoreNode(self, name, number) for number, name in enumerate(names, start=1)}
         self.seeds = [f"{node.host}:8064" for node in self.nodes.values()][:3]
         self.reigns: list[Reign] = []
@@ -209,9 +209,9 @@
         others = [node for node in self.nodes.values() if node.name != victim]
         for other in others[:1] if shape == "one" else others:
             if shape in ("all", "one", "in"):
-                self.network.cut(other.host, self[victim].host, both=False)
+                self.network.block(other.host, self[victim].host, both=False)
             if shape in ("all", "one", "out"):
-                self.network.cut(self[victim].host, other.host, both=False)
+                self.network.block(self[victim].host, other.host, both=False)
 
     def overlap_s(self) -> float:
         """How long, at most, one took itself for the head after a later epoch's head had begun."""
@@ -279,7 +279,7 @@
 
 def play(work: Callable[[Core], Coroutine[Any, Any, None]], names: str = "abc", seed: int = 1) -> Core:
     """Run a scenario; errors that nobody caught fail it."""
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     core = Core(loop, names, seed)
     try:
         loop.play(work(core))
--- a/tests/support/dispatch.py
+++ b/tests/support/dispatch.py
@@ -28,7 +28,7 @@
 from hollowusher.protocol.messages import NewMessage
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
-from hollowusher.simulation.loop import VirtualLoop
+from hollowusher.simulation.event_loop import VirtualTimeLoop
 from hollowusher.transport.interface import PeerError
 
 STORE_1, STORE_2 = "store-1/d1", "store-2/d2"
@@ -37,9 +37,9 @@
 BEGUN = 1_000.0  # the virtual loop's first time
 
 
-def play(work: Callable[[VirtualLoop], Coroutine[Any, Any, Any]]) -> Any:
+def play(work: Callable[[VirtualTimeLoop], Coroutine[Any, Any, Any]]) -> Any:
     """Run a coroutine in virtual time."""
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     try:
         return loop.play(work(loop))
     finally:
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -33,8 +33,8 @@
 )
 from hollowusher.protocol.placement import LearnerLost, LearnerReady, PartitionPlacement, Placement
 from hollowusher.protocol.view import View, Voter
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
-from hollowusher.simulation.network import Network, SimulatedTransport, host_of
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
+from hollowusher.simulation.network import SimulatedNetwork, SimulatedTransport, host_of
 from hollowusher.storage.memory import MemoryLog
 
 EPOCH_MS = 1_700_000_000_000
@@ -138,18 +138,18 @@
 
     def cut(self, *others: Store) -> None:
         for other in others:
-            self.cluster.network.cut(host_of(self.address), host_of(other.address))
+            self.cluster.network.block(host_of(self.address), host_of(other.address))
 
 
 class StoreCluster:
     """Some stores, and an edge process that calls them."""
 
     def __init__(
-        self, loop: VirtualLoop, stores: int = 3, tolerated: int = 1, seed: int = 1, segments: int = 256
+        self, loop: VirtualTimeLoop, stores: int = 3, tolerated: int = 1, seed: int = 1, segments: int = 256
     ) -> None:
         self.loop = loop
         self.chance = random.Random(seed)
-        self.network = Network(loop, random.Random(seed + 1))
+        self.network = SimulatedNetwork(loop, random.Random(seed + 1))
         self.tolerated = tolerated
         self.segments = segments
         self.stores = [Store(self, f"store-{n}", f"10.0.0.{n}:7780") for n in range(1, stores + 1)]
@@ -273,7 +273,7 @@
     segments: int = 256,
 ) -> StoreCluster:
     """Run a scenario on a new cluster; errors that nobody caught fail it."""
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     cluster = StoreCluster(loop, stores, tolerated, seed, segments)
     try:
         loop.play(work(cluster))
--- a/tests/support/store_world.py
+++ b/tests/support/store_scenario.py
@@ -20,9 +20,9 @@
 )
 from hollowusher.protocol.operator_orders import OperatorResponse, RetireStore
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
+from hollowusher.simulation.cluster import DeploymentSize, MachineDisk, SimulatedCluster, SimulatedMachine
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
 from hollowusher.simulation.programs import build_program
-from hollowusher.simulation.world import Disk, Machine, Size, World
 from hollowusher.storage.memory import MemoryLog
 from hollowusher.transport.interface import PeerError
 
@@ -30,10 +30,10 @@
 START_S = 1.0  # from the start of a process to its registration
 CATCH_UP_S = 4.2  # `catchUpS`: so long after a start the next loss has to be borne
 RETENTION_MS = 600_000
-LIVES_APART = 1_000
+INCARNATION_GAP = 1_000
 
 
-class LargeDisk(Disk):
+class LargeDisk(MachineDisk):
     """A disk with room for 64 MB of records."""
 
     def log(self, name: str = "messages") -> MemoryLog:
@@ -42,26 +42,28 @@
         return self._logs[name]
 
 
-class StoreWorld:
+class StoreScenario:
     """The machines, a client of the stores, and the operator's orders about them."""
 
-    def __init__(self, loop: VirtualLoop, stores: int, seed: int) -> None:
+    def __init__(self, loop: VirtualTimeLoop, stores: int, seed: int) -> None:
         self.loop = loop
-        self.world = World(loop, seed, Size(plain_edges=2, stores=stores), build_program)
-        for machine in self.world.of("store"):
+        self.cluster = SimulatedCluster(
+            loop, seed, DeploymentSize(plain_edges=2, stores=stores), build_program
+        )
+        for machine in self.cluster.machines_with_role("store"):
             machine.disk = self._disk(machine.name, machine.ip)
         self.accepted: dict[str, str] = {}  # message id -> reference
         self._numbers = 0
         self._client = SimulatedProcess("client")
-        self.world.network.power_on(CLIENT_IP)
-        self.transport = self.world.network.transport(self._client, f"{CLIENT_IP}:7780")
+        self.cluster.network.power_on(CLIENT_IP)
+        self.transport = self.cluster.network.transport(self._client, f"{CLIENT_IP}:7780")
 
     # -- what is known
 
     @property
     def state(self) -> ClusterState:
-        """What an edge machine without troubles knows."""
-        return self.world.machines["edge-4"].program._seams.parts.state  # type: ignore[union-attr, no-any-return]
+        """What an edge machine without faults knows."""
+        return self.cluster.machines["edge-4"].program._environment.role_process.state  # type: ignore[union-attr, no-any-return]
 
     @property
     def placement(self) -> Placement:
@@ -83,36 +85,38 @@
 
     async def start(self) -> None:
         """Start all machines and wait for the first placement."""
-        for machine in self.world.machines.values():
-            self.world.start(machine)
+        for machine in self.cluster.machines.values():
+            self.cluster.start(machine)
         await asyncio.sleep(1.0)
         await self.until(lambda: self.state.placement is not None, 15.0)
         await asyncio.sleep(1.0)
 
-    def add_store(self, name: str, ip: str, zone: str) -> Machine:
+    def add_store(self, name: str, ip: str, zone: str) -> SimulatedMachine:
         """An empty machine, not yet started."""
-        machine = Machine(name, "store", ip, zone, self._disk(name, ip), started_once=True)
-        machine.life = len(self.world.machines) * LIVES_APART  # a life of its own: another disk id
-        self.world.machines[name] = machine
+        machine = SimulatedMachine(name, "store", ip, zone, self._disk(name, ip), started_once=True)
+        machine.incarnation = (
+            len(self.cluster.machines) * INCARNATION_GAP
+        )  # an incarnation of its own: another disk id
+        self.cluster.machines[name] = machine
         return machine
 
     def _disk(self, name: str, ip: str) -> LargeDisk:
-        return LargeDisk(self.world.random(f"disk {name} {ip}"), self.world.size.sync_s)
+        return LargeDisk(self.cluster.random(f"disk {name} {ip}"), self.cluster.size.sync_s)
 
-    async def start_slowly(self, machine: Machine) -> None:
+    async def start_slowly(self, machine: SimulatedMachine) -> None:
         """A process needs a while before it registers."""
         await asyncio.sleep(START_S)
-        self.world.start(machine)
+        self.cluster.start(machine)
 
-    def lose_for_good(self, name: str) -> Machine:
+    def lose_for_good(self, name: str) -> SimulatedMachine:
         """The machine and its disk never return."""
-        machine = self.world.machines.pop(name)
-        self.world.lose_disk(machine)
+        machine = self.cluster.machines.pop(name)
+        self.cluster.lose_disk(machine)
         return machine
 
     async def lose_disk_and_return(self, name: str, after_s: float = 1.0) -> None:
-        machine = self.world.machines[name]
-        self.world.lose_disk(machine)
+        machine = self.cluster.machines[name]
+        self.cluster.lose_disk(machine)
         await asyncio.sleep(after_s)
         await self.start_slowly(machine)
 
@@ -188,7 +192,7 @@
 
     # -- orders
 
-    async def head_call(self, message: Any) -> OperatorResponse:
+    async def call_head(self, message: Any) -> OperatorResponse:
         """An operator's order, taken to the head."""
         for _ in range(20):
             view = self.state.view
@@ -204,39 +208,39 @@
         raise AssertionError("the head does not answer")
 
     async def retire(self, name: str, duration_s: float | None) -> OperatorResponse:
-        return await self.head_call(RetireStore(name, duration_s))
+        return await self.call_head(RetireStore(name, duration_s))
 
-    def living_ids(self) -> set[str]:
+    def running_store_ids(self) -> set[str]:
         """The store ids of the processes that run and are known to."""
         return {
             member.store_id
             for member in self.state.members.values()
             if member.alive
-            and member.name in self.world.machines
-            and self.world.machines[member.name].running
+            and member.name in self.cluster.machines
+            and self.cluster.machines[member.name].running
         }
 
-    def borne(self) -> Counter[int]:
+    def running_replica_counts(self) -> Counter[int]:
         """How many replicas of each partition stand on machines that run: partitions by that number."""
-        living = self.living_ids()
+        living = self.running_store_ids()
         return Counter(
             sum(replica in living for replica in entry.replicas) for entry in self.placement.partitions
         )
 
 
-def play(work: Callable[[StoreWorld], Coroutine[Any, Any, None]], stores: int = 3, seed: int = 1) -> None:
+def play(work: Callable[[StoreScenario], Coroutine[Any, Any, None]], stores: int = 3, seed: int = 1) -> None:
     """Run a scenario; errors that nobody caught fail it."""
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     try:
 
         async def main() -> None:
-            system = StoreWorld(loop, stores, seed)
+            system = StoreScenario(loop, stores, seed)
             await system.transport.start(_ignore)
             await system.start()
             await work(system)
-            system.world.collect_failures()
-            assert system.world.program_failures == []
-            assert system.world.network.handler_failures == [] and loop.failures == []
+            system.cluster.collect_failures()
+            assert system.cluster.program_failures == []
+            assert system.cluster.network.handler_failures == [] and loop.failures == []
 
         loop.play(main())
     finally:
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -19,8 +19,8 @@
 from hollowusher.protocol.membership import Member, RegisterMember
 from hollowusher.protocol.messages import MessageStatusRequest, PutRequest
 from hollowusher.protocol.view import ReadView, View, Voter
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
-from hollowusher.simulation.network import Network
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
+from hollowusher.simulation.network import SimulatedNetwork
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
 from hollowusher.transport.peers import PeerDirectory
 from hollowusher.transport.tcp import ANSWER, LENGTH, TcpTransport
@@ -280,10 +280,10 @@
 
 
 def test_the_simulated_network_refuses_like_the_real_one() -> None:
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
 
     async def scene() -> None:
-        network = Network(loop, random.Random(3))
+        network = SimulatedNetwork(loop, random.Random(3))
         for host in ("10.0.0.1", "10.0.0.2"):
             network.power_on(host)
         client = network.transport(SimulatedProcess("edge-1"), "10.0.0.1:7780")
--- a/tests/transport/test_calls_late.py
+++ b/tests/transport/test_calls_late.py
@@ -9,8 +9,8 @@
 
 from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.view import ReadView
-from hollowusher.simulation.loop import SimulatedProcess, VirtualLoop
-from hollowusher.simulation.network import Network
+from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
+from hollowusher.simulation.network import SimulatedNetwork
 from hollowusher.transport.interface import PeerError, fail_call
 from hollowusher.transport.tcp import TcpTransport
 from tests.support.standins import free_port
@@ -51,10 +51,10 @@
 
 
 def test_an_answer_that_came_to_a_frozen_process_is_taken_when_it_goes_on() -> None:
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
 
     async def scene() -> None:
-        network = Network(loop, random.Random(3))
+        network = SimulatedNetwork(loop, random.Random(3))
         caller = SimulatedProcess("edge-1")
         client = network.transport(caller, "10.0.0.1:7780")
         server = network.transport(SimulatedProcess("store-1"), "10.0.0.2:7780")
@@ -77,7 +77,7 @@
 
 def test_a_failed_call_that_nobody_waits_for_any_more_is_no_fault() -> None:
     """Its process may have been ended in the moment in which it failed."""
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
 
     async def scene() -> None:
         future: asyncio.Future[Any] = loop.create_future()
