--- a/hollowusher/coordination/controller/state_service.py
+++ b/hollowusher/coordination/controller/control_state_service.py
@@ -26,7 +26,7 @@
 NOT_CONFIGURED = OperatorResponse(404, b'{"error":"there is no configuration yet"}')
 
 
-class StateService:
+class ControlStateService:
     """One controller's answers about the control state."""
 
     def __init__(
@@ -34,17 +34,17 @@
         me: Voter,
         transport: Transport,
         consensus: ViewConsensus,
-        member: ChainMember,
+        chain_member: ChainMember,
         chain_head: ChainHead,
-        group: VoterGroup,
+        voter_group: VoterGroup,
     ) -> None:
         self._me = me
         self._transport = transport
         self._consensus = consensus
-        self._member = member
+        self._chain_member = chain_member
         self._chain_head = chain_head
-        self._group = group
-        self._ages = CommittedAges()
+        self._voter_group = voter_group
+        self._committed_ages = CommittedAges()
 
     async def change_configuration(self, message: ChangeConfiguration) -> OperatorResponse:
         """An order of the operator; the head decides."""
@@ -52,20 +52,22 @@
         if read.is_error():
             return read.error.answer()
         newest = self._consensus.view
-        deposed = newest is not None and newest.epoch > self._member.epoch  # the own disk is yet to take it
-        if deposed or not self._member.is_head:
+        deposed = (
+            newest is not None and newest.epoch > self._chain_member.epoch
+        )  # the own disk is yet to take it
+        if deposed or not self._chain_member.is_head:
             head = newest.head if newest is not None else ""
             timeout = FORWARD_CHANGE_TIMEOUT_S + len(message.body) / MIN_THROUGHPUT_BYTES_PER_S
             answer = await self._forward(head, message, timeout)
             return answer if isinstance(answer, OperatorResponse) else UNAVAILABLE
-        return await self._take_order(read.ok)
+        return await self._apply_order(read.ok)
 
-    async def _take_order(self, order: Order) -> OperatorResponse:
+    async def _apply_order(self, order: Order) -> OperatorResponse:
         """Head: check an order against the newest state and commit what it asks for."""
         outcomes: list[OrderOutcome] = []
 
         def update(state: ControlState) -> ControlState | None:
-            outcome = apply_order(state, order, self._forgettable())
+            outcome = apply_order(state, order, self._newest_unrepeatable_generation())
             outcomes.append(outcome)
             return outcome.state
 
@@ -73,20 +75,20 @@
         if not committed or not outcomes:
             return UNAVAILABLE
         answer = outcomes[0].answer
-        if answer.status != 200 and not await self._consensus.majority_confirms(self._member.epoch):
+        if answer.status != 200 and not await self._consensus.majority_confirms(self._chain_member.epoch):
             return UNAVAILABLE  # a deposed head must not refuse what builds on a newer version
         return answer
 
-    def _forgettable(self) -> int:
+    def _newest_unrepeatable_generation(self) -> int:
         """The newest generation whose order nobody sends again."""
         now = asyncio.get_running_loop().time()
-        if self._member.committed is not None:
-            self._ages.note(self._member.committed.generation, now)
-        return self._ages.no_longer_repeated(now)
+        if self._chain_member.committed is not None:
+            self._committed_ages.note(self._chain_member.committed.generation, now)
+        return self._committed_ages.no_longer_repeated(now)
 
     async def read_configuration(self, message: ReadConfiguration) -> OperatorResponse:
         """The newest configuration; the tail knows it."""
-        if not self._member.is_tail:
+        if not self._chain_member.is_tail:
             answer = await self._forward_read(message)
             return answer if isinstance(answer, OperatorResponse) else UNAVAILABLE
         state = await self._confirmed_state()
@@ -96,18 +98,18 @@
 
     async def read_state(self, message: ReadControlState) -> ControlStateResponse:
         """The newest committed control state; the tail knows it."""
-        if not self._member.is_tail:
+        if not self._chain_member.is_tail:
             answer = await self._forward_read(message)
             return answer if isinstance(answer, ControlStateResponse) else ControlStateResponse(None)
         state = await self._confirmed_state()
-        return ControlStateResponse(state, self._member.epoch)
+        return ControlStateResponse(state, self._chain_member.epoch)
 
     async def _confirmed_state(self) -> ControlState | None:
         """Tail: its state, once a majority says that the view is still the newest."""
-        view = self._member.view
-        if view is None or not self._member.is_readable or not self._group.has_quorum(view):
+        view = self._chain_member.view
+        if view is None or not self._chain_member.is_readable or not self._voter_group.has_quorum(view):
             return None
-        state = self._member.committed
+        state = self._chain_member.committed
         return state if await self._consensus.majority_confirms(view.epoch) else None
 
     async def _forward_read(self, message: ReadConfiguration | ReadControlState) -> Any:
@@ -120,7 +122,7 @@
         voter = find_voter(view, name) if view is not None else None
         if view is None or voter is None or message.forwarded or name == self._me.name:
             return None
-        if is_voter(view, self._me.name, self._me.disk_id) and not self._group.is_reachable(name):
+        if is_voter(view, self._me.name, self._me.disk_id) and not self._voter_group.is_reachable(name):
             return None
         try:
             return await self._transport.call(voter.address, evolve(message, forwarded=True), timeout)
--- a/hollowusher/coordination/controller/control_status.py
+++ b/hollowusher/coordination/controller/control_status.py
@@ -18,11 +18,11 @@
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
 from hollowusher.protocol.view import View
 
-NOT_SERVED = -1  # as a margin: a majority is lacking already
+NO_MARGIN = -1  # as a margin: a majority is lacking already
 
 
 @attrs.frozen
-class VoterSigns:
+class VoterObservation:
     """What the answering controller has lately heard of one voter."""
 
     heard: bool
@@ -31,38 +31,42 @@
 
 
 @attrs.frozen
-class ControlStanding:
+class ControllerSnapshot:
     """What a controller knows of the agreement and the chain."""
 
     name: str
     view: View | None
     state: ControlState | None
     leads: bool  # it is the head, its epoch is in force and it hears a majority
-    signs: Mapping[str, VoterSigns]
+    observations: Mapping[str, VoterObservation]
     spares: Sequence[str] = ()  # controllers that lately asked to become voters
 
 
-UNHEARD = VoterSigns(False, False)
+UNREACHABLE = VoterObservation(False, False)
 
 
-def controller_losses_borne(view: View, signs: Mapping[str, VoterSigns]) -> int:
+def controller_losses_borne(view: View, observations: Mapping[str, VoterObservation]) -> int:
     """How many further controllers may be lost, whichever they are; -1 where no view can be decided now."""
-    heard = [signs[voter.name] for voter in view.voters if voter.name in signs and signs[voter.name].heard]
-    complete = sum(sign.complete for sign in heard)
-    return max(NOT_SERVED, min(len(heard) - quorum_size(view), complete - 1))
+    heard = [
+        observations[voter.name]
+        for voter in view.voters
+        if voter.name in observations and observations[voter.name].heard
+    ]
+    complete = sum(observation.complete for observation in heard)
+    return max(NO_MARGIN, min(len(heard) - quorum_size(view), complete - 1))
 
 
-def control_status(
-    standing: ControlStanding, partitions: Sequence[PartitionStatus], tolerance: int
+def build_control_status(
+    snapshot: ControllerSnapshot, partitions: Sequence[PartitionStatus], tolerance: int
 ) -> ControlStatus:
     """The answer to `ReadControlStatus`.  `partitions` may be empty where there is no placement yet."""
-    view, state = standing.view, standing.state
+    view, state = snapshot.view, snapshot.state
     sequence = state.sequence if state is not None else 0
     generation = state.generation if state is not None else 0
     stores = store_losses_borne(partitions, tolerance)
     if view is None:
         return ControlStatus(
-            standing.name,
+            snapshot.name,
             0,
             sequence,
             generation,
@@ -72,37 +76,39 @@
             0,
             [],
             [],
-            NOT_SERVED,
+            NO_MARGIN,
             stores,
             [*partitions],
         )
     return ControlStatus(
-        answered_by=standing.name,
+        answered_by=snapshot.name,
         epoch=view.epoch,
         sequence=sequence,
         generation=generation,
         head=view.head,
         tail=view.tail,
-        leads=standing.leads,
+        leads=snapshot.leads,
         majority=quorum_size(view),
-        voters=_voters(view, standing.signs),
-        spare_controllers=_spares(view, standing.spares),
-        controller_losses_borne=controller_losses_borne(view, standing.signs),
+        voters=_voter_statuses(view, snapshot.observations),
+        spare_controllers=_spare_names(view, snapshot.spares),
+        controller_losses_borne=controller_losses_borne(view, snapshot.observations),
         store_losses_borne=stores,
         partitions=[*partitions],
     )
 
 
-def _voters(view: View, signs: Mapping[str, VoterSigns]) -> list[VoterStatus]:
+def _voter_statuses(view: View, observations: Mapping[str, VoterObservation]) -> list[VoterStatus]:
     statuses = []
     for voter in view.voters:
-        sign = signs.get(voter.name, UNHEARD)
+        observation = observations.get(voter.name, UNREACHABLE)
         in_chain = voter.name in view.chain
-        version = list(sign.state_version)
-        statuses.append(VoterStatus(voter.name, voter.disk_id, sign.heard, in_chain, sign.complete, version))
+        version = list(observation.state_version)
+        statuses.append(
+            VoterStatus(voter.name, voter.disk_id, observation.heard, in_chain, observation.complete, version)
+        )
     return statuses
 
 
-def _spares(view: View, asking: Sequence[str]) -> list[str]:
+def _spare_names(view: View, asking: Sequence[str]) -> list[str]:
     voting = {voter.name for voter in view.voters}
     return sorted(set(asking) - voting)
--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -21,7 +21,7 @@
     WORKERS,
 )
 from hollowusher.coordination.controller.worker_list_reader import PlatformError
-from hollowusher.coordination.distribution.feed import Feed
+from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.member_role import MemberRole
 from hollowusher.coordination.membership.member_directory import MemberDirectory, member_version
 from hollowusher.coordination.membership.pause_detector import PauseDetector
@@ -47,29 +47,32 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 TICK_S = 0.1
-READ_S = 1.0
-FIRST_READ_S = 0.15
-PROBE_TIMEOUT_S = 0.6
-NEVER_READ = -1.0
-LONGEST_STEP_S = TICK_S + 0.3  # a longer one: this process did not run
-REFUSALS = (404, 409)
+READ_INTERVAL_S = 1.0
+FIRST_READ_DELAY_S = 0.15
+HEALTH_CHECK_TIMEOUT_S = 0.6
+WORKER_LIST_NOT_READ = -1.0
+MAX_STEP_S = TICK_S + 0.3  # a longer one: this process did not run
+REFUSAL_STATUSES = (404, 409)
 UNAVAILABLE = OperatorResponse(503, b'{"error":"no majority of the controllers can be reached"}')
-UNREAD_S = 0.1  # for so long after a pause what comes may have lain unread
+STALE_AFTER_PAUSE_S = 0.1  # for so long after a pause what comes may have lain unread
 
 
-class ListReader(Protocol):
+class WorkerListSource(Protocol):
     """What the duties need of the platform's list."""
 
     async def read(self) -> PlatformWorkerList | None:
         """The whole list; None where nothing new is to be believed yet, `PlatformError` after a failure."""
 
 
-async def _always() -> bool:
+async def _assume_newest() -> bool:
     return True
 
 
-class HeadDuties:
-    """The duties of one controller.  `is_newest` asks a majority whether its view is the newest still."""
+class HeadRoles:
+    """The roles of one controller, those of the chain's head among them.
+
+    `has_newest_view` asks a majority whether the view in use here is still the newest.
+    """
 
     MESSAGES: tuple[type, ...] = (
         RegisterMember,
@@ -82,30 +85,30 @@
         self,
         me: Member,
         controller: ControlChain,
-        feed: Feed,
+        feed: UpdateFeed,
         directory: MemberDirectory,
         settings: BootSettings,
-        reader: ListReader,
+        worker_list_source: WorkerListSource,
         transport: Transport,
         clock: Callable[[], float],
         log_line: LogFunction = no_log,
-        is_newest: Callable[[], Awaitable[bool]] = _always,
+        has_newest_view: Callable[[], Awaitable[bool]] = _assume_newest,
     ) -> None:
         self._me = me
-        self._is_newest = is_newest
+        self._has_newest_view = has_newest_view
         self._controller = controller
         self._feed = feed
         self._directory = directory
-        self._reader = reader
+        self._worker_list_source = worker_list_source
         self._transport = transport
         self._clock = clock
         self._placement = PlacementManager(
             controller, directory, settings.fault_tolerance.machines, clock, log_line
         )
-        self._probing: set[str] = set()
-        self._list_read_at: float | None = None  # by this process as head
-        self._pauses = PauseDetector(LONGEST_STEP_S)
-        feed.listen(self._on_item)
+        self._members_in_check: set[str] = set()
+        self._worker_list_read_at: float | None = None  # by this process as head
+        self._pause_detector = PauseDetector(MAX_STEP_S)
+        feed.add_listener(self._on_item)
 
     # ---- publishing
 
@@ -133,15 +136,15 @@
         """How each partition stands, as this controller knows it."""
         return self._placement.partition_statuses()
 
-    def controllers(self) -> list[str]:
+    def living_controllers(self) -> list[str]:
         """The living controllers, voters or not."""
         return [member.name for member in self._directory.live_members(MemberRole.EDGE) if member.controller]
 
-    def seconds_since_list(self) -> float:
+    def worker_list_age_s(self) -> float:
         """How long ago this process last read the platform's whole list, -1 where it is not its reader."""
-        if self._list_read_at is None or not self._controller.is_head:
-            return NEVER_READ
-        return self._clock() - self._list_read_at
+        if self._worker_list_read_at is None or not self._controller.is_head:
+            return WORKER_LIST_NOT_READ
+        return self._clock() - self._worker_list_read_at
 
     # ---- messages
 
@@ -157,27 +160,27 @@
                 self._publish_member(dead)
             return Acknowledgement()
         if isinstance(message, MemberSuspected):
-            self._take_suspicion(message)
+            self._handle_suspicion(message)
             return None
         if isinstance(message, PlacementManager.MESSAGES):
-            return await self._certain(await self._placement.handle(message))
+            return await self._confirm_refusal(await self._placement.handle(message))
         return None
 
-    async def _certain(self, answer: Any) -> Any:
+    async def _confirm_refusal(self, answer: Any) -> Any:
         """An answer of the placement's part.  A refusal rests on what is known here alone: one whose
         successor knows more must not give it."""
-        refused = isinstance(answer, OperatorResponse) and answer.status in REFUSALS
-        return UNAVAILABLE if refused and not await self._is_newest() else answer
+        refused = isinstance(answer, OperatorResponse) and answer.status in REFUSAL_STATUSES
+        return UNAVAILABLE if refused and not await self._has_newest_view() else answer
 
-    def _take_suspicion(self, suspicion: MemberSuspected) -> None:
+    def _handle_suspicion(self, suspicion: MemberSuspected) -> None:
         """Note a suspicion, unless it may have lain unread over a pause: it is repeated while it stands."""
         now = self._clock()
         self._notice_pause(now)
-        if not self._pauses.paused_since(now - UNREAD_S):
+        if not self._pause_detector.paused_since(now - STALE_AFTER_PAUSE_S):
             self._directory.record_suspicion(suspicion, now)
 
     def _notice_pause(self, now: float) -> None:
-        if self._pauses.tick(now):
+        if self._pause_detector.tick(now):
             self._directory.clear_suspicions()
 
     # ---- the loops
@@ -185,31 +188,31 @@
     async def run(self) -> None:
         """Do the duties whenever this process is the head; runs until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._run_judgement(tasks))
+            tasks.create_task(self._run_death_detection(tasks))
             tasks.create_task(self._placement.run())
-            tasks.create_task(self._run_readings())
+            tasks.create_task(self._run_worker_list_reads())
 
-    async def _run_judgement(self, tasks: asyncio.TaskGroup) -> None:
+    async def _run_death_detection(self, tasks: asyncio.TaskGroup) -> None:
         while True:
             self._notice_pause(self._clock())
             if self._controller.is_head:
-                self._judge(tasks)
+                self._detect_deaths(tasks)
             await asyncio.sleep(TICK_S)
 
-    def _judge(self, tasks: asyncio.TaskGroup) -> None:
+    def _detect_deaths(self, tasks: asyncio.TaskGroup) -> None:
         """Publish the deaths that the monitors agree on, and try those that they do not agree on."""
         now = self._clock()
         for dead in self._directory.confirmed_dead(now):
             self._publish_member(dead)
         for member in self._directory.unconfirmed_suspects(now):
-            if member.name not in self._probing and member.name != self._me.name:
-                self._probing.add(member.name)
-                tasks.create_task(self._probe(member))
+            if member.name not in self._members_in_check and member.name != self._me.name:
+                self._members_in_check.add(member.name)
+                tasks.create_task(self._check_health(member))
 
-    async def _probe(self, member: Member) -> None:
+    async def _check_health(self, member: Member) -> None:
         try:
-            probe = CheckIncarnation(member.name, member.incarnation)
-            answer = await self._transport.call(member.address, probe, PROBE_TIMEOUT_S)
+            health_check = CheckIncarnation(member.name, member.incarnation)
+            answer = await self._transport.call(member.address, health_check, HEALTH_CHECK_TIMEOUT_S)
             if not isinstance(answer, Acknowledgement):
                 raise PeerError("CheckIncarnation", member.address, "another life is there")
             self._directory.clear_suspicion(member)
@@ -219,53 +222,55 @@
             if dead is not None and self._controller.is_head:
                 self._publish_member(dead)
         finally:
-            self._probing.discard(member.name)
+            self._members_in_check.discard(member.name)
 
     # ---- the platform's list
 
-    async def _run_readings(self) -> None:
+    async def _run_worker_list_reads(self) -> None:
         was_head = False
         while True:
             is_head = self._controller.is_head
             if not is_head:
                 await asyncio.sleep(TICK_S)
             elif not was_head:
-                await asyncio.sleep(FIRST_READ_S)
+                await asyncio.sleep(FIRST_READ_DELAY_S)
             else:
                 started = self._clock()
-                await self._read_list()
-                await asyncio.sleep(max(TICK_S, started + READ_S - self._clock()))
+                await self._read_worker_list()
+                await asyncio.sleep(max(TICK_S, started + READ_INTERVAL_S - self._clock()))
             was_head = is_head
 
-    async def _read_list(self) -> None:
+    async def _read_worker_list(self) -> None:
         """Read the list and distribute it, unless another may be the head since, or this process stood still
         while it was read: then it is as old as the pause."""
         asked_at = self._clock()
         with suppress(PlatformError):
-            listed = await self._reader.read()
+            worker_list = await self._worker_list_source.read()
             self._notice_pause(self._clock())
-            if listed is None or self._pauses.paused_since(asked_at):
+            if worker_list is None or self._pause_detector.paused_since(asked_at):
                 return
-            self._list_read_at = self._clock()
+            self._worker_list_read_at = self._clock()
             view = self._controller.view
             if view is not None and self._controller.is_head:
-                self._publish_workers(listed, view)
+                self._publish_workers(worker_list, view)
 
-    def _publish_workers(self, listed: PlatformWorkerList, view: View) -> None:
+    def _publish_workers(self, worker_list: PlatformWorkerList, view: View) -> None:
         """Distribute a list that says something new.  Its version is [epoch, incarnation, counter], which
         grows over changes of the head and over restarts of one."""
         known = self._feed.item(WORKERS)
-        if known is not None and _same_workers(known.value.workers, listed.workers):
+        if known is not None and _same_workers(known.value.workers, worker_list.workers):
             return
         prefix = [view.epoch, self._me.incarnation]
         counter = known.version[2] + 1 if known is not None and list(known.version[:2]) == prefix else 1
-        self._feed.publish(WORKERS, [*prefix, counter], listed)
+        self._feed.publish(WORKERS, [*prefix, counter], worker_list)
 
 
 def _same_workers(known: Iterable[PlatformWorker], read: Iterable[PlatformWorker]) -> bool:
     """Whether two lists say the same; the time left to warm up counts only as some or none."""
-    return [_lasting(worker) for worker in known] == [_lasting(worker) for worker in read]
+    return [_without_warmup_progress(worker) for worker in known] == [
+        _without_warmup_progress(worker) for worker in read
+    ]
 
 
-def _lasting(worker: PlatformWorker) -> PlatformWorker:
+def _without_warmup_progress(worker: PlatformWorker) -> PlatformWorker:
     return evolve(worker, warm_in_ms=min(1, worker.warm_in_ms))
--- a/hollowusher/coordination/controller/operator_api.py
+++ b/hollowusher/coordination/controller/operator_api.py
@@ -24,83 +24,87 @@
 )
 from hollowusher.transport.interface import PeerError
 
-QUESTION_TIMEOUT_S = 0.9
+READ_TIMEOUT_S = 0.9
 CHANGE_TIMEOUT_S = 3.0
 RETRY_AFTER_S = 1
 
-Forward = Callable[[Any], Awaitable[OperatorResponse]]
+ForwardRequest = Callable[[Any], Awaitable[OperatorResponse]]
 
 
 class OperatorApi:
     """The handlers of one process."""
 
-    def __init__(self, forward: Forward) -> None:
+    def __init__(self, forward: ForwardRequest) -> None:
         self._forward = forward
         self._tasks: set[asyncio.Future[OperatorResponse]] = set()
 
     def add_routes(self, application: web.Application) -> None:
         """Serve the operator's paths from an application (made with `client_max_size` of
         `MOST_BODY_BYTES` or more)."""
-        application.router.add_put("/config", self._change)
-        application.router.add_patch("/config", self._change)
-        application.router.add_get("/config", self._read)
-        application.router.add_post("/retire/{node}", self._retire)
-        application.router.add_get("/retire/{node}", self._retirement)
+        application.router.add_put("/config", self._change_configuration)
+        application.router.add_patch("/config", self._change_configuration)
+        application.router.add_get("/config", self._read_configuration)
+        application.router.add_post("/retire/{node}", self._start_retirement)
+        application.router.add_get("/retire/{node}", self._read_retirement)
         application.router.add_post("/recover-partition/{partition}", self._recover_partition)
 
-    async def _change(self, request: web.Request) -> web.Response:
-        if_match = _read_if_match(request.headers.get("If-Match"))
+    async def _change_configuration(self, request: web.Request) -> web.Response:
+        if_match = _parse_if_match(request.headers.get("If-Match"))
         if isinstance(if_match, Refusal):
-            return _response(if_match.answer())
+            return _http_response(if_match.answer())
         body = await _read_body(request)
         if isinstance(body, Refusal):
-            return _response(body.answer())
-        return await self._ask(ChangeConfiguration(request.method, if_match, body), CHANGE_TIMEOUT_S)
+            return _http_response(body.answer())
+        return await self._forward_request(
+            ChangeConfiguration(request.method, if_match, body), CHANGE_TIMEOUT_S
+        )
 
-    async def _read(self, request: web.Request) -> web.Response:
-        return await self._ask(ReadConfiguration(), QUESTION_TIMEOUT_S)
+    async def _read_configuration(self, request: web.Request) -> web.Response:
+        return await self._forward_request(ReadConfiguration(), READ_TIMEOUT_S)
 
-    async def _retire(self, request: web.Request) -> web.Response:
+    async def _start_retirement(self, request: web.Request) -> web.Response:
         body = await _read_body(request)
         if isinstance(body, Refusal):
-            return _response(body.answer())
-        duration = _read_duration(body)
+            return _http_response(body.answer())
+        duration = _parse_duration(body)
         if isinstance(duration, Refusal):
-            return _response(duration.answer())
-        return await self._ask(RetireStore(request.match_info["node"], duration), CHANGE_TIMEOUT_S)
+            return _http_response(duration.answer())
+        return await self._forward_request(
+            RetireStore(request.match_info["node"], duration), CHANGE_TIMEOUT_S
+        )
 
-    async def _retirement(self, request: web.Request) -> web.Response:
-        return await self._ask(RetireStore(request.match_info["node"], None), QUESTION_TIMEOUT_S)
+    async def _read_retirement(self, request: web.Request) -> web.Response:
+        return await self._forward_request(RetireStore(request.match_info["node"], None), READ_TIMEOUT_S)
 
     async def _recover_partition(self, request: web.Request) -> web.Response:
         body = await _read_body(request)
         if isinstance(body, Refusal):
-            return _response(body.answer())
-        order = _read_recovery(request.match_info["partition"], body)
+            return _http_response(body.answer())
+        order = _parse_recovery(request.match_info["partition"], body)
         if isinstance(order, Refusal):
-            return _response(order.answer())
-        return await self._ask(order, CHANGE_TIMEOUT_S)
+            return _http_response(order.answer())
+        return await self._forward_request(order, CHANGE_TIMEOUT_S)
 
-    async def _ask(self, message: Any, timeout: float) -> web.Response:
+    async def _forward_request(self, message: Any, timeout: float) -> web.Response:
         """The answer to a message.  A change goes on when its caller is told 503: it may yet be taken."""
         task = asyncio.ensure_future(self._forward(message))
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._discard)
         done, _ = await asyncio.wait({task}, timeout=timeout)
         if not done:
-            return _unavailable("no answer in time")
+            return _unavailable_response("no answer in time")
         try:
-            return _response(task.result())
+            return _http_response(task.result())
         except PeerError as error:
-            return _unavailable(str(error))
+            return _unavailable_response(str(error))
 
-    def _finished(self, task: asyncio.Future[OperatorResponse]) -> None:
+    def _discard(self, task: asyncio.Future[OperatorResponse]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
             task.exception()  # retrieved: a late failure concerns nobody any more
 
 
-def _read_if_match(value: str | None) -> int | Refusal | None:
+def _parse_if_match(value: str | None) -> int | Refusal | None:
     if value is None:
         return None
     text = value.strip().strip('"')
@@ -119,7 +123,7 @@
         return too_long
 
 
-def _read_duration(body: bytes) -> float | Refusal:
+def _parse_duration(body: bytes) -> float | Refusal:
     try:
         content = orjson.loads(body)
     except orjson.JSONDecodeError as error:
@@ -130,7 +134,7 @@
     return float(duration)
 
 
-def _read_recovery(partition: str, body: bytes) -> RecoverPartition | Refusal:
+def _parse_recovery(partition: str, body: bytes) -> RecoverPartition | Refusal:
     """The order to go on with what is left of a partition; every replica given up is named."""
     if not (partition.isascii() and partition.isdigit() and len(partition) < 10):
         return Refusal(400, "partition", "is not a number")
@@ -144,13 +148,13 @@
     return RecoverPartition(int(partition), named)
 
 
-def _response(answer: OperatorResponse) -> web.Response:
+def _http_response(answer: OperatorResponse) -> web.Response:
     if answer.status == 503:
-        return _unavailable("", answer.body)
+        return _unavailable_response("", answer.body)
     return web.Response(status=answer.status, body=answer.body, content_type="application/json")
 
 
-def _unavailable(reason: str, body: bytes = b"") -> web.Response:
+def _unavailable_response(reason: str, body: bytes = b"") -> web.Response:
     return web.Response(
         status=503,
         body=body or orjson.dumps({"error": reason}),
--- a/hollowusher/coordination/controller/voter_group.py
+++ b/hollowusher/coordination/controller/voter_group.py
@@ -23,7 +23,7 @@
 from hollowusher.coordination.consensus.spare_controllers import SpareControllers
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
 from hollowusher.coordination.consensus.voter_set import VoterSetChange, plan_voter_set_change
-from hollowusher.coordination.controller.control_status import UNHEARD, VoterSigns
+from hollowusher.coordination.controller.control_status import UNREACHABLE, VoterObservation
 from hollowusher.coordination.controller.departure import Departure
 from hollowusher.protocol.consensus import Ping, Pong, ViewDecided
 from hollowusher.protocol.view import View, Voter
@@ -32,45 +32,48 @@
 PING_INTERVAL_S = 0.2
 PING_TIMEOUT_S = 0.6
 REJOIN_INTERVAL_S = 1.0  # least time between a view and the next one that only lets voters join
-FINISH_AFTER_S = 0.5  # an accepted view that is not decided by then is proposed again
+FINISH_ACCEPTED_AFTER_S = 0.5  # an accepted view that is not decided by then is proposed again
 AVOID_S = 3.0  # a chain member that its neighbour cannot reach stays out for this long
-NO_CONNECTION_IN_TIME = "in time"  # in a `PeerError`: the peer was silent, it did not refuse
+CONNECT_TIMEOUT_REASON = "in time"  # in a `PeerError`: the peer was silent, it did not refuse
 
 Spawn = Callable[[Coroutine[Any, Any, Any]], None]
 
 
 class VoterGroup:
-    """This controller among the voters.  `spawn` runs a coroutine for as long as the controller lives;
-    `is_stalled` tells whether its disk does not answer, `wanted` how many voters there are to be."""
+    """This controller among the voters.
+
+    `spawn` runs a coroutine for as long as the controller lives; `is_disk_stalled` says whether its disk does
+    not answer, `wanted_voters` how many voters there are to be.
+    """
 
     def __init__(
         self,
         me: Voter,
         transport: Transport,
         consensus: ViewConsensus,
-        member: ChainMember,
-        chance: random.Random,
+        chain_member: ChainMember,
+        random_source: random.Random,
         spawn: Spawn,
-        is_stalled: Callable[[float], bool],
-        wanted: int,
+        is_disk_stalled: Callable[[float], bool],
+        wanted_voters: int,
     ) -> None:
         self._me = me
         self._transport = transport
         self._consensus = consensus
-        self._member = member
-        self._chance = chance
+        self._chain_member = chain_member
+        self._random = random_source
         self._spawn = spawn
-        self._is_stalled = is_stalled
+        self._is_disk_stalled = is_disk_stalled
         self._health = VoterHealth(me.name, 0.0)
-        self._wanted = wanted
+        self._wanted_voters = wanted_voters
         self._spares = SpareControllers()
-        self._disks: dict[str, str] = {}  # voter -> the disk that votes
-        self._pinging: set[str] = set()
-        self._next_ping = 0.0
-        self._view_since = 0.0
-        self._loss_since: float | None = None
-        self._accepted_since: float | None = None
-        self.departure = Departure(me, transport, consensus, member, self._spares, self._presence)
+        self._disk_ids: dict[str, str] = {}  # voter -> the disk that votes
+        self._pending_pings: set[str] = set()
+        self._next_ping_at = 0.0
+        self._view_installed_at = 0.0
+        self._loss_noticed_at: float | None = None
+        self._accepted_noticed_at: float | None = None
+        self.departure = Departure(me, transport, consensus, chain_member, self._spares, self._liveness)
 
     def start(self) -> None:
         """Nothing has been heard yet."""
@@ -79,12 +82,12 @@
     def install(self, view: View) -> None:
         """Use a newer decided view."""
         for voter in view.voters:
-            if self._disks.get(voter.name, voter.disk_id) != voter.disk_id:
+            if self._disk_ids.get(voter.name, voter.disk_id) != voter.disk_id:
                 self._health.forget(voter.name)
-        self._disks = {voter.name: voter.disk_id for voter in view.voters}
-        self._view_since = _now()
-        self._loss_since = None
-        self._accepted_since = None
+        self._disk_ids = {voter.name: voter.disk_id for voter in view.voters}
+        self._view_installed_at = _now()
+        self._loss_noticed_at = None
+        self._accepted_noticed_at = None
         self._health.track([voter.name for voter in view.voters], _now())
 
     def is_reachable(self, name: str) -> bool:
@@ -95,86 +98,88 @@
         """Whether enough voters to decide have answered lately."""
         return self._health.has_quorum(view, _now())
 
-    def signs(self, view: View) -> dict[str, VoterSigns]:
+    def observations(self, view: View) -> dict[str, VoterObservation]:
         """What has lately been heard of each voter, this controller included."""
-        return {voter.name: self._sign(voter, view) for voter in view.voters}
+        return {voter.name: self._observe(voter, view) for voter in view.voters}
 
-    def _sign(self, voter: Voter, view: View) -> VoterSigns:
+    def _observe(self, voter: Voter, view: View) -> VoterObservation:
         if voter.name == self._me.name:
-            member = self._member
-            return VoterSigns(True, member.complete, [member.state_epoch, member.state.sequence])
+            chain_member = self._chain_member
+            return VoterObservation(
+                True, chain_member.complete, [chain_member.state_epoch, chain_member.state.sequence]
+            )
         pong = self._health.pong(voter.name)
         if pong is None:
-            return UNHEARD
+            return UNREACHABLE
         heard = self._health.is_reachable(voter.name, _now())
         complete = heard and pong.complete and pong.epoch == view.epoch
-        return VoterSigns(heard, complete, pong.state_version)
+        return VoterObservation(heard, complete, pong.state_version)
 
-    def avoid(self, name: str) -> None:
+    def avoid_voter(self, name: str) -> None:
         """A chain member cannot be reached by its neighbour."""
         self._health.avoid(name, _now() + AVOID_S)
 
-    def note_candidate(self, voter: Voter) -> None:
+    def add_spare(self, voter: Voter) -> None:
         """A controller asks to become a voter."""
         self._spares.note(voter, _now())
 
     async def step(self, view: View) -> None:
         """Do what is due in the newest view; nothing is proposed while this controller's own disk keeps it
         from using that view, for what it holds is judged by the view in use."""
-        in_use = self._member.epoch == view.epoch
-        if self.departure.begun or not in_use or not self.has_quorum(view):
+        in_use = self._chain_member.epoch == view.epoch
+        if self.departure.has_begun or not in_use or not self.has_quorum(view):
             return
-        if await self._finish_accepted():
+        if await self._finish_accepted_view():
             return
         if not has_lost_chain_member(view, self._health, _now()):
-            self._loss_since = None
+            self._loss_noticed_at = None
         elif await self._replace_lost(view):
             return
-        if self._member.is_head and self._member.is_in_force:
-            await self._admit(view)
+        if self._chain_member.is_head and self._chain_member.is_in_force:
+            await self._extend_view(view)
 
     # -- pings -----------------------------------------------------------------------------------------
 
-    def answer_ping(self, ping: Ping) -> Pong:
+    def handle_ping(self, ping: Ping) -> Pong:
         """The answer to another voter's ping."""
         view = self._consensus.view
         sender = find_voter(view, ping.name) if view is not None else None
         if view is not None and sender is not None and ping.epoch > view.epoch:
-            self._spawn(self._catch_up(sender.address))
+            self._spawn(self._learn_view_from(sender.address))
         return Pong(
             self._me.name,
             self._me.disk_id,
-            self._member.epoch,  # of the view in use, which `complete` refers to
-            self._member.complete,
+            self._chain_member.epoch,  # of the view in use, which `complete` refers to
+            self._chain_member.complete,
             self._health.heard(_now()),
-            self.departure.begun,
-            self._is_stalled(_now()),
-            [self._member.state_epoch, self._member.state.sequence],
+            self.departure.has_begun,
+            self._is_disk_stalled(_now()),
+            [self._chain_member.state_epoch, self._chain_member.state.sequence],
         )
 
     def ping_voters(self, view: View) -> None:
         """Ask the other voters whether they are there, if it is time."""
-        if _now() < self._next_ping:
+        if _now() < self._next_ping_at:
             return
-        self._next_ping = _now() + PING_INTERVAL_S
+        self._next_ping_at = _now() + PING_INTERVAL_S
         for voter in view.voters:
-            if voter.name != self._me.name and voter.name not in self._pinging:
-                self._pinging.add(voter.name)
+            if voter.name != self._me.name and voter.name not in self._pending_pings:
+                self._pending_pings.add(voter.name)
                 self._spawn(self._ping(voter, view.epoch))
 
     async def _ping(self, voter: Voter, epoch: int) -> None:
         try:
             answer = await self._transport.call(voter.address, Ping(self._me.name, epoch), PING_TIMEOUT_S)
         except PeerError as error:
-            if not error.sent and NO_CONNECTION_IN_TIME not in error.reason:
+            if not error.sent and CONNECT_TIMEOUT_REASON not in error.reason:
                 self._health.refused(voter.name)
             return
         finally:
-            self._pinging.discard(voter.name)
+            self._pending_pings.discard(voter.name)
         if isinstance(answer, Pong):
-            await self._take_pong(voter, answer)
+            await self._handle_pong(voter, answer)
 
-    async def _take_pong(self, voter: Voter, pong: Pong) -> None:
+    async def _handle_pong(self, voter: Voter, pong: Pong) -> None:
         if pong.name != voter.name:
             self._health.refused(voter.name)  # the address has another owner now
             return
@@ -186,60 +191,60 @@
         if view is not None and pong.epoch < view.epoch:
             self._transport.send(voter.address, ViewDecided(view))
         elif view is None or pong.epoch > view.epoch:
-            await self._catch_up(voter.address)
+            await self._learn_view_from(voter.address)
 
-    async def _catch_up(self, address: str) -> None:
+    async def _learn_view_from(self, address: str) -> None:
         newest = await fetch_newest_view(self._transport, [address])
         if newest is not None:
             await self._consensus.learn(newest)
 
     # -- views -----------------------------------------------------------------------------------------
 
-    def _presence(self, view: View) -> LivenessSnapshot:
-        return take_liveness_snapshot(self._health, view, self._member.complete, _now())
+    def _liveness(self, view: View) -> LivenessSnapshot:
+        return take_liveness_snapshot(self._health, view, self._chain_member.complete, _now())
 
     async def _replace_lost(self, view: View) -> bool:
         """Propose a chain without the dead, after those that come earlier in the chain; whether there is such
         a chain."""
-        present = self._presence(view)
-        rank = proposal_rank(view, present, self._me.name)
-        if rank is None or plan_chain(view, present) is None:
+        liveness = self._liveness(view)
+        rank = proposal_rank(view, liveness, self._me.name)
+        if rank is None or plan_chain(view, liveness) is None:
             return False
-        if self._loss_since is None:
-            self._loss_since = _now()
-        if _now() - self._loss_since >= rank * PROPOSAL_STAGGER_S:
-            await self._propose_chain(view, present)
+        if self._loss_noticed_at is None:
+            self._loss_noticed_at = _now()
+        if _now() - self._loss_noticed_at >= rank * PROPOSAL_STAGGER_S:
+            await self._propose_chain(view, liveness)
         return True
 
-    async def _propose_chain(self, view: View, present: LivenessSnapshot) -> None:
-        await self._consensus.propose(lambda base: plan_chain(base, present) if base == view else None)
+    async def _propose_chain(self, view: View, liveness: LivenessSnapshot) -> None:
+        await self._consensus.propose(lambda base: plan_chain(base, liveness) if base == view else None)
 
-    async def _finish_accepted(self) -> bool:
+    async def _finish_accepted_view(self) -> bool:
         """Bring a view to its end that was accepted here but not heard of since; whether there is one."""
         accepted = self._consensus.acceptor.accepted
         if accepted is None:
-            self._accepted_since = None
+            self._accepted_noticed_at = None
             return False
-        if self._accepted_since is None:
-            self._accepted_since = _now() + self._chance.uniform(0.0, FINISH_AFTER_S)
-        if _now() - self._accepted_since > FINISH_AFTER_S:
-            self._accepted_since = None
+        if self._accepted_noticed_at is None:
+            self._accepted_noticed_at = _now() + self._random.uniform(0.0, FINISH_ACCEPTED_AFTER_S)
+        if _now() - self._accepted_noticed_at > FINISH_ACCEPTED_AFTER_S:
+            self._accepted_noticed_at = None
             await self._consensus.propose(lambda base: accepted if accepted.epoch == base.epoch + 1 else None)
         return True
 
-    async def _admit(self, view: View) -> None:
+    async def _extend_view(self, view: View) -> None:
         """Let voters that came back join the chain, and bring the voter set one step nearer to what it is to
         be.  Only once the state is in force in this epoch: every step begins from a whole chain."""
-        present = self._presence(view)
-        if _now() - self._view_since > REJOIN_INTERVAL_S and plan_chain(view, present) is not None:
-            await self._propose_chain(view, present)
+        liveness = self._liveness(view)
+        if _now() - self._view_installed_at > REJOIN_INTERVAL_S and plan_chain(view, liveness) is not None:
+            await self._propose_chain(view, liveness)
             return
         spares = self._spares.recent(_now())
-        step = plan_voter_set_change(view, spares, self._health, self._wanted, _now())
-        if step is not None and (step.add is None or await self._is_there(step.add, view)):
-            await self._propose_step(view, step)
+        step = plan_voter_set_change(view, spares, self._health, self._wanted_voters, _now())
+        if step is not None and (step.add is None or await self._is_ready(step.add, view)):
+            await self._propose_voter_set_change(view, step)
 
-    async def _is_there(self, spare: Voter, view: View) -> bool:
+    async def _is_ready(self, spare: Voter, view: View) -> bool:
         """Whether a spare answers, with the disk that it announced, and is fit to be a voter."""
         try:
             pong = await self._transport.call(spare.address, Ping(self._me.name, view.epoch), PING_TIMEOUT_S)
@@ -254,7 +259,7 @@
             self._spares.discard(spare.name)
         return fit
 
-    async def _propose_step(self, view: View, step: VoterSetChange) -> None:
+    async def _propose_voter_set_change(self, view: View, step: VoterSetChange) -> None:
         await self._consensus.propose(
             lambda base: plan_voters(base, step.add, step.remove) if base == view else None
         )
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -2,7 +2,7 @@
 and takes part in failure detection.
 
 An ordinary process pulls from one controller: one in its own zone where possible, picked by rendezvous, and
-another one at once after a failure.  A controller has a `Feed` of its own: it pulls from each other
+another one at once after a failure.  A controller has a `UpdateFeed` of its own: it pulls from each other
 controller and applies its own feed.
 """
 
@@ -32,7 +32,7 @@
 )
 from hollowusher.coordination.consensus.view_publisher import ViewPublisher
 from hollowusher.coordination.controller_selector import ControllerSelector
-from hollowusher.coordination.distribution.feed import Feed, LongPoll
+from hollowusher.coordination.distribution.update_feed import LongPollResponder, UpdateFeed
 from hollowusher.coordination.membership.failure_detector import FailureDetector
 from hollowusher.coordination.membership.member_directory import member_version
 from hollowusher.coordination.membership.pause_detector import PauseDetector
@@ -52,16 +52,16 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 PULL_WAIT_MS = 1_000
-PULL_MARGIN_S = 0.7  # how much longer than its wait a pull may take
+PULL_TIMEOUT_MARGIN_S = 0.7  # how much longer than its wait a pull may take
 CALL_TIMEOUT_S = 0.6
-STATE_TIMEOUT_S = 1.0  # the chain's tail asks a majority before it answers
-LEAVE_TIMEOUT_S = 0.5
-LEAVE_S = 1.0
-MEMBER_REFRESH_S = 10.0  # how often a process that is no controller tells a seed the view again
-BEAT_S = 0.1  # how often the failure detector runs
-LONGEST_STEP_S = BEAT_S + 0.3  # a longer one: this process did not run
-IDLE_PAUSE_S = 0.1  # after an answer that came at once and brought nothing
-CONNECTED_S = 2.5  # a controller that has not heard most of the others for this long says so
+READ_STATE_TIMEOUT_S = 1.0  # the chain's tail asks a majority before it answers
+LEAVE_CALL_TIMEOUT_S = 0.5
+LEAVE_TIMEOUT_S = 1.0
+SEED_REFRESH_S = 10.0  # how often a process that is no controller tells a seed the view again
+FAILURE_DETECTOR_TICK_S = 0.1  # how often the failure detector runs
+MAX_STEP_S = FAILURE_DETECTOR_TICK_S + 0.3  # a longer one: this process did not run
+MIN_PULL_INTERVAL_S = 0.1  # after an answer that came at once and brought nothing
+MAX_CONNECTED_AGE_S = 2.5  # a controller that has not heard most of the others for this long says so
 
 
 class ClusterClient:
@@ -76,60 +76,64 @@
         transport: Transport,
         settings: BootSettings,
         state: ClusterState,
-        feed: Feed | None,
-        chance: random.Random,
+        feed: UpdateFeed | None,
+        random_source: random.Random,
         seeds: Callable[[], list[str]] | None = None,
     ) -> None:
         self.me = me
         self.state = state
         self._transport = transport
         self._feed = feed
-        self._chance = chance
-        self._monitor = FailureDetector(me.name)
+        self._random = random_source
+        self._failure_monitor = FailureDetector(me.name)
         self._members_changed = True
         self._registered_at: set[str] = set()  # the controllers that know this registration
-        self._registration_seen = False  # the cluster has this life of this process
+        self._is_registration_distributed = False  # the cluster has this life of this process
         self._leaving = False
-        self._choice = ControllerSelector(me.name, me.zone)
+        self._controller_choice = ControllerSelector(me.name, me.zone)
         present_seeds = settings.seed_addresses if seeds is None else seeds
-        self._view_discovery = ViewDiscovery(transport, state, present_seeds, self._choice, chance)
+        self._view_discovery = ViewDiscovery(
+            transport, state, present_seeds, self._controller_choice, random_source
+        )
         self._view_publisher = ViewPublisher(
-            transport, present_seeds, lambda: state.view, self._take_view, chance, MEMBER_REFRESH_S
+            transport, present_seeds, lambda: state.view, self._learn_view, random_source, SEED_REFRESH_S
         )
-        self._heard_at: dict[str, float] = {}  # address -> last answer to a pull
-        self._connected_at = -math.inf  # last answer of a controller that hears most of the others
-        self._peers: dict[str, asyncio.Task[None]] = {}
-        self._peer_have: dict[str, dict[str, int]] = {}
+        self._last_pull_at: dict[str, float] = {}  # address -> last answer to a pull
+        self._last_majority_at = -math.inf  # last answer of a controller that hears most of the others
+        self._peer_tasks: dict[str, asyncio.Task[None]] = {}
+        self._peer_vectors: dict[str, dict[str, int]] = {}
         self._view_changed = asyncio.Event()
-        self._pauses = PauseDetector(LONGEST_STEP_S)
-        self._long_poll = LongPoll(feed, self._is_connected, self._age_s) if feed is not None else None
-        state.add_listener(self._on_change)
+        self._pause_detector = PauseDetector(MAX_STEP_S)
+        self._long_poll = (
+            LongPollResponder(feed, self._is_connected, self._age_s) if feed is not None else None
+        )
+        state.add_listener(self._on_state_changed)
         if feed is not None:
-            feed.listen(lambda item: self._apply([item]))
+            feed.add_listener(lambda item: self._apply_items([item]))
 
     # ---- life
 
     async def run(self) -> None:
         """Follow the cluster, send heartbeats and monitor others; runs until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._beat())
+            tasks.create_task(self._run_failure_detector())
             if self._feed is None:
-                tasks.create_task(self._follow_one())
+                tasks.create_task(self._follow_one_controller())
             else:
-                tasks.create_task(self._follow_all(tasks))
+                tasks.create_task(self._follow_all_controllers(tasks))
 
-    async def confirmed_start(self) -> None:
+    async def wait_for_committed_state(self) -> None:
         """Wait until the control chain has told its committed state, and apply it: after that, nothing
         older than what was acknowledged before this start is served."""
-        backoff = Backoff(self._chance, INITIAL_BACKOFF_S)
+        backoff = Backoff(self._random, INITIAL_BACKOFF_S)
         while True:
             if self.state.view is None:
                 await self._view_discovery.find()
-            for voter in self._readers():
+            for voter in self._committed_state_sources():
                 asked_at = self._now()
-                answer = await self._try_call(voter.address, ReadControlState(), STATE_TIMEOUT_S)
+                answer = await self._try_call(voter.address, ReadControlState(), READ_STATE_TIMEOUT_S)
                 if isinstance(answer, ControlStateResponse) and answer.state is not None:
-                    self._connected_at = max(asked_at, self._connected_at)
+                    self._last_majority_at = max(asked_at, self._last_majority_at)
                     self._apply_state(answer.state)
                     return
             await backoff.wait()
@@ -144,27 +148,29 @@
         """How many views of another cluster were brought here; none was taken."""
         return self._view_discovery.foreign_rejections
 
-    def take_view(self, view: View) -> None:
+    def learn_view(self, view: View) -> None:
         """Use a decided view that became known in another way."""
         self._view_discovery.take(view)
 
-    async def _take_view(self, view: View) -> None:
-        self.take_view(view)
+    async def _learn_view(self, view: View) -> None:
+        self.learn_view(view)
 
     async def leave(self) -> None:
-        """Tell a controller that this process is about to stop; gives up after `LEAVE_S`."""
+        """Tell a controller that this process is about to stop; gives up after `LEAVE_TIMEOUT_S`."""
         self._leaving = True
         if self._feed is not None:
             self._publish(evolve(self.me, status=self.me.status + 1, leaving=True))
         with suppress(TimeoutError):
-            async with asyncio.timeout(LEAVE_S):
+            async with asyncio.timeout(LEAVE_TIMEOUT_S):
                 await self._send_leaving(MemberDeparting(self.me.name, self.me.incarnation))
 
     async def _send_leaving(self, message: MemberDeparting) -> None:
         for voter in self._voters_by_preference():
             if voter.address == self.me.address:
                 continue
-            if isinstance(await self._try_call(voter.address, message, LEAVE_TIMEOUT_S), Acknowledgement):
+            if isinstance(
+                await self._try_call(voter.address, message, LEAVE_CALL_TIMEOUT_S), Acknowledgement
+            ):
                 return
 
     def seconds_since_contact(self, now: float) -> float:
@@ -172,25 +178,25 @@
         controller that has no others to ask."""
         if self._feed is not None and self._voters() and not self._other_voters():
             return 0.0
-        return now - max(self._heard_at.values(), default=-math.inf)
+        return now - max(self._last_pull_at.values(), default=-math.inf)
 
     def seconds_since_majority(self, now: float) -> float:
         """How old the newest values known here may be: how long ago most controllers had word of each other
         and one of them then answered here; for a controller, how long ago most of them, itself counted,
         answered.  What lay unread while this process stood still counts from when it was asked for."""
         if self._feed is None:
-            return now - self._connected_at
+            return now - self._last_majority_at
         voters = self._voters()
         if not voters:
             return math.inf
-        heard = sorted(self._heard_from(voter, now) for voter in voters)
+        heard = sorted(self._last_answer_from(voter, now) for voter in voters)
         return now - heard[-(len(voters) // 2 + 1)]
 
-    def _heard_from(self, voter: Voter, now: float) -> float:
-        return now if voter.address == self.me.address else self._heard_at.get(voter.address, -math.inf)
+    def _last_answer_from(self, voter: Voter, now: float) -> float:
+        return now if voter.address == self.me.address else self._last_pull_at.get(voter.address, -math.inf)
 
     def _is_connected(self) -> bool:
-        return self._age_s() <= CONNECTED_S
+        return self._age_s() <= MAX_CONNECTED_AGE_S
 
     def _age_s(self) -> float:
         return self.seconds_since_majority(self._now())
@@ -198,16 +204,16 @@
     async def handle(self, message: Any) -> Any:
         """Answer one of `MESSAGES`."""
         if isinstance(message, Heartbeat):
-            self._monitor.record_heartbeat(message, self._now())
+            self._failure_monitor.record_heartbeat(message, self._now())
         elif isinstance(message, ReadView):
             return ViewResponse(self.state.view)
         elif isinstance(message, OfferView):
-            self.take_view(message.view)
+            self.learn_view(message.view)
             return ViewResponse(self.state.view)
         elif isinstance(message, PullUpdates) and self._long_poll is not None:
             return await self._long_poll.answer(message)
         elif isinstance(message, ReadRepair):
-            self._take_repair(message)
+            self._handle_repair(message)
         elif isinstance(message, CheckIncarnation) and message.incarnation == self.me.incarnation:
             return Acknowledgement()
         return None
@@ -224,34 +230,34 @@
     def _is_voter(self) -> bool:
         return any(voter.name == self.me.name for voter in self._voters())
 
-    def _readers(self) -> list[Voter]:
+    def _committed_state_sources(self) -> list[Voter]:
         """The voters that may know the committed state, the chain's tail first."""
         view = self.state.view
         tail = "" if view is None else view.tail
         return sorted(self._voters(), key=lambda voter: voter.name != tail)
 
     def _voters_by_preference(self) -> list[Voter]:
-        return self._choice.rank_controllers(self._voters(), self.state.members, self._now())
+        return self._controller_choice.rank_controllers(self._voters(), self.state.members, self._now())
 
     # ---- following one controller
 
-    async def _follow_one(self) -> None:
-        backoff = Backoff(self._chance)
+    async def _follow_one_controller(self) -> None:
+        backoff = Backoff(self._random)
         while True:
             voters = self._voters_by_preference()
             if not voters:
                 await self._view_discovery.find()
                 continue
             address = voters[0].address
-            last_choice = len(voters) == 1 or self._choice.health(address).is_avoided(self._now())
+            last_choice = len(voters) == 1 or self._controller_choice.health(address).is_avoided(self._now())
             try:
                 await self._register_at(address)
                 connected = await self._pull(
-                    address, dict(self.state.version_vector), partial(self._take, address)
+                    address, dict(self.state.version_vector), partial(self._apply_updates, address)
                 )
                 backoff.reset()
             except PeerError:
-                self._failed(address)
+                self._record_failure(address)
                 if not last_choice:
                     continue
                 await backoff.wait()
@@ -259,9 +265,9 @@
             if not connected:
                 await self._view_discovery.ask()
 
-    def _failed(self, address: str) -> None:
+    def _record_failure(self, address: str) -> None:
         self._registered_at.discard(address)
-        self._choice.health(address).record_failure(self._now())
+        self._controller_choice.health(address).record_failure(self._now())
 
     async def _register_at(self, address: str) -> None:
         if address in self._registered_at or self._leaving:
@@ -280,22 +286,24 @@
         answers."""
         started = self._now()
         request = PullUpdates(self.me.name, have, PULL_WAIT_MS)
-        answer = await self._transport.call(address, request, PULL_WAIT_MS / 1000 + PULL_MARGIN_S)
+        answer = await self._transport.call(address, request, PULL_WAIT_MS / 1000 + PULL_TIMEOUT_MARGIN_S)
         if not isinstance(answer, UpdatesResponse):
             raise PeerError("PullUpdates", address, "no updates there")
         changed = take(answer)
         now = self._now()
-        self._pauses.tick(now)
-        heard_at = started if self._pauses.paused_since(started) else now  # it may have lain unread since
-        self._heard_at[address] = max(heard_at, self._heard_at.get(address, -math.inf))
-        self._choice.health(address).record_pull(now, connected=answer.connected)
+        self._pause_detector.tick(now)
+        heard_at = (
+            started if self._pause_detector.paused_since(started) else now
+        )  # it may have lain unread since
+        self._last_pull_at[address] = max(heard_at, self._last_pull_at.get(address, -math.inf))
+        self._controller_choice.health(address).record_pull(now, connected=answer.connected)
         if answer.connected:
-            self._connected_at = max(heard_at - answer.age_ms / 1000, self._connected_at)
-        if not changed and now - started < IDLE_PAUSE_S:
-            await asyncio.sleep(IDLE_PAUSE_S)
+            self._last_majority_at = max(heard_at - answer.age_ms / 1000, self._last_majority_at)
+        if not changed and now - started < MIN_PULL_INTERVAL_S:
+            await asyncio.sleep(MIN_PULL_INTERVAL_S)
         return answer.connected
 
-    def _take(self, address: str, updates: UpdatesResponse) -> list[str]:
+    def _apply_updates(self, address: str, updates: UpdatesResponse) -> list[str]:
         changed = self.state.apply(updates.items, updates.have)
         lacking = self.state.items_missing_from(updates.have)
         if lacking:
@@ -304,52 +312,57 @@
 
     # ---- a controller follows all others
 
-    async def _follow_all(self, tasks: asyncio.TaskGroup) -> None:
+    async def _follow_all_controllers(self, tasks: asyncio.TaskGroup) -> None:
         self._publish(self.me)
         while True:
             if self.state.view is None:
                 await self._view_discovery.find()
             wanted = {voter.address for voter in self._other_voters()}
-            for address in [address for address in self._peers if address not in wanted]:
-                self._peers.pop(address).cancel()
-                self._peer_have.pop(address, None)
-            for address in sorted(wanted - self._peers.keys()):
-                self._peers[address] = tasks.create_task(self._follow_peer(address))
+            for address in [address for address in self._peer_tasks if address not in wanted]:
+                self._peer_tasks.pop(address).cancel()
+                self._peer_vectors.pop(address, None)
+            for address in sorted(wanted - self._peer_tasks.keys()):
+                self._peer_tasks[address] = tasks.create_task(self._follow_peer(address))
             self._view_changed.clear()
             await self._view_changed.wait()
 
     async def _follow_peer(self, address: str) -> None:
         """Pull from another controller.  The voters pull from each other only, so a controller that is no
         voter has to register with them."""
-        backoff = Backoff(self._chance)
+        backoff = Backoff(self._random)
         while True:
             try:
                 if not self._is_voter():
                     await self._register_at(address)
-                await self._pull(address, self._have_of(address), partial(self._merge, address))
+                await self._pull(
+                    address, self._vector_for_peer(address), partial(self._merge_updates, address)
+                )
                 backoff.reset()
             except PeerError:
-                self._failed(address)
+                self._record_failure(address)
                 await backoff.wait()
                 now = self._now()
-                if all(self._choice.health(voter.address).is_avoided(now) for voter in self._other_voters()):
+                if all(
+                    self._controller_choice.health(voter.address).is_avoided(now)
+                    for voter in self._other_voters()
+                ):
                     await self._view_discovery.ask()
 
-    def _have_of(self, address: str) -> dict[str, int]:
+    def _vector_for_peer(self, address: str) -> dict[str, int]:
         """What this feed has, and what that peer has already given: origins that one side has pruned are
         not sent again and again."""
         assert self._feed is not None
         have = self._feed.have
-        for origin, counter in self._peer_have.get(address, {}).items():
+        for origin, counter in self._peer_vectors.get(address, {}).items():
             have[origin] = max(counter, have.get(origin, 0))
         return have
 
-    def _merge(self, address: str, updates: UpdatesResponse) -> list[str]:
+    def _merge_updates(self, address: str, updates: UpdatesResponse) -> list[str]:
         assert self._feed is not None
-        self._peer_have[address] = updates.have
+        self._peer_vectors[address] = updates.have
         return self._feed.merge(updates)
 
-    def _take_repair(self, repair: ReadRepair) -> None:
+    def _handle_repair(self, repair: ReadRepair) -> None:
         """Publish members' states that the controllers have lost; nothing else may come from a reader."""
         if self._feed is not None:
             for item in repair.items:
@@ -363,7 +376,7 @@
 
     # ---- applying what was learnt
 
-    def _apply(self, items: list[DistributedItem]) -> None:
+    def _apply_items(self, items: list[DistributedItem]) -> None:
         self.state.apply(items, {})
 
     def _apply_state(self, state: ControlState) -> None:
@@ -376,29 +389,29 @@
             if self._feed is not None:
                 self._feed.publish(key, [version], value)
             else:
-                self._apply([DistributedItem(key, [version], SOLICITED_ORIGIN, 0, value)])
+                self._apply_items([DistributedItem(key, [version], SOLICITED_ORIGIN, 0, value)])
 
-    def _on_change(self, key: str) -> None:
+    def _on_state_changed(self, key: str) -> None:
         if key == VIEW:
             self._view_changed.set()
         elif key.startswith(MEMBER_PREFIX):
             self._members_changed = True
             if key == MEMBER_PREFIX + self.me.name:
-                self._on_own_state(self.state.members[self.me.name])
+                self._on_own_member_changed(self.state.members[self.me.name])
 
-    def _on_own_state(self, seen: Member) -> None:
+    def _on_own_member_changed(self, seen: Member) -> None:
         """Refute one's own death.  A greater incarnation seen at the start is that of an earlier life whose
         clock was ahead; seen later, it is a successor's, which is left alone."""
         if member_version(seen) == member_version(self.me):
-            self._registration_seen = True
+            self._is_registration_distributed = True
         if self._leaving or member_version(seen) <= member_version(self.me):
             return
         if seen.incarnation == self.me.incarnation:
-            self._announce(evolve(self.me, status=seen.status + seen.status % 2))
-        elif not self._registration_seen:
-            self._announce(evolve(self.me, incarnation=seen.incarnation + 1, status=0))
+            self._reregister(evolve(self.me, status=seen.status + seen.status % 2))
+        elif not self._is_registration_distributed:
+            self._reregister(evolve(self.me, incarnation=seen.incarnation + 1, status=0))
 
-    def _announce(self, member: Member) -> None:
+    def _reregister(self, member: Member) -> None:
         self.me = member
         self._registered_at.clear()
         if self._feed is not None:
@@ -406,21 +419,21 @@
 
     # ---- failure detection
 
-    async def _beat(self) -> None:
+    async def _run_failure_detector(self) -> None:
         while True:
             now = self._now()
-            self._pauses.tick(now)
+            self._pause_detector.tick(now)
             if self._members_changed:
                 self._members_changed = False
-                self._monitor.update_members(self.state.live_members(), now)
-            for suspicion in self._monitor.tick(now):
+                self._failure_monitor.update_members(self.state.live_members(), now)
+            for suspicion in self._failure_monitor.tick(now):
                 for voter in self._voters():
                     self._transport.send(voter.address, suspicion)
-            if not self._leaving and self._monitor.start_due_heartbeat(now):
+            if not self._leaving and self._failure_monitor.start_due_heartbeat(now):
                 heartbeat = Heartbeat(self.me.name, self.me.incarnation)
-                for member in self._monitor.own_monitors:
+                for member in self._failure_monitor.own_monitors:
                     self._transport.send(member.address, heartbeat)
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(FAILURE_DETECTOR_TICK_S)
 
     # ---- small things
 
--- a/hollowusher/coordination/distribution/peer_names.py
+++ b/hollowusher/coordination/distribution/peer_identities.py
@@ -8,7 +8,7 @@
 from hollowusher.transport.peers import PeerDirectory
 
 
-def present(directory: PeerDirectory, me: Member, state: ClusterState) -> None:
+def track_peer_identities(directory: PeerDirectory, me: Member, state: ClusterState) -> None:
     """Say who this process is, and have the directory follow the view and the members' registrations."""
     directory.identify(Identity("", me.name, me.incarnation, me.disk_id))
 
--- a/hollowusher/roles/control.py
+++ b/hollowusher/roles/control.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from hollowusher.coordination.chain.state_store import StateStore
-from hollowusher.coordination.controller.control_status import control_status
+from hollowusher.coordination.controller.control_status import build_control_status
 from hollowusher.coordination.controller.controller import Controller
-from hollowusher.coordination.controller.head_roles import HeadDuties
-from hollowusher.coordination.controller.worker_list_reader import PlatformReader
-from hollowusher.coordination.distribution.feed import Feed
+from hollowusher.coordination.controller.head_roles import HeadRoles
+from hollowusher.coordination.controller.worker_list_reader import WorkerListReader
+from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
@@ -27,7 +27,7 @@
 VIEW_SLOT = "view"
 STATE_SLOT = "control-state"
 RECORD_SLOTS = ("control-record-a", "control-record-b")
-MESSAGES = (ReadControlStatus, *HeadDuties.MESSAGES, *Controller.MESSAGES)
+MESSAGES = (ReadControlStatus, *HeadRoles.MESSAGES, *Controller.MESSAGES)
 FAULT_TOLERANCE_CHECK_S = 0.5  # between two checks of how many further losses are tolerated
 
 
@@ -38,7 +38,7 @@
         settings = process.settings
         clock = asyncio.get_running_loop().time
         self._process = process
-        self.feed = Feed(f"{me.name}/{me.incarnation}")
+        self.feed = UpdateFeed(f"{me.name}/{me.incarnation}")
         self.controller = Controller(
             me,
             process.transport,
@@ -50,8 +50,8 @@
             self._publish_state,
             lambda: process.settings.seed_addresses(),
         )
-        self.reader = PlatformReader(settings.cloud_api.address, settings.cloud_api.rate_per_s)
-        self.duties = HeadDuties(
+        self.reader = WorkerListReader(settings.cloud_api.address, settings.cloud_api.rate_per_s)
+        self.head_roles = HeadRoles(
             me,
             self.controller,
             self.feed,
@@ -61,7 +61,7 @@
             process.transport,
             clock,
             log,
-            self.controller.is_newest,
+            self.controller.has_newest_view,
         )
         self._tolerance = settings.fault_tolerance.machines
         self._fault_tolerance_log = FaultToleranceLog(log)
@@ -70,7 +70,7 @@
     async def start(self) -> None:
         """Take part in views and chain, and be ready for the head's duties."""
         await self.controller.start()
-        self._process.spawn(self.duties.run())
+        self._process.spawn(self.head_roles.run())
         self._process.spawn(self._watch_fault_tolerance())
 
     async def stop(self) -> None:
@@ -90,15 +90,15 @@
         """Answer such a message."""
         if isinstance(message, ReadControlStatus):
             return self.status()
-        if isinstance(message, HeadDuties.MESSAGES):
-            return await self.duties.handle(message)
+        if isinstance(message, HeadRoles.MESSAGES):
+            return await self.head_roles.handle(message)
         return await self.controller.handle(message)
 
     def status(self) -> ControlStatus:
         """How control and placement stand, as this controller knows it."""
-        standing = self.controller.standing(self.duties.controllers())
-        status = control_status(standing, self.duties.partition_statuses(), self._tolerance)
-        return evolve(status, worker_list_age_s=self.duties.seconds_since_list())
+        snapshot = self.controller.snapshot(self.head_roles.living_controllers())
+        status = build_control_status(snapshot, self.head_roles.partition_statuses(), self._tolerance)
+        return evolve(status, worker_list_age_s=self.head_roles.worker_list_age_s())
 
     async def _watch_fault_tolerance(self) -> None:
         while True:
@@ -106,7 +106,7 @@
             await asyncio.sleep(FAULT_TOLERANCE_CHECK_S)
 
     def _publish_view(self, view: View) -> None:
-        self.duties.publish_view(view)
+        self.head_roles.publish_view(view)
 
     def _publish_state(self, state: ControlState) -> None:
-        self.duties.publish_state(state)
+        self.head_roles.publish_state(state)
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -17,7 +17,7 @@
 from hollowusher.coordination.cluster_state import VIEW
 from hollowusher.coordination.consensus.bootstrap import SeedService
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
-from hollowusher.coordination.distribution.peer_names import present
+from hollowusher.coordination.distribution.peer_identities import track_peer_identities
 from hollowusher.coordination.placement.partitioner import ZonePartitioner
 from hollowusher.delivery.worker_client import HttpWorkerClient
 from hollowusher.dispatch.dispatcher import Dispatcher
@@ -57,7 +57,7 @@
 
             self.control = ControlPart(process, me, process.folder)
         else:
-            self.seed = SeedService(settings, transport, lambda view: self.client.take_view(view))
+            self.seed = SeedService(settings, transport, lambda view: self.client.learn_view(view))
         feed = None if self.control is None else self.control.feed
         self.client = ClusterClient(
             me, transport, settings, state, feed, process.chance, lambda: process.settings.seed_addresses()
@@ -124,7 +124,7 @@
         return await self.client.handle(message)
 
     async def _serve(self) -> None:
-        await self.client.confirmed_start()
+        await self.client.wait_for_committed_state()
         self.dispatcher.start()
         await self.frontend.frontend.start()
         self.serving.set()
@@ -204,6 +204,6 @@
         process.folder is not None and settings.counts_for_quorum and CONTROL_PLANE in settings.serves
     )
     me = await process.identify(controller)
-    present(process.transport.peers, me, process.state)
+    track_peer_identities(process.transport.peers, me, process.state)
     await EdgeProcess(process, me).run()
     return 0
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -10,7 +10,7 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.consensus.view_cache import ViewCache
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
-from hollowusher.coordination.distribution.peer_names import present
+from hollowusher.coordination.distribution.peer_identities import track_peer_identities
 from hollowusher.log_events import (
     SettingsRejected,
     ShutdownCompleted,
@@ -69,7 +69,7 @@
         log(SettingsRejected(reason="dataDir: a store needs a folder for its data"))
         return 2
     me = await process.identify(controller=False)
-    present(process.transport.peers, me, process.state)
+    track_peer_identities(process.transport.peers, me, process.state)
     ring = ring_size(settings.limits.disk_mb)
     ring_log = RingLog(process.folder / RING_FOLDER, ring.segment_bytes, ring.segments)
     client = ClusterClient(
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -7,7 +7,7 @@
 import attrs
 
 from hollowusher.configuration import orders
-from hollowusher.coordination.controller.state_service import StateService
+from hollowusher.coordination.controller.control_state_service import ControlStateService
 from hollowusher.messages.partition.active_messages import GONE, LeaseOutcome
 from hollowusher.messages.partition.message_leases import MessageLeases
 from hollowusher.messages.partition.partition_primary import PartitionPrimary
@@ -100,13 +100,13 @@
     ),
 )
 def _refusal_without_a_majority(patches: Patches) -> None:
-    real = StateService._take_order
+    real = ControlStateService._apply_order
 
-    async def take(service: StateService, order: Any) -> Any:
-        outcome = orders.apply_order(service._member.state, order)
+    async def take(service: ControlStateService, order: Any) -> Any:
+        outcome = orders.apply_order(service._chain_member.state, order)
         return outcome.answer if outcome.answer.status != 200 else await real(service, order)
 
-    patches.replace(StateService, "_take_order", take)
+    patches.replace(ControlStateService, "_apply_order", take)
 
 
 @planted_fault(
@@ -130,7 +130,7 @@
         matching = attrs.evolve(order, if_match=state.generation)
         return real(state, matching if order.if_match else order)
 
-    from hollowusher.coordination.controller import state_service
+    from hollowusher.coordination.controller import control_state_service as state_service
 
     patches.replace(state_service, "apply_order", apply)
 
--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -80,7 +80,7 @@
         matching = attrs.evolve(order, if_match=state.generation) if attrs.has(type(order)) else order
         return real(state, matching)
 
-    from hollowusher.coordination.controller import state_service
+    from hollowusher.coordination.controller import control_state_service as state_service
 
     patches.replace(state_service, "apply_order", apply)
 
--- a/hollowusher/simulation/programs.py
+++ b/hollowusher/simulation/programs.py
@@ -28,9 +28,9 @@
     SimulatedCallbackClient,
     SimulatedFrontend,
     SimulatedOperatorSite,
-    SimulatedPlatformReader,
     SimulatedRoleProcess,
     SimulatedWorkerClient,
+    SimulatedWorkerListReader,
 )
 
 LOGGED_FAILURES = (HandlerFailed, RequestFailed, TaskFailed)
@@ -93,8 +93,8 @@
     _substitute(control_module, "SlotFile", lambda environment, path: environment.disk.slot(path.name))
     _substitute(
         control_module,
-        "PlatformReader",
-        lambda environment, address, rate_per_s: SimulatedPlatformReader(
+        "WorkerListReader",
+        lambda environment, address, rate_per_s: SimulatedWorkerListReader(
             environment.http, environment.host, address, rate_per_s
         ),
     )
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -15,7 +15,7 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.controller.operator_api import OperatorApi
-from hollowusher.coordination.controller.worker_list_reader import PlatformError, PlatformReader
+from hollowusher.coordination.controller.worker_list_reader import PlatformError, WorkerListReader
 from hollowusher.delivery.callbacks import callback_request
 from hollowusher.delivery.connection import Answer
 from hollowusher.delivery.outcome import DeliveryOutcome, Ending
@@ -104,7 +104,7 @@
         """There are no connections."""
 
 
-class SimulatedPlatformReader(PlatformReader):
+class SimulatedWorkerListReader(WorkerListReader):
     """Reads the worker list over the simulated HTTP network."""
 
     def __init__(self, http: HttpNetwork, host: str, address: str, rate_per_s: float) -> None:
@@ -112,7 +112,7 @@
         self._http = http
         self._host = host
 
-    async def _get(self, token: str | None) -> bytes:
+    async def _get_body(self, token: str | None) -> bytes:
         query = "" if token is None else f"?pageToken={token}"
         request = HttpRequest("GET", f"/instances{query}")
         try:
@@ -218,9 +218,10 @@
         asked: Any = _OperatorRequest(exchange.request)
         read = exchange.request.method == "GET"
         if asked.match_info["node"]:
-            response = await (self._api._retirement(asked) if read else self._api._retire(asked))
+            handler = self._api._read_retirement if read else self._api._start_retirement
         else:
-            response = await (self._api._read(asked) if read else self._api._change(asked))
+            handler = self._api._read_configuration if read else self._api._change_configuration
+        response = await handler(asked)
         body = response.body if isinstance(response.body, bytes) else b""
         return HttpResponse(response.status, dict(response.headers), body)
 
--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -37,9 +37,9 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.consensus.paxos import Acceptor
 from hollowusher.coordination.consensus.view_cache import ViewCache
+from hollowusher.coordination.controller.control_state_service import NOT_CONFIGURED, UNAVAILABLE
 from hollowusher.coordination.controller.head_roles import UNAVAILABLE as DUTY_UNAVAILABLE
 from hollowusher.coordination.controller.operator_api import OperatorApi
-from hollowusher.coordination.controller.state_service import NOT_CONFIGURED, UNAVAILABLE
 from hollowusher.coordination.membership.store_condition import StoreCondition
 from hollowusher.coordination.placement import placement_manager as placement_duty
 from hollowusher.coordination.placement.partition_recovery import RecoveryRejected, plan_recovery
--- a/tests/coordination/chain/large_document_figures.py
+++ b/tests/coordination/chain/large_document_figures.py
@@ -15,13 +15,13 @@
     send_until_taken,
     sized_cluster,
 )
-from tests.support.controller_cluster import Cluster, run_virtual
+from tests.support.controller_cluster import ControllerCluster, run_virtual
 
 SIZES = (100, 1_000_000, 8_000_000)
 LIMIT_S = 60.0
 
 
-def all_hold(cluster: Cluster) -> bool:
+def all_hold(cluster: ControllerCluster) -> bool:
     """Whether every member holds what the head holds."""
     return all(caught_up(cluster, name) for name in cluster.nodes)
 
@@ -65,7 +65,7 @@
     return f"caught up after {took:.2f} s and {sum(cluster.network.sent_bytes.values())} bytes"
 
 
-async def change_until_cancelled(cluster: Cluster) -> None:
+async def change_until_cancelled(cluster: ControllerCluster) -> None:
     """Change the placement again and again."""
     version = 0
     while True:
--- a/tests/coordination/chain/test_catch_up_random.py
+++ b/tests/coordination/chain/test_catch_up_random.py
@@ -13,9 +13,9 @@
     caught_up,
     change_placement,
 )
-from tests.coordination.controller.test_orders_random import Troubles, finish
-from tests.support.controller_cluster import Cluster, run_virtual
-from tests.support.order_model import Operators
+from tests.coordination.controller.test_orders_random import RandomFaults, finish
+from tests.support.controller_cluster import ControllerCluster, run_virtual
+from tests.support.order_model import RandomOperators
 
 SEEDS = 6
 SIZES = (0, 0, 20_000, 300_000, 2_000_000)
@@ -23,10 +23,10 @@
 CAUGHT_UP_S = 15.0
 
 
-class SizedTroubles(Troubles):
+class SizedTroubles(RandomFaults):
     """Each trouble is followed by the time in which every member has to catch up while changes go on."""
 
-    def __init__(self, cluster: Cluster, chance: random.Random) -> None:
+    def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
         super().__init__(cluster, chance)
         self.slowest_s = 0.0
 
@@ -42,27 +42,27 @@
         return view is not None and all(caught_up(self.cluster, voter.name) for voter in view.voters)
 
 
-async def play(seed: int, names: str, count: int = 5) -> tuple[Operators, float]:
+async def play(seed: int, names: str, count: int = 5) -> tuple[RandomOperators, float]:
     """One run; the operators, and the longest time from a trouble's end until all members had caught up."""
     chance = random.Random(f"snapshots {seed}")
-    cluster = Cluster(names, seed)
+    cluster = ControllerCluster(names, seed)
     cluster.network.bytes_per_s = LINK_BYTES_PER_S
     cluster.network.disk_bytes_per_s = DISK_BYTES_PER_S
-    await cluster.first_start()
+    await cluster.bootstrap_all()
     cluster.network.slowest_s = JITTERS_S[seed % len(JITTERS_S)]
-    operators = Operators(cluster, chance, SIZES)
-    working = [asyncio.ensure_future(operators.work()) for _ in range(2)]
+    operators = RandomOperators(cluster, chance, SIZES)
+    working = [asyncio.ensure_future(operators.run()) for _ in range(2)]
     placing = asyncio.ensure_future(place_on(cluster))
     troubles = SizedTroubles(cluster, chance)
     await troubles.play(count)
-    operators.going = False
+    operators.is_running = False
     await asyncio.gather(*working)
     placing.cancel()
     await finish(operators)
     return operators, troubles.slowest_s
 
 
-async def place_on(cluster: Cluster) -> None:
+async def place_on(cluster: ControllerCluster) -> None:
     """Change the placement again and again."""
     version = 0
     while True:
--- a/tests/coordination/chain/test_large_documents.py
+++ b/tests/coordination/chain/test_large_documents.py
@@ -14,7 +14,7 @@
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse
 from hollowusher.protocol.placement import Placement
-from tests.support.controller_cluster import Cluster, Node, document, run_virtual
+from tests.support.controller_cluster import ControllerCluster, ControllerNode, document, run_virtual
 
 LINK_BYTES_PER_S = 60_000_000.0
 DISK_BYTES_PER_S = 60_000_000.0
@@ -44,7 +44,7 @@
     return orjson.dumps(content)
 
 
-async def send(node: Node, body: bytes, if_match: int) -> int:
+async def send(node: ControllerNode, body: bytes, if_match: int) -> int:
     """Send an order; its status, 503 where the answer does not come in time.  The order goes on then."""
     task = node.ask(ChangeConfiguration("PUT", if_match, body))
     await asyncio.wait({task}, timeout=ANSWER_TIMEOUT_S)
@@ -55,7 +55,9 @@
     return answer.status
 
 
-async def send_until_taken(cluster: Cluster, body: bytes, if_match: int, seconds: float = 30.0) -> float:
+async def send_until_taken(
+    cluster: ControllerCluster, body: bytes, if_match: int, seconds: float = 30.0
+) -> float:
     """Send an order again, to one machine after the other, until it is acknowledged; how long that took."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -71,12 +73,12 @@
         await asyncio.sleep(0.1)
 
 
-async def sized_cluster(names: str = "abc", seed: int = 0) -> Cluster:
+async def sized_cluster(names: str = "abc", seed: int = 0) -> ControllerCluster:
     """A started cluster whose links and disks take time by bytes."""
-    cluster = Cluster(names, seed)
+    cluster = ControllerCluster(names, seed)
     cluster.network.bytes_per_s = LINK_BYTES_PER_S
     cluster.network.disk_bytes_per_s = DISK_BYTES_PER_S
-    await cluster.first_start()
+    await cluster.bootstrap_all()
     return cluster
 
 
@@ -85,11 +87,11 @@
     return lambda state: evolve(state, placement=Placement(version, []))
 
 
-def head_of(cluster: Cluster) -> Node:
+def head_of(cluster: ControllerCluster) -> ControllerNode:
     return next(node for node in cluster.nodes.values() if node.controller and node.controller.is_head)
 
 
-async def change_placement(cluster: Cluster, version: int) -> bool:
+async def change_placement(cluster: ControllerCluster, version: int) -> bool:
     """Have whoever is the head change the placement; False where nobody is, or it was not committed."""
     for node in cluster.nodes.values():
         if node.controller is not None and node.controller.is_head:
@@ -99,11 +101,11 @@
     return False
 
 
-def member(node: Node) -> Any:
-    return node.running._member
+def member(node: ControllerNode) -> Any:
+    return node.running._chain_member
 
 
-def caught_up(cluster: Cluster, name: str) -> bool:
+def caught_up(cluster: ControllerCluster, name: str) -> bool:
     """Whether a machine is in the chain and has saved the head's state."""
     node = cluster[name]
     heads = [each for each in cluster.nodes.values() if each.controller and each.controller.is_head]
--- a/tests/coordination/chain/test_rejected_messages.py
+++ b/tests/coordination/chain/test_rejected_messages.py
@@ -32,7 +32,7 @@
     sized_cluster,
     virtual,
 )
-from tests.support.controller_cluster import Cluster
+from tests.support.controller_cluster import ControllerCluster
 
 LARGE = 3 * CHUNK_BYTES + 100
 
@@ -48,7 +48,7 @@
 # -- writes ------------------------------------------------------------------------------------------------
 
 
-def next_write(cluster: Cluster) -> ChainWrite:
+def next_write(cluster: ControllerCluster) -> ChainWrite:
     """A write that the second member would take from the head."""
     head = member(cluster["a"])
     state = evolve(head.state, sequence=head.state.sequence + 1)
@@ -70,31 +70,31 @@
 async def test_a_write_that_does_not_belong_here_is_refused_and_counted(
     fields: dict[str, Any], reason: str
 ) -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
-    await cluster.put_somewhere(1, 0)
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
+    await cluster.put_at_any_node(1, 0)
     named = evolve(member(cluster["b"]).view, cluster="this one")
     member(cluster["b"]).view = named  # views name their system once it has been drawn
     files, state = dict(cluster["b"].files), member(cluster["b"]).state
     write = evolve(next_write(cluster), **{"cluster": "this one", **fields})
     answer = await cluster["b"].running.handle(write)
     assert isinstance(answer, ChainWritten) and not answer.ok and answer.epoch == 1
-    assert cluster["b"].running.refused_writes[reason] == 1
+    assert cluster["b"].running.rejected_writes[reason] == 1
     assert cluster["b"].files == files and member(cluster["b"]).state is state
     assert member(cluster["c"]).state == member(cluster["a"]).state
 
 
 @virtual
 async def test_a_delayed_duplicate_of_an_earlier_write_changes_nothing() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
-    await cluster.put_somewhere(1, 0)
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
+    await cluster.put_at_any_node(1, 0)
     early = evolve(next_write(cluster), state=member(cluster["a"]).state)
-    await cluster.put_somewhere(2, 1)
+    await cluster.put_at_any_node(2, 1)
     files = dict(cluster["b"].files)
     answer = await cluster["b"].running.handle(early)
     assert not answer.ok and cluster["b"].files == files
-    assert cluster["b"].running.refused_writes["write: older than the state held"] == 1
+    assert cluster["b"].running.rejected_writes["write: older than the state held"] == 1
     again = evolve(early, state=member(cluster["a"]).state)
     assert (await cluster["b"].running.handle(again)).ok  # the newest again: acknowledged, not saved again
     assert cluster["b"].files == files
@@ -102,18 +102,18 @@
 
 @virtual
 async def test_a_write_whose_document_is_not_held_says_so_and_changes_nothing() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
-    await cluster.put_somewhere(1, 0)
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
+    await cluster.put_at_any_node(1, 0)
     write = next_write(cluster)
     files = dict(cluster["b"].files)
     unknown = evolve(write, state=strip_record(write.state), record=b"0" * 16)
     for _ in range(3):
         answer = await cluster["b"].running.handle(unknown)
         assert not answer.ok and answer.lacking == "b"
-    await cluster.until(lambda: cluster["b"].running.refused_writes["record: not held"] > 0, 5.0)
+    await cluster.until(lambda: cluster["b"].running.rejected_writes["record: not held"] > 0, 5.0)
     assert cluster["b"].files == files
-    await cluster.put_somewhere(2, 1)
+    await cluster.put_at_any_node(2, 1)
 
 
 # -- records -----------------------------------------------------------------------------------------------
@@ -174,14 +174,14 @@
 
 @virtual
 async def test_a_record_of_another_cluster_is_not_handed_out() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
-    await cluster.put_somewhere(1, 0)
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
+    await cluster.put_at_any_node(1, 0)
     held = member(cluster["b"])
     held.view = evolve(held.view, cluster="this one")
     answer = await cluster["b"].running.handle(ReadStateRecord(b"", 0, "another"))
     assert answer == StateRecordChunk(b"", 0, 0, b"")
-    assert cluster["b"].running.refused_writes["record: another cluster"] == 1
+    assert cluster["b"].running.rejected_writes["record: another cluster"] == 1
     answer = await cluster["b"].running.handle(ReadStateRecord(b"", 0, "this one"))
     assert answer.digest == make_record(held.state).digest
 
--- a/tests/coordination/chain/test_stuck_disks.py
+++ b/tests/coordination/chain/test_stuck_disks.py
@@ -13,7 +13,7 @@
     sized_cluster,
     virtual,
 )
-from tests.support.controller_cluster import FULL, STUCK
+from tests.support.controller_cluster import DISK_FULL, STALLED
 
 TROUBLE_S = 10.0
 SLOWEST_ORDER_S = 3.5  # the first machine asked may be the stuck head, which answers after 3 s
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("size", [100, 300_000, 1_000_000])
 @pytest.mark.parametrize("victim", ["a", "b", "c"])
-@pytest.mark.parametrize("kind", [STUCK, FULL])
+@pytest.mark.parametrize("kind", [STALLED, DISK_FULL])
 @virtual
 async def test_orders_go_on_beside_a_disk_in_trouble(kind: str, victim: str, size: int) -> None:
     cluster = await sized_cluster()
--- a/tests/coordination/consensus/test_view_discovery.py
+++ b/tests/coordination/consensus/test_view_discovery.py
@@ -18,7 +18,7 @@
 from hollowusher.protocol.consensus import ViewDecided
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.view import AnnounceController, OfferView, View, ViewResponse, Voter
-from tests.support.controller_cluster import Cluster, VirtualSlot, VirtualTransport, run_virtual
+from tests.support.controller_cluster import ControllerCluster, VirtualSlot, VirtualTransport, run_virtual
 
 SEEDS = ("10.0.9.1", "10.0.9.2", "10.0.9.3")
 FOUND_WITHIN_S = 2.5
@@ -28,7 +28,7 @@
     """A plain edge process or a store: a client, and a seed's part where it is an edge."""
 
     def __init__(
-        self, cluster: Cluster, ip: str, seeds: list[str], files: dict[str, bytes] | None = None
+        self, cluster: ControllerCluster, ip: str, seeds: list[str], files: dict[str, bytes] | None = None
     ) -> None:
         settings = BootSettings(node_name=ip, machine_class="edge", ip=ip)
         self.seeds = seeds
@@ -45,7 +45,7 @@
             self.keeper = ViewCache(VirtualSlot(cluster.network, files, "view"), self.state)
             self.keeper.load()
         else:
-            self.seed = SeedService(settings, self.transport, self.client.take_view)
+            self.seed = SeedService(settings, self.transport, self.client.learn_view)
             self.state.add_listener(self._view_known)
         self.tasks: list[asyncio.Task[Any]] = []
 
@@ -79,11 +79,11 @@
         return self.state.view.epoch if self.state.view is not None else 0
 
 
-def epoch_of(cluster: Cluster) -> int:
+def epoch_of(cluster: ControllerCluster) -> int:
     return max(node.running.view.epoch for node in cluster.nodes.values() if node.running.view is not None)
 
 
-async def lose_all_power(cluster: Cluster) -> None:
+async def lose_all_power(cluster: ControllerCluster) -> None:
     for node in cluster.nodes.values():
         await node.kill()
 
@@ -92,9 +92,9 @@
 @pytest.mark.parametrize("pause_s", [0.0, 1.5])
 def test_new_seeds_learn_the_view_after_all_power_was_lost(order: tuple[str, ...], pause_s: float) -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         await lose_all_power(cluster)
         cluster.seeds = [f"{ip}:8064" for ip in SEEDS]
         seeds = [Process(cluster, ip, list(SEEDS)) for ip in SEEDS]
@@ -117,9 +117,9 @@
 
 def test_a_wiped_controller_finds_the_view_by_new_seeds() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         await lose_all_power(cluster)
         cluster.seeds = [f"{ip}:8064" for ip in SEEDS]
         cluster["b"].wipe()
@@ -129,7 +129,7 @@
         for process in seeds:
             await process.start()
         await cluster.until(lambda: "b" in cluster["b"].views[-1].chain if cluster["b"].views else False, 5.0)
-        assert await cluster.put_somewhere(2, 1) < 1.0
+        assert await cluster.put_at_any_node(2, 1) < 1.0
         for process in seeds:
             await process.kill()
 
@@ -138,7 +138,7 @@
 
 def test_seeds_that_forget_again_are_told_again() -> None:
     async def play() -> None:
-        cluster = Cluster("abc", seeds=[f"{SEEDS[0]}:8064"])
+        cluster = ControllerCluster("abc", seeds=[f"{SEEDS[0]}:8064"])
         seed = Process(cluster, SEEDS[0], [])
         await seed.start()
         for node in cluster.nodes.values():
@@ -158,8 +158,8 @@
 
 def test_seeds_that_the_settings_name_later_are_told() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         late = Process(cluster, SEEDS[1], [])
         await late.start()
         await asyncio.sleep(5.0)
@@ -174,15 +174,15 @@
 
 def test_seeds_hear_of_each_newer_view() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         seed = Process(cluster, SEEDS[0], [])
         await seed.start()
         for node in cluster.nodes.values():
             node.use_seeds([f"{SEEDS[0]}:8064"])
         for victim in "ab":
             await cluster[victim].kill()
-            await cluster.put_somewhere(epoch_of_living(cluster), 0) if victim == "a" else None
+            await cluster.put_at_any_node(epoch_of_living(cluster), 0) if victim == "a" else None
             await asyncio.sleep(2.0)
             await cluster.until(lambda: seed.epoch == epoch_of_living(cluster), FOUND_WITHIN_S)
             await cluster[victim].start()
@@ -194,15 +194,15 @@
     run_virtual(play())
 
 
-def epoch_of_living(cluster: Cluster) -> int:
+def epoch_of_living(cluster: ControllerCluster) -> int:
     views = [node.running.view for node in cluster.nodes.values() if node.controller is not None]
     return max(view.epoch for view in views if view is not None)
 
 
 def test_a_store_finds_the_voters_by_the_view_on_its_disk_though_no_seed_answers() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         files: dict[str, bytes] = {}
         store = Process(cluster, "10.0.9.9", [cluster["a"].ip], files)
         await store.start()
@@ -225,7 +225,7 @@
 
 def test_a_controller_from_long_ago_finds_the_newest_view_by_the_seeds() -> None:
     async def play() -> None:
-        cluster = Cluster("abc", seeds=[f"{SEEDS[0]}:8064"], tolerated=1)
+        cluster = ControllerCluster("abc", seeds=[f"{SEEDS[0]}:8064"], tolerated=1)
         seed = Process(cluster, SEEDS[0], [])
         await seed.start()
         for node in cluster.nodes.values():
@@ -257,8 +257,8 @@
 
 def test_a_view_of_another_cluster_or_an_older_one_changes_nothing_and_is_counted() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         known = cluster["a"].running.view
         assert known is not None and known.cluster
         foreign = View(9, [Voter("x", "d", "10.0.0.88:7780")], ["x"], {"x": 1}, "other")
@@ -272,7 +272,7 @@
             assert answers == [ViewResponse(known), ViewResponse(known)]
             await cluster["a"].running.handle(ViewDecided(view))
             await seed.handle(ViewDecided(view))
-            seed.client.take_view(view)
+            seed.client.learn_view(view)
         assert seed.state.view == known and cluster["a"].running.view == known
         assert seed.seed.foreign_rejections == 2 and seed.client.foreign_views == 1
         assert cluster["a"].running.foreign_rejections == 2
@@ -288,7 +288,7 @@
 
 def test_a_kept_view_that_cannot_be_read_is_as_none() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
+        cluster = ControllerCluster("abc")
         for spoilt in (b"", b"\xc1", b"\x93\x01"):
             assert Process(cluster, "10.0.9.9", [], {"view": spoilt}).epoch == 0
 
--- a/tests/coordination/controller/test_control_status.py
+++ b/tests/coordination/controller/test_control_status.py
@@ -8,9 +8,9 @@
 
 from hollowusher.coordination.consensus.paxos import first_view
 from hollowusher.coordination.controller.control_status import (
-    ControlStanding,
-    VoterSigns,
-    control_status,
+    ControllerSnapshot,
+    VoterObservation,
+    build_control_status,
     controller_losses_borne,
 )
 from hollowusher.protocol.codec import evolve
@@ -18,16 +18,16 @@
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus
 from hollowusher.protocol.view import View, Voter
 
-WELL = VoterSigns(True, True, [1, 7])
-CATCHING_UP = VoterSigns(True, False, [1, 3])
-SILENT = VoterSigns(False, False)
+WELL = VoterObservation(True, True, [1, 7])
+CATCHING_UP = VoterObservation(True, False, [1, 3])
+SILENT = VoterObservation(False, False)
 
 
 def view_of(*names: str) -> View:
     return first_view([Voter(name, f"disk-{name}", f"{name}:7780") for name in names])
 
 
-def signs(view: View, **changed: VoterSigns) -> dict[str, VoterSigns]:
+def observations(view: View, **changed: VoterObservation) -> dict[str, VoterObservation]:
     return {voter.name: changed.get(voter.name, WELL) for voter in view.voters}
 
 
@@ -35,11 +35,13 @@
     return PartitionStatus(number, 1, "s1/d1", living, replicas, **more)
 
 
-def status(view: View | None, partitions: list[PartitionStatus], **changed: VoterSigns) -> ControlStatus:
-    heard = {} if view is None else signs(view, **changed)
+def status(
+    view: View | None, partitions: list[PartitionStatus], **changed: VoterObservation
+) -> ControlStatus:
+    heard = {} if view is None else observations(view, **changed)
     state = ControlState(sequence=7, generation=2, document=b"", history=[])
-    standing = ControlStanding("a", view, state, view is not None, heard, ["a", "x"])
-    return control_status(standing, partitions, 1)
+    snapshot = ControllerSnapshot("a", view, state, view is not None, heard, ["a", "x"])
+    return build_control_status(snapshot, partitions, 1)
 
 
 @pytest.mark.parametrize(
@@ -57,9 +59,9 @@
         ("a", {}, 0),
     ],
 )
-def test_the_controllers_margin(names: str, changed: dict[str, VoterSigns], borne: int) -> None:
+def test_the_controllers_margin(names: str, changed: dict[str, VoterObservation], borne: int) -> None:
     view = view_of(*names)
-    assert controller_losses_borne(view, signs(view, **changed)) == borne
+    assert controller_losses_borne(view, observations(view, **changed)) == borne
 
 
 def test_a_status_tells_voters_majority_spares_and_how_far_each_has_caught_up() -> None:
--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -21,7 +21,7 @@
     ReadControlState,
 )
 from hollowusher.protocol.view import Voter
-from tests.support.controller_cluster import FULL, STUCK, Cluster, run_virtual
+from tests.support.controller_cluster import DISK_FULL, STALLED, ControllerCluster, run_virtual
 
 
 def virtual(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
@@ -36,8 +36,8 @@
 
 @virtual
 async def test_first_start_makes_one_view_and_takes_a_configuration() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     views = [node.running.view for node in cluster.nodes.values()]
     assert views[0] is not None and views[0].epoch == 1 and views[0].chain == ["a", "b", "c"]
     assert views[1] == views[0] and views[2] == views[0]
@@ -51,11 +51,11 @@
 
 @virtual
 async def test_first_start_with_a_seed_that_has_no_disk() -> None:
-    cluster = Cluster("abcde", seeds=["10.0.9.9:8064"])
+    cluster = ControllerCluster("abcde", seeds=["10.0.9.9:8064"])
     seed = cluster.diskless_seed("10.0.9.9")
     await seed._transport.start(seed.handle)
     await seed.start()
-    await cluster.first_start()
+    await cluster.bootstrap_all()
     assert seed.view is not None and seed.view.chain == list("abcde")
     assert await cluster["e"].put(1, 0) == 200
     await seed.stop()
@@ -63,7 +63,7 @@
 
 @virtual
 async def test_a_seed_that_starts_late_finds_the_view_of_the_others() -> None:
-    cluster = Cluster("abc")
+    cluster = ControllerCluster("abc")
     await cluster["b"].start(bootstrap=True)
     await cluster["c"].start(bootstrap=True)
     await cluster.until(lambda: cluster["c"].running.view is not None, 8.0)
@@ -75,7 +75,7 @@
 
 @virtual
 async def test_a_first_view_is_decided_although_its_proposer_died() -> None:
-    cluster = Cluster("abc", seeds=["10.0.9.9:8064"])
+    cluster = ControllerCluster("abc", seeds=["10.0.9.9:8064"])
     for node in cluster.nodes.values():
         await node.start(bootstrap=True)
     voters = [Voter(node.name, node.disk_id, node.address) for node in cluster.nodes.values()]
@@ -85,7 +85,7 @@
     await cluster.until(lambda: all(node.views for node in cluster.nodes.values()), 3.0)
 
 
-def _chain(cluster: Cluster, name: str) -> list[str]:
+def _chain(cluster: ControllerCluster, name: str) -> list[str]:
     view = cluster[name].running.view
     assert view is not None
     return view.chain
@@ -95,11 +95,11 @@
 def test_after_a_death_orders_are_taken_and_the_dead_one_comes_back(victim: str) -> None:
     @virtual
     async def check() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         assert await cluster["a"].put(1, 0) == 200
         await cluster[victim].kill()
-        assert await cluster.put_somewhere(2, 1) < 2.5
+        assert await cluster.put_at_any_node(2, 1) < 2.5
         left = next(name for name in "abc" if name != victim)
         assert victim not in _chain(cluster, left)
         await cluster[victim].start()
@@ -115,10 +115,10 @@
 
 @virtual
 async def test_a_frozen_head_is_replaced_and_serves_no_old_state() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
-    cluster.cut_off("a")
+    cluster.isolate("a")
     started = asyncio.get_running_loop().time()
     assert await cluster["a"].put(7, 1) == 503
     assert await cluster["b"].put(2, 1) == 200
@@ -133,11 +133,11 @@
 
 @virtual
 async def test_an_isolated_minority_answers_503_within_a_second() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
-    cluster.cut_off("a")
-    cluster.cut_off("b")
+    cluster.isolate("a")
+    cluster.isolate("b")
     await asyncio.sleep(1.5)
     loop = asyncio.get_running_loop()
     for node in cluster.nodes.values():
@@ -147,13 +147,13 @@
         assert loop.time() - started < 1.0
         assert not node.running.is_head
     cluster.join_all()
-    assert await cluster.put_somewhere(2, 1) < 3.0
+    assert await cluster.put_at_any_node(2, 1) < 3.0
 
 
 @virtual
 async def test_all_killed_at_once_come_back_by_themselves() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["b"].put(4, 0) == 200
     for node in cluster.nodes.values():
         await node.kill()
@@ -161,15 +161,15 @@
         node.states.clear()
         await asyncio.sleep(0.3)
         await node.start()
-    assert await cluster.put_somewhere(6, 4) < 2.0
+    assert await cluster.put_at_any_node(6, 4) < 2.0
     for node in cluster.nodes.values():
         assert await node.read() == (200, 6)
 
 
 @virtual
 async def test_a_lost_disk_with_all_power_lost_keeps_what_was_acknowledged() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["a"].put(4, 0) == 200
     for node in cluster.nodes.values():
         await node.kill()
@@ -182,7 +182,7 @@
     view = cluster["b"].running.view
     assert view is not None and {voter.disk_id for voter in view.voters} == {"disk-a'", "disk-b", "disk-c"}
     assert view.tail == "a" and len(view.voters) == 3
-    await cluster.put_somewhere(5, 4)
+    await cluster.put_at_any_node(5, 4)
     assert cluster["a"].states[-1].generation == 5
 
 
@@ -190,8 +190,8 @@
 def test_two_of_five_lose_their_disks(wiped: str) -> None:
     @virtual
     async def check() -> None:
-        cluster = Cluster("abcde")
-        await cluster.first_start()
+        cluster = ControllerCluster("abcde")
+        await cluster.bootstrap_all()
         assert await cluster["a"].put(4, 0) == 200
         for node in cluster.nodes.values():
             await node.kill()
@@ -199,22 +199,22 @@
             cluster[name].wipe()
         for node in cluster.nodes.values():
             await node.start()
-        assert await cluster.put_somewhere(5, 4) < 3.0
+        assert await cluster.put_at_any_node(5, 4) < 3.0
         left = next(name for name in "abcde" if name not in wiped)
         await cluster.until(lambda: len(_chain(cluster, left)) == 5, 8.0)
         await asyncio.sleep(0.5)
         for node in cluster.nodes.values():
             assert await node.read() == (200, 5)
         await cluster[left].kill()
-        assert await cluster.put_somewhere(6, 5) < 2.5
+        assert await cluster.put_at_any_node(6, 5) < 2.5
 
     check()
 
 
 @virtual
 async def test_a_wiped_voter_does_not_vote() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     view = cluster["b"].running.view
     assert view is not None
     await cluster["a"].kill()
@@ -226,8 +226,8 @@
 
 @virtual
 async def test_a_new_machine_takes_the_place_of_a_voter_long_dead() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
     await cluster["b"].kill()
     await asyncio.sleep(4.0)
@@ -241,8 +241,8 @@
 
 @virtual
 async def test_an_added_machine_becomes_a_voter_while_they_are_few() -> None:
-    cluster = Cluster("ab")
-    await cluster.first_start()
+    cluster = ControllerCluster("ab")
+    await cluster.bootstrap_all()
     for name in "cdef":
         await cluster.add(name).start()
     await asyncio.sleep(6.0)
@@ -257,14 +257,14 @@
 
 @virtual
 async def test_a_planned_stop_of_the_head_hands_over_without_a_gap() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
     loop = asyncio.get_running_loop()
     started = loop.time()
     await cluster["a"].stop()
     assert loop.time() - started < 0.5
-    assert await cluster.put_somewhere(2, 1) < 0.5
+    assert await cluster.put_at_any_node(2, 1) < 0.5
     assert _chain(cluster, "b")[0] == "b" and "a" not in _chain(cluster, "b")
     view = cluster["b"].running.view
     assert view is not None and len(view.voters) == 3
@@ -274,10 +274,10 @@
 
 @virtual
 async def test_a_stop_that_would_leave_the_chain_too_short_ends_all_the_same() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     await cluster["c"].kill()
-    await cluster.put_somewhere(1, 0)
+    await cluster.put_at_any_node(1, 0)
     loop = asyncio.get_running_loop()
     started = loop.time()
     await cluster["a"].stop()
@@ -287,14 +287,14 @@
 @virtual
 async def test_a_cut_between_two_of_three_does_not_stop_the_chain() -> None:
     for pair in ("ab", "bc", "ac"):
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         assert await cluster["a"].put(1, 0) == 200
         cluster.network.cut(cluster[pair[0]].address, cluster[pair[1]].address)
-        assert await cluster.put_somewhere(2, 1) < 5.0
+        assert await cluster.put_at_any_node(2, 1) < 5.0
         await asyncio.sleep(4.0)
         epoch = max(node.running.view.epoch for node in cluster.nodes.values() if node.running.view)
-        assert await cluster.put_somewhere(3, 2) < 1.5
+        assert await cluster.put_at_any_node(3, 2) < 1.5
         await asyncio.sleep(6.0)
         later = max(node.running.view.epoch for node in cluster.nodes.values() if node.running.view)
         assert later - epoch <= 1, "the view keeps changing"
@@ -304,15 +304,15 @@
 
 @virtual
 async def test_a_voter_just_back_takes_the_place_of_a_member_that_dies() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     await cluster["c"].kill()
-    assert await cluster.put_somewhere(1, 0) < 2.5
+    assert await cluster.put_at_any_node(1, 0) < 2.5
     assert _chain(cluster, "a") == ["a", "b"]
     await cluster["c"].start()
     await asyncio.sleep(0.2)
     await cluster["b"].kill()
-    assert await cluster.put_somewhere(2, 1) < 3.0
+    assert await cluster.put_at_any_node(2, 1) < 3.0
     assert _chain(cluster, "a") == ["a", "c"]
 
 
@@ -320,15 +320,15 @@
 def test_a_disk_that_hangs_takes_its_machine_out_of_the_chain(victim: str) -> None:
     @virtual
     async def check() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        assert await cluster.put_somewhere(1, 0) < 1.0
-        cluster[victim].files[STUCK] = b"yes"
-        assert await cluster.put_somewhere(2, 1) < 4.0
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        assert await cluster.put_at_any_node(1, 0) < 1.0
+        cluster[victim].files[STALLED] = b"yes"
+        assert await cluster.put_at_any_node(2, 1) < 4.0
         assert victim not in _chain(cluster, next(name for name in "abc" if name != victim))
-        del cluster[victim].files[STUCK]
+        del cluster[victim].files[STALLED]
         await cluster.until(lambda: victim in _chain(cluster, victim), 6.0)
-        assert await cluster.put_somewhere(3, 2) < 1.5
+        assert await cluster.put_at_any_node(3, 2) < 1.5
 
     check()
 
@@ -337,10 +337,10 @@
 def test_a_full_disk_acknowledges_nothing_that_is_not_kept(victim: str) -> None:
     @virtual
     async def check() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        assert await cluster.put_somewhere(1, 0) < 1.0
-        cluster[victim].files[FULL] = b"yes"
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        assert await cluster.put_at_any_node(1, 0) < 1.0
+        cluster[victim].files[DISK_FULL] = b"yes"
         answers = [await cluster[name].put(2, 1) for name in "abc"]
         if 200 in answers:
             for node in cluster.nodes.values():
@@ -348,11 +348,11 @@
             for node in cluster.nodes.values():
                 await node.start()
         else:
-            assert await cluster.put_somewhere(2, 1) < 4.0
+            assert await cluster.put_at_any_node(2, 1) < 4.0
         await cluster.until(lambda: any(node.running.is_head for node in cluster.nodes.values()), 6.0)
-        del cluster[victim].files[FULL]
+        del cluster[victim].files[DISK_FULL]
         others = [name for name in "abc" if name != victim]
-        assert await cluster.put_somewhere(3, 2) < 4.0
+        assert await cluster.put_at_any_node(3, 2) < 4.0
         assert (200, 3) in [await cluster[name].read() for name in others]
 
     check()
@@ -360,7 +360,7 @@
 
 @virtual
 async def test_one_controller_alone_is_a_whole_system() -> None:
-    cluster = Cluster("a")
+    cluster = ControllerCluster("a")
     await cluster["a"].start(bootstrap=True)
     await cluster.until(lambda: cluster["a"].running.is_head, 6.0)
     assert await cluster["a"].put(1, 0) == 200
@@ -373,11 +373,11 @@
 
 @virtual
 async def test_a_write_of_an_old_epoch_is_refused_everywhere() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
     await cluster["a"].kill()
-    await cluster.put_somewhere(2, 1)
+    await cluster.put_at_any_node(2, 1)
     stale = ChainWrite(1, ControlState(99, 99, b"{}", []))
     for name in "bc":
         assert not (await cluster[name].running.handle(stale)).ok
@@ -386,8 +386,8 @@
 
 @virtual
 async def test_the_state_is_read_from_the_tail_by_any_controller() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
     answer = await cluster["a"].running.handle(ReadControlState())
     assert (
@@ -397,8 +397,8 @@
 
 @virtual
 async def test_changes_are_serialised_and_only_the_head_makes_them() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     head = cluster["a"].running
 
     def retire(name: str) -> Callable[[ControlState], ControlState]:
@@ -413,8 +413,8 @@
 
 @virtual
 async def test_two_orders_on_one_version_one_wins() -> None:
-    cluster = Cluster("abc")
-    await cluster.first_start()
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
     statuses = await asyncio.gather(cluster["a"].put(5, 0), cluster["c"].put(6, 0))
     assert sorted(statuses) == [200, 412]
 
@@ -422,7 +422,7 @@
 class Operators:
     """Operators that send orders to any machine and remember what was acknowledged."""
 
-    def __init__(self, cluster: Cluster, chance: random.Random) -> None:
+    def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
         self.cluster = cluster
         self.chance = chance
         self.acknowledged: dict[int, int] = {}  # generation -> the version it built on
@@ -477,9 +477,9 @@
     @virtual
     async def check() -> None:
         chance = random.Random(seed)
-        cluster = Cluster("abc" if seed % 3 else "abcde", seed=seed)
+        cluster = ControllerCluster("abc" if seed % 3 else "abcde", seed=seed)
         cluster.network.slowest_s = chance.choice((0.0, 0.01, 0.05))
-        await cluster.first_start()
+        await cluster.bootstrap_all()
         loop = asyncio.get_running_loop()
         operators = Operators(cluster, chance)
         work = loop.create_task(operators.run(loop.time() + 30.0))
@@ -503,7 +503,7 @@
     check()
 
 
-async def _trouble(cluster: Cluster, chance: random.Random, until: float) -> None:
+async def _trouble(cluster: ControllerCluster, chance: random.Random, until: float) -> None:
     """One machine at a time is killed, stopped, cut off or loses its disk; at times all are killed."""
     loop = asyncio.get_running_loop()
     names = sorted(cluster.nodes)
@@ -519,7 +519,7 @@
                 await other.start()
             continue
         if kind == "cut":
-            cluster.cut_off(node.name)
+            cluster.isolate(node.name)
         elif kind == "link":
             other = cluster[chance.choice([name for name in names if name != node.name])]
             cluster.network.cut(node.address, other.address)
--- a/tests/coordination/controller/test_voters_leaving.py
+++ b/tests/coordination/controller/test_departure.py
@@ -7,16 +7,16 @@
 import pytest
 
 from hollowusher.protocol.view import View
-from tests.support.controller_cluster import Cluster, Node, run_virtual
+from tests.support.controller_cluster import ControllerCluster, ControllerNode, run_virtual
 
 
-def view_of(node: Node) -> View:
+def view_of(node: ControllerNode) -> View:
     view = node.running.view
     assert view is not None
     return view
 
 
-def voter_names(node: Node) -> str:
+def voter_names(node: ControllerNode) -> str:
     return "".join(sorted(voter.name for voter in view_of(node).voters))
 
 
@@ -28,16 +28,16 @@
     async def play() -> None:
         if next_victim == leaver:
             return
-        cluster = Cluster("abcs", tolerated=1)
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abcs", tolerated=1)
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         await asyncio.sleep(1.5)
         started = asyncio.get_running_loop().time()
         await cluster[leaver].stop()
         assert asyncio.get_running_loop().time() - started < 2.5
         cluster.remove(leaver)
         await cluster[next_victim].kill()
-        assert await cluster.put_somewhere(2, 1) < 2.5
+        assert await cluster.put_at_any_node(2, 1) < 2.5
         left = next(node for node in cluster.nodes.values() if node.controller is not None)
         assert leaver not in voter_names(left) and len(view_of(left).voters) == 3
         assert await left.read() == (200, 2)
@@ -48,16 +48,16 @@
 @pytest.mark.parametrize("leaver", "abc")
 def test_without_a_spare_the_others_hold_the_state_before_it_is_gone(leaver: str) -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         started = asyncio.get_running_loop().time()
         await cluster[leaver].stop()
         assert asyncio.get_running_loop().time() - started < 0.8
         others = [node for node in cluster.nodes.values() if node.controller is not None]
         for node in others:
             assert leaver not in view_of(node).chain and voter_names(node) == "abc"
-            held = node.running._member
+            held = node.running._chain_member
             assert (held.state_epoch, held.state.generation) == (view_of(node).epoch, 1)
         await cluster[leaver].start()
         await cluster.until(lambda: leaver in view_of(others[0]).chain, 3.0)
@@ -67,10 +67,10 @@
 
 def test_the_only_other_copy_stays_until_a_third_machine_is_back() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         await cluster["c"].kill()
-        await cluster.put_somewhere(1, 0)
+        await cluster.put_at_any_node(1, 0)
         stopping = asyncio.get_running_loop().create_task(cluster["a"].stop())
         await asyncio.sleep(0.3)
         assert not stopping.done()  # without it no majority is left
@@ -78,24 +78,24 @@
         await stopping
         await cluster.until(lambda: cluster["b"].running.is_head, 1.0)
         assert view_of(cluster["b"]).chain == ["b", "c"]
-        assert await cluster.put_somewhere(2, 1) < 1.5
+        assert await cluster.put_at_any_node(2, 1) < 1.5
 
     run_virtual(play())
 
 
 def test_one_after_the_other_is_restarted_while_orders_go_on() -> None:
     async def play() -> None:
-        cluster = Cluster("abcs", tolerated=1)
-        await cluster.first_start()
+        cluster = ControllerCluster("abcs", tolerated=1)
+        await cluster.bootstrap_all()
         generation = 0
         for name in "abcsabcs":
             await cluster[name].stop()
-            await cluster.put_somewhere(generation + 1, generation, 2.0)
+            await cluster.put_at_any_node(generation + 1, generation, 2.0)
             generation += 1
             await asyncio.sleep(0.5)
             await cluster[name].start()
             await asyncio.sleep(2.0)
-            await cluster.put_somewhere(generation + 1, generation, 1.5)
+            await cluster.put_at_any_node(generation + 1, generation, 1.5)
             generation += 1
         await asyncio.sleep(2.0)
         for node in cluster.nodes.values():
@@ -107,8 +107,8 @@
 
 def test_a_spare_that_leaves_is_not_made_a_voter_and_ends_at_once() -> None:
     async def play() -> None:
-        cluster = Cluster("abcs", tolerated=1)
-        await cluster.first_start()
+        cluster = ControllerCluster("abcs", tolerated=1)
+        await cluster.bootstrap_all()
         await asyncio.sleep(1.0)
         started = asyncio.get_running_loop().time()
         await cluster["s"].stop()
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -9,38 +9,38 @@
 
 from hollowusher.coordination.cluster_state import WORKERS
 from hollowusher.protocol.operator_orders import RetireStore
-from tests.support.controllers import Core, play
+from tests.support.simulated_controllers import SimulatedControllers, run_simulated_controllers
 
 SHAPES = ("all", "in", "out", "one")
 CUT_S = 20.0
 FROZEN_S = (0.5, 0.9, 1.1, 1.3, 2.0, 5.0, 20.0)
 
 
-async def in_trouble(core: Core, trouble: str, victim: str, seconds: float) -> None:
+async def in_trouble(controllers: SimulatedControllers, trouble: str, victim: str, seconds: float) -> None:
     """Bring a trouble about and end it, with orders and reads all the while."""
     loop = asyncio.get_running_loop()
-    operators = [loop.create_task(core.change_all_the_time())]
-    operators += [loop.create_task(core.read_all_the_time(name)) for name in core.nodes]
+    operators = [loop.create_task(controllers.change_continuously())]
+    operators += [loop.create_task(controllers.read_continuously(name)) for name in controllers.nodes]
     await asyncio.sleep(0.5)
     if trouble == "freeze":
-        core.loop.freeze(core[victim].process)
+        controllers.loop.freeze(controllers[victim].process)
         await asyncio.sleep(seconds)
-        core.loop.thaw(core[victim].process)
+        controllers.loop.thaw(controllers[victim].process)
     else:
-        core.cut(victim, trouble)
+        controllers.cut(victim, trouble)
         await asyncio.sleep(seconds)
-        core.network.heal_all()
-    before = core.acknowledged
+        controllers.network.heal_all()
+    before = controllers.acknowledged
     await asyncio.sleep(8.0)
-    assert core.acknowledged > before, "no order was taken for 8 s after all was calm"
+    assert controllers.acknowledged > before, "no order was taken for 8 s after all was calm"
     for operator in operators:
         if operator.done():
             operator.result()
         operator.cancel()
 
 
-def victim_of(core: Core, place: str) -> str:
-    view = core.leader().controller.view
+def victim_of(controllers: SimulatedControllers, place: str) -> str:
+    view = controllers.require_head().controller.view
     assert view is not None
     return {"head": view.head, "tail": view.tail, "middle": view.chain[1]}[place]
 
@@ -51,57 +51,57 @@
     @pytest.mark.parametrize("names", ["abc", "abcd"])
     @pytest.mark.parametrize("shape, place", list(itertools.product(SHAPES, ("head", "middle", "tail"))))
     def test_cut_off_for_twenty_seconds(self, shape: str, place: str, names: str) -> None:
-        async def work(core: Core) -> None:
-            await core.start()
-            await in_trouble(core, shape, victim_of(core, place), CUT_S)
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            await in_trouble(controllers, shape, victim_of(controllers, place), CUT_S)
 
-        play(work, names)
+        run_simulated_controllers(work, names)
 
     @pytest.mark.parametrize("frozen_s", FROZEN_S)
     @pytest.mark.parametrize("place", ["head", "tail"])
     def test_frozen_and_woken_with_messages_queued(self, place: str, frozen_s: float) -> None:
-        async def work(core: Core) -> None:
-            await core.start()
-            await in_trouble(core, "freeze", victim_of(core, place), frozen_s)
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            await in_trouble(controllers, "freeze", victim_of(controllers, place), frozen_s)
 
-        play(work)
+        run_simulated_controllers(work)
 
     @pytest.mark.parametrize("shape", ["all", "in", "out"])
     def test_a_cut_off_controller_says_503_from_the_first_moment(self, shape: str) -> None:
-        async def work(core: Core) -> None:
-            await core.start()
-            assert await core.leader().put(2, 0) == 200
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            assert await controllers.require_head().put(2, 0) == 200
             await asyncio.sleep(1.0)
-            for name in core.nodes:
-                core.cut(name, shape)
-                until = core.loop.time() + 3.0
-                while core.loop.time() < until:
-                    assert (await core[name].read())[0] == 503
+            for name in controllers.nodes:
+                controllers.cut(name, shape)
+                until = controllers.loop.time() + 3.0
+                while controllers.loop.time() < until:
+                    assert (await controllers[name].read())[0] == 503
                     await asyncio.sleep(0.02)
-                core.network.heal_all()
+                controllers.network.heal_all()
                 await asyncio.sleep(6.0)
-                assert await core[name].read() == (200, 2)
+                assert await controllers[name].read() == (200, 2)
 
-        play(work)
+        run_simulated_controllers(work)
 
 
 class TestRetire:
     def test_a_head_that_was_cut_off_refuses_no_order(self) -> None:
         """It takes itself for the head for a second more, and cannot know what its successor has taken."""
 
-        async def work(core: Core) -> None:
-            await core.start()
-            head = core.leader()
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            head = controllers.require_head()
             order, question = RetireStore("store-nowhere", 10.0), RetireStore("store-nowhere", None)
             for message in (order, question):
-                assert (await head.process.run(head.duties.handle(message))).status == 404
-            core.cut(head.name, "all")
+                assert (await head.process.run(head.head_roles.handle(message))).status == 404
+            controllers.cut(head.name, "all")
             await asyncio.sleep(0.3)
             assert head.controller.is_head
             for message in (order, question):
-                assert (await head.process.run(head.duties.handle(message))).status == 503
+                assert (await head.process.run(head.head_roles.handle(message))).status == 503
 
-        play(work)
+        run_simulated_controllers(work)
 
 
 class TestHead:
@@ -109,73 +109,75 @@
 
     @pytest.mark.parametrize("shape", SHAPES)
     def test_a_cut_off_head_stops(self, shape: str) -> None:
-        async def work(core: Core) -> None:
-            await core.start()
-            await in_trouble(core, shape, core.leader().name, CUT_S)
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            await in_trouble(controllers, shape, controllers.require_head().name, CUT_S)
 
-        assert play(work).overlap_s() <= 0.5
+        assert run_simulated_controllers(work).overlap_s() <= 0.5
 
     @pytest.mark.parametrize("frozen_s", FROZEN_S)
     def test_a_woken_head_acts_only_after_it_has_asked(self, frozen_s: float) -> None:
         """Whatever it says of itself in the first moment after the wake: nothing of that is in an old epoch
         while a later head acts."""
 
-        async def work(core: Core) -> None:
-            await core.start()
-            victim = core.leader()
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            victim = controllers.require_head()
             await asyncio.sleep(2.0)
-            core.loop.freeze(victim.process)
+            controllers.loop.freeze(victim.process)
             await asyncio.sleep(frozen_s)
             published = len(victim.published)
-            core.loop.thaw(victim.process)
-            woken_at = core.loop.time()
-            while core.loop.time() < woken_at + 3.0:
+            controllers.loop.thaw(victim.process)
+            woken_at = controllers.loop.time()
+            while controllers.loop.time() < woken_at + 3.0:
                 await asyncio.sleep(0.002)
-                others = [node for node in core.nodes.values() if node is not victim]
+                others = [node for node in controllers.nodes.values() if node is not victim]
                 newest = max(node.controller.view.epoch for node in others if node.controller.view)
                 for item in victim.published[published:]:
                     if item.key == WORKERS:
                         assert item.version[0] >= newest, "a list was published in a past epoch"
 
-        assert play(work).overlap_s() == 0.0
+        assert run_simulated_controllers(work).overlap_s() == 0.0
 
     def test_a_list_that_was_asked_for_before_a_freeze_is_not_handed_out(self) -> None:
-        async def work(core: Core) -> None:
-            await core.start()
-            victim = core.leader()
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            victim = controllers.require_head()
             await asyncio.sleep(2.0)
-            victim.platform.answers_after_s = 0.3
-            readings = victim.platform.readings
-            await core.until(lambda: victim.platform.readings > readings, 3.0)
-            asked_before = victim.platform.readings
-            core.loop.freeze(victim.process)
+            victim.worker_list_source.read_duration_s = 0.3
+            reads_begun = victim.worker_list_source.reads_begun
+            await controllers.until(lambda: victim.worker_list_source.reads_begun > reads_begun, 3.0)
+            asked_before = victim.worker_list_source.reads_begun
+            controllers.loop.freeze(victim.process)
             await asyncio.sleep(1.0)
             published = len(victim.published)
-            core.loop.thaw(victim.process)
+            controllers.loop.thaw(victim.process)
             await asyncio.sleep(3.0)
             lists = [item.value for item in victim.published[published:] if item.key == WORKERS]
             assert all(listed.workers[0].id != f"i-{asked_before}" for listed in lists)
 
-        play(work)
+        run_simulated_controllers(work)
 
     def test_a_list_whose_answer_was_on_its_way_when_its_head_was_deposed_is_not_believed(self) -> None:
-        async def work(core: Core) -> None:
-            await core.start()
-            old = core.leader()
+        async def work(controllers: SimulatedControllers) -> None:
+            await controllers.start()
+            old = controllers.require_head()
             await asyncio.sleep(2.0)
-            old.platform.answers_after_s = 1.1  # the answer comes while the others are about to replace it
-            readings = old.platform.readings
-            await core.until(lambda: old.platform.readings > readings, 3.0)
-            core.cut(old.name, "all")
-            await core.until(
-                lambda: any(n.controller.is_head for n in core.nodes.values() if n is not old), 6.0
+            old.worker_list_source.read_duration_s = (
+                1.1  # the answer comes while the others are about to replace it
             )
-            new = core.leader()
-            await core.until(lambda: any(item.key == WORKERS for item in new.published), 3.0)
-            core.network.heal_all()
+            reads_begun = old.worker_list_source.reads_begun
+            await controllers.until(lambda: old.worker_list_source.reads_begun > reads_begun, 3.0)
+            controllers.cut(old.name, "all")
+            await controllers.until(
+                lambda: any(n.controller.is_head for n in controllers.nodes.values() if n is not old), 6.0
+            )
+            new = controllers.require_head()
+            await controllers.until(lambda: any(item.key == WORKERS for item in new.published), 3.0)
+            controllers.network.heal_all()
             await asyncio.sleep(3.0)
             assert new.controller.view is not None
-            for node in core.nodes.values():
+            for node in controllers.nodes.values():
                 assert node.state.versions[WORKERS][0] >= new.controller.view.epoch
 
-        play(work)
+        run_simulated_controllers(work)
--- a/tests/coordination/controller/test_fencing_head_roles.py
+++ b/tests/coordination/controller/test_head_roles_after_pause.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.controller.head_roles import HeadDuties
-from hollowusher.coordination.distribution.feed import Feed
+from hollowusher.coordination.controller.head_roles import HeadRoles
+from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.distribution import DistributedItem
@@ -59,10 +59,10 @@
     def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
         self.process = SimulatedProcess("a")
-        self.feed = Feed("a/1")
+        self.feed = UpdateFeed("a/1")
         self.deaths: list[str] = []
         members = [Member(name, "edge", f"10.0.0.{name}:7780", "z", "r", 1) for name in NAMES]
-        self.duties = HeadDuties(
+        self.head_roles = HeadRoles(
             members[0],
             _Chain(),
             self.feed,
@@ -72,7 +72,7 @@
             _Transport(),
             loop.time,
         )
-        self.feed.listen(self._note)
+        self.feed.add_listener(self._note)
         for member in members:
             self.feed.publish(f"member/{member.name}", [1, 0], member)
 
@@ -82,7 +82,7 @@
 
     def hear(self, reporter: str) -> None:
         """A suspicion of b arrives; a frozen process reads it when it wakes."""
-        self.process.run(self.duties.handle(MemberSuspected("b", 1, reporter)))
+        self.process.run(self.head_roles.handle(MemberSuspected("b", 1, reporter)))
 
     async def freeze_for(self, seconds: float) -> None:
         self.loop.freeze(self.process)
@@ -95,7 +95,7 @@
 
     async def main() -> None:
         head = _Head(loop)
-        head.process.run(head.duties.run())
+        head.process.run(head.head_roles.run())
         await asyncio.sleep(1.0)
         await work(head)
 
@@ -150,7 +150,7 @@
         for _ in range(4):
             head.hear("c")
             await asyncio.sleep(0.3)
-        assert head.duties._probing == {"b"}
+        assert head.head_roles._members_in_check == {"b"}
         await head.freeze_for(1.0)
         await asyncio.sleep(0.5)
         assert head.deaths == []
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -105,8 +105,8 @@
 
 
 def test_nobody_is_kept_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert operator_api.QUESTION_TIMEOUT_S < 1.0 and operator_api.CHANGE_TIMEOUT_S <= 3.0
-    monkeypatch.setattr(operator_api, "QUESTION_TIMEOUT_S", 0.01)
+    assert operator_api.READ_TIMEOUT_S < 1.0 and operator_api.CHANGE_TIMEOUT_S <= 3.0
+    monkeypatch.setattr(operator_api, "READ_TIMEOUT_S", 0.01)
     monkeypatch.setattr(operator_api, "CHANGE_TIMEOUT_S", 0.02)
 
     async def conversation(client: Client) -> None:
--- a/tests/coordination/controller/test_orders_races.py
+++ b/tests/coordination/controller/test_orders_races.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
-from tests.support.controller_cluster import Cluster, Node, document, run_virtual
+from tests.support.controller_cluster import ControllerCluster, ControllerNode, document, run_virtual
 
 SEEDS = 40
 JITTERS_S = (0.0, 0.02, 0.05, 0.1)  # longer ones exceed the time limits of the calls
@@ -22,7 +22,7 @@
     return ChangeConfiguration("PUT", if_match, orjson.dumps({**document(generation), "comment": who}))
 
 
-async def ask(node: Node, message: Any, timeout: float = 3.0) -> int:
+async def ask(node: ControllerNode, message: Any, timeout: float = 3.0) -> int:
     """The status of the answer; 503 where none came in time."""
     if node.controller is None:
         return 503
@@ -35,7 +35,7 @@
     return answer.status
 
 
-async def ask_until_clear(cluster: Cluster, message: Any, chance: random.Random) -> int:
+async def ask_until_clear(cluster: ControllerCluster, message: Any, chance: random.Random) -> int:
     """Send an order again, unchanged, to any controller until it is taken or refused."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -47,7 +47,7 @@
     raise AssertionError("no clear answer")
 
 
-async def in_force(cluster: Cluster) -> dict[str, Any]:
+async def in_force(cluster: ControllerCluster) -> dict[str, Any]:
     """The configuration that a controller reads back."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -63,16 +63,16 @@
     raise AssertionError("nobody knows the configuration")
 
 
-async def started(seed: int) -> tuple[Cluster, random.Random]:
+async def started(seed: int) -> tuple[ControllerCluster, random.Random]:
     """A cluster with version 1 in force, and jitter from then on."""
-    cluster = Cluster("abc", seed)
-    await cluster.first_start()
-    await cluster.put_somewhere(1, 0)
+    cluster = ControllerCluster("abc", seed)
+    await cluster.bootstrap_all()
+    await cluster.put_at_any_node(1, 0)
     cluster.network.slowest_s = JITTERS_S[seed % len(JITTERS_S)]
     return cluster, random.Random(f"races {seed}")
 
 
-async def disturb(cluster: Cluster, chance: random.Random) -> None:
+async def disturb(cluster: ControllerCluster, chance: random.Random) -> None:
     """The head is killed, cut off or stops at any moment of the order's way, and is back later."""
     await asyncio.sleep(chance.uniform(0.0, 0.1 + 2 * cluster.network.slowest_s))
     head = next((node for node in cluster.nodes.values() if node.running.is_head), None)
@@ -84,7 +84,7 @@
         await asyncio.sleep(chance.uniform(0.1, 4.0))
         await head.start()
     elif kind == "cut":
-        cluster.cut_off(head.name)
+        cluster.isolate(head.name)
         await asyncio.sleep(chance.uniform(0.1, 4.0))
         cluster.join_all()
 
@@ -166,15 +166,15 @@
 
 async def deposed_head() -> None:
     """A head that has been replaced, and takes the others for reachable: its process has stood still."""
-    cluster = Cluster("abc")
-    await cluster.first_start()
-    await cluster.put_somewhere(1, 0)
-    cluster.cut_off("a")
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
+    await cluster.put_at_any_node(1, 0)
+    cluster.isolate("a")
     await cluster.until(lambda: cluster["b"].running.is_head, 5.0)
     assert await ask(cluster["b"], put(2, 1, "taken")) == 200
     old = cluster["a"].running
-    old._group.has_quorum = lambda view: True  # type: ignore[method-assign]
-    assert old._member.is_head and old._member.is_committed
+    old._voter_group.has_quorum = lambda view: True  # type: ignore[method-assign]
+    assert old._chain_member.is_head and old._chain_member.is_committed
     assert await ask(cluster["a"], put(3, 2, "next")) == 503
     assert await ask(cluster["a"], put(2, 1, "taken")) == 503
     cluster.join_all()
--- a/tests/coordination/controller/test_orders_random.py
+++ b/tests/coordination/controller/test_orders_random.py
@@ -7,20 +7,26 @@
 
 import pytest
 
-from tests.support.controller_cluster import FULL, STUCK, Cluster, Node, run_virtual
-from tests.support.order_model import Operators, SentOrder
+from tests.support.controller_cluster import (
+    DISK_FULL,
+    STALLED,
+    ControllerCluster,
+    ControllerNode,
+    run_virtual,
+)
+from tests.support.order_model import RandomOperators, SentOrder
 
 SEEDS = 12
-TROUBLE_S = 2.5
+MAX_FAULT_S = 2.5
 CALM_S = 4.2  # `catchUpS`: the next loss may come right then
 SETTLE_S = 8.0
 TAKEN_WITHIN_S = 15.0
 
 
-class Troubles:
+class RandomFaults:
     """One trouble after the other, each within what the deployment has to bear."""
 
-    def __init__(self, cluster: Cluster, chance: random.Random) -> None:
+    def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
         self.cluster = cluster
         self.chance = chance
         self.kinds = (self.kill, self.wipe, self.cut, self.stick, self.fill, self.kill_all, self.slow)
@@ -35,35 +41,35 @@
         await asyncio.sleep(CALM_S)
 
     async def pause(self) -> None:
-        await asyncio.sleep(self.chance.uniform(0.05, TROUBLE_S))
+        await asyncio.sleep(self.chance.uniform(0.05, MAX_FAULT_S))
 
-    async def kill(self, node: Node) -> None:
+    async def kill(self, node: ControllerNode) -> None:
         await node.kill()
         await self.pause()
         await node.start()
 
-    async def wipe(self, node: Node) -> None:
+    async def wipe(self, node: ControllerNode) -> None:
         await node.kill()
         node.wipe()
         await self.pause()
         await node.start()
 
-    async def cut(self, node: Node) -> None:
-        self.cluster.cut_off(node.name)
+    async def cut(self, node: ControllerNode) -> None:
+        self.cluster.isolate(node.name)
         await self.pause()
         self.cluster.join_all()
 
-    async def stick(self, node: Node) -> None:
-        node.files[STUCK] = b"yes"
+    async def stick(self, node: ControllerNode) -> None:
+        node.files[STALLED] = b"yes"
         await self.pause()
-        del node.files[STUCK]
+        del node.files[STALLED]
 
-    async def fill(self, node: Node) -> None:
-        node.files[FULL] = b"yes"
+    async def fill(self, node: ControllerNode) -> None:
+        node.files[DISK_FULL] = b"yes"
         await self.pause()
-        del node.files[FULL]
+        del node.files[DISK_FULL]
 
-    async def kill_all(self, node: Node) -> None:
+    async def kill_all(self, node: ControllerNode) -> None:
         for each in self.cluster.nodes.values():
             await each.kill()
         await asyncio.sleep(0.2)
@@ -71,29 +77,29 @@
             await asyncio.sleep(self.chance.uniform(0.0, 0.3))
             await each.start()
 
-    async def slow(self, node: Node) -> None:
+    async def slow(self, node: ControllerNode) -> None:
         self.cluster.network.disk_slowness[node.name] = 30.0
         await self.pause()
         self.cluster.network.disk_slowness.clear()
 
 
-async def play(seed: int, names: str, jitter: float, troubles: int = 5) -> Operators:
+async def play(seed: int, names: str, jitter: float, troubles: int = 5) -> RandomOperators:
     """One run; the operators with all that they were told, compared with the state at the end."""
     chance = random.Random(f"orders {seed}")
-    cluster = Cluster(names, seed)
-    await cluster.first_start()
+    cluster = ControllerCluster(names, seed)
+    await cluster.bootstrap_all()
     cluster.network.slowest_s = jitter
-    operators = Operators(cluster, chance)
-    tasks = [asyncio.ensure_future(operators.work()) for _ in range(3)]
-    await Troubles(cluster, chance).play(troubles)
-    operators.going = False
+    operators = RandomOperators(cluster, chance)
+    tasks = [asyncio.ensure_future(operators.run()) for _ in range(3)]
+    await RandomFaults(cluster, chance).play(troubles)
+    operators.is_running = False
     await asyncio.gather(*tasks)
     await asyncio.sleep(SETTLE_S)
     await finish(operators)
     return operators
 
 
-async def finish(operators: Operators) -> None:
+async def finish(operators: RandomOperators) -> None:
     """Calm, without jitter: have one more order taken, which brings to its end what was under way, and
     compare."""
     operators.cluster.network.slowest_s = 0.0
--- a/tests/coordination/controller/test_voters_replaced.py
+++ b/tests/coordination/controller/test_voters_replaced.py
@@ -8,28 +8,28 @@
 
 from hollowusher.protocol.consensus import Ping, Pong, Prepare, Promise
 from hollowusher.protocol.view import AnnounceController, View, Voter
-from tests.coordination.controller.voter_hunt import CATCH_UP_S, run_hunt
-from tests.support.controller_cluster import STUCK, Cluster, Node, run_virtual
+from tests.coordination.controller.voter_fault_search import CATCH_UP_S, run_search
+from tests.support.controller_cluster import STALLED, ControllerCluster, ControllerNode, run_virtual
 
 NEXT_LOSS_S = 5.0
 
 
-def view_of(node: Node) -> View:
+def view_of(node: ControllerNode) -> View:
     view = node.running.view
     assert view is not None
     return view
 
 
-def voter_names(node: Node) -> str:
+def voter_names(node: ControllerNode) -> str:
     return "".join(sorted(voter.name for voter in view_of(node).voters))
 
 
-async def lose_for_good(cluster: Cluster, name: str) -> None:
+async def lose_for_good(cluster: ControllerCluster, name: str) -> None:
     await cluster[name].kill()
     cluster.remove(name)
 
 
-async def replace(cluster: Cluster, old: str, new: str, new_first: bool) -> None:
+async def replace(cluster: ControllerCluster, old: str, new: str, new_first: bool) -> None:
     if new_first:
         await cluster.add(new).start()
         await asyncio.sleep(1.0)
@@ -43,14 +43,14 @@
 @pytest.mark.parametrize("next_victim", "acn")
 def test_after_a_replacement_any_further_loss_is_borne(new_first: bool, next_victim: str) -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         await replace(cluster, "b", "n", new_first)
         await asyncio.sleep(NEXT_LOSS_S)
         assert voter_names(cluster["a"]) == "acn"
         await lose_for_good(cluster, next_victim)
-        assert await cluster.put_somewhere(2, 1) < 2.5
+        assert await cluster.put_at_any_node(2, 1) < 2.5
 
     run_virtual(play())
 
@@ -59,9 +59,9 @@
 @pytest.mark.parametrize("new_first", [True, False])
 def test_a_replacement_is_complete_well_before_the_next_loss(old: str, new_first: bool) -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         await replace(cluster, old, "n", new_first)
         left = next(node for name, node in cluster.nodes.items() if name != "n")
         await cluster.until(lambda: "n" in view_of(left).chain and old not in voter_names(left), 3.2)
@@ -73,9 +73,9 @@
 @pytest.mark.parametrize("wiped", "abc")
 def test_a_lost_disk_is_replaced_at_once_and_the_next_one_may_go(wiped: str) -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         await cluster[wiped].kill()
         cluster[wiped].wipe()
         await cluster[wiped].start()
@@ -86,7 +86,7 @@
         victim = cluster[next(name for name in "cab" if name != wiped)]
         await victim.kill()
         victim.wipe()
-        assert await cluster.put_somewhere(2, 1) < 2.5
+        assert await cluster.put_at_any_node(2, 1) < 2.5
         await victim.start()
         await cluster.until(
             lambda: len(view_of(other if other is not victim else cluster[wiped]).chain) == 3, 4.0
@@ -97,15 +97,15 @@
 
 def test_twenty_replacements_in_a_row_keep_the_number_of_voters_and_every_change() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         for number in range(20):
             old = sorted(cluster.nodes)[number % 3]
             await replace(cluster, old, f"n{number:02}", number % 2 == 0)
             cluster.use_seeds(cluster.nodes)
             await asyncio.sleep(CATCH_UP_S)
-            await cluster.put_somewhere(number + 2, number + 1)
+            await cluster.put_at_any_node(number + 2, number + 1)
             assert {len(view_of(node).voters) for node in cluster.nodes.values()} == {3}
         for node in cluster.nodes.values():
             assert await node.read() == (200, 21)
@@ -115,9 +115,9 @@
 
 def test_who_was_replaced_and_comes_back_is_a_spare_that_cannot_vote() -> None:
     async def play() -> None:
-        cluster = Cluster("abcs", tolerated=1)
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
+        cluster = ControllerCluster("abcs", tolerated=1)
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
         base = view_of(cluster["a"])
         assert voter_names(cluster["a"]) == "abc"
         await cluster["b"].kill()
@@ -129,19 +129,19 @@
         assert isinstance(answer, Promise) and not answer.granted
         await cluster["c"].kill()  # now the spare takes a place again
         await cluster.until(lambda: voter_names(cluster["a"]) == "abs", 4.0)
-        assert await cluster.put_somewhere(2, 1) < 1.0
+        assert await cluster.put_at_any_node(2, 1) < 1.0
 
     run_virtual(play())
 
 
 def test_a_voter_that_is_alone_gone_keeps_its_place_until_a_spare_comes() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         await lose_for_good(cluster, "c")
         await asyncio.sleep(10.0)
         assert voter_names(cluster["a"]) == "abc"
-        assert await cluster.put_somewhere(1, 0) < 1.0
+        assert await cluster.put_at_any_node(1, 0) < 1.0
         await cluster.add("n").start()
         await cluster.until(lambda: voter_names(cluster["a"]) == "abn", 1.5)
 
@@ -150,15 +150,15 @@
 
 def test_a_spare_that_does_not_answer_is_not_made_a_voter() -> None:
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
         await cluster["b"].kill()
         ghost = Voter("ghost", "disk-ghost", "10.0.0.99:7780", "z9")
         for _ in range(40):
             await cluster["a"].running.handle(AnnounceController(ghost))
             await asyncio.sleep(0.2)
         assert voter_names(cluster["a"]) == "abc"
-        assert await cluster.put_somewhere(1, 0) < 1.0
+        assert await cluster.put_at_any_node(1, 0) < 1.0
 
     run_virtual(play())
 
@@ -168,11 +168,11 @@
     acted on, as if it were of the newer one, else it would lead with an old state."""
 
     async def play() -> None:
-        cluster = Cluster("abc")
-        await cluster.first_start()
-        await cluster.put_somewhere(1, 0)
-        cluster["a"].files[STUCK] = b"yes"
-        await cluster.put_somewhere(2, 1)
+        cluster = ControllerCluster("abc")
+        await cluster.bootstrap_all()
+        await cluster.put_at_any_node(1, 0)
+        cluster["a"].files[STALLED] = b"yes"
+        await cluster.put_at_any_node(2, 1)
         assert "a" not in view_of(cluster["b"]).chain
         for _ in range(60):
             pong = await cluster["a"].running.handle(Ping("b", view_of(cluster["b"]).epoch))
@@ -180,10 +180,10 @@
             assert "a" not in view_of(cluster["b"]).chain
             await asyncio.sleep(0.1)
         assert view_of(cluster["b"]).head != "a"
-        del cluster["a"].files[STUCK]
+        del cluster["a"].files[STALLED]
         await cluster.until(lambda: "a" in view_of(cluster["b"]).chain, 6.0)
         assert view_of(cluster["b"]).head != "a"
-        assert await cluster.put_somewhere(3, 2) < 1.5
+        assert await cluster.put_at_any_node(3, 2) < 1.5
         assert await cluster["b"].read() == (200, 3)
 
     run_virtual(play())
@@ -191,4 +191,4 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_losses_at_the_edge_of_what_is_borne(seed: int) -> None:
-    assert len(run_hunt(seed).acknowledged) >= 10  # at 0.4 s a message an order takes 1.6 s
+    assert len(run_search(seed).acknowledged) >= 10  # at 0.4 s a message an order takes 1.6 s
--- a/tests/coordination/controller/test_worker_list_reader.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 
 from hollowusher.coordination.controller.worker_list_reader import (
-    MOST_BACKOFF_S,
-    ListKeeper,
-    Pacer,
+    MAX_BACKOFF_S,
+    CallRateLimiter,
     PlatformError,
-    PlatformReader,
+    WorkerListReader,
+    WorkerListReconciler,
     parse_page,
 )
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
@@ -152,54 +152,54 @@
 
 
 def test_an_empty_list_needs_two_readings_in_a_row() -> None:
-    keeper = ListKeeper()
-    assert names(keeper.take([worker("a")], 1)) == ["a"]
-    assert keeper.take([], 1) is None
-    assert names(keeper.take([worker("a")], 1)) == ["a"]
-    assert keeper.take([], 1) is None
-    assert keeper.take([], 1) == []
+    reconciler = WorkerListReconciler()
+    assert names(reconciler.reconcile([worker("a")], 1)) == ["a"]
+    assert reconciler.reconcile([], 1) is None
+    assert names(reconciler.reconcile([worker("a")], 1)) == ["a"]
+    assert reconciler.reconcile([], 1) is None
+    assert reconciler.reconcile([], 1) == []
 
 
 def test_an_empty_list_at_the_start_is_just_empty() -> None:
-    assert ListKeeper().take([], 1) == []
+    assert WorkerListReconciler().reconcile([], 1) == []
 
 
 def test_a_worker_missing_from_one_reading_of_several_pages_stays_for_one_more() -> None:
-    keeper = ListKeeper()
-    keeper.take([worker("a"), worker("b")], 2)
-    assert names(keeper.take([worker("a")], 2)) == ["a", "b"]
-    assert names(keeper.take([worker("a")], 2)) == ["a"]
-    keeper.take([worker("a"), worker("b")], 2)
-    assert names(keeper.take([worker("a")], 1)) == ["a"]
+    reconciler = WorkerListReconciler()
+    reconciler.reconcile([worker("a"), worker("b")], 2)
+    assert names(reconciler.reconcile([worker("a")], 2)) == ["a", "b"]
+    assert names(reconciler.reconcile([worker("a")], 2)) == ["a"]
+    reconciler.reconcile([worker("a"), worker("b")], 2)
+    assert names(reconciler.reconcile([worker("a")], 1)) == ["a"]
 
 
 def test_an_entry_seen_on_two_pages_counts_once() -> None:
-    assert names(ListKeeper().take([worker("b"), worker("a"), worker("b")], 2)) == ["a", "b"]
+    assert names(WorkerListReconciler().reconcile([worker("b"), worker("a"), worker("b")], 2)) == ["a", "b"]
 
 
 # ---- pacing
 
 
 def test_calls_stay_at_half_the_rate() -> None:
-    pacer, now, calls = Pacer(4.0), 100.0, 0
+    limiter, now, calls = CallRateLimiter(4.0), 100.0, 0
     while now < 110.0 - 1e-9:
-        now += pacer.wait(now)
-        pacer.called(now)
-        pacer.succeeded()
+        now += limiter.seconds_until_next_call(now)
+        limiter.record_call(now)
+        limiter.record_success()
         calls += 1
     assert calls in (20, 21)
 
 
 def test_failures_back_off_and_success_ends_that() -> None:
-    pacer, waits = Pacer(1000.0), []
+    limiter, waits = CallRateLimiter(1000.0), []
     for _ in range(7):
-        pacer.called(0.0)
-        pacer.failed(0.0)
-        waits.append(pacer.wait(0.0))
-    assert waits == sorted(waits) and waits[0] == 0.25 and waits[-1] == MOST_BACKOFF_S
-    pacer.succeeded()
-    pacer.called(0.0)
-    assert pacer.wait(0.0) == 0.002
+        limiter.record_call(0.0)
+        limiter.record_failure(0.0)
+        waits.append(limiter.seconds_until_next_call(0.0))
+    assert waits == sorted(waits) and waits[0] == 0.25 and waits[-1] == MAX_BACKOFF_S
+    limiter.record_success()
+    limiter.record_call(0.0)
+    assert limiter.seconds_until_next_call(0.0) == 0.002
 
 
 # ---- over HTTP
@@ -207,7 +207,7 @@
 Answer = Callable[[web.Request], Awaitable[web.Response]]
 
 
-def read_from(answer: Answer, work: Callable[[PlatformReader], Awaitable[None]]) -> None:
+def read_from(answer: Answer, work: Callable[[WorkerListReader], Awaitable[None]]) -> None:
     async def play() -> None:
         app = web.Application()
         app.router.add_get("/instances", answer)
@@ -216,7 +216,7 @@
         site = web.TCPSite(runner, "127.0.0.1", 0)
         await site.start()
         host, port = runner.addresses[0][:2]
-        reader = PlatformReader(f"{host}:{port}", 20_000.0)
+        reader = WorkerListReader(f"{host}:{port}", 20_000.0)
         try:
             await work(reader)
         finally:
@@ -240,7 +240,7 @@
         seen.append((token, request.transport.get_extra_info("peername")))
         return web.Response(body=pages[token], content_type="application/json")
 
-    async def work(reader: PlatformReader) -> None:
+    async def work(reader: WorkerListReader) -> None:
         for _ in range(2):
             listed = await reader.read()
             assert isinstance(listed, PlatformWorkerList) and names(listed.workers) == ["a", "b", "c"]
@@ -257,13 +257,13 @@
     async def answer(request: web.Request) -> web.Response:
         return answers.pop(0) if answers else web.Response(body=page(ENTRY))
 
-    async def work(reader: PlatformReader) -> None:
+    async def work(reader: WorkerListReader) -> None:
         for _ in range(3):
-            reader._pacer = Pacer(20_000.0)  # no pause of real time in a test
+            reader._rate_limiter = CallRateLimiter(20_000.0)  # no pause of real time in a test
             with pytest.raises(PlatformError) as caught:
                 await reader.read()
             assert caught.value.peer == reader.address and caught.value.step == "read the list"
-        reader._pacer = Pacer(20_000.0)
+        reader._rate_limiter = CallRateLimiter(20_000.0)
         listed = await reader.read()
         assert listed is not None and names(listed.workers) == ["i-7f3a91c2"]
 
@@ -272,7 +272,7 @@
 
 def test_a_platform_that_is_not_there_is_an_error() -> None:
     async def play() -> None:
-        reader = PlatformReader("127.0.0.1:9", 20_000.0)
+        reader = WorkerListReader("127.0.0.1:9", 20_000.0)
         try:
             with pytest.raises(PlatformError):
                 await reader.read()
@@ -288,11 +288,11 @@
     async def answer(request: web.Request) -> web.Response:
         return web.Response(body=bodies.pop(0))
 
-    async def work(reader: PlatformReader) -> None:
+    async def work(reader: WorkerListReader) -> None:
         first = await reader.read()
         with pytest.raises(PlatformError):
             await reader.read()
-        reader._pacer = Pacer(20_000.0)
+        reader._rate_limiter = CallRateLimiter(20_000.0)
         last = await reader.read()
         assert first is not None and last is not None
         assert (names(first.workers), names(last.workers)) == (["a"], ["b"])
--- a/tests/coordination/controller/voter_hunt.py
+++ b/tests/coordination/controller/voter_fault_search.py
@@ -3,10 +3,10 @@
 every sync may take 0.4 s, which a deployment counts as a loss by itself, the next one follows
 `SLOW_CATCH_UP_S` later.
 
-After the last one, `CALM_S` of quiet have to bring everything back: an order is taken, every voter holds the
-newest state and every controller knows the newest view.  To try many seeds:
+After the last one, everything has to recover within `RECOVERY_S` without faults: an order is accepted, every
+voter holds the newest state and every controller knows the newest view.  To run many seeds:
 
-    python -m tests.coordination.controller.voter_hunt --seeds 200
+    python -m tests.coordination.controller.voter_fault_search --seeds 200
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 import click
 
-from tests.support.controller_cluster import STUCK, Cluster, Node, run_virtual
+from tests.support.controller_cluster import STALLED, ControllerCluster, ControllerNode, run_virtual
 from tests.support.order_traffic import OrderTraffic
 
 CATCH_UP_S = (
@@ -25,31 +25,31 @@
 )
 SLOW_CATCH_UP_S = 6.0  # the same where each message and each sync may take more than `EDGE_JITTER_S`
 EDGE_JITTER_S = 0.2
-CALM_S = 8.0
+RECOVERY_S = 8.0
 JITTERS_S = (0.0, 0.1, 0.2, 0.4)
 PROCESS_START_S = (0.3, 1.0)  # from a machine's start to its process's first word
 LOSSES = 8
 ORDER_WITHIN_S = 2.5  # once all is calm
 
 
-class Unhealed(AssertionError):
-    """All was calm for `CALM_S` and something was not as it has to be."""
+class NotRecovered(AssertionError):
+    """All was calm for `RECOVERY_S` and something was not as it has to be."""
 
 
-class VoterHunt:
+class VoterFaultSearch:
     """One day of losses."""
 
     def __init__(self, seed: int, names: str, spares: str, tolerated: int) -> None:
         self.chance = random.Random(f"voter hunt {seed}")
-        self.cluster = Cluster(names, seed=seed, tolerated=tolerated)
+        self.cluster = ControllerCluster(names, seed=seed, tolerated=tolerated)
         self.spares = spares
-        self.told: list[str] = []
+        self.history: list[str] = []
         self._replacements = 0
 
     async def run(self) -> OrderTraffic:
-        """Play the day; `Unhealed` or another failed assertion where a promise is broken."""
+        """Play the day; `NotRecovered` or another failed assertion where a promise is broken."""
         cluster, loop = self.cluster, asyncio.get_running_loop()
-        await cluster.first_start()
+        await cluster.bootstrap_all()
         for name in self.spares:
             await cluster.add(name).start()
         cluster.network.slowest_s = self.chance.choice(JITTERS_S)
@@ -60,7 +60,7 @@
         for _ in range(LOSSES):
             await self._lose_one()
             await self._wait(distance)
-        await self._wait(CALM_S - CATCH_UP_S)
+        await self._wait(RECOVERY_S - CATCH_UP_S)
         traffic.stop()
         await orders
         await self._check_healed(traffic)
@@ -70,7 +70,7 @@
 
     async def _lose_one(self) -> None:
         """One loss, until what was lost, or what takes its place, has started."""
-        kinds: list[Callable[[Node], Coroutine[None, None, None]]] = [
+        kinds: list[Callable[[ControllerNode], Coroutine[None, None, None]]] = [
             self._kill,
             self._wipe,
             self._cut,
@@ -85,49 +85,49 @@
             return
         node = self.cluster[self.chance.choice(sorted(self.cluster.nodes))]
         kind = self.chance.choice(kinds)
-        self.told.append(f"{asyncio.get_running_loop().time():.1f} {kind.__name__} {node.name}")
+        self.history.append(f"{asyncio.get_running_loop().time():.1f} {kind.__name__} {node.name}")
         await kind(node)
 
-    async def _kill(self, node: Node) -> None:
+    async def _kill(self, node: ControllerNode) -> None:
         await node.kill()
         await self._wait(self.chance.uniform(0.1, 4.0))
         await self._start(node)
 
-    async def _wipe(self, node: Node) -> None:
+    async def _wipe(self, node: ControllerNode) -> None:
         await node.kill()
         node.wipe()
         await self._wait(self.chance.uniform(0.1, 2.0))
         await self._start(node)
 
-    async def _cut(self, node: Node) -> None:
-        self.cluster.cut_off(node.name)
+    async def _cut(self, node: ControllerNode) -> None:
+        self.cluster.isolate(node.name)
         await self._wait(self.chance.uniform(0.2, 6.0))
         self.cluster.join_all()
 
-    async def _stick(self, node: Node) -> None:
-        node.files[STUCK] = b"yes"
+    async def _stick(self, node: ControllerNode) -> None:
+        node.files[STALLED] = b"yes"
         await self._wait(self.chance.uniform(0.2, 6.0))
-        del node.files[STUCK]
+        del node.files[STALLED]
 
-    async def _stop(self, node: Node) -> None:
+    async def _stop(self, node: ControllerNode) -> None:
         await node.stop()
         await self._wait(self.chance.uniform(0.1, 2.0))
         await self._start(node)
 
-    async def _replace(self, node: Node) -> None:
+    async def _replace(self, node: ControllerNode) -> None:
         """The machine is gone for good; an empty one with another name and address starts after it."""
         await node.kill()
         self._remove(node)
         await self._wait(self.chance.uniform(0.0, 1.0))
         await self._start(self._new_machine(node))
 
-    async def _replace_after_notice(self, node: Node) -> None:
+    async def _replace_after_notice(self, node: ControllerNode) -> None:
         """The machine is told to stop, goes for good, and an empty one starts."""
         await node.stop()
         self._remove(node)
         await self._start(self._new_machine(node))
 
-    async def _replace_by_one_there_before(self, node: Node) -> None:
+    async def _replace_by_one_there_before(self, node: ControllerNode) -> None:
         """An empty machine starts first; the other one goes for good soon after."""
         await self._start(self._new_machine(node))
         await self._wait(self.chance.uniform(0.0, 3.0))
@@ -135,7 +135,7 @@
         self._remove(node)
 
     async def _kill_all(self) -> None:
-        self.told.append(f"{asyncio.get_running_loop().time():.1f} all killed")
+        self.history.append(f"{asyncio.get_running_loop().time():.1f} all killed")
         nodes = list(self.cluster.nodes.values())
         for node in nodes:
             await node.kill()
@@ -143,17 +143,17 @@
             await self._wait(self.chance.uniform(0.0, 0.3))
             await node.start()
 
-    def _remove(self, node: Node) -> None:
+    def _remove(self, node: ControllerNode) -> None:
         """The machine is gone for good; the seeds that later starts are told are of those that are left."""
         self.cluster.remove(node.name)
         left = sorted(self.cluster.nodes)
         self.cluster.use_seeds(self.chance.sample(left, min(3, len(left))))
 
-    def _new_machine(self, old: Node) -> Node:
+    def _new_machine(self, old: ControllerNode) -> ControllerNode:
         self._replacements += 1
         return self.cluster.add(f"{old.name[0]}{self._replacements}", zone=old.zone)
 
-    async def _start(self, node: Node) -> None:
+    async def _start(self, node: ControllerNode) -> None:
         await self._wait(self.chance.uniform(*PROCESS_START_S))
         await node.start()
 
@@ -168,35 +168,35 @@
         newest = max((view for view in views if view is not None), key=lambda view: view.epoch)
         jitter = self.cluster.network.slowest_s
         names = [voter.name for voter in newest.voters]
-        story = f"{self.told}; jitter {jitter} s; epoch {newest.epoch}: {names} {newest.chain}"
+        story = f"{self.history}; jitter {jitter} s; epoch {newest.epoch}: {names} {newest.chain}"
         try:
             await traffic.put_newest(ORDER_WITHIN_S)
         except AssertionError as error:
-            raise Unhealed(f"no order is taken: {error}; {story}") from error
+            raise NotRecovered(f"no order is taken: {error}; {story}") from error
         await asyncio.sleep(1.0)
         state = next((node.running.state for node in nodes if node.running.is_head), None)
         if state is None:
-            raise Unhealed(f"nobody leads; {story}")
+            raise NotRecovered(f"nobody leads; {story}")
         for node in nodes:
             view = node.running.view
             if view is None or view.epoch != newest.epoch:
-                raise Unhealed(f"{node.name} knows epoch {view and view.epoch}; {story}")
+                raise NotRecovered(f"{node.name} knows epoch {view and view.epoch}; {story}")
             if node.name in newest.chain and node.running.state != state:
-                raise Unhealed(f"{node.name} lacks the newest state; {story}")
+                raise NotRecovered(f"{node.name} lacks the newest state; {story}")
         self._check_voters(newest.chain, {voter.name for voter in newest.voters}, story)
 
     def _check_voters(self, chain: list[str], voters: set[str], story: str) -> None:
         wanted = min(2 * self.cluster.tolerated + 1, len(self.cluster.nodes))
         if len(voters) != wanted or voters - self.cluster.nodes.keys():
-            raise Unhealed(f"the voters are {sorted(voters)}; {story}")
+            raise NotRecovered(f"the voters are {sorted(voters)}; {story}")
         if set(chain) != voters:
-            raise Unhealed(f"the chain is {chain}; {story}")
+            raise NotRecovered(f"the chain is {chain}; {story}")
 
 
-def run_hunt(seed: int) -> OrderTraffic:
+def run_search(seed: int) -> OrderTraffic:
     """Three controllers, with a spare in one seed of three, or five in one of six."""
     names, tolerated = ("abcde", 2) if seed % 6 == 5 else ("abc", 1)
-    hunt = VoterHunt(seed, names, "s" if seed % 3 == 1 else "", tolerated)
+    hunt = VoterFaultSearch(seed, names, "s" if seed % 3 == 1 else "", tolerated)
     return run_virtual(hunt.run())
 
 
@@ -208,7 +208,7 @@
     failed = orders = 0
     for seed in range(first, first + seeds):
         try:
-            orders += len(run_hunt(seed).acknowledged)
+            orders += len(run_search(seed).acknowledged)
         except AssertionError as error:
             failed += 1
             click.echo(f"seed {seed}: {type(error).__name__}: {error}")
--- a/tests/coordination/controller/voter_times.py
+++ b/tests/coordination/controller/voter_recovery_times.py
@@ -1,7 +1,7 @@
 """How long the voters take to be whole again after a loss, in virtual time: the table of
 docs/control-safety/membership.md.
 
-    python -m tests.coordination.controller.voter_times
+    python -m tests.coordination.controller.voter_recovery_times
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 import click
 
-from tests.support.controller_cluster import STUCK, Cluster, Node, run_virtual
+from tests.support.controller_cluster import STALLED, ControllerCluster, ControllerNode, run_virtual
 
 ABSENCES_S = (0.1, 1.0, 3.0, 6.0)
 JITTERS_S = (0.0, 0.2)
 GIVEN_UP_S = 15.0
 SUCCESSOR = "n"
 
-Loss = Callable[[Cluster, Node, float], Coroutine[None, None, str]]
+Loss = Callable[[ControllerCluster, ControllerNode, float], Coroutine[None, None, str]]
 
 
-async def kill(cluster: Cluster, node: Node, absence_s: float) -> str:
+async def kill(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
     """The process is killed and starts again."""
     await node.kill()
     await asyncio.sleep(absence_s)
@@ -29,7 +29,7 @@
     return node.name
 
 
-async def wipe(cluster: Cluster, node: Node, absence_s: float) -> str:
+async def wipe(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
     """The disk is lost with it."""
     await node.kill()
     node.wipe()
@@ -38,26 +38,26 @@
     return node.name
 
 
-async def cut(cluster: Cluster, node: Node, absence_s: float) -> str:
+async def cut(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
     """The machine is cut off from the others."""
-    cluster.cut_off(node.name)
+    cluster.isolate(node.name)
     await asyncio.sleep(absence_s)
     cluster.join_all()
     return node.name
 
 
-async def stick(cluster: Cluster, node: Node, absence_s: float) -> str:
+async def stick(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
     """Its disk answers nothing."""
-    node.files[STUCK] = b"yes"
-    order = asyncio.get_running_loop().create_task(cluster.put_somewhere(2, 1, GIVEN_UP_S))
+    node.files[STALLED] = b"yes"
+    order = asyncio.get_running_loop().create_task(cluster.put_at_any_node(2, 1, GIVEN_UP_S))
     await asyncio.sleep(absence_s)
-    del node.files[STUCK]
+    del node.files[STALLED]
     order.cancel()
     await asyncio.gather(order, return_exceptions=True)
     return node.name
 
 
-async def replace(cluster: Cluster, node: Node, absence_s: float) -> str:
+async def replace(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
     """It is gone for good; an empty one starts later."""
     await node.kill()
     cluster.remove(node.name)
@@ -66,7 +66,9 @@
     return SUCCESSOR
 
 
-async def replace_by_one_there_before(cluster: Cluster, node: Node, absence_s: float) -> str:
+async def replace_by_one_there_before(
+    cluster: ControllerCluster, node: ControllerNode, absence_s: float
+) -> str:
     """An empty one starts; then it is gone for good."""
     await cluster.add(SUCCESSOR).start()
     await asyncio.sleep(absence_s)
@@ -75,12 +77,12 @@
     return SUCCESSOR
 
 
-def is_whole(cluster: Cluster, name: str) -> bool:
+def is_whole(cluster: ControllerCluster, name: str) -> bool:
     """Whether the chain has three members that are there, among them the one that came with the state."""
     views = [node.running.view for node in cluster.nodes.values()]
     newest = max((view for view in views if view is not None), key=lambda view: view.epoch)
     came = cluster[name].running
-    member = came._member
+    member = came._chain_member
     return (
         came.view == newest
         and len(newest.chain) == 3
@@ -93,9 +95,9 @@
 
 async def measure(loss: Loss, victim: str, absence_s: float, jitter_s: float) -> float:
     """Seconds from the end of the loss on."""
-    cluster = Cluster("abc")
-    await cluster.first_start()
-    await cluster.put_somewhere(1, 0)
+    cluster = ControllerCluster("abc")
+    await cluster.bootstrap_all()
+    await cluster.put_at_any_node(1, 0)
     cluster.network.slowest_s = jitter_s
     came = await loss(cluster, cluster[victim], absence_s)
     ended = asyncio.get_running_loop().time()
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -14,10 +14,10 @@
 
 from hollowusher.configuration.boot import BootSettings, FaultTolerance
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.controller.head_roles import HeadDuties, Update
+from hollowusher.coordination.controller.head_roles import HeadRoles, Update
 from hollowusher.coordination.controller.worker_list_reader import PlatformError
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
-from hollowusher.coordination.distribution.feed import Feed
+from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.coordination.membership.monitor_assignment import choose_monitors
 from hollowusher.coordination.placement.initial_placement import PARTITION_COUNT
@@ -51,14 +51,14 @@
     def decide(self, view: View) -> None:
         self.view, self.head = view, view.head
         for node in self.nodes:
-            if node.duties is not None and node.process.alive:
-                node.duties.publish_view(view)
+            if node.head_roles is not None and node.process.alive:
+                node.head_roles.publish_view(view)
 
     def commit(self, state: ControlState) -> None:
         self.state = evolve(state, sequence=self.state.sequence + 1)
         for node in self.nodes:
-            if node.duties is not None and node.process.alive:
-                node.duties.publish_state(self.state)
+            if node.head_roles is not None and node.process.alive:
+                node.head_roles.publish_state(self.state)
 
 
 class ChainAccess:
@@ -124,8 +124,8 @@
             controller=controller,
         )
         self.state = ClusterState()
-        self.feed: Feed | None = None
-        self.duties: HeadDuties | None = None
+        self.feed: UpdateFeed | None = None
+        self.head_roles: HeadRoles | None = None
         self.transport = cluster.network.transport(self.process, self.address)
         self.client: ClusterClient
         self.controller = controller
@@ -141,33 +141,33 @@
         )
         clock = self.cluster.loop.time
         if self.controller:
-            self.feed = Feed(f"{self.name}/{self.me.incarnation}")
+            self.feed = UpdateFeed(f"{self.name}/{self.me.incarnation}")
             access = ChainAccess(self.cluster.chain, self.name)
-            self.duties = HeadDuties(
+            self.head_roles = HeadRoles(
                 self.me, access, self.feed, MemberDirectory(clock()), settings, access, self.transport, clock
             )
         self.client = ClusterClient(
             self.me, self.transport, settings, self.state, self.feed, random.Random(self.name)
         )
-        if self.duties is not None and self.cluster.chain.view is not None:
-            self.duties.publish_view(self.cluster.chain.view)
-            self.duties.publish_state(self.cluster.chain.state)
+        if self.head_roles is not None and self.cluster.chain.view is not None:
+            self.head_roles.publish_view(self.cluster.chain.view)
+            self.head_roles.publish_state(self.cluster.chain.state)
 
     async def run(self) -> None:
         self.build()
         await self.transport.start(self.handle)
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.client.run())
-            if self.duties is not None:
-                tasks.create_task(self.duties.run())
+            if self.head_roles is not None:
+                tasks.create_task(self.head_roles.run())
 
     async def handle(self, message: Any) -> Any:
         if isinstance(message, ReadControlState):
             return ControlStateResponse(self.cluster.chain.state if self.cluster.chain.confirms else None)
         if isinstance(message, ReadView) and self.controller:
             return ViewResponse(self.cluster.chain.view)
-        if self.duties is not None and isinstance(message, HeadDuties.MESSAGES):
-            return await self.duties.handle(message)
+        if self.head_roles is not None and isinstance(message, HeadRoles.MESSAGES):
+            return await self.head_roles.handle(message)
         if isinstance(message, ClusterClient.MESSAGES):
             return await self.client.handle(message)
         raise TypeError(f"{type(message).__name__} is for nobody here")
@@ -322,7 +322,7 @@
             cluster.network.block("10.1.0.2", f"10.{zone}.0.1")
         node = cluster.restart("edge1")
         await asyncio.sleep(0.1)
-        task = node.process.run(node.client.confirmed_start())
+        task = node.process.run(node.client.wait_for_committed_state())
         await asyncio.sleep(2.0)
         assert not task.done() and node.state.configuration is None
         cluster.network.heal_all()
@@ -341,7 +341,7 @@
         await cluster.calm()
         cluster.chain.state = evolve(cluster.chain.state, generation=9, document=DOCUMENT % 9)
         core = cluster.nodes["core1"]
-        await asyncio.wait_for(core.process.run(core.client.confirmed_start()), 2.0)
+        await asyncio.wait_for(core.process.run(core.client.wait_for_committed_state()), 2.0)
         await cluster.until(
             lambda: cluster.all_have(
                 lambda state: state.configuration is not None and state.configuration.generation == 9
@@ -429,9 +429,9 @@
         await asyncio.sleep(4.0)
         cluster.chain.state = evolve(cluster.chain.state, generation=5, document=DOCUMENT % 5)
         for name in ("core0", "core2"):
-            duties = cluster.nodes[name].duties
-            assert duties is not None
-            duties.publish_state(cluster.chain.state)
+            head_roles = cluster.nodes[name].head_roles
+            assert head_roles is not None
+            head_roles.publish_state(cluster.chain.state)
         await cluster.until(
             lambda: all(
                 node.state.configuration is not None and node.state.configuration.generation == 5
@@ -491,7 +491,7 @@
         for name in ("a-core", "z-core"):
             node = cluster.add(name, "edge", f"10.0.1.{1 + len(cluster.nodes)}", "z0", 1, True, "new-disk")
             await cluster.until(lambda name=name: cluster.all_see(name, (1, 0)), 2.0)  # type: ignore[misc]
-            await node.process.run(node.client.confirmed_start())
+            await node.process.run(node.client.wait_for_committed_state())
         pulls: list[str] = []
 
         def watch(source: str, target: str, message: Any) -> None:
@@ -514,10 +514,10 @@
         await asyncio.sleep(1.5)
         for other in (1, 2):
             cluster.network.block("10.0.0.1", f"10.{other}.0.1")
-        duties = cluster.nodes["core0"].duties
-        assert duties is not None
+        head_roles = cluster.nodes["core0"].head_roles
+        assert head_roles is not None
         cluster.loop.freeze(cluster.nodes["store2"].process)
-        await duties.handle(MemberDeparting("store2", 1))
+        await head_roles.handle(MemberDeparting("store2", 1))
         await cluster.until(lambda: cluster.nodes["edge0"].sees("store2") == (1, 1), 0.5)
         assert cluster.nodes["core1"].sees("store2") == (1, 0)
         cluster.chain.head = ""  # nobody judges
@@ -554,9 +554,9 @@
         for name in ("core0", "core1"):
             cluster.power_off(name)
         await asyncio.sleep(6.0)
-        duties = cluster.nodes["core2"].duties
-        assert duties is not None
-        await duties.handle(MemberDeparting("edge0", 1))
+        head_roles = cluster.nodes["core2"].head_roles
+        assert head_roles is not None
+        await head_roles.handle(MemberDeparting("edge0", 1))
         await cluster.until(lambda: cluster.nodes["store0"].sees("edge0") == (1, 1), 2.0)
         now = cluster.loop.time()
         for node in cluster.living():
@@ -793,11 +793,11 @@
 async def report_learners(cluster: Cluster) -> None:
     """What primaries would do: say that each learner has caught up."""
     placement = cluster.chain.state.placement
-    duties = cluster.nodes[cluster.chain.head].duties
-    assert placement is not None and duties is not None
+    head_roles = cluster.nodes[cluster.chain.head].head_roles
+    assert placement is not None and head_roles is not None
     for entry in placement.partitions:
         for learner in entry.learners:
-            await duties.handle(LearnerReady(entry.partition, entry.epoch, learner))
+            await head_roles.handle(LearnerReady(entry.partition, entry.epoch, learner))
 
 
 def test_a_lost_disk_is_refilled_by_learning() -> None:
@@ -847,9 +847,9 @@
 
 
 async def retire(cluster: Cluster, name: str, duration_s: float | None = 10.0) -> tuple[int, bytes]:
-    duties = cluster.nodes[cluster.chain.head].duties
-    assert duties is not None
-    answer = await duties.handle(RetireStore(name, duration_s))
+    head_roles = cluster.nodes[cluster.chain.head].head_roles
+    assert head_roles is not None
+    answer = await head_roles.handle(RetireStore(name, duration_s))
     assert isinstance(answer, OperatorResponse)
     return answer.status, answer.body
 
@@ -890,9 +890,9 @@
 def test_only_the_head_takes_orders() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
-        duties = cluster.nodes["core1"].duties
-        assert duties is not None
-        answer = await duties.handle(RetireStore("store0", 1.0))
+        head_roles = cluster.nodes["core1"].head_roles
+        assert head_roles is not None
+        answer = await head_roles.handle(RetireStore("store0", 1.0))
         assert answer == OperatorResponse(503)
         assert cluster.chain.state.retiring == {}
 
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from hollowusher.coordination.distribution.cluster_client import CONNECTED_S, PULL_WAIT_MS
-from hollowusher.coordination.distribution.feed import Feed, LongPoll
+from hollowusher.coordination.distribution.cluster_client import MAX_CONNECTED_AGE_S, PULL_WAIT_MS
+from hollowusher.coordination.distribution.update_feed import LongPollResponder, UpdateFeed
 from hollowusher.intake.intake import Intake
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.control_chain import ReadControlState
@@ -26,9 +26,9 @@
     """A configuration is committed; these controllers hear of it."""
     cluster.chain.state = evolve(cluster.chain.state, generation=generation, document=DOCUMENT % generation)
     for name in cores:
-        duties = cluster.nodes[name].duties
-        assert duties is not None
-        duties.publish_state(cluster.chain.state)
+        head_roles = cluster.nodes[name].head_roles
+        assert head_roles is not None
+        head_roles.publish_state(cluster.chain.state)
 
 
 def cut_one_way_in(cluster: Cluster) -> None:
@@ -49,7 +49,7 @@
 class TestAge:
     def test_an_answer_tells_how_long_ago_its_controller_had_word_from_most(self) -> None:
         async def ask(age_s: float) -> UpdatesResponse:
-            poll = LongPoll(Feed("a/1"), lambda: True, lambda: age_s)
+            poll = LongPollResponder(UpdateFeed("a/1"), lambda: True, lambda: age_s)
             answer = await poll.answer(PullUpdates("reader", {}, 0))
             told = decode(encode(answer))
             assert isinstance(told, UpdatesResponse)
@@ -128,7 +128,7 @@
             publish(cluster, 5, "core0", "core1", "core2")
             node = cluster.add("edge9", "edge", "10.1.0.9", "z1", 1, False, "")
             await asyncio.sleep(0.001)
-            await node.process.run(node.client.confirmed_start())
+            await node.process.run(node.client.wait_for_committed_state())
             assert node.client.seconds_since_majority(cluster.loop.time()) < 0.5
             assert node.state.configuration is not None and node.state.configuration.generation == 5
 
@@ -153,7 +153,7 @@
             cluster.network.observer = watch
             cluster.chain.confirms = False  # as the controller that lacks a majority answers
             await asyncio.sleep(0.001)
-            starting = node.process.run(node.client.confirmed_start())
+            starting = node.process.run(node.client.wait_for_committed_state())
             await asyncio.sleep(20.0)
             assert not starting.done() and asked
             cluster.network.heal_all()
@@ -202,4 +202,4 @@
 
 def test_the_bounds_fit_each_other() -> None:
     assert CALM_AGE_S < 0.95 * 3.0
-    assert CONNECTED_S < 0.95 * 3.0
+    assert MAX_CONNECTED_AGE_S < 0.95 * 3.0
