--- a/tests/coordination/distribution/test_feed.py
+++ b/tests/coordination/distribution/test_update_feed.py
@@ -9,20 +9,20 @@
 from hypothesis import strategies as st
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.distribution.feed import Feed, LongPoll
+from hollowusher.coordination.distribution.update_feed import LongPollResponder, UpdateFeed
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.distribution import DistributedItem, PullUpdates, UpdatesResponse
 from hollowusher.protocol.membership import Member
 from hollowusher.simulation.event_loop import VirtualTimeLoop
 
 
-def pull(source: Feed, target: Feed) -> UpdatesResponse:
+def pull(source: UpdateFeed, target: UpdateFeed) -> UpdatesResponse:
     answer: UpdatesResponse = decode(encode(source.answer(PullUpdates("reader", target.have, 0))))
     target.merge(answer)
     return answer
 
 
-def values(feed: Feed) -> dict[str, tuple[list[int], Any]]:
+def values(feed: UpdateFeed) -> dict[str, tuple[list[int], Any]]:
     return {item.key: (list(item.version), item.value) for item in feed.items()}
 
 
@@ -31,7 +31,7 @@
 
 
 def test_publish_takes_only_greater_versions() -> None:
-    feed = Feed("a/1")
+    feed = UpdateFeed("a/1")
     assert feed.publish("placement", [2], "two")
     assert not feed.publish("placement", [2], "again")
     assert not feed.publish("placement", [1], "one")
@@ -40,14 +40,14 @@
 
 
 def test_versions_compare_number_by_number() -> None:
-    feed = Feed("a/1")
+    feed = UpdateFeed("a/1")
     assert feed.publish("member/x", [5, 9], "life 5")
     assert feed.publish("member/x", [6, 0], "life 6")
     assert not feed.publish("member/x", [5, 10], "life 5 again")
 
 
 def test_answer_has_only_what_lies_beyond_the_vector_and_the_newest_of_a_key() -> None:
-    feed = Feed("a/1")
+    feed = UpdateFeed("a/1")
     feed.publish("view", [1], "first")
     have = feed.have
     feed.publish("placement", [1], "p1")
@@ -58,9 +58,9 @@
 
 
 def test_merge_never_goes_back_and_tells_listeners_only_of_news() -> None:
-    feed = Feed("a/1")
+    feed = UpdateFeed("a/1")
     told: list[Any] = []
-    feed.listen(lambda item: told.append(item.value))
+    feed.add_listener(lambda item: told.append(item.value))
     feed.publish("configuration", [7], "seven")
     changed = feed.merge(
         UpdatesResponse(
@@ -77,7 +77,7 @@
 
 
 def test_a_third_controller_gets_items_through_the_second() -> None:
-    first, second, third = Feed("a/1"), Feed("b/1"), Feed("c/1")
+    first, second, third = UpdateFeed("a/1"), UpdateFeed("b/1"), UpdateFeed("c/1")
     first.publish("view", [3], "v3")
     pull(first, second)
     pull(second, third)
@@ -86,9 +86,9 @@
 
 
 def test_the_vector_forgets_origins_without_live_items() -> None:
-    feed = Feed("z/1")
+    feed = UpdateFeed("z/1")
     for incarnation in range(1, 50):
-        other = Feed(f"a/{incarnation}")
+        other = UpdateFeed(f"a/{incarnation}")
         other.publish("member/a", [incarnation, 0], incarnation)
         pull(other, feed)
     assert set(feed.have) <= {"a/49", "z/1"}
@@ -101,7 +101,7 @@
 
 def test_the_same_version_from_two_controllers_is_not_sent_for_ever() -> None:
     """Both publish a committed state; whichever way they pull, there is an end to it."""
-    first, second = Feed("a/1"), Feed("b/1")
+    first, second = UpdateFeed("a/1"), UpdateFeed("b/1")
     first.publish("configuration", [7], "seven")
     second.publish("configuration", [7], "seven")
     for _ in range(2):
@@ -111,7 +111,7 @@
 
 
 def test_a_reader_that_moves_to_a_controller_that_is_behind_keeps_what_it_has() -> None:
-    ahead, behind = Feed("a/1"), Feed("b/1")
+    ahead, behind = UpdateFeed("a/1"), UpdateFeed("b/1")
     behind.publish("member/x", [1, 0], member("x"))
     ahead.publish("member/x", [1, 1], member("x", status=1))
     state = ClusterState()
@@ -135,11 +135,11 @@
 @given(steps)
 def test_feeds_and_a_reader_come_to_the_greatest_versions(run: list[tuple[Any, ...]]) -> None:
     """Compared with a plain model: the greatest version ever published of each key."""
-    feeds = [Feed(f"{name}/1") for name in "abc"]
+    feeds = [UpdateFeed(f"{name}/1") for name in "abc"]
     state = ClusterState()
     greatest: dict[str, int] = {}
 
-    def read(feed: Feed) -> None:
+    def read(feed: UpdateFeed) -> None:
         before = {key: list(version) for key, version in state.versions.items()}
         answer = feed.answer(PullUpdates("reader", state.version_vector, 0))
         state.apply(answer.items, answer.have)
@@ -171,8 +171,8 @@
 def test_long_poll_answers_at_once_with_news_and_else_waits() -> None:
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        feed = Feed("a/1")
-        poll = LongPoll(feed)
+        feed = UpdateFeed("a/1")
+        poll = LongPollResponder(feed)
         feed.publish("view", [1], "v1")
         started = loop.time()
         answer = await poll.answer(PullUpdates("reader", {}, 1000))
@@ -197,7 +197,7 @@
 
 def test_long_poll_says_whether_its_controller_is_connected() -> None:
     async def play() -> None:
-        poll = LongPoll(Feed("a/1"), lambda: False)
+        poll = LongPollResponder(UpdateFeed("a/1"), lambda: False)
         assert not (await poll.answer(PullUpdates("reader", {}, 0))).connected
 
     virtual = VirtualTimeLoop()
--- a/tests/coordination/membership/test_health_check.py
+++ b/tests/coordination/membership/test_health_check.py
@@ -34,20 +34,20 @@
 ) -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
-        duties = cluster.nodes["core0"].duties
-        assert duties is not None
+        head_roles = cluster.nodes["core0"].head_roles
+        assert head_roles is not None
         before = cluster.nodes["store1"].me
         reached: list[int] = []
         monkeypatch.setattr(
-            duties._directory, "clear_suspicion", lambda member: reached.append(member.incarnation)
+            head_roles._directory, "clear_suspicion", lambda member: reached.append(member.incarnation)
         )
-        await duties._probe(before)
+        await head_roles._check_health(before)
         assert reached == [1]
         after = cluster.restart("store1").me
         await asyncio.sleep(0.05)
-        await duties._probe(before)
+        await head_roles._check_health(before)
         assert reached == [1]
-        await duties._probe(after)
+        await head_roles._check_health(after)
         assert reached == [1, 2]
 
     play(work)
--- a/tests/roles/test_calls_orders.py
+++ b/tests/roles/test_calls_orders.py
@@ -18,7 +18,7 @@
 from hollowusher.protocol.view import View, Voter
 from hollowusher.roles.operator_site import OperatorForward
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
-from tests.support.controller_cluster import Cluster, run_virtual
+from tests.support.controller_cluster import ControllerCluster, run_virtual
 
 HEAD, TAIL = "10.0.0.1:7780", "10.0.0.2:7780"
 ORDER = ChangeConfiguration("PUT", 3, b"{}")
@@ -73,8 +73,8 @@
     """The head has taken the order, its answer is lost: the controller that passed it on says 503, once."""
 
     async def scene() -> None:
-        cluster = Cluster()
-        await cluster.first_start()
+        cluster = ControllerCluster()
+        await cluster.bootstrap_all()
         head = next(node for node in cluster.nodes.values() if node.running.is_head)
         other = next(node for node in cluster.nodes.values() if not node.running.is_head)
         taken: dict[str, int] = dict.fromkeys(cluster.nodes, 0)
@@ -86,7 +86,7 @@
                 if isinstance(message, ChangeConfiguration):
                     taken[name] += 1
                     answer = await handler(message)
-                    cluster.cut_off(head.name)  # before its answer leaves
+                    cluster.isolate(head.name)  # before its answer leaves
                     return answer
                 return await handler(message)
 
@@ -94,7 +94,7 @@
         assert await other.put(1, 0) == 503
         assert taken == {name: int(name == head.name) for name in cluster.nodes}
         cluster.join_all()
-        await cluster.put_somewhere(1, 0)  # unchanged, it is acknowledged: it has been taken, or is now
+        await cluster.put_at_any_node(1, 0)  # unchanged, it is acknowledged: it has been taken, or is now
         answer = await other.running.handle(ReadConfiguration())
         assert isinstance(answer, OperatorResponse) and answer.status == 200
 
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -28,14 +28,14 @@
 T = TypeVar("T")
 LINK_DELAY_S = 0.001
 SYNC_S = 0.005
-STUCK = "stuck"  # a file of this name on a virtual disk: its syncs do not end
-FULL = "full"  # a file of this name on a virtual disk: it takes no more bytes
+STALLED = "stuck"  # a file of this name on a virtual disk: its syncs do not end
+DISK_FULL = "full"  # a file of this name on a virtual disk: it takes no more bytes
 
 
 class _JumpingSelector(selectors.SelectSelector):
     """Never waits: it moves the loop's clock to the next timer."""
 
-    loop: VirtualLoop
+    loop: JumpingClockLoop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
@@ -44,7 +44,7 @@
         return []
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class JumpingClockLoop(asyncio.SelectorEventLoop):
     """An event loop with a virtual clock."""
 
     def __init__(self) -> None:
@@ -59,11 +59,11 @@
 
 def run_virtual(work: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine under a virtual clock."""
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
+    with asyncio.Runner(loop_factory=JumpingClockLoop) as runner:
         return runner.run(work)
 
 
-class Network:
+class ControllerNetwork:
     """Which process listens where, the links that are cut, and how long messages and syncs take."""
 
     def __init__(self, seed: int) -> None:
@@ -103,9 +103,9 @@
 
 
 class VirtualTransport:
-    """The `Transport` of one process of a `Network`."""
+    """The `Transport` of one process of a `ControllerNetwork`."""
 
-    def __init__(self, network: Network, address: str) -> None:
+    def __init__(self, network: ControllerNetwork, address: str) -> None:
         self.network = network
         self.address = address
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -197,7 +197,9 @@
 class VirtualSlot:
     """A `Slot` on a virtual disk."""
 
-    def __init__(self, network: Network, files: dict[str, bytes], name: str, machine: str = "") -> None:
+    def __init__(
+        self, network: ControllerNetwork, files: dict[str, bytes], name: str, machine: str = ""
+    ) -> None:
         self._network = network
         self._files = files
         self._name = name
@@ -208,17 +210,17 @@
 
     async def save(self, value: bytes) -> None:
         await self._network.write(self._machine, value)
-        while self._files.get(STUCK):
+        while self._files.get(STALLED):
             await asyncio.sleep(SYNC_S)
-        if self._files.get(FULL):
+        if self._files.get(DISK_FULL):
             raise StorageError("save", self._name, "no space left")
         self._files[self._name] = value
 
 
-class Node:
+class ControllerNode:
     """One machine with a disk, and the controller that runs on it at times."""
 
-    def __init__(self, cluster: Cluster, name: str, number: int, zone: str) -> None:
+    def __init__(self, cluster: ControllerCluster, name: str, number: int, zone: str) -> None:
         self.cluster = cluster
         self.name = name
         self.zone = zone
@@ -298,8 +300,8 @@
             return
         await self.transport.close()
         tasks = self.controller._tasks | self.controller._consensus._tasks
-        if self.controller._seed._task is not None:
-            tasks = tasks | {self.controller._seed._task}
+        if self.controller._seed_service._task is not None:
+            tasks = tasks | {self.controller._seed_service._task}
         for task in tasks:
             task.cancel()
         self.controller = None
@@ -330,7 +332,7 @@
         return answer.status, orjson.loads(answer.body)["generation"] if answer.status == 200 else 0
 
 
-class Cluster:
+class ControllerCluster:
     """Some machines on one network, `tolerated` of which may be lost at one time: by default as many as leave
     a majority.  `seeds` are the operator addresses of those that are seeds."""
 
@@ -339,17 +341,17 @@
     ) -> None:
         self.seed = seed
         self.tolerated = max(1, (len(names) - 1) // 2) if tolerated is None else tolerated
-        self.network = Network(seed)
-        self.nodes: dict[str, Node] = {}
+        self.network = ControllerNetwork(seed)
+        self.nodes: dict[str, ControllerNode] = {}
         self._added = 0
         for name in names:
             self.add(name)
         self.seeds = seeds if seeds is not None else [node.seed for node in self.nodes.values()][:3]
 
-    def add(self, name: str, zone: str = "") -> Node:
+    def add(self, name: str, zone: str = "") -> ControllerNode:
         """A further machine, not yet started; by default the machines go round over three zones."""
         self._added += 1
-        self.nodes[name] = Node(self, name, self._added, zone or f"z{self._added % 3}")
+        self.nodes[name] = ControllerNode(self, name, self._added, zone or f"z{self._added % 3}")
         return self.nodes[name]
 
     def use_seeds(self, names: Iterable[str]) -> None:
@@ -360,10 +362,10 @@
         """A machine that is down is gone for good."""
         del self.nodes[name]
 
-    def __getitem__(self, name: str) -> Node:
+    def __getitem__(self, name: str) -> ControllerNode:
         return self.nodes[name]
 
-    async def first_start(self) -> None:
+    async def bootstrap_all(self) -> None:
         """Start all machines within 0.3 s, and wait until each knows the first view."""
         for number, node in enumerate(self.nodes.values()):
             await asyncio.sleep(0.3 * number / len(self.nodes))
@@ -371,16 +373,16 @@
         await self.until(lambda: all(node.running.view is not None for node in self.nodes.values()), 4.0)
         await self.until(lambda: any(node.running.is_head for node in self.nodes.values()), 2.0)
 
-    async def until(self, true: Any, seconds: float) -> float:
+    async def until(self, condition: Any, seconds: float) -> float:
         """Wait for something; how long it took."""
         loop = asyncio.get_running_loop()
         started = loop.time()
-        while not true():
+        while not condition():
             assert loop.time() - started < seconds, f"not so within {seconds} s"
             await asyncio.sleep(0.01)
         return loop.time() - started
 
-    async def put_somewhere(self, generation: int, if_match: int, seconds: float = 5.0) -> float:
+    async def put_at_any_node(self, generation: int, if_match: int, seconds: float = 5.0) -> float:
         """Send an order to one machine after the other until it is acknowledged; how long that took."""
         loop = asyncio.get_running_loop()
         started = loop.time()
@@ -398,7 +400,7 @@
             assert loop.time() - started < seconds, f"no acknowledgement within {seconds} s"
             await asyncio.sleep(0.1)
 
-    def cut_off(self, *names: str) -> None:
+    def isolate(self, *names: str) -> None:
         """Cut these machines off from all others."""
         for name in names:
             for other in self.nodes.keys() - set(names):
--- a/tests/support/order_model.py
+++ b/tests/support/order_model.py
@@ -18,10 +18,10 @@
 from hollowusher.coordination.controller.controller import Controller
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
-from tests.support.controller_cluster import Cluster, document
+from tests.support.controller_cluster import ControllerCluster, document
 
 CALL_TIMEOUT_S = 1.0
-GIVE_UP_S = 12.0
+ORDER_TIMEOUT_S = 12.0
 PAUSE_S = 0.1
 
 
@@ -33,7 +33,7 @@
     if_match: int
     body: bytes
     acknowledged_at: float | None = None
-    refused: list[OperatorResponse] = attrs.Factory(list)
+    refusals: list[OperatorResponse] = attrs.Factory(list)
 
     @property
     def digest(self) -> bytes:
@@ -53,34 +53,34 @@
 
 
 @attrs.frozen
-class Read:
+class ObservedRead:
     """One answer to `GET /config`."""
 
     started_at: float
     generation: int
 
 
-class PlainOrders:
+class OrderHistoryModel:
     """The orders taken, as a list; the document is made anew from all of them."""
 
     def __init__(self) -> None:
-        self.taken: list[SentOrder] = []
+        self.applied: list[SentOrder] = []
 
     @property
     def generation(self) -> int:
         """The version in force."""
-        return self.taken[-1].generation if self.taken else 0
+        return self.applied[-1].generation if self.applied else 0
 
-    def take(self, order: SentOrder) -> None:
+    def apply(self, order: SentOrder) -> None:
         """The order has been taken: it must build on the version in force."""
         assert order.if_match == self.generation, (order, self.generation)
         assert order.generation > self.generation
-        self.taken.append(order)
+        self.applied.append(order)
 
     def document(self) -> dict[str, Any]:
         """The configuration in force."""
         made: dict[str, Any] = {}
-        for order in self.taken:
+        for order in self.applied:
             if order.method == "PUT":
                 made = order.content
                 continue
@@ -90,17 +90,19 @@
         return made
 
 
-class Operators:
+class RandomOperators:
     """Several operators at work on one cluster."""
 
-    def __init__(self, cluster: Cluster, chance: random.Random, sizes: Sequence[int] = (0,)) -> None:
+    def __init__(
+        self, cluster: ControllerCluster, random_source: random.Random, sizes: Sequence[int] = (0,)
+    ) -> None:
         self.cluster = cluster
-        self.chance = chance
+        self.random_source = random_source
         self.sizes = sizes  # what the documents are made longer by
         self.orders: list[SentOrder] = []
-        self.reads: list[Read] = []
-        self.going = True
-        self._numbers = 0
+        self.reads: list[ObservedRead] = []
+        self.is_running = True
+        self._last_number = 0
 
     # -- single calls ----------------------------------------------------------------------------------
 
@@ -108,13 +110,13 @@
         """Those that run now."""
         return [node.controller for node in self.cluster.nodes.values() if node.controller is not None]
 
-    async def call(self, message: Any) -> OperatorResponse | None:
+    async def request_any(self, message: Any) -> OperatorResponse | None:
         """Ask any controller; None where no answer came in time.  The call goes on all the same."""
         running = [node for node in self.cluster.nodes.values() if node.controller is not None]
         if not running:
             return None
-        task = self.chance.choice(running).ask(message)
-        await asyncio.wait({task}, timeout=CALL_TIMEOUT_S * self.chance.choice((0.05, 1.0, 3.0)))
+        task = self.random_source.choice(running).ask(message)
+        await asyncio.wait({task}, timeout=CALL_TIMEOUT_S * self.random_source.choice((0.05, 1.0, 3.0)))
         if not task.done() or task.cancelled():
             return None
         answer = task.result()
@@ -124,7 +126,7 @@
     async def send(self, order: SentOrder) -> bool:
         """Send an order once; whether the answer was clear."""
         message = ChangeConfiguration(order.method, order.if_match, order.body)
-        answer = await self.call(message)
+        answer = await self.request_any(message)
         if answer is None or answer.status == 503:
             return False
         if answer.status == 200:
@@ -132,39 +134,45 @@
             if order.acknowledged_at is None:
                 order.acknowledged_at = asyncio.get_running_loop().time()
         else:
-            order.refused.append(answer)
+            order.refusals.append(answer)
         return True
 
     async def read(self) -> int | None:
         """The version in force, None where nobody could say."""
         started_at = asyncio.get_running_loop().time()
-        answer = await self.call(ReadConfiguration())
+        answer = await self.request_any(ReadConfiguration())
         if answer is None or answer.status not in (200, 404):
             return None
         generation = orjson.loads(answer.body)["generation"] if answer.status == 200 else 0
-        self.reads.append(Read(started_at, generation))
+        self.reads.append(ObservedRead(started_at, generation))
         return int(generation)
 
     # -- an operator -----------------------------------------------------------------------------------
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Read the version in force, send a change of it until the answer is clear, and so on."""
-        while self.going:
+        while self.is_running:
             base = await self.read()
             if base is not None:
                 await self._send_until_clear(self._new_order(base))
                 await self._send_an_old_one_again()
-            await asyncio.sleep(self.chance.uniform(0.0, PAUSE_S))
+            await asyncio.sleep(self.random_source.uniform(0.0, PAUSE_S))
 
     def _new_order(self, base: int) -> SentOrder:
-        self._numbers += 1
-        generation = base + self.chance.choice((1, 1, 2))
+        self._last_number += 1
+        generation = base + self.random_source.choice((1, 1, 2))
         content = document(generation)
-        content["routes"][0]["comment"] = f"{self._numbers} " + "x" * self.chance.choice(self.sizes)
+        content["routes"][0]["comment"] = f"{self._last_number} " + "x" * self.random_source.choice(
+            self.sizes
+        )
         method = "PUT"
-        if base and self.chance.random() < 0.4:
+        if base and self.random_source.random() < 0.4:
             method = "PATCH"
-            route = {**content["routes"][0], "name": f"r{self._numbers}", "pathPrefix": f"/{self._numbers}/"}
+            route = {
+                **content["routes"][0],
+                "name": f"r{self._last_number}",
+                "pathPrefix": f"/{self._last_number}/",
+            }
             content = {"generation": generation, "upsert": {"routes": [route]}}
         order = SentOrder(method, base, orjson.dumps(content))
         self.orders.append(order)
@@ -172,41 +180,41 @@
 
     async def _send_until_clear(self, order: SentOrder) -> None:
         started = asyncio.get_running_loop().time()
-        while asyncio.get_running_loop().time() - started < GIVE_UP_S:
-            copies = self.chance.choice((1, 1, 2, 3))  # the same order at once, at several controllers
+        while asyncio.get_running_loop().time() - started < ORDER_TIMEOUT_S:
+            copies = self.random_source.choice((1, 1, 2, 3))  # the same order at once, at several controllers
             if any(await asyncio.gather(*(self.send(order) for _ in range(copies)))):
                 return
-            await asyncio.sleep(self.chance.uniform(0.0, PAUSE_S))
+            await asyncio.sleep(self.random_source.uniform(0.0, PAUSE_S))
 
     async def _send_an_old_one_again(self) -> None:
         """Send an order again that was acknowledged at some time, or that nobody knows more about."""
-        if self.orders and self.chance.random() < 0.3:
-            await self.send(self.chance.choice(self.orders[-30:]))
+        if self.orders and self.random_source.random() < 0.3:
+            await self.send(self.random_source.choice(self.orders[-30:]))
 
     # -- the comparison --------------------------------------------------------------------------------
 
-    def check(self, state: ControlState) -> PlainOrders:
+    def check(self, state: ControlState) -> OrderHistoryModel:
         """Compare all that was answered with the state at the end."""
         by_digest = {order.digest: order for order in self.orders}
-        plain = PlainOrders()
+        model = OrderHistoryModel()
         for generation, digest in state.history:
             assert by_digest[digest].generation == generation
-            plain.take(by_digest[digest])
-        assert plain.document() == (orjson.loads(state.document) if state.document else {})
-        in_force = set(map(id, plain.taken))
+            model.apply(by_digest[digest])
+        assert model.document() == (orjson.loads(state.document) if state.document else {})
+        in_force = set(map(id, model.applied))
         for order in self.orders:
             if order.acknowledged_at is not None:
                 assert id(order) in in_force, f"acknowledged and not in force: {order}"
-            if order.refused:
+            if order.refusals:
                 assert id(order) not in in_force, f"refused and in force: {order}"
-        self._check_reads(plain)
-        return plain
+        self._check_reads(model)
+        return model
 
-    def _check_reads(self, plain: PlainOrders) -> None:
+    def _check_reads(self, model: OrderHistoryModel) -> None:
         """No read is older than what had been acknowledged before it began."""
-        known = {order.generation for order in plain.taken} | {0}
+        known = {order.generation for order in model.applied} | {0}
         for read in self.reads:
             assert read.generation in known, f"read and not in force at any time: {read}"
-            for order in plain.taken:
+            for order in model.applied:
                 if order.acknowledged_at is not None and order.acknowledged_at < read.started_at:
                     assert read.generation >= order.generation, f"{read} after {order}"
--- a/tests/support/order_traffic.py
+++ b/tests/support/order_traffic.py
@@ -9,10 +9,10 @@
 
 from hollowusher.protocol.codec import encode
 from hollowusher.protocol.operator_orders import ChangeConfiguration, OperatorResponse, ReadConfiguration
-from tests.support.controller_cluster import Cluster, document
+from tests.support.controller_cluster import ControllerCluster, document
 
-PATIENCE_S = 1.0
-TRIES = 4
+CALL_TIMEOUT_S = 1.0
+MAX_ATTEMPTS = 4
 
 
 class OrderTraffic:
@@ -21,10 +21,10 @@
     Checked at each answer: a read never goes back behind an acknowledged change, and no two changes on one
     version are both acknowledged."""
 
-    def __init__(self, cluster: Cluster, chance: random.Random) -> None:
+    def __init__(self, cluster: ControllerCluster, random_source: random.Random) -> None:
         self.cluster = cluster
         self.acknowledged: dict[int, int] = {}  # generation -> the version it built on
-        self._chance = chance
+        self._random = random_source
         self._next_generation = 1
         self._running = True
 
@@ -36,7 +36,7 @@
         """Send orders until stopped."""
         while self._running:
             await self._change_newest()
-            await asyncio.sleep(self._chance.uniform(0.0, 0.3))
+            await asyncio.sleep(self._random.uniform(0.0, 0.3))
 
     async def put_newest(self, within_s: float) -> None:
         """Change the newest configuration; fails where no change is acknowledged in time."""
@@ -55,7 +55,7 @@
         assert current >= max(self.acknowledged, default=0), "a read went back"
         generation, self._next_generation = self._next_generation, self._next_generation + 1
         order = ChangeConfiguration("PUT", current, orjson.dumps(document(generation)))
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             answer = await self._ask(order)
             if answer is not None and answer.status == 200:
                 built_on = [version for known, version in self.acknowledged.items() if known != generation]
@@ -69,11 +69,11 @@
     async def _ask(self, message: ReadConfiguration | ChangeConfiguration) -> OperatorResponse | None:
         """The answer of some controller, None where it gives none in time; it ends with its process."""
         up = [node.transport for node in self.cluster.nodes.values() if node.controller is not None]
-        transport = self._chance.choice(up) if up else None
+        transport = self._random.choice(up) if up else None
         if transport is None:
             return None
         work = transport.take(encode(message))
-        done, _ = await asyncio.wait({work}, timeout=PATIENCE_S)
+        done, _ = await asyncio.wait({work}, timeout=CALL_TIMEOUT_S)
         if not done or work.cancelled():
             return None
         answer = work.result()
--- a/tests/support/controllers.py
+++ b/tests/support/simulated_controllers.py
@@ -17,9 +17,9 @@
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.controller.controller import Controller
-from hollowusher.coordination.controller.head_roles import HeadDuties
+from hollowusher.coordination.controller.head_roles import HeadRoles
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
-from hollowusher.coordination.distribution.feed import Feed
+from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
@@ -30,11 +30,11 @@
 from hollowusher.storage.memory import MemorySlot
 
 SYNC_S = 0.005
-READ_S = 0.02  # of the platform's list
+WORKER_LIST_READ_S = 0.02  # of the platform's list
 
 
 @attrs.frozen
-class Reign:
+class LeadershipClaim:
     """A moment at which a controller took itself for the head."""
 
     name: str
@@ -42,74 +42,74 @@
     at: float
 
 
-class Platform:
+class FakeWorkerListSource:
     """The platform's list: a worker for each reading, so that each list says something new."""
 
     def __init__(self) -> None:
-        self.readings = 0
-        self.answers_after_s = READ_S
+        self.reads_begun = 0
+        self.read_duration_s = WORKER_LIST_READ_S
 
     async def read(self) -> PlatformWorkerList | None:
-        self.readings += 1
-        number = self.readings
-        await asyncio.sleep(self.answers_after_s)
+        self.reads_begun += 1
+        number = self.reads_begun
+        await asyncio.sleep(self.read_duration_s)
         return PlatformWorkerList(
             [PlatformWorker(f"i-{number}", "s", f"10.9.0.1:{1000 + number}", "z", 1, "ready", 0)]
         )
 
 
-class CoreNode:
+class SimulatedController:
     """One controller's process."""
 
-    def __init__(self, core: Core, name: str, number: int) -> None:
-        self.core = core
+    def __init__(self, controllers: SimulatedControllers, name: str, number: int) -> None:
+        self.controllers = controllers
         self.name = name
         self.host = f"10.0.0.{number}"
         self.address = f"{self.host}:7780"
         self.process = SimulatedProcess(name, 1)
         self.me = Member(name, "edge", self.address, f"z{number}", "r", 1, f"disk-{name}", True, True)
-        self.platform = Platform()
+        self.worker_list_source = FakeWorkerListSource()
         self.state = ClusterState()
-        self.feed = Feed(f"{name}/1")
+        self.feed = UpdateFeed(f"{name}/1")
         self.published: list[DistributedItem] = []
         self.controller: Controller
-        self.duties: HeadDuties
+        self.head_roles: HeadRoles
         self.client: ClusterClient
 
     async def run(self) -> None:
         """The process from its start on."""
-        core, loop = self.core, self.core.loop
+        controllers, loop = self.controllers, self.controllers.loop
         settings = BootSettings(
             node_name=self.name,
             machine_class="edge",
             ip=self.host,
             internal_ports=[7780, 7795],
-            seed_nodes=core.seeds,
+            seed_nodes=controllers.seeds,
             bootstrap=True,
             bind=Bind(),
         )
-        transport = core.network.transport(self.process, self.address)
-        self.feed.listen(self._note)
+        transport = controllers.network.transport(self.process, self.address)
+        self.feed.add_listener(self._note)
         self.controller = Controller(
             self.me,
             transport,
             settings,
             MemorySlot(save_s=SYNC_S),
             StateStore(MemorySlot(save_s=SYNC_S), [MemorySlot(save_s=SYNC_S), MemorySlot(save_s=SYNC_S)]),
-            random.Random(f"{core.seed} {self.name}"),
-            lambda view: self.duties.publish_view(view),
-            lambda state: self.duties.publish_state(state),
+            random.Random(f"{controllers.seed} {self.name}"),
+            lambda view: self.head_roles.publish_view(view),
+            lambda state: self.head_roles.publish_state(state),
         )
-        self.duties = HeadDuties(
+        self.head_roles = HeadRoles(
             self.me,
             self.controller,
             self.feed,
             MemberDirectory(loop.time()),
             settings,
-            self.platform,
+            self.worker_list_source,
             transport,
             loop.time,
-            is_newest=self.controller.is_newest,
+            has_newest_view=self.controller.has_newest_view,
         )
         self.client = ClusterClient(
             self.me, transport, settings, self.state, self.feed, random.Random(f"client {self.name}")
@@ -118,15 +118,15 @@
         await self.controller.start()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.client.run())
-            tasks.create_task(self.duties.run())
+            tasks.create_task(self.head_roles.run())
 
     def _note(self, item: DistributedItem) -> None:
         if item.origin == self.feed.origin:
             self.published.append(item)
 
     async def _handle(self, message: Any) -> Any:
-        if isinstance(message, HeadDuties.MESSAGES):
-            return await self.duties.handle(message)
+        if isinstance(message, HeadRoles.MESSAGES):
+            return await self.head_roles.handle(message)
         if isinstance(message, Controller.MESSAGES):
             return await self.controller.handle(message)
         return await self.client.handle(message)
@@ -149,21 +149,23 @@
         return answer
 
 
-class Core:
+class SimulatedControllers:
     """All controllers, and what they took themselves for."""
 
     def __init__(self, loop: VirtualTimeLoop, names: str, seed: int = 1) -> None:
         self.loop = loop
         self.seed = seed
         self.network = SimulatedNetwork(loop, random.Random(seed))
-        self.nodes = {name: CoreNode(self, name, number) for number, name in enumerate(names, start=1)}
+        self.nodes = {
+            name: SimulatedController(self, name, number) for number, name in enumerate(names, start=1)
+        }
         self.seeds = [f"{node.host}:8064" for node in self.nodes.values()][:3]
-        self.reigns: list[Reign] = []
+        self.leadership_claims: list[LeadershipClaim] = []
         self.acknowledged = 0
         self.generation = 1
         self._tasks: list[asyncio.Task[None]] = []
 
-    def __getitem__(self, name: str) -> CoreNode:
+    def __getitem__(self, name: str) -> SimulatedController:
         return self.nodes[name]
 
     async def start(self) -> None:
@@ -174,21 +176,21 @@
         await self.until(lambda: self.head() is not None, 6.0)
         self._tasks.append(asyncio.get_running_loop().create_task(self._watch()))
 
-    def head(self) -> CoreNode | None:
+    def head(self) -> SimulatedController | None:
         """The controller that is the head, as long as only one says so."""
         heads = [node for node in self.nodes.values() if hasattr(node, "client") and node.controller.is_head]
         return heads[0] if len(heads) == 1 else None
 
-    def leader(self) -> CoreNode:
+    def require_head(self) -> SimulatedController:
         """The head, which must be there."""
         head = self.head()
         assert head is not None
         return head
 
-    async def until(self, true: Callable[[], bool], seconds: float) -> None:
+    async def until(self, condition: Callable[[], bool], seconds: float) -> None:
         """Wait for something."""
         deadline = self.loop.time() + seconds
-        while not true():
+        while not condition():
             assert self.loop.time() < deadline, f"not so within {seconds} s"
             await asyncio.sleep(0.01)
 
@@ -196,11 +198,13 @@
         while True:
             for node in self.nodes.values():
                 if not node.process.frozen and node.process.context.run(self._is_head, node):
-                    self.reigns.append(Reign(node.name, node.controller._member.epoch, self.loop.time()))
+                    self.leadership_claims.append(
+                        LeadershipClaim(node.name, node.controller._chain_member.epoch, self.loop.time())
+                    )
             await asyncio.sleep(0.005)
 
     @staticmethod
-    def _is_head(node: CoreNode) -> bool:
+    def _is_head(node: SimulatedController) -> bool:
         return node.controller.is_head
 
     def cut(self, victim: str, shape: str) -> None:
@@ -216,18 +220,18 @@
     def overlap_s(self) -> float:
         """How long, at most, one took itself for the head after a later epoch's head had begun."""
         began: dict[int, float] = {}
-        for reign in self.reigns:
-            began.setdefault(reign.epoch, reign.at)
+        for claim in self.leadership_claims:
+            began.setdefault(claim.epoch, claim.at)
         longest = 0.0
-        for reign in self.reigns:
-            later = [at for epoch, at in began.items() if epoch > reign.epoch and at <= reign.at]
+        for claim in self.leadership_claims:
+            later = [at for epoch, at in began.items() if epoch > claim.epoch and at <= claim.at]
             if later:
-                longest = max(longest, reign.at - min(later))
+                longest = max(longest, claim.at - min(later))
         return longest
 
     # Operators
 
-    async def change_all_the_time(self) -> None:
+    async def change_continuously(self) -> None:
         """Send change after change, each to one controller after the other until it is acknowledged."""
         names = list(self.nodes)
         turn = 0
@@ -244,7 +248,7 @@
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.05)
 
-    async def read_all_the_time(self, name: str) -> None:
+    async def read_continuously(self, name: str) -> None:
         """Read at one controller: never less than what was acknowledged before the question."""
         while True:
             known = self.acknowledged
@@ -277,14 +281,16 @@
     return {"generation": generation, "routes": [route], "upstreams": [{"name": "s"}], "limits": {}}
 
 
-def play(work: Callable[[Core], Coroutine[Any, Any, None]], names: str = "abc", seed: int = 1) -> Core:
+def run_simulated_controllers(
+    work: Callable[[SimulatedControllers], Coroutine[Any, Any, None]], names: str = "abc", seed: int = 1
+) -> SimulatedControllers:
     """Run a scenario; errors that nobody caught fail it."""
     loop = VirtualTimeLoop()
-    core = Core(loop, names, seed)
+    controllers = SimulatedControllers(loop, names, seed)
     try:
-        loop.play(work(core))
+        loop.play(work(controllers))
         assert loop.failures == []
-        assert core.network.handler_failures == []
+        assert controllers.network.handler_failures == []
     finally:
         loop.shut()
-    return core
+    return controllers
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.distribution.peer_names import present
+from hollowusher.coordination.distribution.peer_identities import track_peer_identities
 from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.codec import MAX_TAG, encode, evolve, tag_of
 from hollowusher.protocol.consensus import ConfirmEpoch, Ping
@@ -98,7 +98,7 @@
 
 def test_the_directory_follows_the_distributed_values() -> None:
     state, directory = ClusterState(), PeerDirectory()
-    present(directory, Member("edge-1", "edge", "10.0.0.9:7780", "z", "r", 4, "d9"), state)
+    track_peer_identities(directory, Member("edge-1", "edge", "10.0.0.9:7780", "z", "r", 4, "d9"), state)
     member = store_member("store-1", "10.0.0.1:7780", 5)
     view = View(1, [Voter("a", "da", "10.0.0.3:7780")], ["a"], cluster="c1")
     state.apply(
