--- a/hollowusher/protocol/acknowledgement.py
+++ b/hollowusher/protocol/acknowledgement.py
@@ -7,4 +7,4 @@
 
 @message(7)
 class Acknowledgement:
-    """A plain acknowledgement."""
+    """Acknowledgement of a message that has no other answer."""
--- a/hollowusher/protocol/call_rules.py
+++ b/hollowusher/protocol/call_rules.py
@@ -1,8 +1,8 @@
-"""For each message that is sent by itself: whom it is meant for, and whether it may be sent again.
+"""Rules of calls: for each message type the process it is meant for, and whether it may be sent again.
 
-A message may be sent again after silence or a reset only where a second arrival does no harm: because it
-changes nothing, or because an id, a version, a ballot or an epoch in it makes the second arrival the same as
-the first.  `docs/control-safety/calls.md` tells who repeats which, and to whom.
+A message may be sent again after a timeout or a reset only where it is idempotent: it changes nothing,
+or an id, a version, a ballot or an epoch in it gives the second arrival the same effect as the first.
+docs/control-safety/calls.md says which process repeats which message, and to whom.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 
 
 class Addressee(enum.Enum):
-    """How exactly the receiver has to be the process that is meant."""
+    """How exactly the receiver has to match the process that the caller means."""
 
-    ANYBODY = "whoever is there: the caller is still looking for the system"
+    ANYBODY = "any process: the caller is still looking for the cluster"
     VOTER = "the voter of that name"
     VOTER_DISK = "the voter of that name, with the disk that votes"
     MEMBER = "the member of that name"
@@ -46,26 +46,26 @@
 
 
 class Idempotence(enum.Enum):
-    """What makes a second arrival of a message harmless."""
+    """Why a second arrival of a message is harmless."""
 
     READ = "it changes nothing"
     BY_ID = "an id in it: the second arrival finds the first one's result"
     BY_VERSION = "a version, epoch or ballot in it: an older or equal one changes nothing"
-    LATEST = "it tells how things stand now: the second says the same, or is replaced by the next"
-    LEASED_TWICE = "it asks for more: what a lost answer granted goes back, told so or run out"
+    LATEST = "it reports the present state: the next report replaces it"
+    LEASED_TWICE = "it asks for more: leases granted in a lost response are returned or expire"
     NEVER = "a second arrival may have another effect than the first: it is sent once"
 
 
 @attrs.frozen
 class CallRule:
-    """How one type of message may be sent."""
+    """How messages of one type may be sent."""
 
     addressee: Addressee
     idempotence: Idempotence
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether the same message may be sent again where it is not known what became of it."""
+        """Whether the same message may be sent again while the outcome of the first is unknown."""
         return self.idempotence is not Idempotence.NEVER
 
 
@@ -111,9 +111,9 @@
     LearnerReady: CallRule(Addressee.VOTER, Idempotence.LATEST),
     LearnerLost: CallRule(Addressee.VOTER, Idempotence.LATEST),
 }
-DEFAULT_RULE = CallRule(Addressee.MEMBER, Idempotence.NEVER)  # of a message that has no rule
+DEFAULT_RULE = CallRule(Addressee.MEMBER, Idempotence.NEVER)  # of a message type that has no rule
 
 
 def call_rule_of(message: object) -> CallRule:
-    """The rule of a message."""
+    """Return the rule of a message, `DEFAULT_RULE` for a type that has none."""
     return CALL_RULES.get(type(message), DEFAULT_RULE)
--- a/hollowusher/protocol/codec.py
+++ b/hollowusher/protocol/codec.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any, TypeVar, dataclass_transform
+from typing import Any, TypeVar, cast, dataclass_transform
 
 import attrs
 import ormsgpack
@@ -25,7 +25,7 @@
 
 
 class DecodeError(ValueError):
-    """Bytes that are no message of this protocol."""
+    """The bytes are no message of this protocol."""
 
 
 @dataclass_transform(frozen_default=True, field_specifiers=(attrs.field,))
@@ -44,33 +44,36 @@
     return register
 
 
-def tag_of(value: Any) -> int:
-    """The number of a message's type, `NO_TAG` for a plain value."""
+def tag_of(value: object) -> int:
+    """Return the tag number of a message's type, `NO_TAG` for a plain value."""
     return _tags.get(type(value), NO_TAG)
 
 
 def registered_types() -> dict[int, type]:
-    """All message types that have been registered, by number."""
+    """Return all registered message types by tag number."""
     return dict(_types)
 
 
-def as_document(value: Any) -> dict[str, Any]:
-    """A message and those in it as maps by field name, for JSON."""
-    return attrs.asdict(value)
+def as_document(value: object) -> dict[str, object]:
+    """Return a message, and those inside it, as maps by field name, for JSON.
 
+    Field names are part of that interface, unlike on the wire.
+    """
+    return attrs.asdict(cast("attrs.AttrsInstance", value))
 
-def from_document(kind: type[Value], values: Mapping[str, Any]) -> Value:
-    """A message by `as_document`'s map; keys that are no fields of it are left out."""
+
+def from_document(kind: type[Value], values: Mapping[str, object]) -> Value:
+    """Return the message of such a map; keys that are no fields of it are left out."""
     return kind(**{name: value for name, value in values.items() if name in _fields[kind]})
 
 
-def evolve(value: Value, **changes: Any) -> Value:
-    """The same message with some fields changed."""
+def evolve(value: Value, **changes: object) -> Value:
+    """Return a copy of a message with some fields changed."""
     changed: Value = attrs.evolve(value, **changes)  # type: ignore[misc]  # any message is an attrs class
     return changed
 
 
-def _encode_message(value: Any) -> Any:
+def _encode_message(value: object) -> ormsgpack.Ext:
     tag = _tags.get(type(value))
     if tag is None:
         raise TypeError(f"{type(value).__name__} is no registered message")
@@ -78,7 +81,7 @@
     return ormsgpack.Ext(tag, ormsgpack.packb(values, default=_encode_message, option=_OPTIONS))
 
 
-def _decode_message(tag: int, data: bytes) -> Any:
+def _decode_message(tag: int, data: bytes) -> object:
     cls = _types.get(tag)
     if cls is None:
         raise DecodeError(f"unknown message type {tag}")
@@ -86,13 +89,19 @@
     return cls(*values)
 
 
-def encode(value: Any) -> bytes:
-    """The bytes of a message, or of plain values that contain messages."""
+def encode(value: object) -> bytes:
+    """Return the bytes of a message, or of plain values that contain messages."""
     return ormsgpack.packb(value, default=_encode_message, option=_OPTIONS)
 
 
-def decode(data: bytes) -> Any:
-    """The value of such bytes; `DecodeError` for anything else."""
+def decode(data: bytes) -> Any:  # noqa: ANN401  # of any registered type: the caller checks it
+    """Return the value of such bytes.
+
+    Raises
+    ------
+    DecodeError
+        If the bytes are no message of this protocol.
+    """
     try:
         return ormsgpack.unpackb(data, ext_hook=_decode_message, option=_OPTIONS)
     except DecodeError:
--- a/hollowusher/protocol/consensus.py
+++ b/hollowusher/protocol/consensus.py
@@ -1,4 +1,9 @@
-"""Messages by which the voters agree on the next view (single-decree Paxos per epoch)."""
+"""Messages by which the voters of a view decide on the next one.
+
+Each epoch is one instance of single-decree Paxos (Lamport, "Paxos Made Simple", section 2.2) among the voters
+of the view before.  Ballots are `[round, proposer name]` and compare as lists.  `granted` is false where the
+acceptor has promised a greater ballot, which `ballot` then names.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +17,7 @@
 
 @message(14)
 class Prepare:
-    """First phase of agreeing on view `epoch`."""
+    """Phase 1a: request of a proposer for a promise about the view of `epoch`."""
 
     epoch: int
     ballot: list[Any]  # [round, name]
@@ -22,7 +27,7 @@
 
 @message(15)
 class Promise:
-    """Answer to `Prepare`."""
+    """Phase 1b: response to `Prepare`, with the value accepted so far."""
 
     granted: bool
     ballot: list[Any]
@@ -33,7 +38,7 @@
 
 @message(16)
 class Accept:
-    """Second phase of agreeing on a view."""
+    """Phase 2a: request of a proposer to accept `view` as the view of `epoch`."""
 
     epoch: int
     ballot: list[Any]
@@ -43,7 +48,7 @@
 
 @message(17)
 class Accepted:
-    """Answer to `Accept`."""
+    """Phase 2b: response to `Accept`."""
 
     granted: bool
     ballot: list[Any]
@@ -52,30 +57,29 @@
 
 @message(18)
 class ViewDecided:
-    """One-way: a view has been decided."""
+    """One-way notice that a view has been decided."""
 
     view: View
 
 
 @message(37)
 class ProposeFirstView:
-    """Asks a controller with an empty disk to take this as view 1."""
+    """Proposal of view 1 to a controller with an empty disk."""
 
     view: View
 
 
 @message(38)
 class FirstViewResponse:
-    """Answer to `ProposeFirstView`: the first view that the controller holds durably, and the newest view
-    that it knows to be decided."""
+    """Response to `ProposeFirstView`."""
 
-    taken: View | None
-    decided: View | None = None
+    taken: View | None  # the first view that the controller holds durably
+    decided: View | None = None  # the newest view that it knows to be decided
 
 
 @message(39)
 class Ping:
-    """A voter asks another one whether it is there."""
+    """Health check of one voter by another."""
 
     name: str
     epoch: int  # the newest view the sender knows
@@ -83,7 +87,7 @@
 
 @message(40)
 class Pong:
-    """Answer to `Ping`."""
+    """Response to `Ping`: the state of a voter as the others need it to propose a view."""
 
     name: str
     disk_id: str
@@ -97,7 +101,7 @@
 
 @message(41)
 class ConfirmEpoch:
-    """The chain's tail or head asks the voters whether its view is still the newest."""
+    """Question of the chain's head or tail to the voters whether its view is still the newest."""
 
     epoch: int
     cluster: str = ""
@@ -106,7 +110,7 @@
 
 @message(42)
 class EpochConfirmed:
-    """Answer to `ConfirmEpoch`: `ok` where the voter has accepted no later view."""
+    """Response to `ConfirmEpoch`: `ok` where the voter has accepted no later view."""
 
     ok: bool
     epoch: int
--- a/hollowusher/protocol/control_chain.py
+++ b/hollowusher/protocol/control_chain.py
@@ -1,4 +1,9 @@
-"""The control state, its replication along the control chain, and reads of it."""
+"""The control state, its replication along the control chain, and reads of it.
+
+The head sends each state towards the tail; every member syncs it before it passes it on (chain replication,
+van Renesse and Schneider 2004).  The large part of the state, the *state record* (configuration document and
+order history), travels apart from it under its digest.  See docs/control-safety/snapshots.md.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +17,7 @@
 
 @message(22)
 class ControlState:
-    """All that the control chain keeps."""
+    """All that the control chain keeps.  States compare by the pair (epoch, sequence)."""
 
     sequence: int
     generation: int  # 0: no configuration has been taken yet
@@ -24,14 +29,15 @@
 
 @message(23)
 class ChainWrite:
-    """From the head towards the tail: keep this state durably, pass it on, then answer.
+    """Request to sync a state, pass it on towards the tail, then answer.
 
-    A document and history that the receiver holds, or that are too large for one message, are left out of
-    `state` and named by `record`; a receiver that lacks them asks for them (`ReadStateRecord`)."""
+    A state record that the receiver holds, or that is too large for one message, is left out of `state` and
+    named by `record`.  A receiver that lacks it fetches it with `ReadStateRecord`.
+    """
 
     epoch: int
     state: ControlState
-    record: bytes = b""  # digest of the document and history that `state` lacks; empty: it is whole
+    record: bytes = b""  # digest of the document and history that `state` lacks; empty: `state` is complete
     cluster: str = ""
     sender: str = ""  # the chain member before the receiver
     receiver_disk: str = ""
@@ -39,7 +45,10 @@
 
 @message(24)
 class ChainWritten:
-    """Answer to `ChainWrite`: `ok` once the tail has the state; else the epoch known to the refuser."""
+    """Response to `ChainWrite`: `ok` once the tail has synced the state.
+
+    Otherwise `epoch` is the newest one that the rejecting member knows.
+    """
 
     ok: bool
     epoch: int = 0
@@ -49,7 +58,7 @@
 
 @message(29)
 class ReadControlState:
-    """Asks the chain's tail for the control state (a started scheduler does, before it serves)."""
+    """Request to the chain's tail for the control state, by a process that starts."""
 
     forwarded: bool = False
 
@@ -64,7 +73,7 @@
 
 @message(108)
 class ReadStateRecord:
-    """Asks a controller for a part of the document and history that a state names by their digest."""
+    """Request for a chunk of the state record with this digest."""
 
     digest: bytes  # empty: those of the newest state that the controller holds
     offset: int
@@ -73,9 +82,9 @@
 
 @message(109)
 class StateRecordChunk:
-    """Answer to `ReadStateRecord`; an empty `digest` where the controller does not hold it."""
+    """Response to `ReadStateRecord`; `digest` is empty where the controller does not hold the record."""
 
     digest: bytes
-    size: int  # of the whole
+    size: int  # of the complete record, in bytes
     offset: int
     data: bytes
--- a/hollowusher/protocol/control_status.py
+++ b/hollowusher/protocol/control_status.py
@@ -1,4 +1,7 @@
-"""The state of the control plane as an operator is shown it."""
+"""The state of the control plane as an operator is shown it.
+
+`GET /status` and the command line print these messages with their field names: the names are an interface.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 @message(80)
 class ReadControlStatus:
-    """Asks a controller how the agreement, the chain and the placement stand; the head knows most."""
+    """Request for the state of consensus, chain and placement; the head knows most."""
 
     forwarded: bool = False
 
@@ -41,7 +44,7 @@
 
 @message(83)
 class ControlStatus:
-    """How control stands, from one controller's own knowledge."""
+    """State of the control plane from one controller's own knowledge."""
 
     answered_by: str
     epoch: int
--- a/hollowusher/protocol/distribution.py
+++ b/hollowusher/protocol/distribution.py
@@ -1,4 +1,8 @@
-"""Distribution of published values from the controllers to every process."""
+"""Distribution of published values from the controllers to every process.
+
+Controllers publish items; every process pulls those beyond its version vector from one controller, by long
+poll.  A version vector gives for each origin the greatest counter received.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 
 @message(31)
 class DistributedItem:
-    """One distributed value.  Of two items with one key the one with the greater `version` counts."""
+    """One distributed value; of two items with one key the one with the greater `version` is current."""
 
     key: str  # "configuration" | "placement" | "view" | "member/NAME" | "workers"
     version: list[int]
@@ -20,7 +24,7 @@
 
 @message(32)
 class PullUpdates:
-    """Asks a controller for the items beyond the reader's version vector; it may wait for one to come."""
+    """Request for the items beyond the reader's version vector; it may wait up to `wait_ms` for one."""
 
     reader: str
     have: dict[str, int]  # origin -> counter
@@ -29,8 +33,10 @@
 
 @message(33)
 class UpdatesResponse:
-    """Answer to `PullUpdates`.  `connected` is False where the controller has lost most of the others, so
-    that what it gives may be old; `age_ms`: how long ago it had word from most of them."""
+    """Response to `PullUpdates`.
+
+    `connected` is false where the controller has lost most of the others, so that its items may be old.
+    """
 
     items: list[DistributedItem]
     have: dict[str, int]
@@ -40,7 +46,9 @@
 
 @message(46)
 class ReadRepair:
-    """One-way, from a reader to the controller it pulls from: items that the controller lacks, because the
-    one that published them ended before any other had pulled them."""
+    """One-way message of a reader to the controller that it pulls from, with items that this one lacks.
+
+    That happens where the publisher of the items ended before any other controller had pulled them.
+    """
 
     items: list[DistributedItem]
--- a/hollowusher/protocol/identity.py
+++ b/hollowusher/protocol/identity.py
@@ -1,4 +1,8 @@
-"""Who speaks on a connection between two processes."""
+"""Identities: which process speaks on a connection, and which one the caller means to reach.
+
+Addresses are used again.  Neither a name nor an address alone says who answers; cluster, name and incarnation
+together do.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +11,7 @@
 
 @message(90)
 class Identity:
-    """Which life of which process of which system speaks.  Addresses are used again: a name alone, or an
-    address alone, does not say who answers."""
+    """Identity of one incarnation of one process of one cluster."""
 
     cluster: str  # `View.cluster`, empty while the process has not learnt it
     name: str
@@ -18,8 +21,10 @@
 
 @message(116)
 class Hello:
-    """The first frame on a connection, and again when the caller has learnt more: who calls, and whom it
-    means to reach.  Empty fields of `meant` are not known to the caller."""
+    """First frame on a connection: the caller's identity and that of the process it means to reach.
+
+    The caller sends it again once it has learnt more.  Empty fields of `meant` are not known to the caller.
+    """
 
     caller: Identity
     meant: Identity
--- a/hollowusher/protocol/leases.py
+++ b/hollowusher/protocol/leases.py
@@ -1,4 +1,7 @@
-"""Leases of jobs that a store grants to dispatchers."""
+"""Leases of jobs that a partition's primary grants to dispatchers, and the ends of these leases.
+
+A lease id is "PARTITION-EPOCH-SEQUENCE-NUMBER": the message's reference and the number of the lease.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +11,11 @@
 
 @message(53)
 class LeaseRequest:
-    """A dispatcher asks a store for up to `most` jobs of a service; the store may wait for one to come.
-    Pull leases last `visibility_ms` after the last word of the worker; push leases as long as their
-    dispatcher lives, bounded by the delivery's timeout."""
+    """Request of a dispatcher to a store for up to `most` jobs of a service.
+
+    The store may wait up to `wait_ms` for one to come.  Pull leases last `visibility_ms` after the worker's
+    last call; push leases as long as their dispatcher lives, bounded by the delivery's timeout.
+    """
 
     dispatcher: str
     incarnation: int
@@ -25,33 +30,36 @@
 
 @message(54)
 class LeasedJob:
-    """A leased job.  `attempt` counts earlier deliveries of the message."""
+    """A leased job; `attempt` counts earlier deliveries of the message."""
 
     lease: str
     message: NewMessage
     attempt: int
-    start_within_ms: int  # the delivery is to begin by then, else the lease is to be given back unrun
+    start_within_ms: int  # the delivery has to begin within this time, else the lease goes back unrun
     state: str = ""  # for call-backs: the end to report
     signature: str = ""  # for call-backs
 
 
 @message(55)
 class LeaseResponse:
-    """Answer to `LeaseRequest`.  `next_ms`: when a ceiling or delay lets more jobs go, 0: unknown.
-    `leased_after_ms`: how long after the request had come the jobs were leased; so the asker knows how old
-    the leases are at most, whoever stood still meanwhile."""
+    """Response to `LeaseRequest`.
+
+    `leased_after_ms` is the time from the request's arrival to the grant, so that the dispatcher knows the
+    greatest age of the leases, whichever process stood still meanwhile.
+    """
 
     jobs: list[LeasedJob]
-    next_ms: int = 0
+    next_ms: int = 0  # until a rate limit or delay lets more jobs go, 0: unknown
     leased_after_ms: int = 0
 
 
 @message(56)
 class FinishLease:
-    """The end of a lease.  Sent again until it is answered.
+    """The end of a lease; it is sent again until it is answered.
 
-    `result`: "success" (with signature) | "failed" (the worker answered 500) | "refused" (422: never) |
-    "not_run" (given back, refused as not run, could not connect) | "unknown" (reset, silence, timeout)."""
+    `result` is "success" (with signature), "failed" (the worker answered 500), "refused" (422: never again),
+    "not_run" (given back, rejected as not run, or no connection) or "unknown" (reset, silence, timeout).
+    """
 
     lease: str
     result: str
@@ -61,21 +69,25 @@
 
 @message(57)
 class ExtendLease:
-    """A pull worker needs longer."""
+    """Request of a pull worker for more time."""
 
     lease: str
 
 
 @message(58)
 class LeaseUpdateResponse:
-    """`taken`: durable (a repeat gets the same).  `gone`: the lease is no longer valid.  `not_primary`."""
+    """Response to `FinishLease` and `ExtendLease`.
+
+    "taken": the change is durable, and a repeated request gets the same answer.  "gone": the lease is not
+    valid any more.
+    """
 
     status: str  # "taken" | "gone" | "not_primary" | "unavailable"
 
 
 @message(61)
 class JobsWaiting:
-    """One-way, from a store to dispatchers: jobs of this service wait here and nobody asks for them."""
+    """One-way notice of a store to dispatchers: jobs of this service wait here and nobody asks for them."""
 
     service: str
     store: str
--- a/hollowusher/protocol/membership.py
+++ b/hollowusher/protocol/membership.py
@@ -1,4 +1,9 @@
-"""Messages about the members of the system: registration, heartbeats, suspicion, departure."""
+"""Messages about the members of the cluster: registration, heartbeats, suspicion, departure.
+
+A node is known by its `nodeName`.  An incarnation is the number of one run of its process; it only grows.  A
+disk id is written to a new, empty data directory and names that disk for good, so that a machine that lost
+its disk is not taken for the one that had it.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +12,10 @@
 
 @message(1)
 class Member:
-    """One process of the system as the others know it.  `status` grows within an incarnation: even numbers
-    mean alive, odd ones mean dead or leaving."""
+    """One process of the cluster as the other processes know it.
+
+    `status` grows within an incarnation; even numbers mean alive, odd ones dead or departing.
+    """
 
     name: str
     role: str  # "edge" or "store"
@@ -25,32 +32,35 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it is present and takes work."""
+        """Whether the member is present and takes work."""
         return self.status % 2 == 0
 
     @property
     def store_id(self) -> str:
-        """Name and disk: what a replica set holds."""
+        """The name and disk id that replica sets refer to, as "name/disk id"."""
         return f"{self.name}/{self.disk_id}"
 
 
 @message(2)
 class RegisterMember:
-    """A process announces itself to a controller (also: it refutes its death with a higher status)."""
+    """Request of a process to a controller to be registered as a member.
+
+    A member that was declared dead by mistake refutes it by registering with a greater `status`.
+    """
 
     member: Member
 
 
 @message(3)
 class MemberRegistered:
-    """Answer to `RegisterMember`; `epoch` is the newest view that the controller knows, 0 for none."""
+    """Response to `RegisterMember`."""
 
-    epoch: int
+    epoch: int  # of the newest view that the controller knows, 0 for none
 
 
 @message(4)
 class Heartbeat:
-    """One-way, to each monitor."""
+    """One-way sign of life from a member to each of its monitors."""
 
     name: str
     incarnation: int
@@ -58,7 +68,7 @@
 
 @message(5)
 class MemberSuspected:
-    """One-way, from a monitor to every controller: no sign of life within the time allowed."""
+    """One-way report of a monitor to every controller: a member's heartbeats have stopped."""
 
     name: str
     incarnation: int
@@ -67,7 +77,7 @@
 
 @message(6)
 class MemberDeparting:
-    """A process tells a controller that it is about to stop (after SIGTERM)."""
+    """Notice of a process to a controller that it is about to stop, after SIGTERM."""
 
     name: str
     incarnation: int
@@ -75,8 +85,11 @@
 
 @message(117)
 class CheckIncarnation:
-    """Asks whether this very incarnation of a process is there.  The answer is `Acknowledgement`, and none
-    from a later incarnation; another process at its address refuses the call."""
+    """Health check of one incarnation of a process.
+
+    That incarnation answers with `Acknowledgement`, a later one not at all.  Another process at the address
+    refuses the call.
+    """
 
     name: str
     incarnation: int
--- a/hollowusher/protocol/messages.py
+++ b/hollowusher/protocol/messages.py
@@ -1,4 +1,7 @@
-"""Messages of clients: sending them to a store, and reading their status."""
+"""Messages of clients on their way to a store: storing them, and reading their status.
+
+A message's reference is "PARTITION-EPOCH-SEQUENCE".
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 @message(51)
 class PutRequest:
-    """Keep a message in a partition.  The same id may be put again: it is kept once."""
+    """Request to store a message in a partition; a message id that comes again is stored once."""
 
     partition: int
     message: NewMessage
@@ -43,8 +46,11 @@
 
 @message(52)
 class PutResponse:
-    """`stored`: a quorum has it on disk.  `not_primary`: nothing was kept.  `unavailable`: nothing was kept
-    and nothing will be; `unknown`: it may have been kept."""
+    """Response to `PutRequest`.
+
+    "stored": a quorum has synced it.  "not_primary": nothing was stored.  "unavailable": nothing was stored
+    and nothing will be.  "unknown": it may have been stored.
+    """
 
     status: str  # "stored" | "not_primary" | "unavailable" | "unknown"
     reference: str = ""
@@ -52,7 +58,7 @@
 
 @message(59)
 class MessageStatusRequest:
-    """State of a message, with its body if wanted."""
+    """Request for the state of a message, with its body if wanted."""
 
     reference: str
     want_body: bool = False
@@ -60,9 +66,11 @@
 
 @message(60)
 class MessageStatusResponse:
-    """`state`: "queued" | "completed" | "dead_letter" | "unknown" (no such message) | "not_primary" |
-    "unavailable"."""
+    """Response to `MessageStatusRequest`.
+
+    "unknown": there is no such message.
+    """
 
-    state: str
+    state: str  # "queued" | "completed" | "dead_letter" | "unknown" | "not_primary" | "unavailable"
     signature: str = ""
     body: bytes | None = None
--- a/hollowusher/protocol/operator_orders.py
+++ b/hollowusher/protocol/operator_orders.py
@@ -1,4 +1,7 @@
-"""Orders of an operator that controllers forward to the head of the chain, and their answer."""
+"""Orders of an operator that controllers forward to the head of the chain, and the response.
+
+`forwarded` is true on an order that a controller passed on; it is not passed on again.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 @message(25)
 class ChangeConfiguration:
-    """An operator's order, forwarded to the chain's head.  `method` is PUT or PATCH."""
+    """Order to change the configuration; `method` is PUT or PATCH, `body` the JSON of the request."""
 
     method: str
     if_match: int | None
@@ -17,14 +20,14 @@
 
 @message(26)
 class ReadConfiguration:
-    """Asks the tail for the configuration in force."""
+    """Request to the chain's tail for the configuration in force."""
 
     forwarded: bool = False
 
 
 @message(27)
 class OperatorResponse:
-    """The HTTP answer an operator is to get; 503 where nothing can be promised."""
+    """HTTP response to an operator: 503 where the outcome cannot be confirmed."""
 
     status: int
     body: bytes = b""
@@ -32,7 +35,7 @@
 
 @message(28)
 class RetireStore:
-    """Operator's order to empty a store machine, forwarded to the head.  `duration_s` None only asks."""
+    """Order to empty a store's machine; with `duration_s` None a question about its progress."""
 
     name: str
     duration_s: float | None
@@ -40,8 +43,10 @@
 
 @message(84)
 class RecoverPartition:
-    """Operator's order, forwarded to the head: go on with the replicas that are left of a partition whose
-    majority is lost for good.  What only the lost replicas held is lost with them."""
+    """Order to go on with the remaining replicas of a partition whose majority is lost for good.
+
+    What only the lost replicas held is lost with them.
+    """
 
     partition: int
     accept_loss_of: list[str]  # the store ids given up; all replicas that do not live have to be named
--- a/hollowusher/protocol/placement.py
+++ b/hollowusher/protocol/placement.py
@@ -1,4 +1,8 @@
-"""Which store holds which partition, and what primaries report about their learners."""
+"""Placement of partitions on stores, and what primaries report about their learners.
+
+The control chain keeps the placement; only its head changes it (`hollowusher.coordination.placement`).  A
+store is named by its store id, "name/disk id".
+"""
 
 from __future__ import annotations
 
@@ -9,8 +13,10 @@
 
 @message(20)
 class PartitionPlacement:
-    """Who keeps one partition.  Replicas and learners are store ids ("name/disk id"); the primary is one of
-    the replicas.  Learners receive records but do not count until they have caught up."""
+    """Replicas of one partition, and which of them is its primary.
+
+    Learners receive records but count for no quorum until they have caught up and become replicas.
+    """
 
     partition: int
     epoch: int  # grows with each change of the primary or the replicas
@@ -22,7 +28,7 @@
 
 @message(21)
 class Placement:
-    """The placement of all partitions."""
+    """Placement of all partitions; `version` grows with each change."""
 
     version: int
     partitions: list[PartitionPlacement]
@@ -30,12 +36,12 @@
 
 @message(45)
 class LearnerReady:
-    """From a partition's primary to the head: this learner holds every committed record.  Sent again until
-    the placement has changed.
+    """Report of a primary to the head: this learner holds every committed record.
 
-    From the moment it first sends this until the new placement is in force, the primary has to commit with
-    the learner's acknowledgement besides those of f+1 replicas; else a record that stands on the primary and
-    on the replaced replica alone would be lost together with the primary."""
+    It is sent again until the placement has changed.  From the first report until the new placement is in
+    force the primary commits with the learner's acknowledgement besides those of f+1 replicas; else a record
+    that is on the primary and on the replaced replica alone would be lost together with the primary.
+    """
 
     partition: int
     epoch: int
@@ -44,9 +50,11 @@
 
 @message(104)
 class LearnerLost:
-    """From a partition's primary to the head: this learner, which it had reported ready, does not answer any
-    more.  Commits wait for the learner until a placement without it is in force, whose greater epoch makes
-    all earlier reports void.  Sent again until then."""
+    """Report of a primary to the head: a learner that was reported ready does not answer any more.
+
+    Commits wait for the learner until a placement without it is in force, whose greater epoch voids all
+    earlier reports.  It is sent again until then.
+    """
 
     partition: int
     epoch: int
--- a/hollowusher/protocol/replication.py
+++ b/hollowusher/protocol/replication.py
@@ -1,4 +1,8 @@
-"""Replication of records from the primary of a partition to its replicas, and their comparison."""
+"""Replication of records from a partition's primary to its replicas, and the comparison of replicas.
+
+A primary commits a record when a quorum of the partition's replicas has synced it; nothing is acknowledged to
+a client before.  Replicas merge records by version, so they may come in any order and more than once.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,10 @@
 
 @message(63)
 class ReplicateRequest:
-    """A batch from a primary to a replica; answered once it is durable (`durable`) or in memory."""
+    """Request of a primary to a replica to store batches.
+
+    It is answered once they are synced (`durable`) or in memory.
+    """
 
     sender: str  # store id
     batches: list[RecordBatch]
@@ -29,15 +36,18 @@
 
 @message(64)
 class ReplicateResponse:
-    """Answer to `ReplicateRequest`: the partitions refused, with the newer epoch known for each."""
+    """Response to `ReplicateRequest`: the partitions rejected, with the newer epoch known for each."""
 
     refused: dict[int, int]
 
 
 @message(65)
 class ReplicaSummary:
-    """What a new primary, a learner or the scrubber compares: a digest for each bucket of a partition, or
-    the versions held in some buckets.  Asking with an epoch fences all older epochs at the answerer."""
+    """Summary of a replica, for a new primary, a learner or the scrub to compare (anti-entropy).
+
+    It holds a digest for each bucket of the partition, or the versions held in some buckets.  With `fence`
+    set the answering store rejects all older epochs from then on.
+    """
 
     partition: int
     epoch: int
@@ -49,11 +59,11 @@
 
 @message(66)
 class ReplicaDifference:
-    """Answer to `ReplicaSummary`: the buckets that differ, or the records that the asker lacks."""
+    """Response to `ReplicaSummary`: the buckets that differ, or the records that the requester lacks."""
 
     status: str  # "ok" | "stale" (a newer epoch is known)
     epoch: int
     buckets: list[int] = attrs.Factory(list)
     records: list[bytes] = attrs.Factory(list)
     wanted: list[str] = attrs.Factory(list)  # references that the answerer lacks or has older
-    extra: Any = None
+    extra: Any = None  # unused; it keeps the length of the array on the wire
--- a/hollowusher/protocol/view.py
+++ b/hollowusher/protocol/view.py
@@ -1,4 +1,8 @@
-"""The agreed view, and the messages by which processes learn of it."""
+"""The agreed view, and the messages by which processes learn of it.
+
+A view names the voters of the next view and the control chain from head to tail.  Views are decided one after
+the other by `hollowusher.coordination.consensus`; see docs/control-safety/voting.md.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 
 @message(10)
 class Voter:
-    """A member of the group that agrees on views."""
+    """A member of the group that decides on the next view; name and disk id together identify it."""
 
     name: str
     disk_id: str
@@ -19,7 +23,7 @@
 
 @message(11)
 class View:
-    """The agreed view: who votes on the next one, and the control chain from head to tail."""
+    """Agreed view: the voters on the next view, and the control chain from head to tail."""
 
     epoch: int
     voters: list[Voter]
@@ -29,31 +33,33 @@
 
     @property
     def head(self) -> str:
-        """The chain's first member: takes writes and holds the singleton duties."""
+        """The first member of the chain: it takes writes and holds the singleton roles."""
         return self.chain[0]
 
     @property
     def tail(self) -> str:
-        """The chain's last member: answers reads."""
+        """The last member of the chain: it answers reads."""
         return self.chain[-1]
 
 
 @message(12)
 class ReadView:
-    """Asks for the newest decided view."""
+    """Request for the newest decided view."""
 
 
 @message(13)
 class ViewResponse:
-    """The newest decided view, None where there is none yet."""
+    """The newest decided view that the answering process knows, None where it knows none."""
 
     view: View | None
 
 
 @message(36)
 class AnnounceController:
-    """A controller makes itself known: to the seeds while the system starts for the first time
-    (`bootstrap`), to the voters while it is none of them.  The answer is a `ViewResponse`."""
+    """Announcement of a controller that is not a voter; the response is a `ViewResponse`.
+
+    It goes to the seeds while the cluster starts for the first time (`bootstrap`), later to the voters.
+    """
 
     voter: Voter
     bootstrap: bool = False
@@ -62,7 +68,9 @@
 
 @message(100)
 class OfferView:
-    """To a seed, from a process that holds a decided view.  The answer is a `ViewResponse` with the newest
-    view that the seed knows now."""
+    """A decided view, offered to a seed by a process that holds it.
+
+    The response is a `ViewResponse` with the newest view that the seed knows after it.
+    """
 
     view: View
--- a/hollowusher/protocol/worker_list.py
+++ b/hollowusher/protocol/worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers as the platform gives it."""
+"""The list of workers as the platform gives it, read by the head and distributed to every process."""
 
 from __future__ import annotations
 
@@ -21,6 +21,6 @@
 
 @message(35)
 class PlatformWorkerList:
-    """The whole list as read by the duty holder."""
+    """The complete list as the head read it."""
 
     workers: list[PlatformWorker]
