--- a/hollowusher/simulation/actors.py
+++ b/hollowusher/simulation/actors.py
@@ -8,6 +8,7 @@
 
 import orjson
 
+from hollowusher.simulation.addresses import host_of
 from hollowusher.simulation.http_network import (
     HttpExchange,
     HttpExchangeError,
@@ -16,7 +17,6 @@
     HttpResponse,
     UnresponsiveServerError,
 )
-from hollowusher.simulation.network import host_of
 from hollowusher.simulation.observations import (
     AcceptedLeaseEnd,
     DeliveryArrival,
--- a/hollowusher/simulation/clients.py
+++ b/hollowusher/simulation/clients.py
@@ -54,7 +54,7 @@
         random_source: random.Random,
         host: str,
         choose_edge: Callable[[], EdgeAddress],
-        on_response: Callable[[EdgeAddress, float], None],
+        on_response: Callable[[EdgeAddress], None],
     ) -> None:
         self.http = http
         self.observations = seen
@@ -162,7 +162,7 @@
         message.status = answer.status
         message.answered_at = self._now()
         message.reference = answer.header("X-Message-Ref") or message.id
-        self._on_response(edge, message.sent_at)
+        self._on_response(edge)
 
     async def query_state(self, message: SentMessage, final: bool = False) -> MessageStateResponse | None:
         """Ask for a message's state; for its body too where it has not ended or at the end of the day."""
--- a/hollowusher/simulation/cluster.py
+++ b/hollowusher/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""The machines of the system with their processes, disks, power, links and clocks.
+"""The machines of the simulated system with their processes, disks, power, links and clocks.
 
 A `Program` is one incarnation of a role on a machine.  The cluster builds it from a `ProcessEnvironment`
 (transport, storage, HTTP, clock), starts it, stops it and takes its resources away.
@@ -9,21 +9,25 @@
 import asyncio
 import traceback
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from random import Random
-from typing import Any, Protocol
 
 from hollowusher.configuration.boot import Bind, BootSettings, Bounds, CloudApi, FaultTolerance
-from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.simulation.addresses import (
+    ADMIN_PORT,
+    FRONTEND_PORT,
+    INTERNAL_PORT,
+    READINESS_PORT,
+    WORKER_LIST_ADDRESS,
+)
 from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
 from hollowusher.simulation.http_network import HttpNetwork
-from hollowusher.simulation.network import SimulatedNetwork, SimulatedTransport
+from hollowusher.simulation.machine import ProcessEnvironment, Program, ProgramFactory, SimulatedMachine
+from hollowusher.simulation.machine_disk import MachineDisk
+from hollowusher.simulation.network import SimulatedNetwork
 from hollowusher.simulation.observations import InjectedFault, Observations
-from hollowusher.storage.memory import MemoryLog, MemorySlot
 
-INTERNAL_PORT, FRONTEND_PORT, READINESS_PORT, ADMIN_PORT = 7780, 8069, 8063, 8064
 WALL_CLOCK_ORIGIN_S = 1_700_000_000.0
-WORKER_LIST_ADDRESS = "10.200.0.70:8065"
 REGION = "region-a"
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
 RESTART_S = 0.5  # after a process has ended by itself
@@ -34,141 +38,6 @@
 SEED_COUNT = 3
 
 
-class MachineDisk:
-    """A machine's disk: logs and slots by name, which outlive processes."""
-
-    def __init__(self, random_source: Random, sync_s: float) -> None:
-        self._random_source = random_source
-        self._sync_s = sync_s
-        self._failing = ""
-        self._logs: dict[str, MemoryLog] = {}
-        self._slots: dict[str, MemorySlot] = {}
-
-    def log(self, name: str = "messages") -> MemoryLog:
-        """The log of a name, new where there was none."""
-        if name not in self._logs:
-            self._logs[name] = MemoryLog(segment_bytes=256 * 1024, segments=64, sync_s=self._sync_s)
-            self._logs[name].failing = self._failing
-        return self._logs[name]
-
-    def slot(self, name: str) -> MemorySlot:
-        """The slot of a name, new where there was none."""
-        if name not in self._slots:
-            self._slots[name] = MemorySlot(save_s=self._sync_s)
-            self._slots[name].failing = self._failing
-        return self._slots[name]
-
-    def fail(self, reason: str) -> None:
-        """Whatever is written fails from now on; nothing does with an empty reason."""
-        self._failing = reason
-        for log in self._logs.values():
-            log.failing = reason
-        for slot in self._slots.values():
-            slot.failing = reason
-
-    def set_sync_time(self, seconds: float) -> None:
-        """How long each sync that begins from now on takes."""
-        self._sync_s = seconds
-        for log in self._logs.values():
-            log.sync_s = seconds
-        for slot in self._slots.values():
-            slot.save_s = seconds
-
-    def process_ended(self) -> None:
-        """Files stay as they were; what the process had not yet written is gone."""
-        self._crash(in_order=True)
-
-    def power_lost(self) -> None:
-        """What was synced stays; any of the rest is missing."""
-        self._crash(in_order=self._random_source.random() < 0.5)
-
-    def _crash(self, in_order: bool) -> None:
-        self._logs = {name: log.crash(self._random_source, in_order) for name, log in self._logs.items()}
-        self._slots = {name: slot.crash(self._random_source) for name, slot in self._slots.items()}
-
-    def lost(self) -> None:
-        """An empty disk in its place."""
-        self._logs, self._slots = {}, {}
-
-
-@dataclass
-class ProcessEnvironment:
-    """All that a program may use of the cluster."""
-
-    settings: BootSettings
-    transport: SimulatedTransport
-    disk: MachineDisk | None
-    http: HttpNetwork
-    host: str
-    random_source: Random
-    wall_ms: Callable[[], int]
-    report_failure: Callable[[str], None]  # of failures inside the program
-    role_process: Any = None  # what the program has made of itself
-
-
-class Program(Protocol):
-    """One incarnation of a role."""
-
-    async def run(self) -> None:
-        """Serve until it is asked to stop."""
-
-    def stop(self) -> None:
-        """End in order (SIGTERM)."""
-
-    def reload_settings(self, settings: BootSettings) -> None:
-        """The settings file has changed (SIGHUP)."""
-
-    def configuration_generation(self) -> int:
-        """The configuration in force here, 0 for none."""
-
-    def cluster_state(self) -> ClusterState | None:
-        """What it knows of the cluster."""
-
-    def disk_id(self) -> str:
-        """The identity of its disk, empty where it has none yet."""
-
-
-ProgramFactory = Callable[[ProcessEnvironment], Program]
-
-
-@dataclass
-class SimulatedMachine:
-    """A machine and its present process.  `bootstrap`: it belongs to the system's first start."""
-
-    name: str
-    role: str
-    ip: str
-    zone: str
-    disk: MachineDisk | None
-    clock_offset_s: float = 0.0
-    bootstrap: bool = True
-    powered: bool = False
-    frozen: bool = False
-    started_once: bool = False
-    incarnation: int = 0
-    process: SimulatedProcess | None = None
-    program: Program | None = None
-    stop_requested: bool = False
-    running: bool = False  # its process has been started and has not ended
-    failed_readiness_checks: int = 2
-    starts: list[float] = field(default_factory=list)
-
-    @property
-    def counts_for_quorum(self) -> bool:
-        """Whether its loss is limited by `faultTolerance`."""
-        return self.disk is not None
-
-    @property
-    def is_controller(self) -> bool:
-        """Whether it takes part in the control chain."""
-        return self.role == "edge" and self.disk is not None
-
-    @property
-    def admin_address(self) -> str:
-        """Its address for the operator."""
-        return f"{self.ip}:{ADMIN_PORT}"
-
-
 async def _call(function: Callable[[], None]) -> None:
     function()
 
@@ -186,7 +55,7 @@
 
 
 class SimulatedCluster:
-    """All machines, and what may happen to them."""
+    """All machines, and what may happen to them.  It owns the network, the disks and the processes."""
 
     def __init__(
         self, loop: VirtualTimeLoop, seed: int, size: DeploymentSize, create_program: ProgramFactory
@@ -211,7 +80,7 @@
         self._make_machines()
 
     def random(self, purpose: str) -> Random:
-        """A source of randomness of its own for each purpose."""
+        """Create the source of randomness of one purpose; it depends on the seed and the purpose alone."""
         return Random(f"{self.seed}/{purpose}")
 
     def _make_machines(self) -> None:
@@ -220,11 +89,11 @@
         kinds += [("store", True)] * self.size.stores
         for role, with_disk in kinds:
             zone = ZONES[self._numbers[role] % len(ZONES)]
-            self._make_machine(role, zone, with_disk, random_source, bootstrap=True)
+            self._make_machine(role, zone, random_source, with_disk=with_disk)
         self.seed_addresses = [machine.admin_address for machine in self.controllers()[:SEED_COUNT]]
 
     def _make_machine(
-        self, role: str, zone: str, with_disk: bool, random_source: Random, bootstrap: bool, ip: str = ""
+        self, role: str, zone: str, random_source: Random, *, with_disk: bool, ip: str = ""
     ) -> SimulatedMachine:
         self._numbers[role] += 1
         name = f"{role}-{self._numbers[role]}"
@@ -233,12 +102,12 @@
             ip = f"10.0.0.{self._addresses}"
         disk = MachineDisk(self.random(f"disk {name}"), self.size.sync_s) if with_disk else None
         clock_offset_s = random_source.uniform(-1.0, 1.0) * self.size.clock_skew_s
-        machine = SimulatedMachine(name, role, ip, zone, disk, clock_offset_s, bootstrap)
+        machine = SimulatedMachine(name, role, ip, zone, disk, clock_offset_s)
         self.machines[name] = machine
         return machine
 
-    def add_machine(self, role: str, zone: str, with_disk: bool) -> SimulatedMachine:
-        """A new machine with an empty disk; at times it gets the address of one that is gone."""
+    def add_machine(self, role: str, zone: str, *, with_disk: bool) -> SimulatedMachine:
+        """Add a machine with an empty disk, sometimes at the address of one that is gone."""
         ip = ""
         free = [
             address
@@ -248,10 +117,12 @@
         if free and self._random_source.random() < 0.5:
             ip = self._random_source.choice(free)
             self._released_addresses = [entry for entry in self._released_addresses if entry[1] != ip]
-        return self._make_machine(role, zone, with_disk, self._random_source, bootstrap=False, ip=ip)
+        machine = self._make_machine(role, zone, self._random_source, with_disk=with_disk, ip=ip)
+        machine.bootstrap = False
+        return machine
 
     def remove(self, machine: SimulatedMachine) -> None:
-        """A machine without power is gone for good; new settings do not name it."""
+        """Remove a machine without power for good; new settings do not name it."""
         del self.machines[machine.name]
         self._released_addresses.append((self.loop.time(), machine.ip))
         if machine.admin_address in self.seed_addresses:
@@ -269,10 +140,17 @@
             self.seed_addresses = [*kept, *others[:1]]
 
     def choose_seeds(
-        self, random_source: Random, first: SimulatedMachine | None = None, plain: bool = False
+        self, random_source: Random, first: SimulatedMachine | None = None, *, plain: bool = False
     ) -> None:
-        """Name other seeds in the settings: `first` before others, or machines without a disk if there are
-        enough; a process reads them when it starts."""
+        """Name other seeds in the settings, which a process reads when it starts.
+
+        Parameters
+        ----------
+        first
+            Comes before all others.
+        plain
+            Whether machines without a disk come first.
+        """
         edges = [machine for machine in self.machines_with_role("edge") if machine is not first]
         random_source.shuffle(edges)
         if plain:
@@ -281,7 +159,7 @@
         self.seed_addresses = [machine.admin_address for machine in chosen[:SEED_COUNT]]
 
     def zones(self) -> list[str]:
-        """The zones that have machines."""
+        """Return the zones that have machines."""
         return sorted({machine.zone for machine in self.machines.values()})
 
     def has_recent_fault(self) -> bool:
@@ -293,15 +171,15 @@
         )
 
     def machines_with_role(self, role: str) -> list[SimulatedMachine]:
-        """The machines of a role."""
+        """Return the machines of a role."""
         return [machine for machine in self.machines.values() if machine.role == role]
 
     def controllers(self) -> list[SimulatedMachine]:
-        """The machines of the control chain."""
+        """Return the machines of the control chain."""
         return [machine for machine in self.machines.values() if machine.is_controller]
 
     def settings(self, machine: SimulatedMachine) -> BootSettings:
-        """The settings file of a machine as it is now."""
+        """Return the present settings file of a machine."""
         edge = machine.role == "edge"
         bind = (
             Bind(
@@ -333,7 +211,7 @@
     # ---- incarnations
 
     def start(self, machine: SimulatedMachine) -> None:
-        """Begin a new incarnation of the machine's process."""
+        """Start a new incarnation of the machine's process."""
         if machine.running:
             return
         settings = self.settings(machine)
@@ -365,7 +243,7 @@
     ) -> None:
         try:
             await program.run()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the outermost edge of a program
             frame = traceback.extract_tb(error.__traceback__)[-1]
             self._record_failure(
                 process, f"{type(error).__name__}: {error} ({frame.filename}:{frame.lineno})"
@@ -373,7 +251,7 @@
         self.loop.call_outside(0.0, self._on_program_end, machine, process)
 
     def _on_program_end(self, machine: SimulatedMachine, process: SimulatedProcess) -> None:
-        """The program has come to its end: as requested, or by itself; then it is started again."""
+        """Clean up after a program; restart it if it has ended by itself."""
         if machine.process is not process or not machine.running:
             return
         if not machine.stop_requested:
@@ -385,7 +263,7 @@
         self.program_failures.append(f"{self.loop.time():.3f} {process}: {text}")
 
     def wall_ms(self, machine: SimulatedMachine) -> int:
-        """The machine's time of day."""
+        """Return the machine's wall clock in milliseconds."""
         return round((WALL_CLOCK_ORIGIN_S + self.loop.time() + machine.clock_offset_s) * 1000)
 
     def _end_process(self, machine: SimulatedMachine) -> None:
@@ -411,13 +289,13 @@
                 self._note_failures(machine.process)
 
     def kill(self, machine: SimulatedMachine) -> None:
-        """SIGKILL: the disk stays as it was written."""
+        """Kill a machine's process (SIGKILL); the disk stays as it was written."""
         self._end_process(machine)
         if machine.disk is not None:
             machine.disk.process_ended()
 
     def power_off(self, machine: SimulatedMachine) -> None:
-        """The machine falls silent; unsynced writes are lost."""
+        """Take a machine's power; unsynced writes are lost."""
         self.network.power_off(machine.ip)
         machine.powered = False
         self._end_process(machine)
@@ -425,47 +303,53 @@
             machine.disk.power_lost()
 
     def lose_disk(self, machine: SimulatedMachine) -> None:
-        """The machine loses power and comes back with an empty disk."""
+        """Take a machine's power and its disk."""
         self.power_off(machine)
         if machine.disk is not None:
             machine.disk.lost()
 
     def freeze(self, machine: SimulatedMachine) -> None:
-        """Its process stands still."""
+        """Suspend a machine's process (SIGSTOP)."""
         if machine.process is not None and machine.running:
             machine.frozen = True
             self.loop.freeze(machine.process)
 
     def reload_settings(self, machine: SimulatedMachine) -> None:
-        """SIGHUP: the process reads its settings again."""
+        """Have a process read its settings again (SIGHUP)."""
         process, program = machine.process, machine.program
         if process is not None and program is not None and machine.running:
             settings = self.settings(machine)
             process.run(_call(lambda: program.reload_settings(settings)))
 
     def thaw(self, machine: SimulatedMachine) -> None:
-        """Its process goes on."""
+        """Resume a frozen process (SIGCONT)."""
         if machine.process is not None and machine.frozen:
             machine.frozen = False
             self.loop.thaw(machine.process)
 
     async def terminate(self, machine: SimulatedMachine, grace_s: float) -> None:
-        """SIGTERM, and SIGKILL after `grace_s`."""
+        """Send SIGTERM, and SIGKILL after `grace_s` seconds."""
         process, program = machine.process, machine.program
         if process is None or program is None or not machine.running:
             return
         machine.stop_requested = True
         process.run(_call(program.stop))
         deadline = self.loop.time() + grace_s
-        while machine.running and machine.process is process and self.loop.time() < deadline:
+        while (  # noqa: ASYNC110 - the end of a process is seen by polling, as a platform does
+            machine.running and machine.process is process and self.loop.time() < deadline
+        ):
             await asyncio.sleep(STOP_POLL_S)
         if machine.running and machine.process is process:
             self._record_failure(process, f"did not end within {grace_s} s of SIGTERM")
             self.kill(machine)
 
-    def isolate(self, machine: SimulatedMachine, inward: bool, outward: bool, outside: bool = True) -> None:
-        """Cut a machine off from the others of the system; with `outside` also from clients, workers and the
-        operator."""
+    def isolate(
+        self, machine: SimulatedMachine, *, inward: bool, outward: bool, outside: bool = True
+    ) -> None:
+        """Cut a machine off from the other machines.
+
+        With `outside` it is cut off from clients, workers and the operator too.
+        """
         others = {each.ip for each in self.machines.values()}
         if outside:
             others |= self.network.powered
@@ -478,13 +362,13 @@
                 self.network.block(machine.ip, other, both=False)
 
     def rejoin(self, machine: SimulatedMachine) -> None:
-        """End all cuts of a machine."""
+        """Open all links of a machine."""
         for other in sorted(self.network.powered | {each.ip for each in self.machines.values()}):
             if other != machine.ip:
                 self.network.heal(machine.ip, other)
 
-    def record_fault(self, kind: str, host: str, planned: bool = False) -> InjectedFault:
-        """Note a disturbance that begins now."""
+    def record_fault(self, kind: str, host: str, *, planned: bool = False) -> InjectedFault:
+        """Record a fault that begins now."""
         fault = InjectedFault(kind, host, self.loop.time(), planned=planned)
         self.observations.faults.append(fault)
         return fault
--- a/hollowusher/simulation/edge_selector.py
+++ b/hollowusher/simulation/edge_selector.py
@@ -5,10 +5,12 @@
 import asyncio
 import random
 
+from hollowusher.simulation.addresses import FRONTEND_PORT, READINESS_PORT
 from hollowusher.simulation.clients import EdgeAddress
-from hollowusher.simulation.cluster import FRONTEND_PORT, READINESS_PORT, SimulatedCluster, SimulatedMachine
+from hollowusher.simulation.cluster import SimulatedCluster
 from hollowusher.simulation.deployment import CLIENT_HOST
 from hollowusher.simulation.http_network import HttpExchangeError, HttpRequest
+from hollowusher.simulation.machine import SimulatedMachine
 from hollowusher.simulation.observations import ObservedGeneration
 
 SAMPLE_INTERVAL_S = 0.25
@@ -26,7 +28,7 @@
         self._random_source = random_source
 
     def choose_edge(self) -> EdgeAddress:
-        """An edge machine that counts as ready, any of them where none does."""
+        """Choose an edge machine that counts as ready, any one if none does."""
         edges = self.cluster.machines_with_role("edge")
         ready = [machine for machine in edges if machine.failed_readiness_checks < MAX_FAILED_CHECKS]
         machine = self._random_source.choice(ready or edges)
@@ -65,8 +67,8 @@
                 if machine.running and not machine.frozen and machine.failed_readiness_checks == 0:
                     self._note(machine)
 
-    def record_response(self, edge: EdgeAddress, sent_at: float) -> None:
-        """A machine has answered a client."""
+    def record_response(self, edge: EdgeAddress) -> None:
+        """Record which configuration a machine works with that has answered a client."""
         machine = self.cluster.machines.get(edge.name)
         if machine is not None and machine.incarnation == edge.incarnation and machine.running:
             self._note(machine)
--- a/hollowusher/simulation/event_loop.py
+++ b/hollowusher/simulation/event_loop.py
@@ -28,7 +28,7 @@
 
 
 class LivelockError(Exception):
-    """Time does not go on: callbacks keep each other ready."""
+    """Virtual time does not advance: callbacks keep scheduling each other."""
 
 
 class SimulatedProcess:
@@ -53,16 +53,16 @@
         return asyncio.get_running_loop().create_task(work, context=self.context.copy())
 
     def defer(self, handle: asyncio.Handle) -> None:
-        """Keep a callback until the process is thawed."""
+        """Defer a callback until the process is thawed."""
         self._deferred.append(handle)
 
     def take_deferred(self) -> list[asyncio.Handle]:
-        """The callbacks kept, oldest first."""
+        """Take the deferred callbacks, oldest first."""
         deferred, self._deferred = self._deferred, []
         return deferred
 
     def track(self, task: asyncio.Task[Any]) -> None:
-        """Hold on to a task of this process."""
+        """Keep a reference to a task of this process."""
         self._tasks.append(task)
         if len(self._tasks) > 2_000:
             self.collect_failures()
@@ -75,7 +75,7 @@
         self._tasks = [kept for kept in self._tasks if not kept.done()]
 
     def kill(self) -> None:
-        """End at once: nothing of it runs again."""
+        """End the process: no callback of it runs again."""
         self.alive = False
         self.collect_failures()
         self._deferred.clear()
@@ -96,7 +96,7 @@
 
 
 def current_process() -> SimulatedProcess | None:
-    """The process whose code is running, None outside all of them."""
+    """Return the process whose code is running, None outside all of them."""
     return _current_process.get(None)
 
 
@@ -145,11 +145,11 @@
         self.set_exception_handler(self._record_failure)
 
     def time(self) -> float:
-        """The virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._now
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Create a future of this loop."""
         return _VirtualFuture(loop=self)
 
     def call_soon(  # type: ignore[override]
@@ -170,8 +170,10 @@
         *args: Any,
         context: Any = None,
     ) -> asyncio.TimerHandle:
-        """Run a callback at a virtual time; equal times run in the order of the calls.  A timer takes
-        `MIN_TIMER_S` at the least, so that timers alone cannot make time stand."""
+        """Run a callback at a virtual time; equal times run in the order of the calls.
+
+        A timer takes at least `MIN_TIMER_S`, so that timers alone cannot stop the time.
+        """
         when = max(when, self._now + MIN_TIMER_S)
         timer = asyncio.TimerHandle(when, callback, args, self, context)
         heapq.heappush(self._timers, (when, next(self._numbers), timer))
@@ -197,7 +199,7 @@
         *args: Any,
         context: Any = None,
     ) -> asyncio.Handle:
-        """Refused: a simulation has no threads."""
+        """Reject the call: a simulation has no threads."""
         raise RuntimeError("no threads in virtual time")
 
     def run_in_executor(  # type: ignore[override]
@@ -206,15 +208,15 @@
         func: Callable[..., Any],
         *args: Any,
     ) -> Any:
-        """Refused: a simulation has no threads."""
+        """Reject the call: a simulation has no threads."""
         raise RuntimeError("no threads in virtual time")
 
     def freeze(self, process: SimulatedProcess) -> None:
-        """Hold all callbacks of a process."""
+        """Defer all callbacks of a process."""
         process.frozen = True
 
     def thaw(self, process: SimulatedProcess) -> None:
-        """Let a frozen process go on with what it missed."""
+        """Let a frozen process go on with its deferred callbacks."""
         process.frozen = False
         self._ready.extend(process.take_deferred())
 
@@ -223,7 +225,7 @@
         return self.run_until_complete(work)
 
     def shut(self) -> None:
-        """Forget everything that is still to run, and close."""
+        """Discard everything that is still to run, and close."""
         for task in list(self._all_tasks):
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             work = task.get_coro()
@@ -284,10 +286,10 @@
             process.failures.append(text)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Cancelled timers are dropped when their time comes."""
+        """Do nothing: cancelled timers are dropped when their time comes."""
 
     def _process_events(self, event_list: Any) -> None:
-        """There are no file descriptors."""
+        """Do nothing: there are no file descriptors."""
 
     def _write_to_self(self) -> None:
-        """There is no other thread to wake this loop."""
+        """Do nothing: no other thread wakes this loop."""
--- a/hollowusher/simulation/faults/context.py
+++ b/hollowusher/simulation/faults/context.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from hollowusher.simulation.cluster import CATCH_UP_S, SimulatedCluster, SimulatedMachine
+from hollowusher.simulation.cluster import CATCH_UP_S, SimulatedCluster
 from hollowusher.simulation.faults.tolerance import LossTolerance
+from hollowusher.simulation.machine import SimulatedMachine
 from hollowusher.simulation.observations import InjectedFault
 
 GRACE_S = 6.0
@@ -78,7 +79,7 @@
     ) -> InjectedFault:
         """A fault begins, in which these machines are lost."""
         self.fault_log.append(f"{self.now():.2f} {kind} {host}")
-        fault_kind = self.cluster.record_fault(kind, host, planned)
+        fault_kind = self.cluster.record_fault(kind, host, planned=planned)
         self._lost[id(fault_kind)] = [machine for machine in lost if machine.counts_for_quorum]
         for machine in self._lost[id(fault_kind)]:
             self.tolerance.record_loss(machine.name)
--- a/hollowusher/simulation/faults/injector.py
+++ b/hollowusher/simulation/faults/injector.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Sequence
 
-from hollowusher.simulation.cluster import SimulatedCluster, SimulatedMachine
+from hollowusher.simulation.cluster import SimulatedCluster
 from hollowusher.simulation.faults import disks, links, machines, orders, power, processes, workers
 from hollowusher.simulation.faults.context import (
     FAULT_KINDS,
@@ -21,6 +21,7 @@
     WorkerActions,
 )
 from hollowusher.simulation.faults.script import ScriptedFault
+from hollowusher.simulation.machine import SimulatedMachine
 
 MODULES = (processes, power, disks, links, machines, orders, workers)  # they register their kinds
 AT_THE_EDGE_SHARE = 0.5  # so often the next loss comes at the first moment allowed
--- a/hollowusher/simulation/faults/links.py
+++ b/hollowusher/simulation/faults/links.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from hollowusher.simulation.cluster import SimulatedMachine
 from hollowusher.simulation.faults.context import FaultContext, FaultRequest, fault_kind
+from hollowusher.simulation.machine import SimulatedMachine
 
 LENGTHS = (0.3, 1.5, 4.0, 7.0, 20.0)
 
@@ -29,7 +29,7 @@
     machine = context.choose_machine(request)
     outside = context.random_source.random() < 0.3
     fault = context.begin(kind if outside else f"{kind}_inside", machine.name, [machine])
-    context.cluster.isolate(machine, inward, outward, outside)
+    context.cluster.isolate(machine, inward=inward, outward=outward, outside=outside)
     orders = _send_orders(context, machine)
     await context.wait(request, *LENGTHS)
     context.cluster.rejoin(machine)
--- a/hollowusher/simulation/faults/machines.py
+++ b/hollowusher/simulation/faults/machines.py
@@ -4,10 +4,11 @@
 
 import asyncio
 
-from hollowusher.simulation.cluster import CATCH_UP_S, SimulatedMachine
+from hollowusher.simulation.cluster import CATCH_UP_S
 from hollowusher.simulation.faults import disks
 from hollowusher.simulation.faults.context import FaultContext, FaultRequest, fault_kind
 from hollowusher.simulation.faults.processes import terminate_gracefully
+from hollowusher.simulation.machine import SimulatedMachine
 from hollowusher.simulation.observations import StoreRetirement
 
 RETIRE_S = 10.0
--- a/hollowusher/simulation/faults/power.py
+++ b/hollowusher/simulation/faults/power.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from hollowusher.simulation.cluster import SimulatedMachine
 from hollowusher.simulation.faults.context import FaultContext, FaultRequest, fault_kind
+from hollowusher.simulation.machine import SimulatedMachine
 
 End = Callable[[SimulatedMachine], None]
 
--- a/hollowusher/simulation/faults/processes.py
+++ b/hollowusher/simulation/faults/processes.py
@@ -4,8 +4,9 @@
 
 import asyncio
 
-from hollowusher.simulation.cluster import CATCH_UP_S, SimulatedMachine
+from hollowusher.simulation.cluster import CATCH_UP_S
 from hollowusher.simulation.faults.context import GRACE_S, FaultContext, FaultRequest, fault_kind
+from hollowusher.simulation.machine import SimulatedMachine
 from hollowusher.simulation.observations import ObservedShutdown
 
 READY_STILL_S = 4.0  # a process that was asked to stop should not count as ready after this
--- a/hollowusher/simulation/http_network.py
+++ b/hollowusher/simulation/http_network.py
@@ -11,8 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+from hollowusher.simulation.addresses import host_of
 from hollowusher.simulation.event_loop import SimulatedProcess, current_process
-from hollowusher.simulation.network import SimulatedNetwork, host_of
+from hollowusher.simulation.network import SimulatedNetwork
 
 RESEND_S = 0.2
 
--- a/hollowusher/simulation/liveness.py
+++ b/hollowusher/simulation/liveness.py
@@ -6,12 +6,13 @@
 
 from hollowusher.protocol.placement import Placement
 from hollowusher.protocol.view import View
-from hollowusher.simulation.cluster import SimulatedCluster, SimulatedMachine
+from hollowusher.simulation.cluster import SimulatedCluster
+from hollowusher.simulation.machine import SimulatedMachine
 from hollowusher.simulation.observations import LivenessFailure
 
 
 def find_liveness_failures(cluster: SimulatedCluster) -> Iterator[LivenessFailure]:
-    """What is not in order now, from what the running processes hold."""
+    """Find what is not in order now, from the state of the running processes."""
     now = cluster.loop.time()
     views = [view for machine in cluster.machines_with_role("edge") if (view := _view(machine)) is not None]
     newest = max(views, key=lambda view: view.epoch, default=None)
--- a/hollowusher/simulation/observations.py
+++ b/hollowusher/simulation/observations.py
@@ -35,8 +35,11 @@
 
 @dataclass
 class WorkerRun:
-    """A worker's work on a message.  `result`: "success", "failed" (500), "refused" (422), "broken" (no
-    answer was made), "" while it works."""
+    """A worker's work on a message.
+
+    `result` is "success", "failed" (500), "refused" (422), "broken" (no answer was made), or empty
+    while the worker is busy.
+    """
 
     id: str
     service: str
--- a/hollowusher/simulation/programs.py
+++ b/hollowusher/simulation/programs.py
@@ -22,7 +22,7 @@
 from hollowusher.roles import logs as logs_module
 from hollowusher.roles import operator_site as operator_module
 from hollowusher.roles import store as store_module
-from hollowusher.simulation.cluster import ProcessEnvironment, Program
+from hollowusher.simulation.machine import ProcessEnvironment, Program
 from hollowusher.simulation.stand_ins import (
     DISK_ID_SLOT,
     SimulatedCallbackClient,
--- a/hollowusher/simulation/reference_model.py
+++ b/hollowusher/simulation/reference_model.py
@@ -26,12 +26,12 @@
 
 
 def runs_of(observations: Observations, message: str) -> list[WorkerRun]:
-    """The runs of a message in the order they started."""
+    """Return the runs of a message in the order they started."""
     return sorted((run for run in observations.runs if run.id == message), key=lambda run: run.started_at)
 
 
 def route_names(order: ConfigurationOrder) -> set[str]:
-    """The routes of the configuration that an order makes."""
+    """Return the names of the routes of the configuration that an order makes."""
     return {str(route["name"]) for route in order.document["routes"]}
 
 
@@ -41,8 +41,10 @@
 
 
 def route_dropped_at(observations: Observations, route: str, since: float) -> float:
-    """The first time, from `since` on, at which a configuration that has dropped this route may be in force.
-    An edge process may accept a message by an older configuration shortly after that."""
+    """Find the first time, from `since` on, at which a configuration without this route may be in force.
+
+    An edge process may accept a message by an older configuration shortly after that.
+    """
     orders = [order for order in observations.orders if may_be_in_force(order) and order.first_sent_at > 0]
     added = min((order.generation for order in orders if route in route_names(order)), default=None)
     if added is None:
@@ -56,8 +58,10 @@
 
 
 def ended_at(observations: Observations, message: SentMessage, rules: RouteRules) -> float:
-    """When a message ended by the rules: success, refused for good, attempts used up, its time passed, or its
-    route dropped; `NEVER` where none of that has been seen."""
+    """Find when a message ended by the rules, `NEVER` if no end has been seen.
+
+    It ends by success, a rejection for good, its last attempt, its retention, or when its route is dropped.
+    """
     ends = [message.sent_at + rules.retention_s]
     failures = 0
     for run in sorted(runs_of(observations, message.id), key=lambda run: run.ended_at or NEVER):
@@ -74,15 +78,17 @@
 
 
 def signatures_of(observations: Observations, message: str) -> set[str]:
-    """The signatures of successful runs."""
+    """Return the signatures of the successful runs of a message."""
     return {run.signature for run in runs_of(observations, message) if run.result == "success"}
 
 
 def may_be_dead_letter(
     observations: Observations, message: SentMessage, rules: RouteRules, at: float
 ) -> bool:
-    """Whether `dead_letter` may be said at a time: the message has ended (by something other than a success
-    that was read, which would be `completed`)."""
+    """Whether `dead_letter` may be reported at a time: the message has ended.
+
+    The end is not a success that was read, which would be `completed`.
+    """
     return ended_at(observations, message, rules) <= at
 
 
@@ -105,7 +111,7 @@
 
 
 def effective_document(base: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """The whole configuration that a PATCH makes of another."""
+    """Apply a PATCH to a configuration and return the complete one that results."""
     document = {"generation": patch["generation"], "limits": dict(base["limits"])}
     for section in ("routes", "upstreams"):
         dropped = set(patch.get("delete", {}).get(section, []))
@@ -116,7 +122,7 @@
 
 
 def canonical(document: dict[str, Any]) -> dict[str, Any]:
-    """A configuration as a value that is equal however its lists are ordered."""
+    """Return a configuration as a value that is equal however its lists are ordered."""
     return {
         "generation": document["generation"],
         "limits": document["limits"],
--- a/hollowusher/simulation/simulation_run.py
+++ b/hollowusher/simulation/simulation_run.py
@@ -10,7 +10,7 @@
 from hollowusher.simulation import reference_model as model
 from hollowusher.simulation.actors import ActorContext, SignatureSource
 from hollowusher.simulation.clients import MessageClients, MessageStream
-from hollowusher.simulation.cluster import DeploymentSize, ProgramFactory, SimulatedCluster
+from hollowusher.simulation.cluster import DeploymentSize, SimulatedCluster
 from hollowusher.simulation.deployment import CLIENT_HOST, FIXED, FIXED_RATE, OTHER, PULL, PUSH, RECEIVERS
 from hollowusher.simulation.edge_selector import EdgeSelector
 from hollowusher.simulation.event_loop import VirtualTimeLoop
@@ -19,6 +19,7 @@
 from hollowusher.simulation.faults.script import FaultScript, ScriptedFault
 from hollowusher.simulation.invariants import DeploymentRules, RuleViolation, find_violations
 from hollowusher.simulation.liveness import find_liveness_failures
+from hollowusher.simulation.machine import ProgramFactory
 from hollowusher.simulation.observations import InjectedFault, LivenessFailure
 from hollowusher.simulation.operator_changes import OperatorChanges
 from hollowusher.simulation.worker_fleet import WorkerFleet
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -24,7 +24,6 @@
 from hollowusher.intake.intake import Intake
 from hollowusher.protocol.leases import LeasedJob
 from hollowusher.protocol.membership import Member
-from hollowusher.simulation.cluster import ProcessEnvironment
 from hollowusher.simulation.http_network import (
     HttpExchange,
     HttpExchangeError,
@@ -32,6 +31,7 @@
     HttpRequest,
     HttpResponse,
 )
+from hollowusher.simulation.machine import ProcessEnvironment
 from hollowusher.storage.identity import claim_incarnation, next_incarnation
 
 CALLBACK_TIMEOUT_S = 3.0
--- a/hollowusher/simulation/worker_fleet.py
+++ b/hollowusher/simulation/worker_fleet.py
@@ -14,7 +14,8 @@
     SimulatedPushWorker,
     WorkerBehaviour,
 )
-from hollowusher.simulation.cluster import ADDRESS_REUSE_S, WORKER_LIST_ADDRESS, ZONES, SimulatedCluster
+from hollowusher.simulation.addresses import WORKER_LIST_ADDRESS
+from hollowusher.simulation.cluster import ADDRESS_REUSE_S, ZONES, SimulatedCluster
 from hollowusher.simulation.deployment import (
     FIXED,
     FIXED_ADDRESS,
--- a/hollowusher/simulation/worker_list_server.py
+++ b/hollowusher/simulation/worker_list_server.py
@@ -7,8 +7,8 @@
 
 import orjson
 
+from hollowusher.simulation.addresses import host_of
 from hollowusher.simulation.http_network import HttpExchange, HttpNetwork, HttpResponse
-from hollowusher.simulation.network import host_of
 
 PAGE = 50
 
@@ -71,7 +71,7 @@
         self.put(replace(self._now[identifier], state="draining"))
 
     def remove(self, identifier: str) -> None:
-        """A worker is gone."""
+        """Take a worker off the list."""
         self._now.pop(identifier, None)
         self._record()
 
@@ -79,7 +79,7 @@
         self._past.append((self.http.network.loop.time(), list(self._now.values())))
 
     def shown(self) -> list[WorkerListing]:
-        """The list as it is shown now."""
+        """Return the list as it is shown now."""
         before = self.http.network.loop.time() - self.lag_s
         while len(self._past) > 1 and self._past[1][0] <= before:
             self._past.popleft()
--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -14,7 +14,7 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import LeasedJob, LeaseRequest, LeaseResponse
 from hollowusher.protocol.membership import Member
-from hollowusher.simulation.network import host_of
+from hollowusher.simulation.addresses import host_of
 from tests.support.calls import message
 from tests.support.message_store import EDGE_ADDRESS, StoreCluster, play
 
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -13,8 +13,8 @@
 from hollowusher.intake.store_client import StoreClient
 from hollowusher.intake.worker_calls import worker_lease_id
 from hollowusher.protocol.leases import LeasedJob
+from hollowusher.simulation.addresses import host_of
 from hollowusher.simulation.event_loop import SimulatedProcess
-from hollowusher.simulation.network import host_of
 from tests.support.message_store import StoreCluster, message, play
 
 RESULTS = ["200", "500", "422", "503", "429", "400", "504"]
--- a/tests/simulation/model_check/test_chain_model.py
+++ b/tests/simulation/model_check/test_chain_model.py
@@ -22,7 +22,8 @@
     bounds, depth, everything = SOUND[name]
     outcome = explore(ControlChainModel(bounds), SearchBounds(depth))
     assert outcome.violation == "", outcome.trace
-    assert outcome.complete and outcome.exhausted == everything
+    assert outcome.complete
+    assert outcome.exhausted == everything
 
 
 PLANTED = {"commits-alone": ChainBounds(3, 1, 1), "starts-empty": ChainBounds(3, 1, 1, restarts=1)}
--- a/tests/simulation/model_check/test_consensus_model.py
+++ b/tests/simulation/model_check/test_consensus_model.py
@@ -25,7 +25,8 @@
     bounds, depth, everything = SOUND[name]
     outcome = explore(ConsensusModel(bounds), SearchBounds(depth))
     assert outcome.violation == "", outcome.trace
-    assert outcome.complete and outcome.exhausted == everything
+    assert outcome.complete
+    assert outcome.exhausted == everything
     assert outcome.states > 100
 
 
@@ -48,6 +49,9 @@
 def test_the_command_prints_figures_and_the_shortest_trace() -> None:
     options = ["control", "--part", "agreement", "--depth"]
     sound = CliRunner().invoke(main, [*options, "4"])
-    assert sound.exit_code == 0 and "states" in sound.output and "to depth 4" in sound.output
+    assert sound.exit_code == 0
+    assert "states" in sound.output
+    assert "to depth 4" in sound.output
     broken = CliRunner().invoke(main, [*options, "8", "--wipes", "1", "--planted", "votes-with-any-disk"])
-    assert broken.exit_code == 1 and "1. a proposes" in broken.output
+    assert broken.exit_code == 1
+    assert "1. a proposes" in broken.output
--- a/tests/simulation/model_check/test_partition_model.py
+++ b/tests/simulation/model_check/test_partition_model.py
@@ -47,6 +47,8 @@
     runner = CliRunner()
     short = ["partition", "--plans", "wipe", "--states", "1500"]
     passed = runner.invoke(main, [*short, "--orders", "1"])
-    assert passed.exit_code == 0 and "wipe, order 0: 15" in passed.output
+    assert passed.exit_code == 0
+    assert "wipe, order 0: 15" in passed.output
     failed = runner.invoke(main, [*short, "--orders", "2", "--planted", "early-promotion"])
-    assert failed.exit_code == 1 and "was promoted without" in failed.output
+    assert failed.exit_code == 1
+    assert "was promoted without" in failed.output
--- a/tests/simulation/test_simulated_days.py
+++ b/tests/simulation/test_simulated_days.py
@@ -32,10 +32,10 @@
             "x",
             'seeds = [4]\n[size]\nstores = 4\n[[trouble]]\nat = 2\nkind = "replace"\nhow = "planned"\n',
         )
-        assert script.seeds == (4,) and script.size.stores == 4
-        assert script.faults[0].at == 2.0 and script.faults[0].request == FaultRequest(
-            "replace", how="planned"
-        )
+        assert script.seeds == (4,)
+        assert script.size.stores == 4
+        assert script.faults[0].at == 2.0
+        assert script.faults[0].request == FaultRequest("replace", how="planned")
 
     def test_a_misspelt_key_is_named(self, tmp_path: Path) -> None:
         file = tmp_path / "bad.toml"
@@ -63,12 +63,14 @@
     def test_a_day_keeps_all_rules(self, name: str) -> None:
         day = next(day for day in DAYS if day.stem == name)
         done = run_simulation("--script", str(day), "--seeds", "1", "--rate", "6")
-        assert "all rules kept" in done.stdout and done.returncode == 0, done.stdout + done.stderr
+        assert "all rules kept" in done.stdout, done.stdout + done.stderr
+        assert done.returncode == 0, done.stdout + done.stderr
 
     def test_a_successor_at_the_address_of_a_voter_that_is_gone_votes(self) -> None:
         day = next(day for day in DAYS if day.stem == "5-wrong-caller")
         done = run_simulation("--script", str(day), "--seeds", "2", "--rate", "12")
-        assert "all rules kept" in done.stdout and done.returncode == 0, done.stdout + done.stderr
+        assert "all rules kept" in done.stdout, done.stdout + done.stderr
+        assert done.returncode == 0, done.stdout + done.stderr
 
 
 class TestPlantedFaults:
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -16,7 +16,7 @@
 from hollowusher.protocol.membership import Heartbeat
 from hollowusher.simulation.event_loop import DeadlockError, LivelockError, SimulatedProcess, VirtualTimeLoop
 from hollowusher.simulation.invariants import DeploymentRules, find_violations
-from hollowusher.simulation.network import SimulatedNetwork, SimulatedTransport
+from hollowusher.simulation.network import SimulatedNetwork
 from hollowusher.simulation.observations import (
     AcceptedLeaseEnd,
     ConfigurationOrder,
@@ -31,6 +31,7 @@
     WorkerRun,
 )
 from hollowusher.simulation.reference_model import RouteRules
+from hollowusher.simulation.transport import SimulatedTransport
 from hollowusher.transport.interface import PeerError
 
 HERE, THERE = "10.0.0.1:7780", "10.0.0.2:7780"
@@ -187,7 +188,8 @@
             await pair.begin()
             sent = Heartbeat("client", 7)
             assert await pair.here.call(THERE, sent, 1.0) == Acknowledgement()
-            assert pair.received == [sent] and pair.received[0] is not sent
+            assert pair.received == [sent]
+            assert pair.received[0] is not sent
 
         play(work)
 
@@ -195,7 +197,8 @@
         async def work(loop: VirtualTimeLoop) -> None:
             pair = Pair(loop)
             error, took = await pair.failure()
-            assert not error.sent and took < 0.1
+            assert not error.sent
+            assert took < 0.1
 
         play(work)
 
@@ -205,7 +208,8 @@
             await pair.begin()
             pair.network.power_off("10.0.0.2")
             error, took = await pair.failure(timeout=0.7)
-            assert not error.sent and took == pytest.approx(0.7)
+            assert not error.sent
+            assert took == pytest.approx(0.7)
 
         play(work)
 
@@ -218,7 +222,8 @@
             loop.call_outside(0.2, pair.server.kill)
             loop.call_outside(0.2, pair.network.process_ended, pair.server)
             error, took = await pair.failure(timeout=5)
-            assert error.sent and took < 0.3
+            assert error.sent
+            assert took < 0.3
 
         play(work)
 
@@ -229,7 +234,9 @@
             await pair.call()
             pair.network.block("10.0.0.2", "10.0.0.1", both=False)
             error, took = await pair.failure(timeout=0.5)
-            assert error.sent and took == pytest.approx(0.5) and len(pair.received) == 2
+            assert error.sent
+            assert took == pytest.approx(0.5)
+            assert len(pair.received) == 2
 
         play(work)
 
@@ -259,7 +266,8 @@
             await asyncio.sleep(5)
             pair.network.heal_all()
             await asyncio.sleep(1)
-            assert len(pair.received) == 1 and await pair.call(2) == Acknowledgement()
+            assert len(pair.received) == 1
+            assert await pair.call(2) == Acknowledgement()
 
         play(work)
 
@@ -289,7 +297,8 @@
             again = pair.network.transport(SimulatedProcess("server", 2), THERE)
             await pair.begin(again)
             error, took = await pair.failure()
-            assert took < 0.1 and error.reason == "connection reset"
+            assert took < 0.1
+            assert error.reason == "connection reset"
             assert await pair.call(1) == Acknowledgement()
 
         play(work)
@@ -302,7 +311,8 @@
             pair = Pair(loop)
             await pair.there.start(fail)
             error, _ = await pair.failure()
-            assert "peer failed" in error.reason and len(pair.network.handler_failures) == 1
+            assert "peer failed" in error.reason
+            assert len(pair.network.handler_failures) == 1
 
         play(work)
 
@@ -619,11 +629,13 @@
 
     def test_a_quiet_day_keeps_all_rules(self) -> None:
         done = self.play("--seeds", "1", "--quiet-days")
-        assert "all rules kept" in done.stdout and done.returncode == 0, done.stdout + done.stderr
+        assert "all rules kept" in done.stdout, done.stdout + done.stderr
+        assert done.returncode == 0, done.stdout + done.stderr
 
     def test_a_day_with_killed_stores_keeps_all_rules(self) -> None:
         done = self.play("--seeds", "2", "--kinds", "kill,power", "--calm", "12")
-        assert "all rules kept" in done.stdout and done.returncode == 0, done.stdout + done.stderr
+        assert "all rules kept" in done.stdout, done.stdout + done.stderr
+        assert done.returncode == 0, done.stdout + done.stderr
 
     def test_a_planted_fault_is_found(self) -> None:
         done = self.play("--seeds", "1-2", "--planted", "ordering-key-ignored")
--- a/tests/simulation/test_wire_rules_drain.py
+++ b/tests/simulation/test_wire_rules_drain.py
@@ -6,10 +6,11 @@
 
 import pytest
 
-from hollowusher.simulation.cluster import READINESS_PORT, SimulatedMachine
+from hollowusher.simulation.addresses import READINESS_PORT
 from hollowusher.simulation.deployment import CLIENT_HOST
 from hollowusher.simulation.event_loop import VirtualTimeLoop
 from hollowusher.simulation.http_network import HttpExchangeError, HttpRequest
+from hollowusher.simulation.machine import SimulatedMachine
 from hollowusher.simulation.programs import build_program
 from hollowusher.simulation.simulation_run import SimulationPlan, SimulationRun
 
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -33,8 +33,10 @@
 )
 from hollowusher.protocol.placement import LearnerLost, LearnerReady, PartitionPlacement, Placement
 from hollowusher.protocol.view import View, Voter
+from hollowusher.simulation.addresses import host_of
 from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
-from hollowusher.simulation.network import SimulatedNetwork, SimulatedTransport, host_of
+from hollowusher.simulation.network import SimulatedNetwork
+from hollowusher.simulation.transport import SimulatedTransport
 from hollowusher.storage.memory import MemoryLog
 
 EPOCH_MS = 1_700_000_000_000
--- a/tests/support/store_scenario.py
+++ b/tests/support/store_scenario.py
@@ -20,8 +20,10 @@
 )
 from hollowusher.protocol.operator_orders import OperatorResponse, RetireStore
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from hollowusher.simulation.cluster import DeploymentSize, MachineDisk, SimulatedCluster, SimulatedMachine
+from hollowusher.simulation.cluster import DeploymentSize, SimulatedCluster
 from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
+from hollowusher.simulation.machine import SimulatedMachine
+from hollowusher.simulation.machine_disk import MachineDisk
 from hollowusher.simulation.programs import build_program
 from hollowusher.storage.memory import MemoryLog
 from hollowusher.transport.interface import PeerError
