--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -14,6 +14,9 @@
 DOCS = ROOT / "docs"
 CHECKED_PAGES = ("architecture.md", "glossary.md", "README.md")
 REFERENCE = re.compile(r"`((?:hollowusher|tests|docs|deploy|benchmarks|rehearsals)/[\w./-]*)(?::([\w.]+))?`")
+SOURCE_FILE = re.compile(r"`([\w./]+\.py)(?=[`:])")
+SOURCES = ("hollowusher", "tests", "benchmarks")
+HISTORY = ("ROADMAP.md", "glossary.md")  # they name what was
 LINK = re.compile(r"\]\((?!https?:)([^)#]+)(?:#[^)]*)?\)")
 
 
@@ -59,6 +62,15 @@
     assert not missing
 
 
+@pytest.mark.parametrize("page", sorted(DOCS.rglob("*.md")), ids=lambda page: str(page.relative_to(DOCS)))
+def test_source_files_on_the_page_exist(page: Path) -> None:
+    if page.name in HISTORY:
+        return
+    files = [str(path.relative_to(ROOT)) for top in SOURCES for path in (ROOT / top).rglob("*.py")]
+    named = SOURCE_FILE.findall(page.read_text())
+    assert [name for name in named if not any(f"/{file}".endswith(f"/{name}") for file in files)] == []
+
+
 def test_architecture_shows_the_table_of_imports() -> None:
     shown: dict[str, set[str]] = {}
     for line in (DOCS / "architecture.md").read_text().splitlines():
