--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages for readers of the code name what is there: files, classes, functions, and the table of imports."""
+"""The pages for readers of the code name what is there: files, classes, functions, imports, links."""
 
 from __future__ import annotations
 
