--- a/hollowusher/roles/control.py
+++ b/hollowusher/roles/control.py
@@ -9,6 +9,7 @@
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.controller.control_status import build_control_status
 from hollowusher.coordination.controller.controller import Controller
+from hollowusher.coordination.controller.head_context import HeadContext
 from hollowusher.coordination.controller.head_roles import HeadRoles
 from hollowusher.coordination.controller.worker_list_reader import WorkerListReader
 from hollowusher.coordination.distribution.update_feed import UpdateFeed
@@ -51,19 +52,13 @@
             lambda: process.settings.seed_addresses(),
         )
         self.reader = WorkerListReader(settings.cloud_api.address, settings.cloud_api.rate_per_s)
+        self._tolerance = settings.fault_tolerance.machines
+        context = HeadContext(
+            me, self.controller, self.feed, MemberDirectory(clock()), process.transport, clock
+        )
         self.head_roles = HeadRoles(
-            me,
-            self.controller,
-            self.feed,
-            MemberDirectory(clock()),
-            settings,
-            self.reader,
-            process.transport,
-            clock,
-            log,
-            self.controller.has_newest_view,
+            context, self._tolerance, self.reader, log, self.controller.has_newest_view
         )
-        self._tolerance = settings.fault_tolerance.machines
         self._fault_tolerance_log = FaultToleranceLog(log)
         ChangeLog(process.state, "", lambda: self.controller.is_head)
 
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -14,8 +14,9 @@
 
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import ClusterState
+from hollowusher.coordination.controller.errors import WorkerListReadError
 from hollowusher.coordination.controller.operator_api import OperatorApi
-from hollowusher.coordination.controller.worker_list_reader import PlatformError, WorkerListReader
+from hollowusher.coordination.controller.worker_list_reader import READ_STEP, WorkerListReader
 from hollowusher.delivery.callbacks import callback_request
 from hollowusher.delivery.connection import Answer
 from hollowusher.delivery.outcome import DeliveryOutcome, Ending
@@ -120,7 +121,7 @@
         except HttpExchangeError as failure:
             raise aiohttp.ClientError(str(failure)) from None
         if answer.status != 200:
-            raise PlatformError("read the list", self.address, f"status {answer.status}")
+            raise WorkerListReadError(READ_STEP, self.address, f"status {answer.status}")
         return answer.body
 
 
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -8,8 +8,12 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import WORKERS
-from hollowusher.protocol.operator_orders import RetireStore
-from tests.support.simulated_controllers import SimulatedControllers, run_simulated_controllers
+from hollowusher.protocol.operator_orders import OperatorResponse, RetireStore
+from tests.support.simulated_controllers import (
+    SimulatedController,
+    SimulatedControllers,
+    run_simulated_controllers,
+)
 
 SHAPES = ("all", "in", "out", "one")
 CUT_S = 20.0
@@ -85,6 +89,13 @@
         run_simulated_controllers(work)
 
 
+async def retire_status(head: SimulatedController, message: RetireStore) -> int:
+    """Return the status that the operator gets to an order or a question about a retirement."""
+    answer = await head.process.run(head.head_roles.handle(message))
+    assert isinstance(answer, OperatorResponse)
+    return answer.status
+
+
 class TestRetire:
     def test_a_head_that_was_cut_off_refuses_no_order(self) -> None:
         """It takes itself for the head for a second more, and cannot know what its successor has taken."""
@@ -94,12 +105,12 @@
             head = controllers.require_head()
             order, question = RetireStore("store-nowhere", 10.0), RetireStore("store-nowhere", None)
             for message in (order, question):
-                assert (await head.process.run(head.head_roles.handle(message))).status == 404
+                assert await retire_status(head, message) == 404
             controllers.cut(head.name, "all")
             await asyncio.sleep(0.3)
             assert head.controller.is_head
             for message in (order, question):
-                assert (await head.process.run(head.head_roles.handle(message))).status == 503
+                assert await retire_status(head, message) == 503
 
         run_simulated_controllers(work)
 
--- a/tests/coordination/controller/test_head_roles_after_pause.py
+++ b/tests/coordination/controller/test_head_roles_after_pause.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from hollowusher.configuration.boot import BootSettings
+from hollowusher.coordination.controller.head_context import HeadContext
 from hollowusher.coordination.controller.head_roles import HeadRoles
 from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
@@ -62,15 +63,13 @@
         self.feed = UpdateFeed("a/1")
         self.deaths: list[str] = []
         members = [Member(name, "edge", f"10.0.0.{name}:7780", "z", "r", 1) for name in NAMES]
+        context = HeadContext(
+            members[0], _Chain(), self.feed, MemberDirectory(loop.time()), _Transport(), loop.time
+        )
         self.head_roles = HeadRoles(
-            members[0],
-            _Chain(),
-            self.feed,
-            MemberDirectory(loop.time()),
-            BootSettings(node_name="a", machine_class="edge", ip="10.0.0.1"),
+            context,
+            BootSettings(node_name="a", machine_class="edge", ip="10.0.0.1").fault_tolerance.machines,
             _Reader(),
-            _Transport(),
-            loop.time,
         )
         self.feed.add_listener(self._note)
         for member in members:
@@ -150,7 +149,7 @@
         for _ in range(4):
             head.hear("c")
             await asyncio.sleep(0.3)
-        assert head.head_roles._members_in_check == {"b"}
+        assert head.head_roles._membership._members_in_check == {"b"}
         await head.freeze_for(1.0)
         await asyncio.sleep(0.5)
         assert head.deaths == []
--- a/tests/coordination/controller/test_worker_list_reader.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -12,14 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollowusher.coordination.controller.worker_list_reader import (
-    MAX_BACKOFF_S,
-    CallRateLimiter,
-    PlatformError,
-    WorkerListReader,
-    WorkerListReconciler,
-    parse_page,
-)
+from hollowusher.coordination.controller.call_rate_limiter import MAX_BACKOFF_S, CallRateLimiter
+from hollowusher.coordination.controller.errors import MalformedPageError, WorkerListReadError
+from hollowusher.coordination.controller.worker_list_page import parse_page
+from hollowusher.coordination.controller.worker_list_reader import WorkerListReader
+from hollowusher.coordination.controller.worker_list_reconciler import WorkerListReconciler
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
 ENTRY: dict[str, Any] = {
@@ -35,7 +32,17 @@
 NEEDED = ("id", "upstream", "address", "state")
 NO_TEXT: tuple[Any, ...] = (None, "", 7, [], {})
 NO_NUMBER: tuple[Any, ...] = ("12", None, True, [], {}, 1e300)
-NO_ADDRESS = ("host", ":80", "host:", "host:0", "host:65536", "host:x", "host:-1", "host:８０")
+NO_ADDRESS = (
+    "host",
+    ":80",
+    "host:",
+    "host:0",
+    "host:65536",
+    "host:x",
+    "host:-1",
+    "host:８０",
+    "host:" + "9" * 5000,
+)
 
 
 def page(*entries: Any, token: Any = None) -> bytes:
@@ -112,7 +119,7 @@
     ],
 )
 def test_bad_pages_are_refused_whole(body: bytes) -> None:
-    with pytest.raises(ValueError):
+    with pytest.raises(MalformedPageError):
         parse_page(body)
 
 
@@ -141,7 +148,7 @@
 def test_any_bytes_are_read_or_refused(body: bytes) -> None:
     try:
         read = parse_page(body)
-    except ValueError:
+    except MalformedPageError:
         return
     assert all(
         found.id and found.service and ":" in found.address and found.capacity >= 1 for found in read.workers
@@ -260,7 +267,7 @@
     async def work(reader: WorkerListReader) -> None:
         for _ in range(3):
             reader._rate_limiter = CallRateLimiter(20_000.0)  # no pause of real time in a test
-            with pytest.raises(PlatformError) as caught:
+            with pytest.raises(WorkerListReadError) as caught:
                 await reader.read()
             assert caught.value.peer == reader.address and caught.value.step == "read the list"
         reader._rate_limiter = CallRateLimiter(20_000.0)
@@ -274,7 +281,7 @@
     async def play() -> None:
         reader = WorkerListReader("127.0.0.1:9", 20_000.0)
         try:
-            with pytest.raises(PlatformError):
+            with pytest.raises(WorkerListReadError):
                 await reader.read()
         finally:
             await reader.close()
@@ -290,7 +297,7 @@
 
     async def work(reader: WorkerListReader) -> None:
         first = await reader.read()
-        with pytest.raises(PlatformError):
+        with pytest.raises(WorkerListReadError):
             await reader.read()
         reader._rate_limiter = CallRateLimiter(20_000.0)
         last = await reader.read()
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -14,13 +14,15 @@
 
 from hollowusher.configuration.boot import BootSettings, FaultTolerance
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.coordination.controller.head_roles import HeadRoles, Update
-from hollowusher.coordination.controller.worker_list_reader import PlatformError
+from hollowusher.coordination.controller.errors import WorkerListReadError
+from hollowusher.coordination.controller.head_context import HeadContext
+from hollowusher.coordination.controller.head_roles import HeadRoles
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.membership.member_directory import MemberDirectory
 from hollowusher.coordination.membership.monitor_assignment import choose_monitors
 from hollowusher.coordination.placement.initial_placement import PARTITION_COUNT
+from hollowusher.coordination.placement.placement_manager import Update
 from hollowusher.coordination.placement.planner import is_store_placed
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState, ControlStateResponse, ReadControlState
@@ -90,7 +92,7 @@
         """The platform's list, as a stand-in of its reader."""
         self.chain.readings.append(asyncio.get_running_loop().time())
         if not self.chain.lists:
-            raise PlatformError("read the list", "platform", "nothing to read")
+            raise WorkerListReadError("read the list", "platform", "nothing to read")
         return self.chain.lists[0] if len(self.chain.lists) == 1 else self.chain.lists.pop(0)
 
 
@@ -143,9 +145,8 @@
         if self.controller:
             self.feed = UpdateFeed(f"{self.name}/{self.me.incarnation}")
             access = ChainAccess(self.cluster.chain, self.name)
-            self.head_roles = HeadRoles(
-                self.me, access, self.feed, MemberDirectory(clock()), settings, access, self.transport, clock
-            )
+            context = HeadContext(self.me, access, self.feed, MemberDirectory(clock()), self.transport, clock)
+            self.head_roles = HeadRoles(context, settings.fault_tolerance.machines, access)
         self.client = ClusterClient(
             self.me, self.transport, settings, self.state, self.feed, random.Random(self.name)
         )
--- a/tests/coordination/membership/test_health_check.py
+++ b/tests/coordination/membership/test_health_check.py
@@ -39,15 +39,17 @@
         before = cluster.nodes["store1"].me
         reached: list[int] = []
         monkeypatch.setattr(
-            head_roles._directory, "clear_suspicion", lambda member: reached.append(member.incarnation)
+            head_roles._membership._directory,
+            "clear_suspicion",
+            lambda member: reached.append(member.incarnation),
         )
-        await head_roles._check_health(before)
+        await head_roles._membership._check_health(before)
         assert reached == [1]
         after = cluster.restart("store1").me
         await asyncio.sleep(0.05)
-        await head_roles._check_health(before)
+        await head_roles._membership._check_health(before)
         assert reached == [1]
-        await head_roles._check_health(after)
+        await head_roles._membership._check_health(after)
         assert reached == [1, 2]
 
     play(work)
--- a/tests/support/simulated_controllers.py
+++ b/tests/support/simulated_controllers.py
@@ -17,6 +17,7 @@
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.controller.controller import Controller
+from hollowusher.coordination.controller.head_context import HeadContext
 from hollowusher.coordination.controller.head_roles import HeadRoles
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.update_feed import UpdateFeed
@@ -100,15 +101,13 @@
             lambda view: self.head_roles.publish_view(view),
             lambda state: self.head_roles.publish_state(state),
         )
+        context = HeadContext(
+            self.me, self.controller, self.feed, MemberDirectory(loop.time()), transport, loop.time
+        )
         self.head_roles = HeadRoles(
-            self.me,
-            self.controller,
-            self.feed,
-            MemberDirectory(loop.time()),
-            settings,
+            context,
+            settings.fault_tolerance.machines,
             self.worker_list_source,
-            transport,
-            loop.time,
             has_newest_view=self.controller.has_newest_view,
         )
         self.client = ClusterClient(
