--- a/hollowusher/messages/job_waiters.py
+++ b/hollowusher/messages/job_waiters.py
@@ -1,4 +1,4 @@
-"""Dispatchers that wait for jobs at this store, and telling dispatchers that do not ask."""
+"""Long polls of dispatchers for jobs of this store, and notifications to dispatchers that do not poll."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class JobWaiters:
-    """Waiting lease requests by service, oldest first.  `has_ready` tells whether a job could go now."""
+    """Waiting lease requests by service, oldest first.
+
+    `has_ready` returns whether a job of a service could be leased now.
+    """
 
     def __init__(
         self, store_id: str, transport: Transport, state: ClusterState, has_ready: Callable[[str], bool]
@@ -34,11 +37,11 @@
         self._closed = False
 
     def record_request(self, service: str) -> None:
-        """A dispatcher has asked for jobs of a service."""
+        """Record that a dispatcher has requested jobs of a service."""
         self._requested_at[service] = self._now()
 
     async def wait(self, service: str, until: float) -> None:
-        """Wait for jobs of a service to become ready, at most until then."""
+        """Wait until jobs of a service may be ready, at most until the given loop time."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         queue = self._waiting.setdefault(service, deque())
         queue.append(waiter)
@@ -54,7 +57,7 @@
                 del self._waiting[service]
 
     def wake(self, service: str) -> None:
-        """Jobs may be ready: let one dispatcher look; it wakes the next where some are left."""
+        """Wake one waiting request, because jobs may be ready; it wakes the next one if jobs remain."""
         if not self._has_ready(service):
             return
         for waiter in self._waiting.get(service, ()):
@@ -64,13 +67,13 @@
         self._notify_later(service, NOTIFY_DELAY_S)
 
     def wake_all(self, service: str) -> None:
-        """Let all look again: one of them may have nothing to wait for any more."""
+        """Wake all waiting requests: one of them may have nothing to wait for any more."""
         for waiter in self._waiting.get(service, ()):
             if not waiter.done():
                 waiter.set_result(None)
 
     def close(self) -> None:
-        """Answer all who wait."""
+        """Wake all waiting requests and stop notifications."""
         self._closed = True
         for timer in self._notifying.values():
             timer.cancel()
--- a/hollowusher/messages/partition/active_messages.py
+++ b/hollowusher/messages/partition/active_messages.py
@@ -14,11 +14,11 @@
 from hollowusher.protocol.leases import LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.messages import CALLBACK_PREFIX
 
-START_WITHIN_MS = 500
+START_WITHIN_MS = 500  # after a dispatcher has received a lease; later it returns the lease
 TAKEN = LeaseUpdateResponse("taken")
 GONE = LeaseUpdateResponse("gone")
 RESULT_PRECEDENCE = {"not_run": 0, "unknown": 0, "failed": 1, "refused": 2, "success": 2}
-MAX_EARLIER_RESULTS = 4  # kept of each message: the holder of a lease repeats its end for a while only
+MAX_EARLIER_RESULTS = 4  # kept of each message: a holder repeats the outcome of its lease only for a while
 PUBLIC_STATES = {
     MessageStatus.QUEUED: "queued",
     MessageStatus.LEASED: "queued",
@@ -29,10 +29,10 @@
 
 @attrs.define(slots=True, eq=False, kw_only=True)
 class LeasableJob(QueuedMessage):
-    """What the queue hands out."""
+    """A queued item that can be leased."""
 
     lease: int = 0  # number of the current lease, 0: none
-    expires_at: float = 0.0  # steady clock
+    expires_at: float = 0.0  # monotonic clock
 
 
 @attrs.define(slots=True, eq=False, kw_only=True)
@@ -45,14 +45,14 @@
     max_attempts: int
     timeout_ms: int
     callback_url: str
-    retained_until: float  # steady clock
-    consecutive_not_run: int = 0  # times in a row that it was given back unrun
+    retained_until: float  # monotonic clock
+    consecutive_not_run: int = 0  # times in a row that its lease was returned unused
     is_ending: bool = False
 
 
 @attrs.define(slots=True, eq=False, kw_only=True)
 class CallbackJob(LeasableJob):
-    """A call-back that is owed."""
+    """A pending call-back."""
 
     id: str
     callback_url: str
@@ -64,34 +64,35 @@
 
 
 class LeaseGrant(NamedTuple):
-    """One leased job; it may be handed out once its proposal (None: at once) has been committed."""
+    """One leased job; it may be sent to the dispatcher once its proposal (None: at once) is committed."""
 
     job: LeasedJob
     proposal: Proposal | None
 
 
 class LeaseOutcome(NamedTuple):
-    """What the holder of a lease reported."""
+    """The outcome of a lease, as its holder reported it."""
 
     lease: int
     result: str
     signature: str
+    min_retry_delay_s: float = 0.0  # asked for by the worker
 
     def is_repeat(self, state: MessageState) -> bool:
-        """Whether the message's state holds this end already, or one of the same lease that says more."""
+        """Return whether the state has this outcome, or one of the same lease that takes precedence."""
         if state.last_lease != self.lease:
             return [self.lease, self.result] in state.earlier_results
-        says_less = (
+        is_superseded = (
             not state.status.has_ended
             and RESULT_PRECEDENCE[self.result] < RESULT_PRECEDENCE[state.last_result]
         )
-        return state.last_result == self.result or says_less
+        return state.last_result == self.result or is_superseded
 
     def record_in(self, state: MessageState) -> None:
-        """Write the end into the message's state."""
+        """Write the outcome into the message's state."""
         if state.last_lease and state.last_lease != self.lease:
-            ends = [*state.earlier_results, [state.last_lease, state.last_result]]
-            state.earlier_results = ends[-MAX_EARLIER_RESULTS:]
+            results = [*state.earlier_results, [state.last_lease, state.last_result]]
+            state.earlier_results = results[-MAX_EARLIER_RESULTS:]
         state.last_lease = self.lease
         state.last_result = self.result
         state.attempts += self.result == "failed"
@@ -100,12 +101,12 @@
 
 
 def last_finished_lease(entry: MessageEntry) -> int:
-    """The number of the lease that finished last, 0: none has."""
+    """Return the number of the lease that finished last, 0 if none has."""
     return entry.state.last_lease if entry.state is not None else 0
 
 
 def callback_service_name(url: str) -> str:
-    """The pseudo service of a call-back address, empty where the URL has no host."""
+    """Return the pseudo service of a call-back address, empty if the URL has no host."""
     try:
         parts = urlsplit(url)
         port = parts.port or 80
--- a/hollowusher/messages/partition/callback_jobs.py
+++ b/hollowusher/messages/partition/callback_jobs.py
@@ -1,4 +1,7 @@
-"""Call-backs that are owed: jobs of a pseudo service of their receiver, leased until one was answered."""
+"""Pending call-backs: jobs of a pseudo service for each receiver, leased until the receiver has answered.
+
+The leases of call-backs are not replicated: after a takeover a call-back is sent again.
+"""
 
 from __future__ import annotations
 
@@ -16,40 +19,30 @@
     LeaseGrant,
     callback_service_name,
 )
-from hollowusher.messages.partition.message_deadlines import MessageDeadlines
-from hollowusher.messages.partition.message_queue import MessageQueue
-from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.partition.partition_context import PartitionContext
 from hollowusher.messages.partition.proposal import Proposal
-from hollowusher.messages.partition.record_writer import RecordWriter
 from hollowusher.messages.records import LeaseId, MessageKey, MessageState
 from hollowusher.protocol.leases import FinishLease, LeasedJob, LeaseRequest, LeaseUpdateResponse
 from hollowusher.protocol.messages import NewMessage
 
 CALLBACK_LEASE_S = 12.0
 CALLBACK_BACKOFF_MIN_S, CALLBACK_BACKOFF_MAX_S = 0.3, 3.0
-MAX_DOUBLINGS = 16
+MAX_BACKOFF_DOUBLINGS = 16
 
 
 class CallbackJobs:
-    """The call-backs owed by one partition.  Their leases are known to the primary alone."""
-
-    def __init__(
-        self,
-        table: PartitionTable,
-        writer: RecordWriter,
-        queue: MessageQueue,
-        deadlines: MessageDeadlines,
-        numbers: Iterator[int],
-    ) -> None:
-        self._table = table
-        self._writer = writer
-        self._queue = queue
-        self._deadlines = deadlines
-        self._numbers = numbers
+    """The pending call-backs of one partition.  Only the primary knows their leases."""
+
+    def __init__(self, context: PartitionContext, lease_numbers: Iterator[int]) -> None:
+        self._table = context.table
+        self._writer = context.writer
+        self._queue = context.queue
+        self._deadlines = context.deadlines
+        self._lease_numbers = lease_numbers
         self._jobs: dict[MessageKey, CallbackJob] = {}
 
     def add(self, key: MessageKey, state: MessageState, now: float) -> None:
-        """A message has ended that owes a call-back."""
+        """Queue the call-back of a message that has ended."""
         service = callback_service_name(state.callback_url)
         if key in self._jobs or not service:
             return
@@ -68,14 +61,14 @@
         self._queue.release(callback, now, now)
 
     def lease(self, request: LeaseRequest, most: int, now: float) -> list[LeaseGrant]:
-        """Up to `most` call-backs of the receiver."""
+        """Grant leases on up to `most` call-backs of the receiver."""
         grants: list[LeaseGrant] = []
         while len(grants) < most:
             callback = self._queue.lease_next(request.service)
             if callback is None:
                 break
             assert isinstance(callback, CallbackJob)
-            callback.lease = next(self._numbers)
+            callback.lease = next(self._lease_numbers)
             callback.dispatcher, callback.incarnation = request.dispatcher, request.incarnation
             self._deadlines.schedule_lease_expiry(callback, now + CALLBACK_LEASE_S)
             grants.append(LeaseGrant(self._job(callback), None))
@@ -84,7 +77,10 @@
     def finish(
         self, lease: LeaseId, finish: FinishLease, now: float, wall_ms: int
     ) -> Proposal | LeaseUpdateResponse:
-        """The end of a call-back's lease.  A proposal means: `taken` once it is committed."""
+        """Finish the lease of a call-back.
+
+        A proposal stands for the answer `taken` once it is committed.
+        """
         entry = self._table.entries.get(lease.key)
         if entry is None or entry.state is None or not entry.state.callback_pending:
             return self._writer.pending.get(lease.key) or TAKEN
@@ -96,31 +92,31 @@
             return GONE
         if finish.result != "not_run":
             callback.failures += 1
-        doublings = min(max(callback.failures - 1, 0), MAX_DOUBLINGS)
+        doublings = min(max(callback.failures - 1, 0), MAX_BACKOFF_DOUBLINGS)
         wait_s = min(CALLBACK_BACKOFF_MAX_S, CALLBACK_BACKOFF_MIN_S * 2.0**doublings)
         self.requeue(callback, max(wait_s, finish.retry_ms / 1000), now)
         return TAKEN
 
     def requeue(self, callback: CallbackJob, wait_s: float, now: float) -> None:
-        """Have a call-back sent again."""
+        """Queue a call-back for another attempt."""
         callback.lease = 0
         callback.expires_at = 0.0
         self._queue.release(callback, now + wait_s, now)
 
     def postpone_leases(self, seconds: float) -> None:
-        """Let all leases run for longer."""
+        """Let all leases last for longer."""
         for callback in self._jobs.values():
             if callback.lease:
                 callback.expires_at += seconds
 
     def release_dispatchers(self, alive: Callable[[str, int], bool], now: float) -> None:
-        """Requeue the call-backs leased to dispatchers that are gone."""
+        """Requeue the call-backs leased to dispatchers that are not alive."""
         for callback in self._jobs.values():
             if callback.lease and not alive(callback.dispatcher, callback.incarnation):
                 self.requeue(callback, 0.0, now)
 
     def forget(self, keys: Iterable[MessageKey]) -> None:
-        """The table has dropped these messages."""
+        """Drop the call-backs of messages that the table has dropped."""
         for key in keys:
             callback = self._jobs.pop(key, None)
             if callback is not None:
@@ -134,8 +130,8 @@
 
     def _record_delivered(self, key: MessageKey, state: MessageState, now: float, wall_ms: int) -> Proposal:
         version = self._writer.next_version()
-        told = attrs.evolve(state, version=version, callback_pending=False, callback_url="")
-        return self._writer.propose_state(key, told, False, now, wall_ms)
+        delivered = attrs.evolve(state, version=version, callback_pending=False, callback_url="")
+        return self._writer.propose_state(key, delivered, now, wall_ms)
 
     def _job(self, callback: CallbackJob) -> LeasedJob:
         message = NewMessage(
--- a/hollowusher/messages/partition/message_deadlines.py
+++ b/hollowusher/messages/partition/message_deadlines.py
@@ -1,4 +1,4 @@
-"""When leases run out and messages have been retained for long enough, earliest first."""
+"""Expiry times of leases and ends of retentions, earliest first.  No clock of its own."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class MessageDeadlines:
-    """The leases and retentions of one partition.  No clock of its own: times are passed in."""
+    """The expiry times of one partition's leases and the ends of its messages' retentions."""
 
     def __init__(self, numbers: Iterator[int]) -> None:
         self._numbers = numbers  # order of entries with the same time
@@ -31,21 +31,25 @@
         self._retention_ends: list[_RetentionEnd] = []
 
     def schedule_lease_expiry(self, message: ActiveMessage | CallbackJob, expires_at: float) -> None:
-        """Watch a new lease.  It keeps one heap entry; a later time is found when that one fires."""
+        """Schedule the expiry of a new lease.
+
+        A lease has one heap item.  If the lease was extended meanwhile, the item is scheduled again when it
+        comes first.
+        """
         message.expires_at = expires_at
         self._push_expiry(message)
 
     def schedule_retention_end(self, message: ActiveMessage, until: float) -> None:
-        """Have a message's retention looked at when it ends."""
+        """Schedule the end of a message's retention."""
         heapq.heappush(self._retention_ends, _RetentionEnd(until, next(self._numbers), message))
 
     def next_event_time(self) -> float | None:
-        """When the next entry is due."""
+        """Return when the next item is due, None for never."""
         times = [heap[0][0] for heap in (self._lease_expiries, self._retention_ends) if heap]
         return min(times, default=None)
 
     def expire_leases(self, now: float) -> Iterator[ActiveMessage | CallbackJob]:
-        """Those whose current lease has run out, one after the other; new leases may be watched between."""
+        """Yield the messages whose current lease has expired; new leases may be scheduled meanwhile."""
         while self._lease_expiries and self._lease_expiries[0].expires_at <= now:
             expiry = heapq.heappop(self._lease_expiries)
             message = expiry.message
@@ -57,7 +61,7 @@
                 yield message
 
     def expired_retentions(self, now: float) -> Iterator[ActiveMessage]:
-        """The messages whose retention has ended, one after the other."""
+        """Yield the messages whose retention has ended."""
         while self._retention_ends and self._retention_ends[0].until <= now:
             yield heapq.heappop(self._retention_ends).message
 
--- a/hollowusher/messages/partition/message_leases.py
+++ b/hollowusher/messages/partition/message_leases.py
@@ -1,4 +1,10 @@
-"""Leases of messages at their primary: granted, extended, ended by their holder, run out."""
+"""Leases of messages at their primary: granted, extended, finished by their holder, or expired.
+
+Leases follow Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism" (SOSP 1989): a holder may act
+until its lease expires, and a primary that took over honours the leases it finds in the records.  The number
+of a lease is the sequence number of its record, so a later lease of a message has a greater number: the
+number is the fencing token of the lease.  No I/O: the clocks are passed in.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +12,8 @@
 from contextlib import suppress
 from functools import partial
 
+import attrs
+
 from hollowusher.messages import records
 from hollowusher.messages.partition.active_messages import (
     GONE,
@@ -17,53 +25,50 @@
     LeaseOutcome,
     last_finished_lease,
 )
-from hollowusher.messages.partition.message_deadlines import MessageDeadlines
 from hollowusher.messages.partition.message_lifecycle import STORAGE_RETRY_S, MessageLifecycle
-from hollowusher.messages.partition.message_queue import MessageQueue, QueueStage
-from hollowusher.messages.partition.partition_table import MessageEntry, PartitionTable
+from hollowusher.messages.partition.message_queue import QueueStage
+from hollowusher.messages.partition.partition_context import PartitionContext
+from hollowusher.messages.partition.partition_table import MessageEntry
 from hollowusher.messages.partition.proposal import Proposal
-from hollowusher.messages.partition.record_writer import RecordWriter
-from hollowusher.messages.partition.service_routing import ServiceRouting
 from hollowusher.messages.records import LeaseId, MessageState, MessageStatus
 from hollowusher.protocol.leases import FinishLease, LeasedJob, LeaseRequest, LeaseUpdateResponse
 from hollowusher.storage.interface import StorageError
 
-PULL_GRACE_S = 0.3
+PULL_GRACE_S = 0.3  # for the way of the worker's last request to the store
 PULL_DELIVERY_ALLOWANCE_S = 0.7  # beyond it: a job may reach its worker up to a second after it was leased
-PUSH_GRACE_S = 4.0 + START_WITHIN_MS / 1000
-FAILED_BACKOFF_MIN_S, FAILED_BACKOFF_MAX_S = 0.1, 2.0
-NOT_RUN_BACKOFF_MIN_S, NOT_RUN_BACKOFF_MAX_S = 0.05, 1.0
+PUSH_GRACE_S = 4.0 + START_WITHIN_MS / 1000  # beyond the delivery's timeout
+FAILED_BACKOFF_MIN_S, FAILED_BACKOFF_MAX_S, FAILED_BACKOFF_FACTOR = 0.1, 2.0, 2.0
+NOT_RUN_BACKOFF_MIN_S, NOT_RUN_BACKOFF_MAX_S, NOT_RUN_BACKOFF_FACTOR = 0.05, 1.0, 1.5
 UNKNOWN_BACKOFF_S = 0.2
-MAX_DOUBLINGS = 16
+MAX_BACKOFF_STEPS = 16  # keeps the power small; the maximum is reached long before
+JITTER_MIN, JITTER_SPREAD = 0.75, 0.5
+
+
+@attrs.frozen
+class LeaseOptions:
+    """Settings of leases: how long a pull lease lasts by default, and the source of backoff jitter."""
+
+    visibility_ms: int
+    random_source: Callable[[], float]  # uniform in [0, 1)
 
 
 class MessageLeases:
     """The leases of one partition's messages."""
 
-    def __init__(
-        self,
-        table: PartitionTable,
-        writer: RecordWriter,
-        queue: MessageQueue,
-        deadlines: MessageDeadlines,
-        routing: ServiceRouting,
-        lifecycle: MessageLifecycle,
-        visibility_ms: int,
-        random_source: Callable[[], float],
-    ) -> None:
-        self._table = table
-        self._writer = writer
-        self._queue = queue
-        self._deadlines = deadlines
-        self._routing = routing
+    def __init__(self, context: PartitionContext, lifecycle: MessageLifecycle, options: LeaseOptions) -> None:
+        self._table = context.table
+        self._writer = context.writer
+        self._queue = context.queue
+        self._deadlines = context.deadlines
+        self._routing = context.routing
         self._lifecycle = lifecycle
-        self._visibility_ms = visibility_ms
-        self._random_source = random_source
+        self._visibility_ms = options.visibility_ms
+        self._random_source = options.random_source
 
     # Granting
 
     def lease(self, request: LeaseRequest, most: int, now: float, wall_ms: int) -> list[LeaseGrant]:
-        """Up to `most` ready jobs of the service, as far as its ceiling goes."""
+        """Grant leases on up to `most` ready jobs of the service, within its rate limit."""
         bucket = self._routing.bucket(request.service)
         if bucket is not None:
             most = min(most, bucket.available(now))
@@ -86,21 +91,21 @@
         return grants
 
     def is_grant_valid(self, grant: LeaseGrant) -> bool:
-        """Whether a grant still stands: its lease may have run out before it was committed."""
+        """Return whether a grant is still valid: its lease may expire before its record is committed."""
         lease = records.parse_lease_id(grant.job.lease)
         if lease is None or lease.is_callback:
             return True
         return self._leased_message(lease) is not None
 
     def cancel_grant(self, grant: LeaseGrant, now: float, wall_ms: int) -> None:
-        """A lease that never reached its dispatcher."""
+        """Requeue the message of a lease that never reached its dispatcher."""
         lease = records.parse_lease_id(grant.job.lease)
         active = self._leased_message(lease) if lease is not None else None
         if active is not None:
             self._try_requeue(active, now, wall_ms)
 
     def restore(self, active: ActiveMessage, entry: MessageEntry, now: float) -> None:
-        """Honour a lease that is known from its record alone."""
+        """Honour a lease that is known from its record alone; it lasts its full time from now."""
         state = entry.state
         assert state is not None
         if active.is_ending or active.lease == state.lease:
@@ -109,31 +114,37 @@
         self._lifecycle.mark_leased(active, state.lease, now + self.lease_duration_s(active, state))
 
     def lease_duration_s(self, active: ActiveMessage, state: MessageState) -> float:
-        """How long a lease lasts."""
+        """Return how many seconds a lease lasts."""
         if state.pull:
             visible_s = (state.visibility_ms or self._visibility_ms) / 1000
             return visible_s + PULL_GRACE_S + PULL_DELIVERY_ALLOWANCE_S
         return active.timeout_ms / 1000 + PUSH_GRACE_S
 
-    # Words of their holders
+    # Requests of lease holders
 
     def finish(
         self, lease: LeaseId, finish: FinishLease, now: float, wall_ms: int
     ) -> Proposal | LeaseUpdateResponse:
-        """The end of a lease.  A proposal means: `taken` once it is committed."""
+        """Finish a lease.
+
+        A proposal stands for the answer `taken` once it is committed.
+        """
         entry = self._table.entries.get(lease.key)
         if entry is None or finish.result not in RESULT_PRECEDENCE:
             return GONE
-        end = LeaseOutcome(lease.number, finish.result, finish.signature)
-        if entry.state is not None and end.is_repeat(entry.state):
+        outcome = LeaseOutcome(lease.number, finish.result, finish.signature, finish.retry_ms / 1000)
+        if entry.state is not None and outcome.is_repeat(entry.state):
             return self._writer.pending.get(lease.key) or TAKEN
         active = self._lifecycle.active.get(lease.key)
         if active is None or active.is_ending or not self._can_end_with(active, entry, lease.number):
             return GONE
-        return self._apply_result(active, entry, end, finish.retry_ms / 1000, now, wall_ms)
+        return self._apply_outcome(active, entry, outcome, now, wall_ms)
 
     def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseUpdateResponse:
-        """A pull worker needs longer."""
+        """Extend a pull lease.
+
+        A proposal stands for the answer `taken` once it is committed.
+        """
         active = self._lifecycle.active.get(lease.key)
         entry = self._table.entries.get(lease.key)
         if lease.is_callback or active is None or entry is None or active.is_ending:
@@ -146,40 +157,40 @@
             return GONE
         return self._reinstate(active, entry, lease.number, now, wall_ms)
 
-    # Time and lost holders
+    # Expiry and lost holders
 
-    def run_out(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
-        """A message's lease has run out."""
+    def expire(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
+        """Requeue a message whose lease has expired."""
         try:
             self._lifecycle.requeue(active, now, now, wall_ms)
         except StorageError:
             self._deadlines.schedule_lease_expiry(active, now + STORAGE_RETRY_S)
 
     def postpone(self, seconds: float) -> None:
-        """Let all leases run for longer."""
+        """Let all leases last for longer."""
         for active in self._lifecycle.leased.values():
             if active.lease:
                 active.expires_at += seconds
 
     def release_dispatchers(self, alive: Callable[[str, int], bool], now: float, wall_ms: int) -> None:
-        """Requeue the push leases of dispatchers that are gone."""
+        """Requeue the push leases of dispatchers that are not alive."""
         for active in list(self._lifecycle.leased.values()):
             state = self._table.entries[active.key].state
             if state is not None and not state.pull and not alive(state.dispatcher, state.incarnation):
                 self._try_requeue(active, now, wall_ms)
 
-    # Steps
+    # Transitions
 
     def _leased_message(self, lease: LeaseId) -> ActiveMessage | None:
-        """The message whose current lease this is."""
+        """Return the message whose current lease this is, if any."""
         active = self._lifecycle.leased.get(lease.key)
         return active if active is not None and active.lease == lease.number else None
 
     def _grant(
         self, active: ActiveMessage, request: LeaseRequest, now: float, wall_ms: int
     ) -> LeaseGrant | None:
-        put = self._table.read_accepted(self._table.entries[active.key])
-        if put is None:  # cannot be: an active message has its PUT record
+        accepted = self._table.read_accepted(self._table.entries[active.key])
+        if accepted is None:  # cannot be: an active message has its PUT record
             self._queue.suspend(active)
             return None
         state = self._writer.copy_without_lease(active.key)
@@ -187,78 +198,78 @@
         state.lease = state.version[1]
         state.dispatcher, state.incarnation = request.dispatcher, request.incarnation
         state.pull, state.visibility_ms = request.pull, request.visibility_ms
-        lasts_s = self.lease_duration_s(active, state)
-        on_commit = partial(self._on_grant_committed, active, state.lease, lasts_s)
-        proposal = self._writer.propose_state(active.key, state, False, now, wall_ms, on_commit)
-        self._lifecycle.mark_leased(active, state.lease, now + lasts_s)
+        duration_s = self.lease_duration_s(active, state)
+        on_commit = partial(self._on_grant_committed, active, state.lease, duration_s)
+        proposal = self._writer.propose_state(active.key, state, now, wall_ms, on_commit)
+        self._lifecycle.mark_leased(active, state.lease, now + duration_s)
         lease = records.format_lease_id(self._table.partition, active.key, state.lease)
-        return LeaseGrant(LeasedJob(lease, put.message, state.attempts, START_WITHIN_MS), proposal)
+        return LeaseGrant(LeasedJob(lease, accepted.message, state.attempts, START_WITHIN_MS), proposal)
 
     @staticmethod
     def _on_grant_committed(
-        active: ActiveMessage, lease: int, lasts_s: float, now: float, wall_ms: int
+        active: ActiveMessage, lease: int, duration_s: float, now: float, _wall_ms: int
     ) -> None:
-        """A lease is committed and goes out now: it counts from here."""
+        """Count a lease's time from its commit, because it goes out only now."""
         if active.lease == lease:
-            active.expires_at = max(active.expires_at, now + lasts_s)
+            active.expires_at = max(active.expires_at, now + duration_s)
 
     @staticmethod
     def _can_end_with(active: ActiveMessage, entry: MessageEntry, number: int) -> bool:
-        """Whether this lease is the current one, or may stand for it: nobody has the message, and no later
-        lease has ended.  Its record was lost, it ran out, or it was given back by mistake."""
+        """Return whether this lease may end the message.
+
+        It may if it is the current one, or if the message has no lease and no later lease has finished: then
+        the record of this lease was lost, it has expired, or it was returned by mistake.
+        """
         if active.lease:
             return active.lease == number
         return number >= last_finished_lease(entry) and active.stage in (QueueStage.WAITING, QueueStage.READY)
 
-    def _apply_result(
-        self,
-        active: ActiveMessage,
-        entry: MessageEntry,
-        end: LeaseOutcome,
-        least_wait_s: float,
-        now: float,
-        wall_ms: int,
+    def _apply_outcome(
+        self, active: ActiveMessage, entry: MessageEntry, outcome: LeaseOutcome, now: float, wall_ms: int
     ) -> Proposal:
-        if end.result == "success":
-            return self._lifecycle.end(active, MessageStatus.COMPLETED, now, wall_ms, end)
-        if end.result == "refused":
-            return self._lifecycle.end(active, MessageStatus.DEAD_LETTER, now, wall_ms, end)
+        """End the message or requeue it, as the outcome of its lease says."""
+        result = outcome.result
+        if result == "success":
+            return self._lifecycle.end(active, MessageStatus.COMPLETED, now, wall_ms, outcome)
+        if result == "refused":
+            return self._lifecycle.end(active, MessageStatus.DEAD_LETTER, now, wall_ms, outcome)
         attempts = entry.state.attempts if entry.state is not None else 0
-        if end.result == "failed":
+        if result == "failed":
             attempts += 1
             if attempts >= active.max_attempts:
-                return self._lifecycle.end(active, MessageStatus.DEAD_LETTER, now, wall_ms, end)
-        wait_s = max(self._backoff_s(active, end.result, attempts), least_wait_s)
-        return self._lifecycle.requeue(active, now + wait_s, now, wall_ms, end)
+                return self._lifecycle.end(active, MessageStatus.DEAD_LETTER, now, wall_ms, outcome)
+        delay_s = max(self._backoff_s(active, result, attempts), outcome.min_retry_delay_s)
+        return self._lifecycle.requeue(active, now + delay_s, now, wall_ms, outcome)
 
     def _backoff_s(self, active: ActiveMessage, result: str, attempts: int) -> float:
-        jitter = 0.75 + 0.5 * self._random_source()
+        """Return how long the message waits for its next lease, with jitter."""
+        jitter = JITTER_MIN + JITTER_SPREAD * self._random_source()
         if result == "not_run":
             active.consecutive_not_run += 1
-            grown_s = NOT_RUN_BACKOFF_MIN_S * 1.5 ** min(active.consecutive_not_run - 1, MAX_DOUBLINGS)
-            return min(NOT_RUN_BACKOFF_MAX_S, grown_s) * jitter
+            steps = min(active.consecutive_not_run - 1, MAX_BACKOFF_STEPS)
+            delay_s = NOT_RUN_BACKOFF_MIN_S * NOT_RUN_BACKOFF_FACTOR**steps
+            return min(NOT_RUN_BACKOFF_MAX_S, delay_s) * jitter
         active.consecutive_not_run = 0
         if result == "failed":
-            return (
-                min(FAILED_BACKOFF_MAX_S, FAILED_BACKOFF_MIN_S * 2.0 ** min(attempts - 1, MAX_DOUBLINGS))
-                * jitter
-            )
+            steps = min(attempts - 1, MAX_BACKOFF_STEPS)
+            delay_s = FAILED_BACKOFF_MIN_S * FAILED_BACKOFF_FACTOR**steps
+            return min(FAILED_BACKOFF_MAX_S, delay_s) * jitter
         return UNKNOWN_BACKOFF_S * jitter
 
     def _reinstate(
         self, active: ActiveMessage, entry: MessageEntry, number: int, now: float, wall_ms: int
     ) -> Proposal:
-        """Believe a pull worker that holds a lease whose record was lost."""
+        """Accept the lease of a pull worker whose record was lost."""
         state = self._writer.copy_without_lease(active.key)
         state.status = MessageStatus.LEASED
         state.lease = number
         state.pull = True
         state.visibility_ms = self._visibility_ms
-        proposal = self._writer.propose_state(active.key, state, False, now, wall_ms)
+        proposal = self._writer.propose_state(active.key, state, now, wall_ms)
         self.restore(active, entry, now)
         return proposal
 
     def _try_requeue(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
-        """Give a message back; where the disk takes nothing now, its lease runs out."""
+        """Requeue a message; if the disk accepts no record now, its lease expires later."""
         with suppress(StorageError):
             self._lifecycle.requeue(active, now, now, wall_ms)
--- a/hollowusher/messages/partition/message_lifecycle.py
+++ b/hollowusher/messages/partition/message_lifecycle.py
@@ -1,4 +1,7 @@
-"""The steps of a message at its primary: taken up, released, given back, ended."""
+"""The lifecycle of a message at its primary: activated, released, leased, requeued, ended.
+
+Owns the active messages of one partition, those that have not ended.  No I/O: the clocks are passed in.
+"""
 
 from __future__ import annotations
 
@@ -6,59 +9,48 @@
 
 from hollowusher.messages.partition.active_messages import ActiveMessage, LeaseOutcome, callback_service_name
 from hollowusher.messages.partition.callback_jobs import CallbackJobs
-from hollowusher.messages.partition.message_deadlines import MessageDeadlines
-from hollowusher.messages.partition.message_queue import NO_START_TARGET, MessageQueue, QueueStage
-from hollowusher.messages.partition.partition_table import PartitionTable
+from hollowusher.messages.partition.message_queue import NO_START_TARGET, QueueStage
+from hollowusher.messages.partition.partition_context import PartitionContext
 from hollowusher.messages.partition.proposal import Proposal
-from hollowusher.messages.partition.record_writer import RecordWriter
-from hollowusher.messages.partition.service_routing import ServiceRouting
 from hollowusher.messages.records import AcceptedMessage, MessageKey, MessageStatus
 from hollowusher.protocol.messages import NewMessage
 from hollowusher.storage.interface import StorageError
 
-STORAGE_RETRY_S = 1.0  # when the disk took no record
+STORAGE_RETRY_S = 1.0  # after the disk accepted no record
 
 
 def _start_target_s(message: NewMessage) -> float:
-    """How soon a message is to begin, without end where its route does not say."""
+    """Return how soon a message is to start, infinity if its route has no latency target."""
     return message.target_start_ms / 1000 if message.target_start_ms > 0 else NO_START_TARGET
 
 
 class MessageLifecycle:
     """The messages of one partition that have not ended."""
 
-    def __init__(
-        self,
-        table: PartitionTable,
-        writer: RecordWriter,
-        queue: MessageQueue,
-        deadlines: MessageDeadlines,
-        routing: ServiceRouting,
-        callbacks: CallbackJobs,
-    ) -> None:
+    def __init__(self, context: PartitionContext, callbacks: CallbackJobs) -> None:
         self.active: dict[MessageKey, ActiveMessage] = {}
         self.leased: dict[MessageKey, ActiveMessage] = {}
         self.keys_by_id: dict[str, MessageKey] = {}  # of ended messages, too, until the table drops them
-        self._table = table
-        self._writer = writer
-        self._queue = queue
-        self._deadlines = deadlines
-        self._routing = routing
+        self._table = context.table
+        self._writer = context.writer
+        self._queue = context.queue
+        self._deadlines = context.deadlines
+        self._routing = context.routing
         self._callbacks = callbacks
 
-    def activate(self, key: MessageKey, put: AcceptedMessage, retained_until: float) -> ActiveMessage:
-        """Take up a message; it stays held until it is released."""
-        message = put.message
+    def activate(self, key: MessageKey, accepted: AcceptedMessage, retained_until: float) -> ActiveMessage:
+        """Make a message active; it stays suspended until it is released."""
+        message = accepted.message
         active = ActiveMessage(
             key=key,
             service=self._routing.service_for(message.route, message.service),
             priority=message.priority,
-            due_wall_ms=put.due_wall_ms,
+            due_wall_ms=accepted.due_wall_ms,
             ordering_key=message.ordering_key,
             start_target_s=_start_target_s(message),
             id=message.id,
             route=message.route,
-            generation=put.generation,
+            generation=accepted.generation,
             max_attempts=message.max_attempts,
             timeout_ms=message.timeout_ms,
             callback_url=message.callback_url,
@@ -74,7 +66,7 @@
         return active
 
     def release(self, active: ActiveMessage, ready_at: float, now: float, wall_ms: int) -> None:
-        """Let a message leave from `ready_at` on, unless it has ended meanwhile."""
+        """Let a message be leased from `ready_at` on, unless it has ended meanwhile."""
         if active.stage not in (QueueStage.SUSPENDED, QueueStage.LEASED) or active.is_ending:
             return
         if active.retained_until <= now or self._routing.is_route_removed(active):
@@ -90,13 +82,13 @@
         ready_at: float,
         now: float,
         wall_ms: int,
-        end: LeaseOutcome | None = None,
+        outcome: LeaseOutcome | None = None,
     ) -> Proposal:
-        """Take a message's lease away and let it leave again from `ready_at` on."""
+        """Clear a message's lease and let it be leased again from `ready_at` on."""
         state = self._writer.copy_without_lease(active.key)
-        if end is not None:
-            end.record_in(state)
-        proposal = self._writer.propose_state(active.key, state, False, now, wall_ms)
+        if outcome is not None:
+            outcome.record_in(state)
+        proposal = self._writer.propose_state(active.key, state, now, wall_ms)
         self.clear_lease(active)
         if active.stage is not QueueStage.LEASED:
             self._queue.suspend(active)
@@ -109,13 +101,13 @@
         status: MessageStatus,
         now: float,
         wall_ms: int,
-        end: LeaseOutcome | None = None,
+        outcome: LeaseOutcome | None = None,
     ) -> Proposal:
-        """End a message; it is gone from the queue once that is committed."""
+        """End a message; it leaves the queue once its end is committed."""
         state = self._writer.copy_without_lease(active.key)
         state.status = status
-        if end is not None:
-            end.record_in(state)
+        if outcome is not None:
+            outcome.record_in(state)
         state.ended_wall_ms = wall_ms
         state.id = active.id
         state.callback_pending = (
@@ -123,7 +115,7 @@
         )
         state.callback_url = active.callback_url if state.callback_pending else ""
         on_commit = partial(self._on_end_committed, active)
-        proposal = self._writer.propose_state(active.key, state, True, now, wall_ms, on_commit)
+        proposal = self._writer.propose_durable_state(active.key, state, now, wall_ms, on_commit)
         self.clear_lease(active)
         active.is_ending = True
         if active.stage is not QueueStage.LEASED:
@@ -131,7 +123,7 @@
         return proposal
 
     def end_or_retry(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
-        """End a message whose time is up or whose route is gone; later, where the disk takes nothing now."""
+        """End a message as a dead letter; try again later if the disk accepts no record now."""
         try:
             self.end(active, MessageStatus.DEAD_LETTER, now, wall_ms)
         except StorageError:
@@ -141,13 +133,13 @@
             self._queue.release(active, now + 2 * STORAGE_RETRY_S, now)
 
     def end_expired(self, now: float, wall_ms: int) -> None:
-        """End the messages that nobody has and that have been retained for long enough."""
+        """End the messages without a lease whose retention has expired."""
         for message in self._deadlines.expired_retentions(now):
             if message.stage in (QueueStage.WAITING, QueueStage.READY):
                 self.end_or_retry(message, now, wall_ms)
 
     def apply_routing(self, now: float, wall_ms: int) -> None:
-        """After a change of the configuration: end what was dropped, move what goes to another service."""
+        """Apply a new configuration: end messages of removed routes, move those of another service."""
         for active in list(self.active.values()):
             if active.stage not in (QueueStage.WAITING, QueueStage.READY):
                 continue
@@ -157,30 +149,30 @@
                 self._change_service(active, active.ready_at, now)
 
     def mark_leased(self, active: ActiveMessage, number: int, expires_at: float) -> None:
-        """A message has a new lease."""
+        """Record a new lease of a message."""
         active.lease = number
         self.leased[active.key] = active
         self._deadlines.schedule_lease_expiry(active, expires_at)
 
     def clear_lease(self, active: ActiveMessage) -> None:
-        """A message has no lease."""
+        """Record that a message has no lease."""
         active.lease = 0
         active.expires_at = 0.0
         self.leased.pop(active.key, None)
 
     def discard(self, active: ActiveMessage, now: float) -> None:
-        """A message has ended at another primary."""
+        """Drop an active message that has ended at another primary."""
         del self.active[active.key]
         self.clear_lease(active)
         self._queue.remove(active, now)
 
     def forget(self, keys: list[MessageKey]) -> None:
-        """The table has dropped these messages."""
+        """Forget the ids of messages that the table has dropped."""
         dropped = set(keys)
         self.keys_by_id = {known: key for known, key in self.keys_by_id.items() if key not in dropped}
 
-    def _on_end_committed(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
-        """The end of a message is committed."""
+    def _on_end_committed(self, active: ActiveMessage, now: float, _wall_ms: int) -> None:
+        """Remove a message whose end is committed; its call-back is due now."""
         self.active.pop(active.key, None)
         self._queue.remove(active, now)
         entry = self._table.entries.get(active.key)
--- a/hollowusher/messages/partition/message_restorer.py
+++ b/hollowusher/messages/partition/message_restorer.py
@@ -1,4 +1,4 @@
-"""Taking up messages whose records were learnt from another replica or from the log."""
+"""Restoring of messages from records: after a takeover, from the log, or learned from another replica."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from hollowusher.messages.partition.message_leases import MessageLeases
 from hollowusher.messages.partition.message_lifecycle import MessageLifecycle
 from hollowusher.messages.partition.message_queue import QueueStage
-from hollowusher.messages.partition.partition_table import MessageEntry, PartitionTable
-from hollowusher.messages.partition.record_writer import RecordWriter
+from hollowusher.messages.partition.partition_context import PartitionContext
+from hollowusher.messages.partition.partition_table import MessageEntry
 from hollowusher.messages.records import AcceptedMessage, MessageKey, MessageStatus
 
 CLOCK_SKEW_MARGIN_MS = 200  # how much sooner another machine's wall clock may say that a delay is over
@@ -15,35 +15,34 @@
 
 
 class MessageRestorer:
-    """Brings the queue and the leases of one partition to what its records say."""
+    """Restorer of the queue, leases and call-backs of one partition from its records."""
 
     def __init__(
         self,
-        table: PartitionTable,
-        writer: RecordWriter,
+        context: PartitionContext,
         lifecycle: MessageLifecycle,
         leases: MessageLeases,
         callbacks: CallbackJobs,
     ) -> None:
-        self._table = table
-        self._writer = writer
+        self._table = context.table
+        self._writer = context.writer
         self._lifecycle = lifecycle
         self._leases = leases
         self._callbacks = callbacks
 
     def restore(self, key: MessageKey, now: float, wall_ms: int) -> None:
-        """Take up a message by its records."""
+        """Bring the state of one message in memory to what its records say."""
         entry = self._table.entries.get(key)
         if entry is None:
             return
         if entry.status.has_ended:
             self.restore_ended(entry, now, wall_ms)
             return
-        put = self._table.read_accepted(entry) if key not in self._lifecycle.active else None
-        if put is not None:
-            if self._is_duplicate(key, put.message.id, now, wall_ms):
+        accepted = self._table.read_accepted(entry) if key not in self._lifecycle.active else None
+        if accepted is not None:
+            if self._is_duplicate(key, accepted.message.id, now, wall_ms):
                 return
-            self._lifecycle.activate(key, put, now + _retention_left_s(put, wall_ms))
+            self._lifecycle.activate(key, accepted, now + _retention_left_s(accepted, wall_ms))
         active = self._lifecycle.active.get(key)
         if active is None:
             return
@@ -55,7 +54,7 @@
             self._lifecycle.release(active, ready_at, now, wall_ms)
 
     def restore_ended(self, entry: MessageEntry, now: float, wall_ms: int) -> None:
-        """Take up a message that has ended: its id is known, and its call-back may be owed."""
+        """Restore a message that has ended: its id is known, and its call-back may be pending."""
         state = entry.state
         assert state is not None
         if state.id:
@@ -68,32 +67,38 @@
             self._callbacks.add(entry.key, state, now)
 
     def _delay_left_s(self, entry: MessageEntry, wall_ms: int) -> float:
-        """How much longer a message is to wait.  Wall clocks differ between machines: where the message came
-        to this one while it ran, its delay counts from then, which is never too early."""
-        put = self._table.read_accepted(entry)
-        if put is None or put.due_wall_ms <= put.accepted_wall_ms:
+        """Return how many seconds of the message's delay are left.
+
+        Wall clocks differ between machines: if the message arrived here while this process ran, its delay
+        counts from then, which is never too early.
+        """
+        accepted = self._table.read_accepted(entry)
+        if accepted is None or accepted.due_wall_ms <= accepted.accepted_wall_ms:
             return 0.0
         if entry.arrived_wall_ms is None:
-            due_ms = put.due_wall_ms + CLOCK_SKEW_MARGIN_MS
+            due_ms = accepted.due_wall_ms + CLOCK_SKEW_MARGIN_MS
         else:
-            due_ms = entry.arrived_wall_ms + put.due_wall_ms - put.accepted_wall_ms
+            due_ms = entry.arrived_wall_ms + accepted.due_wall_ms - accepted.accepted_wall_ms
         return max(0, due_ms - wall_ms) / 1000
 
     def _is_duplicate(self, key: MessageKey, message_id: str, now: float, wall_ms: int) -> bool:
-        """Whether the message was also put under a later key: then nobody was ever told of this one."""
+        """Return whether the message was put again under a later key: then this put was never acknowledged.
+
+        The earlier one of the two puts is ended.
+        """
         known = self._lifecycle.keys_by_id.get(message_id)
         if known is None or known == key:
             return False
         if key < known:
             state = self._writer.copy_without_lease(key)
             state.status, state.ended_wall_ms = MessageStatus.COMPLETED, wall_ms
-            self._writer.propose_state(key, state, True, now, wall_ms)
+            self._writer.propose_durable_state(key, state, now, wall_ms)
             return True
         self._end_earlier_put(key, message_id, now, wall_ms)
         return False
 
     def _end_earlier_put(self, key: MessageKey, message_id: str, now: float, wall_ms: int) -> None:
-        """End the same message under an earlier key, of which nobody was ever told: `key` stands for it."""
+        """End the same message under an earlier key, whose put was never acknowledged; `key` replaces it."""
         known = self._lifecycle.keys_by_id.get(message_id)
         active = self._lifecycle.active.get(known) if known is not None and known < key else None
         if active is None or active.is_ending:
@@ -104,5 +109,5 @@
         self._lifecycle.keys_by_id[message_id] = key
 
 
-def _retention_left_s(put: AcceptedMessage, wall_ms: int) -> float:
-    return (put.accepted_wall_ms + put.message.retention_ms - wall_ms) / 1000 + RETENTION_MARGIN_S
+def _retention_left_s(accepted: AcceptedMessage, wall_ms: int) -> float:
+    return (accepted.accepted_wall_ms + accepted.message.retention_ms - wall_ms) / 1000 + RETENTION_MARGIN_S
--- a/hollowusher/messages/partition/partition_table.py
+++ b/hollowusher/messages/partition/partition_table.py
@@ -1,8 +1,11 @@
 """The messages of one partition at one replica.
 
-The table merges records by version and knows where each stands in the log.  It keeps the bytes of PUT records
-of messages that have not ended in memory while the process's cache has room, and reads them from the log
-otherwise.
+The table merges records by version, so that replicas may receive them in any order and repeatedly, and knows
+the position of each in the log.  It caches the PUT records of messages that have not ended while the cache
+of the process has capacity, and reads them from the log otherwise.
+
+Invariant: each position in the table is live in the log; the table releases a position exactly when no entry
+refers to it any more.
 """
 
 from __future__ import annotations
@@ -24,13 +27,15 @@
 from hollowusher.storage.interface import Log, Position
 
 BUCKET_COUNT = 64
-CLOCK_MARGIN_MS = 15_000  # wall clocks may be stepped: nothing is forgotten too early
-PENDING_CALLBACK_RETENTION_MS = 3_600_000  # an end whose call-back was never taken is forgotten after this
-MAX_DIFFERENCE_BYTES = 512 * 1024  # most bytes of records in one answer
+CLOCK_MARGIN_MS = 15_000  # wall clocks may be stepped: no message is forgotten too early
+PENDING_CALLBACK_RETENTION_MS = (
+    3_600_000  # a message whose call-back was never accepted is forgotten after this
+)
+MAX_DIFFERENCE_BYTES = 512 * 1024  # of the records in one answer, about
 
 
 class RecordCache:
-    """How many bytes of PUT records one process holds in memory."""
+    """Accounting of the PUT records that one process caches, in bytes."""
 
     def __init__(self, most_bytes: int) -> None:
         self.capacity_bytes = most_bytes
@@ -39,34 +44,32 @@
 
 @attrs.define(slots=True, eq=False)
 class MessageEntry:
-    """One message as this replica knows it."""
+    """One message at this replica: its state and the positions of its records."""
 
     key: MessageKey
     put_position: Position | None = None
     read_put_record: bytes | None = None  # cached
-    arrived_wall_ms: int | None = (
-        None  # when the message came here, by this machine's wall clock; None: replayed
-    )
+    arrived_wall_ms: int | None = None  # by this machine's wall clock; None: replayed from the log
     state: MessageState | None = None
     state_position: Position | None = None
 
     @property
     def version(self) -> RecordVersion:
-        """The version of what is known."""
+        """The version of the newest record."""
         return self.state.version if self.state is not None else self.key
 
     @property
     def status(self) -> MessageStatus:
-        """Where the message stands."""
+        """The state of the message."""
         return self.state.status if self.state is not None else MessageStatus.QUEUED
 
     @property
     def is_complete(self) -> bool:
-        """Whether nothing is missing: the message itself, unless it has been completed."""
+        """Whether no record is missing: the PUT record may, once the message is completed."""
         return self.put_position is not None or self.status is MessageStatus.COMPLETED
 
     def version_summary(self) -> list[int]:
-        """What replicas compare."""
+        """Return what replicas compare: epoch, sequence, completeness."""
         return [*self.version, int(self.is_complete)]
 
 
@@ -86,7 +89,7 @@
     # Merging
 
     def apply(self, record: bytes, wall_ms: int) -> MessageKey | None:
-        """Merge a record and append it to the log if it is news; the message that changed."""
+        """Merge a record and append it to the log if it is newer; return the key of the changed message."""
         header = records.unpack_header(record)
         if header.kind == RecordKind.PUT:
             return self._merge_put(record, header.version, wall_ms, None)
@@ -97,7 +100,7 @@
         return None
 
     def replay(self, record: bytes, header: records.RecordHeader, position: Position, wall_ms: int) -> None:
-        """Take a record that was read back from the log at the start."""
+        """Merge a record that was read from the log at the start of the process."""
         taken = False
         if header.kind == RecordKind.PUT:
             taken = self._merge_put(record, header.version, wall_ms, position) is not None
@@ -109,8 +112,10 @@
             self._log.release(position)
 
     def drop_outdated_messages(self, wall_ms: int) -> None:
-        """After a replay: drop messages so old that they must have ended and been forgotten.  Of a message
-        that was forgotten the log may still hold the PUT record, moved to a place after its end."""
+        """Drop messages so old that they must have ended and been forgotten, after a replay.
+
+        The log may still have the PUT record of a forgotten message, relocated to a position after its end.
+        """
         for entry in [entry for entry in self.entries.values() if entry.state is None]:
             put = self.read_accepted(entry)
             if put is None or put.message.retention_ms <= 0:
@@ -119,12 +124,12 @@
                 self._forget(entry.key)
 
     def fence_older_epochs(self, epoch: int) -> None:
-        """Never again take records from a primary of an older epoch (durable after the next sync)."""
+        """Reject records of primaries of older epochs from now on; durable after the next sync."""
         if epoch > self.minimum_epoch:
             self._merge_epoch(epoch, self._log.append(records.pack_epoch(self.partition, epoch)))
 
     def relocate(self, position: Position, record: bytes) -> None:
-        """Append a live record anew, because the log is about to use its place again."""
+        """Append a live record again, because the log is about to reuse its segment."""
         header = records.unpack_header(record)
         if header.kind == RecordKind.EPOCH:
             if self._epoch_position == position:
@@ -196,20 +201,20 @@
     # Reading
 
     def read_put_record(self, entry: MessageEntry) -> bytes | None:
-        """The PUT record of a message, None where it is not here."""
+        """Return the PUT record of a message, None if it is not stored here."""
         if entry.read_put_record is not None:
             return entry.read_put_record
         return None if entry.put_position is None else self._log.read(entry.put_position)
 
     def read_accepted(self, entry: MessageEntry) -> AcceptedMessage | None:
-        """The message itself."""
+        """Return the message as it was accepted, None if its PUT record is not stored here."""
         record = self.read_put_record(entry)
         return None if record is None else records.unpack_put(record)
 
     # Forgetting
 
     def forget_expired(self, wall_ms: int) -> list[MessageKey]:
-        """Drop the messages that ended long enough ago; their keys."""
+        """Drop the messages that ended long enough ago and return their keys."""
         expired = [
             entry.key
             for entry in self.entries.values()
@@ -220,7 +225,7 @@
         return expired
 
     def release_all(self) -> None:
-        """Release everything: this store keeps the partition no longer."""
+        """Release all records, because this store no longer has the partition."""
         for key in list(self.entries):
             self._forget(key)
         if self._epoch_position is not None:
@@ -230,8 +235,8 @@
     def _expired(self, state: MessageState, wall_ms: int) -> bool:
         if not state.status.has_ended:
             return False
-        kept_ms = PENDING_CALLBACK_RETENTION_MS if state.callback_pending else self._ended_retention_ms
-        return state.ended_wall_ms + kept_ms < wall_ms
+        retention_ms = PENDING_CALLBACK_RETENTION_MS if state.callback_pending else self._ended_retention_ms
+        return state.ended_wall_ms + retention_ms < wall_ms
 
     def _forget(self, key: MessageKey) -> None:
         entry = self.entries.pop(key)
@@ -259,7 +264,7 @@
     # Comparing with other replicas
 
     def bucket_digests(self) -> list[int]:
-        """One digest for each bucket; equal digests mean equal content."""
+        """Return one digest for each bucket; equal digests mean equal content."""
         totals = [0] * BUCKET_COUNT
         for entry in self.entries.values():
             text = b"%d %d %d %d %d" % (*entry.key, *entry.version, entry.is_complete)
@@ -267,7 +272,7 @@
         return totals
 
     def differing_buckets(self, digests: list[int]) -> list[int]:
-        """The buckets whose content is not that of the digests."""
+        """Return the buckets whose content differs from that of the digests."""
         return [
             bucket
             for bucket, (mine, other) in enumerate(zip(self.bucket_digests(), digests, strict=True))
@@ -275,16 +280,18 @@
         ]
 
     def bucket_versions(self, buckets: Iterable[int]) -> dict[int, dict[str, list[int]]]:
-        """What is held in some buckets: bucket -> reference -> summary."""
-        held: dict[int, dict[str, list[int]]] = {bucket: {} for bucket in buckets}
+        """Return the content of some buckets: bucket -> reference -> version summary."""
+        contents: dict[int, dict[str, list[int]]] = {bucket: {} for bucket in buckets}
         for entry in self.entries.values():
             bucket = entry.key[1] % BUCKET_COUNT
-            if bucket in held:
-                held[bucket][records.format_reference(self.partition, entry.key)] = entry.version_summary()
-        return held
+            if bucket in contents:
+                contents[bucket][records.format_reference(self.partition, entry.key)] = (
+                    entry.version_summary()
+                )
+        return contents
 
     def records_newer_than(self, versions: dict[int, dict[str, list[int]]]) -> tuple[list[bytes], bool]:
-        """The records that the holder of these versions lacks or has older, and whether there are more."""
+        """Return records that a replica with these versions lacks, and whether there are more."""
         found: list[bytes] = []
         size = 0
         for entry in self._in_buckets(versions):
@@ -301,8 +308,12 @@
         return found, False
 
     def references_older_than(self, versions: dict[int, dict[str, list[int]]]) -> tuple[list[str], list[str]]:
-        """The references that this table lacks or has older than these versions, and those of which it lacks
-        the message itself."""
+        """Compare these versions with the table.
+
+        Returns
+        -------
+        The references that the table lacks or has older, and those among them whose PUT record it lacks.
+        """
         wanted, incomplete = [], []
         for bucket in versions.values():
             for reference, (epoch, sequence, complete) in bucket.items():
@@ -316,16 +327,16 @@
         return wanted, incomplete
 
     def requested_records(self, wanted: Iterable[str], incomplete: Iterable[str]) -> Iterator[bytes]:
-        """The records that another replica asked for by `references_older_than`."""
-        whole = set(incomplete)
+        """Yield the records that another replica requested by the results of its `references_older_than`."""
+        without_put = set(incomplete)
         for reference in wanted:
             parsed = records.parse_reference(reference)
             entry = None if parsed is None else self.entries.get(parsed[1])
             if entry is not None:
-                yield from self.missing_records(entry, None if reference in whole else [0, 0, 1])
+                yield from self.missing_records(entry, None if reference in without_put else [0, 0, 1])
 
     def missing_records(self, entry: MessageEntry, other: list[int] | None) -> list[bytes]:
-        """The records of a message that a replica with this summary (None: nothing) lacks."""
+        """Return the records of a message that a replica with this summary (None: no record) lacks."""
         missing = []
         if (other is None or not other[2]) and entry.put_position is not None:
             record = self.read_put_record(entry)
--- a/hollowusher/messages/partition/proposal.py
+++ b/hollowusher/messages/partition/proposal.py
@@ -13,27 +13,30 @@
 
 @attrs.define(slots=True, eq=False)
 class Proposal:
-    """One record on its way to a quorum.  `durable` ones count at a replica once it has synced them, others
-    once it holds them in memory.  An empty record only confirms that the replicas follow the primary."""
+    """One record that waits for the acknowledgements of a quorum.
+
+    A replica acknowledges a proposal that `needs_sync` once it is on the replica's disk, any other once it is
+    in the replica's memory.  An empty record only confirms that the replicas still follow the primary.
+    """
 
     key: MessageKey
     record: bytes
-    durable: bool
-    created_at: float  # steady clock
-    on_commit: Callable[[float, int], None] | None = None  # called with steady and wall clock
+    needs_sync: bool
+    created_at: float  # monotonic clock, seconds
+    on_commit: Callable[[float, int], None] | None = None  # called with (now, wall_ms)
     is_committed: bool = False
     acknowledged_by: list[str] = attrs.Factory(list)  # store ids
     waiters: list[Callable[[bool], None]] = attrs.Factory(list)
 
     def add_waiter(self, waiter: Callable[[bool], None]) -> None:
-        """Have `waiter` called once: with True at the commit, with False when it is given up."""
+        """Register a callable for the outcome: True at the commit, False once it is given up or too late."""
         if self.is_committed:
-            waiter(True)
+            waiter(self.is_committed)
         else:
             self.waiters.append(waiter)
 
-    def resolve_waiters(self, committed: bool) -> None:
-        """Tell all who wait."""
+    def resolve_waiters(self, *, committed: bool) -> None:
+        """Call all waiters with the outcome."""
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
             waiter(committed)
--- a/hollowusher/messages/partition/record_writer.py
+++ b/hollowusher/messages/partition/record_writer.py
@@ -1,4 +1,4 @@
-"""Making the records of one partition at its primary: versions, the table, and proposals to the replicas."""
+"""Writing of one partition's records at its primary: versions, the table, and proposals to the replicas."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 class RecordWriter:
-    """Writes records into the partition's table and keeps the proposals that wait for a quorum."""
+    """Writer of one partition's records; keeps the proposals that wait for a quorum.
+
+    Versions only grow: the first one lies beyond all versions of the table and beyond the wall clock in
+    microseconds, so that a new primary never uses a version of a former one again.
+    """
 
     def __init__(self, table: PartitionTable, epoch: int, wall_ms: int) -> None:
         self.epoch = epoch
@@ -25,7 +29,7 @@
         self._sequence = max(table.greatest_sequence, wall_ms * 1000)
 
     def next_version(self) -> records.RecordVersion:
-        """A version greater than all before."""
+        """Return a version greater than all before."""
         self._sequence += 1
         return self.epoch, self._sequence
 
@@ -33,24 +37,34 @@
         """Keep a new message in the table and propose its record."""
         record = records.pack_put(self._table.partition, key, put)
         self._table.apply(record, wall_ms)
-        return self._propose(key, record, True, now, None)
+        return self._propose(Proposal(key, record, needs_sync=True, created_at=now))
 
     def propose_state(
         self,
         key: MessageKey,
         state: MessageState,
-        durable: bool,
         now: float,
         wall_ms: int,
         on_commit: OnCommit | None = None,
     ) -> Proposal:
-        """Enter a message's new state into the table and propose its record."""
-        record = records.pack_state(self._table.partition, key, state)
-        self._table.apply(record, wall_ms)
-        return self._propose(key, record, durable, now, on_commit)
+        """Propose a message's new state; replicas acknowledge it once they hold it in memory."""
+        record = self._apply_state(key, state, wall_ms)
+        return self._propose(Proposal(key, record, needs_sync=False, created_at=now, on_commit=on_commit))
+
+    def propose_durable_state(
+        self,
+        key: MessageKey,
+        state: MessageState,
+        now: float,
+        wall_ms: int,
+        on_commit: OnCommit | None = None,
+    ) -> Proposal:
+        """Propose a message's new state; replicas acknowledge it once it is on their disk."""
+        record = self._apply_state(key, state, wall_ms)
+        return self._propose(Proposal(key, record, needs_sync=True, created_at=now, on_commit=on_commit))
 
     def copy_without_lease(self, key: MessageKey) -> MessageState:
-        """A copy of a message's state with a new version, without a lease."""
+        """Return a copy of a message's state with a new version and without a lease."""
         state = self._table.entries[key].state
         version = self.next_version()
         if state is None:
@@ -67,24 +81,26 @@
         )
 
     def propose_confirmation(self, now: float) -> Proposal:
-        """A proposal without a record: its commit shows that a quorum still follows this primary."""
-        proposal = Proposal(NO_KEY, b"", False, now)
+        """Propose an empty record: its commit shows that a quorum still follows this primary."""
+        proposal = Proposal(NO_KEY, b"", needs_sync=False, created_at=now)
         self.outbox.append(proposal)
         return proposal
 
     def commit(self, proposal: Proposal, now: float, wall_ms: int) -> None:
-        """A quorum has the record."""
+        """Commit a proposal that a quorum has acknowledged."""
         proposal.is_committed = True
         if self.pending.get(proposal.key) is proposal:
             del self.pending[proposal.key]
         if proposal.on_commit is not None:
             proposal.on_commit(now, wall_ms)
-        proposal.resolve_waiters(True)
+        proposal.resolve_waiters(committed=True)
 
-    def _propose(
-        self, key: MessageKey, record: bytes, durable: bool, now: float, on_commit: OnCommit | None
-    ) -> Proposal:
-        proposal = Proposal(key, record, durable, now, on_commit)
-        self.pending[key] = proposal
+    def _apply_state(self, key: MessageKey, state: MessageState, wall_ms: int) -> bytes:
+        record = records.pack_state(self._table.partition, key, state)
+        self._table.apply(record, wall_ms)
+        return record
+
+    def _propose(self, proposal: Proposal) -> Proposal:
+        self.pending[proposal.key] = proposal
         self.outbox.append(proposal)
         return proposal
--- a/hollowusher/messages/partition/service_routing.py
+++ b/hollowusher/messages/partition/service_routing.py
@@ -1,14 +1,14 @@
-"""What the configuration says of the messages of one partition: routes, services and their ceilings."""
+"""The configuration as one partition's primary uses it: routes, services and their rate limits."""
 
 from __future__ import annotations
 
 from hollowusher.configuration.model import Configuration
 from hollowusher.messages.partition.active_messages import ActiveMessage
-from hollowusher.messages.partition.message_queue import TokenBucket
+from hollowusher.messages.partition.token_bucket import TokenBucket
 
 
 class ServiceRouting:
-    """The configuration as a primary uses it; without one nothing is dropped, moved or held back."""
+    """Routes, services and rate limits.  Without a configuration no route is removed and no rate limited."""
 
     def __init__(self) -> None:
         self._configuration: Configuration | None = None
@@ -18,7 +18,7 @@
         self._buckets: dict[str, TokenBucket] = {}
 
     def configure(self, configuration: Configuration, now: float) -> None:
-        """Take a newer configuration."""
+        """Apply a newer configuration."""
         self._configuration = configuration
         self._routes = frozenset(route.name for route in configuration.routes)
         self._upstreams = {route.name: route.upstream for route in configuration.routes}
@@ -34,11 +34,11 @@
         return self._configuration.generation if self._configuration else 0
 
     def bucket(self, service: str) -> TokenBucket | None:
-        """The grants of a service with a ceiling."""
+        """Return the token bucket of a service, None if it has no rate limit."""
         return self._buckets.get(service)
 
     def is_route_removed(self, active: ActiveMessage) -> bool:
-        """Whether a configuration newer than the one that accepted the message has no such route."""
+        """Return whether the configuration is newer than the message's and does not have its route."""
         configuration = self._configuration
         return (
             configuration is not None
@@ -47,11 +47,11 @@
         )
 
     def service_for(self, route: str, service: str) -> str:
-        """The service of a message: as accepted, or the route's present one where that is gone."""
+        """Return the service of a message: as accepted, or the route's service if that one was removed."""
         return service if service in self._services else self._upstreams.get(route, service)
 
     def has_changed_service(self, active: ActiveMessage) -> bool:
-        """Whether the message now belongs to another service."""
+        """Return whether the message now belongs to another service."""
         return self.service_for(active.route, active.service) != active.service
 
     def _set_rate_limits(self, rates: dict[str, float], now: float) -> None:
--- a/hollowusher/messages/records.py
+++ b/hollowusher/messages/records.py
@@ -15,6 +15,7 @@
 import attrs
 import ormsgpack
 
+from hollowusher.messages.errors import InvalidRecordError
 from hollowusher.protocol.messages import NewMessage
 
 RecordVersion = tuple[int, int]  # (epoch, sequence)
@@ -25,15 +26,15 @@
 
 
 class RecordKind(IntEnum):
-    """What a record is about."""
+    """Kind of a record; the numbers are stored on disk."""
 
-    PUT = 1  # a whole message
-    STATE = 2  # the whole small state of a message
-    EPOCH = 3  # the newest epoch that this replica has promised to a primary
+    PUT = 1  # a complete message
+    STATE = 2  # the complete state of a message
+    EPOCH = 3  # the oldest epoch whose records this replica still accepts
 
 
 class MessageStatus(IntEnum):
-    """Where a message stands."""
+    """State of a message; the numbers are stored on disk."""
 
     QUEUED = 0
     LEASED = 1
@@ -42,12 +43,12 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the message will not run again."""
+        """Whether the message is not delivered any more."""
         return self >= MessageStatus.COMPLETED
 
 
 class RecordHeader(NamedTuple):
-    """The fixed part of a record."""
+    """Header of a record."""
 
     kind: int
     partition: int
@@ -62,18 +63,21 @@
 
 @attrs.define(slots=True)
 class AcceptedMessage:
-    """The content of a PUT record."""
+    """Content of a PUT record: a message as its primary accepted it."""
 
     accepted_wall_ms: int  # wall clock of the primary that accepted it
-    due_wall_ms: int  # wall clock: not to run earlier
+    due_wall_ms: int  # wall clock: not delivered earlier
     generation: int  # of the configuration that accepted it
     message: NewMessage
 
 
 @attrs.define(slots=True)
 class MessageState:
-    """The content of a STATE record: everything about a message that changes.  `id` and `callback_url` are
-    filled in once the message has ended, because the PUT record of a completed message is dropped."""
+    """Content of a STATE record: everything about a message that changes.
+
+    `id` and `callback_url` are set once the message has ended, because the PUT record of a completed message
+    is dropped.
+    """
 
     version: RecordVersion
     status: MessageStatus = MessageStatus.QUEUED
@@ -83,8 +87,8 @@
     incarnation: int = 0
     pull: bool = False
     visibility_ms: int = 0
-    last_lease: int = 0  # the lease that finished last: a repeat of its end gets the same answer
-    last_result: str = ""  # and what it ended with
+    last_lease: int = 0  # the lease that finished last: its outcome may be reported again
+    last_result: str = ""  # and its outcome
     signature: str = ""
     callback_pending: bool = False
     ended_wall_ms: int = 0  # wall clock
@@ -96,29 +100,35 @@
 
 
 def unpack_header(record: bytes) -> RecordHeader:
-    """The fixed part of a record; ValueError where the bytes are none."""
+    """Return the header of a record.
+
+    Raises
+    ------
+    InvalidRecordError
+        If the bytes are too short for a header.
+    """
     if len(record) < _HEADER.size:
-        raise ValueError(f"a record of {len(record)} bytes")
+        raise InvalidRecordError(len(record), _HEADER.size)
     return RecordHeader(*_HEADER.unpack_from(record))
 
 
-def pack_put(partition: int, key: MessageKey, put: AcceptedMessage) -> bytes:
-    """A PUT record; the message is named by the record's version."""
-    message = put.message
+def pack_put(partition: int, key: MessageKey, accepted: AcceptedMessage) -> bytes:
+    """Return a PUT record; the key of the message is the version of the record."""
+    message = accepted.message
     values = [getattr(message, name) for name in _NEW_MESSAGE_FIELDS]
     return _HEADER.pack(RecordKind.PUT, partition, *key) + ormsgpack.packb(
-        [put.accepted_wall_ms, put.due_wall_ms, put.generation, values]
+        [accepted.accepted_wall_ms, accepted.due_wall_ms, accepted.generation, values]
     )
 
 
 def unpack_put(record: bytes) -> AcceptedMessage:
-    """The content of a PUT record."""
+    """Return the content of a PUT record."""
     accepted_ms, due_ms, generation, values = ormsgpack.unpackb(memoryview(record)[_HEADER.size :])
     return AcceptedMessage(accepted_ms, due_ms, generation, NewMessage(*values))
 
 
 def pack_state(partition: int, key: MessageKey, state: MessageState) -> bytes:
-    """A STATE record of the message `key`."""
+    """Return a STATE record of the message `key`."""
     values: list[Any] = [
         state.status.value,
         state.attempts,
@@ -141,30 +151,30 @@
 
 
 def unpack_state(record: bytes, version: RecordVersion) -> tuple[MessageKey, MessageState]:
-    """The message and the content of a STATE record with this version."""
+    """Return the key of the message and the content of a STATE record with this version."""
     epoch, sequence, status, *values = ormsgpack.unpackb(memoryview(record)[_HEADER.size :])
     return (epoch, sequence), MessageState(version, MessageStatus(status), *values)
 
 
 def pack_epoch(partition: int, epoch: int) -> bytes:
-    """An EPOCH record."""
+    """Return an EPOCH record."""
     return _HEADER.pack(RecordKind.EPOCH, partition, epoch, 0)
 
 
 def format_reference(partition: int, key: MessageKey) -> str:
-    """The public name of a message."""
+    """Return the public name of a message."""
     return f"{partition}-{key[0]}-{key[1]}"
 
 
 def parse_reference(reference: str) -> tuple[int, MessageKey] | None:
-    """Partition and key of a reference, None where it is none."""
+    """Return partition and key of a reference, None if the text is not a reference."""
     parts = reference.split("-")
     if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
         return None
     return int(parts[0]), (int(parts[1]), int(parts[2]))
 
 
-CALLBACK_LEASE_MARKER = "c"  # stands before the number of a lease for a call-back
+CALLBACK_LEASE_MARKER = "c"  # precedes the number of a lease for a call-back
 
 
 class LeaseId(NamedTuple):
@@ -176,13 +186,13 @@
     is_callback: bool
 
 
-def format_lease_id(partition: int, key: MessageKey, number: int, is_callback: bool = False) -> str:
-    """The public name of a lease."""
+def format_lease_id(partition: int, key: MessageKey, number: int, *, is_callback: bool = False) -> str:
+    """Return the public name of a lease."""
     return f"{partition}-{key[0]}-{key[1]}-{CALLBACK_LEASE_MARKER if is_callback else ''}{number}"
 
 
 def parse_lease_id(lease: str) -> LeaseId | None:
-    """The parts of a lease id, None where it is none."""
+    """Return the parts of a lease id, None if the text is not a lease id."""
     reference, _, number = lease.rpartition("-")
     parsed = parse_reference(reference)
     callback = number.startswith(CALLBACK_LEASE_MARKER)
--- a/hollowusher/messages/replication/anti_entropy.py
+++ b/hollowusher/messages/replication/anti_entropy.py
@@ -1,12 +1,18 @@
-"""Comparing one partition with one peer until both hold the same, and answering such comparisons."""
+"""Anti-entropy: comparison of one partition with one peer until both have the same records.
+
+Both sides exchange digests of buckets, then the versions of the buckets that differ, then records (Demers et
+al., "Epidemic algorithms for replicated database maintenance", PODC 1987).
+"""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Iterable, Iterator
 
+from hollowusher.messages.errors import StaleEpochError
 from hollowusher.messages.partition.partition_table import PartitionTable
 from hollowusher.messages.records import MessageKey
+from hollowusher.messages.store_dependencies import StoreDependencies
 from hollowusher.protocol.replication import (
     RecordBatch,
     ReplicaDifference,
@@ -14,8 +20,7 @@
     ReplicateRequest,
     ReplicateResponse,
 )
-from hollowusher.storage.interface import Log
-from hollowusher.transport.interface import PeerError, Transport
+from hollowusher.transport.interface import PeerError
 
 ANSWER_TIMEOUT_S = 1.5
 BUCKETS_PER_REQUEST = 8
@@ -23,44 +28,35 @@
 PACED_BYTES_PER_S = 3 * 1024 * 1024  # of one partition with one peer
 
 
-class StaleEpochError(Exception):
-    """The peer has promised a newer epoch."""
-
-    def __init__(self, partition: int, epoch: int) -> None:
-        super().__init__(f"partition {partition}: epoch {epoch} is promised")
-        self.partition = partition
-        self.epoch = epoch
-
-
 class AntiEntropySession:
-    """One comparison: fetches what the peer knows better and sends it what it lacks."""
+    """One comparison: fetches records that the peer has newer and sends records that it lacks."""
 
     def __init__(
-        self,
-        table: PartitionTable,
-        epoch: int,
-        me: str,
-        address: str,
-        transport: Transport,
-        log: Log,
-        wall_ms: Callable[[], int],
-        paced: bool,
+        self, store: StoreDependencies, table: PartitionTable, epoch: int, address: str, *, paced: bool
     ) -> None:
-        self.changed_keys: list[MessageKey] = []  # messages about which the peer knew better
+        self.changed_keys: list[MessageKey] = []  # messages of which the peer had a newer record
         self._table = table
         self._epoch = epoch
-        self._me = me
+        self._store_id = store.store_id
         self._address = address
-        self._transport = transport
-        self._log = log
-        self._wall_ms = wall_ms
+        self._transport = store.transport
+        self._log = store.log
+        self._wall_ms = store.wall_ms
         self._paced = paced
 
     async def run(self) -> None:
-        """Compare everything once; `PeerError` or `StaleEpochError` where that fails."""
+        """Compare all buckets once.
+
+        Raises
+        ------
+        PeerError
+            If the peer does not answer, or not as expected.
+        StaleEpochError
+            If the peer follows a newer epoch.
+        """
         table = self._table
         answer = await self._request_difference(
-            ReplicaSummary(table.partition, self._epoch, self._me, table.bucket_digests(), fence=True)
+            ReplicaSummary(table.partition, self._epoch, self._store_id, table.bucket_digests(), fence=True)
         )
         buckets = answer.buckets
         for start in range(0, len(buckets), BUCKETS_PER_REQUEST):
@@ -71,7 +67,7 @@
             versions = self._table.bucket_versions(buckets)
             partition = self._table.partition
             answer = await self._request_difference(
-                ReplicaSummary(partition, self._epoch, self._me, [], versions, fence=True)
+                ReplicaSummary(partition, self._epoch, self._store_id, [], versions, fence=True)
             )
             learnt = self._merge(answer.records)
             if learnt:
@@ -96,7 +92,7 @@
         for chunk in _chunks(found):
             batch = RecordBatch(self._table.partition, self._epoch, chunk)
             answer = await self._transport.call(
-                self._address, ReplicateRequest(self._me, [batch], True), ANSWER_TIMEOUT_S
+                self._address, ReplicateRequest(self._store_id, [batch], durable=True), ANSWER_TIMEOUT_S
             )
             if not isinstance(answer, ReplicateResponse):
                 raise PeerError("ReplicateRequest", self._address, f"answered {type(answer).__name__}")
@@ -119,7 +115,7 @@
 
 
 def compare_with_summary(table: PartitionTable, summary: ReplicaSummary) -> ReplicaDifference:
-    """What a replica answers to a comparison."""
+    """Return a replica's answer to a comparison."""
     if summary.buckets:
         return ReplicaDifference("ok", table.minimum_epoch, table.differing_buckets(summary.buckets))
     found, more = table.records_newer_than(summary.versions)
--- a/hollowusher/messages/replication/partition_replica.py
+++ b/hollowusher/messages/replication/partition_replica.py
@@ -1,4 +1,8 @@
-"""One partition at one store: its table and, while this store is its primary, the quorum of its records."""
+"""One partition at one store: its table and, while this store is its primary, the quorum of its records.
+
+Epochs follow Vertical Paxos (Lamport, Malkhi, Zhou, PODC 2009): the placement assigns each epoch to one
+primary; a new primary reads from a quorum that intersects all commit quorums before it serves.
+"""
 
 from __future__ import annotations
 
@@ -14,50 +18,58 @@
 
 @attrs.define(slots=True, eq=False)
 class PeerProgress:
-    """What the primary knows of one other replica or learner of its partition."""
+    """Progress of one other replica or learner, as the primary of its partition knows it."""
 
     is_streaming: bool = False  # new records are sent to it
-    is_caught_up: bool = False  # it has everything older, too, and so has this store
+    is_caught_up: bool = False  # it has all older records, too, and this store has all of the peer's
     needs_comparison: bool = (
-        False  # something older was learnt from another peer since the last comparison began
+        False  # an older record was learned from another peer since the last comparison began
     )
-    confirmed_at: float = -1.0  # send time of the newest batch that it acknowledged
-    lost_at: float = 0.0  # when it last stopped answering
+    confirmed_at: float = -1.0  # monotonic send time of the newest batch that it acknowledged
+    lost_at: float = 0.0  # monotonic time when it last stopped answering
 
 
 class PartitionReplica:
-    """The state of one partition at this store."""
+    """State of one partition at this store.
+
+    Invariants: `epoch` is not 0 only while this store is the primary or takes over; no epoch is led twice
+    (`last_led_epoch`); `primary` is set only after the epoch is durable here (`is_epoch_durable`).
+    """
 
     def __init__(self, me: str, table: PartitionTable) -> None:
         self.me = me
         self.table = table
         self.partition = table.partition
         self.placement: PartitionPlacement | None = None
-        self.former_replicas: list[str] = []  # of the placement before: they may hold committed records
-        self.epoch = 0  # for which this store is the primary, 0 where it is not
-        self.last_led_epoch = 0  # the newest epoch that this life has led: none is led twice
-        self.is_epoch_durable = False  # this store's own promise for that epoch is on its disk
+        self.former_replicas: list[str] = []  # of the previous placement: they may have committed records
+        self.epoch = 0  # for which this store is the primary, else 0
+        self.last_led_epoch = 0  # the newest epoch that this incarnation has led
+        self.is_epoch_durable = False  # the minimum epoch of the table is on this store's disk
         self.primary: PartitionPrimary | None = None
         self.peer_progress: dict[str, PeerProgress] = {}
         self.outstanding: dict[Proposal, None] = {}  # in the order they were made
-        self.drop_at = 0.0  # when the table is to be dropped, 0: not at all
+        self.drop_at = 0.0  # monotonic time when the table is to be dropped, 0: never
         self.required_learners: set[str] = (
             set()
-        )  # learners reported ready in this epoch: each commit needs them
+        )  # learners reported ready in this epoch: each commit needs their acknowledgement
         self._leading_since = 0.0
         self.commit_quorum = 1  # how many replicas, this one among them, must have a record
 
     # Placement
 
     def is_current(self, placement: PartitionPlacement) -> bool:
-        """Whether a placement is no older than the known one."""
+        """Return whether a placement is no older than the known one."""
         return self.placement is None or placement.epoch >= self.placement.epoch
 
     def apply_placement(
         self, placement: PartitionPlacement, tolerated: int, incarnation: int, now: float
     ) -> bool:
-        """Take up a placement: stay, become or cease to be the primary.  True where a takeover begins: the
-        promise of its epoch has to be on this store's disk before any other replica is asked."""
+        """Apply a placement: remain, become or cease to be the primary.
+
+        Returns
+        -------
+        Whether a takeover begins: its epoch has to be durable here before any other replica is asked.
+        """
         known = self.placement
         unbroken = known is not None and self.epoch == known.epoch and placement.epoch <= known.epoch + 1
         self.set_placement(placement, tolerated)
@@ -75,15 +87,18 @@
         return False
 
     def _is_led_by(self, incarnation: int) -> bool:
-        """Whether this life is to lead the placement's epoch.  An epoch given to an earlier life is over:
-        what that life proposed last may stand elsewhere under versions that this one would use again."""
+        """Return whether this incarnation leads the placement's epoch.
+
+        An epoch assigned to an earlier incarnation is over: other replicas may have its last proposals under
+        versions that this incarnation would use again.
+        """
         assert self.placement is not None
         if self.placement.primary != self.me:
             return False
         return self.placement.primary_incarnation == 0 or self.placement.primary_incarnation >= incarnation
 
     def set_placement(self, placement: PartitionPlacement, tolerated: int) -> None:
-        """Take a newer placement."""
+        """Set a newer placement and the quorums that follow from it."""
         if self.placement is not None and set(self.placement.replicas) != set(placement.replicas):
             self.former_replicas = [
                 store_id for store_id in self.placement.replicas if store_id not in placement.replicas
@@ -92,7 +107,7 @@
         self.commit_quorum = min(tolerated + 1, max(1, len(placement.replicas)))
 
     def start_leading(self, epoch: int, now: float) -> None:
-        """Start to be the primary for an epoch: all others have to be compared with first."""
+        """Begin to lead an epoch; a takeover quorum has to be compared before this store serves."""
         self.resign()
         self.epoch = self.last_led_epoch = epoch
         self._leading_since = now
@@ -100,24 +115,24 @@
         self.refresh_links()
 
     def continue_leading(self, epoch: int) -> None:
-        """Stay the primary through a change of the placement."""
+        """Remain the primary through a change of the placement."""
         self.epoch = self.last_led_epoch = epoch
         if self.primary is not None:
             self.primary.epoch = epoch
         self.refresh_links()
 
     def resign(self) -> None:
-        """Be the primary no longer; who waits learns that nothing is known of his record."""
+        """Cease to be the primary; waiters learn that the outcome of their proposal is unknown."""
         self.epoch = 0
         self.primary = None
         self.peer_progress = {}
         self.required_learners = set()
         abandoned, self.outstanding = self.outstanding, {}
         for proposal in abandoned:
-            proposal.resolve_waiters(False)
+            proposal.resolve_waiters(committed=False)
 
     def refresh_links(self) -> None:
-        """Have one link for each other replica, learner and former replica."""
+        """Track the progress of each other replica, learner and former replica."""
         assert self.placement is not None
         wanted = [*self.placement.replicas, *self.placement.learners]
         if self.primary is None:
@@ -134,8 +149,10 @@
 
     @property
     def is_needed_here(self) -> bool:
-        """Whether a store that stops has to wait: it is the primary, or a replica whose successor is still
-        catching up."""
+        """Whether a store that stops has to wait.
+
+        It is the primary, or a replica whose replacement is still catching up.
+        """
         if self.placement is None:
             return False
         return self.is_placed_primary or (
@@ -144,19 +161,21 @@
 
     @property
     def replica_ids(self) -> list[str]:
-        """The replicas that count."""
+        """The store ids of the replicas that count towards quorums."""
         return self.placement.replicas if self.placement is not None else []
 
     # Quorums
 
     @property
     def takeover_quorum(self) -> int:
-        """How many replicas, this one among them, must have been compared before this one serves: any commit
-        is known to one of them, and everything they know is committed afterwards."""
+        """The number of replicas, this one included, that must have been compared before this one serves.
+
+        The quorum intersects every commit quorum, so at least one of its members has each committed record.
+        """
         return max(self.commit_quorum, len(self.replica_ids) - self.commit_quorum + 1)
 
     def may_serve(self, now: float) -> bool:
-        """Whether enough replicas have been compared; former ones are waited for a little."""
+        """Return whether enough replicas have been compared; former ones are awaited for a short time."""
         if not self.is_epoch_durable:
             return False
         former = [
@@ -176,18 +195,18 @@
         return caught_up + 1 >= self.takeover_quorum
 
     def acknowledge(self, proposal: Proposal, store_id: str) -> bool:
-        """A replica has a record; whether that commits it."""
+        """Record the acknowledgement of a replica; return whether it commits the proposal."""
         if proposal not in self.outstanding or store_id in proposal.acknowledged_by:
             return False
         proposal.acknowledged_by.append(store_id)
         return self._commit_if_replicated(proposal)
 
     def take_committed(self) -> list[Proposal]:
-        """The proposals that are committed because fewer replicas are asked for than before."""
+        """Return the proposals that are committed because the placement now needs fewer replicas."""
         return [proposal for proposal in list(self.outstanding) if self._commit_if_replicated(proposal)]
 
     def has_recent_quorum(self, now: float, within_s: float) -> bool:
-        """Whether a quorum has followed this primary within the last `within_s` seconds."""
+        """Return whether a quorum has followed this primary within the last `within_s` seconds."""
         all_progress = [
             self.peer_progress[store_id] for store_id in self.replica_ids if store_id in self.peer_progress
         ]
@@ -196,7 +215,7 @@
         return needed == 0 or (len(times) >= needed and times[needed - 1] >= now - within_s)
 
     def streaming_peers(self) -> list[str]:
-        """The peers that get new records."""
+        """Return the store ids of the peers that receive new records."""
         return [peer for peer, progress in self.peer_progress.items() if progress.is_streaming]
 
     def _count_replicas(self, proposal: Proposal) -> int:
--- a/hollowusher/messages/replication/partition_replicator.py
+++ b/hollowusher/messages/replication/partition_replicator.py
@@ -1,7 +1,7 @@
 """Replication of all partitions of one store: quorums, streams to the peers, epochs, placements.
 
-As a primary's owner it sends what the primary proposes and commits what a quorum has; as a replica it takes
-records from other primaries and refuses those of older epochs.
+For primaries here it sends what they propose and commits what a quorum has acknowledged; as a replica it
+accepts records from other primaries and rejects those of older epochs (fencing).
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 from collections.abc import Callable, Coroutine, Iterable
 from typing import Any
 
-from hollowusher.coordination.cluster_state import ClusterState
+import attrs
+
 from hollowusher.messages import records
 from hollowusher.messages.partition.partition_table import PartitionTable, RecordCache
 from hollowusher.messages.partition.proposal import Proposal
@@ -22,6 +23,7 @@
     ReplicationStream,
     StreamOwner,
 )
+from hollowusher.messages.store_dependencies import StoreDependencies
 from hollowusher.protocol.placement import PartitionPlacement
 from hollowusher.protocol.replication import (
     ReplicaDifference,
@@ -29,13 +31,25 @@
     ReplicateRequest,
     ReplicateResponse,
 )
-from hollowusher.storage.interface import Log, Position, StorageError
-from hollowusher.transport.interface import Transport
+from hollowusher.storage.interface import Position, StorageError
 
-MOVED_PARTITION_RETENTION_S = 30.0  # a partition that has moved away is kept as long, for takeovers
+MOVED_PARTITION_RETENTION_S = 30.0  # a partition that has moved away is kept for so long, for takeovers
 CACHE_BYTES = 48 * 1024 * 1024
 
 
+@attrs.frozen
+class ReplicationOptions:
+    """Settings of replication and the identity of the process."""
+
+    tolerated: int  # failed machines
+    ended_retention_ms: int  # of messages that have ended
+    incarnation: int = 0
+
+
+def _ignore_replica(_replica: PartitionReplica) -> None:
+    pass
+
+
 class PartitionReplicator(StreamOwner):
     """The partitions of one store and their replication.
 
@@ -43,41 +57,30 @@
     is to be made) and `on_peers_behind` (peers lack records).
     """
 
-    def __init__(
-        self,
-        store_id: str,
-        transport: Transport,
-        log: Log,
-        state: ClusterState,
-        tolerated: int,
-        status_ms: int,
-        wall_ms: Callable[[], int],
-        incarnation: int = 0,
-    ) -> None:
-        self.store_id = store_id
-        self.transport = transport
-        self.log = log
-        self.state = state
+    def __init__(self, dependencies: StoreDependencies, options: ReplicationOptions) -> None:
+        self.dependencies = dependencies
+        self.store_id = dependencies.store_id
+        self.transport = dependencies.transport
+        self.log = dependencies.log
+        self.state = dependencies.state
+        self.wall_ms = dependencies.wall_ms
         self.replicas: dict[int, PartitionReplica] = {}
         self.storage_error: StorageError | None = None  # set once the disk has failed
-        self.on_primary_changed: Callable[[PartitionReplica], None] = lambda replica: None
-        self.on_takeover_ready: Callable[[PartitionReplica], None] = lambda replica: None
+        self.on_primary_changed: Callable[[PartitionReplica], None] = _ignore_replica
+        self.on_takeover_ready: Callable[[PartitionReplica], None] = _ignore_replica
         self.on_peers_behind: Callable[[], None] = lambda: None
         self.clock: Callable[[], float] = lambda: asyncio.get_running_loop().time()
-        self.wall_ms = wall_ms
-        self._incarnation = incarnation
-        self._tolerated = tolerated
-        self._status_ms = status_ms
+        self._options = options
         self._cache = RecordCache(CACHE_BYTES)
         self._streams: dict[str, ReplicationStream] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
         self._unsynced: list[OutgoingRecord] = []
         self._syncing = False
 
-    # Life
+    # Lifecycle
 
     def replay(self) -> None:
-        """Read the log."""
+        """Rebuild the tables of all partitions from the log."""
         self.clock = asyncio.get_running_loop().time
         self.log.set_move(self._move)
         wall_ms = self.wall_ms()
@@ -88,7 +91,7 @@
             replica.table.drop_outdated_messages(wall_ms)
 
     def close(self) -> None:
-        """Stop everything at once."""
+        """Stop all streams and tasks at once."""
         for replica in self.replicas.values():
             replica.resign()
         for stream in self._streams.values():
@@ -97,25 +100,25 @@
             task.cancel()
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a coroutine, holding on to its task."""
+        """Run a coroutine as a task that `close` cancels."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def now(self) -> float:
-        """The steady clock."""
+        """Return the monotonic clock of the event loop, in seconds."""
         return self.clock()
 
     def replica(self, partition: int) -> PartitionReplica:
-        """The host of a partition, made where there is none yet."""
+        """Return the replica of a partition, created if there is none yet."""
         replica = self.replicas.get(partition)
         if replica is None:
-            table = PartitionTable(partition, self.log, self._cache, self._status_ms)
+            table = PartitionTable(partition, self.log, self._cache, self._options.ended_retention_ms)
             replica = self.replicas[partition] = PartitionReplica(self.store_id, table)
         return replica
 
     def serving_replicas(self) -> list[PartitionReplica]:
-        """The partitions that have a primary here."""
+        """Return the replicas that are serving primaries."""
         return [replica for replica in self.replicas.values() if replica.primary is not None]
 
     def drop_moved_partitions(self, now: float) -> None:
@@ -131,14 +134,14 @@
     # Proposing and committing
 
     def propose(self, replica: PartitionReplica, proposal: Proposal) -> None:
-        """Send a proposal to the replicas of its partition; it is in this store's log already."""
+        """Send a proposal to the replicas of its partition; this store's log has it already."""
         replica.outstanding[proposal] = None
         outgoing = OutgoingRecord(replica.partition, proposal)
         joined = replica.streaming_peers()
         first = self._preferred_peers(replica, joined)
         for peer in joined:
             self.stream(peer).enqueue(outgoing, linger=peer not in first)
-        if proposal.durable:
+        if proposal.needs_sync:
             self._unsynced.append(outgoing)
             if not self._syncing:
                 self._syncing = True
@@ -147,7 +150,7 @@
             self._commit(replica, proposal)
 
     def _preferred_peers(self, replica: PartitionReplica, joined: list[str]) -> list[str]:
-        """The peers whose acknowledgements are waited for: the quickest ones that make a quorum."""
+        """Return the peers to wait for: the fastest ones that make a quorum, and required learners."""
         needed = replica.commit_quorum - 1
         counting = [peer for peer in joined if peer in replica.replica_ids]
         if len(counting) > needed:
@@ -184,22 +187,22 @@
                 self._commit(replica, proposal)
 
     def commit_replicated(self, replica: PartitionReplica) -> None:
-        """Commit what needs fewer acknowledgements than before."""
+        """Commit proposals that need fewer acknowledgements than before."""
         for proposal in replica.take_committed():
             self._commit(replica, proposal)
 
     def time_out_waiters(self, now: float, durable_s: float, memory_s: float) -> None:
-        """Answer those who wait too long; their records may still be committed later."""
+        """Resolve waiters of old proposals as not committed; the records may still be committed later."""
         for replica in self.replicas.values():
             for proposal in list(replica.outstanding):
-                allowed_s = durable_s if proposal.durable else memory_s
+                allowed_s = durable_s if proposal.needs_sync else memory_s
                 if proposal.waiters and now - proposal.created_at > allowed_s:
-                    proposal.resolve_waiters(False)
+                    proposal.resolve_waiters(committed=False)
 
     # Streams
 
     def stream(self, peer: str) -> ReplicationStream:
-        """The stream to another store."""
+        """Return the stream to another store, created if there is none yet."""
         stream = self._streams.get(peer)
         if stream is None:
             stream = ReplicationStream(self.store_id, peer, self, self.transport, self.start_task)
@@ -207,16 +210,16 @@
         return stream
 
     def address_of(self, store_id: str) -> str | None:
-        """The internal address of another store."""
+        """Return the internal address of another store, None if it is unknown."""
         return self.state.store_address(store_id)
 
     def epoch_of(self, partition: int) -> int:
-        """The epoch for which this store is the primary, 0 where it is not."""
+        """Return the epoch for which this store is the primary, else 0."""
         replica = self.replicas.get(partition)
         return replica.epoch if replica is not None else 0
 
     def on_acknowledged(self, store_id: str, sent: Iterable[OutgoingRecord], sent_at: float) -> None:
-        """A peer has these records."""
+        """Count the acknowledgement of these records by a peer."""
         sent = list(sent)
         for partition in {outgoing.partition for outgoing in sent}:
             progress = self._progress(partition, store_id)
@@ -225,8 +228,11 @@
         self._acknowledge(store_id, sent)
 
     def on_rejected(self, store_id: str, partition: int, epoch: int) -> None:
-        """A replica has promised a newer epoch: this store is the primary no longer, or the records were
-        sent for an epoch before this store's present one and have to be sent again."""
+        """Handle a rejection by a replica that follows a newer epoch.
+
+        Either this store is no longer the primary, or the records were sent for an epoch before this store's
+        current one and have to be sent again.
+        """
         replica = self.replicas.get(partition)
         if replica is None or not replica.epoch:
             return
@@ -239,7 +245,7 @@
             self.on_peers_behind()
 
     def on_peer_lost(self, store_id: str) -> None:
-        """A peer did not answer: it has to catch up."""
+        """Mark a peer that did not answer: it has to catch up."""
         for replica in self.replicas.values():
             progress = replica.peer_progress.get(store_id)
             if progress is not None and progress.is_streaming:
@@ -250,10 +256,10 @@
         replica = self.replicas.get(partition)
         return replica.peer_progress.get(store_id) if replica is not None else None
 
-    # Answering other primaries
+    # Requests of other primaries
 
     async def replicate(self, replicate: ReplicateRequest) -> ReplicateResponse:
-        """Take records; answered once they are durable or in memory, as asked for."""
+        """Merge records; the answer means durable or in memory, as requested."""
         refused: dict[int, int] = {}
         durable = replicate.durable
         wall_ms = self.wall_ms()
@@ -272,7 +278,7 @@
         return ReplicateResponse(refused)
 
     async def answer_summary(self, summary: ReplicaSummary) -> ReplicaDifference:
-        """Answer a comparison; a newer epoch is promised durably first."""
+        """Answer a comparison; a newer epoch is made durable first."""
         replica = self.replica(summary.partition)
         if summary.fence and summary.epoch > replica.table.minimum_epoch:
             self._fence_older_epochs(replica, summary.epoch)
@@ -290,7 +296,7 @@
     # Placement
 
     def apply_placement(self) -> None:
-        """Take up what the newest placement says."""
+        """Apply the newest placement to all partitions."""
         placement = self.state.placement
         if placement is None:
             return
@@ -298,22 +304,22 @@
             involved = self.store_id in entry.replicas or self.store_id in entry.learners
             replica = self.replica(entry.partition) if involved else self.replicas.get(entry.partition)
             if replica is not None:
-                self._apply_partition_placement(replica, entry, involved)
+                self._apply_partition_placement(replica, entry, involved=involved)
         self.on_peers_behind()
 
     def _apply_partition_placement(
-        self, replica: PartitionReplica, entry: PartitionPlacement, involved: bool
+        self, replica: PartitionReplica, entry: PartitionPlacement, *, involved: bool
     ) -> None:
         if not replica.is_current(entry):
             return
         replica.drop_at = 0.0 if involved else replica.drop_at or self.now() + MOVED_PARTITION_RETENTION_S
-        if replica.apply_placement(entry, self._tolerated, self._incarnation, self.now()):
+        if replica.apply_placement(entry, self._options.tolerated, self._options.incarnation, self.now()):
             self.start_task(self._take_over(replica, entry.epoch))
         elif replica.primary is not None:
             self.commit_replicated(replica)
 
     async def _take_over(self, replica: PartitionReplica, epoch: int) -> None:
-        """Promise the new epoch durably here before any other replica is asked."""
+        """Make the new epoch durable here before any other replica is asked."""
         replica.table.fence_older_epochs(epoch)
         try:
             await self.log.sync()
@@ -326,7 +332,7 @@
             self.on_peers_behind()
 
     def serve_if_ready(self, replica: PartitionReplica) -> None:
-        """Begin to serve once enough replicas have been compared."""
+        """Start to serve once enough replicas have been compared."""
         if replica.primary is None and replica.epoch:
             replica.former_replicas = [
                 store_id for store_id in replica.former_replicas if self._is_alive(store_id)
@@ -335,6 +341,6 @@
                 self.on_takeover_ready(replica)
 
     def _is_alive(self, store_id: str) -> bool:
-        """Whether a store is there with this disk, as far as is known here."""
+        """Return whether a store is alive with this disk, as far as is known here."""
         member = self.state.members.get(store_id.partition("/")[0])
         return member is not None and member.alive and member.store_id == store_id
--- a/hollowusher/messages/replication/replica_recovery.py
+++ b/hollowusher/messages/replication/replica_recovery.py
@@ -1,6 +1,7 @@
-"""Bringing peers up to date: replicas that were away, learners, all of them at a takeover; and the scrub.
+"""Recovery of peers: replicas that were away, learners, and all replicas at a takeover; and the scrub.
 
-A peer first gets the new records (it joins), then everything is compared once; after that it lacks nothing.
+A peer first joins the stream of new records, then all older ones are compared once; after that it has caught
+up.
 """
 
 from __future__ import annotations
@@ -9,8 +10,9 @@
 from collections.abc import Callable, Iterator
 from contextlib import suppress
 
+from hollowusher.messages.errors import StaleEpochError
 from hollowusher.messages.records import MessageKey
-from hollowusher.messages.replication.anti_entropy import AntiEntropySession, StaleEpochError
+from hollowusher.messages.replication.anti_entropy import AntiEntropySession
 from hollowusher.messages.replication.partition_replica import PartitionReplica, PeerProgress
 from hollowusher.messages.replication.partition_replicator import PartitionReplicator
 from hollowusher.messages.replication.replication_stream import OutgoingRecord
@@ -21,15 +23,13 @@
 
 CALL_TIMEOUT_S = 1.0
 LEARNER_REPORT_INTERVAL_S = 2.0
-LOST_LEARNER_TIMEOUT_S = (
-    1.0  # a learner that was reported ready and is lost so long is to be let go by the head
-)
-MAX_CONCURRENT_PARTITIONS = 4  # compared at one time with one peer
+LOST_LEARNER_TIMEOUT_S = 1.0  # a learner that was reported ready and is lost for so long is reported lost
+MAX_CONCURRENT_PARTITIONS = 4  # compared at the same time with one peer
 _LearnerKey = tuple[int, int, str]  # partition, epoch, the learner's store id
 
 
 class ReplicaRecovery:
-    """The catching up of one store's peers."""
+    """Recovery of one store's peers."""
 
     def __init__(self, replicator: PartitionReplicator, random_source: Callable[[], float]) -> None:
         self._replicator = replicator
@@ -39,7 +39,7 @@
         self._reported_at: dict[_LearnerKey, float] = {}
 
     def recover_all(self) -> None:
-        """Start on each peer that lacks records and is not being worked on."""
+        """Start the recovery of each peer that lacks records and is not being recovered."""
         peers = {
             peer
             for replica in self._replicator.replicas.values()
@@ -78,14 +78,14 @@
                     break
 
     async def _check_reachable(self, peer: str, address: str) -> bool:
-        """Ask with empty batches whether the peer is there; it learns the epochs by that."""
+        """Return whether the peer answers empty batches; they also announce the epochs to it."""
         replicator = self._replicator
         batches = [
             RecordBatch(replica.partition, replica.epoch, [])
             for replica in replicator.replicas.values()
             if replica.epoch and replica.is_epoch_durable and peer in replica.peer_progress
         ]
-        message = ReplicateRequest(replicator.store_id, batches, True)
+        message = ReplicateRequest(replicator.store_id, batches, durable=True)
         answer = await replicator.transport.call(address, message, CALL_TIMEOUT_S)
         if not isinstance(answer, ReplicateResponse):
             return False
@@ -96,8 +96,13 @@
     async def _catch_up(
         self, replica: PartitionReplica, peer: str, progress: PeerProgress, address: str
     ) -> bool:
-        """Have a peer lack nothing; False where this store is the primary no longer or lost the peer.  The
-        link stays incomplete where another peer knew something newer meanwhile."""
+        """Exchange all records that the peer or this store lacks.
+
+        Returns
+        -------
+        False if this store is no longer the primary or lost the peer.  The peer has not caught up if another
+        peer had newer records meanwhile.
+        """
         if not progress.is_streaming:
             progress.is_streaming = True
             for proposal in list(replica.outstanding):
@@ -106,33 +111,24 @@
                 )
         paced = peer not in replica.replica_ids or replica.primary is not None
         progress.needs_comparison = False
-        if not await self._compare(replica, peer, address, paced) or not progress.is_streaming:
+        if not await self._compare(replica, peer, address, paced=paced) or not progress.is_streaming:
             return False
         progress.is_caught_up = not progress.needs_comparison
         self._replicator.serve_if_ready(replica)
         return True
 
-    async def _compare(self, replica: PartitionReplica, peer: str, address: str, paced: bool) -> bool:
-        """Exchange all differences with a peer; whether this store is still the primary."""
+    async def _compare(self, replica: PartitionReplica, peer: str, address: str, *, paced: bool) -> bool:
+        """Exchange all differences with a peer; return whether this store is still the primary."""
         replicator = self._replicator
         epoch = replica.epoch
-        comparison = AntiEntropySession(
-            replica.table,
-            epoch,
-            replicator.store_id,
-            address,
-            replicator.transport,
-            replicator.log,
-            replicator.wall_ms,
-            paced,
-        )
+        comparison = AntiEntropySession(replicator.dependencies, replica.table, epoch, address, paced=paced)
         failure: BaseException | None = None
         try:
             await comparison.run()
         except (StaleEpochError, PeerError, StorageError, asyncio.CancelledError) as error:
-            failure = error  # what was learnt before counts all the same
+            failure = error  # what was learned before the failure still counts
         if comparison.changed_keys:
-            self._adopt(replica, peer, comparison.changed_keys)
+            self._restore_changed(replica, peer, comparison.changed_keys)
         if isinstance(failure, StaleEpochError):
             replicator.on_rejected(peer, failure.partition, failure.epoch)
             return False
@@ -140,8 +136,8 @@
             raise failure
         return replica.epoch == epoch
 
-    def _adopt(self, replica: PartitionReplica, source: str, changed: list[MessageKey]) -> None:
-        """A peer knew something newer: the other peers lack it, too."""
+    def _restore_changed(self, replica: PartitionReplica, source: str, changed: list[MessageKey]) -> None:
+        """Restore messages that a peer had newer; the other peers have to be compared again."""
         for peer, progress in replica.peer_progress.items():
             if peer != source:
                 progress.is_caught_up = False
@@ -172,8 +168,11 @@
     # Learners
 
     def report_learners(self, now: float) -> None:
-        """Report to the head which learners have caught up, and which of those have been lost since.  Commits
-        wait for a reported learner until a newer placement is in force: its report may count until then."""
+        """Report to the head which learners have caught up, and which of those have been lost since.
+
+        Commits wait for a reported learner until a newer placement is in force: its report may count until
+        then.
+        """
         lost_since: dict[_LearnerKey, float] = {}
         for replica in self._replicator.serving_replicas():
             assert replica.placement is not None
@@ -192,19 +191,22 @@
         self._lost_since = lost_since
 
     def _is_due(self, replica: PartitionReplica, peer: str, now: float) -> bool:
-        """Whether the head is to be told again about a learner."""
+        """Return whether a learner is due to be reported again."""
         key = (replica.partition, replica.epoch, peer)
         if now - self._reported_at.get(key, -LEARNER_REPORT_INTERVAL_S) < LEARNER_REPORT_INTERVAL_S:
             return False
         self._reported_at = {
-            told: at for told, at in self._reported_at.items() if now - at < LEARNER_REPORT_INTERVAL_S
+            learner: at for learner, at in self._reported_at.items() if now - at < LEARNER_REPORT_INTERVAL_S
         }
         self._reported_at[key] = now
         return True
 
     async def _report_caught_up(self, replica: PartitionReplica, peer: str) -> None:
-        """From now on each commit needs this learner, too; what was committed before is compared once more,
-        so that the head may count on it."""
+        """Require the learner for each commit, compare once more, and report it ready.
+
+        The second comparison covers what was committed before the learner was required, so that the head may
+        count on it.
+        """
         replicator = self._replicator
         placement, address = replica.placement, replicator.address_of(peer)
         if placement is None or address is None or replica.primary is None:
--- a/hollowusher/messages/replication/replication_stream.py
+++ b/hollowusher/messages/replication/replication_stream.py
@@ -1,8 +1,8 @@
 """The stream of records from this store to one other replica, for all partitions whose primary is here.
 
-Records that need the peer's disk and records that only need its memory travel in two lanes, each with at most
-two batches under way; versions make the order between them irrelevant.  A peer that does not answer in time
-has lost its place: the queue is dropped, and the owner lets it catch up by comparing.
+Records that must reach the peer's disk and records that only need its memory have separate lanes, each with
+at most two batches in flight; versions make the order between them irrelevant.  A peer that does not answer
+in time is dropped: its queue is cleared, and the owner lets it catch up by anti-entropy.
 """
 
 from __future__ import annotations
@@ -10,64 +10,65 @@
 import asyncio
 import itertools
 from collections.abc import Callable, Iterable
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 from hollowusher.messages.partition.proposal import Proposal
 from hollowusher.protocol.replication import RecordBatch, ReplicateRequest, ReplicateResponse
 from hollowusher.transport.interface import PeerError, Transport
 
 ANSWER_TIMEOUT_S = 1.0
+LATENCY_SMOOTHING = 0.2  # weight of the newest measurement
 MAX_BATCHES_IN_FLIGHT = 2
 MAX_BATCH_BYTES = 1024 * 1024
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
-BATCH_DELAY_S = 0.002  # records that somebody waits for are gathered for so long
-LINGER_S = {True: 0.03, False: 0.25}  # those for replicas beyond the quorum longer, by lane: fewer batches
-SLOW_PEER_S = 0.025  # a batch under way for longer: the peer is not the quickest any more
+BATCH_DELAY_S = 0.002  # delay of records that a client waits for, to form batches
+LINGER_S = {
+    True: 0.03,
+    False: 0.25,
+}  # delay of records for replicas beyond the quorum, by lane: fewer batches
+SLOW_PEER_S = 0.025  # with a batch in flight for longer the peer does not count as fast
 
 
 class OutgoingRecord(NamedTuple):
-    """One record on its way."""
+    """One record to send."""
 
     partition: int
     proposal: Proposal
 
 
-class StreamOwner:
-    """What a stream tells its owner, and asks of it."""
+class StreamOwner(Protocol):
+    """The owner of streams: answers their questions and receives their events."""
 
     def address_of(self, store_id: str) -> str | None:
-        """The peer's internal address, None while it is not known."""
-        raise NotImplementedError
+        """Return the peer's internal address, None while it is not known."""
 
     def epoch_of(self, partition: int) -> int:
-        """The epoch for which this store is the primary, 0 where it is not."""
-        raise NotImplementedError
+        """Return the epoch for which this store is the primary, else 0."""
 
     def on_acknowledged(self, store_id: str, sent: Iterable[OutgoingRecord], sent_at: float) -> None:
-        """The peer has these records."""
-        raise NotImplementedError
+        """Handle the acknowledgement of these records by the peer."""
 
     def on_rejected(self, store_id: str, partition: int, epoch: int) -> None:
-        """The peer has promised a newer epoch and did not take the records."""
-        raise NotImplementedError
+        """Handle the rejection of records by a peer that follows a newer epoch."""
 
     def on_peer_lost(self, store_id: str) -> None:
-        """The peer did not answer: records have been dropped."""
-        raise NotImplementedError
+        """Handle the loss of a peer that did not answer: records have been dropped."""
 
 
 class _StreamLane:
-    def __init__(self, durable: bool) -> None:
+    """Queue and batches in flight of records with the same requirement for durability."""
+
+    def __init__(self, *, durable: bool) -> None:
         self.durable = durable
         self.queue: list[OutgoingRecord] = []
         self.in_flight: dict[int, float] = {}  # batch number -> when it was sent
         self.timer: asyncio.Handle | None = None
         self.timer_at = 0.0
-        self.lingers = False  # nobody waits for what is queued
+        self.lingers = False  # no client waits for the queued records
 
 
 class ReplicationStream:
-    """Batches to one peer."""
+    """Stream of record batches to one peer."""
 
     def __init__(
         self, me: str, peer: str, owner: StreamOwner, transport: Transport, run: Callable[..., None]
@@ -78,13 +79,13 @@
         self._owner = owner
         self._transport = transport
         self._run = run
-        self._ordering_groups = {durable: _StreamLane(durable) for durable in (True, False)}
+        self._lanes = {durable: _StreamLane(durable=durable) for durable in (True, False)}
         self._queued_bytes = 0
         self._numbers = itertools.count()
 
-    def enqueue(self, outgoing: OutgoingRecord, linger: bool) -> None:
+    def enqueue(self, outgoing: OutgoingRecord, *, linger: bool) -> None:
         """Send a record with the next batch; `linger` lets it wait a little for others."""
-        lane = self._ordering_groups[outgoing.proposal.durable]
+        lane = self._lanes[outgoing.proposal.needs_sync]
         lane.queue.append(outgoing)
         self._queued_bytes += len(outgoing.proposal.record)
         if self._queued_bytes > MAX_QUEUED_BYTES:
@@ -93,9 +94,9 @@
             self._schedule(lane, LINGER_S[lane.durable] if linger else BATCH_DELAY_S)
 
     def expected_latency_s(self, now: float) -> float:
-        """How long the peer is expected to take: the usual time, or more where it is late already."""
+        """Return the expected answer time: the smoothed latency, or more if the peer is late already."""
         waited_s = 0.0
-        for lane in self._ordering_groups.values():
+        for lane in self._lanes.values():
             for sent_at in lane.in_flight.values():
                 waited_s = max(waited_s, now - sent_at)
         return waited_s if waited_s > SLOW_PEER_S else self.latency_s
@@ -127,8 +128,8 @@
             self._run(self._send(lane, number, self._next_batch(lane)))
 
     def _merge_lingering(self, durable: _StreamLane) -> None:
-        """Records that only wait for company travel with the durable ones."""
-        memory = self._ordering_groups[False]
+        """Add lingering memory records to the durable batch that is sent now."""
+        memory = self._lanes[False]
         if memory.queue and memory.lingers and memory.timer is not None:
             durable.queue += memory.queue
             memory.queue = []
@@ -151,7 +152,7 @@
         epochs = {partition: self._owner.epoch_of(partition) for partition, _ in batch}
         current = [outgoing for outgoing in batch if epochs[outgoing.partition]]
         try:
-            answer = await self._call(lane.durable, current, epochs)
+            answer = await self._call(current, epochs, durable=lane.durable)
         except PeerError:
             self._drop_peer()
             return
@@ -160,13 +161,13 @@
         self._update_latency(asyncio.get_running_loop().time() - sent_at)
         for partition, epoch in answer.refused.items():
             self._owner.on_rejected(self.peer, partition, epoch)
-        taken = [sent for sent in current if sent.partition not in answer.refused]
-        self._owner.on_acknowledged(self.peer, taken, sent_at)
+        accepted = [sent for sent in current if sent.partition not in answer.refused]
+        self._owner.on_acknowledged(self.peer, accepted, sent_at)
         if lane.queue and lane.timer is None:
             self._flush(lane)
 
     async def _call(
-        self, durable: bool, batch: list[OutgoingRecord], epochs: dict[int, int]
+        self, batch: list[OutgoingRecord], epochs: dict[int, int], *, durable: bool
     ) -> ReplicateResponse:
         address = self._owner.address_of(self.peer)
         if address is None:
@@ -187,14 +188,14 @@
         return answer
 
     def _update_latency(self, took_s: float) -> None:
-        self.latency_s += 0.2 * (took_s - self.latency_s)
+        self.latency_s += LATENCY_SMOOTHING * (took_s - self.latency_s)
 
     def _drop_peer(self) -> None:
         self._clear()
         self._owner.on_peer_lost(self.peer)
 
     def _clear(self) -> None:
-        for lane in self._ordering_groups.values():
+        for lane in self._lanes.values():
             lane.queue.clear()
             if lane.timer is not None:
                 lane.timer.cancel()
--- a/hollowusher/messages/steady_wall_clock.py
+++ b/hollowusher/messages/steady_wall_clock.py
@@ -1,7 +1,7 @@
-"""The time of day of one process: taken once, then carried on by the steady clock.
+"""The wall clock of one process: read once, then advanced by the monotonic clock.
 
-Ends, retentions and delays are kept in records by the time of day, since other machines go on with them.  A
-step of the machine's clock must not end or forget messages, so it counts only for processes started later.
+Records have ends, retentions and delays in wall time, because other machines continue with them.  A step of
+the machine's clock must not end or forget messages, so it affects only processes started later.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class SteadyWallClock:
-    """Milliseconds of the day's clock when first asked for, plus what the steady clock has moved since."""
+    """Milliseconds of the wall clock at the first call, plus the progress of the monotonic clock since."""
 
     def __init__(self, wall_ms: Callable[[], int], steady_s: Callable[[], float]) -> None:
         self._wall_ms = wall_ms
@@ -18,7 +18,7 @@
         self._first: tuple[int, float] | None = None
 
     def __call__(self) -> int:
-        """Now."""
+        """Return the wall time in milliseconds."""
         steady_s = self._steady_s()
         if self._first is None:
             self._first = (self._wall_ms(), steady_s)
--- a/hollowusher/messages/store_service.py
+++ b/hollowusher/messages/store_service.py
@@ -1,35 +1,39 @@
-"""The store's service: the calls of the edge processes, answered from the primaries of this store.
+"""The store's service: answers the requests of edge processes from the primaries of this store.
 
-It is the asyncio shell around `PartitionPrimary`: it lets time pass there, waits for commits, and holds lease
-requests until jobs are ready.
+It is the asyncio shell around `PartitionPrimary`: it advances time there, waits for commits, and keeps lease
+requests waiting until jobs are ready.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from contextlib import suppress
 from functools import partial
-from typing import Any, NamedTuple
+from typing import NamedTuple
+
+import attrs
 
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import (
     CONFIGURATION,
     MEMBER_PREFIX,
     PLACEMENT,
-    ClusterState,
 )
 from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.messages import records
 from hollowusher.messages.job_waiters import JobWaiters
 from hollowusher.messages.partition.active_messages import LeaseGrant
-from hollowusher.messages.partition.partition_primary import PartitionPrimary
+from hollowusher.messages.partition.message_leases import LeaseOptions
+from hollowusher.messages.partition.partition_primary import PartitionPrimary, PrimaryOptions
 from hollowusher.messages.partition.proposal import Proposal
 from hollowusher.messages.replication.partition_replica import PartitionReplica
-from hollowusher.messages.replication.partition_replicator import PartitionReplicator
+from hollowusher.messages.replication.partition_replicator import PartitionReplicator, ReplicationOptions
 from hollowusher.messages.replication.replica_recovery import ReplicaRecovery
 from hollowusher.messages.steady_wall_clock import SteadyWallClock
+from hollowusher.messages.store_dependencies import StoreDependencies
 from hollowusher.messages.unacknowledged_grants import UnacknowledgedGrants
+from hollowusher.protocol.handlers import HandlerTable
 from hollowusher.protocol.leases import (
     ExtendLease,
     FinishLease,
@@ -41,24 +45,22 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.messages import MessageStatusRequest, MessageStatusResponse, PutRequest, PutResponse
 from hollowusher.protocol.replication import ReplicaSummary, ReplicateRequest
-from hollowusher.storage.interface import Log, StorageError
-from hollowusher.transport.interface import Transport
+from hollowusher.storage.interface import StorageError
 
 TICK_S = 0.25
-MAX_STEP_S = TICK_S + 0.15  # a longer one: this process did not run
+MAX_STEP_S = TICK_S + 0.15  # longer steps mean that this process did not run
 COMMIT_TIMEOUT_S = 3.0
 LEASE_COMMIT_TIMEOUT_S = 1.0
 SERVING_WAIT_S = 1.0  # how long a call waits for a takeover to finish
 RECOVERY_INTERVAL_S = 0.5
 FORGET_INTERVAL_S = 5.0
 SCRUB_INTERVAL_S = 20.0
-CONFIRMATION_MAX_AGE_S = (
-    0.5  # a lease is extended, a state told, only if a quorum has followed within so long
-)
-DEAD_DISPATCHER_PAUSE_S = 0.3  # a dispatcher that may lease nothing is answered so much later
+# A lease is extended, and a state reported, only if a quorum has followed the primary within so long.
+CONFIRMATION_MAX_AGE_S = 0.5
+DEAD_DISPATCHER_PAUSE_S = 0.3  # before an empty answer to a dispatcher that may not lease
 STOP_TIMEOUT_S = 4.0
 STOP_POLL_S = 0.05
-MAX_LOG_RESERVE_BYTES = 4 * 1024 * 1024  # new messages are refused before states lack room
+MAX_LOG_RESERVE_BYTES = 4 * 1024 * 1024  # new messages are rejected before states lack space
 
 UNAVAILABLE = LeaseUpdateResponse("unavailable")
 GONE = LeaseUpdateResponse("gone")
@@ -66,72 +68,62 @@
 
 
 class LocalGrant(NamedTuple):
-    """A grant and the partition that made it."""
+    """A grant and the partition that granted it."""
 
     replica: PartitionReplica
     grant: LeaseGrant
 
 
 class StoreService:
-    """All partitions of one store, as the other processes see them."""
+    """The service of one store: all its partitions, as other processes see them."""
 
     def __init__(
         self,
-        me: Member,
-        store_id: str,
-        transport: Transport,
-        log: Log,
-        state: ClusterState,
+        member: Member,
+        dependencies: StoreDependencies,
         settings: BootSettings,
         random_source: Callable[[], float],
-        wall_ms: Callable[[], int],
     ) -> None:
-        self.me = me
-        self.store_id = store_id
-        self._log = log
-        self._state = state
-        self._visibility_ms = settings.bounds.visibility_ms
-        self._random_source = random_source
-        self._wall_ms = time_of_day = SteadyWallClock(wall_ms, self._now)
+        self.member = member
+        self.store_id = dependencies.store_id
+        self._log = log = dependencies.log
+        self._state = state = dependencies.state
+        self._lease_options = LeaseOptions(settings.bounds.visibility_ms, random_source)
+        self._wall_ms = SteadyWallClock(dependencies.wall_ms, self._now)
+        dependencies = attrs.evolve(dependencies, wall_ms=self._wall_ms)
         self._log_reserve = min(MAX_LOG_RESERVE_BYTES, log.free_bytes() // 8)
-        status_ms = int(settings.bounds.status_s * 1000)
-        self._replicator = PartitionReplicator(
-            store_id,
-            transport,
-            log,
-            state,
-            settings.fault_tolerance.machines,
-            status_ms,
-            time_of_day,
-            me.incarnation,
+        options = ReplicationOptions(
+            tolerated=settings.fault_tolerance.machines,
+            ended_retention_ms=int(settings.bounds.status_s * 1000),
+            incarnation=member.incarnation,
         )
+        self._replicator = PartitionReplicator(dependencies, options)
         self._recovery = ReplicaRecovery(self._replicator, random_source)
         self._replicator.on_primary_changed = self._process_effects
         self._replicator.on_takeover_ready = self._start_serving
         self._replicator.on_peers_behind = self._recovery.recover_all
         self._grants = UnacknowledgedGrants()
-        self._waiters = JobWaiters(store_id, transport, state, self._has_ready)
+        self._waiters = JobWaiters(self.store_id, dependencies.transport, state, self._has_ready)
         self._serving_changed = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
         self._started = False
         self._pauses = PauseDetector(MAX_STEP_S)
-        self._resumed_at = 0.0  # steady clock; the end of the last pause
+        self._resumed_at = 0.0  # monotonic clock; the end of the last pause
         self._next_recover = self._next_forget = self._next_scrub = 0.0
-        self._handlers: dict[type, Callable[[Any], Awaitable[Any]]] = {
-            PutRequest: self._put,
-            LeaseRequest: self._lease,
-            FinishLease: self._finish,
-            ExtendLease: self._extend,
-            MessageStatusRequest: self._status,
-            ReplicateRequest: self._replicator.replicate,
-            ReplicaSummary: self._replicator.answer_summary,
-        }
-
-    # Life
+        self._handlers = HandlerTable()
+        self._handlers.add(PutRequest, self._put)
+        self._handlers.add(LeaseRequest, self._lease)
+        self._handlers.add(FinishLease, self._finish)
+        self._handlers.add(ExtendLease, self._extend)
+        self._handlers.add(MessageStatusRequest, self._status)
+        self._handlers.add(ReplicateRequest, self._replicator.replicate)
+        self._handlers.add(ReplicaSummary, self._replicator.answer_summary)
+
+    # Lifecycle
 
     async def start(self) -> None:
-        """Read the log, and take up what the placement says."""
+        """Read the log and apply the placement."""
         self._replicator.replay()
         now = self._now()
         self._pauses.tick(now)
@@ -142,20 +134,25 @@
         self._replicator.apply_placement()
         self._replicator.start_task(self._tick())
 
-    def handles(self, message: Any) -> bool:
-        """Whether a message is for this service."""
-        return type(message) in self._handlers
+    def handles(self, message: object) -> bool:
+        """Return whether a message is for this service."""
+        return self._handlers.handles(message)
 
-    async def handle(self, message: Any) -> Any:
-        """Answer one message; KeyError for a type that is not for stores."""
+    async def handle(self, message: object) -> object:
+        """Return the answer to a message for which `handles` is true."""
         self._notice_pause(self._now())
-        return await self._handlers[type(message)](message)
+        return await self._handlers.handle(message)
 
     async def stop(self) -> None:
-        """Planned end: serve until the placement has moved all primaries away, and every replica that another
-        store is copying; at most a few seconds."""
+        """Drain and stop.
+
+        Serve until the placement has moved all primaries away, and every replica that another store is still
+        copying; at most `STOP_TIMEOUT_S`.
+        """
         deadline = self._now() + STOP_TIMEOUT_S
-        while self._now() < deadline and any(replica.is_needed_here for replica in self._replicas.values()):
+        while self._now() < deadline and any(  # noqa: ASYNC110  # no event tells of all placements
+            replica.is_needed_here for replica in self._replicas.values()
+        ):
             await asyncio.sleep(STOP_POLL_S)
         with suppress(StorageError, TimeoutError):
             async with asyncio.timeout(max(0.2, deadline - self._now())):
@@ -167,19 +164,19 @@
         self._replicator.close()
 
     def replicas(self) -> list[PartitionReplica]:
-        """The partitions kept here, by number."""
+        """Return the replicas of this store by partition number."""
         return [replica for _, replica in sorted(self._replicas.items())]
 
     @property
     def storage_error(self) -> StorageError | None:
-        """Why the disk has failed, None while it works."""
+        """The error of the disk, None while it works."""
         return self._replicator.storage_error
 
     @property
     def _replicas(self) -> dict[int, PartitionReplica]:
         return self._replicator.replicas
 
-    # Calls of edge processes
+    # Requests of edge processes
 
     async def _put(self, put: PutRequest) -> PutResponse:
         primary = await self._wait_for_primary(put.partition)
@@ -233,8 +230,11 @@
     async def _lease_answer(
         self, replica: PartitionReplica, primary: PartitionPrimary, outcome: Proposal | LeaseUpdateResponse
     ) -> LeaseUpdateResponse:
-        """The answer once it is certain: what was proposed is committed, and a lease is gone only if this
-        was the primary still when it was asked about it."""
+        """Return the answer once it is certain.
+
+        A proposal has to be committed; a lease is gone only if this store was still the primary when it was
+        asked.
+        """
         if isinstance(outcome, Proposal):
             return LeaseUpdateResponse("taken") if await self._wait_for_commit(outcome) else UNAVAILABLE
         if outcome.status == GONE.status and not await self._has_quorum(replica, primary, from_now=True):
@@ -249,7 +249,7 @@
         primary = await self._wait_for_primary(partition)
         if primary is None:
             return MessageStatusResponse(self._unavailable_status(partition))
-        answer = primary.status(key, request.want_body)
+        answer = primary.status(key, want_body=request.want_body)
         if await self._is_certain(answer, partition, key, primary):
             return answer
         return MessageStatusResponse("unavailable")
@@ -261,9 +261,11 @@
         key: records.MessageKey,
         primary: PartitionPrimary,
     ) -> bool:
-        """Whether an answer about a message may be given.  The bytes of a message never change, a committed
-        end stands for ever; that a message has not ended needs a quorum that followed lately, that there is
-        none one that follows now."""
+        """Return whether an answer about a message is certain.
+
+        The body of a message never changes, and a committed end is final.  That a message has not ended needs
+        a quorum that followed this primary recently; that there is no such message, one that follows it now.
+        """
         if answer.body is not None:
             return True
         replica = self._replicas[partition]
@@ -311,11 +313,11 @@
                 await asyncio.sleep(min(DEAD_DISPATCHER_PAUSE_S, deadline - now))
                 return LeaseResponse([])
             await self._waiters.wait(service, deadline if token_at is None else min(deadline, token_at))
-        self._waiters.wake(service)  # what woke this one may be for another
+        self._waiters.wake(service)  # the event that woke this request may be for another one
         return LeaseResponse([])
 
     def _return_lost_grants(self, request: LeaseRequest) -> None:
-        """The answer to an earlier request never came to its dispatcher, which begins nothing of it."""
+        """Return the leases of an answer that its dispatcher has not received and will not start."""
         self._return_unrun(self._grants.take_lost(request))
         self._waiters.wake_all(request.service)
 
@@ -326,13 +328,16 @@
             replica = None if lease is None else self._replicas.get(lease.partition)
             if lease is None or replica is None or replica.primary is None:
                 continue
-            with suppress(StorageError):  # then the lease runs out
+            with suppress(StorageError):  # then the lease expires
                 replica.primary.finish(lease, FinishLease(name, "not_run"), now, wall_ms)
             self._process_effects(replica)
 
     def _can_lease(self, request: LeaseRequest) -> bool:
-        """Whether a dispatcher gets leases: those of one that is judged dead would be dealt out again at the
-        next change of any member.  Pull leases outlive their dispatcher."""
+        """Return whether a dispatcher may lease.
+
+        The leases of a dispatcher that is considered dead would be requeued at the next change of any member.
+        Pull leases outlive their dispatcher.
+        """
         return request.pull or self._may_be_alive(request.dispatcher, request.incarnation)
 
     def _lease_from_primaries(self, request: LeaseRequest) -> list[LocalGrant]:
@@ -353,7 +358,7 @@
         return outcome
 
     async def _confirmed_jobs(self, outcome: list[LocalGrant]) -> list[LeasedJob]:
-        """The jobs whose leases a quorum knows; the others are given back."""
+        """Return the jobs whose leases are committed; the other leases are cancelled."""
         jobs = []
         for replica, grant in outcome:
             committed = await self._is_committed(replica, grant)
@@ -366,7 +371,7 @@
         return jobs
 
     def _cancel_grant(self, replica: PartitionReplica, primary: PartitionPrimary, grant: LeaseGrant) -> None:
-        """A grant that does not go out; a call-back is offered again after a pause."""
+        """Cancel a grant that is not sent; a call-back is queued again after a backoff."""
         now, wall_ms = self._now(), self._wall_ms()
         lease = records.parse_lease_id(grant.job.lease)
         if lease is not None and lease.is_callback:
@@ -376,7 +381,7 @@
         self._process_effects(replica)
 
     async def _is_committed(self, replica: PartitionReplica, grant: LeaseGrant) -> bool:
-        """Whether a quorum knows a lease; for one without a record (a call-back's), follows its primary."""
+        """Return whether a lease is committed; for a call-back's, whether a quorum follows the primary."""
         if grant.proposal is not None:
             return await self._wait_for_commit(grant.proposal)
         return replica.primary is not None and await self._has_quorum(replica, replica.primary)
@@ -396,7 +401,7 @@
         return min((time for time in times if time is not None), default=None)
 
     async def _wait_for_commit(self, proposal: Proposal) -> bool:
-        """Wait until a quorum has the record; False where that is not known in time."""
+        """Wait for the commit of a proposal; False if it is unknown in time."""
         if proposal.is_committed:
             return True
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -404,7 +409,7 @@
         return await future
 
     async def _wait_for_primary(self, partition: int) -> PartitionPrimary | None:
-        """The primary of a partition; a call waits a little for a takeover to finish."""
+        """Return the primary of a partition; wait a short time for a takeover to finish."""
         replica = self._replicas.get(partition)
         if replica is not None and replica.primary is not None:
             return replica.primary
@@ -420,32 +425,25 @@
         return None
 
     def _unavailable_status(self, partition: int) -> str:
-        """The status to answer with where no primary serves here."""
+        """Return the status to answer with while no primary serves here."""
         replica = self._replicas.get(partition)
         taking_over = replica is not None and replica.is_placed_primary and replica.epoch > 0
         return "unavailable" if taking_over else "not_primary"
 
-    # Steps of the primaries
+    # Transitions of the primaries
 
     def _start_serving(self, replica: PartitionReplica) -> None:
-        """Enough replicas have been compared: serve."""
+        """Start the primary of a partition, after enough replicas have been compared."""
         now, wall_ms = self._now(), self._wall_ms()
-        replica.primary = PartitionPrimary(
-            replica.table,
-            replica.epoch,
-            self._state.configuration,
-            self._visibility_ms,
-            self._random_source,
-            now,
-            wall_ms,
-        )
+        options = PrimaryOptions(self._state.configuration, self._lease_options)
+        replica.primary = PartitionPrimary(replica.table, replica.epoch, options, now, wall_ms)
         replica.primary.release_dispatchers(self._may_be_alive, now, wall_ms)
         self._process_effects(replica)
         self._serving_changed.set()
         self._serving_changed = asyncio.Event()
 
     def _process_effects(self, replica: PartitionReplica) -> None:
-        """After any step of a primary: send what it proposed, wake who waits, watch the clock."""
+        """Send proposals, wake waiting requests and set the timer, after any transition of a primary."""
         primary = replica.primary
         if primary is None:
             return
@@ -460,7 +458,7 @@
         self._schedule_advance(primary.next_event_time())
 
     def _on_state_change(self, key: str) -> None:
-        """The cluster's state has changed."""
+        """Apply a change of the cluster's state."""
         if not self._started:
             return
         now, wall_ms = self._now(), self._wall_ms()
@@ -478,8 +476,11 @@
                     self._process_effects(replica)
 
     def _may_be_alive(self, name: str, incarnation: int) -> bool:
-        """Whether a dispatcher may still end its leases: not after a later life has begun, nor once it was
-        judged dead.  One that leaves ends its deliveries itself."""
+        """Return whether a dispatcher may still finish its leases.
+
+        It may not once a later incarnation has started or it is considered dead.  A departing one finishes
+        its deliveries itself.
+        """
         member = self._state.members.get(name)
         if member is None or member.incarnation < incarnation:
             return True
@@ -507,8 +508,10 @@
                 self._replicator.start_task(self._recovery.scrub())
 
     def _notice_pause(self, now: float) -> None:
-        """While this process did not run, words of lease holders may have come that are still unread, and
-        another primary may have begun."""
+        """Postpone leases after a pause of this process.
+
+        Requests of lease holders may have arrived that are still unread, and another primary may serve now.
+        """
         pause_s = self._pauses.tick(now)
         if not pause_s:
             return
@@ -525,7 +528,7 @@
         self._replicator.drop_moved_partitions(now)
 
     def _schedule_advance(self, due: float | None) -> None:
-        """Let time pass at the primaries when the next thing falls due."""
+        """Set the timer to the earliest due time of all primaries."""
         if due is None or (self._timer is not None and self._timer_at <= due):
             return
         if self._timer is not None:
@@ -546,6 +549,6 @@
         return self._replicator.clock()
 
 
-def _resolve(future: asyncio.Future[bool], committed: bool) -> None:
+def _resolve(future: asyncio.Future[bool], committed: bool) -> None:  # noqa: FBT001  # as waiters are called
     if not future.done():
         future.set_result(committed)
--- a/hollowusher/messages/unacknowledged_grants.py
+++ b/hollowusher/messages/unacknowledged_grants.py
@@ -1,8 +1,8 @@
-"""Answers to lease requests that their dispatchers may never have got.
+"""Answers to lease requests that their dispatchers may not have received.
 
-A dispatcher that had no answer to a request will not begin what the answer granted, and says so with its next
-request: the number of the one that was lost.  What was granted then goes back at once, in place of waiting
-for its leases to run out; a late copy of the lost request grants nothing.
+A dispatcher that had no answer to a request does not start what the answer granted, and says so with its next
+request: the number of the request whose answer was lost.  Those leases are returned at once instead of
+waiting for their expiry; a late copy of the lost request is granted nothing.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class LeaseRequester(NamedTuple):
-    """Who asks for jobs, with one request at a time."""
+    """Key of a requester, which has one request at a time."""
 
     dispatcher: str
     incarnation: int
@@ -24,7 +24,7 @@
 
 
 class GrantedLeases(NamedTuple):
-    """The last answer to an asker that held jobs."""
+    """The last answer to a requester that had jobs."""
 
     number: int
     leases: list[str]
@@ -35,36 +35,36 @@
 
 
 class UnacknowledgedGrants:
-    """The last grants of each asker, and the last request that each has declared lost."""
+    """The last grants of each requester, and the last request that each has declared lost."""
 
     def __init__(self) -> None:
         self._granted: dict[LeaseRequester, GrantedLeases] = {}
         self._lost: dict[LeaseRequester, int] = {}
 
     def record(self, request: LeaseRequest, jobs: list[LeasedJob]) -> None:
-        """These jobs go out in answer to a request."""
+        """Record the jobs of the answer to a request."""
         if not request.number:
             return
-        asker = _requester_of(request)
-        self._granted.pop(asker, None)
+        requester = _requester_of(request)
+        self._granted.pop(requester, None)
         if jobs:
-            self._granted[asker] = GrantedLeases(request.number, [job.lease for job in jobs])
+            self._granted[requester] = GrantedLeases(request.number, [job.lease for job in jobs])
             _drop_oldest(self._granted)
 
     def take_lost(self, request: LeaseRequest) -> list[str]:
-        """The leases that were granted by the answer which a request declares lost; they are given once."""
-        asker = _requester_of(request)
-        self._lost.pop(asker, None)
-        self._lost[asker] = request.lost
+        """Return, once, the leases of the answer that a request declares lost."""
+        requester = _requester_of(request)
+        self._lost.pop(requester, None)
+        self._lost[requester] = request.lost
         _drop_oldest(self._lost)
-        granted = self._granted.get(asker)
+        granted = self._granted.get(requester)
         if granted is None or granted.number != request.lost:
             return []  # the lost request did not get here, or granted nothing: earlier jobs may be running
-        del self._granted[asker]
+        del self._granted[requester]
         return granted.leases
 
     def is_abandoned(self, request: LeaseRequest) -> bool:
-        """Whether the asker has given up waiting for the answer to this request."""
+        """Return whether the requester no longer waits for the answer to this request."""
         return 0 < request.number <= self._lost.get(_requester_of(request), 0)
 
 
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -19,6 +19,7 @@
     StatusListenFailed,
     StoreStarted,
 )
+from hollowusher.messages.store_dependencies import StoreDependencies
 from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.membership import Member
 from hollowusher.roles.change_log import ChangeLog
@@ -83,9 +84,8 @@
     )
     keeper = ViewCache(SlotFile(process.folder / VIEW_SLOT), process.state)
     keeper.load()
-    service = StoreService(
-        me, me.store_id, process.transport, ring_log, process.state, settings, process.chance.random, wall_ms
-    )
+    dependencies = StoreDependencies(me.store_id, process.transport, ring_log, process.state, wall_ms)
+    service = StoreService(me, dependencies, settings, process.chance.random)
 
     ChangeLog(process.state, me.store_id, lambda: False)
 
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -57,8 +57,8 @@
 def _end_forgotten(patches: Patches) -> None:
     real = PartitionPrimary.status
 
-    def status(primary: PartitionPrimary, key: Any, want_body: bool) -> Any:
-        answer = real(primary, key, want_body)
+    def status(primary: PartitionPrimary, key: Any, *, want_body: bool) -> Any:
+        answer = real(primary, key, want_body=want_body)
         entry = primary.table.entries.get(key)
         ended = entry is not None and entry.status is MessageStatus.COMPLETED
         return evolve(answer, state="unknown") if ended else answer
--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -124,8 +124,8 @@
 def _completed_told_too_soon(patches: Patches) -> None:
     real = PartitionPrimary.status
 
-    def status(primary: PartitionPrimary, key: Any, want_body: bool) -> Any:
-        answer = real(primary, key, want_body)
+    def status(primary: PartitionPrimary, key: Any, *, want_body: bool) -> Any:
+        answer = real(primary, key, want_body=want_body)
         entry = primary.table.entries.get(key)
         leased = entry is not None and entry.status is MessageStatus.LEASED
         return evolve(answer, state="completed") if leased else answer
--- a/hollowusher/simulation/planted/partitions.py
+++ b/hollowusher/simulation/planted/partitions.py
@@ -128,14 +128,7 @@
             return kept
         return PutResponse("stored", records.format_reference(request.partition, kept.key))
 
-    real_init = StoreService.__init__
-
-    def init(service: StoreService, *arguments: Any) -> None:
-        real_init(service, *arguments)
-        kind = next(kind for kind in service._handlers if kind.__name__ == "PutRequest")
-        service._handlers[kind] = lambda request: put(service, request)
-
-    patches.replace(StoreService, "__init__", init)
+    patches.replace(StoreService, "_put", put)
 
 
 @planted_fault("TWICE", "MIXED", "LOST", fault_kinds=("store_alone",))
--- a/hollowusher/simulation/planted/queues.py
+++ b/hollowusher/simulation/planted/queues.py
@@ -10,9 +10,10 @@
 from hollowusher.messages.partition.active_messages import ActiveMessage
 from hollowusher.messages.partition.message_leases import MessageLeases
 from hollowusher.messages.partition.message_lifecycle import MessageLifecycle
-from hollowusher.messages.partition.message_queue import MessageQueue, QueueStage, TokenBucket
+from hollowusher.messages.partition.message_queue import MessageQueue, QueueStage
 from hollowusher.messages.partition.message_restorer import MessageRestorer
 from hollowusher.messages.partition.partition_primary import PartitionPrimary
+from hollowusher.messages.partition.token_bucket import TokenBucket
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
 from hollowusher.simulation.planted.registry import NEVER_S, TAKEOVER_FAULTS, Patches, fault_at, planted_fault
@@ -174,8 +175,8 @@
 def _wrong_stamp_after_repeat(patches: Patches) -> None:
     real = PartitionPrimary.status
 
-    def status(primary: PartitionPrimary, key: Any, want_body: bool) -> Any:
-        answer = real(primary, key, want_body)
+    def status(primary: PartitionPrimary, key: Any, *, want_body: bool) -> Any:
+        answer = real(primary, key, want_body=want_body)
         return evolve(answer, signature=answer.signature[::-1])
 
     patches.replace(PartitionPrimary, "status", status)
--- a/tests/contract/test_records.py
+++ b/tests/contract/test_records.py
@@ -99,7 +99,7 @@
     assert names.reference_of(12, key) == "12-7-1000001"
     assert names.parse_reference("12-7-1000001") == (12, key)
     assert names.lease_id_of(12, key, 3) == "12-7-1000001-3"
-    assert names.lease_id_of(12, key, 3, True) == "12-7-1000001-c3"
+    assert names.lease_id_of(12, key, 3, is_callback=True) == "12-7-1000001-c3"
     assert tuple(names.parse_lease_id("12-7-1000001-3") or ()) == (12, key, 3, False)
     assert tuple(names.parse_lease_id("12-7-1000001-c3") or ()) == (12, key, 3, True)
 
--- a/tests/messages/test_duplicate_puts.py
+++ b/tests/messages/test_duplicate_puts.py
@@ -30,7 +30,8 @@
     assert third.lease() == []
     third.sleep(30.0)
     assert third.lease() == []
-    assert third.status(later).state == "completed" and third.status(later).signature == "stamp"
+    assert third.status(later).state == "completed"
+    assert third.status(later).signature == "stamp"
 
 
 def test_a_primary_runs_nothing_again_when_the_later_end_is_learnt_last() -> None:
@@ -61,4 +62,5 @@
     third.commit()
     [grant] = third.lease(most=5)
     assert third.finish(grant, "success", "stamp") == "taken"
-    assert third.lease() == [] and third.status(later).state == "completed"
+    assert third.lease() == []
+    assert third.status(later).state == "completed"
--- a/tests/messages/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -12,7 +12,8 @@
 from hollowusher.messages import records
 from hollowusher.messages.partition.active_messages import LeaseGrant, callback_service_name
 from hollowusher.messages.partition.callback_jobs import CALLBACK_LEASE_S
-from hollowusher.messages.partition.partition_primary import PartitionPrimary
+from hollowusher.messages.partition.message_leases import LeaseOptions
+from hollowusher.messages.partition.partition_primary import PartitionPrimary, PrimaryOptions
 from hollowusher.messages.partition.partition_table import CLOCK_MARGIN_MS, PartitionTable, RecordCache
 from hollowusher.messages.partition.proposal import Proposal
 from hollowusher.messages.records import LeaseId, MessageKey, MessageState, MessageStatus
@@ -38,9 +39,8 @@
         self.hold = False
         self.table = table or new_table()
         self.held: list[Proposal] = []
-        self.primary = PartitionPrimary(
-            self.table, epoch, read_document(configuration(1)), 3_000, lambda: 0.5, now, self.wall_ms
-        )
+        options = PrimaryOptions(read_document(configuration(1)), LeaseOptions(3_000, lambda: 0.5))
+        self.primary = PartitionPrimary(self.table, epoch, options, now, self.wall_ms)
 
     @property
     def wall_ms(self) -> int:
@@ -103,7 +103,7 @@
         self.on_primary_changed()
 
     def status(self, key: MessageKey, body: bool = False) -> MessageStatusResponse:
-        return self.primary.status(key, body)
+        return self.primary.status(key, want_body=body)
 
     def taken_over(self) -> Partition:
         """The next primary, which holds what this one's table holds."""
@@ -403,7 +403,8 @@
         assert partition.lease() == []
         partition.commit()
         third = partition.primary.put(message("m1"), partition.now, partition.wall_ms)
-        assert isinstance(third, PutResponse) and third.status == "stored"
+        assert isinstance(third, PutResponse)
+        assert third.status == "stored"
 
     def test_a_message_that_turns_up_twice_runs_once(self) -> None:
         old = Partition()
@@ -558,7 +559,7 @@
         for nonsense in ("", "1-2", "1-2-x", "1-2-3-4", "-1-2-3", "1-2-³"):
             assert records.parse_reference(nonsense) is None
         for callback in (False, True):
-            lease = records.format_lease_id(3, (1, 2), 4, callback)
+            lease = records.format_lease_id(3, (1, 2), 4, is_callback=callback)
             assert records.parse_lease_id(lease) == LeaseId(3, (1, 2), 4, callback)
         for nonsense in ("", "1-2-3", "1-2-3-", "1-2-3-d4", "1-2-3-c"):
             assert records.parse_lease_id(nonsense) is None
@@ -618,18 +619,11 @@
                 target.apply(record, self.wall_ms)
         assert one.bucket_digests() == two.bucket_digests()
         for _, proposal, _ in self.in_flight:
-            proposal.resolve_waiters(False)
+            proposal.resolve_waiters(committed=False)
         self.in_flight.clear()
         self.home = home
-        return PartitionPrimary(
-            one,
-            self.epoch,
-            read_document(configuration(1)),
-            3_000,
-            self.chance.random,
-            self.now,
-            self.wall_ms,
-        )
+        options = PrimaryOptions(read_document(configuration(1)), LeaseOptions(3_000, self.chance.random))
+        return PartitionPrimary(one, self.epoch, options, self.now, self.wall_ms)
 
     def collect(self) -> None:
         """Send what was proposed."""
@@ -671,7 +665,8 @@
         kept = self.primary.put(new, self.now, self.wall_ms)
         if isinstance(kept, PutResponse):
             parsed = records.parse_reference(kept.reference)
-            assert parsed is not None and parsed[1] in self.messages
+            assert parsed is not None
+            assert parsed[1] in self.messages
             return
         entry = self.messages.setdefault(
             kept.key, ModelMessage(new, kept.key, self.now + new.delay_ms / 1000)
@@ -698,7 +693,8 @@
         entry = self.messages[lease_of(grant).key]
         self.grants += 1
         assert grant.job.message == entry.new
-        assert not entry.taken_success and not entry.refusal_taken
+        assert not entry.taken_success
+        assert not entry.refusal_taken
         assert self.now >= entry.due - 0.002  # wall clocks count whole milliseconds
         assert not entry.holder or self.now >= entry.held_until, "a second lease"
         assert len(entry.failures_taken) <= grant.job.attempt <= len(entry.failures_sent)
--- a/tests/messages/test_queue.py
+++ b/tests/messages/test_queue.py
@@ -12,8 +12,8 @@
     MessageQueue,
     QueuedMessage,
     QueueStage,
-    TokenBucket,
 )
+from hollowusher.messages.partition.token_bucket import TokenBucket
 
 
 def queued(
--- a/tests/messages/test_recovery_end.py
+++ b/tests/messages/test_recovery_end.py
@@ -26,7 +26,7 @@
 class _HalfDone:
     """A comparison that has learnt of one key and then waits, or loses its peer."""
 
-    def __init__(self, *_: object) -> None:
+    def __init__(self, *_: object, paced: bool) -> None:
         self.changed_keys: list[MessageKey] = [(1, 1)]
 
     async def run(self) -> None:
@@ -45,16 +45,13 @@
         )
         replicator = SimpleNamespace(
             replicas={0: self.host},
-            store_id="me",
-            transport=None,
-            log=None,
-            wall_ms=None,
+            dependencies=None,
             start_task=self._begin,
         )
         self.recovery = ReplicaRecovery(cast(PartitionReplicator, replicator), lambda: 0.5)
 
     def compare(self) -> Coroutine[Any, Any, bool]:
-        return self.recovery._compare(cast(PartitionReplica, self.host), "peer", "address", False)
+        return self.recovery._compare(cast(PartitionReplica, self.host), "peer", "address", paced=False)
 
     def _begin(self, work: Coroutine[Any, Any, Any]) -> None:
         self.begun.append(work)
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -390,7 +390,7 @@
             await asyncio.sleep(0.1)
             stream = cluster.stores[0].service._replicator.stream("store-2/d1")
             put = asyncio.create_task(cluster.put(message("m1")))
-            while not any(lane.in_flight for lane in stream._ordering_groups.values()):
+            while not any(lane.in_flight for lane in stream._lanes.values()):
                 await asyncio.sleep(0.0001)
             for store in (1, 2):
                 host(cluster, store).table.fence_older_epochs(2)
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -12,6 +12,7 @@
 
 from hollowusher.configuration.boot import BootSettings, Bounds, FaultTolerance
 from hollowusher.coordination.cluster_state import CONFIGURATION, PLACEMENT, VIEW, ClusterState
+from hollowusher.messages.store_dependencies import StoreDependencies
 from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.distribution import DistributedItem
@@ -106,16 +107,8 @@
             fault_tolerance=FaultTolerance(cluster.tolerated),
             bounds=Bounds(status_s=60),
         )
-        self.service = StoreService(
-            self.member(),
-            self.store_id,
-            transport,
-            self.log,
-            self.state,
-            settings,
-            cluster.chance.random,
-            cluster.wall_ms,
-        )
+        dependencies = StoreDependencies(self.store_id, transport, self.log, self.state, cluster.wall_ms)
+        self.service = StoreService(self.member(), dependencies, settings, cluster.chance.random)
         await transport.start(self.service.handle)
         await self.service.start()
 
