--- a/hollowusher/simulation/model_check/consensus_model.py
+++ b/hollowusher/simulation/model_check/consensus_model.py
@@ -33,7 +33,7 @@
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.consensus import Accept, FirstViewResponse, Prepare
 from hollowusher.protocol.view import View, Voter
-from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint
+from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint, set_bits
 
 MakeMachine = Callable[[str, str, bytes | None], VoterStateMachine]
 NAMES = "abcdefgh"
@@ -182,7 +182,7 @@
     # -- what can happen -----------------------------------------------------------------------------------
 
     def steps(self, state: ConsensusState) -> Iterator[tuple[ConsensusStep, ConsensusState]]:
-        for number in _bits(state.network & ~self._noted):
+        for number in set_bits(state.network & ~self._noted):
             place = self._places[self._messages[number].receiver]
             for step, after in self._step(state, place, NodeInput("deliver", number), state[2:]):
                 if self._bounds.fine:
@@ -199,7 +199,7 @@
         replies = state.network & self._replies
         state = state._replace(network=state.network & ~replies)
         yield step, state
-        for number in _bits(replies):
+        for number in set_bits(replies):
             place = self._places[self._messages[number].receiver]
             for _, after in self._step(state, place, NodeInput("deliver", number), state[2:]):
                 yield step._replace(answered=True), after
@@ -388,7 +388,7 @@
         return self._judge(state.network & self._noted)
 
     def _judged(self, network: int) -> str:
-        messages = [self._messages[number] for number in _bits(network)]
+        messages = [self._messages[number] for number in set_bits(network)]
         views = [message.view for message in messages if isinstance(message, DecidedNotice)]
         votes = [message for message in messages if isinstance(message, DurableVote)]
         base = self._base
@@ -450,11 +450,3 @@
 
 def _proposal_name(view: View) -> str:
     return ",".join(view.since)
-
-
-def _bits(network: int) -> Iterator[int]:
-    """The numbers of the bits that are set."""
-    while network:
-        low = network & -network
-        yield low.bit_length() - 1
-        network ^= low
--- a/hollowusher/simulation/model_check/control_chain_model.py
+++ b/hollowusher/simulation/model_check/control_chain_model.py
@@ -39,7 +39,7 @@
 from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Prepare
 from hollowusher.protocol.control_chain import ChainWrite, ControlState
 from hollowusher.protocol.view import View, Voter
-from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint
+from hollowusher.simulation.model_check.interning import Interner, clone, fingerprint, set_bits
 
 MakeMember = Callable[[str, str, bytes | None], ChainMember]
 NAMES = "abcdefgh"
@@ -205,7 +205,7 @@
     def steps(self, state: ChainState) -> Iterator[tuple[str, ChainState]]:
         if state.read is not None:
             yield from self._read_steps(state, state.read)
-        for number in _bits(state.network & ~self._noted):
+        for number in set_bits(state.network & ~self._noted):
             message = self._messages[number]
             place = self._places[message.receiver]
             label = f"{message.receiver} takes {_describe_message(message)}"
@@ -372,7 +372,7 @@
         """The views that this controller may propose, whatever it has heard from the others."""
         claims = {
             message.voter
-            for message in map(self._messages.__getitem__, _bits(state.network & self._noted))
+            for message in map(self._messages.__getitem__, set_bits(state.network & self._noted))
             if isinstance(message, CompletenessClaim) and message.epoch == base.epoch
         }
         names = [voter.name for voter in base.voters]
@@ -466,7 +466,7 @@
         return bool(self._acknowledged(state) - kept)
 
     def _acknowledged(self, state: ChainState) -> set[int]:
-        messages = map(self._messages.__getitem__, _bits(state.network & self._noted))
+        messages = map(self._messages.__getitem__, set_bits(state.network & self._noted))
         return {message.generation for message in messages if isinstance(message, AcknowledgedOrder)}
 
     def _read_steps(self, state: ChainState, read: PendingRead) -> Iterator[tuple[str, ChainState]]:
@@ -486,7 +486,7 @@
     # -- losses --------------------------------------------------------------------------------------------
 
     def _newest(self, state: ChainState) -> View:
-        messages = map(self._messages.__getitem__, _bits(state.network & self._noted))
+        messages = map(self._messages.__getitem__, set_bits(state.network & self._noted))
         views: list[View] = [_decoded(one.encoded) for one in messages if isinstance(one, ViewNotice)]
         return max(views, key=lambda view: view.epoch)
 
@@ -534,7 +534,7 @@
         return "what is left after one loss cannot go on"
 
     def _judged(self, notes: int) -> str:
-        messages = [self._messages[number] for number in _bits(notes)]
+        messages = [self._messages[number] for number in set_bits(notes)]
         epochs = [_decoded(one.encoded).epoch for one in messages if isinstance(one, ViewNotice)]
         if len(epochs) != len(set(epochs)):
             return "two views were decided for one epoch"
@@ -608,11 +608,3 @@
         kind = type(message).__name__.lower()
         return f"{kind} of epoch {write.epoch}, state {write.state.sequence}"
     return "a note"
-
-
-def _bits(network: int) -> Iterator[int]:
-    """The numbers of the bits that are set."""
-    while network:
-        low = network & -network
-        yield low.bit_length() - 1
-        network ^= low
--- a/hollowusher/simulation/model_check/interning.py
+++ b/hollowusher/simulation/model_check/interning.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Hashable
+from collections.abc import Callable, Hashable, Iterator
 from typing import Any, Generic, TypeVar
 
 import attrs
@@ -88,3 +88,11 @@
 
     def __len__(self) -> int:
         return len(self._values)
+
+
+def set_bits(number: int) -> Iterator[int]:
+    """Yield the positions of the bits that are set, lowest first."""
+    while number:
+        low = number & -number
+        yield low.bit_length() - 1
+        number ^= low
--- a/hollowusher/simulation/simulation_run.py
+++ b/hollowusher/simulation/simulation_run.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 
 from hollowusher.simulation import reference_model as model
-from hollowusher.simulation.actors import ActorContext, SignatureSource
+from hollowusher.simulation.actor_context import ActorContext, SignatureSource
+from hollowusher.simulation.checks.rules import DeploymentRules, RuleViolation
 from hollowusher.simulation.clients import MessageClients, MessageStream
 from hollowusher.simulation.cluster import DeploymentSize, SimulatedCluster
 from hollowusher.simulation.deployment import CLIENT_HOST, FIXED, FIXED_RATE, OTHER, PULL, PUSH, RECEIVERS
@@ -17,7 +18,7 @@
 from hollowusher.simulation.faults.disks import FULL_DISK
 from hollowusher.simulation.faults.injector import FaultInjector
 from hollowusher.simulation.faults.script import FaultScript, ScriptedFault
-from hollowusher.simulation.invariants import DeploymentRules, RuleViolation, find_violations
+from hollowusher.simulation.invariants import find_violations
 from hollowusher.simulation.liveness import find_liveness_failures
 from hollowusher.simulation.machine import ProgramFactory
 from hollowusher.simulation.observations import InjectedFault, LivenessFailure
--- a/hollowusher/simulation/worker_fleet.py
+++ b/hollowusher/simulation/worker_fleet.py
@@ -6,15 +6,9 @@
 import random
 from collections.abc import Callable
 
-from hollowusher.simulation.actors import (
-    ActorContext,
-    IdempotencyTable,
-    SimulatedCallbackReceiver,
-    SimulatedPullWorker,
-    SimulatedPushWorker,
-    WorkerBehaviour,
-)
+from hollowusher.simulation.actor_context import ActorContext
 from hollowusher.simulation.addresses import WORKER_LIST_ADDRESS
+from hollowusher.simulation.callback_receiver import SimulatedCallbackReceiver
 from hollowusher.simulation.cluster import ADDRESS_REUSE_S, ZONES, SimulatedCluster
 from hollowusher.simulation.deployment import (
     FIXED,
@@ -27,9 +21,13 @@
     RECEIVERS,
     VISIBILITY_S,
 )
+from hollowusher.simulation.pull_worker import PullWorkerOptions, SimulatedPullWorker
+from hollowusher.simulation.push_worker import IdempotencyTable, PushWorkerOptions, SimulatedPushWorker
 from hollowusher.simulation.worker_list_server import WorkerListing, WorkerListServer
 
 FEWEST_LISTED = 3
+FIXED_CAPACITY = 40
+PULL_SLOTS = 4
 SLOTS = {PUSH: 3, OTHER: 2}
 
 
@@ -55,16 +53,10 @@
         self._start_push_worker(OTHER, "10.128.0.5:8080")
         for number in range(3):
             self._start_pull_worker(number)
-        fixed = SimulatedPushWorker(
-            self.context,
-            FIXED,
-            "fixed-1",
-            FIXED_ADDRESS,
-            40,
-            WorkerBehaviour(),
-            IdempotencyTable(),
-            FIXED_RATE,
+        options = PushWorkerOptions(
+            FIXED, "fixed-1", FIXED_ADDRESS, FIXED_CAPACITY, table=IdempotencyTable(), rate_per_s=FIXED_RATE
         )
+        fixed = SimulatedPushWorker(self.context, options)
         fixed.start()
         self.push_workers[fixed.name] = fixed
         for address in RECEIVERS:
@@ -72,16 +64,15 @@
 
     def _start_pull_worker(self, number: int) -> None:
         host = f"10.129.0.{number + 1}"
-        worker = SimulatedPullWorker(
-            self.context, PULL, f"pull-{number}", host, 4, WorkerBehaviour(), self._pull_address, VISIBILITY_S
-        )
+        options = PullWorkerOptions(PULL, f"pull-{number}", host, PULL_SLOTS, VISIBILITY_S)
+        worker = SimulatedPullWorker(self.context, options, self._pull_address)
         worker.start()
         self.pull_workers.append(worker)
 
     def _start_push_worker(self, service: str, address: str) -> None:
         self._numbers += 1
         name = f"i-{self._numbers:04d}"
-        worker = SimulatedPushWorker(self.context, service, name, address, SLOTS[service], WorkerBehaviour())
+        worker = SimulatedPushWorker(self.context, PushWorkerOptions(service, name, address, SLOTS[service]))
         worker.start()
         self.push_workers[name] = worker
         zone = ZONES[self._numbers % len(ZONES)]
@@ -121,7 +112,7 @@
         await asyncio.gather(*(self._crash(worker, random_source, seconds) for worker in self._listed()))
 
     async def inject_endpoint_faults(self, until: float) -> None:
-        """The fixed endpoint is down or slow for a while."""
+        """Take the fixed endpoint down or slow it, again and again."""
         random_source = self.cluster.random("endpoint troubles")
         endpoint = self.push_workers["fixed-1"]
         while True:
@@ -148,8 +139,10 @@
         self._start_push_worker(worker.service, worker.address)
 
     async def _exchange_addresses(self, random_source: random.Random) -> None:
-        """A worker of each listed service crashes, and each one's address goes to the other service as soon
-        as that may be, while the list may still name the old ones."""
+        """Crash a worker of each listed service and give its address to the other service.
+
+        That happens as soon as it may, while the list may still name the old workers.
+        """
         listed = self._listed()
         crashed = [
             random_source.choice(chosen)
--- a/tests/simulation/test_simulated_invariants.py
+++ b/tests/simulation/test_simulated_invariants.py
@@ -4,7 +4,8 @@
 
 from typing import Any, ClassVar
 
-from hollowusher.simulation.invariants import DeploymentRules, find_violations
+from hollowusher.simulation.checks.rules import DeploymentRules
+from hollowusher.simulation.invariants import find_violations
 from hollowusher.simulation.observations import (
     ConfigurationOrder,
     ConfigurationRead,
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -14,8 +14,9 @@
 
 from hollowusher.protocol.acknowledgement import Acknowledgement
 from hollowusher.protocol.membership import Heartbeat
+from hollowusher.simulation.checks.rules import DeploymentRules
 from hollowusher.simulation.event_loop import DeadlockError, LivelockError, SimulatedProcess, VirtualTimeLoop
-from hollowusher.simulation.invariants import DeploymentRules, find_violations
+from hollowusher.simulation.invariants import find_violations
 from hollowusher.simulation.network import SimulatedNetwork
 from hollowusher.simulation.observations import (
     AcceptedLeaseEnd,
