--- a/hollowusher/simulation/deployment.py
+++ b/hollowusher/simulation/deployment.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
 from hollowusher.simulation import reference_model as model
@@ -15,35 +16,53 @@
 LIST_LAG_S = 0.8
 
 
-def _route(
-    name: str,
-    prefix: str,
-    service: str,
-    attempts: int,
-    retention_s: float,
-    ordered: bool,
-    callback: bool,
-    timeout_ms: int = 2000,
-) -> dict[str, Any]:
-    return {
-        "name": name,
-        "hostname": "client.example",
-        "pathPrefix": prefix,
-        "type": "async",
-        "timeoutMs": timeout_ms,
-        "targetLatencyMs": 150,
-        "priority": 1,
-        "upstream": service,
-        "maxAttempts": attempts,
-        "ordered": ordered,
-        "retentionS": retention_s,
-        "callbackUrl": callback,
-        "targetStartMs": 1200,
-    }
+@dataclass(frozen=True, kw_only=True)
+class RouteTemplate:
+    """What distinguishes one route from the others."""
+
+    name: str
+    prefix: str
+    service: str
+    max_attempts: int
+    retention_s: float = 300.0
+    ordered: bool = False
+    callback: bool = False
+
+    def document(self) -> dict[str, Any]:
+        """Return the route as it stands in the configuration."""
+        return {
+            "name": self.name,
+            "hostname": "client.example",
+            "pathPrefix": self.prefix,
+            "type": "async",
+            "timeoutMs": 2000,
+            "targetLatencyMs": 150,
+            "priority": 1,
+            "upstream": self.service,
+            "maxAttempts": self.max_attempts,
+            "ordered": self.ordered,
+            "retentionS": self.retention_s,
+            "callbackUrl": self.callback,
+            "targetStartMs": 1200,
+        }
+
+
+ROUTES = (
+    RouteTemplate(name="push", prefix="/push/", service=PUSH, max_attempts=3, callback=True),
+    RouteTemplate(name="line", prefix="/line/", service=PUSH, max_attempts=4, ordered=True),
+    RouteTemplate(name="other", prefix="/other/", service=OTHER, max_attempts=3),
+    RouteTemplate(
+        name="short", prefix="/short/", service=PUSH, max_attempts=2, retention_s=3.0, callback=True
+    ),
+    RouteTemplate(name="pull", prefix="/pulled/", service=PULL, max_attempts=6, callback=True),
+    RouteTemplate(
+        name="ordered", prefix="/ordered/", service=FIXED, max_attempts=4, ordered=True, callback=True
+    ),
+)
 
 
 def _service(
-    name: str, rate: float = 0.0, idempotent: bool = False, pull: bool = False, fixed: str | None = None
+    name: str, *, rate: float = 0.0, idempotent: bool = False, pull: bool = False, fixed: str | None = None
 ) -> dict[str, Any]:
     return {
         "name": name,
@@ -59,17 +78,10 @@
 
 
 def first_configuration() -> dict[str, Any]:
-    """What the operator sends before traffic starts."""
+    """Return the configuration that the operator sends before traffic starts."""
     return {
         "generation": 1,
-        "routes": [
-            _route("push", "/push/", PUSH, 3, 300.0, ordered=False, callback=True),
-            _route("line", "/line/", PUSH, 4, 300.0, ordered=True, callback=False),
-            _route("other", "/other/", OTHER, 3, 300.0, ordered=False, callback=False),
-            _route("short", "/short/", PUSH, 2, 3.0, ordered=False, callback=True),
-            _route("pull", "/pulled/", PULL, 6, 300.0, ordered=False, callback=True),
-            _route("ordered", "/ordered/", FIXED, 4, 300.0, ordered=True, callback=True),
-        ],
+        "routes": [route.document() for route in ROUTES],
         "upstreams": [
             _service(PUSH),
             _service(OTHER),
@@ -86,7 +98,7 @@
 
 
 def route_rules(document: dict[str, Any]) -> dict[str, model.RouteRules]:
-    """The rules' figures of each route of a configuration."""
+    """Return what the rules need to know of each route of a configuration."""
     return {
         route["name"]: model.RouteRules(
             route["name"],
--- a/hollowusher/simulation/faults/context.py
+++ b/hollowusher/simulation/faults/context.py
@@ -1,4 +1,4 @@
-"""What every fault works with: the cluster, chance, the bookkeeping of losses, and the register of kinds."""
+"""What every fault works with: the cluster, the losses so far, and the registry of kinds of faults."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class FaultRequest:
-    """What a fault is to do; what is left out is drawn by lot."""
+    """What a fault is to do; what is left out is drawn at random."""
 
     kind: str
     machine: str = ""
@@ -58,7 +58,7 @@
 
 @dataclass
 class FaultContext:
-    """The place where faults happen."""
+    """What faults act on and draw from.  It owns the bookkeeping of lost machines."""
 
     cluster: SimulatedCluster
     random_source: random.Random
@@ -71,32 +71,34 @@
         self._lost: dict[int, list[SimulatedMachine]] = {}
 
     def now(self) -> float:
-        """The virtual time."""
+        """Return the virtual time in seconds."""
         return self.cluster.loop.time()
 
     def begin(
-        self, kind: str, host: str, lost: Iterable[SimulatedMachine] = (), planned: bool = False
+        self, kind: str, host: str, lost: Iterable[SimulatedMachine] = (), *, planned: bool = False
     ) -> InjectedFault:
-        """A fault begins, in which these machines are lost."""
+        """Begin a fault in which these machines are lost."""
         self.fault_log.append(f"{self.now():.2f} {kind} {host}")
-        fault_kind = self.cluster.record_fault(kind, host, planned=planned)
-        self._lost[id(fault_kind)] = [machine for machine in lost if machine.counts_for_quorum]
-        for machine in self._lost[id(fault_kind)]:
+        fault = self.cluster.record_fault(kind, host, planned=planned)
+        self._lost[id(fault)] = [machine for machine in lost if machine.counts_for_quorum]
+        for machine in self._lost[id(fault)]:
             self.tolerance.record_loss(machine.name)
-        return fault_kind
+        return fault
 
-    def end(self, fault_kind: InjectedFault, catching_up: bool = False) -> None:
-        """It is over, and the machines lost in it are back; with `catching_up` the fault counts for the
-        rules until they have caught up (their disks were lost)."""
-        for machine in self._lost.pop(id(fault_kind), []):
+    def end(self, fault: InjectedFault, *, catching_up: bool = False) -> None:
+        """End a fault: the machines lost in it are back.
+
+        With `catching_up` it counts for the rules until they have caught up, as their disks were lost.
+        """
+        for machine in self._lost.pop(id(fault), []):
             self.tolerance.record_return(machine.name, self.now())
         if catching_up:
-            self.cluster.loop.call_outside(CATCH_UP_S, self._over, fault_kind)
+            self.cluster.loop.call_outside(CATCH_UP_S, self._over, fault)
         else:
-            self._over(fault_kind)
+            self._over(fault)
 
-    def _over(self, fault_kind: InjectedFault) -> None:
-        fault_kind.ended_at = self.now()
+    def _over(self, fault: InjectedFault) -> None:
+        fault.ended_at = self.now()
 
     async def wait_until_allowed(self) -> None:
         """Wait until the deployment bears the next loss, and not a moment longer."""
@@ -108,7 +110,7 @@
             await asyncio.sleep(min(at - now, CATCH_UP_S))
 
     def counted_machines(self, role: str = "") -> list[SimulatedMachine]:
-        """The running machines whose loss is limited, of one role or all."""
+        """Return the machines whose loss is limited, of one role or all."""
         return [
             machine
             for machine in self.cluster.machines.values()
@@ -118,7 +120,7 @@
     def choose_machine(
         self, request: FaultRequest, candidates: list[SimulatedMachine] | None = None
     ) -> SimulatedMachine:
-        """The machine that was asked for, else one by lot."""
+        """Return the machine that was asked for, else a random one."""
         if request.machine:
             return self.cluster.machines[request.machine]
         return self.random_source.choice(self.counted_machines() if candidates is None else candidates)
--- a/hollowusher/simulation/faults/disks.py
+++ b/hollowusher/simulation/faults/disks.py
@@ -13,7 +13,7 @@
 
 @fault_kind("disk", 2)
 async def lose(context: FaultContext, request: FaultRequest) -> None:
-    """A machine loses its disk and comes back at its address."""
+    """Take a machine's disk; it comes back at its address with an empty one."""
     machine = context.choose_machine(request)
     fault = context.begin("disk", machine.name, [machine])
     context.cluster.lose_disk(machine)
@@ -24,7 +24,7 @@
 
 @fault_kind("disk_full", 0.5)
 async def full(context: FaultContext, request: FaultRequest) -> None:
-    """A disk takes no more bytes."""
+    """Let a disk take no more bytes for a while."""
     machine = context.choose_machine(request)
     assert machine.disk is not None
     fault = context.begin("disk_full", machine.name, [machine])
@@ -36,7 +36,7 @@
 
 @fault_kind("disk_slow", 0.7)
 async def slow(context: FaultContext, request: FaultRequest) -> None:
-    """A disk takes many times as long."""
+    """Let a disk take many times as long for a while."""
     machine = context.choose_machine(request)
     assert machine.disk is not None
     fault = context.begin("disk_slow", machine.name, [machine])
@@ -48,7 +48,7 @@
 
 @fault_kind("disk_stall", 0.7)
 async def stall(context: FaultContext, request: FaultRequest) -> None:
-    """A disk answers nothing for a while: what was begun meanwhile ends with it."""
+    """Stall a disk for a while: what was begun meanwhile ends with the stall."""
     machine = context.choose_machine(request)
     assert machine.disk is not None
     fault = context.begin("disk_stall", machine.name, [machine])
--- a/hollowusher/simulation/faults/injector.py
+++ b/hollowusher/simulation/faults/injector.py
@@ -1,4 +1,4 @@
-"""Plays faults by lot, or those of a script.
+"""Injects random faults, or those of a script.
 
 Of the machines that count, no more than `faultTolerance` are lost at a time, and the next loss may come the
 moment that the deployment bears it.  All of them may be killed or lose power at once.
@@ -28,7 +28,7 @@
 
 
 class FaultInjector:
-    """Plays faults one after the other on the machines that count, and others beside them."""
+    """Injects faults one after the other on the counted machines, and others beside them."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
             await play(self.context, FaultRequest("plain", machine.name))
 
     async def play_script(self, faults: Sequence[ScriptedFault]) -> None:
-        """The faults of a script, each at its time, or as soon as the deployment bears it."""
+        """Play the faults of a script, each at its time, or as soon as the deployment bears it."""
         begun = self.cluster.loop.time()
         playing: list[asyncio.Future[None]] = []
         for each in sorted(faults, key=lambda entry: entry.at):
--- a/hollowusher/simulation/faults/links.py
+++ b/hollowusher/simulation/faults/links.py
@@ -12,19 +12,19 @@
 
 @fault_kind("cut", 2)
 async def cut(context: FaultContext, request: FaultRequest) -> None:
-    """A machine is cut off from all others; the outside may still reach it."""
+    """Cut a machine off from all others; the outside may still reach it."""
     await _cut_off(context, request, inward=True, outward=True, kind="cut")
 
 
 @fault_kind("cut_one_way", 2)
 async def cut_one_way(context: FaultContext, request: FaultRequest) -> None:
-    """Nothing comes in, or nothing gets out."""
+    """Block all links into a machine, or all links out of it."""
     inward = request.how == "in" or (request.how != "out" and context.random_source.random() < 0.5)
-    await _cut_off(context, request, inward, not inward, "cut_in" if inward else "cut_out")
+    await _cut_off(context, request, "cut_in" if inward else "cut_out", inward=inward, outward=not inward)
 
 
 async def _cut_off(
-    context: FaultContext, request: FaultRequest, inward: bool, outward: bool, kind: str
+    context: FaultContext, request: FaultRequest, kind: str, *, inward: bool, outward: bool
 ) -> None:
     machine = context.choose_machine(request)
     outside = context.random_source.random() < 0.3
@@ -39,8 +39,10 @@
 
 @fault_kind("cut_core", 2)
 async def cut_core(context: FaultContext, request: FaultRequest) -> None:
-    """A machine is cut off from the other machines that count (near: from those of other zones, too); with
-    reset and refuse its connections break, else there is silence."""
+    """Cut a machine off from the other counted machines (near: from those of other zones, too).
+
+    With refuse its connections break, else there is silence.
+    """
     machine = context.choose_machine(request)
     near = request.how == "near" or (request.how == "" and context.random_source.random() < 0.5)
     others = [
@@ -51,7 +53,7 @@
     refuse = request.how == "refuse" or (request.how == "" and context.random_source.random() < 0.3)
     kind = f"cut_core{'_near' if near else ''}{'_refuse' if refuse else ''}"
     fault = context.begin(kind, machine.name, [machine])
-    _disconnect(context, machine, others, refuse)
+    _disconnect(context, machine, others, refuse=refuse)
     lured = request.how == "lure" or (machine.role == "edge" and context.random_source.random() < 0.3)
     if lured and context.operator is not None:
         context.operator.prefer_machine(machine.name)
@@ -66,7 +68,7 @@
 
 @fault_kind("cut_both", 1)
 async def cut_both(context: FaultContext, request: FaultRequest) -> None:
-    """A machine is cut off and its process killed, then the processes of all others that count."""
+    """Cut a machine off and kill its process, then the processes of all other counted machines."""
     machine = context.choose_machine(request)
     others = [each for each in context.counted_machines() if each is not machine]
     fault = context.begin("cut_both", machine.name, context.counted_machines())
@@ -84,7 +86,7 @@
 
 @fault_kind("cut_seeds", 1)
 async def cut_seeds(context: FaultContext, request: FaultRequest) -> None:
-    """The settings name a machine that is cut off as the first seed, and some others are restarted."""
+    """Name a machine that is cut off as the first seed, and restart some others."""
     machine = context.choose_machine(request, context.counted_machines("edge"))
     others = [each for each in context.cluster.machines.values() if each is not machine]
     fault = context.begin("cut_seeds", machine.name, [machine])
@@ -108,7 +110,7 @@
 
 
 def _disconnect(
-    context: FaultContext, machine: SimulatedMachine, others: list[SimulatedMachine], refuse: bool
+    context: FaultContext, machine: SimulatedMachine, others: list[SimulatedMachine], *, refuse: bool
 ) -> None:
     for other in others:
         context.cluster.network.block(machine.ip, other.ip, refuse=refuse)
@@ -147,8 +149,11 @@
 
 @fault_kind("split", 1.5)
 async def split(context: FaultContext, request: FaultRequest) -> None:
-    """A store and the edge processes without a disk reach each other and one more store, but neither the
-    controllers nor the remaining stores, which reach that store as well."""
+    """Split the network so that one store is reached from both sides.
+
+    A store and the edge processes without a disk reach each other and one more store, but neither the
+    controllers nor the remaining stores, which reach that store as well.
+    """
     stores = context.random_source.sample(
         context.cluster.machines_with_role("store"), len(context.cluster.machines_with_role("store"))
     )
@@ -167,7 +172,7 @@
 
 @fault_kind("store_alone", 1.5)
 async def store_alone(context: FaultContext, request: FaultRequest) -> None:
-    """A store does not reach the other stores, only edge processes; at times it is lost afterwards."""
+    """Cut a store off from the other stores, not from edge processes; at times it is lost afterwards."""
     cluster = context.cluster
     alone = context.choose_machine(request, cluster.machines_with_role("store"))
     others = [each for each in cluster.machines_with_role("store") if each is not alone]
@@ -199,7 +204,7 @@
 
 @fault_kind("resets", 1)
 async def resets(context: FaultContext, request: FaultRequest) -> None:
-    """Some frames reset their connection in place of arriving: calls, or answers, are lost."""
+    """Let some frames reset their connection in place of arriving: calls, or answers, are lost."""
     fault = context.begin("resets", "all", context.counted_machines())
     context.cluster.network.reset_probability = context.random_source.choice((0.01, 0.05))
     await context.wait(request, 1.5, 3.5)
--- a/hollowusher/simulation/faults/machines.py
+++ b/hollowusher/simulation/faults/machines.py
@@ -17,8 +17,10 @@
 
 @fault_kind("replace", 3)
 async def replace(context: FaultContext, request: FaultRequest) -> None:
-    """A machine that counts is gone for good; an empty one comes at another address.  Planned: the new one
-    first, then SIGTERM."""
+    """Replace a counted machine by an empty one at another address.
+
+    Planned: the new one starts first, then the old one gets SIGTERM.
+    """
     old = context.choose_machine(request)
     if request.how == "planned" or (request.how == "" and context.random_source.random() < 0.4):
         await _replace_planned(context, request, old)
@@ -54,7 +56,7 @@
 
 @fault_kind("add", 0.8)
 async def add(context: FaultContext, request: FaultRequest) -> None:
-    """A machine is added."""
+    """Add a machine."""
     role = request.how or context.random_source.choice(("edge", "store", "controller"))
     if context.cluster.added_machines >= MOST_MACHINES_ADDED and not request.how:
         return
@@ -73,8 +75,7 @@
 
 @fault_kind("retire", 2)
 async def retire(context: FaultContext, request: FaultRequest) -> None:
-    """A store is emptied and then taken away with its disk; at times others lose their disks, one after the
-    other, right after it began."""
+    """Retire a store and then remove it; at times another one loses its disk meanwhile."""
     if context.operator is None:
         return
     if len(context.cluster.machines_with_role("store")) <= 2 * context.cluster.size.faults + 1:
@@ -102,7 +103,7 @@
 
 @fault_kind("seed_turnover", 1)
 async def seed_turnover(context: FaultContext, request: FaultRequest) -> None:
-    """The settings name other seeds, edge machines without a disk too."""
+    """Name other seeds in the settings, edge machines without a disk too."""
     how = request.how or context.random_source.choice(("plain", "any"))
     context.cluster.choose_seeds(context.random_source, plain=how == "plain")
     fault = context.begin("seed_turnover", " ".join(context.cluster.seed_addresses), planned=True)
--- a/hollowusher/simulation/faults/orders.py
+++ b/hollowusher/simulation/faults/orders.py
@@ -23,8 +23,10 @@
 
 @fault_kind("ack_lost", 1)
 async def ack_lost(context: FaultContext, request: FaultRequest) -> None:
-    """Most answers to the operator are lost (all: every one); it sends the same again, to other machines
-    first."""
+    """Lose most answers to the operator (all: every one).
+
+    The operator sends the same order again, to other machines first.
+    """
     if context.operator is None:
         return
     fault = context.begin("ack_lost", "operator", planned=True)
--- a/hollowusher/simulation/faults/processes.py
+++ b/hollowusher/simulation/faults/processes.py
@@ -25,7 +25,7 @@
 
 @fault_kind("freeze", 2)
 async def freeze(context: FaultContext, request: FaultRequest) -> None:
-    """The process stands still for a while."""
+    """Suspend the process for a while."""
     machine = context.choose_machine(request)
     fault = context.begin("freeze", machine.name, [machine])
     context.cluster.freeze(machine)
@@ -92,7 +92,7 @@
 
 @fault_kind("double", 1)
 async def double(context: FaultContext, request: FaultRequest) -> None:
-    """A store and a controller are lost at once, each within its own group's tolerance."""
+    """Lose a store and a controller at once, each within the tolerance of its group."""
     store = context.random_source.choice(context.counted_machines("store"))
     controller = context.random_source.choice(context.counted_machines("edge"))
     from hollowusher.simulation.faults.disks import lose
@@ -107,7 +107,7 @@
 
 @fault_kind("lag_kill", 1)
 async def lag_kill(context: FaultContext, request: FaultRequest) -> None:
-    """The links of one store are slow, and another store is killed meanwhile."""
+    """Slow the links of one store, and kill another store meanwhile."""
     lagging, killed = context.random_source.sample(context.cluster.machines_with_role("store"), 2)
     fault = context.begin("lag_kill", f"{lagging.name} {killed.name}", [lagging, killed])
     context.cluster.network.added_delay_s[lagging.ip] = context.random_source.choice((0.05, 0.2, 0.6))
--- a/hollowusher/simulation/faults/script.py
+++ b/hollowusher/simulation/faults/script.py
@@ -53,7 +53,7 @@
 
 
 def read_script(path: Path) -> FaultScript:
-    """The script in a file."""
+    """Read the script in a file; `ScriptError` if it cannot be played."""
     try:
         return parse_script(path.stem, path.read_text())
     except (OSError, tomllib.TOMLDecodeError, TypeError, KeyError) as error:
@@ -61,7 +61,7 @@
 
 
 def parse_script(name: str, text: str) -> FaultScript:
-    """The script of a file's text."""
+    """Parse the text of a script."""
     document = tomllib.loads(text)
     faults = tuple(_entry(entry) for entry in document.pop("trouble", []))
     size = DeploymentSize(**document.pop("size", {}))
--- a/hollowusher/simulation/faults/tolerance.py
+++ b/hollowusher/simulation/faults/tolerance.py
@@ -18,30 +18,32 @@
         self._lost_until: dict[str, float] = {}  # name -> when it stops counting
 
     def record_loss(self, name: str) -> None:
-        """A machine is lost from now on."""
+        """Count a machine as lost from now on."""
         self._lost_until[name] = NEVER
 
     def record_return(self, name: str, now: float) -> None:
-        """A lost machine is back, or the successor of a removed one has started, at `now`."""
+        """Note that a lost machine is back, or the successor of a removed one has started, at `now`."""
         if name in self._lost_until:
             self._lost_until[name] = now + self.catch_up_s
 
     def record_replacement(self, name: str, successor_started_at: float, now: float) -> None:
-        """A machine is gone whose successor started before it went."""
+        """Note that a machine is gone whose successor started before it went."""
         if name in self._lost_until:
             self._lost_until[name] = max(now, successor_started_at + self.catch_up_s)
 
     def forget(self, name: str) -> None:
-        """A machine is gone that does not count as a loss (it has been emptied)."""
+        """Note that a machine is gone that does not count as a loss: it has been retired."""
         self._lost_until.pop(name, None)
 
     def lost_machines(self, now: float) -> list[str]:
-        """The machines that count as lost."""
+        """Return the machines that count as lost."""
         return sorted(name for name, until in self._lost_until.items() if until > now)
 
     def next_loss_allowed_at(self, now: float, count: int = 1) -> float:
-        """The earliest time, not before `now`, at which `count` further machines may be lost; `NEVER`
-        where that waits for a machine that has not returned, or is never borne."""
+        """Return the earliest time, not before `now`, at which `count` further machines may be lost.
+
+        It is `NEVER` if that waits for a machine that has not returned, or exceeds the tolerance.
+        """
         if count > self.max_losses:
             return NEVER
         ends = sorted(until for until in self._lost_until.values() if until > now)
--- a/hollowusher/simulation/http_network.py
+++ b/hollowusher/simulation/http_network.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Callable, Coroutine, Mapping
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
 from hollowusher.simulation.addresses import host_of
 from hollowusher.simulation.event_loop import SimulatedProcess, current_process
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A complete request."""
+    """An HTTP request."""
 
     method: str
     target: str
@@ -28,21 +28,21 @@
     body: bytes = b""
 
     def header(self, name: str, default: str = "") -> str:
-        """A header's value, whatever its case."""
+        """Return the value of a header; the case of its name does not matter."""
         wanted = name.lower()
         return next((value for key, value in self.headers.items() if key.lower() == wanted), default)
 
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """A complete answer."""
+    """An HTTP response."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     def header(self, name: str, default: str = "") -> str:
-        """A header's value, whatever its case."""
+        """Return the value of a header; the case of its name does not matter."""
         wanted = name.lower()
         return next((value for key, value in self.headers.items() if key.lower() == wanted), default)
 
@@ -50,7 +50,7 @@
 class HttpExchangeError(Exception):
     """An exchange without an answer.  `sent` is False where the server certainly never saw the request."""
 
-    def __init__(self, reason: str, sent: bool) -> None:
+    def __init__(self, reason: str, *, sent: bool) -> None:
         super().__init__(reason)
         self.reason = reason
         self.sent = sent
@@ -78,7 +78,7 @@
         """The process that it belongs to; None outside the system."""
 
     async def serve(self, exchange: HttpExchange) -> HttpResponse | None:
-        """The answer; None closes the connection without one."""
+        """Return the response; None closes the connection without one."""
 
 
 class UnresponsiveServerError(Exception):
@@ -114,15 +114,17 @@
                 del self._open[exchange]
 
     def server_ended(self, server: HttpServer, host: str) -> None:
-        """The exchanges that a server had open are reset, where its host can still say so."""
+        """Reset the open exchanges of a server, if its host can still send a reset."""
         for exchange, future in list(self._open.items()):
             if exchange.server is server:
                 exchange.closed.set()
                 if self.network.reaches(host, exchange.source):
-                    self.network.loop.call_outside(self.network.delay(), _fail, future, "reset", True)
+                    self.network.loop.call_outside(self.network.delay(), _fail_sent, future, "reset")
 
-    async def exchange(self, source: str, address: str, request: HttpRequest, timeout: float) -> HttpResponse:
-        """The answer of the server at `address`; `HttpExchangeError` where none came."""
+    async def exchange(
+        self, source: str, address: str, request: HttpRequest, timeout_s: float
+    ) -> HttpResponse:
+        """Send a request and return the response; `HttpExchangeError` if none came."""
         loop = self.network.loop
         exchange = HttpExchange(request, source, current_process())
         future: asyncio.Future[HttpResponse] = loop.create_future()
@@ -130,10 +132,10 @@
         self.exchanges += 1
         loop.call_outside(self.network.delay(), self._arrive, exchange, address, future)
         try:
-            async with asyncio.timeout(timeout):
+            async with asyncio.timeout(timeout_s):
                 answer = await future
         except TimeoutError:
-            raise HttpExchangeError("timeout", exchange.reached) from None
+            raise HttpExchangeError("timeout", sent=exchange.reached) from None
         finally:
             exchange.closed.set()
             self._open.pop(exchange, None)
@@ -148,14 +150,14 @@
         network = self.network
         there = host_of(address)
         if network.rejects(exchange.source, there):
-            network.loop.call_outside(network.delay(), _fail, future, "refused", False)
+            network.loop.call_outside(network.delay(), _fail_unsent, future, "refused")
             return
         if not (network.reaches(exchange.source, there) and network.reaches(there, exchange.source)):
             network.loop.call_outside(RESEND_S, self._arrive, exchange, address, future)
             return
         server = self.servers.get(address)
         if server is None:
-            network.loop.call_outside(network.delay(), _fail, future, "refused", False)
+            network.loop.call_outside(network.delay(), _fail_unsent, future, "refused")
             return
         exchange.reached = True
         exchange.server = server
@@ -186,16 +188,24 @@
         if not self.network.reaches(host, exchange.source):
             self.network.loop.call_outside(RESEND_S, self._return, exchange, host, answer, future)
         elif answer is None:
-            _fail(future, "reset", True)
+            _fail_sent(future, "reset")
         else:
             future.set_result(answer)
 
 
-def _spawn(loop: Any, work: Awaitable[None]) -> None:
+def _spawn(loop: asyncio.AbstractEventLoop, work: Coroutine[object, object, None]) -> None:
     loop.create_task(work)
 
 
-def _fail(future: asyncio.Future[HttpResponse], reason: str, sent: bool) -> None:
+def _fail_sent(future: asyncio.Future[HttpResponse], reason: str) -> None:
+    _fail(future, HttpExchangeError(reason, sent=True))
+
+
+def _fail_unsent(future: asyncio.Future[HttpResponse], reason: str) -> None:
+    _fail(future, HttpExchangeError(reason, sent=False))
+
+
+def _fail(future: asyncio.Future[HttpResponse], error: HttpExchangeError) -> None:
     if not future.done():
-        future.set_exception(HttpExchangeError(reason, sent))
+        future.set_exception(error)
         future.exception()
--- a/hollowusher/simulation/operator.py
+++ b/hollowusher/simulation/operator.py
@@ -21,6 +21,7 @@
 MAX_OTHER_REJECTIONS = 3
 MAX_REDIRECTS = 2
 RETIRE_POLL_S = 0.3
+LOST_ANSWER_PROBABILITY = 0.1  # usually; faults change it
 
 
 class SimulatedOperator:
@@ -33,12 +34,11 @@
         random_source: random.Random,
         host: str,
         admins: Callable[[], list[str]],
-        lost_answer_probability: float = 0.1,
     ) -> None:
         self.http = http
         self.observations = observations
         self.host = host
-        self.lost_answer_probability = lost_answer_probability
+        self.lost_answer_probability = LOST_ANSWER_PROBABILITY
         self._random_source = random_source
         self._admins = admins
         self._orders = 0
@@ -48,8 +48,10 @@
         return self.http.network.loop.time()
 
     async def _exchange(self, request: HttpRequest, asked: list[str]) -> tuple[HttpResponse | None, str]:
-        """One call, with its redirects; None where no answer came (or it was lost).  Machines that were
-        `asked` before are asked again only after all others."""
+        """Make one call, with its redirects; None if no answer came or it was lost.
+
+        Machines that were `asked` before are asked again only after all others.
+        """
         admins = self._admins()
         address = self._random_source.choice([each for each in admins if each not in asked] or admins)
         for _ in range(MAX_REDIRECTS + 1):
@@ -63,7 +65,7 @@
         lost = self._random_source.random() < self.lost_answer_probability
         return (None if lost else answer), address
 
-    def order(self, if_match: int, document: dict[str, Any], valid: bool = True) -> ConfigurationOrder:
+    def order(self, if_match: int, document: dict[str, Any], *, valid: bool = True) -> ConfigurationOrder:
         """Note a change that is to be sent."""
         self._orders += 1
         made = ConfigurationOrder(self._orders, if_match, document["generation"], document, valid)
@@ -73,8 +75,13 @@
     async def send(
         self, order: ConfigurationOrder, request: HttpRequest, give_up_at: float, first: str = ""
     ) -> bool | None:
-        """Send an order until it is answered, at first to the address `first`: True taken, False refused,
-        None unknown."""
+        """Send an order until it is answered, at first to the address `first`.
+
+        Returns
+        -------
+        bool or None
+            True if it was taken, False if it was rejected, None if that is unknown.
+        """
         pause, refusals = INITIAL_DELAY_S, 0
         asked = [each for each in self._admins() if each != first] if first else []
         if not order.first_sent_at:
@@ -97,8 +104,8 @@
             pause = min(pause * 2, MAX_DELAY_S)
         return None
 
-    async def read(self, give_up_at: float, final: bool = False) -> dict[str, Any] | None:
-        """The configuration read back."""
+    async def read(self, give_up_at: float, *, final: bool = False) -> dict[str, Any] | None:
+        """Read the configuration back; None if no answer came in time."""
         pause = INITIAL_DELAY_S
         while self._now() < give_up_at:
             asked_at = self._now()
@@ -131,13 +138,13 @@
 
 
 def put_request(order: ConfigurationOrder) -> HttpRequest:
-    """A complete configuration."""
+    """Create the request that puts a complete configuration."""
     headers = {"If-Match": str(order.if_match), "Content-Type": "application/json"}
     return HttpRequest("PUT", "/config", headers, orjson.dumps(order.document))
 
 
 def patch_request(order: ConfigurationOrder, patch: dict[str, Any]) -> HttpRequest:
-    """A change of some items."""
+    """Create the request that changes some items."""
     headers = {"If-Match": str(order.if_match), "Content-Type": "application/json"}
     return HttpRequest("PATCH", "/config", headers, orjson.dumps(patch))
 
@@ -153,7 +160,7 @@
         self.route_rules: dict[str, model.RouteRules] = {}
 
     def next_patch(self, generation: int) -> tuple[dict[str, Any], dict[str, Any]]:
-        """A PATCH and the complete configuration that it makes of the newest known one."""
+        """Draw a PATCH; return it and the complete configuration that results."""
         patch: dict[str, Any] = {"generation": generation + self._random_source.randint(1, 3)}
         extras = [route["name"] for route in self.base["routes"] if route["name"].startswith("extra-")]
         if extras and self._random_source.random() < 0.4:
@@ -179,7 +186,7 @@
         return dict(route)
 
     def invalid(self, generation: int) -> dict[str, Any]:
-        """A configuration that must not be taken."""
+        """Draw a configuration that must be rejected."""
         document = copy.deepcopy(self.base)
         document["generation"] = generation + 1
         kind = self._random_source.randrange(4)
--- a/hollowusher/simulation/operator_changes.py
+++ b/hollowusher/simulation/operator_changes.py
@@ -60,7 +60,7 @@
             self.document, self._newest = order.document, order.generation
 
     async def play(self, until: float) -> None:
-        """Changes at random times."""
+        """Send changes at random times."""
         random_source = self._random_source
         while True:
             await asyncio.sleep(random_source.uniform(0.5, 5.0))
--- a/hollowusher/simulation/simulation_run.py
+++ b/hollowusher/simulation/simulation_run.py
@@ -58,7 +58,7 @@
 
 
 def plan_of_script(script: FaultScript, rate: float) -> SimulationPlan:
-    """The day of a script."""
+    """Return the plan of a script."""
     return SimulationPlan(
         size=script.size,
         traffic_s=script.traffic_s,
@@ -71,7 +71,7 @@
 
 
 def draw_size(seed: int) -> DeploymentSize:
-    """The machines of a seed's day."""
+    """Draw the machines of a seed's run."""
     random_source = random.Random(f"{seed}/size")
     return random_source.choice(SIZES)
 
@@ -139,7 +139,7 @@
         ]
 
     async def _extra_traffic(self, until: float) -> None:
-        """A few messages to the routes that changes add and drop."""
+        """Send a few messages to the routes that changes add and drop."""
         random_source = self.cluster.random("extra")
         while self.loop.time() < until:
             await asyncio.sleep(random_source.uniform(0.3, 1.2))
@@ -152,7 +152,7 @@
     # ---- the course of the day
 
     async def play(self) -> None:
-        """The whole day."""
+        """Play the complete run."""
         background = [
             asyncio.get_running_loop().create_task(work)
             for work in (self.edge_selector.check_readiness(), self.edge_selector.sample_generations())
@@ -233,13 +233,13 @@
         await asyncio.gather(*(ask() for _ in range(CONCURRENT_QUERIES)))
 
     def check_rules(self) -> list[RuleViolation]:
-        """What was broken."""
+        """Return the violations of the rules."""
         return find_violations(
             self.observations, DeploymentRules(self.rules, {FIXED: FIXED_RATE}, self.size.clock_skew_s)
         )
 
     def figures(self) -> dict[str, float]:
-        """What happened, in numbers."""
+        """Return what happened, in numbers."""
         messages = self.observations.messages.values()
         statuses = [message.status for message in messages]
         successes = {run.id for run in self.observations.runs if run.result == "success"}
