--- a/hollowusher/simulation/clients.py
+++ b/hollowusher/simulation/clients.py
@@ -4,8 +4,8 @@
 
 import asyncio
 import random
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
 import orjson
 
@@ -44,24 +44,32 @@
     incarnation: int
 
 
+class EdgeChoice(Protocol):
+    """How clients find an edge machine; see `EdgeSelector`."""
+
+    def choose_edge(self) -> EdgeAddress:
+        """Choose the machine of the next request."""
+
+    def record_response(self, edge: EdgeAddress) -> None:
+        """Record that a machine has answered."""
+
+
 class MessageClients:
     """All clients of the day."""
 
     def __init__(
         self,
         http: HttpNetwork,
-        seen: Observations,
+        observations: Observations,
         random_source: random.Random,
         host: str,
-        choose_edge: Callable[[], EdgeAddress],
-        on_response: Callable[[EdgeAddress], None],
+        edges: EdgeChoice,
     ) -> None:
         self.http = http
-        self.observations = seen
+        self.observations = observations
         self.random_source = random_source
         self.host = host
-        self._choose_edge = choose_edge
-        self._on_response = on_response
+        self._edges = edges
         self._sent = 0
         self._tasks: set[asyncio.Task[None]] = set()
         http.network.power_on(host)
@@ -113,7 +121,7 @@
         self._sent += 1
         number = self._sent
         identifier = f"m{number:06d}"
-        edge = self._choose_edge()
+        edge = self._edges.choose_edge()
         callback = ""
         if stream.callback_hosts:
             callback = f"http://{self.random_source.choice(stream.callback_hosts)}/done"
@@ -162,11 +170,11 @@
         message.status = answer.status
         message.answered_at = self._now()
         message.reference = answer.header("X-Message-Ref") or message.id
-        self._on_response(edge)
+        self._edges.record_response(edge)
 
-    async def query_state(self, message: SentMessage, final: bool = False) -> MessageStateResponse | None:
-        """Ask for a message's state; for its body too where it has not ended or at the end of the day."""
-        answer = await self._get(message, f"/message/{message.reference}")
+    async def query_state(self, message: SentMessage, *, final: bool = False) -> MessageStateResponse | None:
+        """Ask for a message's state; for its body too where it has not ended or at the end of the run."""
+        answer = await self._get(f"/message/{message.reference}")
         if answer is None:
             return None
         status, body = answer
@@ -175,17 +183,17 @@
             status = orjson.loads(body)
             seen.state, seen.signature = status["state"], status.get("signature", "")
             if seen.state != "completed":
-                found = await self._get(message, f"/message-body/{message.reference}")
+                found = await self._get(f"/message-body/{message.reference}")
                 if found is not None and found[0] == 200:
                     seen.body = found[1]
         self.observations.states.append(seen)
         return seen
 
-    async def _get(self, message: SentMessage, target: str) -> tuple[int, bytes] | None:
+    async def _get(self, target: str) -> tuple[int, bytes] | None:
         request = HttpRequest("GET", target, {"Host": HOST})
         try:
             answer = await self.http.exchange(
-                self.host, self._choose_edge().frontend, request, QUERY_TIMEOUT_S
+                self.host, self._edges.choose_edge().frontend, request, QUERY_TIMEOUT_S
             )
         except HttpExchangeError:
             return None
--- a/hollowusher/simulation/programs.py
+++ b/hollowusher/simulation/programs.py
@@ -154,23 +154,23 @@
             self._environment.role_process.settings = settings
 
     def configuration_generation(self) -> int:
-        """The configuration in force here."""
+        """Return the generation of the configuration in force here."""
         role_process = self._environment.role_process
         configuration = None if role_process is None else role_process.state.configuration
         return 0 if configuration is None else configuration.generation
 
     def cluster_state(self) -> ClusterState | None:
-        """What it knows of the cluster."""
+        """Return what the process knows of the cluster."""
         role_process = self._environment.role_process
         return None if role_process is None else role_process.state
 
     def disk_id(self) -> str:
-        """The identity of its disk, empty where it has none yet."""
+        """Return the identity of the disk, empty if it has none yet."""
         disk = self._environment.disk
         held = None if disk is None else disk.slot(DISK_ID_SLOT).load()
         return "" if held is None else held.decode()
 
 
 def build_program(environment: ProcessEnvironment) -> Program:
-    """The program of a machine's role."""
+    """Create the program of a machine's role."""
     return RoleProgram(environment)
--- a/hollowusher/simulation/simulation_run.py
+++ b/hollowusher/simulation/simulation_run.py
@@ -121,8 +121,7 @@
             self.observations,
             cluster.random("clients"),
             CLIENT_HOST,
-            self.edge_selector.choose_edge,
-            self.edge_selector.record_response,
+            self.edge_selector,
         )
 
     # ---- traffic
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -43,7 +43,7 @@
 
 
 def parse_request(sent: bytes) -> HttpRequest:
-    """The request in the bytes that a client would send."""
+    """Parse the request in the bytes that a client would send."""
     head, _, body = sent.partition(b"\r\n\r\n")
     first, *lines = head.decode("utf-8", "surrogateescape").split("\r\n")
     method, target, _ = first.split(" ")
@@ -59,7 +59,7 @@
         self._host = host
 
     async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
-        """Hand a job over and wait for its end."""
+        """Deliver a job and wait for its end."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         request = parse_request(request_bytes(job.message, endpoint, timeout_s))
@@ -93,7 +93,7 @@
         self._address = address
 
     async def post(self, job: LeasedJob) -> str:
-        """Tell the end; only a 200 means that it was heard."""
+        """Report the end of a message; only a 200 acknowledges it."""
         request = parse_request(callback_request(job))
         try:
             answer = await self._http.exchange(self._host, self._address, request, CALLBACK_TIMEOUT_S)
@@ -238,7 +238,7 @@
         self._body = request.body
 
     async def read(self) -> bytes:
-        """The body."""
+        """Return the body."""
         return self._body
 
 
@@ -259,7 +259,7 @@
         environment.role_process = self
 
     async def identify(self, controller: bool) -> Member:
-        """This process as the others will know it."""
+        """Describe the process as the others will know it."""
         environment, settings = self._environment, self.settings
         disk_id = ""
         if environment.disk is not None:
@@ -298,7 +298,7 @@
         return task
 
     def listen_for_signals(self) -> None:
-        """The cluster sets `stopping` itself."""
+        """Do nothing: the cluster sets `stopping` itself."""
 
     async def close(self) -> None:
         """End what still runs."""
