--- a/hollowusher/coordination/placement/partitioner.py
+++ b/hollowusher/coordination/placement/partitioner.py
@@ -25,7 +25,7 @@
 def has_single_home(service: str, configuration: Configuration | None) -> bool:
     """Return whether all messages of a service must be in its home partition.
 
-    That is so, too, while the service or the whole configuration is not known.
+    That is so, too, while the service or the configuration is not known.
     """
     found = configuration.service(service) if configuration is not None else None
     if configuration is None or found is None or found.rate_per_s > 0:
--- a/hollowusher/coordination/placement/replica_planner.py
+++ b/hollowusher/coordination/placement/replica_planner.py
@@ -5,7 +5,7 @@
 replica of a partition is replaced at a time.
 
 Copies are made where they are needed (a replica is lost, missing, retiring, or lacking).  While the cluster
-is settled they are made for balance, too, one at a time: a store that was added, or that has returned after
+is quiet they are made for balance, too, one at a time: a store that was added, or that has returned after
 its replicas were replaced, gets replicas of the store that has most.
 
 Sources: Ongaro, "Consensus: bridging theory and practice" (2014), chapter 4: a server catches up before it
@@ -156,8 +156,8 @@
     # ---- balance
 
     def start_balancing_move(self) -> None:
-        """While the cluster is settled, have one store that holds few replicas learn one more partition."""
-        if not self._is_settled():
+        """While the cluster is quiet, have one store that holds few replicas learn one more partition."""
+        if not self._is_quiet():
             return
         load = self.draft.replica_load
         moves = [
@@ -171,14 +171,14 @@
             _, negated_partition, learner = max(moves)
             self.draft.set_learners(self.draft.entries[-negated_partition], [learner])
 
-    def _is_settled(self) -> bool:
+    def _is_quiet(self) -> bool:
         """Return whether nothing is being repaired, moved or retired, and every replica is stable."""
         return all(
-            not entry.learners and all(self._is_settled_replica(replica) for replica in entry.replicas)
+            not entry.learners and all(self._is_quiet_replica(replica) for replica in entry.replicas)
             for entry in self.draft.entries.values()
         )
 
-    def _is_settled_replica(self, replica: str) -> bool:
+    def _is_quiet_replica(self, replica: str) -> bool:
         return self.states.is_stable(replica) and not self.states.is_retiring(replica)
 
     def _replica_to_offload(self, entry: PartitionPlacement, learner: str) -> str | None:
--- a/tests/coordination/membership/test_failure_detector.py
+++ b/tests/coordination/membership/test_failure_detector.py
@@ -77,7 +77,7 @@
     assert ticks(detector, 1.35, 3.0) == []
 
 
-def test_a_newly_monitored_member_has_the_whole_timeout() -> None:
+def test_a_newly_monitored_member_has_the_full_timeout() -> None:
     detector = detector_of_one_store()
     ticks(detector, 0.0, 0.9)
     detector.update_members([edge_member("e0"), store_member("s"), store_member("late")], 0.9)
--- a/tests/coordination/membership/test_suspicion_table.py
+++ b/tests/coordination/membership/test_suspicion_table.py
@@ -1,4 +1,4 @@
-"""Reports of monitors are kept for one incarnation of a member, and only while they are repeated."""
+"""Reports of monitors count for one incarnation of a member, and only while they are repeated."""
 
 from __future__ import annotations
 
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -59,8 +59,8 @@
     ("dead", "named", "partition", "status"),
     [
         ({0}, ["s0/d"], 0, 409),  # it is not lost
-        ({0, 1}, ["s0/d"], 0, 409),  # s1 does not live and is not named
-        ({0, 1}, ["s0/d", "s1/d", "s2/d"], 0, 409),  # s2 lives
+        ({0, 1}, ["s0/d"], 0, 409),  # s1 is not live and is not named
+        ({0, 1}, ["s0/d", "s1/d", "s2/d"], 0, 409),  # s2 is live
         ({0, 1}, ["s0/d", "s1/d", "s3/d"], 0, 409),  # s3 is no replica
         ({0, 1, 2}, ["s0/d", "s1/d", "s2/d"], 0, 409),  # nothing is left
         ({0, 1}, ["s0/d", "s1/d"], 9, 404),
@@ -100,7 +100,7 @@
             for entry in system.placement.partitions
             if sum(replica in system.running_store_ids() for replica in entry.replicas) == 1
         ]
-        assert alone  # those whose primary was lost; a primary that lives fills new replicas by itself
+        assert alone  # those whose primary was lost; a live primary fills new replicas by itself
         for entry in alone:
             given_up = [replica for replica in entry.replicas if not replica.startswith("store-3/")]
             refused = await system.call_head(RecoverPartition(entry.partition, given_up[:1]))
--- a/tests/coordination/placement/test_primary_balance.py
+++ b/tests/coordination/placement/test_primary_balance.py
@@ -24,11 +24,11 @@
 @given(st.lists(st.sets(st.sampled_from("abcd"), min_size=1).map(sorted), max_size=6), st.integers(1, 4))
 @example([["a"], ["a", "b"], ["b", "c"], ["a", "b"], ["a", "b"], ["b", "c"]], 2)
 def test_a_limit_that_can_be_kept_is_kept(options: list[list[str]], most: int) -> None:
-    """Compared with trying everything: a bound that can be kept is kept."""
+    """Compare with all possible assignments."""
     replicas = dict(enumerate(options))
     possible = any(max(Counter(choice).values(), default=0) <= most for choice in product(*options))
     assigned = balance_primaries(replicas, most)
-    held = Counter(assigned.values())
+    load = Counter(assigned.values())
     assert all(assigned[number] in replicas[number] for number in replicas)
-    assert not possible or max(held.values(), default=0) <= most
-    assert all(held[assigned[number]] - held[other] < 2 for number in replicas for other in replicas[number])
+    assert not possible or max(load.values(), default=0) <= most
+    assert all(load[assigned[number]] - load[other] < 2 for number in replicas for other in replicas[number])
--- a/tests/coordination/placement/test_store_replacement.py
+++ b/tests/coordination/placement/test_store_replacement.py
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("victim", ["store-2", "store-3"])
 @pytest.mark.parametrize("stores", [3, 4])
 def test_a_planned_replacement_is_done_before_the_next_disk_is_lost(victim: str, stores: int) -> None:
-    """The successor starts first, then the old store is told to stop and is gone for good."""
+    """The successor starts first, then the old store gets SIGTERM and is gone for good."""
 
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
@@ -115,7 +115,7 @@
     play(work, stores=4)
 
 
-def test_an_added_store_gets_replicas_while_the_cluster_is_settled() -> None:
+def test_an_added_store_gets_replicas_while_the_cluster_is_quiet() -> None:
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         await system.start_slowly(system.add_store("store-9", "10.0.1.1", "zone-a"))
