--- a/hollowusher/coordination/consensus/join_client.py
+++ b/hollowusher/coordination/consensus/join_client.py
@@ -1,89 +1,90 @@
-"""How a controller that is no voter comes to a view, and to a vote in it."""
+"""How a controller without a vote joins the cluster: it looks for a view, then asks to become a voter."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Iterable
-from typing import Any
 
-from hollowusher.coordination.consensus.bootstrap import SeedService, call_all, propose_first_view
+from hollowusher.coordination.consensus.bootstrap import propose_first_view
+from hollowusher.coordination.consensus.seed_service import SeedService
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
+from hollowusher.coordination.consensus.view_queries import call_all
 from hollowusher.protocol.view import AnnounceController, ReadView, View, ViewResponse, Voter
 from hollowusher.transport.interface import Transport
 
 VIEW_QUERY_INTERVAL_S = 0.3
 ANNOUNCE_INTERVAL_S = 1.0
-COMPLETE_FIRST_VIEW_AFTER_S = (
-    0.5  # a first view held for this long without a decision is brought to its end here
-)
+COMPLETE_FIRST_VIEW_AFTER_S = 0.5  # a first view accepted for this long without a decision is completed here
 CALL_TIMEOUT_S = 0.6
 
 
 class JoinClient:
-    """Asks the seeds and the known voters, on the first start with the wish to be in the first view."""
+    """The queries of one controller to the seeds and the known voters.
+
+    `seeds` returns the seeds' present addresses.  `bootstrap_seed` is this process's own seed service on the
+    first start of the cluster, None on every other start.
+    """
 
     def __init__(
         self,
         me: Voter,
-        bootstrap: bool,
         seeds: Callable[[], list[str]],
         transport: Transport,
         consensus: ViewConsensus,
-        seed: SeedService,
+        bootstrap_seed: SeedService | None,
     ) -> None:
         self._me = me
-        self._bootstrap = bootstrap
         self._seeds = seeds
         self._transport = transport
         self._consensus = consensus
-        self._seed = seed
-        self._next_query_at = 0.0
-        self._first_view_accepted_since: float | None = None
+        self._bootstrap_seed = bootstrap_seed
+        self._next_query_s = 0.0
+        self._first_view_accepted_s: float | None = None
 
     async def acquire_view(self) -> None:
-        """No decided view is known yet."""
+        """Ask for a decided view, if it is time; on the first start, ask to be in the first view."""
         if not self._is_due(VIEW_QUERY_INTERVAL_S):
             return
-        held = self._consensus.acceptor.accepted
-        if held is not None and await self._complete_first_view(held):
+        accepted = self._consensus.acceptor.accepted
+        if accepted is not None and await self._complete_first_view(accepted):
             return
-        message: Any = ReadView()
-        if self._bootstrap:
+        message: ReadView | AnnounceController = ReadView()
+        if self._bootstrap_seed is not None:
             message = AnnounceController(self._me, bootstrap=True)
-            await self._seed.handle(message)
-        await self._query(message, held.voters if held is not None else ())
+            await self._bootstrap_seed.handle(message)
+        await self._query(message, accepted.voters if accepted is not None else ())
 
     async def request_voter_role(self, view: View) -> None:
-        """This controller, or its new disk, is no voter: ask the voters to make it one."""
+        """Ask the voters, if it is time, to make this controller, or its new disk, one of them."""
         if self._is_due(ANNOUNCE_INTERVAL_S):
             await self._query(AnnounceController(self._me, cluster=view.cluster), view.voters)
 
-    async def _complete_first_view(self, held: View) -> bool:
-        """Bring a first view to its end whose proposer has gone silent; whether it is decided."""
-        if self._first_view_accepted_since is None:
-            self._first_view_accepted_since = _now()
-        if _now() - self._first_view_accepted_since < COMPLETE_FIRST_VIEW_AFTER_S:
+    async def _complete_first_view(self, accepted: View) -> bool:
+        """Complete a first view whose proposer has gone silent; return whether it is decided."""
+        if self._first_view_accepted_s is None:
+            self._first_view_accepted_s = _now_s()
+        if _now_s() - self._first_view_accepted_s < COMPLETE_FIRST_VIEW_AFTER_S:
             return False
-        decided = (await propose_first_view(self._transport, held)).decided
+        decided = (await propose_first_view(self._transport, accepted)).decided
         if decided is None:
             return False
         await self._consensus.learn(decided)
-        self._consensus.announce(decided)
+        self._consensus.broadcast_decision(decided)
         return True
 
-    async def _query(self, message: Any, voters: Iterable[Voter]) -> None:
+    async def _query(self, message: ReadView | AnnounceController, voters: Iterable[Voter]) -> None:
         addresses = {voter.address for voter in voters} | set(self._seeds())
         addresses.discard(self._me.address)
         for answer in await call_all(self._transport, sorted(addresses), message, CALL_TIMEOUT_S):
             if isinstance(answer, ViewResponse) and answer.view is not None:
                 await self._consensus.learn(answer.view)
 
-    def _is_due(self, interval: float) -> bool:
-        if _now() < self._next_query_at:
+    def _is_due(self, interval_s: float) -> bool:
+        if _now_s() < self._next_query_s:
             return False
-        self._next_query_at = _now() + interval
+        self._next_query_s = _now_s() + interval_s
         return True
 
 
-def _now() -> float:
+def _now_s() -> float:
     return asyncio.get_running_loop().time()
--- a/hollowusher/coordination/consensus/monitored_slot.py
+++ b/hollowusher/coordination/consensus/monitored_slot.py
@@ -1,5 +1,4 @@
-"""A slot that tells how long its disk has been busy: a voter whose votes do not get to the disk is not
-there."""
+"""A slot that reports a stalled disk: a voter whose votes do not reach the disk counts as dead."""
 
 from __future__ import annotations
 
@@ -11,25 +10,25 @@
 
 
 class MonitoredSlot:
-    """A `Slot` around another one."""
+    """A `Slot` around another one that knows how long its save has been in progress."""
 
     def __init__(self, slot: Slot) -> None:
         self._slot = slot
-        self._saving_since: float | None = None
+        self._saving_since_s: float | None = None  # of the event loop's clock
 
     def load(self) -> bytes | None:
-        """The value saved last, None where there is none."""
+        """Return the value saved last, None if there is none."""
         return self._slot.load()
 
     async def save(self, value: bytes) -> None:
         """Replace the value durably."""
-        if self._saving_since is None:
-            self._saving_since = asyncio.get_running_loop().time()
+        if self._saving_since_s is None:
+            self._saving_since_s = asyncio.get_running_loop().time()
         try:
             await self._slot.save(value)
         finally:
-            self._saving_since = None
+            self._saving_since_s = None
 
-    def stalled(self, now: float) -> bool:
-        """Whether a save has been under way for too long."""
-        return self._saving_since is not None and now - self._saving_since > STALLED_AFTER_S
+    def is_stalled(self, now_s: float) -> bool:
+        """Return whether a save has been in progress for too long."""
+        return self._saving_since_s is not None and now_s - self._saving_since_s > STALLED_AFTER_S
--- a/hollowusher/coordination/consensus/paxos.py
+++ b/hollowusher/coordination/consensus/paxos.py
@@ -1,8 +1,10 @@
-"""Agreement on views: single-decree Paxos for each epoch, among the voters of the view before.
+"""Single-decree Paxos for each epoch, among the voters of the view before.  No I/O, no clock.
 
-Source: Lamport, "Paxos made simple" (2001).  The view of epoch e + 1 is decided once a majority of the voters
-of view e have accepted it under one ballot.  Nothing here does I/O: `coordination.voting` says what has to be
-on disk before which answer or request leaves.
+The view of epoch e + 1 is decided once a quorum of the voters of view e has accepted it under one ballot.
+`Acceptor` owns what one voter must remember; `Proposer` owns one ballot.  `VoterStateMachine` determines what
+has to be on disk before which answer or request is sent.
+
+Source: Lamport, "Paxos made simple" (2001).
 """
 
 from __future__ import annotations
@@ -19,45 +21,48 @@
 
 
 def quorum_size(view: View) -> int:
-    """How many voters decide."""
+    """Return how many voters a decision takes."""
     return len(view.voters) // 2 + 1
 
 
 def min_chain_length(view: View) -> int:
-    """The least chain length: any majority of the voters then holds a chain member."""
+    """Return the least length at which every quorum of the voters contains a chain member."""
     return len(view.voters) - quorum_size(view) + 1
 
 
 def find_voter(view: View, name: str) -> Voter | None:
-    """The voter of this name."""
+    """Return the voter of this name."""
     return next((voter for voter in view.voters if voter.name == name), None)
 
 
 def is_voter(view: View, name: str, disk_id: str) -> bool:
-    """Whether this name *with this disk* votes."""
+    """Return whether this name *with this disk* is a voter of the view."""
     voter = find_voter(view, name)
     return voter is not None and voter.disk_id == disk_id
 
 
 def first_view(voters: Iterable[Voter], cluster: str = "") -> View:
-    """View 1: all the given controllers vote and form the chain, in the order of their names."""
+    """Return view 1: all given controllers vote and form the chain, in the order of their names."""
     ordered = sorted(voters, key=lambda voter: voter.name)
     names = [voter.name for voter in ordered]
     return View(FIRST_EPOCH, ordered, names, dict.fromkeys(names, FIRST_EPOCH), cluster)
 
 
 def is_same_cluster(one: str, other: str) -> bool:
-    """Whether two cluster names may be those of one system; data of older processes has none."""
+    """Return whether two cluster names may be those of one system; older processes send none."""
     return one == other or not one or not other
 
 
 def voter_id(voter: Voter) -> str:
-    """Name and disk, as a message to one voter names it: an address may by now be another process's."""
+    """Return name and disk, by which a message names its addressee: an address may be reused."""
     return f"{voter.name}/{voter.disk_id}"
 
 
 class Acceptor:
-    """One controller's vote and its memory of views; all of it is durable."""
+    """One voter's promises, its accepted view and the newest decided view.  All of it is durable.
+
+    Invariant: `promised`, `accepted_ballot` and `accepted` refer to the epoch after `decided`.
+    """
 
     def __init__(self, name: str, disk_id: str, saved: bytes | None = None) -> None:
         self.name = name
@@ -65,8 +70,8 @@
         self.decided: View | None = None
         self.promised = NO_BALLOT
         self.accepted_ballot = NO_BALLOT
-        self.accepted: View | None = None  # of the epoch after `decided`
-        self.foreign_rejections = 0  # messages of another cluster, or meant for another voter: refused
+        self.accepted: View | None = None
+        self.foreign_rejections = 0  # messages of another cluster or for another voter
         if saved is not None:
             self._load(saved)
 
@@ -76,7 +81,7 @@
         self.accepted_ballot = decode_ballot(accepted_ballot)
 
     def dump(self) -> bytes:
-        """What is to be saved."""
+        """Encode the acceptor for its slot on disk."""
         return encode([self.decided, list(self.promised), list(self.accepted_ballot), self.accepted])
 
     @property
@@ -86,28 +91,28 @@
 
     @property
     def vote(self) -> tuple[Ballot, Ballot, View | None]:
-        """What it has promised and accepted."""
+        """What this voter has promised and accepted."""
         return self.promised, self.accepted_ballot, self.accepted
 
     def may_vote(self, epoch: int) -> bool:
-        """Whether it may vote on the view of this epoch."""
+        """Return whether this voter may vote on the view of this epoch."""
         decided = self.decided
         return (
             decided is not None and epoch == decided.epoch + 1 and is_voter(decided, self.name, self.disk_id)
         )
 
     def confirms(self, epoch: int) -> bool:
-        """Whether it votes in view `epoch` and has accepted no later one."""
+        """Return whether this voter votes in view `epoch` and has accepted no later view."""
         return self.epoch == epoch and self.accepted is None and self.may_vote(epoch + 1)
 
     def confirm(self, message: ConfirmEpoch) -> bool:
-        """The answer to another voter's question whether its view is still the newest."""
+        """Return whether the view that another voter asks about is still the newest."""
         if not self._is_addressee(message.voter) or not self._is_of_own_cluster(message.cluster):
             return False
         return self.confirms(message.epoch)
 
     def learn(self, view: View) -> bool:
-        """Take a decided view; whether it is a newer one."""
+        """Learn a decided view; return whether it is newer than the known one."""
         if not self._is_compatible(view) or view.epoch <= self.epoch:
             return False
         self.decided = view
@@ -117,7 +122,7 @@
         return True
 
     def accept_first_view(self, view: View) -> View | None:
-        """Hold the first proposed view 1 and return the one held; None where view 1 is long decided."""
+        """Accept the first proposal of view 1; return the accepted one, None if a view is decided already."""
         if self.decided is not None:
             return None
         if self.accepted is None and is_voter(view, self.name, self.disk_id):
@@ -125,31 +130,37 @@
         return self.accepted
 
     def prepare(self, message: Prepare) -> Promise:
-        """First phase; the base view that comes along has been learned before."""
+        """Vote in phase 1; the base view of the message has been learned before."""
         if not self._is_addressee(message.voter) or not self._is_compatible(message.base):
-            return Promise(False, list(self.promised))
+            return Promise(granted=False, ballot=list(self.promised))
         ballot = decode_ballot(message.ballot)
         if not self.may_vote(message.epoch) or ballot < self.promised:
-            return Promise(False, list(self.promised), decided=self._decided_since(message.epoch))
+            return Promise(
+                granted=False, ballot=list(self.promised), decided=self._decided_since(message.epoch)
+            )
         self.promised = ballot
         accepted_ballot = list(self.accepted_ballot) if self.accepted is not None else None
-        return Promise(True, list(ballot), accepted_ballot, self.accepted)
+        return Promise(
+            granted=True, ballot=list(ballot), accepted_ballot=accepted_ballot, accepted=self.accepted
+        )
 
     def accept(self, message: Accept) -> Accepted:
-        """Second phase."""
+        """Vote in phase 2."""
         if not self._is_addressee(message.voter) or not self._is_compatible(message.view):
-            return Accepted(False, list(self.promised))
+            return Accepted(granted=False, ballot=list(self.promised))
         ballot = decode_ballot(message.ballot)
-        follows = message.view.epoch == message.epoch
-        if not follows or not self.may_vote(message.epoch) or ballot < self.promised:
-            return Accepted(False, list(self.promised), self._decided_since(message.epoch))
+        is_of_epoch = message.view.epoch == message.epoch
+        if not is_of_epoch or not self.may_vote(message.epoch) or ballot < self.promised:
+            return Accepted(
+                granted=False, ballot=list(self.promised), decided=self._decided_since(message.epoch)
+            )
         self.promised = ballot
         self.accepted_ballot = ballot
         self.accepted = message.view
-        return Accepted(True, list(ballot))
+        return Accepted(granted=True, ballot=list(ballot))
 
     def _is_addressee(self, addressee: str) -> bool:
-        """Whether a message was sent to this voter; older processes do not name the addressee."""
+        """Return whether a message was sent to this voter; older processes do not name the addressee."""
         if addressee in ("", f"{self.name}/{self.disk_id}"):
             return True
         self.foreign_rejections += 1
@@ -162,7 +173,7 @@
         return False
 
     def _is_compatible(self, view: View | None) -> bool:
-        """Whether a view is of the own cluster; two decided views of one epoch cannot be of one cluster."""
+        """Return whether a view is of the own cluster, which never decides two views of one epoch."""
         if view is None or self.decided is None:
             return True
         if not self._is_of_own_cluster(view.cluster):
@@ -177,7 +188,10 @@
 
 
 class Proposer:
-    """One ballot for the view after `base`."""
+    """One ballot for the view after `base`.
+
+    Invariant: once a quorum has promised, `value` never changes.
+    """
 
     def __init__(self, base: View, wanted: View, ballot: Ballot) -> None:
         self.base = base
@@ -189,33 +203,33 @@
         self._acceptances: set[str] = set()
 
     @property
-    def promised(self) -> bool:
-        """Whether a majority has promised: from then on the value stands."""
+    def has_promise_quorum(self) -> bool:
+        """Whether a quorum has promised."""
         return len(self._promises) >= quorum_size(self.base)
 
     def prepare(self, voter: Voter | None = None) -> Prepare:
-        """What a voter of the base view is asked first."""
+        """Return the request of phase 1 to a voter; without one, to the proposer's own acceptor."""
         addressee = voter_id(voter) if voter is not None else ""
         return Prepare(self.base.epoch + 1, list(self.ballot), self.base, addressee)
 
     def accept(self, voter: Voter | None = None) -> Accept:
-        """What a voter is asked once `on_promise` has returned True."""
+        """Return the request of phase 2, valid once `on_promise` has returned True."""
         addressee = voter_id(voter) if voter is not None else ""
         return Accept(self.base.epoch + 1, list(self.ballot), self.value, addressee)
 
     def on_promise(self, voter: str, answer: Promise) -> bool:
-        """Take an answer; True once, when a majority has promised."""
+        """Count an answer of phase 1; return True once, when a quorum has promised."""
         self._observe(answer.ballot, answer.decided)
-        if not answer.granted or decode_ballot(answer.ballot) != self.ballot or self.promised:
+        if not answer.granted or decode_ballot(answer.ballot) != self.ballot or self.has_promise_quorum:
             return False
         self._promises[voter] = answer
-        if not self.promised:
+        if not self.has_promise_quorum:
             return False
         self._adopt_accepted()
         return True
 
     def on_accepted(self, voter: str, answer: Accepted) -> bool:
-        """Take an answer; True once the value is decided."""
+        """Count an answer of phase 2; return True once the value is decided."""
         self._observe(answer.ballot, answer.decided)
         if not answer.granted or decode_ballot(answer.ballot) != self.ballot:
             return False
@@ -226,7 +240,7 @@
         return True
 
     def _adopt_accepted(self) -> None:
-        """A value that may have been decided already goes before the wanted one."""
+        """Adopt the accepted value of the highest ballot: it may have been decided already."""
         best = NO_BALLOT
         for promise in self._promises.values():
             ballot = decode_ballot(promise.accepted_ballot or NO_BALLOT)
@@ -241,6 +255,6 @@
 
 
 def decode_ballot(value: Iterable[object]) -> Ballot:
-    """A ballot from its form on the wire."""
-    number, name = value
-    return int(str(number)), str(name)
+    """Return a ballot from its form on the wire."""
+    round_number, name = value
+    return int(str(round_number)), str(name)
--- a/hollowusher/coordination/consensus/view_cache.py
+++ b/hollowusher/coordination/consensus/view_cache.py
@@ -1,5 +1,7 @@
-"""The newest view on the disk of a process that is no controller: it finds the voters though no seed
-answers."""
+"""The newest view on the disk of a process that is no controller.
+
+With it the process finds the voters even if no seed answers.  The view may be lost: it only says whom to ask.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +15,19 @@
 from hollowusher.protocol.view import View
 from hollowusher.storage.interface import Slot, StorageError
 
-SAVE_DELAY_S = 0.1  # views that follow each other at once are saved as one
+SAVE_DELAY_S = 0.1  # views that follow each other within this time are saved as one
 
 
 class ViewCache:
-    """Loads the view that was kept, and keeps each newer one.  A view may be lost again: it only tells where
-    to ask."""
+    """Loads the stored view into the cluster state, and saves each newer view."""
 
     def __init__(self, slot: Slot, state: ClusterState) -> None:
         self._slot = slot
         self._state = state
-        self._decided_since = asyncio.Event()
+        self._view_changed = asyncio.Event()
 
     def load(self) -> None:
-        """Begin with the kept view, if there is one that can be read."""
+        """Apply the stored view, if there is a readable one, and watch for newer views."""
         view = None
         with suppress(StorageError, DecodeError):
             saved = self._slot.load()
@@ -36,14 +37,14 @@
         self._state.add_listener(self._on_change)
 
     async def run(self) -> None:
-        """Save each newer view; runs until cancelled."""
+        """Save each newer view; runs until cancelled.  A failed save is left to the next view."""
         while True:
-            await self._decided_since.wait()
+            await self._view_changed.wait()
             await asyncio.sleep(SAVE_DELAY_S)
-            self._decided_since.clear()
+            self._view_changed.clear()
             with suppress(StorageError):
                 await self._slot.save(encode(self._state.view))
 
     def _on_change(self, key: str) -> None:
         if key == VIEW:
-            self._decided_since.set()
+            self._view_changed.set()
--- a/hollowusher/coordination/consensus/view_discovery.py
+++ b/hollowusher/coordination/consensus/view_discovery.py
@@ -1,4 +1,4 @@
-"""How any process comes to the newest view: it asks the seeds, the voters that it knows, and some members."""
+"""How any process finds the newest view: it asks the seeds, the known voters and some other members."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 QUERY_TIMEOUT_S = 0.6
-INITIAL_BACKOFF_S = 0.03  # of a process that starts: all wait for the same controllers
-MAX_PEERS_PER_ROLE = 3  # living members of each role asked for the view besides the seeds and the voters
+INITIAL_BACKOFF_S = 0.03  # of a starting process: all wait for the same controllers
+MAX_PEERS_PER_ROLE = 3  # live members of each role that are asked besides the seeds and the voters
 SOLICITED_ORIGIN = ""  # the origin of items that were asked for and not pulled
 ROLES = ("edge", "store")
 
 
 class ViewDiscovery:
-    """One process's search for views.  `seeds` tells the seeds that the settings name at present."""
+    """One process's search for views; `seeds` returns the addresses that the settings name at present."""
 
     def __init__(
         self,
         transport: Transport,
         state: ClusterState,
         seeds: Callable[[], list[str]],
-        choice: ControllerSelector,
-        chance: random.Random,
+        controller_selector: ControllerSelector,
+        random_source: random.Random,
     ) -> None:
-        self.foreign_rejections = 0  # views of another cluster: not taken
+        self.foreign_rejections = 0  # rejected views of another cluster
         self._transport = transport
         self._state = state
         self._seeds = seeds
-        self._choice = choice
-        self._chance = chance
+        self._controller_selector = controller_selector
+        self._random_source = random_source
 
-    async def find(self) -> None:
-        """Ask for a newer view than the known one; without any, go on until there is one."""
-        backoff = Backoff(self._chance, INITIAL_BACKOFF_S)
+    async def discover(self) -> None:
+        """Ask for a newer view than the known one; repeat until a view is known."""
+        backoff = Backoff(self._random_source, INITIAL_BACKOFF_S)
         while True:
-            await self.ask()
+            await self.query()
             if self._state.view is not None:
                 return
             await backoff.wait()
 
-    async def ask(self) -> None:
+    async def query(self) -> None:
         """Ask once for a newer view."""
-        await asyncio.gather(*(self._query_address(address) for address in self._query_addresses()))
+        await asyncio.gather(*(self._query_address(address) for address in self._addresses_to_query()))
 
-    def take(self, view: View) -> None:
-        """Use a decided view, unless a newer one is known or it is of another cluster."""
+    def learn(self, view: View) -> None:
+        """Apply a decided view, unless a newer one is known or it is of another cluster."""
         known = self._state.view
         if known is not None and not is_same_cluster(known.cluster, view.cluster):
             self.foreign_rejections += 1
@@ -67,14 +67,15 @@
             return
         if not isinstance(answer, ViewResponse):
             return
-        self._choice.health(address).record_answer()
+        self._controller_selector.health(address).record_answer()
         if answer.view is not None:
-            self.take(answer.view)
+            self.learn(answer.view)
 
-    def _query_addresses(self) -> list[str]:
-        view = self._state.view
-        sources = [*self._seeds(), *(voter.address for voter in view.voters)] if view else self._seeds()
+    def _addresses_to_query(self) -> list[str]:
+        addresses = [*self._seeds()]
+        if self._state.view is not None:
+            addresses += [voter.address for voter in self._state.view.voters]
         for role in ROLES:
             members = [member.address for member in self._state.live_members(role)]
-            sources += self._chance.sample(members, min(MAX_PEERS_PER_ROLE, len(members)))
-        return [address for address in dict.fromkeys(sources) if address != self._transport.address]
+            addresses += self._random_source.sample(members, min(MAX_PEERS_PER_ROLE, len(members)))
+        return [address for address in dict.fromkeys(addresses) if address != self._transport.address]
--- a/hollowusher/coordination/consensus/view_publisher.py
+++ b/hollowusher/coordination/consensus/view_publisher.py
@@ -1,9 +1,9 @@
-"""Brings the view that a process holds to the seeds of its settings.
+"""Offers the view that a process knows to the seeds of its settings.
 
-Seeds need no disk: after a loss of power of everything they know nothing, and whoever looks for the cluster
-asks them.  So every process that holds a view over such a loss (a controller, a store) calls each seed until
-it answers with a view as new as the own one, and again now and then, for a seed that starts anew has
-forgotten.  The settings may name other seeds at any time.
+Seeds need no disk: after a loss of power of the whole cluster they know nothing, and whoever looks for the
+cluster asks them.  So every process that keeps a view over such a loss (a controller, a store) calls each
+seed until it answers with a view as new as the own one, and again from time to time, because a restarted seed
+has forgotten it.  The settings may name other seeds at any time.
 """
 
 from __future__ import annotations
@@ -20,94 +20,105 @@
 OFFER_TIMEOUT_S = 0.6
 INITIAL_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 2.0
+BACKOFF_GROWTH = 1.5
 REFRESH_INTERVAL_S = 2.0  # a seed that has answered is called again after this long
 TICK_S = 0.1
+MIN_JITTER = 0.7
+MAX_JITTER = 1.3
 
 
 @attrs.define
 class _Seed:
-    """What is known of one seed."""
+    """When one seed is called next, and the epoch of the view that it answered with last."""
 
-    epoch: int = 0  # of the view that it has answered with
-    next_call: float = 0.0
-    pause: float = 0.0
+    epoch: int = 0  # 0: it has not answered with a view
+    next_call_s: float = 0.0
+    backoff_s: float = 0.0  # 0: its last call was answered
 
 
 class SeedSchedule:
-    """Which seeds are to be called when.  No I/O, no clock."""
+    """Which seeds are to be called when.  No I/O, no clock: times are of the owner's monotonic clock."""
 
-    def __init__(self, refresh_s: float) -> None:
-        self._refresh_s = refresh_s
+    def __init__(self, refresh_interval_s: float) -> None:
+        self._refresh_interval_s = refresh_interval_s
         self._seeds: dict[str, _Seed] = {}
 
-    def due(self, seeds: Iterable[str], epoch: int, now: float) -> list[str]:
-        """The seeds to be called now; those that the settings no longer name are forgotten."""
+    def due(self, seeds: Iterable[str], epoch: int, now_s: float) -> list[str]:
+        """Return the seeds to be called now; those that are no longer among `seeds` are forgotten.
+
+        A seed that has answered with an older view than that of `epoch` is called at once.
+        """
         self._seeds = {address: self._seeds.get(address, _Seed()) for address in seeds}
         return [
             address
             for address, seed in self._seeds.items()
-            if now >= seed.next_call or (0 < seed.epoch < epoch and seed.pause == 0.0)
+            if now_s >= seed.next_call_s or (0 < seed.epoch < epoch and seed.backoff_s == 0.0)
         ]
 
-    def on_call_started(self, address: str, now: float) -> None:
-        """A call has begun: no other one until it has ended, or for `MAX_BACKOFF_S`."""
+    def on_call_started(self, address: str, now_s: float) -> None:
+        """Start no other call to this seed until this one has ended, or for `MAX_BACKOFF_S`."""
         seed = self._seeds.get(address)
         if seed is not None:
-            seed.next_call = now + MAX_BACKOFF_S
+            seed.next_call_s = now_s + MAX_BACKOFF_S
 
-    def answered(self, address: str, epoch: int, now: float) -> None:
-        """A seed has answered with the view of this epoch."""
+    def on_answer(self, address: str, epoch: int, now_s: float) -> None:
+        """Record that a seed has answered with the view of this epoch."""
         seed = self._seeds.get(address)
         if seed is not None:
             seed.epoch = epoch
-            seed.pause = 0.0
-            seed.next_call = now + self._refresh_s
+            seed.backoff_s = 0.0
+            seed.next_call_s = now_s + self._refresh_interval_s
 
-    def on_no_answer(self, address: str, now: float) -> None:
-        """A seed has not answered, or without a view."""
+    def on_no_answer(self, address: str, now_s: float) -> None:
+        """Record that a seed has not answered, or not with a view as new as the own one."""
         seed = self._seeds.get(address)
         if seed is not None:
             seed.epoch = 0
-            seed.pause = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 1.5 * seed.pause))
-            seed.next_call = now + seed.pause
+            seed.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, BACKOFF_GROWTH * seed.backoff_s))
+            seed.next_call_s = now_s + seed.backoff_s
+
+
+@attrs.frozen
+class ViewAccess:
+    """The view of the process that publishes it."""
+
+    current: Callable[[], View | None]
+    learn: Callable[[View], Awaitable[object]]  # called with a newer view that a seed knows
 
 
 class ViewPublisher:
-    """One process's calls to the seeds.  `seeds` and `view` tell the present ones; `learn` is called with a
-    newer view that a seed knows."""
+    """One process's calls to the seeds; `seeds` returns their present addresses."""
 
     def __init__(
         self,
         transport: Transport,
         seeds: Callable[[], list[str]],
-        view: Callable[[], View | None],
-        learn: Callable[[View], Awaitable[object]],
-        chance: random.Random,
-        refresh_s: float = REFRESH_INTERVAL_S,
+        view: ViewAccess,
+        random_source: random.Random,
+        refresh_interval_s: float = REFRESH_INTERVAL_S,
     ) -> None:
         self._transport = transport
         self._seeds = seeds
         self._view = view
-        self._learn = learn
-        self._chance = chance
-        self._schedule = SeedSchedule(refresh_s)
+        self._random_source = random_source
+        self._schedule = SeedSchedule(refresh_interval_s)
         self._calls: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Call the seeds when it is due; runs until cancelled."""
+        """Call the seeds when they are due; runs until cancelled."""
         while True:
-            view = self._view()
+            view = self._view.current()
             if view is not None:
                 self._call_due_seeds(view)
-            await asyncio.sleep(TICK_S * self._chance.uniform(0.7, 1.3))
+            await asyncio.sleep(TICK_S * self._random_source.uniform(MIN_JITTER, MAX_JITTER))
 
     def _call_due_seeds(self, view: View) -> None:
-        now = _now()
+        now_s = _now_s()
         seeds = [address for address in self._seeds() if address != self._transport.address]
-        for address in self._schedule.due(seeds, view.epoch, now):
-            self._schedule.on_call_started(address, now)
+        for address in self._schedule.due(seeds, view.epoch, now_s):
+            self._schedule.on_call_started(address, now_s)
             call = asyncio.get_running_loop().create_task(self._offer(address, view))
-            self._calls.add(call)  # each ends by itself within its time-out
+            self._calls.add(call)  # each ends by itself within its timeout
             call.add_done_callback(self._calls.discard)
 
     async def _offer(self, address: str, view: View) -> None:
@@ -117,12 +128,12 @@
             answer = None
         known = answer.view if isinstance(answer, ViewResponse) else None
         if known is None or known.epoch < view.epoch:
-            self._schedule.on_no_answer(address, _now())
+            self._schedule.on_no_answer(address, _now_s())
             return
-        self._schedule.answered(address, known.epoch, _now())
+        self._schedule.on_answer(address, known.epoch, _now_s())
         if known.epoch > view.epoch:
-            await self._learn(known)
+            await self._view.learn(known)
 
 
-def _now() -> float:
+def _now_s() -> float:
     return asyncio.get_running_loop().time()
--- a/hollowusher/coordination/controller/control_state_service.py
+++ b/hollowusher/coordination/controller/control_state_service.py
@@ -75,7 +75,7 @@
         if not committed or not outcomes:
             return UNAVAILABLE
         answer = outcomes[0].answer
-        if answer.status != 200 and not await self._consensus.majority_confirms(self._chain_member.epoch):
+        if answer.status != 200 and not await self._consensus.quorum_confirms(self._chain_member.epoch):
             return UNAVAILABLE  # a deposed head must not refuse what builds on a newer version
         return answer
 
@@ -110,7 +110,7 @@
         if view is None or not self._chain_member.is_readable or not self._voter_group.has_quorum(view):
             return None
         state = self._chain_member.committed
-        return state if await self._consensus.majority_confirms(view.epoch) else None
+        return state if await self._consensus.quorum_confirms(view.epoch) else None
 
     async def _forward_read(self, message: ReadConfiguration | ReadControlState) -> Any:
         tail = self._consensus.view.tail if self._consensus.view is not None else ""
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -19,12 +19,13 @@
 from hollowusher.coordination.chain.chain_member import ChainMember
 from hollowusher.coordination.chain.chain_replicator import ChainReplicator
 from hollowusher.coordination.chain.state_store import StateStore
-from hollowusher.coordination.consensus.bootstrap import SeedService, fetch_newest_view
 from hollowusher.coordination.consensus.join_client import JoinClient
 from hollowusher.coordination.consensus.monitored_slot import MonitoredSlot
 from hollowusher.coordination.consensus.paxos import is_same_cluster, is_voter
+from hollowusher.coordination.consensus.seed_service import SeedService
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
-from hollowusher.coordination.consensus.view_publisher import ViewPublisher
+from hollowusher.coordination.consensus.view_publisher import ViewAccess, ViewPublisher
+from hollowusher.coordination.consensus.view_queries import fetch_newest_view
 from hollowusher.coordination.consensus.voter_set import required_voters
 from hollowusher.coordination.controller.control_state_service import ControlStateService
 from hollowusher.coordination.controller.control_status import ControllerSnapshot
@@ -113,10 +114,14 @@
         )
         present_seeds = settings.seed_addresses if seeds is None else seeds
         self._join_client = JoinClient(
-            voter, settings.bootstrap, present_seeds, transport, self._consensus, self._seed_service
+            voter,
+            present_seeds,
+            transport,
+            self._consensus,
+            self._seed_service if settings.bootstrap else None,
         )
         self._view_publisher = ViewPublisher(
-            transport, present_seeds, lambda: self.view, self._consensus.learn, random_source
+            transport, present_seeds, ViewAccess(lambda: self.view, self._consensus.learn), random_source
         )
         self._state_service = ControlStateService(
             voter, transport, self._consensus, self._chain_member, self._chain_head, self._voter_group
@@ -162,7 +167,7 @@
 
     async def has_newest_view(self) -> bool:
         """Whether a majority says, asked now, that the view in use here is the newest."""
-        return await self._consensus.majority_confirms(self._chain_member.epoch)
+        return await self._consensus.quorum_confirms(self._chain_member.epoch)
 
     async def learn(self, view: View) -> None:
         """Take a decided view that became known in another way."""
@@ -229,7 +234,7 @@
 
     def _is_disk_stalled(self, now: float) -> bool:
         """Whether votes or states wait for the disk."""
-        return self._view_slot.stalled(now) or self._replicator.stalled(now)
+        return self._view_slot.is_stalled(now) or self._replicator.stalled(now)
 
     def _may_lead(self) -> bool:
         """Whether this is the head of the newest view known and the others can be reached.  After a pause it
--- a/hollowusher/coordination/controller/departure.py
+++ b/hollowusher/coordination/controller/departure.py
@@ -12,11 +12,12 @@
 from collections.abc import Callable
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.consensus.bootstrap import call_all
+from hollowusher.coordination.consensus.liveness_snapshot import LivenessSnapshot
 from hollowusher.coordination.consensus.paxos import find_voter, is_voter
-from hollowusher.coordination.consensus.reconfiguration import LivenessSnapshot, plan_chain
+from hollowusher.coordination.consensus.reconfiguration import plan_chain
 from hollowusher.coordination.consensus.spare_controllers import SpareControllers
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
+from hollowusher.coordination.consensus.view_queries import call_all
 from hollowusher.protocol.consensus import Ping, Pong, ViewDecided
 from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError, Transport
@@ -90,7 +91,7 @@
     def _plan_without_me(self, base: View) -> View | None:
         if self._chain_member.epoch != base.epoch:
             return None
-        return plan_chain(base, self._presence(base), leave=self._me.name)
+        return plan_chain(base, self._presence(base), departing=self._me.name)
 
     async def _is_state_in_force(self, view: View) -> bool:
         """Whether the tail of the chain has the state of the view's epoch on its disk: every member has."""
--- a/hollowusher/coordination/controller/voter_group.py
+++ b/hollowusher/coordination/controller/voter_group.py
@@ -8,20 +8,19 @@
 from typing import Any
 
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.consensus.bootstrap import fetch_newest_view
+from hollowusher.coordination.consensus.liveness_snapshot import LivenessSnapshot, take_liveness_snapshot
 from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.coordination.consensus.reconfiguration import (
     PROPOSAL_STAGGER_S,
-    LivenessSnapshot,
-    VoterHealth,
     has_lost_chain_member,
     plan_chain,
     plan_voters,
     proposal_rank,
-    take_liveness_snapshot,
 )
 from hollowusher.coordination.consensus.spare_controllers import SpareControllers
 from hollowusher.coordination.consensus.view_consensus import ViewConsensus
+from hollowusher.coordination.consensus.view_queries import fetch_newest_view
+from hollowusher.coordination.consensus.voter_health import VoterHealth
 from hollowusher.coordination.consensus.voter_set import VoterSetChange, plan_voter_set_change
 from hollowusher.coordination.controller.control_status import UNREACHABLE, VoterObservation
 from hollowusher.coordination.controller.departure import Departure
@@ -121,7 +120,7 @@
 
     def add_spare(self, voter: Voter) -> None:
         """A controller asks to become a voter."""
-        self._spares.note(voter, _now())
+        self._spares.on_announced(voter, _now())
 
     async def step(self, view: View) -> None:
         """Do what is due in the newest view; nothing is proposed while this controller's own disk keeps it
@@ -151,7 +150,7 @@
             self._me.disk_id,
             self._chain_member.epoch,  # of the view in use, which `complete` refers to
             self._chain_member.complete,
-            self._health.heard(_now()),
+            self._health.reachable_voters(_now()),
             self.departure.has_begun,
             self._is_disk_stalled(_now()),
             [self._chain_member.state_epoch, self._chain_member.state.sequence],
@@ -172,7 +171,7 @@
             answer = await self._transport.call(voter.address, Ping(self._me.name, epoch), PING_TIMEOUT_S)
         except PeerError as error:
             if not error.sent and CONNECT_TIMEOUT_REASON not in error.reason:
-                self._health.refused(voter.name)
+                self._health.on_refused(voter.name)
             return
         finally:
             self._pending_pings.discard(voter.name)
@@ -181,12 +180,12 @@
 
     async def _handle_pong(self, voter: Voter, pong: Pong) -> None:
         if pong.name != voter.name:
-            self._health.refused(voter.name)  # the address has another owner now
+            self._health.on_refused(voter.name)  # the address has another owner now
             return
         if pong.disk_id != voter.disk_id:
             self._health.on_disk_replaced(voter.name)
             return
-        self._health.answered(pong, _now())
+        self._health.on_pong(pong, _now())
         view = self._consensus.view
         if view is not None and pong.epoch < view.epoch:
             self._transport.send(voter.address, ViewDecided(view))
@@ -201,7 +200,9 @@
     # -- views -----------------------------------------------------------------------------------------
 
     def _liveness(self, view: View) -> LivenessSnapshot:
-        return take_liveness_snapshot(self._health, view, self._chain_member.complete, _now())
+        return take_liveness_snapshot(
+            self._health, view, is_complete=self._chain_member.complete, now_s=_now()
+        )
 
     async def _replace_lost(self, view: View) -> bool:
         """Propose a chain without the dead, after those that come earlier in the chain; whether there is such
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -30,7 +30,7 @@
     SOLICITED_ORIGIN,
     ViewDiscovery,
 )
-from hollowusher.coordination.consensus.view_publisher import ViewPublisher
+from hollowusher.coordination.consensus.view_publisher import ViewAccess, ViewPublisher
 from hollowusher.coordination.controller_selector import ControllerSelector
 from hollowusher.coordination.distribution.update_feed import LongPollResponder, UpdateFeed
 from hollowusher.coordination.membership.failure_detector import FailureDetector
@@ -96,7 +96,11 @@
             transport, state, present_seeds, self._controller_choice, random_source
         )
         self._view_publisher = ViewPublisher(
-            transport, present_seeds, lambda: state.view, self._learn_view, random_source, SEED_REFRESH_S
+            transport,
+            present_seeds,
+            ViewAccess(lambda: state.view, self._learn_view),
+            random_source,
+            SEED_REFRESH_S,
         )
         self._last_pull_at: dict[str, float] = {}  # address -> last answer to a pull
         self._last_majority_at = -math.inf  # last answer of a controller that hears most of the others
@@ -128,7 +132,7 @@
         backoff = Backoff(self._random, INITIAL_BACKOFF_S)
         while True:
             if self.state.view is None:
-                await self._view_discovery.find()
+                await self._view_discovery.discover()
             for voter in self._committed_state_sources():
                 asked_at = self._now()
                 answer = await self._try_call(voter.address, ReadControlState(), READ_STATE_TIMEOUT_S)
@@ -137,7 +141,7 @@
                     self._apply_state(answer.state)
                     return
             await backoff.wait()
-            await self._view_discovery.find()
+            await self._view_discovery.discover()
 
     async def publish_view(self) -> None:
         """Bring the view known here to the seeds; runs until cancelled."""
@@ -150,7 +154,7 @@
 
     def learn_view(self, view: View) -> None:
         """Use a decided view that became known in another way."""
-        self._view_discovery.take(view)
+        self._view_discovery.learn(view)
 
     async def _learn_view(self, view: View) -> None:
         self.learn_view(view)
@@ -246,7 +250,7 @@
         while True:
             voters = self._voters_by_preference()
             if not voters:
-                await self._view_discovery.find()
+                await self._view_discovery.discover()
                 continue
             address = voters[0].address
             last_choice = len(voters) == 1 or self._controller_choice.health(address).is_avoided(self._now())
@@ -263,7 +267,7 @@
                 await backoff.wait()
                 connected = False
             if not connected:
-                await self._view_discovery.ask()
+                await self._view_discovery.query()
 
     def _record_failure(self, address: str) -> None:
         self._registered_at.discard(address)
@@ -316,7 +320,7 @@
         self._publish(self.me)
         while True:
             if self.state.view is None:
-                await self._view_discovery.find()
+                await self._view_discovery.discover()
             wanted = {voter.address for voter in self._other_voters()}
             for address in [address for address in self._peer_tasks if address not in wanted]:
                 self._peer_tasks.pop(address).cancel()
@@ -346,7 +350,7 @@
                     self._controller_choice.health(voter.address).is_avoided(now)
                     for voter in self._other_voters()
                 ):
-                    await self._view_discovery.ask()
+                    await self._view_discovery.query()
 
     def _vector_for_peer(self, address: str) -> dict[str, int]:
         """What this feed has, and what that peer has already given: origins that one side has pruned are
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -15,7 +15,7 @@
 
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import VIEW
-from hollowusher.coordination.consensus.bootstrap import SeedService
+from hollowusher.coordination.consensus.seed_service import SeedService
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
 from hollowusher.coordination.distribution.peer_identities import track_peer_identities
 from hollowusher.coordination.placement.partitioner import ZonePartitioner
--- a/hollowusher/simulation/model_check/consensus_model.py
+++ b/hollowusher/simulation/model_check/consensus_model.py
@@ -21,7 +21,7 @@
 
 import attrs
 
-from hollowusher.coordination.consensus import voter_state_machine
+from hollowusher.coordination.consensus import voter_instructions
 from hollowusher.coordination.consensus.paxos import (
     Acceptor,
     decode_ballot,
@@ -60,7 +60,7 @@
     """A vote asked for."""
 
     incarnation: int  # of the asker
-    ask: voter_state_machine.SendRequest
+    ask: voter_instructions.SendRequest
 
     @property
     def receiver(self) -> str:
@@ -229,7 +229,7 @@
     def _proposals(
         self, state: ConsensusState, place: int, node: ConsensusNode
     ) -> Iterator[tuple[ConsensusStep, ConsensusState]]:
-        if node.machine.proposing:
+        if node.machine.is_proposing:
             yield from self._step(state, place, NodeInput("abandon"), state[2:])
             return
         counts = (state.proposals + 1, *state[3:])
@@ -283,7 +283,7 @@
             node.machine.learn(message.view)
         elif isinstance(message, ConsensusReply):
             if message.request.incarnation == node.incarnation:
-                node.machine.answered(message.request.ask, message.message, NOW)
+                node.machine.on_response(message.request.ask, message.message, NOW)
         elif isinstance(message, ConsensusRequest) and number not in node.unanswered:
             node.unanswered |= {number}
             asked = message.ask.message
@@ -296,7 +296,7 @@
         if kept:
             self._keep(node)
         node.saving = None
-        node.machine.saved(taken, NOW)
+        node.machine.on_saved(NOW, durable=taken)
 
     def _keep(self, node: ConsensusNode) -> None:
         """What is being saved is on disk, and with it all that has been accepted up to it."""
@@ -345,7 +345,7 @@
     def _collect(self, node: ConsensusNode) -> int:
         """Carry out the machine's outputs; the bits of what has been sent and noted."""
         sent = 0
-        while outputs := node.machine.take_instructions():
+        while outputs := node.machine.pop_instructions():
             self._note_vote(node)
             for output in outputs:
                 sent |= self._carry_out(node, output)
@@ -353,15 +353,15 @@
                 self._end_save(node, True, True)
         return sent
 
-    def _carry_out(self, node: ConsensusNode, output: voter_state_machine.Instruction) -> int:
-        if isinstance(output, voter_state_machine.SaveAcceptor):
-            node.saving = output.value
-        elif isinstance(output, voter_state_machine.SendRequest):
+    def _carry_out(self, node: ConsensusNode, output: voter_instructions.Instruction) -> int:
+        if isinstance(output, voter_instructions.SaveAcceptor):
+            node.saving = output.encoded
+        elif isinstance(output, voter_instructions.SendRequest):
             return self._bit(ConsensusRequest(node.incarnation, output))
-        elif isinstance(output, voter_state_machine.SendResponse):
+        elif isinstance(output, voter_instructions.FailRequest):
+            node.unanswered -= {output.request_id}
+        elif isinstance(output, voter_instructions.SendResponse):
             node.unanswered -= {output.request_id}
-            if output.message is None:
-                return 0
             request = self._messages[output.request_id]
             assert isinstance(request, ConsensusRequest)
             assert not isinstance(output.message, FirstViewResponse)
@@ -370,7 +370,7 @@
             reply = self._bit(ConsensusReply(request, output.message))
             self._replies |= reply
             return reply
-        elif isinstance(output, voter_state_machine.BroadcastDecision):
+        elif isinstance(output, voter_instructions.BroadcastDecision):
             notice = self._bit(DecidedNotice("", output.view))
             self._noted |= notice
             proposers = self._controllers[: self._bounds.proposals]
--- a/hollowusher/simulation/model_check/control_chain_model.py
+++ b/hollowusher/simulation/model_check/control_chain_model.py
@@ -19,7 +19,8 @@
 import attrs
 
 from hollowusher.coordination.chain.chain_member import ChainMember, encode_write
-from hollowusher.coordination.consensus import voter_state_machine
+from hollowusher.coordination.consensus import voter_instructions
+from hollowusher.coordination.consensus.liveness_snapshot import LivenessSnapshot
 from hollowusher.coordination.consensus.paxos import (
     Acceptor,
     find_voter,
@@ -28,12 +29,7 @@
     quorum_size,
     voter_id,
 )
-from hollowusher.coordination.consensus.reconfiguration import (
-    LivenessSnapshot,
-    plan_chain,
-    plan_voters,
-    proposal_rank,
-)
+from hollowusher.coordination.consensus.reconfiguration import plan_chain, plan_voters, proposal_rank
 from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.consensus import Accept, ConfirmEpoch, Prepare
@@ -232,7 +228,7 @@
         if state.wipes < self._bounds.wipes and self._may_lose(state, place):
             counted = state._replace(wipes=state.wipes + 1)
             yield from self._step(counted, place, f"{name} loses its disk", self._wipe)
-        if state.views < self._bounds.views and not node.machine.proposing:
+        if state.views < self._bounds.views and not node.machine.is_proposing:
             yield from self._ballots(state, place, node)
         if state.read is None and member.is_readable and self._old(state, node):
             yield (
@@ -337,17 +333,17 @@
         if member.complete:
             self._note(CompletenessClaim(voter_id(node.voter), member.epoch))
 
-    def _perform(self, node: ChainNode) -> list[voter_state_machine.Instruction]:
+    def _perform(self, node: ChainNode) -> list[voter_instructions.Instruction]:
         """Save and learn; the outputs for others."""
-        others: list[voter_state_machine.Instruction] = []
-        while outputs := node.machine.take_instructions():
+        others: list[voter_instructions.Instruction] = []
+        while outputs := node.machine.pop_instructions():
             for output in outputs:
-                if isinstance(output, voter_state_machine.SaveAcceptor):
-                    node.vote_disk = output.value
-                    node.machine.saved(True, NOW)
-                elif isinstance(output, voter_state_machine.InstallView):
+                if isinstance(output, voter_instructions.SaveAcceptor):
+                    node.vote_disk = output.encoded
+                    node.machine.on_saved(NOW, durable=True)
+                elif isinstance(output, voter_instructions.InstallView):
                     node.member.install(output.view)
-                elif isinstance(output, voter_state_machine.BroadcastDecision):
+                elif isinstance(output, voter_instructions.BroadcastDecision):
                     self._note(ViewNotice("", encode(output.view)))
                     for controller in self._controllers:
                         self._send(ViewNotice(controller.name, encode(output.view)))
@@ -433,16 +429,14 @@
             self._after(node)
         return tuple(self._nodes.number(node) for node in (proposer, *others)), self._sent
 
-    def _asks(self, proposer: ChainNode) -> list[voter_state_machine.SendRequest]:
+    def _asks(self, proposer: ChainNode) -> list[voter_instructions.SendRequest]:
         return [
-            output
-            for output in self._perform(proposer)
-            if isinstance(output, voter_state_machine.SendRequest)
+            output for output in self._perform(proposer) if isinstance(output, voter_instructions.SendRequest)
         ]
 
     def _ask(
-        self, proposer: ChainNode, voter: ChainNode, asks: list[voter_state_machine.SendRequest], kind: type
-    ) -> list[voter_state_machine.SendRequest]:
+        self, proposer: ChainNode, voter: ChainNode, asks: list[voter_instructions.SendRequest], kind: type
+    ) -> list[voter_instructions.SendRequest]:
         """Have one voter answer the request of this kind; what the proposer asks then."""
         for ask in asks:
             if ask.voter.name != voter.voter.name or not isinstance(ask.message, kind):
@@ -452,8 +446,8 @@
             else:
                 voter.machine.accept(0, ask.message)
             for output in self._perform(voter):
-                if isinstance(output, voter_state_machine.SendResponse):
-                    proposer.machine.answered(ask, output.message, NOW)
+                if isinstance(output, voter_instructions.SendResponse):
+                    proposer.machine.on_response(ask, output.message, NOW)
             return self._asks(proposer)
         return []
 
--- a/hollowusher/simulation/model_check/planted_control.py
+++ b/hollowusher/simulation/model_check/planted_control.py
@@ -2,33 +2,31 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.consensus.voter_state_machine import SendResponse, VoterStateMachine
+from hollowusher.coordination.consensus.voter_instructions import SendResponse
+from hollowusher.coordination.consensus.voter_state_machine import PlanView, VoterStateMachine
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Accepted, Prepare, Promise
-from hollowusher.protocol.view import View
 
 
 class AsksBeforeItsOwnPromise(VoterStateMachine):
     """A proposer that asks the others while its own promise is still on the way to its disk."""
 
-    def propose(self, now: float, plan: Callable[[View], View | None]) -> bool:
-        if not super().propose(now, plan):
+    def propose(self, now_s: float, plan: PlanView) -> bool:
+        if not super().propose(now_s, plan):
             return False
         assert self._proposal is not None
-        self._ask_others(self._proposal, self._proposal.proposer.prepare)
+        self._request_votes(self._proposal, self._proposal.proposer.prepare)
         return True
 
 
 class AnswersBeforeSaving(VoterStateMachine):
     """A voter that answers while its vote is still on the way to its disk."""
 
-    def _respond(self, asker: int, message: Promise | Accepted, granted: bool) -> None:
-        super()._respond(asker, message, granted)
-        if granted:
-            self._outputs.append(SendResponse(asker, message))
+    def _respond(self, request_id: int, message: Promise | Accepted) -> None:
+        super()._respond(request_id, message)
+        if message.granted:
+            self._instructions.append(SendResponse(request_id, message))
 
 
 class ForgetsWhatItAccepted(VoterStateMachine):
--- a/hollowusher/simulation/planted/control.py
+++ b/hollowusher/simulation/planted/control.py
@@ -46,7 +46,7 @@
     async def confirms(agreement: ViewConsensus, epoch: int) -> bool:
         return True
 
-    patches.replace(ViewConsensus, "majority_confirms", confirms)
+    patches.replace(ViewConsensus, "quorum_confirms", confirms)
     from hollowusher.coordination.controller.voter_group import VoterGroup
 
     patches.replace(VoterGroup, "has_quorum", lambda group, view: True)
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -7,10 +7,16 @@
 from hollowusher.coordination.chain.chain_member import ChainMember
 from hollowusher.coordination.chain.chain_replicator import ChainReplicator
 from hollowusher.coordination.consensus import paxos as view
-from hollowusher.coordination.consensus import reconfiguration, view_consensus, voter_state_machine
+from hollowusher.coordination.consensus import (
+    reconfiguration,
+    view_consensus,
+    voter_health,
+    voter_instructions,
+    voter_state_machine,
+)
 from hollowusher.coordination.consensus import voter_set as voter_plan
-from hollowusher.coordination.consensus.bootstrap import SeedService
 from hollowusher.coordination.consensus.paxos import Acceptor
+from hollowusher.coordination.consensus.seed_service import SeedService
 from hollowusher.coordination.consensus.voter_state_machine import VoterStateMachine
 from hollowusher.coordination.controller import voter_group
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
@@ -44,17 +50,17 @@
 
 def _released_at_once(patches: Patches, kind: type[Any]) -> None:
     """Have outputs of a kind leave before the disk has what they tell of."""
-    real = VoterStateMachine._send_when_durable
+    real = VoterStateMachine._run_when_durable
 
-    def when_durable(machine: VoterStateMachine, output: Any) -> None:
-        if isinstance(output, kind):
-            if machine._has_unsaved_vote and machine._saving is None:
+    def run_when_durable(machine: VoterStateMachine, effect: Any) -> None:
+        if isinstance(effect, kind):
+            if machine._is_dirty and machine._after_save is None:
                 machine._start_save()
-            machine._release(output, taken=True)
+            machine._run(effect, durable=True)
         else:
-            real(machine, output)
+            real(machine, effect)
 
-    patches.replace(VoterStateMachine, "_send_when_durable", when_durable)
+    patches.replace(VoterStateMachine, "_run_when_durable", run_when_durable)
 
 
 @planted_fault(test="tests/coordination/consensus/test_view_consensus.py")
@@ -64,12 +70,12 @@
 
 @planted_fault(test="tests/coordination/consensus/test_view_consensus.py")
 def _promise_sent_before_it_is_saved(patches: Patches) -> None:
-    _released_at_once(patches, voter_state_machine.SendResponse)
+    _released_at_once(patches, voter_instructions.SendResponse)
 
 
 @planted_fault("CONFIG", "LOST", "LIVENESS", fault_kinds=("cut_core", "cut_both", "race"))
 def _majority_of_one(patches: Patches) -> None:
-    for module in (view, view_consensus, reconfiguration):
+    for module in (view, view_consensus, voter_health, reconfiguration):
         if "quorum_size" in module.__dict__:
             patches.replace(module, "quorum_size", lambda base: 1)
         if "min_chain_length" in module.__dict__:
--- a/tests/coordination/chain/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -8,16 +8,15 @@
 import pytest
 
 from hollowusher.coordination.chain.chain_member import EMPTY_STATE, ChainMember, encode_write
+from hollowusher.coordination.consensus.liveness_snapshot import LivenessSnapshot, take_liveness_snapshot
 from hollowusher.coordination.consensus.paxos import first_view, min_chain_length, quorum_size
 from hollowusher.coordination.consensus.reconfiguration import (
-    LivenessSnapshot,
-    VoterHealth,
     has_lost_chain_member,
     plan_chain,
     plan_voters,
     proposal_rank,
-    take_liveness_snapshot,
 )
+from hollowusher.coordination.consensus.voter_health import VoterHealth
 from hollowusher.coordination.consensus.voter_set import VoterSetChange, plan_voter_set_change
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.consensus import Pong
@@ -69,8 +68,10 @@
         assert members[name].accepts(write)
         members[name].keep(write)
     assert not members["c"].is_readable
-    assert members["c"].commit(write) is write.state and members["c"].is_readable
-    assert members["a"].commit(write) is write.state and members["a"].is_committed
+    assert members["c"].commit(write) is write.state
+    assert members["c"].is_readable
+    assert members["a"].commit(write) is write.state
+    assert members["a"].is_committed
     assert members["a"].commit(write) is None  # known already
     assert members["b"].committed is None
 
@@ -110,7 +111,8 @@
     joined = View(3, view.voters, ["a", "b", "c"], {"a": 1, "b": 1, "c": 3})
     for member in members.values():
         member.install(joined)
-    assert members["b"].complete and not members["c"].complete
+    assert members["b"].complete
+    assert not members["c"].complete
     members["c"].keep(ChainWrite(3, evolve(EMPTY_STATE, sequence=1)))
     assert members["c"].complete
     members["c"].install(View(4, view.voters, ["c", "b"], {"b": 1, "c": 3}))
@@ -132,7 +134,9 @@
     view, _ = chain_of("abc")
     wiped = ChainMember("a", "another-disk")
     wiped.install(view)
-    assert not (wiped.in_chain or wiped.is_head or wiped.complete)
+    assert not wiped.in_chain
+    assert not wiped.is_head
+    assert not wiped.complete
 
 
 def test_a_member_is_the_same_after_a_crash() -> None:
@@ -141,7 +145,8 @@
     again = ChainMember("c", "disk-c", encode_write(write))
     assert (again.state_epoch, again.state) == (1, write.state)
     again.install(view)
-    assert again.committed == write.state and again.is_readable  # what the tail saved is committed
+    assert again.committed == write.state  # what the tail saved is committed
+    assert again.is_readable
 
 
 def test_a_state_of_an_earlier_epoch_is_not_settled_before_the_chain_has_it_again() -> None:
@@ -171,7 +176,8 @@
     members["b"].keep(later)
     assert not members["b"].is_readable
     members["b"].commit(later)
-    assert members["b"].is_readable and members["b"].committed == later.state
+    assert members["b"].is_readable
+    assert members["b"].committed == later.state
 
 
 # -- the next view -----------------------------------------------------------------------------------------
@@ -180,15 +186,18 @@
 def test_the_chain_keeps_its_order_and_others_join_behind() -> None:
     view = View(4, voters("abcde"), ["c", "a", "e"], {"c": 1, "a": 1, "e": 2})
     planned = plan_chain(view, everyone(view, "abde"))
-    assert planned is not None and planned.chain == ["a", "e", "b", "d"]
-    assert planned.since == {"a": 1, "e": 2, "b": 5, "d": 5} and planned.epoch == 5
+    assert planned is not None
+    assert planned.chain == ["a", "e", "b", "d"]
+    assert planned.since == {"a": 1, "e": 2, "b": 5, "d": 5}
+    assert planned.epoch == 5
 
 
 def test_members_that_may_lack_commits_come_after_those_that_hold_all() -> None:
     view = View(4, voters("abc"), ["a", "b", "c"], {"a": 4, "b": 1, "c": 1})
     present = attrs.evolve(everyone(view, "abc"), complete=frozenset("b"))
     planned = plan_chain(view, present)
-    assert planned is not None and planned.chain == ["b", "a", "c"]
+    assert planned is not None
+    assert planned.chain == ["b", "a", "c"]
     nobody = attrs.evolve(present, complete=frozenset())
     assert plan_chain(view, nobody) is None
 
@@ -198,9 +207,11 @@
     assert plan_chain(view, everyone(view, "abc")) is None
     assert plan_chain(view, everyone(view, "a")) is None
     planned = plan_chain(view, everyone(view, "ab"))
-    assert planned is not None and planned.chain == ["a", "b"]
-    leaving = plan_chain(view, everyone(view, "abc"), leave="a")
-    assert leaving is not None and leaving.chain == ["b", "c"]
+    assert planned is not None
+    assert planned.chain == ["a", "b"]
+    leaving = plan_chain(view, everyone(view, "abc"), departing="a")
+    assert leaving is not None
+    assert leaving.chain == ["b", "c"]
 
 
 def test_who_cannot_reach_the_tail_does_not_join() -> None:
@@ -212,7 +223,8 @@
 def test_a_new_disk_takes_the_place_of_the_old_one_at_the_tail() -> None:
     view = first_view(voters("abc"))
     planned = plan_voters(view, Voter("b", "new", "10.0.0.98:1"), "b")
-    assert planned is not None and planned.chain == ["a", "c", "b"]
+    assert planned is not None
+    assert planned.chain == ["a", "c", "b"]
     assert planned.since == {"a": 1, "c": 1, "b": 2}
     assert {voter.disk_id for voter in planned.voters} == {"disk-a", "disk-c", "new"}
     assert plan_voters(view, Voter("a", "new", ""), "a") is None  # the head would be lost
@@ -242,20 +254,22 @@
 
 
 def pong(health: VoterHealth, name: str, now: float, stalled: bool = False, leaving: bool = False) -> None:
-    health.answered(Pong(name, f"disk-{name}", 1, True, ["a", "b", "c"], leaving, stalled), now)
+    health.on_pong(Pong(name, f"disk-{name}", 1, True, ["a", "b", "c"], leaving, stalled), now)
 
 
 def test_a_voter_is_dead_after_silence_or_two_refusals() -> None:
     health = VoterHealth("a", 0.0)
     health.track("abc", 0.0)
-    assert not health.is_dead("b", 1.1) and not health.is_reachable("b", 1.1)  # it may yet be starting
+    assert not health.is_dead("b", 1.1)
+    assert not health.is_reachable("b", 1.1)  # it may yet be starting
     assert health.is_dead("b", 1.3)
     pong(health, "b", 2.0)
-    assert health.is_reachable("b", 3.1) and not health.is_reachable("b", 3.3)
+    assert health.is_reachable("b", 3.1)
+    assert not health.is_reachable("b", 3.3)
     pong(health, "b", 4.0)
-    health.refused("b")
+    health.on_refused("b")
     assert health.is_reachable("b", 4.1)
-    health.refused("b")
+    health.on_refused("b")
     assert health.is_dead("b", 4.2)
     pong(health, "b", 4.4)
     assert health.is_reachable("b", 4.4)
@@ -266,9 +280,10 @@
 def test_refusals_mean_little_right_after_the_start() -> None:
     health = VoterHealth("a", 0.0)
     health.track("ab", 0.0)
-    health.refused("b")
-    health.refused("b")
-    assert not health.is_dead("b", 0.5) and health.is_dead("b", 1.3)
+    health.on_refused("b")
+    health.on_refused("b")
+    assert not health.is_dead("b", 0.5)
+    assert health.is_dead("b", 1.3)
 
 
 def test_a_member_out_of_reach_of_its_neighbour_is_avoided_for_a_while() -> None:
@@ -277,12 +292,14 @@
     pong(health, "b", 1.0)
     health.avoid("b", 2.0)
     view = first_view(voters("ab"))
-    assert health.avoided("b", 1.5) and has_lost_chain_member(view, health, 1.5)
-    assert take_liveness_snapshot(health, view, True, 1.5).alive == {"a"}
+    assert health.is_avoided("b", 1.5)
+    assert has_lost_chain_member(view, health, 1.5)
+    assert take_liveness_snapshot(health, view, is_complete=True, now_s=1.5).alive == {"a"}
     assert health.is_reachable("b", 1.5)  # it votes all the same
     pong(health, "b", 2.1)
-    assert health.is_reachable("b", 2.1) and not health.avoided("b", 2.1)
-    assert take_liveness_snapshot(health, view, True, 2.1).alive == {"a", "b"}
+    assert health.is_reachable("b", 2.1)
+    assert not health.is_avoided("b", 2.1)
+    assert take_liveness_snapshot(health, view, is_complete=True, now_s=2.1).alive == {"a", "b"}
 
 
 def test_presence_leaves_out_the_leaving_and_ranks_the_rest() -> None:
@@ -290,12 +307,15 @@
     health = VoterHealth("b", 0.0)
     health.track("abc", 0.0)
     pong(health, "c", 5.0)
-    assert health.has_quorum(view, 5.0) and has_lost_chain_member(view, health, 5.0)
-    present = take_liveness_snapshot(health, view, True, 5.0)
-    assert present.alive == {"b", "c"} and present.complete == {"b", "c"}
-    assert proposal_rank(view, present, "b") == 0 and proposal_rank(view, present, "c") == 1
+    assert health.has_quorum(view, 5.0)
+    assert has_lost_chain_member(view, health, 5.0)
+    present = take_liveness_snapshot(health, view, is_complete=True, now_s=5.0)
+    assert present.alive == {"b", "c"}
+    assert present.complete == {"b", "c"}
+    assert proposal_rank(view, present, "b") == 0
+    assert proposal_rank(view, present, "c") == 1
     pong(health, "a", 5.0, leaving=True)
-    assert take_liveness_snapshot(health, view, True, 5.0).alive == {"b", "c"}
+    assert take_liveness_snapshot(health, view, is_complete=True, now_s=5.0).alive == {"b", "c"}
     assert proposal_rank(View(2, view.voters, ["a", "c"]), present, "b") is None
 
 
@@ -415,4 +435,6 @@
         commits += len(model.committed)
         views += len(model.views)
         reads += model.reads
-    assert commits > 300 and views > 700 and reads > least_reads  # else little was tried
+    assert commits > 300  # else little was tried
+    assert views > 700
+    assert reads > least_reads
--- a/tests/coordination/chain/test_rejected_messages.py
+++ b/tests/coordination/chain/test_rejected_messages.py
@@ -78,9 +78,12 @@
     files, state = dict(cluster["b"].files), member(cluster["b"]).state
     write = evolve(next_write(cluster), **{"cluster": "this one", **fields})
     answer = await cluster["b"].running.handle(write)
-    assert isinstance(answer, ChainWritten) and not answer.ok and answer.epoch == 1
+    assert isinstance(answer, ChainWritten)
+    assert not answer.ok
+    assert answer.epoch == 1
     assert cluster["b"].running.rejected_writes[reason] == 1
-    assert cluster["b"].files == files and member(cluster["b"]).state is state
+    assert cluster["b"].files == files
+    assert member(cluster["b"]).state is state
     assert member(cluster["c"]).state == member(cluster["a"]).state
 
 
@@ -93,7 +96,8 @@
     await cluster.put_at_any_node(2, 1)
     files = dict(cluster["b"].files)
     answer = await cluster["b"].running.handle(early)
-    assert not answer.ok and cluster["b"].files == files
+    assert not answer.ok
+    assert cluster["b"].files == files
     assert cluster["b"].running.rejected_writes["write: older than the state held"] == 1
     again = evolve(early, state=member(cluster["a"]).state)
     assert (await cluster["b"].running.handle(again)).ok  # the newest again: acknowledged, not saved again
@@ -110,7 +114,8 @@
     unknown = evolve(write, state=strip_record(write.state), record=b"0" * 16)
     for _ in range(3):
         answer = await cluster["b"].running.handle(unknown)
-        assert not answer.ok and answer.lacking == "b"
+        assert not answer.ok
+        assert answer.lacking == "b"
     await cluster.until(lambda: cluster["b"].running.rejected_writes["record: not held"] > 0, 5.0)
     assert cluster["b"].files == files
     await cluster.put_at_any_node(2, 1)
@@ -131,7 +136,8 @@
         assert buffer.take(chunk) == ""
     assert buffer.is_complete
     found = buffer.finish()
-    assert found is not None and found.encoded == record.encoded
+    assert found is not None
+    assert found.encoded == record.encoded
 
 
 def test_chunks_that_do_not_fit_are_not_taken() -> None:
@@ -149,7 +155,8 @@
     assert buffer.take(first) == ""
     assert buffer.take(first) == "cut short"  # the same one again
     assert buffer.take(evolve(second, size=second.size + 1)) == "wrong size"
-    assert buffer.take(second) == "" and buffer.offset == 2 * CHUNK_BYTES
+    assert buffer.take(second) == ""
+    assert buffer.offset == 2 * CHUNK_BYTES
 
 
 def test_a_record_with_another_digest_is_dropped_and_begun_anew() -> None:
@@ -158,8 +165,10 @@
     buffer = RecordBuffer(record.digest)
     for chunk in [*spoilt[:1], *chunks(record)[1:]]:
         assert buffer.take(chunk) == ""
-    assert buffer.is_complete and buffer.finish() is None
-    assert buffer.offset == 0 and not buffer.is_complete
+    assert buffer.is_complete
+    assert buffer.finish() is None
+    assert buffer.offset == 0
+    assert not buffer.is_complete
     for chunk in chunks(record):
         assert buffer.take(chunk) == ""
     assert buffer.finish() is not None
@@ -211,6 +220,7 @@
     fetch.fetch(record.digest, source.address, "")
     assert not disk.is_durable(record.digest)
     await work.pop()
-    assert disk.is_durable(record.digest) and counts == {"record: cut short": 1}
+    assert disk.is_durable(record.digest)
+    assert counts == {"record: cut short": 1}
     assert asked == [0, *(CHUNK_BYTES * n for n in (1, 2, 3, 4, 4)), *asked[6:]]
     assert sorted(set(asked)) == list(range(0, len(record.encoded), CHUNK_BYTES))
--- a/tests/coordination/chain/test_state_store.py
+++ b/tests/coordination/chain/test_state_store.py
@@ -118,7 +118,8 @@
     disk.values["state"] = encode_write(ChainWrite(3, large))
     store = disk.store()
     saved = store.load()
-    assert saved is not None and (saved.epoch, saved.state, saved.whole) == (3, large, True)
+    assert saved is not None
+    assert (saved.epoch, saved.state, saved.whole) == (3, large, True)
     assert store.record(make_record(large).digest) is not None  # the next member may ask for it
 
 
@@ -138,7 +139,8 @@
     before = dict(disk.values)
     asyncio.run(store.save(3, evolve(large, sequence=8)))
     changed = {name for name, value in disk.values.items() if before.get(name) != value}
-    assert changed == {"state"} and len(disk.values["state"]) < 1_000
+    assert changed == {"state"}
+    assert len(disk.values["state"]) < 1_000
 
 
 def test_a_member_whose_document_is_missing_holds_nothing() -> None:
@@ -146,17 +148,22 @@
     disk = RiskyDisk(random.Random(0))
     disk.values["state"] = encode([3, strip_record(large), make_record(large).digest])
     saved = disk.store().load()
-    assert saved is not None and not saved.whole
+    assert saved is not None
+    assert not saved.whole
     view = first_view([Voter(name, f"disk-{name}", name) for name in "abc"])
     member = ChainMember("a", "disk-a")
     member.restore(saved.epoch, saved.state, saved.whole)
     member.install(view)
-    assert member.is_head and not member.complete and not member.may_write
+    assert member.is_head
+    assert not member.complete
+    assert not member.may_write
     member.install(View(2, view.voters, ["b", "a"], {"a": 1, "b": 1}))
     write = ChainWrite(2, evolve(large, sequence=9))
-    assert member.accepts(write) and not member.has_saved(write)
+    assert member.accepts(write)
+    assert not member.has_saved(write)
     member.keep(write)
-    assert member.complete and member.state == write.state
+    assert member.complete
+    assert member.state == write.state
 
 
 def test_the_record_is_the_same_after_its_way_over_the_wire() -> None:
@@ -170,7 +177,8 @@
     view = first_view([Voter(name, f"disk-{name}", name) for name in "abc"])
     member = ChainMember("a", "disk-a", encode_write(ChainWrite(2, state_of(7, 10))))
     member.install(view)
-    assert member.is_head and not member.may_write
+    assert member.is_head
+    assert not member.may_write
     with pytest.raises(ValueError, match="not a head"):
         member.begin()
     member.install(View(3, view.voters, ["a", "b"], {"a": 1, "b": 1}))
--- a/tests/coordination/consensus/test_foreign_messages.py
+++ b/tests/coordination/consensus/test_foreign_messages.py
@@ -25,12 +25,10 @@
 
 
 def test_names_of_clusters() -> None:
-    assert (
-        is_same_cluster("x", "x")
-        and is_same_cluster("", "x")
-        and is_same_cluster("x", "")
-        and is_same_cluster("", "")
-    )
+    assert is_same_cluster("x", "x")
+    assert is_same_cluster("", "x")
+    assert is_same_cluster("x", "")
+    assert is_same_cluster("", "")
     assert not is_same_cluster("x", "y")
 
 
@@ -39,7 +37,8 @@
     acceptor = voter_of()
     saved = acceptor.dump()
     assert not acceptor.learn(evolve(FOREIGN, epoch=epoch))
-    assert acceptor.dump() == saved and acceptor.foreign_rejections == 1
+    assert acceptor.dump() == saved
+    assert acceptor.foreign_rejections == 1
 
 
 @pytest.mark.parametrize(
@@ -50,8 +49,10 @@
     acceptor = voter_of()
     saved = acceptor.dump()
     answer = acceptor.prepare(message)
-    assert not answer.granted and answer.decided is None
-    assert acceptor.dump() == saved and acceptor.foreign_rejections == 1
+    assert not answer.granted
+    assert answer.decided is None
+    assert acceptor.dump() == saved
+    assert acceptor.foreign_rejections == 1
 
 
 def test_no_acceptance_of_a_view_of_another_cluster_or_epoch() -> None:
@@ -65,7 +66,8 @@
 
 def test_a_question_of_another_cluster_is_not_confirmed() -> None:
     acceptor = voter_of()
-    assert acceptor.confirm(ConfirmEpoch(1)) and acceptor.confirm(ConfirmEpoch(1, "cluster-1"))
+    assert acceptor.confirm(ConfirmEpoch(1))
+    assert acceptor.confirm(ConfirmEpoch(1, "cluster-1"))
     assert not acceptor.confirm(ConfirmEpoch(1, "cluster-2"))
     assert acceptor.foreign_rejections == 1
 
@@ -75,7 +77,8 @@
     acceptor = voter_of(older)
     assert acceptor.prepare(Prepare(2, [1, "b"], older)).granted
     assert acceptor.accept(Accept(2, [1, "b"], next_view(BASE))).granted
-    assert acceptor.learn(next_view(BASE)) and acceptor.foreign_rejections == 0
+    assert acceptor.learn(next_view(BASE))
+    assert acceptor.foreign_rejections == 0
 
 
 def test_a_message_to_another_voter_is_not_answered_with_a_vote() -> None:
@@ -88,7 +91,8 @@
     assert not acceptor.accept(proposer.accept(other)).granted
     assert not acceptor.confirm(ConfirmEpoch(1, voter=voter_id(other)))
     assert not acceptor.prepare(proposer.prepare(evolve(VOTERS[0], disk_id="older-disk"))).granted
-    assert acceptor.dump() == saved and acceptor.foreign_rejections == 4
+    assert acceptor.dump() == saved
+    assert acceptor.foreign_rejections == 4
     assert acceptor.prepare(proposer.prepare(VOTERS[0])).granted
     assert acceptor.accept(proposer.accept(VOTERS[0])).granted
 
--- a/tests/coordination/consensus/test_paxos.py
+++ b/tests/coordination/consensus/test_paxos.py
@@ -41,7 +41,9 @@
         view = first_view([Voter(str(number), "d", "") for number in range(count)])
         sizes[count] = (quorum_size(view), min_chain_length(view))
         assert quorum_size(view) + min_chain_length(view) > count  # any majority meets any chain
-    assert sizes[3] == (2, 2) and sizes[4] == (3, 2) and sizes[5] == (3, 3)
+    assert sizes[3] == (2, 2)
+    assert sizes[4] == (3, 2)
+    assert sizes[5] == (3, 3)
 
 
 def test_a_proposal_is_decided_by_a_majority() -> None:
@@ -116,14 +118,16 @@
     acceptor.accept(Accept(2, [1, "b"], next_view("bc")))
     assert not acceptor.confirms(1)
     acceptor.learn(next_view("bc"))
-    assert not acceptor.confirms(1) and acceptor.confirms(2)
+    assert not acceptor.confirms(1)
+    assert acceptor.confirms(2)
 
 
 def test_an_old_proposal_gets_the_decided_view() -> None:
     acceptor = acceptors()["a"]
     acceptor.learn(next_view("ab"))
     answer = acceptor.prepare(Prepare(2, [5, "c"]))
-    assert not answer.granted and answer.decided == next_view("ab")
+    assert not answer.granted
+    assert answer.decided == next_view("ab")
     proposer = Proposer(BASE, next_view("bc"), (5, "c"))
     proposer.on_promise("a", answer)
     assert proposer.decided == next_view("ab")
--- a/tests/coordination/consensus/test_view_consensus.py
+++ b/tests/coordination/consensus/test_view_consensus.py
@@ -302,7 +302,9 @@
         assert not nodes["b"].running.confirm(ConfirmEpoch(1)).ok  # it may have voted: it does not say no
         disk.full = False
         promise = await nodes["b"].handle(Prepare(2, [2, "c"], BASE))
-        assert isinstance(promise, Promise) and promise.granted and promise.accepted == X
+        assert isinstance(promise, Promise)
+        assert promise.granted
+        assert promise.accepted == X
         nodes["b"].lose_power()
         nodes["b"].start()
         assert nodes["b"].running.acceptor.promised == (2, "c")
--- a/tests/coordination/consensus/test_view_discovery.py
+++ b/tests/coordination/consensus/test_view_discovery.py
@@ -11,7 +11,7 @@
 
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import VIEW, ClusterState
-from hollowusher.coordination.consensus.bootstrap import SeedService
+from hollowusher.coordination.consensus.seed_service import SeedService
 from hollowusher.coordination.consensus.view_cache import ViewCache
 from hollowusher.coordination.consensus.view_publisher import SeedSchedule
 from hollowusher.coordination.distribution.cluster_client import ClusterClient
@@ -260,7 +260,8 @@
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
         known = cluster["a"].running.view
-        assert known is not None and known.cluster
+        assert known is not None
+        assert known.cluster
         foreign = View(9, [Voter("x", "d", "10.0.0.88:7780")], ["x"], {"x": 1}, "other")
         older = View(0, [], ["x"], {}, known.cluster)
         seed = Process(cluster, SEEDS[0], [cluster["a"].ip])
@@ -273,8 +274,10 @@
             await cluster["a"].running.handle(ViewDecided(view))
             await seed.handle(ViewDecided(view))
             seed.client.learn_view(view)
-        assert seed.state.view == known and cluster["a"].running.view == known
-        assert seed.seed.foreign_rejections == 2 and seed.client.foreign_views == 1
+        assert seed.state.view == known
+        assert cluster["a"].running.view == known
+        assert seed.seed.foreign_rejections == 2
+        assert seed.client.foreign_views == 1
         assert cluster["a"].running.foreign_rejections == 2
         ghost = AnnounceController(Voter("b", "other-disk", cluster["b"].address), cluster="other")
         assert await cluster["a"].running.handle(ghost) == ViewResponse(known)
@@ -307,10 +310,13 @@
         while not contacts.due(["s"], 3, now):
             now = round(now + 0.05, 2)
         pauses.append(round(now - before, 2))
-    assert pauses[0] == 0.2 and pauses == sorted(pauses) and pauses[-1] == 2.0
-    contacts.answered("s", 3, now)
-    assert contacts.due(["s"], 3, now + 1.9) == [] and contacts.due(["s"], 3, now + 2.0) == ["s"]
-    contacts.answered("s", 3, now)
+    assert pauses[0] == 0.2
+    assert pauses == sorted(pauses)
+    assert pauses[-1] == 2.0
+    contacts.on_answer("s", 3, now)
+    assert contacts.due(["s"], 3, now + 1.9) == []
+    assert contacts.due(["s"], 3, now + 2.0) == ["s"]
+    contacts.on_answer("s", 3, now)
     assert contacts.due(["s"], 4, now + 0.1) == ["s"]  # a newer view goes at once
     assert contacts.due(["t"], 4, now + 0.1) == ["t"]  # as it does to a new seed
     assert contacts.due(["s"], 4, now + 0.2) == ["s"]
--- a/tests/coordination/consensus/test_voter_set.py
+++ b/tests/coordination/consensus/test_voter_set.py
@@ -4,13 +4,10 @@
 
 import itertools
 
+from hollowusher.coordination.consensus.liveness_snapshot import LivenessSnapshot
 from hollowusher.coordination.consensus.paxos import first_view
-from hollowusher.coordination.consensus.reconfiguration import (
-    LivenessSnapshot,
-    VoterHealth,
-    plan_chain,
-    plan_voters,
-)
+from hollowusher.coordination.consensus.reconfiguration import plan_chain, plan_voters
+from hollowusher.coordination.consensus.voter_health import VoterHealth
 from hollowusher.coordination.consensus.voter_set import (
     VoterSetChange,
     choose_voters,
@@ -33,9 +30,9 @@
     health.track(names, 0.0)
     for name in names[1:]:
         at = 90.0 if name in silent else NOW
-        health.answered(Pong(name, f"disk-{name}", 1, True, list(names), name in leaving), at)
+        health.on_pong(Pong(name, f"disk-{name}", 1, True, list(names), name in leaving), at)
         if name in stalled:
-            health._peers[name].last_well = 90.0
+            health._peers[name].last_healthy_pong_s = 90.0
     return health
 
 
@@ -116,15 +113,23 @@
 def test_each_step_is_one_view_that_keeps_the_head_and_the_order() -> None:
     view = first_view(map(voter, "abc"), "cluster")
     swapped = plan_voters(view, voter("n"), "b")
-    assert swapped is not None and swapped.chain == ["a", "c", "n"] and swapped.cluster == "cluster"
+    assert swapped is not None
+    assert swapped.chain == ["a", "c", "n"]
+    assert swapped.cluster == "cluster"
     assert [kept.name for kept in swapped.voters] == ["a", "c", "n"]
-    assert swapped.since == {"a": 1, "c": 1, "n": 2} and swapped.epoch == 2
+    assert swapped.since == {"a": 1, "c": 1, "n": 2}
+    assert swapped.epoch == 2
     grown = plan_voters(view, voter("n"), None)
-    assert grown is not None and grown.chain == ["a", "b", "c", "n"]
+    assert grown is not None
+    assert grown.chain == ["a", "b", "c", "n"]
     shrunk = plan_voters(grown, None, "b")
-    assert shrunk is not None and shrunk.chain == ["a", "c", "n"] and len(shrunk.voters) == 3
-    assert plan_voters(view, None, "a") is None and plan_voters(view, voter("n"), "a") is None  # the head
-    assert plan_voters(view, None, None) is None and plan_voters(view, None, "x") is None
+    assert shrunk is not None
+    assert shrunk.chain == ["a", "c", "n"]
+    assert len(shrunk.voters) == 3
+    assert plan_voters(view, None, "a") is None  # the head
+    assert plan_voters(view, voter("n"), "a") is None
+    assert plan_voters(view, None, None) is None
+    assert plan_voters(view, None, "x") is None
 
 
 def test_the_last_but_one_copy_is_not_left_out_of_the_chain_while_it_is_there() -> None:
@@ -136,23 +141,27 @@
     assert plan_chain(view, joining) is None
     joined = LivenessSnapshot(frozenset("ab"), frozenset("abc"), heard, avoided_members=frozenset("c"))
     planned = plan_chain(view, joined)
-    assert planned is not None and planned.chain == ["a", "b"]
+    assert planned is not None
+    assert planned.chain == ["a", "b"]
     dead = LivenessSnapshot(frozenset("ab"), frozenset("a"), heard)
     planned = plan_chain(view, dead)  # what is dead cannot be waited for
-    assert planned is not None and planned.chain == ["a", "b"]
+    assert planned is not None
+    assert planned.chain == ["a", "b"]
     head_lost = LivenessSnapshot(frozenset("b"), frozenset("c"), heard, avoided_members=frozenset("c"))
     planned = plan_chain(view, head_lost)
-    assert planned is not None and planned.chain == ["c", "b"]
+    assert planned is not None
+    assert planned.chain == ["c", "b"]
 
 
 def test_nobody_leaves_while_too_few_of_the_others_hold_the_state() -> None:
     view = View(5, [voter("a"), voter("b"), voter("c")], ["a", "c", "b"], {"a": 1, "c": 1, "b": 5})
     heard = dict.fromkeys("abc", frozenset("abc"))
     joining = LivenessSnapshot(frozenset("abc"), frozenset("ac"), heard)
-    assert plan_chain(view, joining, leave="a") is None
+    assert plan_chain(view, joining, departing="a") is None
     joined = LivenessSnapshot(frozenset("abc"), frozenset("abc"), heard)
-    planned = plan_chain(view, joined, leave="a")
-    assert planned is not None and planned.chain == ["c", "b"]
+    planned = plan_chain(view, joined, departing="a")
+    assert planned is not None
+    assert planned.chain == ["c", "b"]
     short = View(5, view.voters, ["a", "c"], {"a": 1, "c": 1})
     assert plan_voter_set_change(short, [voter("n")], health_of("abc", leaving="c"), 3, NOW) is None
     assert plan_voter_set_change(view, [voter("n")], health_of("abc", leaving="c"), 3, NOW) == VoterSetChange(
--- a/tests/coordination/consensus/test_voter_set_model.py
+++ b/tests/coordination/consensus/test_voter_set_model.py
@@ -20,7 +20,8 @@
     controllers, losses, newcomers, voters = SIZES[name]
     outcome = explore(VotersModel(controllers, losses, newcomers, voters=voters), SearchBounds(100))
     assert outcome.violation == "", outcome.trace
-    assert outcome.exhausted and outcome.states > 30
+    assert outcome.exhausted
+    assert outcome.states > 30
 
 
 def test_the_older_planner_never_removes_a_voter_and_is_found_out() -> None:
--- a/tests/coordination/consensus/voter_set_model.py
+++ b/tests/coordination/consensus/voter_set_model.py
@@ -10,13 +10,10 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
+from hollowusher.coordination.consensus.liveness_snapshot import take_liveness_snapshot
 from hollowusher.coordination.consensus.paxos import find_voter, first_view, quorum_size
-from hollowusher.coordination.consensus.reconfiguration import (
-    VoterHealth,
-    plan_chain,
-    plan_voters,
-    take_liveness_snapshot,
-)
+from hollowusher.coordination.consensus.reconfiguration import plan_chain, plan_voters
+from hollowusher.coordination.consensus.voter_health import VoterHealth
 from hollowusher.coordination.consensus.voter_set import (
     VoterSetChange,
     plan_voter_set_change,
@@ -117,7 +114,7 @@
         health = self._health(state, view, heads[0])
         if not health.has_quorum(view, NOW):
             return None
-        planned = plan_chain(view, take_liveness_snapshot(health, view, True, NOW))
+        planned = plan_chain(view, take_liveness_snapshot(health, view, is_complete=True, now_s=NOW))
         if planned is not None or heads[0] != view.head:
             return planned
         votes = {(voter.name, voter.disk_id) for voter in view.voters}
@@ -139,7 +136,7 @@
         names = [voter.name for voter in heard]
         for voter in view.voters:
             if voter in heard and voter.name != head:
-                health.answered(Pong(voter.name, voter.disk_id, view.epoch, True, names), NOW)
+                health.on_pong(Pong(voter.name, voter.disk_id, view.epoch, True, names), NOW)
             elif voter.name in lives:
                 health.on_disk_replaced(voter.name)
         return health
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -13,7 +13,7 @@
 
 from hollowusher.configuration.boot import Bind, BootSettings, FaultTolerance
 from hollowusher.coordination.chain.state_store import StateStore
-from hollowusher.coordination.consensus.bootstrap import SeedService
+from hollowusher.coordination.consensus.seed_service import SeedService
 from hollowusher.coordination.controller.controller import Controller
 from hollowusher.protocol.codec import decode, encode
 from hollowusher.protocol.control_chain import ControlState
