--- a/hollowusher/__main__.py
+++ b/hollowusher/__main__.py
@@ -6,7 +6,7 @@
 import sys
 
 ROLES = ("edge", "store")
-CONSOLE = ("local", "system")  # the whole service's commands
+CONSOLE_COMMANDS = ("local", "system")  # the whole service's commands
 
 
 def main(words: list[str] | None = None) -> int:
@@ -19,12 +19,12 @@
 
         return run()
     if given[0] in ROLES:  # the roles of deploy/system.toml, whose libraries `run` does not need
-        from hollowusher.roles.main import run_role
+        from hollowusher.roles.run_role import run_role
 
         return run_role(given[0])
-    needs = "requirements-system.txt" if given[0] in CONSOLE else "requirements-tools.txt"
+    needs = "requirements-system.txt" if given[0] in CONSOLE_COMMANDS else "requirements-tools.txt"
     try:
-        if given[0] in CONSOLE:
+        if given[0] in CONSOLE_COMMANDS:
             from hollowusher.console.commands import cli
         else:
             from hollowusher.scheduler.cli import cli
--- a/hollowusher/console/client.py
+++ b/hollowusher/console/admin_client.py
@@ -13,13 +13,13 @@
 from expression import Error, Ok, Result
 
 CALL_TIMEOUT_S = 4.0
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 1.0
-RETRIED = (408, 429)  # besides every 5xx: another process may give a clear answer
+FIRST_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 1.0
+RETRIED_STATUSES = (408, 429)  # besides every 5xx: another process may give a clear answer
 
 
 @attrs.frozen
-class CallError:
+class AdminCallError:
     """No clear answer: the step that was under way, the last peer asked, and the reason."""
 
     step: str
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Answer:
+class AdminResponse:
     """A clear answer: the process that gave it, its HTTP status and its body."""
 
     peer: str
@@ -40,11 +40,11 @@
     body: bytes
 
     @property
-    def taken(self) -> bool:
+    def is_success(self) -> bool:
         """Whether what was asked for was done."""
         return 200 <= self.status < 300
 
-    def document(self) -> Any:
+    def json_value(self) -> Any:
         """The body's JSON value, None where it is none."""
         try:
             return orjson.loads(self.body)
@@ -54,9 +54,9 @@
     @property
     def reason(self) -> str:
         """Why it was refused, in the system's words."""
-        document = self.document()
-        if isinstance(document, dict) and isinstance(document.get("error"), str):
-            return str(document["error"])
+        json_value = self.json_value()
+        if isinstance(json_value, dict) and isinstance(json_value.get("error"), str):
+            return str(json_value["error"])
         return self.body.decode(errors="replace").strip() or f"status {self.status}"
 
 
@@ -67,7 +67,7 @@
         self._session = session
         self._addresses = list(addresses)
 
-    async def ask(
+    async def request(
         self,
         method: str,
         path: str,
@@ -75,25 +75,25 @@
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
         within_s: float = CALL_TIMEOUT_S,
-    ) -> Result[Answer, CallError]:
+    ) -> Result[AdminResponse, AdminCallError]:
         """The first clear answer; the same request is sent again, to the next address, until then."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + within_s
         step = f"{method} {path}"
-        pause = FIRST_PAUSE_S
+        backoff_s = FIRST_BACKOFF_S
         while True:
             for address in self._addresses:
                 result = await self._call(step, address, body, headers, deadline - loop.time())
                 if result.is_ok():
                     return result
-            if loop.time() + pause >= deadline:
+            if loop.time() + backoff_s >= deadline:
                 return result
-            await asyncio.sleep(pause)
-            pause = min(LONGEST_PAUSE_S, 2 * pause)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
-    async def order_once(
+    async def request_once(
         self, method: str, path: str, body: bytes, within_s: float
-    ) -> Result[Answer, CallError]:
+    ) -> Result[AdminResponse, AdminCallError]:
         """The answer to an order that must not come twice: the next address is tried only where the one
         before cannot have seen it."""
         for address in self._addresses:
@@ -102,28 +102,35 @@
                 return result
         return result
 
-    async def ask_one(self, address: str, path: str, timeout_s: float) -> Result[Answer, CallError]:
+    async def get_from(
+        self, address: str, path: str, timeout_s: float
+    ) -> Result[AdminResponse, AdminCallError]:
         """One process's answer to one GET."""
         return await self._call(f"GET {path}", address, None, None, timeout_s)
 
     async def _call(
-        self, step: str, address: str, body: bytes | None, headers: Mapping[str, str] | None, left_s: float
-    ) -> Result[Answer, CallError]:
+        self,
+        step: str,
+        address: str,
+        body: bytes | None,
+        headers: Mapping[str, str] | None,
+        remaining_s: float,
+    ) -> Result[AdminResponse, AdminCallError]:
         method, _, path = step.partition(" ")
         url = f"http://{address}{path}"
-        timeout = aiohttp.ClientTimeout(total=min(CALL_TIMEOUT_S, max(0.1, left_s)))
+        timeout = aiohttp.ClientTimeout(total=min(CALL_TIMEOUT_S, max(0.1, remaining_s)))
         try:
             async with self._session.request(
                 method, url, data=body, headers=headers, timeout=timeout
             ) as response:
-                answer = Answer(address, response.status, await response.read())
+                answer = AdminResponse(address, response.status, await response.read())
         except TimeoutError:
-            return Error(CallError(step, address, "no answer in time"))
+            return Error(AdminCallError(step, address, "no answer in time"))
         except aiohttp.ClientConnectorError as error:
             reason = f"no connection: {os.strerror(error.errno or 0)}"
-            return Error(CallError(step, address, reason, sent=False))
+            return Error(AdminCallError(step, address, reason, sent=False))
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            return Error(CallError(step, address, str(error) or type(error).__name__))
-        if answer.status >= 500 or answer.status in RETRIED:
-            return Error(CallError(step, address, f"status {answer.status}: {answer.reason}"))
+            return Error(AdminCallError(step, address, str(error) or type(error).__name__))
+        if answer.status >= 500 or answer.status in RETRIED_STATUSES:
+            return Error(AdminCallError(step, address, f"status {answer.status}: {answer.reason}"))
         return Ok(answer)
--- a/hollowusher/console/commands.py
+++ b/hollowusher/console/commands.py
@@ -5,7 +5,7 @@
 import click
 
 from hollowusher.console.local.command import local
-from hollowusher.console.system import system
+from hollowusher.console.system_commands import system
 
 
 @click.group()
--- a/hollowusher/console/control_report.py
+++ b/hollowusher/console/control_report.py
@@ -4,33 +4,37 @@
 
 from expression import Error, Ok, Result
 
-from hollowusher.console.client import Answer, CallError
-from hollowusher.console.tables import Cell, table
+from hollowusher.console.admin_client import AdminCallError, AdminResponse
+from hollowusher.console.text_table import Cell, format_table
 from hollowusher.protocol.codec import from_document
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
 
 NONE = "-"
 
 
-def read_control(answer: Answer) -> Result[ControlStatus, CallError]:
+def parse_control_status(answer: AdminResponse) -> Result[ControlStatus, AdminCallError]:
     """The status in an answer's body; fields that are not known here are left out."""
-    document = answer.document()
-    if not answer.taken or not isinstance(document, dict):
-        return Error(CallError("read the control status", answer.peer, f"status {answer.status}, no report"))
+    document = answer.json_value()
+    if not answer.is_success or not isinstance(document, dict):
+        return Error(
+            AdminCallError("read the control status", answer.peer, f"status {answer.status}, no report")
+        )
     try:
         voters = [from_document(VoterStatus, each) for each in document["voters"]]
         partitions = [from_document(PartitionStatus, each) for each in document["partitions"]]
         whole = document | {"voters": voters, "partitions": partitions}
         return Ok(from_document(ControlStatus, whole))
     except (KeyError, TypeError, AttributeError) as error:
-        return Error(CallError("read the control status", answer.peer, f"{type(error).__name__}: {error}"))
+        return Error(
+            AdminCallError("read the control status", answer.peer, f"{type(error).__name__}: {error}")
+        )
 
 
-def control_lines(status: ControlStatus) -> list[tuple[str, str]]:
+def control_summary(status: ControlStatus) -> list[tuple[str, str]]:
     """The control's part of the overview, as names and texts."""
     heard = sum(voter.heard for voter in status.voters)
     role = "leads" if status.leads else "does not lead: others may know more"
-    controllers, stores = _borne(status.controller_losses_borne), _stores_borne(status)
+    controllers, stores = _losses_text(status.controller_losses_borne), _store_losses_text(status)
     lines = [
         ("told by", f"{status.answered_by}, which {role}"),
         ("state", f"sequence {status.sequence} in epoch {status.epoch}, generation {status.generation}"),
@@ -43,17 +47,17 @@
     return lines
 
 
-def _borne(margin: int) -> str:
-    if margin < 0:
+def _losses_text(losses_borne: int) -> str:
+    if losses_borne < 0:
         return "too many are lost already"
-    return "no further loss" if margin == 0 else f"{margin} more may be lost"
+    return "no further loss" if losses_borne == 0 else f"{losses_borne} more may be lost"
 
 
-def _stores_borne(status: ControlStatus) -> str:
-    return _borne(status.store_losses_borne) if status.partitions else "nothing known"
+def _store_losses_text(status: ControlStatus) -> str:
+    return _losses_text(status.store_losses_borne) if status.partitions else "nothing known"
 
 
-def voters_table(status: ControlStatus) -> str:
+def format_voters(status: ControlStatus) -> str:
     """The voters: who is heard, who is in the chain, and how far each has caught up."""
     newest = max((tuple(voter.state_version) for voter in status.voters), default=())
     rows: list[list[Cell]] = [
@@ -61,17 +65,17 @@
             voter.name,
             voter.disk_id,
             _yes(voter.heard),
-            _duty(voter, status),
+            _chain_role(voter, status),
             _yes(voter.complete),
             _version(voter),
-            _behind(voter, newest),
+            _lag_text(voter, newest),
         ]
         for voter in status.voters
     ]
-    return table(["voter", "disk", "heard", "duty", "whole state", "holds", "behind"], rows)
+    return format_table(["voter", "disk", "heard", "duty", "whole state", "holds", "behind"], rows)
 
 
-def _duty(voter: VoterStatus, status: ControlStatus) -> str:
+def _chain_role(voter: VoterStatus, status: ControlStatus) -> str:
     if voter.name == status.head:
         return "head"
     if voter.name == status.tail:
@@ -84,7 +88,7 @@
     return "/".join(str(number) for number in voter.state_version) or NONE
 
 
-def _behind(voter: VoterStatus, newest: tuple[int, ...]) -> str:
+def _lag_text(voter: VoterStatus, newest: tuple[int, ...]) -> str:
     held = tuple(voter.state_version)
     if len(held) != 2 or len(newest) != 2:
         return NONE
@@ -93,24 +97,24 @@
     return str(newest[1] - held[1]) if held[0] == newest[0] else f"epoch {held[0]} of {newest[0]}"
 
 
-def partitions_table(status: ControlStatus) -> str:
+def format_partitions(status: ControlStatus) -> str:
     """The partitions that lack replicas or are being copied, empty where there are none."""
     rows: list[list[Cell]] = [
         [
             entry.partition,
             entry.epoch,
-            _machine(entry.primary),
+            _store_name(entry.primary),
             f"{entry.living}/{entry.replicas}",
-            ", ".join(_machine(learner) for learner in entry.learners) or NONE,
+            ", ".join(_store_name(learner) for learner in entry.learners) or NONE,
             "LOST" if entry.lost else "",
         ]
         for entry in status.partitions
         if entry.lost or entry.learners or entry.living < entry.replicas
     ]
-    return table(["partition", "epoch", "led by", "living", "catching up", ""], rows) if rows else ""
+    return format_table(["partition", "epoch", "led by", "living", "catching up", ""], rows) if rows else ""
 
 
-def control_lacks(status: ControlStatus) -> list[str]:
+def control_problems(status: ControlStatus) -> list[str]:
     """What is not as it should be, one line each."""
     found = []
     if not status.leads:
@@ -121,8 +125,10 @@
         behind = [voter.name for voter in status.voters if voter.heard and not voter.complete]
         reasons = [f"not heard: {', '.join(unheard)}"] if unheard else []
         reasons += [f"without the whole state: {', '.join(behind)}"] if behind else []
-        margin = _borne(status.controller_losses_borne)
-        found.append("; ".join([f"margin of the controllers: {margin}, whole it is {wanted}", *reasons]))
+        losses_borne = _losses_text(status.controller_losses_borne)
+        found.append(
+            "; ".join([f"margin of the controllers: {losses_borne}, whole it is {wanted}", *reasons])
+        )
     for entry in status.partitions:
         if entry.lost:
             found.append(
@@ -132,7 +138,7 @@
     return found
 
 
-def _machine(store_id: str) -> str:
+def _store_name(store_id: str) -> str:
     return store_id.partition("/")[0]
 
 
--- a/hollowusher/console/local/command.py
+++ b/hollowusher/console/local/command.py
@@ -17,18 +17,26 @@
 import click
 import orjson
 
-from hollowusher.console.client import AdminClient, CallError
-from hollowusher.console.local.layout import EDGE, Layout, LayoutError, make_layout, write_settings
+from hollowusher.console.admin_client import AdminCallError, AdminClient
+from hollowusher.console.local.layout import EDGE, LayoutError, LocalLayout, make_layout, write_settings
 from hollowusher.console.local.processes import LocalProcesses, ProcessEnded
-from hollowusher.console.local.standins import (
-    CallbackReceiver,
-    Ledger,
-    ListedWorker,
-    PlatformList,
-    PullWorker,
-    PushWorker,
+from hollowusher.console.local.stub_services import (
+    StubCallbackReceiver,
+    StubInstance,
+    StubPlatform,
+    StubPullWorker,
+    StubPushWorker,
+    StubWorkerHistory,
+)
+from hollowusher.console.local.traffic import (
+    TRAFFIC_CLASSES,
+    TrafficClient,
+    find_failures,
+    format_messages,
+    format_summary,
+    make_configuration,
+    plan_messages,
 )
-from hollowusher.console.local.traffic import KINDS, Traffic, configuration, each, faults, plan, summary
 
 START_WITHIN_S = 40.0
 END_WITHIN_S = 60.0
@@ -36,7 +44,7 @@
 PUSH_WORKERS = 3
 PULL_WORKERS = 4
 CAPACITY = 4
-FAILED = 1
+EXIT_FAILED = 1
 Value = TypeVar("Value")
 
 
@@ -62,7 +70,7 @@
     except (LocalError, LayoutError, ProcessEnded) as failure:
         click.echo(f"failed: {failure}", err=True)
         click.echo(f"logs and settings: {folder}", err=True)
-        raise SystemExit(FAILED) from None
+        raise SystemExit(EXIT_FAILED) from None
     shutil.rmtree(folder)
 
 
@@ -71,7 +79,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stop.set)
-    work = loop.create_task(_play(folder, edges, stores, messages, show_each, stop if keep else None))
+    work = loop.create_task(_run_session(folder, edges, stores, messages, show_each, stop if keep else None))
     stopped = loop.create_task(stop.wait())
     await asyncio.wait({work, stopped}, return_when=asyncio.FIRST_COMPLETED)
     if not work.done() and not keep:
@@ -83,71 +91,73 @@
         raise LocalError("stopped") from None
 
 
-async def _play(
+async def _run_session(
     folder: Path, edges: int, stores: int, messages: int, show_each: bool, keep_until: asyncio.Event | None
 ) -> None:
     """One whole run; with `keep_until` the system then serves until that is set."""
-    chance = random.Random()
-    progress = Progress()
-    layout = make_layout(edges, stores, chance)
+    random_source = random.Random()
+    progress = ProgressLines()
+    layout = make_layout(edges, stores, random_source)
     async with AsyncExitStack() as stack:
         session = await stack.enter_async_context(aiohttp.ClientSession())
-        outside = StandIns(layout, session, chance)
-        stack.push_async_callback(outside.stop)
-        await outside.start()
-        settings = write_settings(layout, folder, outside.platform.address)
+        stubs = StubServices(layout, session, random_source)
+        stack.push_async_callback(stubs.stop)
+        await stubs.start()
+        settings = write_settings(layout, folder, stubs.platform.address)
         processes = LocalProcesses(layout, folder, settings)
         stack.push_async_callback(_stop_processes, processes, progress)
         processes.start()
-        progress.tell(f"{edges} edge and {stores} store processes started, files in {folder}")
-        await _configure(layout, session, processes, outside)
-        progress.tell(f"configuration taken: {len(KINDS)} routes")
+        progress.show(f"{edges} edge and {stores} store processes started, files in {folder}")
+        await _configure(layout, session, processes, stubs)
+        progress.show(f"configuration taken: {len(TRAFFIC_CLASSES)} routes")
         await _wait_ready(layout, session, processes)
-        progress.tell("every edge process is ready")
-        sent = plan(messages, outside.receiver.address)
-        traffic = Traffic(session, outside.entries, chance)
-        await _beside(processes, traffic.send(sent))
-        progress.tell(f"{messages} messages sent")
-        await _beside(processes, traffic.follow(sent, outside.receiver, END_WITHIN_S))
-        progress.tell("ends asked for")
+        progress.show("every edge process is ready")
+        sent = plan_messages(messages, stubs.receiver.address)
+        traffic = TrafficClient(session, stubs.frontends, random_source)
+        await _while_processes_run(processes, traffic.send(sent))
+        progress.show(f"{messages} messages sent")
+        await _while_processes_run(processes, traffic.follow(sent, stubs.receiver, END_WITHIN_S))
+        progress.show("ends asked for")
         if show_each:
-            click.echo(each(sent, outside.ledger) + "\n")
-        click.echo(summary(sent))
-        found = faults(sent, outside.ledger, outside.receiver)
+            click.echo(format_messages(sent, stubs.history) + "\n")
+        click.echo(format_summary(sent))
+        found = find_failures(sent, stubs.history, stubs.receiver)
         if keep_until is not None:
-            _tell_how_to_ask(layout)
+            _print_next_steps(layout)
             await keep_until.wait()
     if found:
         raise LocalError("\n".join(found))
 
 
-class Progress:
+class ProgressLines:
     """Lines on standard error with the seconds since the start."""
 
     def __init__(self) -> None:
         self._started = time.monotonic()
 
-    def tell(self, text: str) -> None:
+    def show(self, text: str) -> None:
         """One line."""
         click.echo(f"{time.monotonic() - self._started:6.1f} s  {text}", err=True)
 
 
-class StandIns:
+class StubServices:
     """Everything outside the system."""
 
-    def __init__(self, layout: Layout, session: aiohttp.ClientSession, chance: random.Random) -> None:
+    def __init__(
+        self, layout: LocalLayout, session: aiohttp.ClientSession, random_source: random.Random
+    ) -> None:
         ip = layout.stand_in_ip
-        push, pull, fixed = (kind.service for kind in KINDS)
-        self.ledger = Ledger()
-        self.platform = PlatformList(ip)
-        self.receiver = CallbackReceiver(ip)
-        self.fixed = PushWorker(ip, f"{fixed}-1", self.ledger)
-        self.entries = [machine.address("frontend") for machine in layout.of_role(EDGE)]
+        push, pull, fixed = (traffic_class.service for traffic_class in TRAFFIC_CLASSES)
+        self.history = StubWorkerHistory()
+        self.platform = StubPlatform(ip)
+        self.receiver = StubCallbackReceiver(ip)
+        self.fixed = StubPushWorker(ip, f"{fixed}-1", self.history)
+        self.frontends = [machine.address("frontend") for machine in layout.of_role(EDGE)]
         self._push = [
-            PushWorker(ip, f"{push}-{number}", self.ledger) for number in range(1, PUSH_WORKERS + 1)
+            StubPushWorker(ip, f"{push}-{number}", self.history) for number in range(1, PUSH_WORKERS + 1)
         ]
         self._pull = [
-            PullWorker(f"{pull}-{number}", pull, self.entries, self.ledger, session, chance)
+            StubPullWorker(f"{pull}-{number}", pull, self.frontends, self.history, session, random_source)
             for number in range(1, PULL_WORKERS + 1)
         ]
         self._service = push
@@ -159,7 +169,7 @@
         for server in (self.platform, self.receiver, self.fixed, *self._push):
             await server.start()
         self.platform.workers = [
-            ListedWorker(worker.name, self._service, worker.address, zone, CAPACITY)
+            StubInstance(worker.name, self._service, worker.address, zone, CAPACITY)
             for worker, zone in zip(self._push, self._zones, strict=False)
         ]
         self._tasks = [asyncio.get_running_loop().create_task(worker.run()) for worker in self._pull]
@@ -174,37 +184,38 @@
 
 
 async def _configure(
-    layout: Layout, session: aiohttp.ClientSession, processes: LocalProcesses, outside: StandIns
+    layout: LocalLayout, session: aiohttp.ClientSession, processes: LocalProcesses, stubs: StubServices
 ) -> None:
     """Put the configuration, again until the system takes it."""
     client = AdminClient(session, [machine.address("admin") for machine in layout.of_role(EDGE)])
-    body = orjson.dumps(configuration(outside.fixed.address))
-    result = await _beside(
-        processes, client.ask("PUT", "/config", body=body, headers={"If-Match": "0"}, within_s=START_WITHIN_S)
+    body = orjson.dumps(make_configuration(stubs.fixed.address))
+    result = await _while_processes_run(
+        processes,
+        client.request("PUT", "/config", body=body, headers={"If-Match": "0"}, within_s=START_WITHIN_S),
     )
     if result.is_error():
-        failure: CallError = result.error
+        failure: AdminCallError = result.error
         raise LocalError(f"the configuration was not taken: {failure}")
-    if not result.ok.taken:
+    if not result.ok.is_success:
         raise LocalError(f"the configuration was refused: {result.ok.reason}")
 
 
-async def _wait_ready(layout: Layout, session: aiohttp.ClientSession, processes: LocalProcesses) -> None:
+async def _wait_ready(layout: LocalLayout, session: aiohttp.ClientSession, processes: LocalProcesses) -> None:
     """Wait until every edge process says that it can serve."""
     client = AdminClient(session, [])
     deadline = asyncio.get_running_loop().time() + START_WITHIN_S
     for machine in layout.of_role(EDGE):
         while True:
             processes.check()
-            answer = await client.ask_one(machine.address("readiness"), "/readyz", 1.0)
-            if answer.is_ok() and answer.ok.taken:
+            answer = await client.get_from(machine.address("readiness"), "/readyz", 1.0)
+            if answer.is_ok() and answer.ok.is_success:
                 break
             if asyncio.get_running_loop().time() > deadline:
                 raise LocalError(f"{machine.name} is not ready within {START_WITHIN_S:g} s")
             await asyncio.sleep(POLL_S)
 
 
-async def _beside(processes: LocalProcesses, work: Awaitable[Value]) -> Value:
+async def _while_processes_run(processes: LocalProcesses, work: Awaitable[Value]) -> Value:
     """Do some work; a process that ends meanwhile breaks it off."""
     task = asyncio.ensure_future(work)
     try:
@@ -216,12 +227,12 @@
     return task.result()
 
 
-async def _stop_processes(processes: LocalProcesses, progress: Progress) -> None:
-    untidy = await asyncio.to_thread(processes.stop)
-    progress.tell("all processes have ended" + (f", in disorder: {', '.join(untidy)}" if untidy else ""))
+async def _stop_processes(processes: LocalProcesses, progress: ProgressLines) -> None:
+    failed = await asyncio.to_thread(processes.stop)
+    progress.show("all processes have ended" + (f", in disorder: {', '.join(failed)}" if failed else ""))
 
 
-def _tell_how_to_ask(layout: Layout) -> None:
+def _print_next_steps(layout: LocalLayout) -> None:
     admin = layout.of_role(EDGE)[0].address("admin")
     click.echo(
         f"\nThe system runs on; Ctrl-C ends it.  In another terminal:\n"
--- a/hollowusher/console/local/layout.py
+++ b/hollowusher/console/local/layout.py
@@ -13,12 +13,12 @@
 
 EDGE = "edge"
 STORE = "store"
-PORTS = ("frontend", "readiness", "admin", "internal", "status")
+ENDPOINTS = ("frontend", "readiness", "admin", "internal", "status")
 LOWEST_PORT, HIGHEST_PORT = 20_000, 30_000  # below the range that the kernel gives to outgoing connections
-TRIES = 50
+MAX_ATTEMPTS = 50
 GRACE_S = 4
 TOLERATED = 1
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 DISK_MB = {EDGE: 16, STORE: 64}
 STAND_IN_HOST = 250  # the last number of the address that all stand-ins share
 
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Machine:
+class LocalMachine:
     """One process of the system, as if alone on its machine."""
 
     name: str
@@ -37,60 +37,60 @@
     ip: str
     ports: dict[str, int]
 
-    def address(self, side: str) -> str:
+    def address(self, endpoint: str) -> str:
         """Where one side of it listens ("ip:port")."""
-        return f"{self.ip}:{self.ports[side]}"
+        return f"{self.ip}:{self.ports[endpoint]}"
 
 
 @attrs.frozen
-class Layout:
+class LocalLayout:
     """All machines of a local system."""
 
-    machines: list[Machine]
+    machines: list[LocalMachine]
     stand_in_ip: str
 
-    def of_role(self, role: str) -> list[Machine]:
+    def of_role(self, role: str) -> list[LocalMachine]:
         """The machines of one role."""
         return [machine for machine in self.machines if machine.role == role]
 
 
-def make_layout(edges: int, stores: int, chance: random.Random) -> Layout:
+def make_layout(edges: int, stores: int, random_source: random.Random) -> LocalLayout:
     """A layout on loopback addresses of its own whose ports are free; zones are dealt in turn."""
-    for _ in range(TRIES):
-        layout = _draw(edges, stores, chance)
-        if _is_free(layout):
+    for _ in range(MAX_ATTEMPTS):
+        layout = _random_layout(edges, stores, random_source)
+        if _has_free_ports(layout):
             return layout
-    raise LayoutError(f"no free loopback addresses found in {TRIES} tries")
+    raise LayoutError(f"no free loopback addresses found in {MAX_ATTEMPTS} tries")
 
 
-def _draw(edges: int, stores: int, chance: random.Random) -> Layout:
-    net = f"127.{chance.randrange(1, 255)}.{chance.randrange(0, 255)}"
-    base = chance.randrange(LOWEST_PORT, HIGHEST_PORT, len(PORTS))
-    ports = {side: base + offset for offset, side in enumerate(PORTS)}
+def _random_layout(edges: int, stores: int, random_source: random.Random) -> LocalLayout:
+    net = f"127.{random_source.randrange(1, 255)}.{random_source.randrange(0, 255)}"
+    base = random_source.randrange(LOWEST_PORT, HIGHEST_PORT, len(ENDPOINTS))
+    ports = {endpoint: base + offset for offset, endpoint in enumerate(ENDPOINTS)}
     names = [(EDGE, number) for number in range(1, edges + 1)]
     names += [(STORE, number) for number in range(1, stores + 1)]
     machines = [
-        Machine(f"{role}-{number}", role, f"zone-{'abc'[(number - 1) % 3]}", f"{net}.{index}", ports)
+        LocalMachine(f"{role}-{number}", role, f"zone-{'abc'[(number - 1) % 3]}", f"{net}.{index}", ports)
         for index, (role, number) in enumerate(names, start=1)
     ]
-    return Layout(machines, f"{net}.{STAND_IN_HOST}")
+    return LocalLayout(machines, f"{net}.{STAND_IN_HOST}")
 
 
-def _is_free(layout: Layout) -> bool:
+def _has_free_ports(layout: LocalLayout) -> bool:
     with ExitStack() as stack:
         for machine in layout.machines:
             for port in machine.ports.values():
-                probe = stack.enter_context(socket.socket())
+                bound_socket = stack.enter_context(socket.socket())
                 try:
-                    probe.bind((machine.ip, port))
+                    bound_socket.bind((machine.ip, port))
                 except OSError:
                     return False
     return True
 
 
-def write_settings(layout: Layout, folder: Path, platform_list: str) -> dict[str, Path]:
+def write_settings(layout: LocalLayout, folder: Path, platform_list: str) -> dict[str, Path]:
     """Write each machine's settings file and make its data folder; the files by the machine's name."""
-    seeds = [machine.address("admin") for machine in layout.of_role(EDGE)[:MOST_SEEDS]]
+    seeds = [machine.address("admin") for machine in layout.of_role(EDGE)[:MAX_SEEDS]]
     files = {}
     for machine in layout.machines:
         data = folder / machine.name / "data"
@@ -100,12 +100,12 @@
     return files
 
 
-def settings_text(machine: Machine, data: Path, seeds: Iterable[str], platform_list: str) -> str:
+def settings_text(machine: LocalMachine, data: Path, seeds: Iterable[str], platform_list: str) -> str:
     """One machine's settings file."""
     serves = ["edge", "control_plane"] if machine.role == EDGE else ["storage"]
     machine_class = "edge" if machine.role == EDGE else "storage"
-    sides = ("frontend", "readiness", "admin") if machine.role == EDGE else ()
-    bind = "\n".join(f'{side} = "{machine.address(side)}"' for side in sides)
+    endpoints = ("frontend", "readiness", "admin") if machine.role == EDGE else ()
+    bind = "\n".join(f'{endpoint} = "{machine.address(endpoint)}"' for endpoint in endpoints)
     internal, status = machine.ports["internal"], machine.ports["status"]
     return f"""\
 nodeName = "{machine.name}"
--- a/hollowusher/console/local/processes.py
+++ b/hollowusher/console/local/processes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import hollowusher
-from hollowusher.console.local.layout import GRACE_S, Layout
+from hollowusher.console.local.layout import GRACE_S, LocalLayout
 
 SETTINGS_VARIABLE = "HOLLOWUSHER_CONFIG"
 END_MARGIN_S = 3.0  # given beyond the grace before a process is killed
@@ -26,7 +26,7 @@
 class LocalProcesses:
     """The processes of one layout; each one's log is `NAME/log` in the folder."""
 
-    def __init__(self, layout: Layout, folder: Path, settings: Mapping[str, Path]) -> None:
+    def __init__(self, layout: LocalLayout, folder: Path, settings: Mapping[str, Path]) -> None:
         self._layout = layout
         self._folder = folder
         self._settings = settings
@@ -60,9 +60,9 @@
             with suppress(ProcessLookupError):
                 process.terminate()
         deadline = time.monotonic() + GRACE_S + END_MARGIN_S
-        untidy = [name for name, process in self.running.items() if not _ended(process, deadline)]
+        failed = [name for name, process in self.running.items() if not _ended(process, deadline)]
         self.running.clear()
-        return untidy
+        return failed
 
     def _log(self, name: str) -> Path:
         return self._folder / name / "log"
--- a/hollowusher/console/local/standins.py
+++ b/hollowusher/console/local/stub_services.py
@@ -15,8 +15,8 @@
 import orjson
 from aiohttp import web
 
-POISON = b"poison"  # a body that workers refuse for good
-FLAKY = b"flaky"  # a body whose first delivery fails
+FAILING_BODY = b"poison"  # a body that workers refuse for good
+FAILING_ONCE_BODY = b"flaky"  # a body whose first delivery fails
 PULL_WAIT_MS = 1000
 PAUSE_AFTER_FAILURE_S = 0.2
 WORK_S = 0.02
@@ -24,7 +24,7 @@
 ATTEMPT_ID = "X-Attempt-Id"
 
 
-class Ledger:
+class StubWorkerHistory:
     """What the workers did: the signature of each message's success, and how often it was delivered."""
 
     def __init__(self) -> None:
@@ -34,16 +34,16 @@
     def run(self, worker: str, message_id: str, body: bytes) -> tuple[int, str]:
         """The status and signature of one delivery."""
         count = self.deliveries[message_id] = self.deliveries.get(message_id, 0) + 1
-        if body.startswith(POISON):
+        if body.startswith(FAILING_BODY):
             return 422, ""
-        if body.startswith(FLAKY) and count == 1:
+        if body.startswith(FAILING_ONCE_BODY) and count == 1:
             return 500, ""
         signature = f"{worker}.{message_id}.{count}"
         self.signatures[message_id] = signature
         return 200, signature
 
 
-class Server:
+class StubServer:
     """A server on one address; `address` holds its port once it has started."""
 
     def __init__(self, ip: str) -> None:
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen
-class ListedWorker:
+class StubInstance:
     """An entry of the platform's list."""
 
     id: str
@@ -79,12 +79,12 @@
     capacity: int
 
 
-class PlatformList(Server):
+class StubPlatform(StubServer):
     """`GET /instances`."""
 
     def __init__(self, ip: str) -> None:
         super().__init__(ip)
-        self.workers: list[ListedWorker] = []
+        self.workers: list[StubInstance] = []
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != "/instances":
@@ -106,13 +106,13 @@
         return web.Response(body=body, content_type="application/json")
 
 
-class PushWorker(Server):
+class StubPushWorker(StubServer):
     """A worker that is sent its jobs: a listed one, or a fixed endpoint."""
 
-    def __init__(self, ip: str, name: str, ledger: Ledger) -> None:
+    def __init__(self, ip: str, name: str, history: StubWorkerHistory) -> None:
         super().__init__(ip)
         self.name = name
-        self._ledger = ledger
+        self._history = history
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.method == "GET":
@@ -123,44 +123,44 @@
             return web.Response(status=400 if not message_id else 421, headers={"X-Not-Executed": "1"})
         body = await request.read()
         await asyncio.sleep(WORK_S)
-        status, signature = self._ledger.run(self.name, message_id, body)
+        status, signature = self._history.run(self.name, message_id, body)
         headers = {ATTEMPT_ID: message_id}
         if signature:
             headers[SIGNATURE] = signature
         return web.Response(status=status, headers=headers)
 
 
-class CallbackReceiver(Server):
-    """Takes call-backs; `told` holds the state and signature reported for each message."""
+class StubCallbackReceiver(StubServer):
+    """Takes call-backs; `received` holds the state and signature reported for each message."""
 
     def __init__(self, ip: str) -> None:
         super().__init__(ip)
-        self.told: dict[str, tuple[str, str]] = {}
+        self.received: dict[str, tuple[str, str]] = {}
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
         report = orjson.loads(await request.read())
-        self.told[report["id"]] = (report["state"], report.get("signature") or "")
+        self.received[report["id"]] = (report["state"], report.get("signature") or "")
         return web.Response()
 
 
-class PullWorker:
+class StubPullWorker:
     """A worker that asks for its jobs, one at a time, at any of the system's entries."""
 
     def __init__(
         self,
         name: str,
         service: str,
-        entries: list[str],
-        ledger: Ledger,
+        frontends: list[str],
+        history: StubWorkerHistory,
         session: aiohttp.ClientSession,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
         self.name = name
         self._service = service
-        self._entries = entries
-        self._ledger = ledger
+        self._frontends = frontends
+        self._history = history
         self._session = session
-        self._chance = chance
+        self._random_source = random_source
 
     async def run(self) -> None:
         """Ask, work and report until cancelled."""
@@ -181,7 +181,7 @@
             message_id = response.headers[ATTEMPT_ID]
             lease = response.headers["X-Lease-Id"]
         await asyncio.sleep(WORK_S)
-        status, signature = self._ledger.run(self.name, message_id, body)
+        status, signature = self._history.run(self.name, message_id, body)
         await self._end(message_id, {"X-Lease-Id": lease, "X-Job-Result": str(status), SIGNATURE: signature})
 
     async def _end(self, message_id: str, headers: dict[str, str]) -> None:
@@ -195,4 +195,4 @@
             await asyncio.sleep(PAUSE_AFTER_FAILURE_S)
 
     def _url(self, path: str) -> str:
-        return f"http://{self._chance.choice(self._entries)}{path}"
+        return f"http://{self._random_source.choice(self._frontends)}{path}"
--- a/hollowusher/console/status_api.py
+++ b/hollowusher/console/status_api.py
@@ -23,8 +23,8 @@
 MESSAGE_PATH = "/messages/{reference}"
 CONTROL_PATH = "/control"
 MESSAGE_TIMEOUT_S = 1.8
-Figures = Callable[[], Mapping[str, Mapping[str, int]]]
-ControlQuestion = Callable[[], Awaitable[ControlStatus | None]]
+ReadCounters = Callable[[], Mapping[str, Mapping[str, int]]]
+QueryControlStatus = Callable[[], Awaitable[ControlStatus | None]]
 
 
 class MessageStates(Protocol):
@@ -43,9 +43,9 @@
         state: ClusterState,
         messages: MessageStates,
         ready: Callable[[], bool],
-        figures: Figures,
+        figures: ReadCounters,
         clock: Callable[[], float],
-        control: ControlQuestion | None = None,
+        control: QueryControlStatus | None = None,
     ) -> None:
         self._me = me
         self._state = state
@@ -69,7 +69,7 @@
             self._workers_changed = self._clock()
 
     async def _status(self, request: web.Request) -> web.Response:
-        from hollowusher.console.report import ProcessReport, status_report
+        from hollowusher.console.status_report import ProcessReport, make_status_report
 
         me, now, configuration = self._me(), self._clock(), self._state.configuration
         process = ProcessReport(
@@ -81,7 +81,9 @@
             0 if configuration is None else configuration.generation,
             round(now - self._started, 1),
         )
-        report = status_report(process, self._state, round(now - self._workers_changed, 1), self._figures())
+        report = make_status_report(
+            process, self._state, round(now - self._workers_changed, 1), self._figures()
+        )
         return _json(200, report)
 
     async def _control(self, request: web.Request) -> web.Response:
@@ -104,11 +106,11 @@
                 "reference": reference,
                 "state": answer.state,
                 "signature": answer.signature,
-                **self._place(reference),
+                **self._partition_fields(reference),
             },
         )
 
-    def _place(self, reference: str) -> dict[str, object]:
+    def _partition_fields(self, reference: str) -> dict[str, object]:
         """The partition that keeps a message, as far as it is known here."""
         number = reference.partition("-")[0]
         entry = (
--- a/hollowusher/console/report.py
+++ b/hollowusher/console/status_report.py
@@ -16,8 +16,8 @@
 from hollowusher.protocol.placement import PartitionPlacement
 from hollowusher.protocol.worker_list import PlatformWorker
 
-MOST_MEMBERS = 512
-MOST_PARTITIONS = 256
+MAX_MEMBERS = 512
+MAX_PARTITIONS = 256
 
 PRESENT = "present"
 DEAD = "dead"  # its process is not there
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CopyReport:
+class ReplicaReport:
     """One copy of a partition, by the name of its machine."""
 
     store: str
@@ -63,11 +63,11 @@
     partition: int
     epoch: int
     primary: str
-    copies: list[CopyReport]
-    learners: list[CopyReport]
+    copies: list[ReplicaReport]
+    learners: list[ReplicaReport]
 
     @property
-    def lacking(self) -> int:
+    def missing_replicas(self) -> int:
         """How many of its copies are not there."""
         return sum(copy.state != PRESENT for copy in self.copies)
 
@@ -140,7 +140,7 @@
     figures: dict[str, dict[str, int]] = field(default_factory=dict)
 
 
-def status_report(
+def make_status_report(
     process: ProcessReport,
     state: ClusterState,
     workers_age_s: float,
@@ -170,12 +170,14 @@
         return None
     reports = [_partition(entry, state.members) for entry in placement.partitions]
     shown = reports
-    if len(reports) > MOST_PARTITIONS:
-        shown = sorted(reports, key=lambda report: (-report.lacking, report.partition))[:MOST_PARTITIONS]
+    if len(reports) > MAX_PARTITIONS:
+        shown = sorted(reports, key=lambda report: (-report.missing_replicas, report.partition))[
+            :MAX_PARTITIONS
+        ]
     return PlacementReport(
         placement.version,
         len(reports),
-        sum(report.lacking for report in reports),
+        sum(report.missing_replicas for report in reports),
         sum(_copy(entry.primary, state.members).state != PRESENT for entry in placement.partitions),
         shown,
     )
@@ -185,31 +187,31 @@
     return PartitionReport(
         entry.partition,
         entry.epoch,
-        _machine(entry.primary),
+        _store_name(entry.primary),
         [_copy(store_id, members) for store_id in entry.replicas],
         [_copy(store_id, members) for store_id in entry.learners],
     )
 
 
-def _machine(store_id: str) -> str:
+def _store_name(store_id: str) -> str:
     return store_id.partition("/")[0]
 
 
-def _copy(store_id: str, members: Mapping[str, Member]) -> CopyReport:
-    member = members.get(_machine(store_id))
+def _copy(store_id: str, members: Mapping[str, Member]) -> ReplicaReport:
+    member = members.get(_store_name(store_id))
     if member is None:
         state = UNKNOWN
     elif member.store_id != store_id:
         state = OTHER_DISK
     else:
         state = PRESENT if member.alive else DEAD
-    return CopyReport(_machine(store_id), state)
+    return ReplicaReport(_store_name(store_id), state)
 
 
 def _members(state: ClusterState) -> MembersReport:
     members = [member for _, member in sorted(state.members.items())]
     alive = sum(member.alive for member in members)
-    return MembersReport(len(members), alive, [_member(member) for member in members[:MOST_MEMBERS]])
+    return MembersReport(len(members), alive, [_member(member) for member in members[:MAX_MEMBERS]])
 
 
 def _member(member: Member) -> MemberReport:
--- a/hollowusher/console/views.py
+++ b/hollowusher/console/status_tables.py
@@ -1,4 +1,4 @@
-"""What the commands show of a survey, a configuration and a message, as text.  No I/O."""
+"""Formats the status of a system, a configuration and a message as text.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 import attrs
 
-from hollowusher.console.client import CallError
+from hollowusher.console.admin_client import AdminCallError
 from hollowusher.console.control_report import (
-    control_lacks,
-    control_lines,
-    partitions_table,
-    voters_table,
+    control_problems,
+    control_summary,
+    format_partitions,
+    format_voters,
 )
-from hollowusher.console.report import (
+from hollowusher.console.status_report import (
     PRESENT,
     MemberReport,
     PartitionReport,
@@ -23,9 +23,9 @@
     ProcessReport,
     StatusReport,
 )
-from hollowusher.console.store_view import store_lacks, stores_table
-from hollowusher.console.survey import Survey
-from hollowusher.console.tables import Cell, table
+from hollowusher.console.store_tables import format_stores, store_problems
+from hollowusher.console.system_status import SystemStatus
+from hollowusher.console.text_table import Cell, format_table
 from hollowusher.protocol.codec import as_document
 from hollowusher.protocol.control_status import ControlStatus
 
@@ -34,35 +34,39 @@
 STORE = "store"
 
 
-def lacks(survey: Survey) -> list[str]:
+def find_problems(system_status: SystemStatus) -> list[str]:
     """What is not as it should be, one line each; empty for a system that is whole."""
-    report = survey.report
+    report = system_status.report
     found = []
     if report.view is None:
         found.append("no view is known: the controllers have not agreed yet, or cannot be reached")
     if report.process.generation == 0:
         found.append("no configuration is in force")
-    found += _placement_lacks(report.placement)
+    found += _placement_problems(report.placement)
     found += [f"{member.name} is not there" for member in report.members.entries if not member.alive]
     newest = max(
-        (process.generation for process in survey.processes.values() if isinstance(process, ProcessReport)),
+        (
+            process.generation
+            for process in system_status.processes.values()
+            if isinstance(process, ProcessReport)
+        ),
         default=0,
     )
-    for name, process in survey.processes.items():
-        if isinstance(process, CallError):
+    for name, process in system_status.processes.items():
+        if isinstance(process, AdminCallError):
             found.append(f"{name} gives no status: {process}")
         elif not process.ready:
             found.append(f"{name} is not ready")
         elif process.generation < newest:
             found.append(f"{name} serves generation {process.generation}, others {newest}")
-    if isinstance(survey.control, CallError):
-        found.append(f"how control stands is not known: {survey.control}")
-    elif survey.control is not None:
-        found += control_lacks(survey.control)
-    return found + store_lacks(survey.stores)
+    if isinstance(system_status.control, AdminCallError):
+        found.append(f"how control stands is not known: {system_status.control}")
+    elif system_status.control is not None:
+        found += control_problems(system_status.control)
+    return found + store_problems(system_status.stores)
 
 
-def _placement_lacks(placement: PlacementReport | None) -> list[str]:
+def _placement_problems(placement: PlacementReport | None) -> list[str]:
     if placement is None:
         return ["no placement is known"]
     found = []
@@ -73,30 +77,30 @@
     return found
 
 
-def status_tables(survey: Survey) -> str:
+def format_system_status(system_status: SystemStatus) -> str:
     """The whole status."""
-    report = survey.report
-    parts = [_overview(survey), _processes_table(survey)]
-    if isinstance(survey.control, ControlStatus):
-        parts.append(voters_table(survey.control))
-        parts.append(partitions_table(survey.control))
-    if survey.stores:
-        parts.append(stores_table(survey.stores))
-    if survey.not_asked:
-        parts.append(f"{survey.not_asked} more edge processes were not asked (--all asks them).")
-    lacking = [entry for entry in _partitions(report) if entry.lacking or entry.learners]
+    report = system_status.report
+    parts = [_format_overview(system_status), _format_processes(system_status)]
+    if isinstance(system_status.control, ControlStatus):
+        parts.append(format_voters(system_status.control))
+        parts.append(format_partitions(system_status.control))
+    if system_status.stores:
+        parts.append(format_stores(system_status.stores))
+    if system_status.unasked_count:
+        parts.append(f"{system_status.unasked_count} more edge processes were not asked (--all asks them).")
+    lacking = [entry for entry in _partitions(report) if entry.missing_replicas or entry.learners]
     if lacking:
-        parts.append(_partitions_table(lacking))
+        parts.append(_format_partitions(lacking))
     if report.workers is not None and report.workers.services:
-        parts.append(_workers_table(report))
-    parts.append(_figures_table(report))
-    found = lacks(survey)
+        parts.append(_format_workers(report))
+    parts.append(_format_figures(report))
+    found = find_problems(system_status)
     parts.append("\n".join(["Lacking:", *(f"  {line}" for line in found)]) if found else "Nothing lacks.")
     return "\n\n".join(part for part in parts if part)
 
 
-def _overview(survey: Survey) -> str:
-    report = survey.report
+def _format_overview(system_status: SystemStatus) -> str:
+    report = system_status.report
     view, placement, workers, members = report.view, report.placement, report.workers, report.members
     lines = [("asked", f"{report.process.name}, up {report.process.up_s:.0f} s")]
     if view is None:
@@ -125,19 +129,19 @@
             else f"{workers.total} listed, last change {workers.age_s:.0f} s ago",
         )
     )
-    if isinstance(survey.control, ControlStatus):
-        lines += control_lines(survey.control)
+    if isinstance(system_status.control, ControlStatus):
+        lines += control_summary(system_status.control)
     width = max(len(name) for name, _ in lines)
     return "\n".join(f"{name.ljust(width)}  {text}" for name, text in lines)
 
 
-def _processes_table(survey: Survey) -> str:
-    report = survey.report
+def _format_processes(system_status: SystemStatus) -> str:
+    report = system_status.report
     primaries: Counter[str] = Counter(entry.primary for entry in _partitions(report))
     copies: Counter[str] = Counter(copy.store for entry in _partitions(report) for copy in entry.copies)
     rows: list[list[Cell]] = []
     for member in report.members.entries:
-        process = survey.processes.get(member.name)
+        process = system_status.processes.get(member.name)
         held = f"{primaries[member.name]}/{copies[member.name]}" if member.role == STORE else NONE
         rows.append(
             [
@@ -145,26 +149,26 @@
                 member.role,
                 member.zone,
                 _yes(member.alive),
-                _duty(member, report),
-                *_own_words(process),
+                _chain_role(member, report),
+                *_reported_cells(process),
                 held,
             ]
         )
-    return table(
+    return format_table(
         ["process", "role", "zone", "alive", "duty", "ready", "generation", "up s", "primary/copies"], rows
     )
 
 
-def _own_words(process: ProcessReport | CallError | None) -> list[Cell]:
+def _reported_cells(process: ProcessReport | AdminCallError | None) -> list[Cell]:
     """Ready, generation and time up, as the process says itself."""
     if process is None:
         return [NONE, NONE, NONE]
-    if isinstance(process, CallError):
+    if isinstance(process, AdminCallError):
         return [NO_ANSWER, NONE, NONE]
     return [_yes(process.ready), str(process.generation), f"{process.up_s:.0f}"]
 
 
-def _duty(member: MemberReport, report: StatusReport) -> str:
+def _chain_role(member: MemberReport, report: StatusReport) -> str:
     view = report.view
     if view is None or not member.controller:
         return NONE
@@ -181,7 +185,7 @@
     return [] if report.placement is None else report.placement.partitions
 
 
-def _partitions_table(entries: list[PartitionReport]) -> str:
+def _format_partitions(entries: list[PartitionReport]) -> str:
     rows: list[list[Cell]] = [
         [
             entry.partition,
@@ -195,18 +199,18 @@
         ]
         for entry in entries
     ]
-    return table(["partition", "epoch", "primary", "copies", "learning"], rows)
+    return format_table(["partition", "epoch", "primary", "copies", "learning"], rows)
 
 
-def _workers_table(report: StatusReport) -> str:
+def _format_workers(report: StatusReport) -> str:
     services = report.workers.services if report.workers is not None else []
-    return table(
+    return format_table(
         ["service", "ready", "draining", "slots"],
         [[each.service, each.ready, each.draining, each.slots] for each in services],
     )
 
 
-def _figures_table(report: StatusReport) -> str:
+def _format_figures(report: StatusReport) -> str:
     """The counters of the process asked that are not 0."""
     rows: list[list[Cell]] = [
         [part, name, value]
@@ -214,10 +218,10 @@
         for name, value in counters.items()
         if value
     ]
-    return table([f"counted by {report.process.name}", "figure", "value"], rows)
+    return format_table([f"counted by {report.process.name}", "figure", "value"], rows)
 
 
-def members_table(report: StatusReport) -> str:
+def format_members(report: StatusReport) -> str:
     """The processes of the system."""
     rows: list[list[Cell]] = [
         [
@@ -234,7 +238,7 @@
         ]
         for member in report.members.entries
     ]
-    text = table(
+    text = format_table(
         [
             "process",
             "role",
@@ -253,7 +257,7 @@
     return f"{text}\n{more} more are not shown." if more else text
 
 
-def configuration_tables(document: Mapping[str, Any]) -> str:
+def format_configuration(document: Mapping[str, Any]) -> str:
     """A configuration's routes and services."""
     routes: list[list[Cell]] = [
         [
@@ -271,7 +275,7 @@
     services: list[list[Cell]] = [
         [
             service["name"],
-            _reached(service),
+            _delivery_method(service),
             service.get("ratePerS") or NONE,
             service.get("maxConnections", NONE),
             _yes(service.get("idempotent", False)),
@@ -281,22 +285,22 @@
     return "\n\n".join(
         [
             f"generation {document['generation']}",
-            table(
+            format_table(
                 ["route", "host", "prefix", "service", "timeout ms", "attempts", "ordered", "call-back"],
                 routes,
             ),
-            table(["service", "reached by", "rate per s", "connections", "idempotent"], services),
+            format_table(["service", "reached by", "rate per s", "connections", "idempotent"], services),
         ]
     )
 
 
-def _reached(service: Mapping[str, Any]) -> str:
+def _delivery_method(service: Mapping[str, Any]) -> str:
     if service.get("pull"):
         return "pull"
     return f"fixed {service['fixed']}" if service.get("fixed") else "list"
 
 
-def message_table(document: Mapping[str, Any]) -> str:
+def format_message(document: Mapping[str, Any]) -> str:
     """The state of one message."""
     width = max(map(len, document))
     return "\n".join(
@@ -304,26 +308,26 @@
     )
 
 
-def survey_document(survey: Survey) -> dict[str, Any]:
+def system_status_document(system_status: SystemStatus) -> dict[str, Any]:
     """A survey as JSON's values."""
-    processes = {name: _told(process) for name, process in survey.processes.items()}
+    processes = {name: _json_value(process) for name, process in system_status.processes.items()}
     return {
-        "report": survey.report,
+        "report": system_status.report,
         "processes": processes,
-        "control": _control_document(survey.control),
-        "stores": {name: _told(each) for name, each in survey.stores.items()},
-        "not_asked": survey.not_asked,
-        "lacks": lacks(survey),
+        "control": _control_document(system_status.control),
+        "stores": {name: _json_value(each) for name, each in system_status.stores.items()},
+        "not_asked": system_status.unasked_count,
+        "lacks": find_problems(system_status),
     }
 
 
-def _told(answer: object) -> object:
+def _json_value(answer: object) -> object:
     """A report as it is, a failure as a map."""
-    return attrs.asdict(answer) if isinstance(answer, CallError) else answer
+    return attrs.asdict(answer) if isinstance(answer, AdminCallError) else answer
 
 
-def _control_document(control: ControlStatus | CallError | None) -> object:
-    return as_document(control) if isinstance(control, ControlStatus) else _told(control)
+def _control_document(control: ControlStatus | AdminCallError | None) -> object:
+    return as_document(control) if isinstance(control, ControlStatus) else _json_value(control)
 
 
 def _yes(value: bool) -> str:
--- a/hollowusher/console/store_report.py
+++ b/hollowusher/console/store_report.py
@@ -10,7 +10,7 @@
 
 from hollowusher.messages.replication.partition_replica import PartitionReplica
 
-MOST_PARTITIONS = 256
+MAX_PARTITIONS = 256
 PRIMARY = "primary"
 TAKING_OVER = "taking over"
 REPLICA = "replica"
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptPartition:
+class HostedPartition:
     """One partition at one store; `behind` are the peers that the primary still brings up to date."""
 
     partition: int
@@ -53,24 +53,24 @@
     generation: int
     up_s: float
     disk: DiskReport
-    partitions: list[KeptPartition]
+    partitions: list[HostedPartition]
     figures: Mapping[str, int]
 
 
-def kept_partitions(replicas: Iterable[PartitionReplica], store_id: str) -> list[KeptPartition]:
-    """How the partitions of a store stand, at most `MOST_PARTITIONS` of them."""
-    kept = [_kept(replica, store_id) for replica in replicas]
-    return kept[:MOST_PARTITIONS]
+def hosted_partitions(replicas: Iterable[PartitionReplica], store_id: str) -> list[HostedPartition]:
+    """How the partitions of a store stand, at most `MAX_PARTITIONS` of them."""
+    hosted = [_hosted(replica, store_id) for replica in replicas]
+    return hosted[:MAX_PARTITIONS]
 
 
-def _kept(replica: PartitionReplica, store_id: str) -> KeptPartition:
+def _hosted(replica: PartitionReplica, store_id: str) -> HostedPartition:
     epoch = replica.placement.epoch if replica.placement is not None else 0
     behind = [
         peer.partition("/")[0]
         for peer, progress in replica.peer_progress.items()
         if not progress.is_caught_up
     ]
-    return KeptPartition(
+    return HostedPartition(
         replica.partition, epoch, _role(replica, store_id), len(replica.table.entries), behind
     )
 
--- /dev/null
+++ b/hollowusher/console/store_tables.py
@@ -0,0 +1,60 @@
+"""What the stores say of themselves, as text.  No I/O."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Mapping
+
+from hollowusher.console.admin_client import AdminCallError
+from hollowusher.console.store_report import PRIMARY, StoreReport
+from hollowusher.console.text_table import Cell, format_table
+
+NONE = "-"
+NO_ANSWER = "no answer"
+MEBIBYTE = 1024 * 1024
+
+StoreReports = Mapping[str, StoreReport | AdminCallError]
+
+
+def format_stores(stores: StoreReports) -> str:
+    """One line a store."""
+    headers = ["store", "up s", "generation", "leads", "keeps", "messages", "free MiB", "syncs", "disk"]
+    return format_table(headers, [_row(name, report) for name, report in stores.items()])
+
+
+def _row(name: str, report: StoreReport | AdminCallError) -> list[Cell]:
+    if isinstance(report, AdminCallError):
+        return [name, NO_ANSWER, *[NONE] * 7]
+    roles = Counter(partition.role for partition in report.partitions)
+    return [
+        name,
+        f"{report.up_s:.0f}",
+        str(report.generation),
+        str(roles[PRIMARY]),
+        str(len(report.partitions)),
+        str(sum(partition.messages for partition in report.partitions)),
+        str(report.disk.free_bytes // MEBIBYTE),
+        str(report.disk.syncs),
+        _disk(report),
+    ]
+
+
+def _disk(report: StoreReport) -> str:
+    if report.disk.error:
+        return f"failed: {report.disk.error}"
+    return "stalled" if report.disk.stalled else "in order"
+
+
+def store_problems(stores: StoreReports) -> list[str]:
+    """What is not as it should be, one line each."""
+    found = []
+    for name, report in stores.items():
+        if isinstance(report, AdminCallError):
+            found.append(f"{name} gives no status: {report}")
+            continue
+        if report.disk.error or report.disk.stalled:
+            found.append(f"the disk of {name}: {_disk(report)}")
+        behind = sorted({peer for partition in report.partitions for peer in partition.behind})
+        if behind:
+            found.append(f"{name} brings up to date: {', '.join(behind)}")
+    return found
--- a/hollowusher/console/system.py
+++ b/hollowusher/console/system_commands.py
@@ -18,24 +18,24 @@
 from expression import Error, Ok, Result
 
 from hollowusher.configuration.checks import check_document, is_host_port
-from hollowusher.console.client import AdminClient, Answer, CallError
-from hollowusher.console.survey import Survey, take_survey
-from hollowusher.console.views import (
-    configuration_tables,
-    lacks,
-    members_table,
-    message_table,
-    status_tables,
-    survey_document,
+from hollowusher.console.admin_client import AdminCallError, AdminClient, AdminResponse
+from hollowusher.console.status_tables import (
+    find_problems,
+    format_configuration,
+    format_members,
+    format_message,
+    format_system_status,
+    system_status_document,
 )
+from hollowusher.console.system_status import SystemStatus, collect_system_status
 
-REFUSED, USAGE, NO_ANSWER, LACKING = 1, 2, 3, 4
+EXIT_REJECTED, EXIT_USAGE, EXIT_NO_ANSWER, EXIT_PROBLEMS = 1, 2, 3, 4
 ADDRESS_VARIABLE = "HOLLOWUSHER_AT"
-CHANGE_WITHIN_S = 15.0
+CHANGE_TIMEOUT_S = 15.0
 RETIRE_POLL_S = 1.0
 DEFAULT_DURATION_S = 30.0
 Value = TypeVar("Value")
-Work = Callable[[AdminClient], Awaitable[Value]]
+UseClient = Callable[[AdminClient], Awaitable[Value]]
 
 
 def _read_addresses(context: click.Context, option: click.Parameter, value: tuple[str, ...]) -> list[str]:
@@ -46,7 +46,7 @@
     return addresses
 
 
-_at = click.option(
+_addresses_option = click.option(
     "--at",
     "addresses",
     multiple=True,
@@ -56,8 +56,8 @@
     metavar="HOST:PORT",
     help=f"Admin address of an edge process; several are tried in turn [{ADDRESS_VARIABLE}].",
 )
-_as_json = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of tables.")
-_file = click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
+_json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of tables.")
+_file_argument = click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 
 
 @click.group()
@@ -66,25 +66,25 @@
 
 
 @system.command()
-@_at
-@_as_json
-@click.option("--all", "everyone", is_flag=True, help="Ask every edge process, however many there are.")
-@click.option("--check", is_flag=True, help=f"Exit with {LACKING} if something lacks.")
-def status(addresses: list[str], as_json: bool, everyone: bool, check: bool) -> None:
+@_addresses_option
+@_json_option
+@click.option("--all", "ask_all", is_flag=True, help="Ask every edge process, however many there are.")
+@click.option("--check", is_flag=True, help=f"Exit with {EXIT_PROBLEMS} if something lacks.")
+def status(addresses: list[str], as_json: bool, ask_all: bool, check: bool) -> None:
     """Show the view, the chain, the placement, the processes and what they serve."""
-    survey = _surveyed(addresses, everyone)
-    _show(survey_document(survey) if as_json else status_tables(survey))
-    if check and lacks(survey):
-        raise SystemExit(LACKING)
+    system_status = _collect_status(addresses, ask_all)
+    _print(system_status_document(system_status) if as_json else format_system_status(system_status))
+    if check and find_problems(system_status):
+        raise SystemExit(EXIT_PROBLEMS)
 
 
 @system.command()
-@_at
-@_as_json
+@_addresses_option
+@_json_option
 def members(addresses: list[str], as_json: bool) -> None:
     """Show the processes of the system."""
-    survey = _surveyed(addresses, False)
-    _show(survey.report.members if as_json else members_table(survey.report))
+    system_status = _collect_status(addresses, False)
+    _print(system_status.report.members if as_json else format_members(system_status.report))
 
 
 @system.group()
@@ -93,64 +93,64 @@
 
 
 @config.command("get")
-@_at
-@_as_json
+@_addresses_option
+@_json_option
 def get_config(addresses: list[str], as_json: bool) -> None:
     """Show the configuration in force; with --json the document itself."""
-    answer = _ask(addresses, lambda client: client.ask("GET", "/config"))
-    if not answer.taken:
-        _refuse(answer)
+    answer = _ask(addresses, lambda client: client.request("GET", "/config"))
+    if not answer.is_success:
+        _fail_rejected(answer)
     if as_json:
         click.echo(answer.body)
     else:
-        _show(configuration_tables(answer.document()))
+        _print(format_configuration(answer.json_value()))
 
 
 @config.command("put")
-@_file
-@_at
-@_as_json
+@_file_argument
+@_addresses_option
+@_json_option
 @click.option("--if-match", type=click.IntRange(0), help="The version it builds on [the one in force].")
 @click.option("--patch", is_flag=True, help="FILE holds `upsert` and `delete` only.")
 def put_config(file: Path, addresses: list[str], as_json: bool, if_match: int | None, patch: bool) -> None:
     """Put the configuration in FILE in force."""
     body = file.read_bytes()
 
-    async def put(client: AdminClient) -> Result[Answer, CallError]:
+    async def put(client: AdminClient) -> Result[AdminResponse, AdminCallError]:
         version = Ok(if_match) if if_match is not None else await _version_in_force(client)
         if version.is_error():
             return Error(version.error)
-        return await client.ask(
+        return await client.request(
             "PATCH" if patch else "PUT",
             "/config",
             body=body,
             headers={"If-Match": str(version.ok)},
-            within_s=CHANGE_WITHIN_S,
+            within_s=CHANGE_TIMEOUT_S,
         )
 
     answer = _ask(addresses, put)
-    if not answer.taken:
-        _refuse(answer)
-    _show(answer.document() if as_json else f"generation {answer.document()['generation']} is in force")
+    if not answer.is_success:
+        _fail_rejected(answer)
+    _print(answer.json_value() if as_json else f"generation {answer.json_value()['generation']} is in force")
 
 
 @config.command("check")
-@_file
-@_as_json
+@_file_argument
+@_json_option
 def check_config(file: Path, as_json: bool) -> None:
     """Check the whole configuration in FILE, without a system."""
     try:
         document = orjson.loads(file.read_bytes())
     except orjson.JSONDecodeError as error:
-        _fail(REFUSED, f"{file.name}: not JSON: {error}")
+        _fail(EXIT_REJECTED, f"{file.name}: not JSON: {error}")
     if not isinstance(document, dict):
-        _fail(REFUSED, f"{file.name}: not an object")
+        _fail(EXIT_REJECTED, f"{file.name}: not an object")
     checked = check_document(document)
     if checked.is_error():
-        _fail(REFUSED, f"{file.name}: {checked.error}")
+        _fail(EXIT_REJECTED, f"{file.name}: {checked.error}")
     found = checked.ok
     counts = {"generation": found.generation, "routes": len(found.routes), "services": len(found.upstreams)}
-    _show(
+    _print(
         counts
         if as_json
         else f"{file.name}: in order: generation {found.generation}, {len(found.routes)} routes, "
@@ -165,20 +165,20 @@
 
 @message.command("show")
 @click.argument("reference")
-@_at
-@_as_json
+@_addresses_option
+@_json_option
 def show_message(reference: str, addresses: list[str], as_json: bool) -> None:
     """Show the state of the message REFERENCE (the X-Message-Ref of its 202)."""
-    answer = _ask(addresses, lambda client: client.ask("GET", f"/messages/{quote(reference, safe='')}"))
-    if not answer.taken:
-        _refuse(answer)
-    _show(answer.document() if as_json else message_table(answer.document()))
+    answer = _ask(addresses, lambda client: client.request("GET", f"/messages/{quote(reference, safe='')}"))
+    if not answer.is_success:
+        _fail_rejected(answer)
+    _print(answer.json_value() if as_json else format_message(answer.json_value()))
 
 
 @system.command()
 @click.argument("node")
-@_at
-@_as_json
+@_addresses_option
+@_json_option
 @click.option(
     "--duration",
     type=click.FloatRange(0),
@@ -192,102 +192,103 @@
     path = f"/retire/{quote(node, safe='')}"
     body = orjson.dumps({"durationS": duration})
 
-    async def order(client: AdminClient) -> Result[Answer, CallError]:
-        result = await client.ask("POST", path, body=body, within_s=CHANGE_WITHIN_S)
-        while wait and result.is_ok() and result.ok.taken and _progress(result.ok) != "completed":
+    async def order(client: AdminClient) -> Result[AdminResponse, AdminCallError]:
+        result = await client.request("POST", path, body=body, within_s=CHANGE_TIMEOUT_S)
+        while wait and result.is_ok() and result.ok.is_success and _progress(result.ok) != "completed":
             await asyncio.sleep(RETIRE_POLL_S)
-            result = await client.ask("GET", path, within_s=CHANGE_WITHIN_S)
+            result = await client.request("GET", path, within_s=CHANGE_TIMEOUT_S)
         return result
 
     answer = _ask(addresses, order)
-    if not answer.taken:
-        _refuse(answer)
-    _show(answer.document() if as_json else f"{node}: {_progress(answer)}")
+    if not answer.is_success:
+        _fail_rejected(answer)
+    _print(answer.json_value() if as_json else f"{node}: {_progress(answer)}")
 
 
 @system.command("recover-partition")
 @click.argument("partition", type=click.IntRange(0))
 @click.option(
     "--accept-loss",
-    "given_up",
+    "lost_replicas",
     multiple=True,
     required=True,
     metavar="STORE_ID",
     help="A replica that is given up for good; every one that does not live has to be named.",
 )
 @click.option("--yes", "confirmed", is_flag=True, help="Do not ask whether this is meant.")
-@_at
-@_as_json
+@_addresses_option
+@_json_option
 def recover_partition(
-    partition: int, given_up: tuple[str, ...], confirmed: bool, addresses: list[str], as_json: bool
+    partition: int, lost_replicas: tuple[str, ...], confirmed: bool, addresses: list[str], as_json: bool
 ) -> None:
     """Go on with what is left of a PARTITION that has lost its majority.
 
     What only the replicas given up held is lost with them.  `status` shows which partitions are lost."""
     if not confirmed:
-        told = f"Messages that only {', '.join(given_up)} held will be lost.  Recover partition {partition}?"
-        click.confirm(told, abort=True, err=True)
+        replicas = ", ".join(lost_replicas)
+        question = f"Messages that only {replicas} held will be lost.  Recover partition {partition}?"
+        click.confirm(question, abort=True, err=True)
     path = f"/recover-partition/{partition}"
-    body = orjson.dumps({"acceptLossOf": list(given_up)})
-    result = _run(addresses, lambda client: client.order_once("POST", path, body, CHANGE_WITHIN_S))
+    body = orjson.dumps({"acceptLossOf": list(lost_replicas)})
+    result = _run(addresses, lambda client: client.request_once("POST", path, body, CHANGE_TIMEOUT_S))
     if result.is_error():
-        _fail(NO_ANSWER, f"{result.error}; {_whether_done(result.error)}")
-    if not result.ok.taken:
-        _refuse(result.ok)
-    _show(result.ok.document() if as_json else f"partition {partition}: goes on with what is left")
+        _fail(EXIT_NO_ANSWER, f"{result.error}; {_outcome_text(result.error)}")
+    if not result.ok.is_success:
+        _fail_rejected(result.ok)
+    _print(result.ok.json_value() if as_json else f"partition {partition}: goes on with what is left")
 
 
-def _whether_done(error: CallError) -> str:
+def _outcome_text(error: AdminCallError) -> str:
     """What is known of an order that got no clear answer."""
     if not error.sent:
         return "nothing was changed"
     return "it may have been done: look at `system status` before it is ordered again"
 
 
-def _progress(answer: Answer) -> str:
-    document = answer.document()
+def _progress(answer: AdminResponse) -> str:
+    document = answer.json_value()
     return str(document.get("state")) if isinstance(document, dict) else ""
 
 
-async def _version_in_force(client: AdminClient) -> Result[int, CallError]:
+async def _version_in_force(client: AdminClient) -> Result[int, AdminCallError]:
     """The generation in force, 0 where there is none yet."""
-    result = await client.ask("GET", "/config")
+    result = await client.request("GET", "/config")
     if result.is_error():
         return Error(result.error)
-    document = result.ok.document()
-    return Ok(int(document["generation"]) if result.ok.taken and isinstance(document, dict) else 0)
+    document = result.ok.json_value()
+    return Ok(int(document["generation"]) if result.ok.is_success and isinstance(document, dict) else 0)
 
 
-def _surveyed(addresses: list[str], everyone: bool) -> Survey:
-    result = _run(addresses, lambda client: take_survey(client, everyone))
+def _collect_status(addresses: list[str], ask_all: bool) -> SystemStatus:
+    result = _run(addresses, lambda client: collect_system_status(client, ask_all))
     if result.is_error():
-        _fail(NO_ANSWER, str(result.error))
+        _fail(EXIT_NO_ANSWER, str(result.error))
     return result.ok
 
 
-def _ask(addresses: list[str], work: Work[Result[Answer, CallError]]) -> Answer:
+def _ask(addresses: list[str], use_client: UseClient[Result[AdminResponse, AdminCallError]]) -> AdminResponse:
     """The clear answer that some work ends with; without any, the end of the command."""
-    result = _run(addresses, work)
+    result = _run(addresses, use_client)
     if result.is_error():
-        _fail(NO_ANSWER, str(result.error))
+        _fail(EXIT_NO_ANSWER, str(result.error))
     return result.ok
 
 
-def _run(addresses: list[str], work: Work[Value]) -> Value:
+def _run(addresses: list[str], use_client: UseClient[Value]) -> Value:
     async def run() -> Value:
         async with aiohttp.ClientSession() as session:
-            return await work(AdminClient(session, addresses))
+            return await use_client(AdminClient(session, addresses))
 
     return asyncio.run(run())
 
 
-def _show(value: Any) -> None:
+def _print(value: Any) -> None:
     """Print text as it is, anything else as JSON."""
     click.echo(value if isinstance(value, str) else orjson.dumps(value, option=orjson.OPT_INDENT_2))
 
 
-def _refuse(answer: Answer) -> NoReturn:
-    _fail(REFUSED, f"refused ({answer.status}) by {answer.peer}: {answer.reason}")
+def _fail_rejected(answer: AdminResponse) -> NoReturn:
+    _fail(EXIT_REJECTED, f"refused ({answer.status}) by {answer.peer}: {answer.reason}")
 
 
 def _fail(code: int, text: str) -> NoReturn:
--- a/hollowusher/console/tables.py
+++ b/hollowusher/console/text_table.py
@@ -8,16 +8,16 @@
 Cell = str | int | float
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
+def format_table(headers: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
     """The lines of a table; a column of numbers alone stands to the right."""
     cells = [list(row) for row in rows]
     texts = [[_text(cell) for cell in row] for row in cells]
-    widths = [max([len(head), *(len(row[column]) for row in texts)]) for column, head in enumerate(heads)]
+    widths = [max([len(head), *(len(row[column]) for row in texts)]) for column, head in enumerate(headers)]
     right = [
         bool(cells) and all(isinstance(row[column], int | float) for row in cells)
-        for column in range(len(heads))
+        for column in range(len(headers))
     ]
-    lines = [_line([head.upper() for head in heads], widths, right)]
+    lines = [_line([head.upper() for head in headers], widths, right)]
     lines += [_line(row, widths, right) for row in texts]
     return "\n".join(lines)
 
--- a/hollowusher/roles/change_log.py
+++ b/hollowusher/roles/cluster_change_log.py
@@ -28,29 +28,29 @@
 from hollowusher.roles.logs import log
 
 
-class ChangeLog:
+class ClusterChangeLog:
     """Follows one process's knowledge of the cluster.  `is_head` tells whether it is the chain's head now."""
 
     def __init__(self, state: ClusterState, store_id: str, is_head: Callable[[], bool]) -> None:
         self._state = state
         self._store_id = store_id
         self._is_head = is_head
-        self._led: set[int] = set()
+        self._own_primaries: set[int] = set()
         self._primaries: dict[int, str] = {}
-        state.add_listener(self._changed)
+        state.add_listener(self._on_change)
 
-    def _changed(self, key: str) -> None:
+    def _on_change(self, key: str) -> None:
         state = self._state
         if key == PLACEMENT and state.placement is not None:
-            self._placement_changed(state.placement)
+            self._log_placement(state.placement)
         elif key == VIEW and state.view is not None and self._is_head():
             log(ViewDecided(epoch=state.view.epoch, chain=state.view.chain))
         elif key == CONFIGURATION and state.configuration is not None and self._is_head():
             log(ConfigurationCommitted(generation=state.configuration.generation))
         elif key.startswith(MEMBER_PREFIX) and self._is_head():
-            self._member_changed(key.removeprefix(MEMBER_PREFIX))
+            self._log_member(key.removeprefix(MEMBER_PREFIX))
 
-    def _member_changed(self, name: str) -> None:
+    def _log_member(self, name: str) -> None:
         member = self._state.members[name]
         log(
             MemberChanged(
@@ -61,23 +61,25 @@
             )
         )
 
-    def _placement_changed(self, placement: Placement) -> None:
+    def _log_placement(self, placement: Placement) -> None:
         primaries = {entry.partition: entry.primary for entry in placement.partitions}
         if self._store_id:
-            led = {number for number, primary in primaries.items() if primary == self._store_id}
-            if led != self._led:
-                log(PrimariesAssigned(partitions=sorted(led), version=placement.version))
-            self._led = led
+            own_primaries = {number for number, primary in primaries.items() if primary == self._store_id}
+            if own_primaries != self._own_primaries:
+                log(PrimariesAssigned(partitions=sorted(own_primaries), version=placement.version))
+            self._own_primaries = own_primaries
         elif self._is_head():
-            moved = {
+            moved_primaries = {
                 str(number): primary
                 for number, primary in primaries.items()
                 if self._primaries.get(number) != primary
             }
-            learning = sum(1 for entry in placement.partitions if entry.learners)
+            partitions_with_learners = sum(1 for entry in placement.partitions if entry.learners)
             log(
                 PlacementCommitted(
-                    version=placement.version, moved_primaries=moved, partitions_with_learners=learning
+                    version=placement.version,
+                    moved_primaries=moved_primaries,
+                    partitions_with_learners=partitions_with_learners,
                 )
             )
         self._primaries = primaries
--- a/hollowusher/roles/control.py
+++ b/hollowusher/roles/control_plane.py
@@ -19,7 +19,7 @@
 from hollowusher.protocol.control_status import ControlStatus, ReadControlStatus
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.view import View
-from hollowusher.roles.change_log import ChangeLog
+from hollowusher.roles.cluster_change_log import ClusterChangeLog
 from hollowusher.roles.fault_tolerance_log import FaultToleranceLog
 from hollowusher.roles.logs import log
 from hollowusher.roles.process import Process
@@ -28,14 +28,14 @@
 VIEW_SLOT = "view"
 STATE_SLOT = "control-state"
 RECORD_SLOTS = ("control-record-a", "control-record-b")
-MESSAGES = (ReadControlStatus, *HeadRoles.MESSAGES, *Controller.MESSAGES)
+HANDLED_MESSAGES = (ReadControlStatus, *HeadRoles.MESSAGES, *Controller.MESSAGES)
 FAULT_TOLERANCE_CHECK_S = 0.5  # between two checks of how many further losses are tolerated
 
 
-class ControlPart:
+class ControlPlane:
     """The controller of a process, the feed that it distributes by, and the duties of a chain's head."""
 
-    def __init__(self, process: Process, me: Member, folder: Path) -> None:
+    def __init__(self, process: Process, me: Member, data_dir: Path) -> None:
         settings = process.settings
         clock = asyncio.get_running_loop().time
         self._process = process
@@ -44,9 +44,9 @@
             me,
             process.transport,
             settings,
-            SlotFile(folder / VIEW_SLOT),
-            StateStore(SlotFile(folder / STATE_SLOT), [SlotFile(folder / name) for name in RECORD_SLOTS]),
-            process.chance,
+            SlotFile(data_dir / VIEW_SLOT),
+            StateStore(SlotFile(data_dir / STATE_SLOT), [SlotFile(data_dir / name) for name in RECORD_SLOTS]),
+            process.random_source,
             self._publish_view,
             self._publish_state,
             lambda: process.settings.seed_addresses(),
@@ -60,7 +60,7 @@
             context, self._tolerance, self.reader, log, self.controller.has_newest_view
         )
         self._fault_tolerance_log = FaultToleranceLog(log)
-        ChangeLog(process.state, "", lambda: self.controller.is_head)
+        ClusterChangeLog(process.state, "", lambda: self.controller.is_head)
 
     async def start(self) -> None:
         """Take part in views and chain, and be ready for the head's duties."""
@@ -79,7 +79,7 @@
 
     def handles(self, message: Any) -> bool:
         """Whether a message is for this part."""
-        return isinstance(message, MESSAGES)
+        return isinstance(message, HANDLED_MESSAGES)
 
     async def handle(self, message: Any) -> Any:
         """Answer such a message."""
--- a/hollowusher/roles/control_question.py
+++ b/hollowusher/roles/control_status_query.py
@@ -11,20 +11,22 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 HEAD_TIMEOUT_S = 0.8
-OTHERS_TIMEOUT_S = 0.8
+OTHER_CONTROLLERS_TIMEOUT_S = 0.8
 
-Answer = Callable[[Any], Awaitable[Any]]
+LocalHandler = Callable[[Any], Awaitable[Any]]
 
 
-class ControlQuestion:
+class ControlStatusQuery:
     """Asks the chain's head, which knows most; where it gives no answer, all other controllers at once.
-    `answer_here` answers messages in this process, which has the name `name`."""
+    `handle_locally` answers messages in this process, which has the name `name`."""
 
-    def __init__(self, name: str, state: ClusterState, transport: Transport, answer_here: Answer) -> None:
+    def __init__(
+        self, name: str, state: ClusterState, transport: Transport, handle_locally: LocalHandler
+    ) -> None:
         self._name = name
         self._state = state
         self._transport = transport
-        self._answer_here = answer_here
+        self._handle_locally = handle_locally
 
     async def __call__(self) -> ControlStatus | None:
         """The status of the controller that knows most, None where none answers."""
@@ -33,10 +35,12 @@
         first = await self._ask(head, controllers.pop(head, ""), HEAD_TIMEOUT_S)
         if first is not None and first.leads:
             return first
-        asked = [self._ask(name, address, OTHERS_TIMEOUT_S) for name, address in controllers.items()]
+        asked = [
+            self._ask(name, address, OTHER_CONTROLLERS_TIMEOUT_S) for name, address in controllers.items()
+        ]
         answers = [first, *await asyncio.gather(*asked)]
-        known = [status for status in answers if status is not None]
-        return max(known, key=_knowledge, default=None)
+        statuses = [status for status in answers if status is not None]
+        return max(statuses, key=_freshness, default=None)
 
     def _head(self) -> str:
         view = self._state.view
@@ -45,18 +49,18 @@
     def _controllers(self) -> dict[str, str]:
         """The addresses of all controllers known here, by name; the view's go before a member's word."""
         members = self._state.members.values()
-        known = {member.name: member.address for member in members if member.alive and member.controller}
+        addresses = {member.name: member.address for member in members if member.alive and member.controller}
         view = self._state.view
         if view is not None:
-            known |= {voter.name: voter.address for voter in view.voters}
-        return known
+            addresses |= {voter.name: voter.address for voter in view.voters}
+        return addresses
 
     async def _ask(self, name: str, address: str, timeout_s: float) -> ControlStatus | None:
         if not address:
             return None
         try:
             if name == self._name:
-                answer = await self._answer_here(ReadControlStatus())
+                answer = await self._handle_locally(ReadControlStatus())
             else:
                 answer = await self._transport.call(address, ReadControlStatus(), timeout_s)
         except PeerError:
@@ -64,6 +68,6 @@
         return answer if isinstance(answer, ControlStatus) else None
 
 
-def _knowledge(status: ControlStatus) -> tuple[bool, int, int]:
+def _freshness(status: ControlStatus) -> tuple[bool, int, int]:
     """By what the best of several answers is chosen."""
     return status.leads, status.epoch, sum(voter.heard for voter in status.voters)
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -33,13 +33,15 @@
 if TYPE_CHECKING:
     from aiohttp import web
 
-    from hollowusher.roles.control import ControlPart
+    from hollowusher.roles.control_plane import ControlPlane
 
 CONTROL_PLANE = "control_plane"
-CURRENT_SHARE = 0.95  # of configApplyMs: a configuration confirmed so lately is the one that is to be applied
-NOT_READY_BEFORE_STOP_S = 2.3  # after SIGTERM the platform still sends connections until it has asked twice
+# A configuration that a majority confirmed within this share of configApplyMs is the one to be applied.
+CONFIRMED_WITHIN = 0.95
+UNREADY_BEFORE_STOP_S = 2.3  # after SIGTERM the platform still sends connections until it has asked twice
 STOP_MARGIN_S = 0.8  # kept of the grace for the end of the process itself
-OPERATOR_WAITS_S = 1.0  # the operator's address is served after the clients', but not much later than this
+# The operator's address is served after the clients' addresses, but at most this much later.
+OPERATOR_START_TIMEOUT_S = 1.0
 
 
 class EdgeProcess:
@@ -50,22 +52,35 @@
         settings, transport, state = process.settings, process.transport, process.state
         self.process = process
         self.me = me
-        self.control: ControlPart | None = None
+        self.control: ControlPlane | None = None
         self.seed: SeedService | None = None
-        if me.controller and process.folder is not None:
-            from hollowusher.roles.control import ControlPart
+        if me.controller and process.data_dir is not None:
+            from hollowusher.roles.control_plane import ControlPlane
 
-            self.control = ControlPart(process, me, process.folder)
+            self.control = ControlPlane(process, me, process.data_dir)
         else:
             self.seed = SeedService(settings, transport, lambda view: self.client.learn_view(view))
         feed = None if self.control is None else self.control.feed
         self.client = ClusterClient(
-            me, transport, settings, state, feed, process.chance, lambda: process.settings.seed_addresses()
+            me,
+            transport,
+            settings,
+            state,
+            feed,
+            process.random_source,
+            lambda: process.settings.seed_addresses(),
         )
         self.store_client = StoreClient(transport, state, loop.time)
         homes = ZonePartitioner(state, settings.zone)
         self.dispatcher = Dispatcher(
-            me, transport, state, self.store_client, settings, HttpWorkerClient(), process.chance, homes=homes
+            me,
+            transport,
+            state,
+            self.store_client,
+            settings,
+            HttpWorkerClient(),
+            process.random_source,
+            homes=homes,
         )
         apply_s = settings.bounds.config_apply_ms / 1000
         self.intake = Intake(
@@ -74,13 +89,13 @@
             self.dispatcher.pull_desk,
             homes,
             loop.time,
-            is_current=lambda: self.client.seconds_since_majority(loop.time()) <= CURRENT_SHARE * apply_s,
+            is_current=lambda: self.client.seconds_since_majority(loop.time()) <= CONFIRMED_WITHIN * apply_s,
         )
         self.frontend = EdgeFrontend(
-            self.intake, settings.bind.frontend, settings.bind.readiness, self.ready, self._report
+            self.intake, settings.bind.frontend, settings.bind.readiness, self.ready, self._log_failed_request
         )
         self.serving = asyncio.Event()
-        self._operator_site: web.AppRunner | None = None
+        self._operator_server: web.AppRunner | None = None
 
     def ready(self) -> bool:
         """Whether this process can serve clients."""
@@ -96,19 +111,19 @@
             await self.control.start()
         elif self.seed is not None:
             await self.seed.start()
-        process.state.add_listener(self._view_known)
+        process.state.add_listener(self._learn_view)
         process.spawn(self.client.run())
         await self.frontend.readiness.start()
-        starting = [process.spawn(self._serve()), process.spawn(self._serve_operator())]
+        start_tasks = [process.spawn(self._start_serving()), process.spawn(self._start_operator_server())]
         await process.stopping.wait()
         log(ShutdownStarted())
-        for task in starting:
+        for task in start_tasks:
             task.cancel()
         with suppress(TimeoutError):
             async with asyncio.timeout(process.settings.bounds.grace_s - STOP_MARGIN_S / 2):
                 await self._stop()
-        if self._operator_site is not None:
-            await self._operator_site.cleanup()
+        if self._operator_server is not None:
+            await self._operator_server.cleanup()
         await process.close()
         log(ShutdownCompleted())
 
@@ -123,7 +138,7 @@
             return await self.seed.handle(message)
         return await self.client.handle(message)
 
-    async def _serve(self) -> None:
+    async def _start_serving(self) -> None:
         await self.client.wait_for_committed_state()
         self.dispatcher.start()
         await self.frontend.frontend.start()
@@ -140,23 +155,23 @@
         stopping = [loop.create_task(self.dispatcher.stop(grace - 0.5))]
         if self.control is not None:
             stopping.append(loop.create_task(self.control.stop()))
-        await asyncio.sleep(NOT_READY_BEFORE_STOP_S)
+        await asyncio.sleep(UNREADY_BEFORE_STOP_S)
         await self.frontend.stop(max(0.3, grace - (loop.time() - started) - 0.5))
         await self.intake.settle()
         await asyncio.gather(*stopping, return_exceptions=True)
 
-    async def _serve_operator(self) -> None:
+    async def _start_operator_server(self) -> None:
         with suppress(TimeoutError):
-            async with asyncio.timeout(OPERATOR_WAITS_S):
+            async with asyncio.timeout(OPERATOR_START_TIMEOUT_S):
                 await self.serving.wait()
         from hollowusher.console.status_api import StatusApi
-        from hollowusher.roles.control_question import ControlQuestion
-        from hollowusher.roles.operator_site import OperatorForward, serve_operator
+        from hollowusher.roles.control_status_query import ControlStatusQuery
+        from hollowusher.roles.operator_server import OperatorForwarder, start_operator_server
 
         process = self.process
-        forward = OperatorForward(self.me.name, process.state, process.transport, self.handle)
+        forward = OperatorForwarder(self.me.name, process.state, process.transport, self.handle)
         clock = asyncio.get_running_loop().time
-        control = ControlQuestion(self.me.name, process.state, process.transport, self.handle)
+        control = ControlStatusQuery(self.me.name, process.state, process.transport, self.handle)
         status = StatusApi(
             lambda: self.client.me,
             process.state,
@@ -166,7 +181,7 @@
             clock,
             control,
         )
-        self._operator_site = await serve_operator(process.settings.bind.admin, forward, status)
+        self._operator_server = await start_operator_server(process.settings.bind.admin, forward, status)
 
     def _figures(self) -> dict[str, dict[str, int]]:
         """What the parts of this process have counted since it started."""
@@ -179,11 +194,11 @@
                 "failed_handlers": transport.failed_handlers,
                 **attrs.asdict(transport.peers.figures),
             },
-            "settings": {"refused": self.process.watch.refused},
+            "settings": {"refused": self.process.settings_watcher.rejected_count},
             "platform_list": {"calls": 0 if self.control is None else self.control.reader.calls},
         }
 
-    def _view_known(self, key: str) -> None:
+    def _learn_view(self, key: str) -> None:
         """A newer view was heard of: one that seeks it, or is asked for it, learns it too."""
         view = self.process.state.view
         if key != VIEW or view is None:
@@ -193,7 +208,7 @@
         elif self.seed is not None:
             self.seed.learn(view)
 
-    def _report(self, error: Exception) -> None:
+    def _log_failed_request(self, error: Exception) -> None:
         log(RequestFailed(reason=describe_error(error)))
 
 
@@ -201,9 +216,9 @@
     """Run an edge process until it is stopped; the exit code."""
     process = Process(settings, path, "edge")
     controller = bool(
-        process.folder is not None and settings.counts_for_quorum and CONTROL_PLANE in settings.serves
+        process.data_dir is not None and settings.counts_for_quorum and CONTROL_PLANE in settings.serves
     )
-    me = await process.identify(controller)
+    me = await process.claim_membership(controller)
     track_peer_identities(process.transport.peers, me, process.state)
     await EdgeProcess(process, me).run()
     return 0
--- a/hollowusher/roles/logs.py
+++ b/hollowusher/roles/logs.py
@@ -13,7 +13,7 @@
 _started = False
 
 
-def start_logs(node: str, role: str) -> None:
+def set_process_fields(node: str, role: str) -> None:
     """Name the process in each of its lines."""
     _process.update(node=node, role=role)
 
--- a/hollowusher/roles/operator_site.py
+++ b/hollowusher/roles/operator_server.py
@@ -20,11 +20,11 @@
 from hollowusher.transport.tcp import split_address
 
 FORWARD_TIMEOUT_S = 2.8
-QUESTION_TIMEOUT_S = 0.8
+READ_TIMEOUT_S = 0.8
 UNAVAILABLE = OperatorResponse(503)
 
 
-class OperatorForward:
+class OperatorForwarder:
     """Brings an operator's order to the chain's head, a question to its tail.  `handle` answers here."""
 
     def __init__(
@@ -40,25 +40,25 @@
         view = self._state.view
         if view is None:
             return UNAVAILABLE
-        question = isinstance(message, ReadConfiguration)
-        wanted = _voter(view, view.tail if question else view.head)
-        if wanted is None:
+        is_read = isinstance(message, ReadConfiguration)
+        target = _find_voter(view, view.tail if is_read else view.head)
+        if target is None:
             return UNAVAILABLE
-        if wanted.name == self._name:
+        if target.name == self._name:
             answer = await self._handle(message)
         else:
-            timeout = QUESTION_TIMEOUT_S if question else FORWARD_TIMEOUT_S
-            answer = await self._transport.call(wanted.address, message, timeout)
+            timeout = READ_TIMEOUT_S if is_read else FORWARD_TIMEOUT_S
+            answer = await self._transport.call(target.address, message, timeout)
         if not isinstance(answer, OperatorResponse):
-            raise PeerError(type(message).__name__, wanted.address, "no answer for an operator")
+            raise PeerError(type(message).__name__, target.address, "no answer for an operator")
         return answer
 
 
-def _voter(view: View, name: str) -> Voter | None:
+def _find_voter(view: View, name: str) -> Voter | None:
     return next((voter for voter in view.voters if voter.name == name), None)
 
 
-async def serve_operator(address: str, forward: OperatorForward, status: StatusApi) -> web.AppRunner:
+async def start_operator_server(address: str, forward: OperatorForwarder, status: StatusApi) -> web.AppRunner:
     """Listen at the operator's address; to be cleaned up at the end."""
     application = web.Application(client_max_size=MOST_BODY_BYTES + 1)
     OperatorApi(forward).add_routes(application)
--- a/hollowusher/roles/process.py
+++ b/hollowusher/roles/process.py
@@ -14,13 +14,13 @@
 from hollowusher.log_events import HandlerFailed, MessageRejected, TaskFailed
 from hollowusher.protocol.identity import Identity
 from hollowusher.protocol.membership import Member
-from hollowusher.roles.logs import describe_error, log, start_logs
-from hollowusher.roles.signals import SettingsWatch, on_signals
+from hollowusher.roles.logs import describe_error, log, set_process_fields
+from hollowusher.roles.signals import SettingsWatcher, install_signal_handlers
 from hollowusher.storage.identity import claim_incarnation, disk_identity, next_incarnation
 from hollowusher.storage.slots import SlotFile
 from hollowusher.transport.tcp import TcpTransport
 
-LIFE_SLOT = "life"
+INCARNATION_SLOT = "life"
 STORE = "store"
 
 
@@ -33,28 +33,30 @@
     """One process of a role; the role adds its parts and runs until `stopping` is set."""
 
     def __init__(self, settings: BootSettings, path: str, role: str) -> None:
-        start_logs(settings.node_name, role)
+        set_process_fields(settings.node_name, role)
         self.settings = settings
         self.role = role
-        self.chance = random.Random()
+        self.random_source = random.Random()
         self.stopping = asyncio.Event()
         self.transport = TcpTransport(settings.internal_address)
-        self.transport.on_failure = self._handler_failed
-        self.transport.peers.on_refused = self._message_refused
+        self.transport.on_failure = self._log_handler_failure
+        self.transport.peers.on_refused = self._log_rejected_message
         self.state = ClusterState()
-        self.folder = Path(settings.data_dir) if settings.data_dir else None
-        self.watch = SettingsWatch(path, settings, self._settings_changed)
+        self.data_dir = Path(settings.data_dir) if settings.data_dir else None
+        self.settings_watcher = SettingsWatcher(path, settings, self._use_settings)
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    async def identify(self, controller: bool) -> Member:
+    async def claim_membership(self, controller: bool) -> Member:
         """This process as the others will know it."""
         settings = self.settings
         disk_id = ""
-        if self.folder is not None:
-            disk_id, _ = disk_identity(self.folder, self.chance)
-            incarnation = await claim_incarnation(SlotFile(self.folder / LIFE_SLOT), wall_ms(), self.chance)
+        if self.data_dir is not None:
+            disk_id, _ = disk_identity(self.data_dir, self.random_source)
+            incarnation = await claim_incarnation(
+                SlotFile(self.data_dir / INCARNATION_SLOT), wall_ms(), self.random_source
+            )
         else:
-            incarnation = next_incarnation(wall_ms(), None, self.chance)
+            incarnation = next_incarnation(wall_ms(), None, self.random_source)
         return Member(
             settings.node_name,
             self.role,
@@ -68,17 +70,17 @@
             settings.bind.admin or (settings.status_address if self.role == STORE else ""),
         )
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Run a part beside the others; its failure is logged and ends the process."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
     def listen_for_signals(self) -> None:
         """SIGTERM sets `stopping`, SIGHUP reads the settings file again."""
-        on_signals(self.stopping.set, self.watch.reload)
-        self.spawn(self.watch.run())
+        install_signal_handlers(self.stopping.set, self.settings_watcher.reload)
+        self.spawn(self.settings_watcher.run())
 
     async def close(self) -> None:
         """End what still runs."""
@@ -87,7 +89,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.transport.close()
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or self.stopping.is_set():
             return
@@ -96,14 +98,14 @@
             log(TaskFailed(reason=describe_error(error)))
             self.stopping.set()
 
-    def _handler_failed(self, message: Any, error: Exception) -> None:
+    def _log_handler_failure(self, message: Any, error: Exception) -> None:
         log(HandlerFailed(message=type(message).__name__, reason=describe_error(error)))
 
     @staticmethod
-    def _message_refused(caller: Identity, meant: Identity, reason: str) -> None:
-        log(MessageRejected(peer=caller.name, intended_for=meant.name, reason=reason))
+    def _log_rejected_message(caller: Identity, intended: Identity, reason: str) -> None:
+        log(MessageRejected(peer=caller.name, intended_for=intended.name, reason=reason))
 
-    def _settings_changed(self, settings: BootSettings) -> None:
+    def _use_settings(self, settings: BootSettings) -> None:
         self.settings = settings
 
 
--- a/hollowusher/roles/main.py
+++ b/hollowusher/roles/run_role.py
@@ -11,16 +11,16 @@
 import sys
 
 SETTINGS_VARIABLE = "HOLLOWUSHER_CONFIG"
-YOUNG_OBJECTS = 10_000  # allocations between two collections; each takes time from a turn
-DEFAULT_SETTINGS = "/etc/hollowusher/boot.toml"
+GC_YOUNG_OBJECTS = 10_000  # allocations between two collections; each takes time from a turn
+DEFAULT_SETTINGS_PATH = "/etc/hollowusher/boot.toml"
 
 
 def run_role(role: str) -> int:
     """Run one process of a role until it is stopped; the exit code."""
-    gc.disable()  # what is loaded at the start stays: `_settle_memory` takes it out of later collections
+    gc.disable()  # until `_tune_garbage_collector` has taken what the imports load out of collections
     from hollowusher.configuration.boot import SettingsError, read_settings
 
-    path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS)
+    path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     try:
         settings = read_settings(path)
     except SettingsError as error:
@@ -35,16 +35,16 @@
     if role == "edge":
         from hollowusher.roles.edge import serve_edge
 
-        _settle_memory()
+        _tune_garbage_collector()
         return uvloop.run(serve_edge(settings, path))
     from hollowusher.roles.store import serve_store
 
-    _settle_memory()
+    _tune_garbage_collector()
     return uvloop.run(serve_store(settings, path))
 
 
-def _settle_memory() -> None:
+def _tune_garbage_collector() -> None:
     """Collect from now on, but seldom, and nothing of what the imports have made."""
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS, 20, 20)
+    gc.set_threshold(GC_YOUNG_OBJECTS, 20, 20)
     gc.enable()
--- a/hollowusher/roles/signals.py
+++ b/hollowusher/roles/signals.py
@@ -15,41 +15,41 @@
 from hollowusher.log_events import SettingsRejected, SettingsReloaded
 from hollowusher.roles.logs import log
 
-WATCH_EVERY_S = 2.0
+CHECK_INTERVAL_S = 2.0
 
 
-class SettingsWatch:
-    """Follows the settings file; `changed` is called with each new content that is in order."""
+class SettingsWatcher:
+    """Follows the settings file; `on_change` is called with each new content that is in order."""
 
-    def __init__(self, path: str, settings: BootSettings, changed: Callable[[BootSettings], None]) -> None:
+    def __init__(self, path: str, settings: BootSettings, on_change: Callable[[BootSettings], None]) -> None:
         self.settings = settings
-        self.refused = 0
+        self.rejected_count = 0
         self._path = path
-        self._changed = changed
-        self._stamp = self._read_stamp()
+        self._on_change = on_change
+        self._file_version = self._read_file_version()
 
     def reload(self) -> None:
         """Read the file again; a fault is logged and changes nothing."""
-        self._stamp = self._read_stamp()
+        self._file_version = self._read_file_version()
         try:
             settings = read_settings(self._path)
         except SettingsError as error:
-            self.refused += 1
+            self.rejected_count += 1
             log(SettingsRejected(reason=str(error)))
             return
         if settings != self.settings:
             self.settings = settings
             log(SettingsReloaded())
-            self._changed(settings)
+            self._on_change(settings)
 
     async def run(self) -> None:
         """Look at the file's time of change now and then."""
         while True:
-            await asyncio.sleep(WATCH_EVERY_S)
-            if self._read_stamp() != self._stamp:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            if self._read_file_version() != self._file_version:
                 self.reload()
 
-    def _read_stamp(self) -> tuple[int, int]:
+    def _read_file_version(self) -> tuple[int, int]:
         try:
             status = os.stat(self._path)
         except OSError:
@@ -57,7 +57,7 @@
         return status.st_mtime_ns, status.st_size
 
 
-def on_signals(stop: Callable[[], None], reload: Callable[[], None]) -> None:
+def install_signal_handlers(stop: Callable[[], None], reload: Callable[[], None]) -> None:
     """Call `stop` at SIGTERM or SIGINT and `reload` at SIGHUP."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop)
--- a/hollowusher/roles/status_site.py
+++ b/hollowusher/roles/status_server.py
@@ -13,8 +13,8 @@
 from hollowusher.transport.tcp import split_address
 
 STATUS_PATH = b"/status"
-MOST_CALLERS = 8
-MOST_REQUEST_BYTES = 8192
+MAX_CONNECTIONS = 8
+MAX_REQUEST_BYTES = 8192
 REQUEST_TIMEOUT_S = 2.0
 REASONS = {
     200: "OK",
@@ -24,22 +24,22 @@
     503: "Service Unavailable",
 }
 
-Body = Callable[[], bytes]
+ReadStatus = Callable[[], bytes]
 
 
-class StatusSite:
+class StatusServer:
     """The server; `body` makes the JSON that is told."""
 
-    def __init__(self, address: str, body: Body) -> None:
+    def __init__(self, address: str, body: ReadStatus) -> None:
         self._address = address
-        self._body = body
-        self._callers = 0
+        self._read_status = body
+        self._connections = 0
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Listen; `OSError` where the address is taken."""
         host, port = split_address(self._address)
-        self._server = await asyncio.start_server(self._serve, host, port, limit=MOST_REQUEST_BYTES)
+        self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_REQUEST_BYTES)
 
     async def stop(self) -> None:
         """Listen no more."""
@@ -48,19 +48,19 @@
             await self._server.wait_closed()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._callers += 1
+        self._connections += 1
         try:
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(REQUEST_TIMEOUT_S):
-                    status, body = await self._answer(reader)
-                    writer.write(_head(status, len(body)) + body)
+                    status, body = await self._respond(reader)
+                    writer.write(_response_head(status, len(body)) + body)
                     await writer.drain()
         finally:
-            self._callers -= 1
+            self._connections -= 1
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader) -> tuple[int, bytes]:
-        if self._callers > MOST_CALLERS:
+    async def _respond(self, reader: asyncio.StreamReader) -> tuple[int, bytes]:
+        if self._connections > MAX_CONNECTIONS:
             return 503, b'{"error":"too many callers"}'
         try:
             request = await reader.readuntil(b"\r\n\r\n")
@@ -74,10 +74,10 @@
             return 404, b'{"error":"GET /status is all there is"}'
         if method != b"GET":
             return 405, b'{"error":"GET /status is all there is"}'
-        return 200, self._body()
+        return 200, self._read_status()
 
 
-def _head(status: int, length: int) -> bytes:
+def _response_head(status: int, length: int) -> bytes:
     return (
         f"HTTP/1.1 {status} {REASONS[status]}\r\n"
         f"Content-Type: application/json\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n"
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -22,7 +22,7 @@
 from hollowusher.messages.store_dependencies import StoreDependencies
 from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.membership import Member
-from hollowusher.roles.change_log import ChangeLog
+from hollowusher.roles.cluster_change_log import ClusterChangeLog
 from hollowusher.roles.logs import describe_error, log
 from hollowusher.roles.process import Process, wall_ms
 from hollowusher.storage.ring_log import RingLog, ring_size
@@ -30,17 +30,17 @@
 
 RING_FOLDER = "ring"
 VIEW_SLOT = "view"
-STATUS_AFTER_S = 2.0  # the status is served so long after the start
+STATUS_DELAY_S = 2.0  # the status is served so long after the start
 STOP_MARGIN_S = 1.0  # kept of the grace for the end of the process itself
 
 
-async def _tell_status(process: Process, me: Member, service: StoreService, ring_log: RingLog) -> None:
+async def _serve_status(process: Process, me: Member, service: StoreService, ring_log: RingLog) -> None:
     """Serve the store's status a while after its start; without it, the store goes on all the same."""
     started = asyncio.get_running_loop().time()
-    await asyncio.sleep(STATUS_AFTER_S)
+    await asyncio.sleep(STATUS_DELAY_S)
     if not me.admin:
         return
-    from hollowusher.roles.store_site import StoreStatus, serve_status
+    from hollowusher.roles.store_status import StoreStatusReporter, start_status_server
 
     transport = process.transport
 
@@ -51,9 +51,9 @@
             **attrs.asdict(transport.peers.figures),
         }
 
-    status = StoreStatus(me, service, ring_log, process.state, figures, started)
+    status = StoreStatusReporter(me, service, ring_log, process.state, figures, started)
     try:
-        site = await serve_status(me.admin, status)
+        site = await start_status_server(me.admin, status)
     except OSError as error:
         log(StatusListenFailed(address=me.admin, reason=describe_error(error)))
         return
@@ -66,28 +66,28 @@
 async def serve_store(settings: BootSettings, path: str) -> int:
     """Run a store until it is stopped; the exit code."""
     process = Process(settings, path, "store")
-    if process.folder is None:
+    if process.data_dir is None:
         log(SettingsRejected(reason="dataDir: a store needs a folder for its data"))
         return 2
-    me = await process.identify(controller=False)
+    me = await process.claim_membership(controller=False)
     track_peer_identities(process.transport.peers, me, process.state)
     ring = ring_size(settings.limits.disk_mb)
-    ring_log = RingLog(process.folder / RING_FOLDER, ring.segment_bytes, ring.segments)
+    ring_log = RingLog(process.data_dir / RING_FOLDER, ring.segment_bytes, ring.segments)
     client = ClusterClient(
         me,
         process.transport,
         settings,
         process.state,
         None,
-        process.chance,
+        process.random_source,
         lambda: process.settings.seed_addresses(),
     )
-    keeper = ViewCache(SlotFile(process.folder / VIEW_SLOT), process.state)
-    keeper.load()
+    view_cache = ViewCache(SlotFile(process.data_dir / VIEW_SLOT), process.state)
+    view_cache.load()
     dependencies = StoreDependencies(me.store_id, process.transport, ring_log, process.state, wall_ms)
-    service = StoreService(me, dependencies, settings, process.chance.random)
+    service = StoreService(me, dependencies, settings, process.random_source.random)
 
-    ChangeLog(process.state, me.store_id, lambda: False)
+    ClusterChangeLog(process.state, me.store_id, lambda: False)
 
     async def handle(message: Any) -> Any:
         if service.handles(message):
@@ -99,12 +99,12 @@
     process.listen_for_signals()
     process.spawn(client.run())
     process.spawn(client.publish_view())
-    process.spawn(keeper.run())
+    process.spawn(view_cache.run())
     log(StoreStarted(incarnation=me.incarnation, disk_id=me.disk_id))
-    telling = process.spawn(_tell_status(process, me, service, ring_log))
+    status_task = process.spawn(_serve_status(process, me, service, ring_log))
     await process.stopping.wait()
     log(ShutdownStarted())
-    telling.cancel()
+    status_task.cancel()
     try:
         async with asyncio.timeout(max(1.0, settings.bounds.grace_s - STOP_MARGIN_S)):
             await client.leave()
--- a/hollowusher/roles/store_site.py
+++ b/hollowusher/roles/store_status.py
@@ -10,34 +10,34 @@
 
 import orjson
 
-from hollowusher.console.store_report import DiskReport, StoreReport, kept_partitions
+from hollowusher.console.store_report import DiskReport, StoreReport, hosted_partitions
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.messages.store_service import StoreService
 from hollowusher.protocol.membership import Member
-from hollowusher.roles.status_site import StatusSite
+from hollowusher.roles.status_server import StatusServer
 from hollowusher.storage.ring_log import RingLog
 
-Figures = Callable[[], Mapping[str, int]]
+ReadFigures = Callable[[], Mapping[str, int]]
 
 
-class StoreStatus:
+class StoreStatusReporter:
     """Makes the report of one store."""
 
     def __init__(
         self,
         me: Member,
         service: StoreService,
-        log: RingLog,
+        ring_log: RingLog,
         state: ClusterState,
-        figures: Figures,
-        started: float,
+        figures: ReadFigures,
+        started_monotonic_s: float,
     ) -> None:
         self._me = me
         self._service = service
-        self._log = log
+        self._ring_log = ring_log
         self._state = state
         self._figures = figures
-        self._started = started
+        self._started_monotonic_s = started_monotonic_s
 
     def report(self) -> StoreReport:
         """How the store stands now."""
@@ -48,9 +48,9 @@
             me.zone,
             me.incarnation,
             0 if configuration is None else configuration.generation,
-            round(now - self._started, 1),
+            round(now - self._started_monotonic_s, 1),
             self._disk(now),
-            kept_partitions(self._service.replicas(), me.store_id),
+            hosted_partitions(self._service.replicas(), me.store_id),
             self._figures(),
         )
 
@@ -59,21 +59,21 @@
         return orjson.dumps(self.report())
 
     def _disk(self, now: float) -> DiskReport:
-        log, error = self._log, self._service.storage_error
+        ring_log, error = self._ring_log, self._service.storage_error
         return DiskReport(
             self._me.disk_id,
-            log.free_bytes(),
-            log.syncs,
-            log.failed_batches,
-            log.moved_records,
-            log.damaged_records,
-            log.stalled(now),
+            ring_log.free_bytes(),
+            ring_log.syncs,
+            ring_log.failed_batches,
+            ring_log.moved_records,
+            ring_log.damaged_records,
+            ring_log.stalled(now),
             "" if error is None else str(error),
         )
 
 
-async def serve_status(address: str, status: StoreStatus) -> StatusSite:
+async def start_status_server(address: str, status: StoreStatusReporter) -> StatusServer:
     """Listen at the store's address; to be stopped at the end.  `OSError` where it is taken."""
-    site = StatusSite(address, status.body)
+    site = StatusServer(address, status.body)
     await site.start()
     return site
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -85,7 +85,7 @@
     async def stop(frontend: SimulatedFrontend, grace_s: float) -> None:
         await frontend.frontend.stop(NEVER_S)
 
-    patches.replace(edge, "NOT_READY_BEFORE_STOP_S", 5.0)
+    patches.replace(edge, "UNREADY_BEFORE_STOP_S", 5.0)
     patches.replace(SimulatedFrontend, "drain", drain)
     patches.replace(SimulatedFrontend, "stop", stop)
 
--- a/hollowusher/simulation/programs.py
+++ b/hollowusher/simulation/programs.py
@@ -17,10 +17,10 @@
 from hollowusher.delivery.callbacks import CallbackDelivery
 from hollowusher.dispatch import dispatcher as dispatcher_module
 from hollowusher.log_events import HandlerFailed, LogEvent, RequestFailed, TaskFailed
-from hollowusher.roles import control as control_module
+from hollowusher.roles import control_plane as control_module
 from hollowusher.roles import edge as edge_module
 from hollowusher.roles import logs as logs_module
-from hollowusher.roles import operator_site as operator_module
+from hollowusher.roles import operator_server as operator_module
 from hollowusher.roles import store as store_module
 from hollowusher.simulation.machine import ProcessEnvironment, Program
 from hollowusher.simulation.stand_ins import (
@@ -98,7 +98,7 @@
             environment.http, environment.host, address, rate_per_s
         ),
     )
-    _substitute(operator_module, "serve_operator", _serve_operator)
+    _substitute(operator_module, "start_operator_server", _serve_operator)
     _substitute(dispatcher_module, "CallbackDelivery", _callbacks)
 
 
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -248,26 +248,26 @@
     def __init__(self, environment: ProcessEnvironment, settings: BootSettings, role: str) -> None:
         self.settings = settings
         self.role = role
-        self.chance = environment.random_source
+        self.random_source = environment.random_source
         self.stopping = asyncio.Event()
         self.transport = environment.transport
         self.state = ClusterState()
-        self.folder = PurePosixPath(settings.data_dir) if settings.data_dir else None
-        self.watch = SimpleNamespace(refused=0)
+        self.data_dir = PurePosixPath(settings.data_dir) if settings.data_dir else None
+        self.settings_watcher = SimpleNamespace(rejected_count=0)
         self._environment = environment
         self._tasks: set[asyncio.Task[Any]] = set()
         environment.role_process = self
 
-    async def identify(self, controller: bool) -> Member:
+    async def claim_membership(self, controller: bool) -> Member:
         """Describe the process as the others will know it."""
         environment, settings = self._environment, self.settings
         disk_id = ""
         if environment.disk is not None:
             disk_id = await self._disk_id()
             incarnation_slot = environment.disk.slot(INCARNATION_SLOT)
-            incarnation = await claim_incarnation(incarnation_slot, environment.wall_ms(), self.chance)
+            incarnation = await claim_incarnation(incarnation_slot, environment.wall_ms(), self.random_source)
         else:
-            incarnation = next_incarnation(environment.wall_ms(), None, self.chance)
+            incarnation = next_incarnation(environment.wall_ms(), None, self.random_source)
         return Member(
             settings.node_name,
             self.role,
@@ -286,7 +286,7 @@
         slot = self._environment.disk.slot(DISK_ID_SLOT)
         held = slot.load()
         if held is None:
-            held = f"{self.chance.getrandbits(64):016x}".encode()
+            held = f"{self.random_source.getrandbits(64):016x}".encode()
             await slot.save(held)
         return held.decode()
 
@@ -294,7 +294,7 @@
         """Run a part beside the others; its failure is noted and ends the process."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
     def listen_for_signals(self) -> None:
@@ -307,7 +307,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.transport.close()
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or self.stopping.is_set():
             return
--- a/tests/configuration/test_boot_settings.py
+++ b/tests/configuration/test_boot_settings.py
@@ -13,7 +13,7 @@
 from syrupy.assertion import SnapshotAssertion
 
 from hollowusher.configuration.boot import BootSettings, SettingsError, parse_settings, read_settings
-from hollowusher.roles.signals import SettingsWatch
+from hollowusher.roles.signals import SettingsWatcher
 
 ROOT = Path(__file__).parent.parent.parent
 LONGEST_S = 60.0
@@ -179,7 +179,7 @@
         self.path = folder / "boot.toml"
         self.path.write_text(WHOLE)
         self.changes: list[BootSettings] = []
-        self.watch = SettingsWatch(str(self.path), parsed(WHOLE), self.changes.append)
+        self.watch = SettingsWatcher(str(self.path), parsed(WHOLE), self.changes.append)
 
 
 @pytest.fixture
@@ -206,11 +206,11 @@
     watched.watch.reload()
     assert watched.changes == []
     assert watched.watch.settings == parsed(WHOLE)
-    assert watched.watch.refused == 4
+    assert watched.watch.rejected_count == 4
 
 
 def test_a_change_without_a_signal_is_found(watched: Watched, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("hollowusher.roles.signals.WATCH_EVERY_S", 0.0)
+    monkeypatch.setattr("hollowusher.roles.signals.CHECK_INTERVAL_S", 0.0)
 
     async def follow() -> None:
         task = asyncio.create_task(watched.watch.run())
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -16,25 +16,31 @@
 from click.testing import CliRunner, Result
 from syrupy.assertion import SnapshotAssertion
 
-from hollowusher.console.client import Answer, CallError
+from hollowusher.console.admin_client import AdminCallError, AdminResponse
 from hollowusher.console.commands import cli
 from hollowusher.console.local import traffic
-from hollowusher.console.local.standins import CallbackReceiver, Ledger
-from hollowusher.console.report import (
+from hollowusher.console.local.stub_services import StubCallbackReceiver, StubWorkerHistory
+from hollowusher.console.status_api import StatusApi
+from hollowusher.console.status_report import (
     DEAD,
-    MOST_MEMBERS,
-    MOST_PARTITIONS,
+    MAX_MEMBERS,
+    MAX_PARTITIONS,
     OTHER_DISK,
     PRESENT,
     UNKNOWN,
     ProcessReport,
     StatusReport,
-    status_report,
+    make_status_report,
 )
-from hollowusher.console.status_api import StatusApi
-from hollowusher.console.survey import Survey, read_report
-from hollowusher.console.tables import table
-from hollowusher.console.views import configuration_tables, lacks, members_table, message_table, status_tables
+from hollowusher.console.status_tables import (
+    find_problems,
+    format_configuration,
+    format_members,
+    format_message,
+    format_system_status,
+)
+from hollowusher.console.system_status import SystemStatus, parse_status_report
+from hollowusher.console.text_table import format_table
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.membership import Member
@@ -43,7 +49,7 @@
 from hollowusher.protocol.view import View, Voter
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
-CONFIGURATION = traffic.configuration("127.0.0.9:8080") | {"generation": 7}
+CONFIGURATION = traffic.make_configuration("127.0.0.9:8080") | {"generation": 7}
 DOCUMENT = orjson.dumps(CONFIGURATION)
 ROOT = Path(__file__).parent.parent.parent
 EDGES = ("edge-1", "edge-2", "edge-3")
@@ -108,24 +114,24 @@
 def report(state: ClusterState, own: ProcessReport | None = None) -> StatusReport:
     """A status report as the command line gets it: written and read again."""
     figures = {"intake": {"accepted": 12, "no_route": 0}, "transport": {"failed_handlers": 1}}
-    made = status_report(own or process(), state, 4.2, figures)
-    read = read_report(Answer("127.0.0.1:8064", 200, orjson.dumps(made)))
+    made = make_status_report(own or process(), state, 4.2, figures)
+    read = parse_status_report(AdminResponse("127.0.0.1:8064", 200, orjson.dumps(made)))
     assert read.is_ok(), read
     told: StatusReport = read.ok
     assert told == made
     return told
 
 
-def survey(told: StatusReport, **others: ProcessReport | CallError) -> Survey:
-    processes: dict[str, ProcessReport | CallError] = {told.process.name: told.process}
-    return Survey(told, processes | {name.replace("_", "-"): each for name, each in others.items()})
+def survey(told: StatusReport, **others: ProcessReport | AdminCallError) -> SystemStatus:
+    processes: dict[str, ProcessReport | AdminCallError] = {told.process.name: told.process}
+    return SystemStatus(told, processes | {name.replace("_", "-"): each for name, each in others.items()})
 
 
 def test_the_status_of_a_whole_system(snapshot: SnapshotAssertion) -> None:
     told = report(whole_state(members(), placement()))
     whole = survey(told, edge_2=process("edge-2"), edge_3=process("edge-3"))
-    assert lacks(whole) == []
-    assert status_tables(whole) == snapshot
+    assert find_problems(whole) == []
+    assert format_system_status(whole) == snapshot
 
 
 def test_the_status_names_everything_that_lacks(snapshot: SnapshotAssertion) -> None:
@@ -133,18 +139,18 @@
     placed = placement()
     placed.partitions[1].learners.append(store_id("store-3", "new"))
     placed.partitions[2].replicas[2] = store_id("store-9")
-    silent = CallError("GET /status", "127.0.0.2:8064", "no answer in time")
+    silent = AdminCallError("GET /status", "127.0.0.2:8064", "no answer in time")
     told = report(whole_state(listed, placed), process(generation=6))
     wounded = survey(told, edge_2=silent, edge_3=process("edge-3", ready=False))
-    text = status_tables(wounded)
+    text = format_system_status(wounded)
     assert text == snapshot
-    for line in lacks(wounded):
+    for line in find_problems(wounded):
         assert line in text
 
 
 def test_the_status_of_a_process_that_knows_nothing(snapshot: SnapshotAssertion) -> None:
     told = report(ClusterState(), process(ready=False, generation=0))
-    assert status_tables(survey(told)) == snapshot
+    assert format_system_status(survey(told)) == snapshot
 
 
 def test_copies_are_told_apart() -> None:
@@ -158,33 +164,33 @@
 
 
 def test_a_report_of_a_large_system_is_bounded_and_its_totals_are_whole() -> None:
-    many = [member(f"edge-{n}", n, status=n % 2) for n in range(2 * MOST_MEMBERS)]
-    placed = placement(2 * MOST_PARTITIONS)
+    many = [member(f"edge-{n}", n, status=n % 2) for n in range(2 * MAX_MEMBERS)]
+    placed = placement(2 * MAX_PARTITIONS)
     last = placed.partitions[-1]
     last.replicas.append(store_id("store-9"))
     told = report(whole_state([*many, *members()], placed))
     assert told.placement is not None
-    assert len(told.members.entries) == MOST_MEMBERS
-    assert told.members.total == 2 * MOST_MEMBERS + len(STORES)
-    assert told.placement.total == 2 * MOST_PARTITIONS
-    assert len(told.placement.partitions) == MOST_PARTITIONS
+    assert len(told.members.entries) == MAX_MEMBERS
+    assert told.members.total == 2 * MAX_MEMBERS + len(STORES)
+    assert told.placement.total == 2 * MAX_PARTITIONS
+    assert len(told.placement.partitions) == MAX_PARTITIONS
     assert told.placement.partitions[0].partition == last.partition  # what lacks is shown first
 
 
 def test_an_answer_that_is_no_report_is_an_error_with_step_and_peer() -> None:
     for body in (b"", b"[]", b'{"process":{"name":3}}'):
-        read = read_report(Answer("127.0.0.1:8064", 200, body))
+        read = parse_status_report(AdminResponse("127.0.0.1:8064", 200, body))
         assert read.is_error()
         assert str(read.error).startswith("read the status at 127.0.0.1:8064: ")
 
 
 def test_members(snapshot: SnapshotAssertion) -> None:
     listed = members(**{"store-2": {"status": 1}, "edge-3": {"controller": False, "counts": False}})
-    assert members_table(report(whole_state(listed, placement()))) == snapshot
+    assert format_members(report(whole_state(listed, placement()))) == snapshot
 
 
 def test_a_configuration(snapshot: SnapshotAssertion) -> None:
-    assert configuration_tables(CONFIGURATION) == snapshot
+    assert format_configuration(CONFIGURATION) == snapshot
 
 
 def test_a_message(snapshot: SnapshotAssertion) -> None:
@@ -195,56 +201,56 @@
         "partition": 3,
         "primary": "store-1",
     }
-    assert message_table(document) == snapshot
+    assert format_message(document) == snapshot
 
 
 def test_tables_put_numbers_to_the_right() -> None:
-    lines = table(["name", "count"], [["a", 5], ["long name", 1234]]).splitlines()
+    lines = format_table(["name", "count"], [["a", 5], ["long name", 1234]]).splitlines()
     assert lines == ["NAME       COUNT", "a              5", "long name   1234"]
-    assert table(["name"], []) == "NAME"
+    assert format_table(["name"], []) == "NAME"
 
 
 # ---- the messages of a local system
 
 
-def ended_messages() -> tuple[list[traffic.Sent], Ledger, CallbackReceiver]:
-    messages = traffic.plan(31, "127.0.0.9:9000")
-    ledger, receiver = Ledger(), CallbackReceiver("127.0.0.9")
+def ended_messages() -> tuple[list[traffic.LocalMessage], StubWorkerHistory, StubCallbackReceiver]:
+    messages = traffic.plan_messages(31, "127.0.0.9:9000")
+    history, receiver = StubWorkerHistory(), StubCallbackReceiver("127.0.0.9")
     for message in messages:
-        message.id, message.answer, message.answer_ms = (
+        message.id, message.response_status, message.response_ms = (
             f"local-{message.number}-1",
             202,
             10.0 + message.number,
         )
         message.reference = f"{message.number % 4}-1-{message.number}"
         for _ in range(2):
-            status, message.signature = ledger.run("worker-1", message.id, message.body)
+            status, message.signature = history.run("worker-1", message.id, message.body)
             if status != 500:
                 break
         message.state = "completed" if status == 200 else "dead_letter"
         if message.callback_url:
-            message.told = True
-            receiver.told[message.id] = (message.state, message.signature)
-    return messages, ledger, receiver
+            message.callback_received = True
+            receiver.received[message.id] = (message.state, message.signature)
+    return messages, history, receiver
 
 
 def test_messages_and_their_ends(snapshot: SnapshotAssertion) -> None:
-    messages, ledger, receiver = ended_messages()
-    assert traffic.faults(messages, ledger, receiver) == []
+    messages, history, receiver = ended_messages()
+    assert traffic.find_failures(messages, history, receiver) == []
     assert {message.state for message in messages} == {"completed", "dead_letter"}
-    assert max(ledger.deliveries.values()) == 2
-    assert traffic.summary(messages) == snapshot
-    assert traffic.each(messages[:6], ledger) == snapshot
+    assert max(history.deliveries.values()) == 2
+    assert traffic.format_summary(messages) == snapshot
+    assert traffic.format_messages(messages[:6], history) == snapshot
 
 
 def test_every_wrong_end_is_found(snapshot: SnapshotAssertion) -> None:
-    messages, ledger, receiver = ended_messages()
-    messages[0].answer = 504
+    messages, history, receiver = ended_messages()
+    messages[0].response_status = 504
     messages[1].state = "queued"
     messages[4].signature = "another's"
-    del receiver.told[messages[5].id]
-    receiver.told[messages[8].id] = ("dead_letter", "")
-    assert traffic.faults(messages, ledger, receiver) == snapshot
+    del receiver.received[messages[5].id]
+    receiver.received[messages[8].id] = ("dead_letter", "")
+    assert traffic.find_failures(messages, history, receiver) == snapshot
 
 
 # ---- the commands
@@ -375,12 +381,12 @@
 def test_no_clear_answer_is_tried_again_and_then_exit_code_3(
     admin: Admin, run: Callable[..., Result], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("hollowusher.console.client.FIRST_PAUSE_S", 0.001)
-    monkeypatch.setattr("hollowusher.console.client.LONGEST_PAUSE_S", 0.001)
+    monkeypatch.setattr("hollowusher.console.admin_client.FIRST_BACKOFF_S", 0.001)
+    monkeypatch.setattr("hollowusher.console.admin_client.MAX_BACKOFF_S", 0.001)
     admin.answers["GET", "/config"] = [(503, b""), (429, b""), (200, DOCUMENT)]
     assert run("config", "get").exit_code == 0
     assert len(admin.orders) == 3
-    monkeypatch.setattr("hollowusher.console.client.FIRST_PAUSE_S", 60.0)
+    monkeypatch.setattr("hollowusher.console.admin_client.FIRST_BACKOFF_S", 60.0)
     silent = run("message", "show", "2-1-1")
     assert silent.exit_code == 3
     assert f"GET /messages/2-1-1 at {admin.address}: status 503" in silent.output
@@ -424,7 +430,7 @@
 def test_retire_waits_until_the_machine_is_empty(
     admin: Admin, run: Callable[..., Result], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("hollowusher.console.system.RETIRE_POLL_S", 0.001)
+    monkeypatch.setattr("hollowusher.console.system_commands.RETIRE_POLL_S", 0.001)
     admin.answers["POST", "/retire/store-1"] = [(200, b'{"state":"running"}')]
     admin.answers["GET", "/retire/store-1"] = [(200, b'{"state":"running"}'), (200, b'{"state":"completed"}')]
     assert run("retire", "store-1").output == "store-1: running\n"
--- a/tests/console/test_operator_commands.py
+++ b/tests/console/test_operator_commands.py
@@ -8,14 +8,19 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from hollowusher.console.client import Answer, CallError
+from hollowusher.console.admin_client import AdminCallError, AdminResponse
 from hollowusher.console.commands import cli
-from hollowusher.console.control_report import control_lacks, control_lines, read_control, voters_table
-from hollowusher.console.report import ProcessReport, StatusReport
-from hollowusher.console.store_report import DiskReport, KeptPartition, StoreReport
-from hollowusher.console.store_view import store_lacks
-from hollowusher.console.survey import Survey, read_store
-from hollowusher.console.views import lacks, status_tables, survey_document
+from hollowusher.console.control_report import (
+    control_problems,
+    control_summary,
+    format_voters,
+    parse_control_status,
+)
+from hollowusher.console.status_report import ProcessReport, StatusReport
+from hollowusher.console.status_tables import find_problems, format_system_status, system_status_document
+from hollowusher.console.store_report import DiskReport, HostedPartition, StoreReport
+from hollowusher.console.store_tables import store_problems
+from hollowusher.console.system_status import SystemStatus, parse_store_report
 from hollowusher.protocol.codec import as_document, evolve
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
 from tests.console.test_console import Admin
@@ -43,36 +48,36 @@
     partitions=PARTITIONS[:1],
 )
 DISK = DiskReport("d1", 40 * 1024 * 1024, 120, 0, 3, 0, False)
-STORE = StoreReport("store-1", "zone-a", 17, 7, 33.0, DISK, [KeptPartition(0, 2, "primary", 5, [])], {})
+STORE = StoreReport("store-1", "zone-a", 17, 7, 33.0, DISK, [HostedPartition(0, 2, "primary", 5, [])], {})
 
 
 def test_a_status_is_read_back_as_it_was_written() -> None:
     body = orjson.dumps(as_document(STATUS) | {"of_a_newer_process": 1})
-    assert read_control(Answer("edge-1:8064", 200, body)).ok == STATUS
-    assert read_control(Answer("edge-1:8064", 200, b'{"voters": 1}')).is_error()
-    assert read_store(Answer("store-1:7795", 200, orjson.dumps(STORE))).ok == STORE
-    assert read_store(Answer("store-1:7795", 200, b"{}")).is_error()
+    assert parse_control_status(AdminResponse("edge-1:8064", 200, body)).ok == STATUS
+    assert parse_control_status(AdminResponse("edge-1:8064", 200, b'{"voters": 1}')).is_error()
+    assert parse_store_report(AdminResponse("store-1:7795", 200, orjson.dumps(STORE))).ok == STORE
+    assert parse_store_report(AdminResponse("store-1:7795", 200, b"{}")).is_error()
 
 
 def test_voters_are_shown_with_duty_and_distance() -> None:
-    lines = [line.split() for line in voters_table(STATUS).splitlines()]
+    lines = [line.split() for line in format_voters(STATUS).splitlines()]
     assert lines[1:] == [
         ["edge-1", "d1", "yes", "head", "yes", "4/12", "0"],
         ["edge-2", "d2", "yes", "tail", "no", "4/9", "3"],
         ["edge-3", "d3", "no", "voter", "no", "3/7", "epoch", "3", "of", "4"],
     ]
-    told = dict(control_lines(STATUS))
+    told = dict(control_summary(STATUS))
     assert told["voters"] == "3, 2 heard, 2 are a majority"
     assert told["bears"] == "controllers: no further loss; stores: too many are lost already"
     assert told["spares"] == "edge-4"
 
 
 def test_what_lacks_is_named() -> None:
-    assert control_lacks(WHOLE) == []
-    first, second = control_lacks(STATUS)
+    assert control_problems(WHOLE) == []
+    first, second = control_problems(STATUS)
     assert "not heard: edge-3" in first and "without the whole state: edge-2" in first
     assert second.startswith("partition 2 is lost: 1 of 3 replicas live")
-    assert "no head answers" in control_lacks(evolve(WHOLE, leads=False))[0]
+    assert "no head answers" in control_problems(evolve(WHOLE, leads=False))[0]
     stalled = StoreReport(
         "store-1",
         "z",
@@ -80,11 +85,11 @@
         7,
         1.0,
         DiskReport("d", 0, 0, 0, 0, 0, True),
-        [KeptPartition(0, 1, "primary", 1, ["s"])],
+        [HostedPartition(0, 1, "primary", 1, ["s"])],
         {},
     )
-    silent = CallError("GET /status", "store-2:7795", "no answer in time")
-    assert [line.split(" ")[0] for line in store_lacks({"store-1": stalled, "store-2": silent})] == [
+    silent = AdminCallError("GET /status", "store-2:7795", "no answer in time")
+    assert [line.split(" ")[0] for line in store_problems({"store-1": stalled, "store-2": silent})] == [
         "the",
         "store-1",
         "store-2",
@@ -93,12 +98,12 @@
 
 def test_the_whole_status_holds_control_and_stores() -> None:
     report = StatusReport(ProcessReport("edge-1", "z", 1, True, True, 7, 1.0))
-    survey = Survey(report, {"edge-1": report.process}, 0, STATUS, {"store-1": STORE})
-    text = status_tables(survey)
+    survey = SystemStatus(report, {"edge-1": report.process}, 0, STATUS, {"store-1": STORE})
+    text = format_system_status(survey)
     for part in ("2 are a majority", "epoch 3 of 4", "LOST", "catching up".upper(), "in order"):
         assert part in text, text
-    assert any("partition 2 is lost" in line for line in lacks(survey))
-    document = orjson.loads(orjson.dumps(survey_document(survey)))
+    assert any("partition 2 is lost" in line for line in find_problems(survey))
+    document = orjson.loads(orjson.dumps(system_status_document(survey)))
     assert document["control"]["controller_losses_borne"] == 0
     assert document["stores"]["store-1"]["disk"]["syncs"] == 120
 
--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -26,13 +26,13 @@
 from hollowusher.configuration.model import Configuration, read_document
 from hollowusher.configuration.orders import MOST_BODY_BYTES
 from hollowusher.console import store_report
-from hollowusher.console.client import Answer
+from hollowusher.console.admin_client import AdminResponse
 from hollowusher.console.commands import cli as service_commands
 from hollowusher.console.local import command as local_command
 from hollowusher.console.local import layout as local_layout
 from hollowusher.console.status_api import StatusApi
-from hollowusher.console.store_report import DiskReport, KeptPartition, StoreReport
-from hollowusher.console.survey import read_store
+from hollowusher.console.store_report import DiskReport, HostedPartition, StoreReport
+from hollowusher.console.system_status import parse_store_report
 from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.consensus.paxos import Acceptor
@@ -79,7 +79,7 @@
     worker_list,
 )
 from hollowusher.protocol.codec import DecodeError, decode, encode, registered_types
-from hollowusher.roles.control import RECORD_SLOTS, STATE_SLOT
+from hollowusher.roles.control_plane import RECORD_SLOTS, STATE_SLOT
 from hollowusher.roles.store import RING_FOLDER, VIEW_SLOT
 from hollowusher.scheduler.cli import cli as scheduler_commands
 from hollowusher.scheduler.config import SECTIONS as SETTINGS_SECTIONS
@@ -245,19 +245,19 @@
     kept = asyncio.Event()
     command: Any = local_command  # its functions are replaced
     local_layout.DISK_MB[local_layout.STORE] = store_disk_mb
-    make, tell = command.make_layout, command._tell_how_to_ask
+    make, print_steps = command.make_layout, command._print_next_steps
 
-    def make_layout(edges: int, stores: int, chance: Random) -> local_layout.Layout:
-        layout: local_layout.Layout = make(edges, stores, chance)
+    def make_layout(edges: int, stores: int, chance: Random) -> local_layout.LocalLayout:
+        layout: local_layout.LocalLayout = make(edges, stores, chance)
         layout_made(layout)
         return layout
 
-    def tell_how_to_ask(layout: local_layout.Layout) -> None:
-        tell(layout)
+    def print_next_steps(layout: local_layout.LocalLayout) -> None:
+        print_steps(layout)
         kept.set()
 
     command.make_layout = make_layout
-    command._tell_how_to_ask = tell_how_to_ask
+    command._print_next_steps = print_next_steps
     return kept
 
 
@@ -473,14 +473,14 @@
 
 def store_status_body(values: list[Any], disk: list[Any], partitions: list[list[Any]], figures: Any) -> bytes:
     """A store's answer, its parts given by position."""
-    kept = [KeptPartition(*each) for each in partitions]
+    kept = [HostedPartition(*each) for each in partitions]
     parts: list[Any] = [*values, DiskReport(*disk), kept, figures]
     return orjson.dumps(StoreReport(*parts))
 
 
 def read_store_answer(body: bytes) -> Any:
     """A store's answer as the command line reads it, by position."""
-    read = read_store(Answer("127.0.0.1:1", 200, body))
+    read = parse_store_report(AdminResponse("127.0.0.1:1", 200, body))
     return positions(read.ok) if read.is_ok() else str(read.error)
 
 
--- a/tests/roles/test_change_log.py
+++ b/tests/roles/test_cluster_change_log.py
@@ -12,8 +12,8 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 from hollowusher.protocol.view import View, Voter
-from hollowusher.roles import change_log
-from hollowusher.roles.change_log import ChangeLog
+from hollowusher.roles import cluster_change_log as change_log
+from hollowusher.roles.cluster_change_log import ClusterChangeLog
 
 
 @pytest.fixture
@@ -40,7 +40,7 @@
 
 def test_the_head_tells_of_members_views_and_placements(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
-    ChangeLog(state, "", lambda: True)
+    ClusterChangeLog(state, "", lambda: True)
     view = View(4, [Voter("a", "1", "a:1")], ["a"])
     state.apply(
         [
@@ -60,7 +60,7 @@
 
 def test_each_change_is_told_as_it_comes(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
-    ChangeLog(state, "", lambda: True)
+    ClusterChangeLog(state, "", lambda: True)
     for item in (member(0), member(1), placement(1, "a/1"), placement(2, "b/1")):
         state.apply([item], {})
     assert [line.get("condition") for line in lines[:2]] == ["alive", "dead"]
@@ -69,14 +69,14 @@
 
 def test_others_than_the_head_are_silent(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
-    ChangeLog(state, "", lambda: False)
+    ClusterChangeLog(state, "", lambda: False)
     state.apply([member(0), placement(1, "a/1")], {})
     assert lines == []
 
 
 def test_a_store_tells_what_it_leads(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
-    ChangeLog(state, "b/1", lambda: False)
+    ClusterChangeLog(state, "b/1", lambda: False)
     for item in (placement(1, "a/1"), placement(2, "b/1"), placement(3, "b/1"), placement(4, "a/1")):
         state.apply([item], {})
     assert [line["partitions"] for line in lines] == [[3], []]
--- a/tests/roles/test_control_question.py
+++ b/tests/roles/test_control_status_query.py
@@ -11,7 +11,7 @@
 from hollowusher.protocol.control_status import ControlStatus, ReadControlStatus, VoterStatus
 from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.view import Voter
-from hollowusher.roles.control_question import ControlQuestion
+from hollowusher.roles.control_status_query import ControlStatusQuery
 from hollowusher.transport.interface import Handler, PeerError, Transport
 
 NAMES = ("a", "b", "c")
@@ -57,7 +57,7 @@
     async def here(message: Any) -> Any:
         return await controllers.call(f"{me}:7780", message, 1.0)
 
-    return asyncio.run(ControlQuestion(me, state, controllers, here)())
+    return asyncio.run(ControlStatusQuery(me, state, controllers, here)())
 
 
 def test_the_head_alone_is_asked_where_it_leads() -> None:
--- a/tests/roles/test_calls_orders.py
+++ b/tests/roles/test_operator_server.py
@@ -16,7 +16,7 @@
     RetireStore,
 )
 from hollowusher.protocol.view import View, Voter
-from hollowusher.roles.operator_site import OperatorForward
+from hollowusher.roles.operator_server import OperatorForwarder
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer
 from tests.support.controller_cluster import ControllerCluster, run_virtual
 
@@ -63,7 +63,7 @@
     async def handle(message: Any) -> Any:
         raise AssertionError("not decided here")
 
-    forward = OperatorForward("edge-1", state, transport, handle)
+    forward = OperatorForwarder("edge-1", state, transport, handle)
     with pytest.raises(PeerError):
         run_virtual(forward(order))
     assert transport.calls == [(HEAD, order)]
--- a/tests/roles/test_status_site.py
+++ b/tests/roles/test_status_server.py
@@ -8,8 +8,8 @@
 import pytest
 
 from hollowusher.configuration.boot import parse_settings
-from hollowusher.roles import status_site
-from hollowusher.roles.status_site import MOST_CALLERS, MOST_REQUEST_BYTES, StatusSite
+from hollowusher.roles import status_server as status_site
+from hollowusher.roles.status_server import MAX_CONNECTIONS, MAX_REQUEST_BYTES, StatusServer
 
 SETTINGS = """
 nodeName = "store-1"
@@ -24,7 +24,7 @@
     """Run some work against a site on a free port."""
 
     async def run() -> None:
-        site = StatusSite("127.0.0.1:0", lambda: b'{"name":"store-1"}')
+        site = StatusServer("127.0.0.1:0", lambda: b'{"name":"store-1"}')
         await site.start()
         assert site._server is not None
         host, port = site._server.sockets[0].getsockname()
@@ -62,7 +62,7 @@
         (b"PUT /status HTTP/1.1\r\n\r\n", b"405"),
         (b"nonsense\r\n\r\n", b"400"),
         (b"GET /status HTTP/1.1\r\n", b"400"),
-        (b"GET /status HTTP/1.1\r\nX: " + b"x" * 2 * MOST_REQUEST_BYTES, b"400"),
+        (b"GET /status HTTP/1.1\r\nX: " + b"x" * 2 * MAX_REQUEST_BYTES, b"400"),
     ],
 )
 def test_anything_else_is_refused(request_bytes: bytes, status: bytes) -> None:
@@ -77,8 +77,8 @@
     monkeypatch.setattr(status_site, "REQUEST_TIMEOUT_S", 0.05)
 
     async def work(host: str, port: int) -> None:
-        silent = [await asyncio.open_connection(host, port) for _ in range(MOST_CALLERS)]
-        assert [await reader.read() for reader, _ in silent] == [b""] * MOST_CALLERS  # all are let go
+        silent = [await asyncio.open_connection(host, port) for _ in range(MAX_CONNECTIONS)]
+        assert [await reader.read() for reader, _ in silent] == [b""] * MAX_CONNECTIONS  # all are let go
         answer = await told(host, port, b"GET /status HTTP/1.1\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 200")
         for _, writer in silent:
