--- a/hollowusher/simulation/model_check/partition_command.py
+++ b/hollowusher/simulation/model_check/partition_command.py
@@ -8,7 +8,8 @@
 import click
 
 from hollowusher.simulation.model_check.explorer import SearchBounds, SearchOutcome, explore
-from hollowusher.simulation.model_check.partition_model import SCENARIOS, PartitionModel, PartitionScenario
+from hollowusher.simulation.model_check.partition_model import PartitionModel
+from hollowusher.simulation.model_check.partition_scenario import SCENARIOS, PartitionScenario
 from hollowusher.simulation.model_check.planted_partition import PLANTED_RULES, planting
 
 NAMES = [plan.name for plan in SCENARIOS]
--- a/tests/simulation/model_check/test_partition_model.py
+++ b/tests/simulation/model_check/test_partition_model.py
@@ -8,7 +8,7 @@
 from hollowusher.simulation.model_check.commands import main
 from hollowusher.simulation.model_check.explorer import SearchBounds
 from hollowusher.simulation.model_check.partition_command import check_plan
-from hollowusher.simulation.model_check.partition_model import SCENARIOS
+from hollowusher.simulation.model_check.partition_scenario import SCENARIOS
 
 BY_NAME = {plan.name: plan for plan in SCENARIOS}
 ENOUGH = SearchBounds(10_000, 40_000, 120.0)
