--- a/hollowusher/messages/partition/__init__.py
+++ b/hollowusher/messages/partition/__init__.py
@@ -1,1 +1,1 @@
-"""The pure state machines of one partition: records merged by version, queue, leases, call-backs.  No I/O."""
+"""State machines of one partition without I/O: records, queue, leases, call-backs."""
--- a/hollowusher/messages/replication/anti_entropy.py
+++ b/hollowusher/messages/replication/anti_entropy.py
@@ -69,24 +69,24 @@
             answer = await self._request_difference(
                 ReplicaSummary(partition, self._epoch, self._store_id, [], versions, fence=True)
             )
-            learnt = self._merge(answer.records)
-            if learnt:
+            learned = self._merge(answer.records)
+            if learned:
                 await self._log.sync()
             more, incomplete = answer.extra
             await self._push(self._table.requested_records(answer.wanted, incomplete))
             if self._paced:
                 await self._pause(sum(map(len, answer.records)))
-            if not more or not learnt:
+            if not more or not learned:
                 return
 
     def _merge(self, found: Iterable[bytes]) -> bool:
-        learnt = False
+        learned = False
         for record in found:
             key = self._table.apply(record, self._wall_ms())
             if key is not None:
                 self.changed_keys.append(key)
-                learnt = True
-        return learnt
+                learned = True
+        return learned
 
     async def _push(self, found: Iterator[bytes]) -> None:
         for chunk in _chunks(found):
