--- a/hollowusher/delivery/callbacks.py
+++ b/hollowusher/delivery/callback_delivery.py
@@ -11,21 +11,21 @@
 import attrs
 import orjson
 
-from hollowusher.delivery.connection import ExchangeError
-from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
-from hollowusher.delivery.pool import ConnectionPool
-from hollowusher.delivery.reports import EndReporter
+from hollowusher.delivery.connection_pool import ConnectionPool
+from hollowusher.delivery.http_connection import ExchangeError
+from hollowusher.delivery.lease_end_reporter import LeaseEndReporter
+from hollowusher.delivery.lease_poller import JobDemand, LeasePoller, LeasingContext
+from hollowusher.delivery.metrics import DeliveryMetrics
 from hollowusher.protocol.leases import FinishLease, JobsWaiting, LeasedJob
 
-MOST_CONNECTIONS = 4  # of one receiver: they accept few
-TIMEOUT_S = 3.0
-SOURCE_KEPT_S = 10.0
+MAX_CONNECTIONS = 4  # of one receiver: they accept few
+RESPONSE_TIMEOUT_S = 3.0
+IDLE_SOURCE_TTL_S = 10.0
 DEFAULT_PORT = 80
-PAUSE_S = 0.1  # after a failure the receiver rests, doubled with each further one
-LONGEST_PAUSE_S = 1.0
+FIRST_BACKOFF_S = 0.1  # after a failure the receiver rests, doubled with each further one
+MAX_BACKOFF_S = 1.0
 RECHECK_S = 0.25
-BEGIN_WITHIN_S = 5.0  # a leased call-back is begun by then, well before its lease runs out, or given back
+START_WITHIN_S = 5.0  # a leased call-back is begun by then, well before its lease runs out, or given back
 
 
 class CallbackClient(Protocol):
@@ -42,13 +42,15 @@
     """Call-backs over real connections."""
 
     def __init__(self, address: str) -> None:
-        self._pool = ConnectionPool(address, MOST_CONNECTIONS)
+        self._pool = ConnectionPool(address, MAX_CONNECTIONS)
 
     async def post(self, job: LeasedJob) -> str:
         """Tell the end; only a 200 means that it was heard."""
-        deadline = asyncio.get_running_loop().time() + TIMEOUT_S
+        deadline = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
         try:
-            answer = await self._pool.exchange(callback_request(job), lambda answer: True, deadline, True)
+            answer = await self._pool.exchange(
+                encode_callback_request(job), lambda answer: True, deadline, True
+            )
         except ExchangeError:
             return "unknown"
         return "success" if answer.status == 200 else "failed"
@@ -58,7 +60,7 @@
         self._pool.close()
 
 
-def callback_request(job: LeasedJob) -> bytes:
+def encode_callback_request(job: LeasedJob) -> bytes:
     """Head and body of a call-back."""
     parts = urlsplit(job.message.callback_url)
     path = parts.path or "/"
@@ -74,23 +76,23 @@
 
 
 @attrs.frozen
-class _WaitingCallback:
-    """A leased call-back that has not been begun; `begin_by` in the loop's time."""
+class _PendingCallback:
+    """A leased call-back that has not been begun; `start_deadline` in the loop's time."""
 
     job: LeasedJob
-    begin_by: float
+    start_deadline: float
 
 
 @attrs.define(eq=False)
 class _Receiver:
     """One receiver: its lease requests, the jobs in hand and the posts under way."""
 
-    leases: LeaseGroup
+    leases: LeasePoller
     client: CallbackClient
-    queue: deque[_WaitingCallback] = attrs.Factory(deque)
+    queue: deque[_PendingCallback] = attrs.Factory(deque)
     posts: set[asyncio.Task[None]] = attrs.Factory(set)
     failures: int = 0
-    rest_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 class CallbackDelivery:
@@ -98,12 +100,12 @@
 
     def __init__(
         self,
-        network: LeaseNetwork,
-        reporter: EndReporter,
+        context: LeasingContext,
+        reporter: LeaseEndReporter,
         owns: Callable[[str], bool],
         client_of: Callable[[str], CallbackClient] = HttpCallbackClient,
     ) -> None:
-        self._network = network
+        self._context = context
         self._reporter = reporter
         self._owns = owns
         self._client_of = client_of
@@ -117,7 +119,7 @@
         receiver = self._receivers.get(waiting.service)
         if receiver is None:
             receiver = self._receivers[waiting.service] = self._open(waiting.service)
-        receiver.leases.add(waiting.store)
+        receiver.leases.add_store(waiting.store)
 
     def stop(self) -> list[asyncio.Task[None]]:
         """Lease nothing more; what is still under way."""
@@ -126,7 +128,7 @@
         for receiver in self._receivers.values():
             waiting += receiver.leases.stop()
             waiting += receiver.posts
-            self._give_back([waiting.job for waiting in receiver.queue])
+            self._release_jobs([waiting.job for waiting in receiver.queue])
             receiver.queue.clear()
         return waiting
 
@@ -139,46 +141,48 @@
         address = service.partition(":")[2]
         if ":" not in address:
             address = f"{address}:{DEFAULT_PORT}"
-        demand = Demand(
-            lambda: self._wanted(service),
-            lambda jobs: self._take(service, jobs),
-            self._give_back,
+        demand = JobDemand(
+            lambda: self._wanted_jobs(service),
+            lambda jobs: self._accept_jobs(service, jobs),
+            self._release_jobs,
             lambda: RECHECK_S,
         )
-        leases = LeaseGroup(service, self._network, demand, keep_empty_s=SOURCE_KEPT_S, has_home=False)
+        leases = LeasePoller(
+            service, self._context, demand, idle_source_ttl_s=IDLE_SOURCE_TTL_S, has_home=False
+        )
         return _Receiver(leases, self._client_of(address))
 
-    def _wanted(self, service: str) -> int:
+    def _wanted_jobs(self, service: str) -> int:
         self._forget_idle(service)
         receiver = self._receivers.get(service)
         if receiver is None or not self._owns(service):
             return 0
-        if asyncio.get_running_loop().time() < receiver.rest_until:
+        if asyncio.get_running_loop().time() < receiver.backoff_until:
             return 0
-        return MOST_CONNECTIONS - len(receiver.posts) - len(receiver.queue)
+        return MAX_CONNECTIONS - len(receiver.posts) - len(receiver.queue)
 
     def _forget_idle(self, service: str) -> None:
         """Receivers that nothing has been asked for lately are forgotten with their connections."""
         for name, receiver in list(self._receivers.items()):
-            if name != service and not (receiver.leases.active or receiver.posts or receiver.queue):
+            if name != service and not (receiver.leases.is_active or receiver.posts or receiver.queue):
                 receiver.client.close()
                 del self._receivers[name]
 
-    def _take(self, service: str, jobs: list[LeasedJob]) -> None:
+    def _accept_jobs(self, service: str, jobs: list[LeasedJob]) -> None:
         receiver = self._receivers.get(service)
         if receiver is None:
-            self._give_back(jobs)
+            self._release_jobs(jobs)
             return
-        begin_by = asyncio.get_running_loop().time() + BEGIN_WITHIN_S
-        receiver.queue.extend(_WaitingCallback(job, begin_by) for job in jobs)
-        self._pump(receiver)
+        start_deadline = asyncio.get_running_loop().time() + START_WITHIN_S
+        receiver.queue.extend(_PendingCallback(job, start_deadline) for job in jobs)
+        self._send_pending(receiver)
 
-    def _pump(self, receiver: _Receiver) -> None:
+    def _send_pending(self, receiver: _Receiver) -> None:
         loop = asyncio.get_running_loop()
-        while receiver.queue and len(receiver.posts) < MOST_CONNECTIONS and not self._stopping:
+        while receiver.queue and len(receiver.posts) < MAX_CONNECTIONS and not self._stopping:
             waiting = receiver.queue.popleft()
-            if waiting.begin_by < loop.time():
-                self._give_back([waiting.job])
+            if waiting.start_deadline < loop.time():
+                self._release_jobs([waiting.job])
                 continue
             task = loop.create_task(self._post(receiver, waiting))
             receiver.posts.add(task)
@@ -186,26 +190,26 @@
 
     def _posted(self, receiver: _Receiver, task: asyncio.Task[None]) -> None:
         receiver.posts.discard(task)
-        self._pump(receiver)
+        self._send_pending(receiver)
         receiver.leases.wake()
 
-    async def _post(self, receiver: _Receiver, waiting: _WaitingCallback) -> None:
-        figures: DeliveryFigures = self._network.figures
+    async def _post(self, receiver: _Receiver, waiting: _PendingCallback) -> None:
+        metrics: DeliveryMetrics = self._context.metrics
         job = waiting.job
-        if waiting.begin_by < asyncio.get_running_loop().time():  # this process stood still meanwhile
-            self._give_back([job])
+        if waiting.start_deadline < asyncio.get_running_loop().time():  # this process stood still meanwhile
+            self._release_jobs([job])
             return
         result = await receiver.client.post(job)
         if result == "success":
-            figures.callbacks_accepted += 1
+            metrics.callbacks_accepted += 1
             receiver.failures = 0
         else:
-            figures.callbacks_failed += 1
-            pause = min(LONGEST_PAUSE_S, PAUSE_S * 2 ** min(receiver.failures, 8))
+            metrics.callbacks_failed += 1
+            pause = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(receiver.failures, 8))
             receiver.failures += 1
-            receiver.rest_until = asyncio.get_running_loop().time() + pause
-        self._reporter.report_later(FinishLease(job.lease, result))
+            receiver.backoff_until = asyncio.get_running_loop().time() + pause
+        self._reporter.report_in_background(FinishLease(job.lease, result))
 
-    def _give_back(self, jobs: list[LeasedJob]) -> None:
+    def _release_jobs(self, jobs: list[LeasedJob]) -> None:
         for job in jobs:
-            self._reporter.give_back(job.lease)
+            self._reporter.release(job.lease)
--- a/hollowusher/delivery/pool.py
+++ b/hollowusher/delivery/connection_pool.py
@@ -7,14 +7,19 @@
 
 import attrs
 
-from hollowusher.delivery.connection import Accepts, Answer, Connection, ExchangeError
+from hollowusher.delivery.http_connection import (
+    DeliveryResponse,
+    ExchangeError,
+    HttpConnection,
+    ResponseMatcher,
+)
 from hollowusher.transport.tcp import split_address
 
 CONNECT_TIMEOUT_S = 1.0
 FAILED_STATUS = 500
 
 
-class NoFreeConnection(ExchangeError):
+class NoFreeConnectionError(ExchangeError):
     """All the connections that the peer accepts are in use."""
 
 
@@ -24,11 +29,11 @@
     def __init__(self, address: str, limit: int) -> None:
         self.address = address
         self.limit = max(1, limit)
-        self.opened = 0  # connections opened since the start
+        self.opened_count = 0  # connections opened since the start
         self.last_used = 0.0
-        self.retired = False  # not to be used any more: connections end with their request
-        self._idle: list[Connection] = []
-        self._open: set[Connection] = set()
+        self.is_retired = False  # not to be used any more: connections end with their request
+        self._idle: list[HttpConnection] = []
+        self._open: set[HttpConnection] = set()
         self._connecting = 0
 
     @property
@@ -37,41 +42,43 @@
         return len(self._open) + self._connecting
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether a request is under way."""
         return self.open_count > len(self._idle)
 
     async def exchange(
         self,
         request: bytes,
-        accepts: Accepts,
+        matches: ResponseMatcher,
         deadline: float,
-        may_repeat: bool = False,
-        begin_by: float = math.inf,
+        is_idempotent: bool = False,
+        start_deadline: float = math.inf,
         message_id: str = "",
-    ) -> Answer:
-        """The answer to one request; `ExchangeError` where none came.  Nothing is sent after `begin_by`: a
-        process that stood still while a connection was opened has no right to the request any more.
+    ) -> DeliveryResponse:
+        """The answer to one request; `ExchangeError` where none came.
 
-        `may_repeat`: the request may run twice.  Then it is sent once more, on a new connection, when a kept
-        connection ended without a byte of an answer: most likely its end and the request crossed.
+        Nothing is sent after `start_deadline`: a process that stood still while a connection was opened has
+        no right to the request any more.
+
+        `is_idempotent`: the request may run twice.  Then it is sent once more, on a new connection, when a
+        kept connection ended without a byte of an answer: most likely its end and the request crossed.
 
         `message_id`: answers repeat it.  A message that failed is not sent again on the same connection,
         where a second answer to the first time would be taken for one to the next."""
         self.last_used = asyncio.get_running_loop().time()
-        connection = self._take_idle(message_id) or await self._connect(deadline)
-        self._check_time(connection, begin_by)
+        connection = self._pop_idle(message_id) or await self._connect(deadline)
+        self._check_start_deadline(connection, start_deadline)
         try:
-            return await self._exchange_on(connection, request, accepts, deadline, message_id)
+            return await self._exchange_on(connection, request, matches, deadline, message_id)
         except ExchangeError as error:
             crossed = error.reused and not error.answered and error.reason.startswith("connection lost")
-            if error.sent and not (crossed and may_repeat):
+            if error.sent and not (crossed and is_idempotent):
                 raise
             sent_before = error.sent
         connection = await self._connect(deadline, may_have_run=sent_before)
-        self._check_time(connection, begin_by, may_have_run=sent_before)
-        answer = await self._exchange_on(connection, request, accepts, deadline, message_id)
-        return attrs.evolve(answer, sent_before=sent_before)
+        self._check_start_deadline(connection, start_deadline, may_have_run=sent_before)
+        answer = await self._exchange_on(connection, request, matches, deadline, message_id)
+        return attrs.evolve(answer, is_resend=sent_before)
 
     def close(self) -> None:
         """End all connections."""
@@ -80,56 +87,63 @@
 
     def retire(self) -> None:
         """End the connections without a request, and the others after it."""
-        self.retired = True
+        self.is_retired = True
         for connection in list(self._idle):
             connection.close()
 
-    def _check_time(self, connection: Connection, begin_by: float, may_have_run: bool = False) -> None:
-        if asyncio.get_running_loop().time() > begin_by:
-            self._put_back(connection)
+    def _check_start_deadline(
+        self, connection: HttpConnection, start_deadline: float, may_have_run: bool = False
+    ) -> None:
+        if asyncio.get_running_loop().time() > start_deadline:
+            self._return_connection(connection)
             raise ExchangeError("send", self.address, "too late to begin", sent=may_have_run)
 
     async def _exchange_on(
-        self, connection: Connection, request: bytes, accepts: Accepts, deadline: float, message_id: str
-    ) -> Answer:
-        answer = await connection.exchange(request, accepts, deadline)
+        self,
+        connection: HttpConnection,
+        request: bytes,
+        matches: ResponseMatcher,
+        deadline: float,
+        message_id: str,
+    ) -> DeliveryResponse:
+        answer = await connection.exchange(request, matches, deadline)
         if answer.status == FAILED_STATUS and message_id:
-            connection.failed_ids.add(message_id)
-        self._put_back(connection)
+            connection.failed_message_ids.add(message_id)
+        self._return_connection(connection)
         return answer
 
-    def _put_back(self, connection: Connection) -> None:
-        if connection.usable and not self.retired:
+    def _return_connection(self, connection: HttpConnection) -> None:
+        if connection.is_usable and not self.is_retired:
             self._idle.append(connection)
         else:
             connection.close()
 
-    def _take_idle(self, message_id: str) -> Connection | None:
+    def _pop_idle(self, message_id: str) -> HttpConnection | None:
         """The usable connection used last on which this message has not failed."""
         for place in range(len(self._idle) - 1, -1, -1):
             connection = self._idle[place]
-            if not connection.usable:
+            if not connection.is_usable:
                 del self._idle[place]
                 connection.close()
-            elif message_id not in connection.failed_ids:
+            elif message_id not in connection.failed_message_ids:
                 del self._idle[place]
                 return connection
         return None
 
-    async def _connect(self, deadline: float, may_have_run: bool = False) -> Connection:
+    async def _connect(self, deadline: float, may_have_run: bool = False) -> HttpConnection:
         if self.open_count >= self.limit and self._idle:  # those that are left are not for this message
             spare = self._idle[0]
-            self._lost(spare)
+            self._remove(spare)
             spare.close()
         if self.open_count >= self.limit:
-            raise NoFreeConnection("connect", self.address, "no free connection", sent=may_have_run)
+            raise NoFreeConnectionError("connect", self.address, "no free connection", sent=may_have_run)
         loop = asyncio.get_running_loop()
         host, port = split_address(self.address)
         self._connecting += 1
         try:
             async with asyncio.timeout_at(min(deadline, loop.time() + CONNECT_TIMEOUT_S)):
                 _, connection = await loop.create_connection(
-                    lambda: Connection(self.address, self._lost), host, port
+                    lambda: HttpConnection(self.address, self._remove), host, port
                 )
         except TimeoutError:
             raise ExchangeError("connect", self.address, "no connection in time", sent=may_have_run) from None
@@ -139,13 +153,13 @@
             ) from None
         finally:
             self._connecting -= 1
-        self.opened += 1
-        if not connection.usable:  # ended before this task went on
+        self.opened_count += 1
+        if not connection.is_usable:  # ended before this task went on
             raise ExchangeError("connect", self.address, "connection lost", sent=may_have_run)
         self._open.add(connection)
         return connection
 
-    def _lost(self, connection: Connection) -> None:
+    def _remove(self, connection: HttpConnection) -> None:
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
--- a/hollowusher/delivery/connection.py
+++ b/hollowusher/delivery/http_connection.py
@@ -17,9 +17,9 @@
 from aiohttp.base_protocol import BaseProtocol
 from aiohttp.http import HttpResponseParser
 
-MOST_ANSWER_BYTES = 8 * 1024 * 1024
-READ_LIMIT = 2 * MOST_ANSWER_BYTES  # of the parser: it is never to pause, the bound above closes first
-MOST_HEADER_BYTES = 16_384
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+READ_LIMIT_BYTES = 2 * MAX_RESPONSE_BYTES  # of the parser: it is never to pause, the bound above closes first
+MAX_HEADER_BYTES = 16_384
 KEEP_ALIVE_MARGIN_S = 0.4  # an idle connection is not used within this time of its announced end
 USER_TIMEOUT_MS = 5_000
 
@@ -50,25 +50,27 @@
 
 
 @attrs.frozen
-class Answer:
+class DeliveryResponse:
     """A whole answer.  The body is dropped: workers' answers to messages are not passed on."""
 
     status: int
     headers: Mapping[str, str]
-    sent_before: bool = False  # the request had been sent once already, and that was not answered
+    is_resend: bool = False  # the request had been sent once already, and that was not answered
 
 
-Accepts = Callable[[Answer], bool]  # whether an answer belongs to the request that waits
+ResponseMatcher = Callable[[DeliveryResponse], bool]  # whether an answer belongs to the request that waits
 
 
-class Connection(asyncio.Protocol):
+class HttpConnection(asyncio.Protocol):
     """A connection; `on_lost` is called once with it when it has ended."""
 
-    def __init__(self, address: str, on_lost: Callable[[Connection], None]) -> None:
+    def __init__(self, address: str, on_lost: Callable[[HttpConnection], None]) -> None:
         self.address = address
         self.requests = 0
-        self.failed_ids: set[str] = set()  # messages answered with a failure here: it may be answered again
-        self.idle_until: float | None = None  # None: no end was announced
+        self.failed_message_ids: set[str] = (
+            set()
+        )  # messages answered with a failure here: it may be answered again
+        self.idle_deadline: float | None = None  # None: no end was announced
         self._keep_alive: str | None = None  # the header's value in the last answer, and what it allows
         self._idle_s: float | None = None
         self._on_lost = on_lost
@@ -76,28 +78,33 @@
         self._transport: asyncio.Transport | None = None
         self._parser: Any = None
         self._payload: Any = None  # body of the answer that is being read
-        self._reading: Answer | None = None  # the answer whose body is being read
-        self._closes = False  # the peer has said that it closes after this answer
+        self._reading: DeliveryResponse | None = None  # the answer whose body is being read
+        self._closes_after_response = False  # the peer has said that it closes after this answer
         self._bytes_in = 0
-        self._waiting: asyncio.Future[Answer] | None = None
-        self._accepts: Accepts | None = None
+        self._response: asyncio.Future[DeliveryResponse] | None = None
+        self._matches: ResponseMatcher | None = None
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether a request may be sent on it."""
         transport = self._transport
-        if transport is None or transport.is_closing() or self._waiting is not None or self._closes:
+        if (
+            transport is None
+            or transport.is_closing()
+            or self._response is not None
+            or self._closes_after_response
+        ):
             return False
-        return self.idle_until is None or self._loop.time() < self.idle_until
+        return self.idle_deadline is None or self._loop.time() < self.idle_deadline
 
-    async def exchange(self, request: bytes, accepts: Accepts, deadline: float) -> Answer:
+    async def exchange(self, request: bytes, matches: ResponseMatcher, deadline: float) -> DeliveryResponse:
         """Send a request and wait for its answer until `deadline`.  `ExchangeError` where none came; the
         connection is closed then."""
         transport = self._transport
-        if transport is None or not self.usable:
+        if transport is None or not self.is_usable:
             raise ExchangeError("send", self.address, "connection lost", sent=False)
-        future: asyncio.Future[Answer] = self._loop.create_future()
-        self._waiting, self._accepts = future, accepts
+        future: asyncio.Future[DeliveryResponse] = self._loop.create_future()
+        self._response, self._matches = future, matches
         self._bytes_in = 0
         self.requests += 1
         transport.write(request)
@@ -106,8 +113,8 @@
             return await future
         finally:
             timer.cancel()
-            if self._waiting is not None:  # cancelled: an answer that comes now would be nobody's
-                self._waiting = None
+            if self._response is not None:  # cancelled: an answer that comes now would be nobody's
+                self._response = None
                 self.close()
 
     def close(self) -> None:
@@ -122,11 +129,11 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what came.  Bytes on an idle connection answer nothing: they end it."""
-        if self._waiting is None:
+        if self._response is None:
             self.close()
             return
         self._bytes_in += len(data)
-        if self._bytes_in > MOST_ANSWER_BYTES:
+        if self._bytes_in > MAX_RESPONSE_BYTES:
             self._fail("answer too long")
             return
         if self._parser is None:
@@ -137,14 +144,14 @@
             self._fail(f"answer cannot be read: {type(error).__name__}")
             return
         for message, payload in messages:
-            self._take_body_end()
+            self._complete_response()
             if self._reading is not None:
                 self._fail("answer cut short by another")
                 return
-            self._reading, self._payload = Answer(message.code, message.headers), payload
-            self._closes = self._closes or message.should_close
-        self._take_body_end()
-        if self._waiting is None and self._reading is not None:
+            self._reading, self._payload = DeliveryResponse(message.code, message.headers), payload
+            self._closes_after_response = self._closes_after_response or message.should_close
+        self._complete_response()
+        if self._response is None and self._reading is not None:
             self.close()  # the start of a second answer
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -153,12 +160,12 @@
             with suppress(Exception):  # an answer without a length is whole when the connection ends
                 self._parser.feed_eof()
             if error is None:
-                self._take_body_end()
+                self._complete_response()
         self._transport = None
         self._fail(f"connection lost: {error or 'closed'}")
         self._on_lost(self)
 
-    def _take_body_end(self) -> None:
+    def _complete_response(self) -> None:
         """If the answer that is being read is whole, hand it over."""
         answer, payload = self._reading, self._payload
         if answer is None or not payload.is_eof():
@@ -169,28 +176,28 @@
             return
         if 100 <= answer.status < 200:
             return
-        waiting, accepts = self._waiting, self._accepts
-        if waiting is None or accepts is None:
-            self._closes = True  # two answers for one request
+        waiting, matches = self._response, self._matches
+        if waiting is None or matches is None:
+            self._closes_after_response = True  # two answers for one request
             self.close()
             return
-        if not accepts(answer):
-            self._closes = True  # out of step: read on, but never use the connection again
+        if not matches(answer):
+            self._closes_after_response = True  # out of step: read on, but never use the connection again
             return
-        self._waiting = self._accepts = None
-        self._note_idle_end(answer)
+        self._response = self._matches = None
+        self._update_idle_deadline(answer)
         if not waiting.done():
             waiting.set_result(answer)
 
-    def _note_idle_end(self, answer: Answer) -> None:
+    def _update_idle_deadline(self, answer: DeliveryResponse) -> None:
         """When the peer will close the connection if it stays idle: `Keep-Alive: timeout=SECONDS`."""
-        told = answer.headers.get("Keep-Alive")
-        if told != self._keep_alive:
-            self._keep_alive, self._idle_s = told, _idle_seconds(told or "")
-        self.idle_until = None if self._idle_s is None else self._loop.time() + self._idle_s
+        header = answer.headers.get("Keep-Alive")
+        if header != self._keep_alive:
+            self._keep_alive, self._idle_s = header, _idle_seconds(header or "")
+        self.idle_deadline = None if self._idle_s is None else self._loop.time() + self._idle_s
 
     def _fail(self, reason: str) -> None:
-        waiting, self._waiting = self._waiting, None
+        waiting, self._response = self._response, None
         if waiting is not None and not waiting.done():
             waiting.set_exception(
                 ExchangeError(
@@ -209,17 +216,17 @@
     return HttpResponseParser(
         BaseProtocol(loop),
         loop,
-        READ_LIMIT,
-        max_line_size=MOST_HEADER_BYTES,
-        max_field_size=MOST_HEADER_BYTES,
+        READ_LIMIT_BYTES,
+        max_line_size=MAX_HEADER_BYTES,
+        max_field_size=MAX_HEADER_BYTES,
         auto_decompress=False,
         read_until_eof=True,
     )
 
 
-def _idle_seconds(told: str) -> float | None:
+def _idle_seconds(header: str) -> float | None:
     """How long a connection may be used after an answer with this `Keep-Alive` header."""
-    for part in told.split(","):
+    for part in header.split(","):
         name, _, value = part.partition("=")
         if name.strip().lower() == "timeout":
             with suppress(ValueError):
--- a/hollowusher/delivery/reports.py
+++ b/hollowusher/delivery/lease_end_reporter.py
@@ -5,15 +5,17 @@
 import asyncio
 from typing import Protocol
 
-from hollowusher.delivery.figures import DeliveryFigures
+from hollowusher.delivery.metrics import DeliveryMetrics
 from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
 from hollowusher.transport.interface import PeerError
 
-ANSWER_TIMEOUT_S = 10.0  # of one call, within which the store client repeats by itself
-PATIENCE_S = 240.0  # an end is reported for so long; then its message is retained or run by the store's rules
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
-MOST_OPEN = 20_000  # ends that wait for an answer; beyond it those of jobs that never ran are dropped
+ATTEMPT_TIMEOUT_S = 10.0  # of one call, within which the store client repeats by itself
+REPORT_TIMEOUT_S = (
+    240.0  # an end is reported for so long; then its message is retained or run by the store's rules
+)
+FIRST_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
+MAX_OPEN_REPORTS = 20_000  # ends that wait for an answer; beyond it those of jobs that never ran are dropped
 
 
 class FinishClient(Protocol):
@@ -23,12 +25,12 @@
         """End a lease; "unavailable" where the deadline came first."""
 
 
-class EndReporter:
+class LeaseEndReporter:
     """Reports ends; a report is forgotten once the store has it or says that the lease is gone."""
 
-    def __init__(self, store_client: FinishClient, figures: DeliveryFigures) -> None:
+    def __init__(self, store_client: FinishClient, metrics: DeliveryMetrics) -> None:
         self._store_client = store_client
-        self._figures = figures
+        self._metrics = metrics
         self._tasks: set[asyncio.Task[None]] = set()
         self._open = 0
 
@@ -37,15 +39,15 @@
         """Ends that no store has taken yet."""
         return self._open
 
-    def give_back(self, lease: str, retry_ms: int = 0) -> None:
+    def release(self, lease: str, retry_ms: int = 0) -> None:
         """Report in the background that a leased job was not begun."""
-        self._figures.returned += 1
-        if self._open >= MOST_OPEN:
-            self._figures.ends_dropped += 1  # the lease runs out by itself
+        self._metrics.returned += 1
+        if self._open >= MAX_OPEN_REPORTS:
+            self._metrics.ends_dropped += 1  # the lease runs out by itself
             return
-        self.report_later(FinishLease(lease, "not_run", retry_ms=retry_ms))
+        self.report_in_background(FinishLease(lease, "not_run", retry_ms=retry_ms))
 
-    def report_later(self, finish: FinishLease) -> None:
+    def report_in_background(self, finish: FinishLease) -> None:
         """Report an end in the background."""
         task = asyncio.get_running_loop().create_task(self.report(finish))
         self._tasks.add(task)
@@ -54,22 +56,22 @@
     async def report(self, finish: FinishLease) -> None:
         """Report an end until it is answered."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + PATIENCE_S
-        pause = FIRST_PAUSE_S
+        until = loop.time() + REPORT_TIMEOUT_S
+        pause = FIRST_BACKOFF_S
         self._open += 1
         try:
             while True:
-                if await self._try(finish, min(until, loop.time() + ANSWER_TIMEOUT_S)):
+                if await self._attempt(finish, min(until, loop.time() + ATTEMPT_TIMEOUT_S)):
                     return
                 if loop.time() >= until:
-                    self._figures.ends_dropped += 1
+                    self._metrics.ends_dropped += 1
                     return
                 await asyncio.sleep(pause)
-                pause = min(LONGEST_PAUSE_S, 2 * pause)
+                pause = min(MAX_BACKOFF_S, 2 * pause)
         finally:
             self._open -= 1
 
-    async def settle(self, deadline: float) -> None:
+    async def flush(self, deadline: float) -> None:
         """Wait until the reports in the background have been answered, at most until `deadline`."""
         left = deadline - asyncio.get_running_loop().time()
         if self._tasks and left > 0:
@@ -77,13 +79,13 @@
         for task in list(self._tasks):
             task.cancel()
 
-    async def _try(self, finish: FinishLease, deadline: float) -> bool:
+    async def _attempt(self, finish: FinishLease, deadline: float) -> bool:
         try:
             answer = await self._store_client.finish(finish, deadline)
         except PeerError:
             return False
         if answer.status == "taken":
-            self._figures.ends_reported += 1
+            self._metrics.ends_reported += 1
         elif answer.status == "gone":
-            self._figures.ends_gone += 1
+            self._metrics.ends_gone += 1
         return answer.status in ("taken", "gone")
--- a/hollowusher/delivery/leasing.py
+++ b/hollowusher/delivery/lease_poller.py
@@ -11,39 +11,45 @@
 
 from hollowusher.configuration.model import Configuration
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.delivery.figures import DeliveryFigures
+from hollowusher.delivery.metrics import DeliveryMetrics
 from hollowusher.protocol.leases import LeasedJob, LeaseRequest, LeaseResponse
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import Placement
 from hollowusher.transport.interface import PeerError, Transport
 
-POLL_S = 1.0  # how long a store may wait for jobs to come
-ANSWER_S = 1.0  # beyond it, until the call is given up
-LOST_TIMEOUT_S = 0.5  # of the word that an answer never came
-MOST_PER_REQUEST = 64
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
-AT_ONCE_S = 0.1  # an answer without jobs that came sooner was no long poll: pause, as after a failure
-PACE_S = 0.01  # at least between two requests to a store, so that a few jobs come with each answer
-STALE_S = 0.8  # jobs leased longer ago than this have lain somewhere that stood still: they are given back
-
-Homes = Callable[[str, Iterable[int]], list[int]]  # a service's partitions, in the order of preference
+LONG_POLL_S = 1.0  # how long a store may wait for jobs to come
+ANSWER_MARGIN_S = 1.0  # beyond it, until the call is given up
+LOST_NOTICE_TIMEOUT_S = 0.5  # of the word that an answer never came
+MAX_JOBS_PER_REQUEST = 64
+FIRST_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
+MIN_LONG_POLL_S = 0.1  # an answer without jobs that came sooner was no long poll: pause, as after a failure
+MIN_REQUEST_INTERVAL_S = (
+    0.01  # at least between two requests to a store, so that a few jobs come with each answer
+)
+MAX_LEASE_AGE_S = (
+    0.8  # jobs leased longer ago than this have lain somewhere that stood still: they are given back
+)
+
+PartitionRanking = Callable[
+    [str, Iterable[int]], list[int]
+]  # a service's partitions, in the order of preference
 
 
 @attrs.frozen
-class LeaseNetwork:
+class LeasingContext:
     """What all lease requests of a process need."""
 
     me: Member
     transport: Transport
     state: ClusterState
-    homes: Homes
-    figures: DeliveryFigures
+    rank_partitions: PartitionRanking
+    metrics: DeliveryMetrics
     numbers: Iterator[int] = attrs.Factory(lambda: itertools.count(1))  # of lease requests
 
     def home_store(self, service: str) -> str | None:
         """The store that is the primary of the service's home partition."""
-        ranking = self.homes(service, self.state.partition_numbers())
+        ranking = self.rank_partitions(service, self.state.partition_numbers())
         entry = self.state.partition_placement(ranking[0]) if ranking else None
         return entry.primary if entry is not None else None
 
@@ -56,44 +62,45 @@
 
 
 @attrs.frozen
-class Demand:
-    """What the receiver of the jobs wants.  `wanted`: how many jobs now; `take`: here they are; `give_back`:
-    they came too late to be of use; `recheck_s`: how long to wait at most for a wake-up before `wanted` is
-    asked again, None where demand never grows by time alone."""
+class JobDemand:
+    """How many jobs a consumer wants, and what becomes of those that arrive."""
 
-    wanted: Callable[[], int]
-    take: Callable[[list[LeasedJob]], None]
-    give_back: Callable[[list[LeasedJob]], None]
-    recheck_s: Callable[[], float | None]
+    wanted_jobs: Callable[[], int]  # jobs that the consumer can use now
+    accept: Callable[[list[LeasedJob]], None]
+    release: Callable[[list[LeasedJob]], None]  # called instead of `accept` for jobs whose leases are too old
+    recheck_s: Callable[[], float | None]  # until `wanted_jobs` may grow by time alone; None: never
 
 
-class LeaseGroup:
+class LeasePoller:
     """The sources of one service's jobs: its home store, and stores that said that jobs wait there."""
 
     def __init__(
         self,
         service: str,
-        network: LeaseNetwork,
-        demand: Demand,
+        context: LeasingContext,
+        demand: JobDemand,
         *,
-        keep_empty_s: float,
+        idle_source_ttl_s: float,
         has_home: bool = True,
         visibility_ms: int = 0,
     ) -> None:
         self.service = service
-        self._network = network
+        self._context = context
         self._demand = demand
-        self._keep_empty_s = keep_empty_s
+        self._keep_empty_s = idle_source_ttl_s
         self._has_home = has_home
         self._visibility_ms = visibility_ms  # above 0: leases for pull workers
         self._home: str | None = None
-        self._home_of: tuple[Placement | None, Configuration | None] = (None, None)  # what it follows from
+        self._home_inputs: tuple[Placement | None, Configuration | None] = (
+            None,
+            None,
+        )  # what it follows from
         self._sources: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
         self._woken = asyncio.Event()
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether any store is being asked."""
         return bool(self._sources)
 
@@ -101,24 +108,24 @@
         """Follow the placement: ask the home store of now."""
         if not self._has_home or self._stopping:
             return
-        state = self._network.state
-        placement, configuration = self._home_of
+        state = self._context.state
+        placement, configuration = self._home_inputs
         changed = state.placement is not placement or state.configuration is not configuration
         if changed or self._home is None:
-            self._home_of = (state.placement, state.configuration)
-            self._home = self._network.home_store(self.service)
+            self._home_inputs = (state.placement, state.configuration)
+            self._home = self._context.home_store(self.service)
         if self._home is not None:
-            self._ensure(self._home)
+            self._start_polling(self._home)
         self.wake()
 
-    def leave(self) -> None:
+    def drop_home(self) -> None:
         """Ask the home store no more once the requests under way have ended, until the next `refresh`."""
         self._home = None
 
-    def add(self, store: str) -> None:
+    def add_store(self, store: str) -> None:
         """Jobs wait at this store."""
         if not self._stopping:
-            self._ensure(store)
+            self._start_polling(store)
 
     def wake(self) -> None:
         """Demand may have grown."""
@@ -130,32 +137,32 @@
         self.wake()
         return list(self._sources.values())
 
-    def _ensure(self, store: str) -> None:
+    def _start_polling(self, store: str) -> None:
         if store not in self._sources:
-            task = asyncio.get_running_loop().create_task(self._ask_repeatedly(store))
+            task = asyncio.get_running_loop().create_task(self._poll_repeatedly(store))
             self._sources[store] = task
-            task.add_done_callback(lambda done: self._ended(store, done))
+            task.add_done_callback(lambda done: self._polling_ended(store, done))
 
-    def _ended(self, store: str, task: asyncio.Task[None]) -> None:
+    def _polling_ended(self, store: str, task: asyncio.Task[None]) -> None:
         if self._sources.get(store) is task:
             del self._sources[store]
 
-    async def _ask_repeatedly(self, store: str) -> None:
+    async def _poll_repeatedly(self, store: str) -> None:
         loop = asyncio.get_running_loop()
         last_jobs = loop.time()
-        pause = FIRST_PAUSE_S
+        pause = FIRST_BACKOFF_S
         lost = 0  # the number of a request whose answer never came
         while not self._stopping:
             if store != self._home and loop.time() - last_jobs > self._keep_empty_s:
                 return
-            wanted = 0 if lost else min(MOST_PER_REQUEST, self._demand.wanted())
+            wanted = 0 if lost else min(MAX_JOBS_PER_REQUEST, self._demand.wanted_jobs())
             if wanted <= 0 and not lost:
                 await self._wait_for_demand()
                 continue
             asked = loop.time()
             request = self._request(wanted, lost)
-            leased, is_unclear = await self._ask(store, request)
-            took = loop.time() - asked
+            leased, is_unclear = await self._send_request(store, request)
+            elapsed_s = loop.time() - asked
             if lost:  # first the store is told that nothing of that answer was begun
                 lost = lost if leased is None else 0
                 if leased is not None:
@@ -164,23 +171,23 @@
                 lost = request.number
             if leased is not None and leased.jobs:
                 last_jobs = loop.time()
-                self._receive(leased.jobs, took - leased.leased_after_ms / 1000)
-            elif leased is None or took < AT_ONCE_S:
+                self._receive(leased.jobs, elapsed_s - leased.leased_after_ms / 1000)
+            elif leased is None or elapsed_s < MIN_LONG_POLL_S:
                 await asyncio.sleep(pause)
-                pause = min(LONGEST_PAUSE_S, 2 * pause)
+                pause = min(MAX_BACKOFF_S, 2 * pause)
                 continue
-            pause = FIRST_PAUSE_S
-            if took < PACE_S:
-                await asyncio.sleep(PACE_S - took)
+            pause = FIRST_BACKOFF_S
+            if elapsed_s < MIN_REQUEST_INTERVAL_S:
+                await asyncio.sleep(MIN_REQUEST_INTERVAL_S - elapsed_s)
 
     def _receive(self, jobs: list[LeasedJob], age_s: float) -> None:
         """Take jobs whose leases are `age_s` old at most: the time since the request less the time that the
         store waited before it leased them, each by the steady clock of the one who measured it."""
-        self._network.figures.leased += len(jobs)
-        if self._stopping or age_s > STALE_S:
-            self._demand.give_back(jobs)
+        self._context.metrics.leased += len(jobs)
+        if self._stopping or age_s > MAX_LEASE_AGE_S:
+            self._demand.release(jobs)
         else:
-            self._demand.take(jobs)
+            self._demand.accept(jobs)
 
     async def _wait_for_demand(self) -> None:
         self._woken.clear()
@@ -190,28 +197,28 @@
 
     def _request(self, most: int, lost: int) -> LeaseRequest:
         """A request for jobs; with `lost` only the word that the answer to an earlier one never came."""
-        me = self._network.me
+        me = self._context.me
         return LeaseRequest(
             me.name,
             me.incarnation,
             self.service,
             most,
-            0 if lost else round(POLL_S * 1000),
+            0 if lost else round(LONG_POLL_S * 1000),
             pull=self._visibility_ms > 0,
             visibility_ms=self._visibility_ms,
-            number=next(self._network.numbers),
+            number=next(self._context.numbers),
             lost=lost,
         )
 
-    async def _ask(self, store: str, request: LeaseRequest) -> tuple[LeaseResponse | None, bool]:
+    async def _send_request(self, store: str, request: LeaseRequest) -> tuple[LeaseResponse | None, bool]:
         """The answer of a store, None where there is none; and whether it may have granted something."""
-        address = self._network.address(store)
+        address = self._context.address(store)
         if address is None:
             return None, False
-        timeout_s = LOST_TIMEOUT_S if request.lost else POLL_S + ANSWER_S
+        timeout_s = LOST_NOTICE_TIMEOUT_S if request.lost else LONG_POLL_S + ANSWER_MARGIN_S
         try:
-            answer = await self._network.transport.call(address, request, timeout_s)
+            answer = await self._context.transport.call(address, request, timeout_s)
         except PeerError as error:
-            self._network.figures.lease_failures += 1
+            self._context.metrics.lease_failures += 1
             return None, error.sent
         return (answer, False) if isinstance(answer, LeaseResponse) else (None, True)
--- a/hollowusher/delivery/figures.py
+++ b/hollowusher/delivery/metrics.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class DeliveryFigures:
+class DeliveryMetrics:
     """Counters since the start, and what is under way."""
 
     success: int = 0
--- a/hollowusher/delivery/outcome.py
+++ b/hollowusher/delivery/outcome.py
@@ -7,7 +7,7 @@
 import attrs
 
 
-class Ending(enum.Enum):
+class WorkerFeedback(enum.Enum):
     """How a hand-over ended, as a worker's controller tells them apart."""
 
     DONE = "done"  # answered: success, or the job itself is at fault
@@ -24,12 +24,12 @@
 class DeliveryOutcome:
     """`result` and `signature` are those of `FinishLease`; `retry_ms` is the wait wanted before the next
     lease.
-    `started` is when the first byte was sent (None: nothing was), `took` how long the delivery took."""
+    `started` is when the first byte was sent (None: nothing was), `elapsed_s` how long the delivery took."""
 
     result: str  # "success" | "failed" | "refused" | "not_run" | "unknown"
-    ending: Ending
+    feedback: WorkerFeedback
     signature: str = ""
     retry_ms: int = 0
     started: float | None = None
-    took: float = 0.0
+    elapsed_s: float = 0.0
     reason: str = ""
--- a/hollowusher/dispatch/dispatcher.py
+++ b/hollowusher/dispatch/dispatcher.py
@@ -16,28 +16,36 @@
     ClusterState,
 )
 from hollowusher.coordination.placement.partitioner import rank_partitions
-from hollowusher.delivery.callbacks import CallbackDelivery
-from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.delivery.leasing import Homes, LeaseNetwork
-from hollowusher.delivery.pull import LeasingPullDesk
-from hollowusher.delivery.reports import EndReporter, FinishClient
+from hollowusher.delivery.callback_delivery import CallbackDelivery
+from hollowusher.delivery.lease_end_reporter import FinishClient, LeaseEndReporter
+from hollowusher.delivery.lease_poller import LeasingContext, PartitionRanking
+from hollowusher.delivery.metrics import DeliveryMetrics
+from hollowusher.delivery.pull_dispatcher import LeasingPullDispatcher
 from hollowusher.delivery.worker_client import Endpoint, WorkerClient
-from hollowusher.dispatch.ownership import Destination, assign, fixed_destination, owner, worker_destination
-from hollowusher.dispatch.service_dispatch import DispatchContext, ServiceDispatch, WorkerSpec
+from hollowusher.dispatch.ownership import (
+    Destination,
+    assign_owners,
+    fixed_destination,
+    preferred_owner,
+    worker_destination,
+)
+from hollowusher.dispatch.service_dispatcher import DispatchContext, OwnedDestination, ServiceDispatcher
 from hollowusher.protocol.leases import JobsWaiting
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.messages import CALLBACK_PREFIX
 from hollowusher.protocol.worker_list import PlatformWorker
 from hollowusher.transport.interface import Transport
 
-READY = "ready"
+READY_STATE = "ready"
 STOP_MARGIN_S = 0.3  # of the grace, kept for the reports of the last ends
-EDGE = "edge"
+EDGE_ROLE = "edge"
 
 
 class Dispatcher:
-    """Delivers the jobs of pushed workers and call-backs that this process owns; `pull_desk` leases those
-    of the pull workers that call here."""
+    """Delivers the jobs of pushed workers and call-backs that this process owns.
+
+    `pull_dispatcher` leases the jobs of the pull workers that call here.
+    """
 
     def __init__(
         self,
@@ -49,21 +57,23 @@
         worker_client: WorkerClient,
         chance: random.Random,
         *,
-        homes: Homes = rank_partitions,
-        figures: DeliveryFigures | None = None,
+        rank_partitions: PartitionRanking = rank_partitions,
+        metrics: DeliveryMetrics | None = None,
     ) -> None:
-        self.figures = figures or DeliveryFigures()
+        self.metrics = metrics or DeliveryMetrics()
         self._me = me
         self._state = state
         self._client = worker_client
-        self._reporter = EndReporter(store_client, self.figures)
-        self._network = LeaseNetwork(me, transport, state, homes, self.figures)
+        self._reporter = LeaseEndReporter(store_client, self.metrics)
+        self._network = LeasingContext(me, transport, state, rank_partitions, self.metrics)
         self._context = DispatchContext(
-            self._network, worker_client, self._reporter, self.figures, chance, self._route
+            self._network, worker_client, self._reporter, self.metrics, chance, self._route
         )
         self._callbacks = CallbackDelivery(self._network, self._reporter, self._owns_receiver)
-        self.pull_desk = LeasingPullDesk(self._network, self._reporter, settings.bounds.visibility_ms)
-        self._services: dict[str, ServiceDispatch] = {}
+        self.pull_dispatcher = LeasingPullDispatcher(
+            self._network, self._reporter, settings.bounds.visibility_ms
+        )
+        self._services: dict[str, ServiceDispatcher] = {}
         self._routes: dict[str, Route] = {}
         self._configuration: Configuration | None = None
         self._refresh_due = False
@@ -85,12 +95,12 @@
         waiting = [task for service in self._services.values() for task in service.stop()]
         waiting += self._callbacks.stop()
         waiting += [task for service in self._services.values() for task in service.deliveries]
-        waiting += self.pull_desk.stop()
+        waiting += self.pull_dispatcher.stop()
         if waiting:
             _, left = await asyncio.wait(waiting, timeout=max(0.0, grace_s - STOP_MARGIN_S))
             for task in left:
                 task.cancel()
-        await self._reporter.settle(deadline)
+        await self._reporter.flush(deadline)
         await self._callbacks.close()
         await self._client.close()
 
@@ -101,10 +111,10 @@
         if waiting.service.startswith(CALLBACK_PREFIX):
             self._callbacks.handle(waiting)
             return
-        self.pull_desk.handle(waiting)
+        self.pull_dispatcher.handle(waiting)
         dispatch = self._services.get(waiting.service)
-        if dispatch is not None and not dispatch.idle:
-            dispatch.leases.add(waiting.store)
+        if dispatch is not None and not dispatch.is_idle:
+            dispatch.leases.add_store(waiting.store)
 
     def owned(self) -> dict[str, list[str]]:
         """The destinations owned now, by service."""
@@ -114,7 +124,7 @@
         return self._routes.get(name)
 
     def _owns_receiver(self, service: str) -> bool:
-        return owner(Destination(service), self._state.live_members(EDGE)) == self._me.name
+        return preferred_owner(Destination(service), self._state.live_members(EDGE_ROLE)) == self._me.name
 
     def _changed(self, key: str) -> None:
         if key == WORKERS:
@@ -140,25 +150,25 @@
         for name in set(self._services) | set(owned):
             self._update(name, services.get(name), owned.get(name, []))
 
-    def _update(self, name: str, service: Service | None, specs: list[WorkerSpec]) -> None:
+    def _update(self, name: str, service: Service | None, specs: list[OwnedDestination]) -> None:
         dispatch = self._services.get(name)
         if dispatch is None:
             if service is None or not specs:
                 return
-            dispatch = self._services[name] = ServiceDispatch(service, self._context)
+            dispatch = self._services[name] = ServiceDispatcher(service, self._context)
         dispatch.update(service or dispatch.service, specs)
-        if not specs and dispatch.idle:
+        if not specs and dispatch.is_idle:
             del self._services[name]
 
-    def _owned_specs(self) -> dict[str, list[WorkerSpec]]:
+    def _owned_specs(self) -> dict[str, list[OwnedDestination]]:
         configuration = self._state.configuration
         if configuration is None:
             return {}
         pushed = {service.name: service for service in configuration.upstreams if not service.pull}
         workers = self._listed(pushed)
-        members = self._state.live_members(EDGE)
-        owners = assign(_destinations(pushed.values(), workers), members)
-        owned: dict[str, list[WorkerSpec]] = {}
+        members = self._state.live_members(EDGE_ROLE)
+        owners = assign_owners(_destinations(pushed.values(), workers), members)
+        owned: dict[str, list[OwnedDestination]] = {}
         for service in pushed.values():
             if service.fixed is not None:
                 key = fixed_destination(service.name, service.fixed).key
@@ -166,7 +176,7 @@
                     owned[service.name] = [_fixed_spec(service, service.fixed, key)]
         for worker in workers:
             key = _destination(worker).key
-            if worker.state == READY and owners.get(key) == self._me.name:
+            if worker.state == READY_STATE and owners.get(key) == self._me.name:
                 owned.setdefault(worker.service, []).append(self._listed_spec(pushed[worker.service], worker))
         return owned
 
@@ -177,10 +187,10 @@
             worker for worker in listed if worker.service in pushed and pushed[worker.service].fixed is None
         ]
 
-    def _listed_spec(self, service: Service, worker: PlatformWorker) -> WorkerSpec:
+    def _listed_spec(self, service: Service, worker: PlatformWorker) -> OwnedDestination:
         endpoint = Endpoint(worker.address, worker.id, service.max_connections, service.idempotent)
-        warm_at = self._listed_at + worker.warm_in_ms / 1000 if worker.warm_in_ms > 0 else 0.0
-        return WorkerSpec(_destination(worker).key, endpoint, worker.capacity, warm_at)
+        slow_start_until = self._listed_at + worker.warm_in_ms / 1000 if worker.warm_in_ms > 0 else 0.0
+        return OwnedDestination(_destination(worker).key, endpoint, worker.capacity, slow_start_until)
 
 
 def _destination(worker: PlatformWorker) -> Destination:
@@ -195,5 +205,5 @@
     return fixed + [_destination(worker) for worker in workers]
 
 
-def _fixed_spec(service: Service, address: str, key: str) -> WorkerSpec:
-    return WorkerSpec(key, Endpoint(address, "", service.max_connections, service.idempotent))
+def _fixed_spec(service: Service, address: str, key: str) -> OwnedDestination:
+    return OwnedDestination(key, Endpoint(address, "", service.max_connections, service.idempotent))
--- a/hollowusher/dispatch/ownership.py
+++ b/hollowusher/dispatch/ownership.py
@@ -16,8 +16,8 @@
 from hollowusher.protocol.membership import Member
 
 LOAD_BOUND = 1.25  # most destinations of one process, in even shares
-ROUNDING = 1e-9  # of sums of shares
-MOST_RANKINGS = 100_000  # hashes for the bounded assignment; beyond it each destination has its first choice
+ROUNDING_TOLERANCE = 1e-9  # of sums of shares
+MAX_RANKINGS = 100_000  # hashes for the bounded assignment; beyond it each destination has its first choice
 
 
 @attrs.frozen
@@ -38,27 +38,27 @@
     return Destination(f"{service}/{address}")
 
 
-def candidates(destination: Destination, members: Sequence[Member]) -> list[str]:
+def candidate_owners(destination: Destination, members: Sequence[Member]) -> list[str]:
     """The processes that may own a destination: those of its zone where there are any, since every delivery
     from elsewhere crosses between zones."""
     near = [member.name for member in members if member.zone == destination.zone]
     return near or [member.name for member in members]
 
 
-def owner(destination: Destination, members: Sequence[Member]) -> str | None:
+def preferred_owner(destination: Destination, members: Sequence[Member]) -> str | None:
     """The first choice of a destination, None where no process is alive."""
-    return choose(destination.key, candidates(destination, members))
+    return choose(destination.key, candidate_owners(destination, members))
 
 
-def assign(destinations: Iterable[Destination], members: Sequence[Member]) -> dict[str, str]:
+def assign_owners(destinations: Iterable[Destination], members: Sequence[Member]) -> dict[str, str]:
     """The owner of each destination, by its key.  No process gets much more than its share of the
     destinations that it is a candidate for."""
     wanted = sorted(set(destinations), key=lambda destination: destination.key)
     if not members:
         return {}
-    if len(wanted) * len(members) > MOST_RANKINGS:
-        return {each.key: choose(each.key, candidates(each, members)) or "" for each in wanted}
-    names = {each.key: candidates(each, members) for each in wanted}
+    if len(wanted) * len(members) > MAX_RANKINGS:
+        return {each.key: choose(each.key, candidate_owners(each, members)) or "" for each in wanted}
+    names = {each.key: candidate_owners(each, members) for each in wanted}
     bounds = _bounds(names)
     loads = {member.name: 0 for member in members}
     owners: dict[str, str] = {}
@@ -76,4 +76,4 @@
     for those in names.values():
         for name in those:
             shares[name] = shares.get(name, 0.0) + 1.0 / len(those)
-    return {name: math.ceil(LOAD_BOUND * share - ROUNDING) for name, share in shares.items()}
+    return {name: math.ceil(LOAD_BOUND * share - ROUNDING_TOLERANCE) for name, share in shares.items()}
--- a/hollowusher/intake/admission.py
+++ b/hollowusher/intake/admission.py
@@ -20,37 +20,37 @@
 CALLBACK_URL = "X-Callback-Url"
 
 DEFAULT_DEADLINE_MS = 1000.0
-MOST_MILLISECONDS = 1e10
-DIGITS_READ_DIRECTLY = 9
-LONGEST_ID = 256
-LONGEST_ORDERING_KEY = 1024
+MAX_MILLISECONDS = 1e10
+MAX_FAST_PATH_DIGITS = 9
+MAX_ID_LENGTH = 256
+MAX_ORDERING_KEY_LENGTH = 1024
 ASYNC_ROUTE = "async"
 _CALLBACK = re.compile(r"http://(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})/[!-~]*", re.ASCII)
 _NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?", re.ASCII)
 _VISIBLE = re.compile(r"[!-~]+")
 
 
-class Reason(enum.Enum):
+class RejectionReason(enum.Enum):
     """Why a request is not taken as a message."""
 
     NO_ROUTE = "no route"
     MALFORMED = "malformed"
     TOO_LARGE = "too large"
-    UNREADY = "not ready"
-    LOAD = "too much under way"
+    NOT_READY = "not ready"
+    OVERLOADED = "too much under way"
 
 
 @attrs.frozen
-class Refusal:
+class Rejection:
     """The answer to a request that is not taken."""
 
     status: int
-    reason: Reason
+    reason: RejectionReason
     text: str
 
 
 @attrs.frozen
-class IntakeRequest:
+class ClientRequest:
     """A whole HTTP request.  `headers` is a mapping that ignores the case of names."""
 
     method: str
@@ -62,11 +62,11 @@
 
 @attrs.frozen
 class Admission:
-    """A message that may be kept.  `client_wait_s`: how much longer the client waits for its answer."""
+    """A message that may be stored."""
 
     message: NewMessage
-    home_only: bool  # no other partition than its service's home may keep it
-    client_wait_s: float
+    requires_home: bool  # no other partition than its service's home may keep it
+    remaining_client_wait_s: float  # how much longer the client waits for its response
 
 
 class RouteIndex:
@@ -81,13 +81,13 @@
         for routes in self._routes.values():
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
         self.generation = configuration.generation
-        self.home_only = {
+        self.requires_home = {
             service.name
             for service in configuration.upstreams
             if has_single_home(service.name, configuration)
         }
 
-    def find(self, host: str, target: str) -> Route | None:
+    def find_route(self, host: str, target: str) -> Route | None:
         """The route of this host with the longest prefix that the target starts with."""
         for route in self._routes.get(host, ()):
             if target.startswith(route.path_prefix):
@@ -100,25 +100,25 @@
     return header.partition(":")[0].strip().lower()
 
 
-def milliseconds(text: str) -> float | None:
+def parse_milliseconds(text: str) -> float | None:
     """The number of a header that gives milliseconds, None where it is none."""
     text = text.strip()
-    if len(text) <= DIGITS_READ_DIRECTLY and text.isascii() and text.isdigit():
+    if len(text) <= MAX_FAST_PATH_DIGITS and text.isascii() and text.isdigit():
         return float(text)
     if _NUMBER.fullmatch(text) is None:
         return None
     number = float(text)
-    return number if number <= MOST_MILLISECONDS else None
+    return number if number <= MAX_MILLISECONDS else None
 
 
-def client_wait_s(request: IntakeRequest) -> float | None:
+def remaining_client_wait_s(request: ClientRequest) -> float | None:
     """How much longer the client waits for its answer, None where its header cannot be read."""
     text = request.headers.get(DEADLINE)
-    wait_ms = DEFAULT_DEADLINE_MS if text is None else milliseconds(text)
+    wait_ms = DEFAULT_DEADLINE_MS if text is None else parse_milliseconds(text)
     return None if wait_ms is None else max(0.0, wait_ms / 1000 - request.waited_s)
 
 
-def callback_is_valid(url: str) -> bool:
+def is_valid_callback_url(url: str) -> bool:
     """Whether a call-back URL is of the form http://IP:PORT/path."""
     found = _CALLBACK.fullmatch(url)
     if found is None:
@@ -127,35 +127,35 @@
     return max(octets) <= 255 and 0 < port < 65_536
 
 
-def admit(request: IntakeRequest, index: RouteIndex) -> Admission | Refusal:
+def admit(request: ClientRequest, index: RouteIndex) -> Admission | Rejection:
     """The message that a request is, or why it is none."""
     headers = request.headers
     host = host_name(headers.get("Host", ""))
     if not host or not request.target.isascii() or not request.target.startswith("/"):
-        return Refusal(400, Reason.MALFORMED, "Host or path is missing or malformed")
-    route = index.find(host, request.target)
+        return Rejection(400, RejectionReason.MALFORMED, "Host or path is missing or malformed")
+    route = index.find_route(host, request.target)
     if route is None:
-        return Refusal(404, Reason.NO_ROUTE, "no route")
+        return Rejection(404, RejectionReason.NO_ROUTE, "no route")
     service = index.services.get(route.upstream)
     if service is None or route.type != ASYNC_ROUTE:
-        return Refusal(503, Reason.UNREADY, "the route cannot be served")
+        return Rejection(503, RejectionReason.NOT_READY, "the route cannot be served")
     if len(request.body) > index.configuration.limits.max_body_bytes:
-        return Refusal(413, Reason.TOO_LARGE, "body too large")
+        return Rejection(413, RejectionReason.TOO_LARGE, "body too large")
     attempt_id = headers.get(ATTEMPT_ID, "")
-    if len(attempt_id) > LONGEST_ID or _VISIBLE.fullmatch(attempt_id) is None:
+    if len(attempt_id) > MAX_ID_LENGTH or _VISIBLE.fullmatch(attempt_id) is None:
         return _malformed(ATTEMPT_ID)
-    wait_s = client_wait_s(request)
+    wait_s = remaining_client_wait_s(request)
     if wait_s is None:
         return _malformed(DEADLINE)
     delay = headers.get(DELAY)
-    delay_ms = 0.0 if delay is None else milliseconds(delay)
+    delay_ms = 0.0 if delay is None else parse_milliseconds(delay)
     if delay_ms is None:
         return _malformed(DELAY)
     ordering_key = headers.get(ORDERING_KEY, "")
-    if len(ordering_key) > LONGEST_ORDERING_KEY or not _is_text(ordering_key):
+    if len(ordering_key) > MAX_ORDERING_KEY_LENGTH or not _is_text(ordering_key):
         return _malformed(ORDERING_KEY)
     callback_url = headers.get(CALLBACK_URL, "") if route.callback_url else ""
-    if callback_url and not callback_is_valid(callback_url):
+    if callback_url and not is_valid_callback_url(callback_url):
         return _malformed(CALLBACK_URL)
     content_type = headers.get("Content-Type", "")
     if not content_type.isascii():
@@ -180,16 +180,16 @@
         headers=[[ORDERING_KEY, ordering_key]] if ordering_key and not route.ordered else [],
         generation=index.generation,
     )
-    return Admission(message, service.name in index.home_only, wait_s)
+    return Admission(message, service.name in index.requires_home, wait_s)
 
 
-def admit_head(request: IntakeRequest, index: RouteIndex, declared_length: int | None) -> Refusal | None:
+def reject_head(request: ClientRequest, index: RouteIndex, declared_length: int | None) -> Rejection | None:
     """Why a request can be refused before its body has come, None where it must be read."""
     found = admit(request, index)
-    if isinstance(found, Refusal):
+    if isinstance(found, Rejection):
         return found
     if declared_length is not None and declared_length > index.configuration.limits.max_body_bytes:
-        return Refusal(413, Reason.TOO_LARGE, "body too large")
+        return Rejection(413, RejectionReason.TOO_LARGE, "body too large")
     return None
 
 
@@ -198,5 +198,5 @@
     return value.isascii() or not any("\ud800" <= letter <= "\udfff" for letter in value)
 
 
-def _malformed(header: str) -> Refusal:
-    return Refusal(400, Reason.MALFORMED, f"{header} is missing or malformed")
+def _malformed(header: str) -> Rejection:
+    return Rejection(400, RejectionReason.MALFORMED, f"{header} is missing or malformed")
--- a/hollowusher/intake/figures.py
+++ b/hollowusher/intake/metrics.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class IntakeFigures:
+class IntakeMetrics:
     """Counters since the start, by outcome and reason."""
 
     accepted: int = 0
--- a/hollowusher/intake/pull_desk.py
+++ b/hollowusher/intake/pull_dispatcher.py
@@ -7,7 +7,7 @@
 from hollowusher.protocol.leases import LeasedJob
 
 
-class PullDesk(Protocol):
+class PullDispatcher(Protocol):
     """Leases jobs for the pull calls that wait at this process."""
 
     async def pull(self, service: str, instance: str, wait_s: float) -> LeasedJob | None:
--- a/hollowusher/intake/server.py
+++ b/hollowusher/intake/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server on the frontend address, and the readiness server: aiohttp around `Intake`.
+"""The HTTP server on the frontend address, and the readiness server: aiohttp around `IntakeService`.
 
 The low-level server is used, since the routes come from the operator's configuration.  Handlers go on when
 their client has gone: a message whose put was sent is followed to its end.
@@ -15,34 +15,36 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from hollowusher.configuration.model import RequestLimits
-from hollowusher.intake.admission import IntakeRequest, client_wait_s
-from hollowusher.intake.intake import Intake, IntakeAnswer
+from hollowusher.intake.admission import ClientRequest, remaining_client_wait_s
+from hollowusher.intake.intake_service import ClientResponse, IntakeService
 from hollowusher.transport.tcp import split_address
 
 BACKLOG = 1024
-LINGER_S = 1.0  # how long the rest of a refused body is read and thrown away
-SWEEP_PAUSE_S = 0.5
+LINGERING_TIME_S = 1.0  # how long the rest of a refused body is read and thrown away
+SWEEP_INTERVAL_S = 0.5
 STOP_POLL_S = 0.01
-TURNS_TO_REACH_HANDLER = 3  # of the event loop, from a request's last byte to its handler
+LOOP_TURNS_TO_HANDLER = 3  # of the event loop, from a request's last byte to its handler
 LAST_WRITES_S = 0.2  # for connections to end by themselves after their last answers
 READ_BUFFER_BYTES = 64 * 1024
-MOST_HEADERS = 128
+MAX_HEADERS = 128
 READY_PATH = "/readyz"
-_no_log = logging.getLogger("hollowusher.intake.http")  # bad requests are counted by their answers only
-_no_log.disabled = True
+_silenced_logger = logging.getLogger(
+    "hollowusher.intake.http"
+)  # bad requests are counted by their answers only
+_silenced_logger.disabled = True
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-HEADERS_TOO_LARGE = IntakeAnswer(431, b"headers too large")
-BODY_TOO_LATE = IntakeAnswer(408, b"body not received in time")
-BODY_TOO_LARGE = IntakeAnswer(413, b"body too large")
-BODY_BROKEN = IntakeAnswer(400, b"body broken off")
-FAILED = IntakeAnswer(504, b"not known whether the request was carried out")
+HEADERS_TOO_LARGE = ClientResponse(431, b"headers too large")
+BODY_TIMED_OUT = ClientResponse(408, b"body not received in time")
+BODY_TOO_LARGE = ClientResponse(413, b"body too large")
+BODY_INCOMPLETE = ClientResponse(400, b"body broken off")
+FAILED = ClientResponse(504, b"not known whether the request was carried out")
 
 
 class _BodyError(Exception):
     """A body that could not be read whole, and the answer to its request."""
 
-    def __init__(self, answer: IntakeAnswer) -> None:
+    def __init__(self, answer: ClientResponse) -> None:
         super().__init__(answer.status)
         self.answer = answer
 
@@ -51,16 +53,16 @@
     """Clients and pull workers on one address ("ip:port").  `report` is told of errors in this program."""
 
     def __init__(
-        self, intake: Intake, address: str, report: Callable[[Exception], None] | None = None
+        self, intake: IntakeService, address: str, report: Callable[[Exception], None] | None = None
     ) -> None:
         self._intake = intake
         self._address = address
         self._report = report
         self._listener: asyncio.Server | None = None
         self._servers: dict[RequestLimits, web.Server] = {}
-        self._without_request: dict[web.RequestHandler, float] = {}
+        self._awaiting_first_request: dict[web.RequestHandler, float] = {}
         self._sweep_handle: asyncio.TimerHandle | None = None
-        self._busy: set[web.RequestHandler] = set()  # connections whose request is being handled
+        self._handling: set[web.RequestHandler] = set()  # connections whose request is being handled
         self._draining = False
 
     async def start(self) -> None:
@@ -85,7 +87,7 @@
         if self._sweep_handle is not None:
             self._sweep_handle.cancel()
         await self._close_idle()
-        while self._busy and loop.time() < deadline:
+        while self._handling and loop.time() < deadline:
             await asyncio.sleep(STOP_POLL_S)
         last_writes = loop.time() + LAST_WRITES_S
         while self._connections() and loop.time() < last_writes:
@@ -100,14 +102,16 @@
         """Close the connections on which no request is under way.
 
         None reads on meanwhile, and what was read before gets to its handler: no whole request is dropped."""
-        idle = [connection.transport for connection in self._connections() if connection not in self._busy]
+        idle = [
+            connection.transport for connection in self._connections() if connection not in self._handling
+        ]
         for transport in idle:
             if transport is not None and not transport.is_closing():
                 transport.pause_reading()
-        for _ in range(TURNS_TO_REACH_HANDLER):
+        for _ in range(LOOP_TURNS_TO_HANDLER):
             await asyncio.sleep(0)
         for connection in self._connections():
-            if connection not in self._busy and connection.transport is not None:
+            if connection not in self._handling and connection.transport is not None:
                 connection.force_close()
 
     @property
@@ -116,9 +120,9 @@
         return _bound_address(self._listener, self._address)
 
     @property
-    def requests_under_way(self) -> int:
+    def requests_in_flight(self) -> int:
         """Requests that have been received and not yet answered."""
-        return len(self._busy)
+        return len(self._handling)
 
     def _new_connection(self) -> web.RequestHandler:
         limits = self._intake.request_limits
@@ -126,19 +130,19 @@
         if server is None:
             server = self._servers[limits] = self._make_server(limits)
         connection = server()
-        self._without_request[connection] = asyncio.get_running_loop().time()
+        self._awaiting_first_request[connection] = asyncio.get_running_loop().time()
         return connection
 
     def _make_server(self, limits: RequestLimits) -> web.Server:
         return web.Server(
             self._handle,
             access_log=None,
-            logger=_no_log,
+            logger=_silenced_logger,
             keepalive_timeout=limits.idle_timeout_ms / 1000,
             max_line_size=limits.max_header_bytes,
             max_field_size=limits.max_header_bytes,
-            max_headers=MOST_HEADERS,
-            lingering_time=LINGER_S,
+            max_headers=MAX_HEADERS,
+            lingering_time=LINGERING_TIME_S,
             read_bufsize=READ_BUFFER_BYTES,
             auto_decompress=False,
         )
@@ -146,54 +150,56 @@
     def _sweep(self) -> None:
         """Close the connections whose first request does not come."""
         loop = asyncio.get_running_loop()
-        self._sweep_handle = loop.call_later(SWEEP_PAUSE_S, self._sweep)
+        self._sweep_handle = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         oldest = loop.time() - self._intake.request_limits.header_timeout_ms / 1000
-        late = list(itertools.takewhile(lambda entry: entry[1] < oldest, self._without_request.items()))
+        late = list(
+            itertools.takewhile(lambda entry: entry[1] < oldest, self._awaiting_first_request.items())
+        )
         for connection, _ in late:
-            del self._without_request[connection]
+            del self._awaiting_first_request[connection]
             if connection.transport is not None:
-                self._intake.figures.header_timeouts += 1
+                self._intake.metrics.header_timeouts += 1
                 connection.force_close()
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._without_request.pop(request.protocol, None)
-        self._busy.add(request.protocol)
+        self._awaiting_first_request.pop(request.protocol, None)
+        self._handling.add(request.protocol)
         try:
             answer = await self._answer(request)
         except Exception as error:
-            self._intake.figures.failures += 1
+            self._intake.metrics.failures += 1
             if self._report is not None:
                 self._report(error)
             answer = FAILED
         finally:
-            self._busy.discard(request.protocol)
+            self._handling.discard(request.protocol)
         response = web.Response(status=answer.status, body=answer.body, headers=_headers(answer))
         if self._draining or not request.content.is_eof():
             response.force_close()
         return response
 
-    async def _answer(self, request: web.BaseRequest) -> IntakeAnswer:
+    async def _answer(self, request: web.BaseRequest) -> ClientResponse:
         intake = self._intake
         header_bytes = sum(map(len, itertools.chain.from_iterable(request.raw_headers)))
         if header_bytes > intake.request_limits.max_header_bytes:
-            intake.figures.too_large += 1
+            intake.metrics.too_large += 1
             return HEADERS_TOO_LARGE
         content = request.content
         if content.is_eof() and content.exception() is None:
             body = content.read_nowait(-1) if request.body_exists else b""
-            return await intake.accept(_intake_request(request, body), lambda: _gone(request))
+            return await intake.handle(_intake_request(request, body), lambda: _is_disconnected(request))
         loop = asyncio.get_running_loop()
         started = loop.time()
         head = _intake_request(request, b"")
-        refusal = intake.refuse_head(head, request.content_length)
-        if refusal is not None:
-            return refusal
+        rejection = intake.reject_head(head, request.content_length)
+        if rejection is not None:
+            return rejection
         try:
-            body = await self._read_body(request, client_wait_s(head) or 0.0)
+            body = await self._read_body(request, remaining_client_wait_s(head) or 0.0)
         except _BodyError as error:
             return error.answer
         whole = _intake_request(request, body, loop.time() - started)
-        return await intake.accept(whole, lambda: _gone(request))
+        return await intake.handle(whole, lambda: _is_disconnected(request))
 
     async def _read_body(self, request: web.BaseRequest, longest_s: float) -> bytes:
         """The body of a request that comes in parts; it is counted as it grows.
@@ -202,8 +208,8 @@
         body that does not come in time."""
         intake = self._intake
         limits = intake.request_limits
-        if not intake.gate.enter(0):
-            raise _BodyError(intake.refuse_load())
+        if not intake.load_limiter.try_acquire(0):
+            raise _BodyError(intake.reject_overload())
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(CONTINUE)
         parts: list[bytes] = []
@@ -212,20 +218,20 @@
             async with asyncio.timeout(min(limits.header_timeout_ms / 1000, longest_s)):
                 while part := await request.content.readany():
                     if size + len(part) > limits.max_body_bytes:
-                        intake.figures.too_large += 1
+                        intake.metrics.too_large += 1
                         raise _BodyError(BODY_TOO_LARGE)
-                    if not intake.gate.grow(len(part)):
-                        raise _BodyError(intake.refuse_load())
+                    if not intake.load_limiter.try_grow(len(part)):
+                        raise _BodyError(intake.reject_overload())
                     size += len(part)
                     parts.append(part)
         except TimeoutError:
-            intake.figures.body_timeouts += 1
-            raise _BodyError(BODY_TOO_LATE) from None
+            intake.metrics.body_timeouts += 1
+            raise _BodyError(BODY_TIMED_OUT) from None
         except (OSError, web.PayloadAccessError, HttpProcessingError, web.RequestPayloadError):
-            intake.figures.broken_off += 1
-            raise _BodyError(BODY_BROKEN) from None
+            intake.metrics.broken_off += 1
+            raise _BodyError(BODY_INCOMPLETE) from None
         finally:
-            intake.gate.leave(size)
+            intake.load_limiter.release(size)
         return b"".join(parts)
 
 
@@ -241,7 +247,7 @@
     async def start(self) -> None:
         """Listen."""
         host, port = split_address(self._address)
-        self._server = web.Server(self._handle, access_log=None, logger=_no_log)
+        self._server = web.Server(self._handle, access_log=None, logger=_silenced_logger)
         self._listener = await asyncio.get_running_loop().create_server(self._server, host, port)
 
     async def stop(self) -> None:
@@ -267,7 +273,7 @@
 
     def __init__(
         self,
-        intake: Intake,
+        intake: IntakeService,
         frontend: str,
         readiness: str,
         ready: Callable[[], bool],
@@ -301,15 +307,15 @@
     return f"{host}:{port}"
 
 
-def _intake_request(request: web.BaseRequest, body: bytes, waited_s: float = 0.0) -> IntakeRequest:
-    return IntakeRequest(request.method, request.raw_path, request.headers, body, waited_s)
+def _intake_request(request: web.BaseRequest, body: bytes, waited_s: float = 0.0) -> ClientRequest:
+    return ClientRequest(request.method, request.raw_path, request.headers, body, waited_s)
 
 
-def _headers(answer: IntakeAnswer) -> list[tuple[str, str]]:
+def _headers(answer: ClientResponse) -> list[tuple[str, str]]:
     return [("Content-Type", answer.content_type), *answer.headers]
 
 
-def _gone(request: web.BaseRequest) -> bool:
+def _is_disconnected(request: web.BaseRequest) -> bool:
     """Whether the connection of a request has ended."""
     transport = request.transport
     return transport is None or transport.is_closing()
--- a/hollowusher/intake/store_client.py
+++ b/hollowusher/intake/store_client.py
@@ -28,10 +28,10 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 CALL_TIMEOUT_S = 0.5  # a single call; a silent connection is dropped then and the call repeated on a new one
-PROBE_TIMEOUT_S = 0.3
-FIRST_PAUSE_S = 0.03
-LONGEST_PAUSE_S = 0.2
-REPEATED = ("not_primary", "unavailable")  # the answers after which another try may succeed
+HEALTH_CHECK_TIMEOUT_S = 0.3
+FIRST_BACKOFF_S = 0.03
+MAX_BACKOFF_S = 0.2
+RETRIABLE = ("not_primary", "unavailable")  # the answers after which another try may succeed
 AnswerType = TypeVar("AnswerType", LeaseUpdateResponse, MessageStatusResponse)
 
 
@@ -39,7 +39,7 @@
     """What the clients' side needs of the stores; `StoreClient` is the one over the network."""
 
     async def put(
-        self, message: NewMessage, candidates: Sequence[int], deadline: float, refuse_at: float | None = None
+        self, message: NewMessage, candidates: Sequence[int], deadline: float, reject_at: float | None = None
     ) -> PutResponse:
         """Keep a message."""
 
@@ -49,19 +49,19 @@
     async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
         """Prolong a lease."""
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
+    async def status(self, reference: str, includes_body: bool, deadline: float) -> MessageStatusResponse:
         """Read the state of a message."""
 
 
 @attrs.frozen
-class _Target:
+class _PrimaryTarget:
     """A partition and its primary's address, as known when a call was made."""
 
     partition: int
     address: str
 
 
-class _PrimaryMoved(Exception):
+class PrimaryMovedError(Exception):
     """The partition got another primary while a call waited; the call may have been carried out."""
 
 
@@ -69,12 +69,12 @@
     """Growing pauses between the tries of one request."""
 
     def __init__(self) -> None:
-        self._next = FIRST_PAUSE_S
+        self._next = FIRST_BACKOFF_S
 
     def next(self) -> float:
         """The length of the next pause."""
         pause = self._next
-        self._next = min(pause * 2, LONGEST_PAUSE_S)
+        self._next = min(pause * 2, MAX_BACKOFF_S)
         return pause
 
 
@@ -94,22 +94,22 @@
         self._state = state
         self._clock = clock
         self._health: dict[str, PeerHealth] = {}
-        self._under_way: dict[asyncio.Timeout, _Target] = {}
+        self._pending_calls: dict[asyncio.Timeout, _PrimaryTarget] = {}
         self._changed = asyncio.Event()
-        self._probes: set[asyncio.Task[None]] = set()
+        self._health_checks: set[asyncio.Task[None]] = set()
         self._placed = self._placed_partitions()
         self._incarnations = {name: member.incarnation for name, member in state.members.items()}
         state.add_listener(self._on_change)
 
     async def put(
-        self, message: NewMessage, candidates: Sequence[int], deadline: float, refuse_at: float | None = None
+        self, message: NewMessage, candidates: Sequence[int], deadline: float, reject_at: float | None = None
     ) -> PutResponse:
         """Keep a message in the first usable candidate partition.
 
-        "stored"; "unavailable" where it is certain that it is not kept (given at `refuse_at` if that comes
+        "stored"; "unavailable" where it is certain that it is not kept (given at `reject_at` if that comes
         before the deadline); "unknown" where a put was sent and nothing more was learned by the deadline."""
         started = self._clock()
-        patience = deadline if refuse_at is None else min(refuse_at, deadline)
+        patience = deadline if reject_at is None else min(reject_at, deadline)
         refused: set[int] = set()
         backoff = _Backoff()
         bound: int | None = None  # the partition that may have kept it
@@ -125,14 +125,14 @@
             try:
                 request = PutRequest(target.partition, _with_delay_left(message, now - started))
                 answer = await self._call(target, request, deadline)
-            except _PrimaryMoved:
+            except PrimaryMovedError:
                 bound = target.partition
                 continue
             except PeerError as error:
                 answer = PutResponse("unknown" if error.sent else "unavailable")
             if answer.status == "stored":
                 return PutResponse("stored", answer.reference)
-            if answer.status not in REPEATED:
+            if answer.status not in RETRIABLE:
                 bound = target.partition
             if bound is None:
                 refused.add(target.partition)
@@ -141,50 +141,50 @@
 
     async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         """End a lease; "unavailable" where the deadline came first (it may have been ended)."""
-        return await self._ask(
+        return await self._request_until_final(
             request.lease,
             request,
             deadline,
             LeaseUpdateResponse("gone"),
             LeaseUpdateResponse("unavailable"),
-            _lease_settled,
+            _is_final_lease_answer,
         )
 
     async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
         """Prolong a lease; "unavailable" where the deadline came first."""
-        return await self._ask(
+        return await self._request_until_final(
             request.lease,
             request,
             deadline,
             LeaseUpdateResponse("gone"),
             LeaseUpdateResponse("unavailable"),
-            _lease_settled,
+            _is_final_lease_answer,
         )
 
-    async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
+    async def status(self, reference: str, includes_body: bool, deadline: float) -> MessageStatusResponse:
         """The state of a message; "unavailable" where the deadline came first."""
-        return await self._ask(
+        return await self._request_until_final(
             reference,
-            MessageStatusRequest(reference, want_body),
+            MessageStatusRequest(reference, includes_body),
             deadline,
             MessageStatusResponse("unknown"),
             MessageStatusResponse("unavailable"),
-            _status_settled,
+            _is_final_status_answer,
         )
 
-    def suspect(self, address: str) -> bool:
+    def is_suspect(self, address: str) -> bool:
         """Whether the store at this address is to be avoided at present."""
         health = self._health.get(address)
-        return health is not None and health.suspect(self._clock())
+        return health is not None and health.is_suspect(self._clock())
 
-    async def _ask(
+    async def _request_until_final(
         self,
         identifier: str,
         request: Any,
         deadline: float,
         absent: AnswerType,
         unavailable: AnswerType,
-        settled: Callable[[AnswerType], bool],
+        is_final: Callable[[AnswerType], bool],
     ) -> AnswerType:
         """Ask the primary of the partition that the identifier names until an answer settles it."""
         partition = partition_of(identifier)
@@ -198,20 +198,20 @@
             if target is not None:
                 try:
                     answer: AnswerType = await self._call(target, request, deadline)
-                    if settled(answer):
+                    if is_final(answer):
                         return answer
-                except _PrimaryMoved:
+                except PrimaryMovedError:
                     continue
                 except PeerError:
                     pass
             await self._pause(backoff, deadline)
         return unavailable
 
-    def _primary(self, partition: int) -> _Target | None:
+    def _primary(self, partition: int) -> _PrimaryTarget | None:
         address = self._state.primary_address(partition)
-        return None if address is None else _Target(partition, address)
+        return None if address is None else _PrimaryTarget(partition, address)
 
-    def _choose(self, candidates: Sequence[int], refused: set[int], now: float) -> _Target | None:
+    def _choose(self, candidates: Sequence[int], refused: set[int], now: float) -> _PrimaryTarget | None:
         """The first candidate whose primary is known and not suspect."""
         for partition in candidates:
             if partition in refused:
@@ -220,34 +220,34 @@
             if target is None:
                 continue
             health = self._health.get(target.address)
-            if health is None or not health.suspect(now):
+            if health is None or not health.is_suspect(now):
                 return target
-            if health.probe_due(now):
-                self._start_probe(target)
+            if health.is_health_check_due(now):
+                self._start_health_check(target)
         return None
 
-    async def _call(self, target: _Target, request: Any, deadline: float) -> Any:
-        """One call; `PeerError` without an answer, `_PrimaryMoved` when the placement changes meanwhile."""
+    async def _call(self, target: _PrimaryTarget, request: Any, deadline: float) -> Any:
+        """One call; `PrimaryMovedError` when the partition gets another primary meanwhile."""
         health = self._health.setdefault(target.address, PeerHealth())
         now = self._clock()
-        number = health.begin(now)
+        number = health.call_started(now)
         scope = asyncio.timeout(None)  # brought forward to now when the partition's primary changes
-        self._under_way[scope] = target
+        self._pending_calls[scope] = target
         try:
             async with scope:
                 answer = await self._transport.call(
                     target.address, request, min(deadline - now, CALL_TIMEOUT_S)
                 )
-            health.answered(number, self._clock())
+            health.call_answered(number, self._clock())
             return answer
         except PeerError:
-            health.failed(number, self._clock())
+            health.call_failed(number, self._clock())
             raise
         except TimeoutError:
-            raise _PrimaryMoved from None
+            raise PrimaryMovedError from None
         finally:
-            health.abandoned(number)
-            del self._under_way[scope]
+            health.call_abandoned(number)
+            del self._pending_calls[scope]
 
     async def _pause(self, backoff: _Backoff, until: float) -> None:
         """Wait a while, less if the cluster changes or a suspected store answers."""
@@ -256,16 +256,16 @@
             async with asyncio.timeout(seconds):
                 await self._changed.wait()
 
-    def _start_probe(self, target: _Target) -> None:
-        task = asyncio.get_running_loop().create_task(self._probe(target))
-        self._probes.add(task)
-        task.add_done_callback(self._probes.discard)
+    def _start_health_check(self, target: _PrimaryTarget) -> None:
+        task = asyncio.get_running_loop().create_task(self._check_health(target))
+        self._health_checks.add(task)
+        task.add_done_callback(self._health_checks.discard)
 
-    async def _probe(self, target: _Target) -> None:
+    async def _check_health(self, target: _PrimaryTarget) -> None:
         """See whether a suspected store answers, without risking a message."""
         request = MessageStatusRequest(f"{target.partition}-0-0")
-        with suppress(PeerError, _PrimaryMoved):
-            await self._call(target, request, self._clock() + PROBE_TIMEOUT_S)
+        with suppress(PeerError, PrimaryMovedError):
+            await self._call(target, request, self._clock() + HEALTH_CHECK_TIMEOUT_S)
             self._wake()
 
     def _wake(self) -> None:
@@ -274,12 +274,12 @@
 
     def _on_change(self, key: str) -> None:
         if key == PLACEMENT:
-            self._forgive_new_primaries()
+            self._reset_new_primaries()
         elif key.startswith(MEMBER_PREFIX):
-            self._forgive_restarted(self._state.members[key.removeprefix(MEMBER_PREFIX)])
+            self._reset_restarted_store(self._state.members[key.removeprefix(MEMBER_PREFIX)])
         else:
             return
-        for scope, target in self._under_way.items():
+        for scope, target in self._pending_calls.items():
             address = self._state.primary_address(target.partition)
             if address is not None and address != target.address and not scope.expired():
                 scope.reschedule(self._clock())
@@ -289,19 +289,19 @@
         placement = self._state.placement
         return {} if placement is None else {entry.partition: entry for entry in placement.partitions}
 
-    def _forgive_new_primaries(self) -> None:
+    def _reset_new_primaries(self) -> None:
         before, self._placed = self._placed, self._placed_partitions()
         for number, entry in self._placed.items():
             known = before.get(number)
             address = self._state.store_address(entry.primary)
             if (known is None or known.epoch != entry.epoch) and address in self._health:
-                self._health[address].forgive()
+                self._health[address].reset()
 
-    def _forgive_restarted(self, member: Member) -> None:
+    def _reset_restarted_store(self, member: Member) -> None:
         known = self._incarnations.get(member.name)
         self._incarnations[member.name] = member.incarnation
         if known != member.incarnation and member.address in self._health:
-            self._health[member.address].forgive()
+            self._health[member.address].reset()
 
 
 def _with_delay_left(message: NewMessage, waited_s: float) -> NewMessage:
@@ -313,9 +313,9 @@
     return changed
 
 
-def _lease_settled(answer: LeaseUpdateResponse) -> bool:
-    return answer.status not in REPEATED
+def _is_final_lease_answer(answer: LeaseUpdateResponse) -> bool:
+    return answer.status not in RETRIABLE
 
 
-def _status_settled(answer: MessageStatusResponse) -> bool:
-    return answer.state not in REPEATED
+def _is_final_status_answer(answer: MessageStatusResponse) -> bool:
+    return answer.state not in RETRIABLE
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -21,7 +21,7 @@
 from hollowusher.coordination.placement.partitioner import ZonePartitioner
 from hollowusher.delivery.worker_client import HttpWorkerClient
 from hollowusher.dispatch.dispatcher import Dispatcher
-from hollowusher.intake.intake import Intake
+from hollowusher.intake.intake_service import IntakeService
 from hollowusher.intake.server import EdgeFrontend
 from hollowusher.intake.store_client import StoreClient
 from hollowusher.log_events import EdgeStarted, RequestFailed, ShutdownCompleted, ShutdownStarted
@@ -77,13 +77,13 @@
             settings,
             HttpWorkerClient(),
             process.random_source,
-            homes=homes,
+            rank_partitions=homes,
         )
         apply_s = settings.bounds.config_apply_ms / 1000
-        self.intake = Intake(
+        self.intake = IntakeService(
             state,
             self.store_client,
-            self.dispatcher.pull_desk,
+            self.dispatcher.pull_dispatcher,
             homes,
             loop.time,
             is_current=lambda: self.client.seconds_since_majority(loop.time()) <= CONFIRMED_WITHIN * apply_s,
@@ -154,7 +154,7 @@
             stopping.append(loop.create_task(self.control.stop()))
         await asyncio.sleep(UNREADY_BEFORE_STOP_S)
         await self.frontend.stop(max(0.3, grace - (loop.time() - started) - 0.5))
-        await self.intake.settle()
+        await self.intake.wait_for_background_calls()
         await asyncio.gather(*stopping, return_exceptions=True)
 
     async def _start_operator_server(self) -> None:
@@ -184,8 +184,8 @@
         """What the parts of this process have counted since it started."""
         transport = self.process.transport
         return {
-            "intake": attrs.asdict(self.intake.figures),
-            "delivery": attrs.asdict(self.dispatcher.figures),
+            "intake": attrs.asdict(self.intake.metrics),
+            "delivery": attrs.asdict(self.dispatcher.metrics),
             "transport": {
                 "connections_accepted": len(transport.accepted),
                 "failed_handlers": transport.failed_handlers,
--- a/hollowusher/simulation/planted/calls.py
+++ b/hollowusher/simulation/planted/calls.py
@@ -45,7 +45,7 @@
 
 @planted_fault("MIXED", "TWICE", "LOST")
 def _answer_of_another_message_taken(patches: Patches) -> None:
-    patches.replace(stand_ins, "belongs", lambda answer, identifier: True)
+    patches.replace(stand_ins, "matches_message", lambda answer, identifier: True)
 
 
 @planted_fault("MIXED")
--- a/hollowusher/simulation/planted/partitions.py
+++ b/hollowusher/simulation/planted/partitions.py
@@ -148,7 +148,7 @@
             return await real(client, target, request, deadline)
         except PeerError as error:
             raise PeerError(error.step, error.peer, error.reason, sent=False) from None
-        except store_client._PrimaryMoved:
+        except store_client.PrimaryMovedError:
             raise PeerError("PutRequest", target.address, "moved", sent=False) from None
 
     patches.replace(store_client.StoreClient, "_call", call)
--- a/hollowusher/simulation/programs.py
+++ b/hollowusher/simulation/programs.py
@@ -14,7 +14,7 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.controller.operator_api import OperatorApi
-from hollowusher.delivery.callbacks import CallbackDelivery
+from hollowusher.delivery.callback_delivery import CallbackDelivery
 from hollowusher.dispatch import dispatcher as dispatcher_module
 from hollowusher.log_events import HandlerFailed, LogEvent, RequestFailed, TaskFailed
 from hollowusher.roles import control_plane as control_module
--- a/hollowusher/simulation/stand_ins.py
+++ b/hollowusher/simulation/stand_ins.py
@@ -17,12 +17,18 @@
 from hollowusher.coordination.controller.errors import WorkerListReadError
 from hollowusher.coordination.controller.operator_api import OperatorApi
 from hollowusher.coordination.controller.worker_list_reader import READ_STEP, WorkerListReader
-from hollowusher.delivery.callbacks import callback_request
-from hollowusher.delivery.connection import Answer
-from hollowusher.delivery.outcome import DeliveryOutcome, Ending
-from hollowusher.delivery.worker_client import LATE_ANSWER_S, Endpoint, belongs, judge, request_bytes
-from hollowusher.intake.admission import IntakeRequest
-from hollowusher.intake.intake import Intake
+from hollowusher.delivery.callback_delivery import encode_callback_request
+from hollowusher.delivery.http_connection import DeliveryResponse
+from hollowusher.delivery.outcome import DeliveryOutcome, WorkerFeedback
+from hollowusher.delivery.worker_client import (
+    LATE_RESPONSE_S,
+    Endpoint,
+    encode_request,
+    interpret_response,
+    matches_message,
+)
+from hollowusher.intake.admission import ClientRequest
+from hollowusher.intake.intake_service import IntakeService
 from hollowusher.protocol.leases import LeasedJob
 from hollowusher.protocol.membership import Member
 from hollowusher.simulation.http_network import (
@@ -62,22 +68,28 @@
         """Deliver a job and wait for its end."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        request = parse_request(request_bytes(job.message, endpoint, timeout_s))
+        request = parse_request(encode_request(job.message, endpoint, timeout_s))
         try:
             answer = await self._http.exchange(
-                self._host, endpoint.address, request, timeout_s + LATE_ANSWER_S
+                self._host, endpoint.address, request, timeout_s + LATE_RESPONSE_S
             )
         except HttpExchangeError as failure:
-            took = loop.time() - began
+            elapsed_s = loop.time() - began
             if failure.sent:
-                return DeliveryOutcome("unknown", Ending.LOST, started=began, took=took, reason=str(failure))
-            return DeliveryOutcome("not_run", Ending.UNREACHABLE, took=took, reason=str(failure))
-        seen = Answer(answer.status, CIMultiDict(answer.headers))
-        if not belongs(seen, job.message.id):
-            return DeliveryOutcome("unknown", Ending.LOST, started=began, reason="another message's answer")
-        return attrs.evolve(judge(seen), started=began, took=loop.time() - began)
-
-    def forget(self, endpoint: Endpoint) -> None:
+                return DeliveryOutcome(
+                    "unknown", WorkerFeedback.LOST, started=began, elapsed_s=elapsed_s, reason=str(failure)
+                )
+            return DeliveryOutcome(
+                "not_run", WorkerFeedback.UNREACHABLE, elapsed_s=elapsed_s, reason=str(failure)
+            )
+        seen = DeliveryResponse(answer.status, CIMultiDict(answer.headers))
+        if not matches_message(seen, job.message.id):
+            return DeliveryOutcome(
+                "unknown", WorkerFeedback.LOST, started=began, reason="another message's answer"
+            )
+        return attrs.evolve(interpret_response(seen), started=began, elapsed_s=loop.time() - began)
+
+    def retire(self, endpoint: Endpoint) -> None:
         """There are no idle connections."""
 
     async def close(self) -> None:
@@ -93,8 +105,8 @@
         self._address = address
 
     async def post(self, job: LeasedJob) -> str:
-        """Report the end of a message; only a 200 acknowledges it."""
-        request = parse_request(callback_request(job))
+        """Tell the end; only a 200 means that it was heard."""
+        request = parse_request(encode_callback_request(job))
         try:
             answer = await self._http.exchange(self._host, self._address, request, CALLBACK_TIMEOUT_S)
         except HttpExchangeError:
@@ -167,7 +179,7 @@
     def __init__(
         self,
         environment: ProcessEnvironment,
-        intake: Intake,
+        intake: IntakeService,
         address: str,
         readiness: str,
         ready: Callable[[], bool],
@@ -191,8 +203,8 @@
 
     async def _serve(self, exchange: HttpExchange) -> HttpResponse | None:
         request = exchange.request
-        asked = IntakeRequest(request.method, request.target, CIMultiDict(request.headers), request.body)
-        answer = await self._intake.accept(asked, exchange.closed.is_set)
+        asked = ClientRequest(request.method, request.target, CIMultiDict(request.headers), request.body)
+        answer = await self._intake.handle(asked, exchange.closed.is_set)
         headers = {"Content-Type": answer.content_type, **dict(answer.headers)}
         return HttpResponse(answer.status, headers, answer.body)
 
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -11,7 +11,7 @@
 from hollowusher.coordination.distribution.long_poll_responder import LongPollResponder
 from hollowusher.coordination.distribution.update_feed import UpdateFeed
 from hollowusher.coordination.distribution.update_puller import PULL_WAIT_MS
-from hollowusher.intake.intake import Intake
+from hollowusher.intake.intake_service import IntakeService
 from hollowusher.protocol.codec import decode, encode, evolve
 from hollowusher.protocol.control_chain import ReadControlState
 from hollowusher.protocol.distribution import PullUpdates, UpdatesResponse
@@ -173,9 +173,14 @@
 class TestIntake:
     """404 only if it is certain that there is no such route or service."""
 
-    def intake(self, world: World, current: bool) -> Intake:
-        return Intake(
-            world.state, world.store, world.desk, world.homes, world.loop.time, is_current=lambda: current
+    def intake(self, world: World, current: bool) -> IntakeService:
+        return IntakeService(
+            world.state,
+            world.store,
+            world.dispatcher,
+            world.homes,
+            world.loop.time,
+            is_current=lambda: current,
         )
 
     @pytest.mark.parametrize(("current", "status"), [(True, 404), (False, 503)])
@@ -184,7 +189,7 @@
         self, path: str, current: bool, status: int
     ) -> None:
         async def work(world: World) -> None:
-            answer = await self.intake(world, current).accept(request(path))
+            answer = await self.intake(world, current).handle(request(path))
             assert answer.status == status
             assert ("Retry-After" in dict(answer.headers)) == (status == 503)
 
@@ -192,7 +197,7 @@
 
     def test_a_body_that_is_still_to_come_does_not_change_that(self) -> None:
         async def work(world: World) -> None:
-            early = self.intake(world, False).refuse_head(request("/none/"), 100_000)
+            early = self.intake(world, False).reject_head(request("/none/"), 100_000)
             assert early is not None
             assert early.status == 503
 
@@ -202,7 +207,7 @@
         """The store that keeps one has a quorum, and its own configuration decides what becomes of it."""
 
         async def work(world: World) -> None:
-            assert (await self.intake(world, False).accept(request("/a/"))).status == 202
+            assert (await self.intake(world, False).handle(request("/a/"))).status == 202
 
         play_intake(work)
 
--- a/tests/delivery/test_callbacks.py
+++ b/tests/delivery/test_callbacks.py
@@ -9,10 +9,10 @@
 import pytest
 
 from hollowusher.coordination.placement.partitioner import rank_partitions
-from hollowusher.delivery.callbacks import MOST_CONNECTIONS, CallbackDelivery, HttpCallbackClient
-from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.delivery.leasing import LeaseNetwork
-from hollowusher.delivery.reports import EndReporter
+from hollowusher.delivery.callback_delivery import MAX_CONNECTIONS, CallbackDelivery, HttpCallbackClient
+from hollowusher.delivery.lease_end_reporter import LeaseEndReporter
+from hollowusher.delivery.lease_poller import LeasingContext
+from hollowusher.delivery.metrics import DeliveryMetrics
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
@@ -45,7 +45,7 @@
         self.run_s = run_s
         self.script = script or []
         self.heard: list[str] = []
-        self.out = self.most_out = 0
+        self.in_flight = self.max_in_flight = 0
         self.addresses: list[str] = []
         self.closed = 0
 
@@ -54,10 +54,10 @@
         return self
 
     async def post(self, job: LeasedJob) -> str:
-        self.out += 1
-        self.most_out = max(self.most_out, self.out)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await asyncio.sleep(self.run_s)
-        self.out -= 1
+        self.in_flight -= 1
         self.heard.append(job.message.id)
         return self.script.pop(0) if self.script else "success"
 
@@ -67,18 +67,18 @@
 
 def made(
     receiver: ModelReceiver, owns: bool = True
-) -> tuple[LeasingStores, CallbackDelivery, DeliveryFigures]:
-    cluster, stores, figures = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryFigures()
-    network = LeaseNetwork(cluster.state.members["e1"], stores, cluster.state, rank_partitions, figures)
-    reporter = EndReporter(stores, figures)
-    return stores, CallbackDelivery(network, reporter, lambda service: owns, receiver.client), figures
+) -> tuple[LeasingStores, CallbackDelivery, DeliveryMetrics]:
+    cluster, stores, metrics = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryMetrics()
+    network = LeasingContext(cluster.state.members["e1"], stores, cluster.state, rank_partitions, metrics)
+    reporter = LeaseEndReporter(stores, metrics)
+    return stores, CallbackDelivery(network, reporter, lambda service: owns, receiver.client), metrics
 
 
 class TestCallbackDelivery:
     def test_owed_call_backs_are_sent_and_their_ends_reported(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver()
-            stores, subject, figures = made(receiver)
+            stores, subject, metrics = made(receiver)
             stores.add(STORE_1, [owed(n) for n in range(10)])
             stores.add(STORE_2, [owed(n) for n in range(10, 15)])
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
@@ -87,7 +87,7 @@
             assert sorted(receiver.heard) == sorted(f"m{n}" for n in range(15))
             assert stores.results() == {"success": 15}
             assert receiver.addresses == ["10.20.0.4:8080"]
-            assert figures.callbacks_accepted == 15
+            assert metrics.callbacks_accepted == 15
 
         play(work)
 
@@ -100,7 +100,7 @@
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             subject.handle(JobsWaiting(RECEIVER, STORE_2))
             await asyncio.sleep(8)
-            assert receiver.most_out == MOST_CONNECTIONS
+            assert receiver.max_in_flight == MAX_CONNECTIONS
             assert stores.results()["success"] == 40
 
         play(work)
@@ -108,14 +108,14 @@
     def test_a_failing_receiver_rests_and_its_failures_are_reported(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver(run_s=0.01, script=["failed", "unknown"] * 4)
-            stores, subject, figures = made(receiver)
+            stores, subject, metrics = made(receiver)
             stores.add(STORE_1, [owed(n) for n in range(20)])
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             await asyncio.sleep(0.3)
             assert len(receiver.heard) <= 8
             await asyncio.sleep(6)
             assert stores.results() == {"failed": 4, "unknown": 4, "success": 12}
-            assert figures.callbacks_failed == 8
+            assert metrics.callbacks_failed == 8
 
         play(work)
 
--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -8,8 +8,8 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.delivery.leasing import Demand, LeaseGroup, LeaseNetwork
+from hollowusher.delivery.lease_poller import JobDemand, LeasePoller, LeasingContext
+from hollowusher.delivery.metrics import DeliveryMetrics
 from hollowusher.messages.unacknowledged_grants import MAX_REQUESTERS, UnacknowledgedGrants
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import LeasedJob, LeaseRequest, LeaseResponse
@@ -69,19 +69,19 @@
         assert len(grants._granted) == len(grants._lost) == MAX_REQUESTERS
 
 
-def group(cluster: StoreCluster, taken: list[LeasedJob], wanted: int = 1) -> LeaseGroup:
+def group(cluster: StoreCluster, taken: list[LeasedJob], wanted: int = 1) -> LeasePoller:
     """The lease requests of edge-1 for service s, which takes so many jobs."""
     state = ClusterState()
     cluster.tell(state)
-    network = LeaseNetwork(
+    network = LeasingContext(
         Member("edge-1", "edge", EDGE_ADDRESS, "z", "r", 1),
         cluster.edge,
         state,
         lambda service, partitions: list(partitions),
-        DeliveryFigures(),
+        DeliveryMetrics(),
     )
-    demand = Demand(lambda: wanted - len(taken), taken.extend, lambda back: None, lambda: 0.1)
-    return LeaseGroup("s", network, demand, keep_empty_s=3.0)
+    demand = JobDemand(lambda: wanted - len(taken), taken.extend, lambda back: None, lambda: 0.1)
+    return LeasePoller("s", network, demand, idle_source_ttl_s=3.0)
 
 
 def lose_answers(cluster: StoreCluster, count: int) -> list[LeaseResponse]:
--- a/tests/delivery/test_calls_workers.py
+++ b/tests/delivery/test_calls_workers.py
@@ -57,7 +57,7 @@
 
     async def scene() -> None:
         async with serving(behaviour) as (server, client, endpoint):
-            endpoint = attrs.evolve(endpoint, instance="", idempotent=True)
+            endpoint = attrs.evolve(endpoint, instance_id="", idempotent=True)
             assert (await deliver(client, endpoint, "before")).result == "success"
             assert (await deliver(client, endpoint, "m")).result == "unknown"
             assert len(server.exchanges) == 3
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -11,18 +11,24 @@
 import pytest
 import uvloop
 
-from hollowusher.delivery.connection import Answer
-from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.delivery.outcome import Ending
-from hollowusher.delivery.reports import PATIENCE_S, EndReporter
-from hollowusher.delivery.worker_client import LATE_ANSWER_S, Endpoint, HttpWorkerClient, belongs, judge
+from hollowusher.delivery.http_connection import DeliveryResponse
+from hollowusher.delivery.lease_end_reporter import REPORT_TIMEOUT_S, LeaseEndReporter
+from hollowusher.delivery.metrics import DeliveryMetrics
+from hollowusher.delivery.outcome import WorkerFeedback
+from hollowusher.delivery.worker_client import (
+    LATE_RESPONSE_S,
+    Endpoint,
+    HttpWorkerClient,
+    interpret_response,
+    matches_message,
+)
 from hollowusher.protocol.leases import FinishLease, LeaseUpdateResponse
 from hollowusher.simulation.event_loop import VirtualTimeLoop
 from hollowusher.transport.interface import PeerError
 from tests.support.dispatch import job, play
 
 TIMEOUT_S = 0.5
-VERY_SHORT_S = 0.05 - LATE_ANSWER_S
+VERY_SHORT_S = 0.05 - LATE_RESPONSE_S
 
 
 @attrs.define
@@ -136,7 +142,7 @@
                 )
                 outcome = await client.deliver(endpoint, message, 1.25)
                 assert (outcome.result, outcome.signature) == ("success", "sig")
-                assert outcome.started is not None and outcome.took >= 0
+                assert outcome.started is not None and outcome.elapsed_s >= 0
                 exchange = server.exchanges[0]
                 assert exchange.head.split("\r\n") == [
                     "POST /p HTTP/1.1",
@@ -167,7 +173,7 @@
         async def work() -> None:
             async with serving(well) as (server, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1, **field), TIMEOUT_S)
-                assert (outcome.result, outcome.ending) == ("not_run", Ending.NEUTRAL)
+                assert (outcome.result, outcome.feedback) == ("not_run", WorkerFeedback.NEUTRAL)
                 assert server.exchanges == []
 
         real(work)
@@ -175,45 +181,47 @@
 
 class TestAnswers:
     @pytest.mark.parametrize(
-        ("status", "extra", "result", "ending"),
+        ("status", "extra", "result", "feedback"),
         [
-            (500, "", "failed", Ending.FAILED),
-            (422, "", "refused", Ending.DONE),
-            (504, "", "unknown", Ending.FAILED),
-            (404, "", "unknown", Ending.FAILED),
-            (503, "X-Not-Executed: 1", "not_run", Ending.FULL),
-            (429, "X-Not-Executed: 1", "not_run", Ending.RATE),
-            (409, "X-Not-Executed: 1", "not_run", Ending.NEUTRAL),
-            (409, "", "not_run", Ending.NEUTRAL),
-            (400, "X-Not-Executed: 1", "not_run", Ending.NEUTRAL),
-            (400, "", "unknown", Ending.FAILED),
-            (421, "", "not_run", Ending.GONE),
-            (503, "", "unknown", Ending.FULL),
+            (500, "", "failed", WorkerFeedback.FAILED),
+            (422, "", "refused", WorkerFeedback.DONE),
+            (504, "", "unknown", WorkerFeedback.FAILED),
+            (404, "", "unknown", WorkerFeedback.FAILED),
+            (503, "X-Not-Executed: 1", "not_run", WorkerFeedback.FULL),
+            (429, "X-Not-Executed: 1", "not_run", WorkerFeedback.RATE),
+            (409, "X-Not-Executed: 1", "not_run", WorkerFeedback.NEUTRAL),
+            (409, "", "not_run", WorkerFeedback.NEUTRAL),
+            (400, "X-Not-Executed: 1", "not_run", WorkerFeedback.NEUTRAL),
+            (400, "", "unknown", WorkerFeedback.FAILED),
+            (421, "", "not_run", WorkerFeedback.GONE),
+            (503, "", "unknown", WorkerFeedback.FULL),
         ],
     )
-    def test_what_a_status_means(self, status: int, extra: str, result: str, ending: Ending) -> None:
+    def test_what_a_status_means(
+        self, status: int, extra: str, result: str, feedback: WorkerFeedback
+    ) -> None:
         async def work() -> None:
             async def behave(exchange: Exchange) -> None:
                 exchange.send(answer(exchange.id, status, extra=extra))
 
             async with serving(behave) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), TIMEOUT_S)
-                assert (outcome.result, outcome.ending) == (result, ending)
+                assert (outcome.result, outcome.feedback) == (result, feedback)
 
         real(work)
 
     def test_running_elsewhere_is_leased_again_a_little_later(self) -> None:
-        assert judge(Answer(409, {"X-Attempt-Id": "m1"})).retry_ms == 300
+        assert interpret_response(DeliveryResponse(409, {"X-Attempt-Id": "m1"})).retry_ms == 300
 
     def test_success_without_a_signature_is_none(self) -> None:
-        outcome = judge(Answer(200, {"X-Attempt-Id": "m1"}))
-        assert (outcome.result, outcome.ending) == ("unknown", Ending.LOST)
+        outcome = interpret_response(DeliveryResponse(200, {"X-Attempt-Id": "m1"}))
+        assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
     def test_an_answer_without_an_id_is_never_a_success_or_an_end(self) -> None:
-        assert not belongs(Answer(200, {"X-Server-Signature": "s"}), "m1")
+        assert not matches_message(DeliveryResponse(200, {"X-Server-Signature": "s"}), "m1")
         for status in (422, 500):
-            assert judge(Answer(status, {})).result == "unknown"
-        assert judge(Answer(503, {"X-Not-Executed": "1"})).result == "not_run"
+            assert interpret_response(DeliveryResponse(status, {})).result == "unknown"
+        assert interpret_response(DeliveryResponse(503, {"X-Not-Executed": "1"})).result == "not_run"
 
     def test_a_chunked_answer_must_be_whole(self) -> None:
         async def work() -> None:
@@ -278,7 +286,7 @@
 
             async with serving(behave) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), TIMEOUT_S)
-                assert (outcome.result, outcome.ending) == ("unknown", Ending.LOST)
+                assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
         real(work)
 
@@ -289,7 +297,7 @@
 
             async with serving(behave) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), TIMEOUT_S)
-                assert (outcome.result, outcome.ending) == ("unknown", Ending.LOST)
+                assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
         real(work)
 
@@ -301,7 +309,7 @@
 
             async with serving(behave) as (server, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), VERY_SHORT_S)
-                assert (outcome.result, outcome.ending) == ("unknown", Ending.LOST)
+                assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
                 await server.closed.wait()
                 assert (await client.deliver(endpoint, job(2), TIMEOUT_S)).result == "success"
                 assert server.connections == 2
@@ -316,7 +324,7 @@
                 listener.close()
                 await listener.wait_closed()
                 outcome = await client.deliver(Endpoint(f"{host}:{port}", "i-2"), job(1), TIMEOUT_S)
-                assert (outcome.result, outcome.ending) == ("not_run", Ending.UNREACHABLE)
+                assert (outcome.result, outcome.feedback) == ("not_run", WorkerFeedback.UNREACHABLE)
                 assert outcome.started is None
 
         real(work)
@@ -364,7 +372,7 @@
                 while len(server.exchanges) < 2:
                     await asyncio.sleep(0)
                 outcome = await client.deliver(narrow, job(9), TIMEOUT_S)
-                assert (outcome.result, outcome.ending) == ("not_run", Ending.NEUTRAL)
+                assert (outcome.result, outcome.feedback) == ("not_run", WorkerFeedback.NEUTRAL)
                 gate.set()
                 await asyncio.gather(*tasks)
                 assert server.connections == 2
@@ -396,7 +404,7 @@
 
             async with serving(behave) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), VERY_SHORT_S)
-                assert (outcome.result, outcome.ending) == ("unknown", Ending.LOST)
+                assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
         real(work)
 
@@ -538,7 +546,7 @@
         async def work() -> None:
             async with serving(well) as (server, client, endpoint):
                 await client.deliver(endpoint, job(1), TIMEOUT_S)
-                client.forget(endpoint)
+                client.retire(endpoint)
                 await server.closed.wait()
 
         real(work)
@@ -555,7 +563,7 @@
                 task = asyncio.create_task(client.deliver(endpoint, job(1), TIMEOUT_S))
                 while not server.exchanges:
                     await asyncio.sleep(0)
-                client.forget(endpoint)
+                client.retire(endpoint)
                 gate.set()
                 assert (await task).result == "success"
                 await server.closed.wait()
@@ -566,7 +574,7 @@
         async def work() -> None:
             async with serving(well) as (server, client, endpoint):
                 await client.deliver(endpoint, job(1), TIMEOUT_S)
-                await client.deliver(attrs.evolve(endpoint, instance="i-2"), job(2), TIMEOUT_S)
+                await client.deliver(attrs.evolve(endpoint, instance_id="i-2"), job(2), TIMEOUT_S)
                 assert server.connections == 2
 
         real(work)
@@ -593,48 +601,48 @@
         async def work(loop: VirtualTimeLoop) -> None:
             for last in ("taken", "gone"):
                 stub = FinishStub(["unavailable", "error", "not_primary", last, "never"])
-                figures = DeliveryFigures()
-                await EndReporter(stub, figures).report(FinishLease("0-1-1-1", "success", "s"))
+                metrics = DeliveryMetrics()
+                await LeaseEndReporter(stub, metrics).report(FinishLease("0-1-1-1", "success", "s"))
                 assert stub.calls == [FinishLease("0-1-1-1", "success", "s")] * 4
-                assert (figures.ends_reported, figures.ends_gone) == ((1, 0) if last == "taken" else (0, 1))
+                assert (metrics.ends_reported, metrics.ends_gone) == ((1, 0) if last == "taken" else (0, 1))
 
         play(work)
 
     def test_given_up_after_minutes(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            stub, figures = FinishStub(["unavailable"] * 10_000), DeliveryFigures()
+            stub, metrics = FinishStub(["unavailable"] * 10_000), DeliveryMetrics()
             began = loop.time()
-            await EndReporter(stub, figures).report(FinishLease("0-1-1-1", "success", "s"))
-            assert PATIENCE_S <= loop.time() - began < PATIENCE_S + 5
-            assert figures.ends_dropped == 1
+            await LeaseEndReporter(stub, metrics).report(FinishLease("0-1-1-1", "success", "s"))
+            assert REPORT_TIMEOUT_S <= loop.time() - began < REPORT_TIMEOUT_S + 5
+            assert metrics.ends_dropped == 1
 
         play(work)
 
     def test_settling_waits_for_reports_but_not_beyond_the_deadline(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            stub, figures = FinishStub(["unavailable"] * 10_000), DeliveryFigures()
-            reporter = EndReporter(stub, figures)
-            reporter.give_back("0-1-1-1")
-            await reporter.settle(loop.time() + 2)
+            stub, metrics = FinishStub(["unavailable"] * 10_000), DeliveryMetrics()
+            reporter = LeaseEndReporter(stub, metrics)
+            reporter.release("0-1-1-1")
+            await reporter.flush(loop.time() + 2)
             assert loop.time() == pytest.approx(1_002)
             stub.script.clear()
-            reporter.give_back("0-1-2-1")
-            await reporter.settle(loop.time() + 2)
+            reporter.release("0-1-2-1")
+            await reporter.flush(loop.time() + 2)
             assert loop.time() == pytest.approx(1_002.01)
-            assert figures.ends_reported == 1
+            assert metrics.ends_reported == 1
 
         play(work)
 
     def test_a_bounded_number_of_given_back_jobs_waits(self, monkeypatch: pytest.MonkeyPatch) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            stub, figures = FinishStub(["unavailable"] * 10_000), DeliveryFigures()
-            reporter = EndReporter(stub, figures)
+            stub, metrics = FinishStub(["unavailable"] * 10_000), DeliveryMetrics()
+            reporter = LeaseEndReporter(stub, metrics)
             for number in range(5):
-                reporter.give_back(f"0-1-{number}-1")
+                reporter.release(f"0-1-{number}-1")
                 await asyncio.sleep(0)
             assert reporter.open_count == 3
-            assert figures.ends_dropped == 2
-            await reporter.settle(loop.time() + 0.1)
+            assert metrics.ends_dropped == 2
+            await reporter.flush(loop.time() + 0.1)
 
-        monkeypatch.setattr("hollowusher.delivery.reports.MOST_OPEN", 3)
+        monkeypatch.setattr("hollowusher.delivery.lease_end_reporter.MAX_OPEN_REPORTS", 3)
         play(work)
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -12,11 +12,17 @@
 from hollowusher.balancing.balancer import GOOD_TRIALS
 from hollowusher.configuration.model import Service
 from hollowusher.coordination.rendezvous import choose
-from hollowusher.delivery.outcome import DeliveryOutcome, Ending
+from hollowusher.delivery.outcome import DeliveryOutcome, WorkerFeedback
 from hollowusher.dispatch import ownership
 from hollowusher.dispatch.dispatcher import Dispatcher
-from hollowusher.dispatch.ownership import Destination, assign, fixed_destination, owner, worker_destination
-from hollowusher.dispatch.worker_control import TIMER_S, WorkerControl
+from hollowusher.dispatch.ownership import (
+    Destination,
+    assign_owners,
+    fixed_destination,
+    preferred_owner,
+    worker_destination,
+)
+from hollowusher.dispatch.worker_flow_control import CONTROL_PERIOD_S, WorkerFlowControl
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import JobsWaiting
 from hollowusher.protocol.membership import Member
@@ -45,234 +51,242 @@
 
     def test_every_destination_has_one_owner_whatever_the_order(self) -> None:
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(40)]
-        owners = assign(wanted, self.MEMBERS)
+        owners = assign_owners(wanted, self.MEMBERS)
         assert set(owners) == {each.key for each in wanted}
-        assert owners == assign(reversed(wanted), list(reversed(self.MEMBERS)))
+        assert owners == assign_owners(reversed(wanted), list(reversed(self.MEMBERS)))
 
     def test_no_process_has_much_more_than_its_share(self) -> None:
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(200)]
-        assert max(Counter(assign(wanted, self.MEMBERS).values()).values()) <= 25
+        assert max(Counter(assign_owners(wanted, self.MEMBERS).values()).values()) <= 25
 
     def test_the_bound_of_a_few_destinations_is_one_or_two(self) -> None:
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(8)]
-        assert max(Counter(assign(wanted, self.MEMBERS).values()).values()) == 1
+        assert max(Counter(assign_owners(wanted, self.MEMBERS).values()).values()) == 1
 
     def test_a_member_that_goes_moves_little_else(self) -> None:
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(200)]
-        before, after = assign(wanted, self.MEMBERS), assign(wanted, self.MEMBERS[1:])
+        before, after = assign_owners(wanted, self.MEMBERS), assign_owners(wanted, self.MEMBERS[1:])
         moved = [key for key in before if before[key] != after[key] and before[key] != "e0"]
         assert len(moved) <= 40
 
     def test_a_process_of_the_destinations_zone_is_preferred(self) -> None:
         members = [edge("e1", "z1"), edge("e2", "z2"), edge("e3", "z2")]
         for number in range(20):
-            assert owner(worker_destination("svc", f"i-{number}", "z1"), members) == "e1"
-            assert owner(worker_destination("svc", f"i-{number}", "z2"), members) in ("e2", "e3")
-            assert owner(worker_destination("svc", f"i-{number}", "z9"), members) in ("e1", "e2", "e3")
+            assert preferred_owner(worker_destination("svc", f"i-{number}", "z1"), members) == "e1"
+            assert preferred_owner(worker_destination("svc", f"i-{number}", "z2"), members) in ("e2", "e3")
+            assert preferred_owner(worker_destination("svc", f"i-{number}", "z9"), members) in (
+                "e1",
+                "e2",
+                "e3",
+            )
 
     def test_without_members_nothing_is_owned(self) -> None:
-        assert assign([Destination("svc/i-1")], []) == {}
-        assert owner(Destination("svc/i-1"), []) is None
+        assert assign_owners([Destination("svc/i-1")], []) == {}
+        assert preferred_owner(Destination("svc/i-1"), []) is None
 
     def test_beyond_the_bound_of_rankings_each_takes_its_first_choice(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(ownership, "MOST_RANKINGS", 10)
+        monkeypatch.setattr(ownership, "MAX_RANKINGS", 10)
         wanted = [fixed_destination("svc", f"10.0.0.{n}:80") for n in range(20)]
         names = [member.name for member in self.MEMBERS]
-        assert assign(wanted, self.MEMBERS) == {each.key: choose(each.key, names) for each in wanted}
+        assert assign_owners(wanted, self.MEMBERS) == {each.key: choose(each.key, names) for each in wanted}
 
 
-def fill(control: WorkerControl, now: float, most: int = 100) -> list[str]:
+def fill(control: WorkerFlowControl, now: float, most: int = 100) -> list[str]:
     """Hand over jobs while it allows; their leases."""
     leases = list[str]()
-    while control.allowed(now) > 0 and len(leases) < most:
+    while control.jobs_allowed(now) > 0 and len(leases) < most:
         lease = f"{now}-{len(leases)}"
-        control.handed(now, lease)
+        control.record_sent(now, lease)
         leases.append(lease)
     return leases
 
 
 class TestWorkerControl:
     def test_first_jobs_go_at_once(self) -> None:
-        control = WorkerControl(100.0, 8)
+        control = WorkerFlowControl(100.0, 8)
         assert control.bundle == 0.0
-        assert control.allowed(100.0) == 3
+        assert control.jobs_allowed(100.0) == 3
 
     def test_the_bundle_grows_by_the_integral_rule_and_paces_the_rest(self) -> None:
-        control = WorkerControl(0.0, 16)
+        control = WorkerFlowControl(0.0, 16)
         fill(control, 0.0)
-        assert control.allowed(0.001) == 0
+        assert control.jobs_allowed(0.001) == 0
         handed = 3
         for tick in range(1, 60):
-            handed += len(fill(control, tick * TIMER_S + 0.001))
-        assert handed == control.out
-        assert 16 <= control.out <= 32
+            handed += len(fill(control, tick * CONTROL_PERIOD_S + 0.001))
+        assert handed == control.in_flight
+        assert 16 <= control.in_flight <= 32
         assert control.bundle > 0
 
     def test_never_much_more_out_than_its_slots(self) -> None:
-        control = WorkerControl(0.0, 4)
+        control = WorkerFlowControl(0.0, 4)
         for tick in range(200):
-            fill(control, tick * TIMER_S)
-        assert 4 <= control.out <= 6
+            fill(control, tick * CONTROL_PERIOD_S)
+        assert 4 <= control.in_flight <= 6
 
     def test_a_busy_worker_keeps_up_its_rate_and_its_bundle_stays_bounded(self) -> None:
         """Jobs of 0.2 s on 8 slots are 40 a second; the controller is to allow about that many."""
-        control, due, done = WorkerControl(0.0, 8), list[tuple[float, str]](), 0
+        control, due, done = WorkerFlowControl(0.0, 8), list[tuple[float, str]](), 0
         for step in range(4_000):
             now = step * 0.005
             while due and due[0][0] <= now:
-                control.ended(now, due.pop(0)[1], Ending.DONE)
+                control.record_feedback(now, due.pop(0)[1], WorkerFeedback.DONE)
                 done += 1
             due += [(now + 0.2, lease) for lease in fill(control, now)]
         assert done >= 0.9 * 40 * 20 * 8 / 8
-        assert control.bundle <= 2.0 * TIMER_S * 40 * 1.3
+        assert control.bundle <= 2.0 * CONTROL_PERIOD_S * 40 * 1.3
 
     def test_a_quiet_spell_does_not_wind_the_bundle_up(self) -> None:
-        control = WorkerControl(0.0, 8)
-        control.handed(0.0, "a")
-        control.ended(0.2, "a", Ending.DONE)
+        control = WorkerFlowControl(0.0, 8)
+        control.record_sent(0.0, "a")
+        control.record_feedback(0.2, "a", WorkerFeedback.DONE)
         for second in range(1, 100):
-            control.allowed(float(second))
-        per_timer = TIMER_S / (0.2 / 8)
+            control.jobs_allowed(float(second))
+        per_timer = CONTROL_PERIOD_S / (0.2 / 8)
         assert control.bundle <= per_timer + 1e-6
-        assert control.allowed(100.0) <= 8 + 4
+        assert control.jobs_allowed(100.0) <= 8 + 4
 
     def test_refused_as_full_it_rests(self) -> None:
-        control = WorkerControl(0.0, 8)
-        control.handed(0.0, "a")
-        control.ended(0.01, "a", Ending.FULL)
-        assert control.allowed(0.02) == 0
-        assert control.allowed(0.2) > 0
+        control = WorkerFlowControl(0.0, 8)
+        control.record_sent(0.0, "a")
+        control.record_feedback(0.01, "a", WorkerFeedback.FULL)
+        assert control.jobs_allowed(0.02) == 0
+        assert control.jobs_allowed(0.2) > 0
 
     def test_slots_that_refusals_took_come_back_as_jobs_end_well_up_to_what_the_list_tells(self) -> None:
-        control, due = WorkerControl(0.0, 4), list[tuple[float, str]]()
-        control.handed(0.0, "a")
-        control.ended(0.01, "a", Ending.FULL)
+        control, due = WorkerFlowControl(0.0, 4), list[tuple[float, str]]()
+        control.record_sent(0.0, "a")
+        control.record_feedback(0.01, "a", WorkerFeedback.FULL)
         assert control.slots == 1
         for step in range(20, 2_000):
             now = step * 0.005
             while due and due[0][0] <= now:
-                control.ended(now, due.pop(0)[1], Ending.DONE)
+                control.record_feedback(now, due.pop(0)[1], WorkerFeedback.DONE)
             due += [(now + 0.1, lease) for lease in fill(control, now)]
         assert control.slots == 4
 
     def test_each_refusal_in_a_row_doubles_the_pause(self) -> None:
-        control = WorkerControl(0.0, 8)
+        control = WorkerFlowControl(0.0, 8)
         for number, pause in enumerate([0.05, 0.1, 0.2, 0.4, 0.8, 0.8]):
-            control.handed(0.0, str(number))
-            control.ended(0.0, str(number), Ending.FULL)
+            control.record_sent(0.0, str(number))
+            control.record_feedback(0.0, str(number), WorkerFeedback.FULL)
             assert control.resumes_at(0.0) == pytest.approx(pause)
 
     def test_an_endpoint_without_told_capacity_learns_it_from_refusals(self) -> None:
-        control = WorkerControl(0.0)
+        control = WorkerFlowControl(0.0)
         for lease in ("a", "b", "c"):
-            control.handed(0.0, lease)
-        control.ended(0.01, "c", Ending.FULL)
+            control.record_sent(0.0, lease)
+        control.record_feedback(0.01, "c", WorkerFeedback.FULL)
         assert control.slots == 2
-        assert control.room(1.0) == 0
-        control.ended(1.0, "a", Ending.DONE)
-        assert control.room(1.0) == 1
+        assert control.free_slots(1.0) == 0
+        control.record_feedback(1.0, "a", WorkerFeedback.DONE)
+        assert control.free_slots(1.0) == 1
 
     def test_an_endpoint_that_answers_quickly_gets_more_slots(self) -> None:
-        control, due = WorkerControl(0.0), list[tuple[float, str]]()
+        control, due = WorkerFlowControl(0.0), list[tuple[float, str]]()
         for step in range(2_000):
             now = step * 0.005
             while due and due[0][0] <= now:
-                control.ended(now, due.pop(0)[1], Ending.DONE)
+                control.record_feedback(now, due.pop(0)[1], WorkerFeedback.DONE)
             due += [(now + 0.1, lease) for lease in fill(control, now)]
         assert control.slots > 20
 
     def test_a_rate_refusal_does_not_change_the_slots(self) -> None:
-        control = WorkerControl(0.0)
-        control.handed(0.0, "a")
-        control.ended(0.01, "a", Ending.RATE)
+        control = WorkerFlowControl(0.0)
+        control.record_sent(0.0, "a")
+        control.record_feedback(0.01, "a", WorkerFeedback.RATE)
         assert control.slots == 8
-        assert control.room(0.02) == 0
-        assert control.room(0.5) > 0
+        assert control.free_slots(0.02) == 0
+        assert control.free_slots(0.5) > 0
 
     def test_a_lost_answer_makes_it_suspect_until_trials_succeed(self) -> None:
-        control = WorkerControl(0.0, 8)
-        control.handed(0.0, "a")
-        assert control.ended(0.3, "a", Ending.LOST)
-        assert control.allowed(0.4) == 0
+        control = WorkerFlowControl(0.0, 8)
+        control.record_sent(0.0, "a")
+        assert control.record_feedback(0.3, "a", WorkerFeedback.LOST)
+        assert control.jobs_allowed(0.4) == 0
         assert control.resumes_at(0.4) == pytest.approx(0.8)
         now = 0.9
         for trial in range(GOOD_TRIALS):
-            assert control.allowed(now) == 1
-            control.handed(now, f"t{trial}")
-            assert control.allowed(now) == 0  # one at a time
-            control.ended(now + 0.1, f"t{trial}", Ending.DONE)
+            assert control.jobs_allowed(now) == 1
+            control.record_sent(now, f"t{trial}")
+            assert control.jobs_allowed(now) == 0  # one at a time
+            control.record_feedback(now + 0.1, f"t{trial}", WorkerFeedback.DONE)
             now += 0.1
-        assert not control.suspect
-        assert control.allowed(now + 0.1) > 1
+        assert not control.is_suspect
+        assert control.jobs_allowed(now + 0.1) > 1
 
     def test_each_failed_trial_doubles_the_wait(self) -> None:
-        control, now, waits = WorkerControl(0.0, 8), 0.0, list[float]()
+        control, now, waits = WorkerFlowControl(0.0, 8), 0.0, list[float]()
         for number in range(4):
-            control.handed(now, f"a{number}")
-            control.ended(now, f"a{number}", Ending.LOST)
+            control.record_sent(now, f"a{number}")
+            control.record_feedback(now, f"a{number}", WorkerFeedback.LOST)
             waits.append(control.resumes_at(now) - now)
             now = control.resumes_at(now)
         assert waits == pytest.approx([0.5, 1.0, 2.0, 4.0])
 
     def test_where_most_look_bad_a_suspect_worker_counts_as_well(self) -> None:
-        control = WorkerControl(0.0, 8)
-        control.handed(0.0, "a")
-        control.ended(0.3, "a", Ending.LOST)
-        assert control.allowed(0.4, isolate=False) > 1
-        assert control.next_look(0.4, isolate=False) <= 0.4 + TIMER_S < control.next_look(0.4)
+        control = WorkerFlowControl(0.0, 8)
+        control.record_sent(0.0, "a")
+        control.record_feedback(0.3, "a", WorkerFeedback.LOST)
+        assert control.jobs_allowed(0.4, isolates_suspects=False) > 1
+        assert (
+            control.next_check_at(0.4, isolates_suspects=False)
+            <= 0.4 + CONTROL_PERIOD_S
+            < control.next_check_at(0.4)
+        )
 
     def test_failures_in_a_row_make_it_suspect_but_not_a_few(self) -> None:
-        control = WorkerControl(0.0, 8)
+        control = WorkerFlowControl(0.0, 8)
         told = []
         for number in range(5):
-            control.handed(0.0, str(number))
-            told.append(control.ended(0.1, str(number), Ending.FAILED))
+            control.record_sent(0.0, str(number))
+            told.append(control.record_feedback(0.1, str(number), WorkerFeedback.FAILED))
         assert told == [False] * 4 + [True]
 
     def test_a_job_out_far_beyond_the_usual_makes_it_suspect(self) -> None:
-        control = WorkerControl(0.0, 8)
-        control.handed(0.0, "a")
-        control.ended(0.1, "a", Ending.DONE)
-        control.handed(1.0, "b")
-        assert control.room(1.9) > 0
-        assert control.room(2.2) == 0
-        assert control.suspect
+        control = WorkerFlowControl(0.0, 8)
+        control.record_sent(0.0, "a")
+        control.record_feedback(0.1, "a", WorkerFeedback.DONE)
+        control.record_sent(1.0, "b")
+        assert control.free_slots(1.9) > 0
+        assert control.free_slots(2.2) == 0
+        assert control.is_suspect
 
     def test_no_connection_pauses_it_longer_each_time(self) -> None:
-        control = WorkerControl(0.0, 8)
+        control = WorkerFlowControl(0.0, 8)
         for number, pause in enumerate([0.1, 0.2, 0.4, 0.8, 1.0, 1.0]):
-            control.handed(0.0, str(number))
-            control.ended(0.0, str(number), Ending.UNREACHABLE)
+            control.record_sent(0.0, str(number))
+            control.record_feedback(0.0, str(number), WorkerFeedback.UNREACHABLE)
             assert control.resumes_at(0.0) == pytest.approx(pause)
 
     def test_a_cold_worker_gets_less_until_it_is_warm(self) -> None:
-        control = WorkerControl(0.0, 10)
-        control.told(10, 5.0)
+        control = WorkerFlowControl(0.0, 10)
+        control.update_listing(10, 5.0)
         for tick in range(120):
-            fill(control, tick * TIMER_S)
-        assert control.out == 4
+            fill(control, tick * CONTROL_PERIOD_S)
+        assert control.in_flight == 4
         fill(control, 5.1)
-        assert control.out > 4
+        assert control.in_flight > 4
 
     def test_another_worker_at_the_address_ends_it(self) -> None:
-        control = WorkerControl(0.0, 8)
-        control.handed(0.0, "a")
-        control.ended(0.1, "a", Ending.GONE)
-        assert control.allowed(100.0) == 0
+        control = WorkerFlowControl(0.0, 8)
+        control.record_sent(0.0, "a")
+        control.record_feedback(0.1, "a", WorkerFeedback.GONE)
+        assert control.jobs_allowed(100.0) == 0
 
     def test_never_more_out_than_its_connections(self) -> None:
-        control = WorkerControl(0.0, 50)
-        control.bounded(5)
+        control = WorkerFlowControl(0.0, 50)
+        control.limit_slots(5)
         for tick in range(100):
-            fill(control, tick * TIMER_S)
-        assert control.out == 5
+            fill(control, tick * CONTROL_PERIOD_S)
+        assert control.in_flight == 5
 
     def test_the_step_is_divided_among_balancers(self) -> None:
-        alone, shared = WorkerControl(0.0, 8), WorkerControl(0.0, 8, balancers=4)
-        alone.allowed(TIMER_S)
-        shared.allowed(TIMER_S)
+        alone, shared = WorkerFlowControl(0.0, 8), WorkerFlowControl(0.0, 8, balancers=4)
+        alone.jobs_allowed(CONTROL_PERIOD_S)
+        shared.jobs_allowed(CONTROL_PERIOD_S)
         assert shared.bundle == pytest.approx(alone.bundle / 4)
 
 
@@ -299,7 +313,7 @@
             assert stores.finished["0-1-7-1"].signature == "s-m7"
             # 40 jobs of 0.2 s on 8 slots take 1 s at best
             assert max(stores.finish_times.values()) < 1.6
-            assert subject.figures.success == 40 and subject.figures.in_flight == 0
+            assert subject.metrics.success == 40 and subject.metrics.in_flight == 0
             assert workers.begun[0][0] < 0.02
             await subject.stop(3)
 
@@ -428,7 +442,7 @@
             await asyncio.sleep(4)
             assert [1 for at, address, _ in workers.begun if at < told and address == listed(1).address]
             assert not [1 for at, address, _ in workers.begun if at > told and address == listed(1).address]
-            assert [endpoint.instance for endpoint in workers.forgotten] == ["i-1"]
+            assert [endpoint.instance_id for endpoint in workers.retired] == ["i-1"]
             assert stores.results() == {"success": 60}
             await subject.stop(3)
 
@@ -460,7 +474,7 @@
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1), LeasingStores()
             workers = model(cluster)
-            workers.answers[listed(1).address] = DeliveryOutcome("not_run", Ending.GONE)
+            workers.answers[listed(1).address] = DeliveryOutcome("not_run", WorkerFeedback.GONE)
             subject = dispatcher(cluster, stores, workers)
             subject.start()
             stores.add(STORE_1, [job(1)])
@@ -471,7 +485,7 @@
             cluster.list_workers([evolve(listed(2), address=listed(1).address)])
             stores.add(STORE_1, [job(2)])
             await asyncio.sleep(1)
-            assert workers.endpoints[-1].instance == "i-2"
+            assert workers.endpoints[-1].instance_id == "i-2"
             assert stores.finished["0-1-2-1"].result == "success"
             await subject.stop(3)
 
@@ -481,13 +495,13 @@
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
-            workers.answers[listed(1).address] = DeliveryOutcome("not_run", Ending.FULL)
+            workers.answers[listed(1).address] = DeliveryOutcome("not_run", WorkerFeedback.FULL)
             subject = dispatcher(cluster, stores, workers)
             subject.start()
             stores.add(STORE_1, [job(n) for n in range(6)])
             await asyncio.sleep(2)
             assert stores.results() == {"success": 6}
-            assert subject.figures.requeued > 0
+            assert subject.metrics.requeued > 0
             await subject.stop(3)
 
         play(work)
@@ -498,7 +512,8 @@
             cluster.configure([Service("svc", rate_per_s=20.0)], [route()])
             workers = model(cluster)
             workers.answers = {
-                listed(n).address: DeliveryOutcome("not_run", Ending.RATE, retry_ms=100) for n in (1, 2)
+                listed(n).address: DeliveryOutcome("not_run", WorkerFeedback.RATE, retry_ms=100)
+                for n in (1, 2)
             }
             subject = dispatcher(cluster, stores, workers)
             subject.start()
@@ -541,9 +556,9 @@
             subject.start()
             stores.add(STORE_1, [job(n, start_within_ms=5_000) for n in range(40)])
             await asyncio.sleep(8)
-            refused = subject.figures.not_run
+            refused = subject.metrics.not_run
             assert refused < 60
-            assert subject.figures.success == 40
+            assert subject.metrics.success == 40
             await subject.stop(3)
 
         play(work)
@@ -602,8 +617,8 @@
             stores.add(STORE_1, [job(n, start_within_ms=5_000) for n in range(30)])
             await asyncio.sleep(6)
             assert stores.results() == {"success": 30}
-            assert workers.endpoints[0].instance == "" and workers.endpoints[0].max_connections == 7
-            assert workers.most_out[address] <= 6
+            assert workers.endpoints[0].instance_id == "" and workers.endpoints[0].max_connections == 7
+            assert workers.max_in_flight[address] <= 6
             await subject.stop(3)
 
         play(work)
@@ -674,7 +689,7 @@
             left = sum(len(queue) for queue in stores.queues.values())
             assert stores.results()["success"] == begun
             assert stores.results().get("not_run", 0) == 80 - begun - left
-            assert subject.figures.in_flight == 0
+            assert subject.metrics.in_flight == 0
 
         play(work)
 
@@ -702,7 +717,7 @@
             await asyncio.sleep(2.0)
             loop.thaw(process)
             await asyncio.sleep(0.05)
-            assert subject.figures.frozen == 1
+            assert subject.metrics.frozen == 1
             assert stores.results()["not_run"] == leased - begun
             again = {message for _, _, message in workers.begun[begun:]}
             assert not again & {f"m{finish.split('-')[2]}" for finish in stores.finished}
@@ -726,23 +741,23 @@
 
 def test_a_sole_worker_that_was_down_at_first_is_tried_until_it_is_back() -> None:
     """Seed 403 of the simulation, m000510: an endpoint that is down when its owner begins."""
-    control = WorkerControl(0.0)
+    control = WorkerFlowControl(0.0)
     now = 0.0
-    assert control.allowed(now, isolate=False) >= 1
-    control.handed(now, "first")
-    control.ended(now, "first", Ending.UNREACHABLE)
+    assert control.jobs_allowed(now, isolates_suspects=False) >= 1
+    control.record_sent(now, "first")
+    control.record_feedback(now, "first", WorkerFeedback.UNREACHABLE)
     for number in range(40):  # more failures than any credit that it began with
         now += 1.0
-        if control.allowed(now, isolate=False):
-            control.handed(now, f"down-{number}")
-            control.ended(now, f"down-{number}", Ending.UNREACHABLE)
-    assert control.suspect
+        if control.jobs_allowed(now, isolates_suspects=False):
+            control.record_sent(now, f"down-{number}")
+            control.record_feedback(now, f"down-{number}", WorkerFeedback.UNREACHABLE)
+    assert control.is_suspect
     tries = 0
     for number in range(40):
         now += 1.0
-        if control.allowed(now, isolate=False):
+        if control.jobs_allowed(now, isolates_suspects=False):
             tries += 1
-            control.handed(now, f"up-{number}")
-            control.ended(now + 0.01, f"up-{number}", Ending.DONE)
-    assert not control.suspect
+            control.record_sent(now, f"up-{number}")
+            control.record_feedback(now + 0.01, f"up-{number}", WorkerFeedback.DONE)
+    assert not control.is_suspect
     assert tries >= 20
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -9,17 +9,17 @@
 
 from hollowusher.configuration.model import Service
 from hollowusher.coordination.placement.partitioner import rank_partitions
-from hollowusher.delivery.callbacks import MOST_CONNECTIONS, CallbackDelivery
-from hollowusher.delivery.connection import Answer
-from hollowusher.delivery.figures import DeliveryFigures
-from hollowusher.delivery.leasing import LeaseNetwork
-from hollowusher.delivery.outcome import Ending
-from hollowusher.delivery.pool import ConnectionPool
-from hollowusher.delivery.pull import LeasingPullDesk
-from hollowusher.delivery.reports import EndReporter
+from hollowusher.delivery.callback_delivery import MAX_CONNECTIONS, CallbackDelivery
+from hollowusher.delivery.connection_pool import ConnectionPool
+from hollowusher.delivery.http_connection import DeliveryResponse
+from hollowusher.delivery.lease_end_reporter import LeaseEndReporter
+from hollowusher.delivery.lease_poller import LeasingContext
+from hollowusher.delivery.metrics import DeliveryMetrics
+from hollowusher.delivery.outcome import WorkerFeedback
+from hollowusher.delivery.pull_dispatcher import LeasingPullDispatcher
 from hollowusher.delivery.worker_client import Endpoint, HttpWorkerClient
 from hollowusher.dispatch.dispatcher import Dispatcher
-from hollowusher.dispatch.worker_control import WorkerControl
+from hollowusher.dispatch.worker_flow_control import WorkerFlowControl
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 from hollowusher.simulation.event_loop import SimulatedProcess, VirtualTimeLoop
@@ -96,15 +96,15 @@
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores, workers = pushing()
             process = SimulatedProcess("e1")
-            real = WorkerControl.handed
+            real = WorkerFlowControl.record_sent
 
-            def handed(control: WorkerControl, *arguments: Any) -> None:
+            def handed(control: WorkerFlowControl, *arguments: Any) -> None:
                 real(control, *arguments)
                 loop.freeze(process)
 
             await start(process, cluster, stores, workers)
             stores.add(STORE_1, [job(1)])
-            monkeypatch.setattr(WorkerControl, "handed", handed)
+            monkeypatch.setattr(WorkerFlowControl, "record_sent", handed)
             await asyncio.sleep(0.6)
             assert process.frozen
             monkeypatch.undo()
@@ -119,12 +119,12 @@
 class _SilentConnection:
     """A connection that was opened while its process stood still."""
 
-    usable = True
+    is_usable = True
 
     def __init__(self) -> None:
         self.requests: list[bytes] = []
 
-    async def exchange(self, request: bytes, accepts: Any, deadline: float) -> Answer:
+    async def exchange(self, request: bytes, accepts: Any, deadline: float) -> DeliveryResponse:
         self.requests.append(request)
         raise AssertionError("sent on an old lease")
 
@@ -143,7 +143,7 @@
             monkeypatch.setattr(ConnectionPool, "_connect", connect)
             client = HttpWorkerClient()
             outcome = await client.deliver(Endpoint("10.2.0.1:8080", "i-1"), job(1), 5.0)
-            assert (outcome.result, outcome.ending) == ("not_run", Ending.UNREACHABLE)
+            assert (outcome.result, outcome.feedback) == ("not_run", WorkerFeedback.UNREACHABLE)
             assert opened.requests == []
 
         play(work)
@@ -156,7 +156,7 @@
             cluster = Cluster([edge("e1")], [Service("svc", pull=True)], [route()], [])
             stores, process = LeasingStores(), SimulatedProcess("e1")
             subject = await start(process, cluster, stores, ModelWorkers({}))
-            desk = subject.pull_desk
+            desk = subject.pull_dispatcher
             gone = process.run(desk.pull("svc", "i-1", 1.0))
             await asyncio.sleep(0.01)
             gone.cancel()
@@ -180,14 +180,14 @@
             cluster = Cluster([edge("e1")], [Service("svc", pull=True)], [route()], [])
             stores, process = LeasingStores(), SimulatedProcess("e1")
             subject = await start(process, cluster, stores, ModelWorkers({}))
-            real = LeasingPullDesk._offer
+            real = LeasingPullDispatcher._offer
 
-            def offer(desk: LeasingPullDesk, *arguments: Any) -> None:
+            def offer(desk: LeasingPullDispatcher, *arguments: Any) -> None:
                 real(desk, *arguments)
                 loop.freeze(process)
 
-            monkeypatch.setattr(LeasingPullDesk, "_offer", offer)
-            call = process.run(subject.pull_desk.pull("svc", "i-1", 30.0))
+            monkeypatch.setattr(LeasingPullDispatcher, "_offer", offer)
+            call = process.run(subject.pull_dispatcher.pull("svc", "i-1", 30.0))
             stores.add(STORE_1, [job(1)])
             await asyncio.sleep(frozen_s)
             assert process.frozen
@@ -225,9 +225,9 @@
 class TestCallBacks:
     def test_call_backs_leased_before_a_long_freeze_are_given_back(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            cluster, stores, figures = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryFigures()
-            network = LeaseNetwork(
-                cluster.state.members["e1"], stores, cluster.state, rank_partitions, figures
+            cluster, stores, metrics = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryMetrics()
+            network = LeasingContext(
+                cluster.state.members["e1"], stores, cluster.state, rank_partitions, metrics
             )
             receiver, process = _SlowReceiver(), SimulatedProcess("e1")
             stores.add(STORE_1, [owed(n) for n in range(4)])
@@ -235,7 +235,7 @@
 
             async def begin() -> CallbackDelivery:
                 subject = CallbackDelivery(
-                    network, EndReporter(stores, figures), lambda service: True, lambda address: receiver
+                    network, LeaseEndReporter(stores, metrics), lambda service: True, lambda address: receiver
                 )
                 subject.handle(JobsWaiting(RECEIVER, STORE_1))
                 subject.handle(JobsWaiting(RECEIVER, STORE_2))
@@ -244,7 +244,7 @@
             await process.run(begin())
             await asyncio.sleep(0.5)
             begun = list(receiver.heard)
-            assert len(begun) == MOST_CONNECTIONS
+            assert len(begun) == MAX_CONNECTIONS
             waiting = 8 - sum(len(queue) for queue in stores.queues.values()) - len(begun)
             assert waiting > 0
             await freeze_for(loop, process, 20.0)
--- a/tests/dispatch/test_pull_desk.py
+++ b/tests/dispatch/test_pull_desk.py
@@ -7,9 +7,9 @@
 import pytest
 
 from hollowusher.configuration.model import Service
-from hollowusher.delivery.pull import SPARE_KEPT_S, LeasingPullDesk
+from hollowusher.delivery.pull_dispatcher import UNCLAIMED_JOB_TTL_S, LeasingPullDispatcher
 from hollowusher.dispatch.dispatcher import Dispatcher
-from hollowusher.intake.pull_desk import PullDesk
+from hollowusher.intake.pull_dispatcher import PullDispatcher
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 from hollowusher.simulation.event_loop import VirtualTimeLoop
 from tests.support.dispatch import (
@@ -29,25 +29,27 @@
 )
 
 
-def made() -> tuple[Cluster, LeasingStores, Dispatcher, LeasingPullDesk]:
+def made() -> tuple[Cluster, LeasingStores, Dispatcher, LeasingPullDispatcher]:
     members = [edge("e1")]
     cluster = Cluster(members, [Service("svc", pull=True)], [route()], [])
     stores = LeasingStores()
     subject = dispatcher(cluster, stores, ModelWorkers({}))
     subject.start()
-    return cluster, stores, subject, subject.pull_desk
+    return cluster, stores, subject, subject.pull_dispatcher
 
 
-def waiting(desk: PullDesk, calls: int, wait_s: float = 1.0) -> list[asyncio.Task[LeasedJob | None]]:
-    return [asyncio.create_task(desk.pull("svc", f"i-{n}", wait_s)) for n in range(calls)]
+def waiting(
+    dispatcher: PullDispatcher, calls: int, wait_s: float = 1.0
+) -> list[asyncio.Task[LeasedJob | None]]:
+    return [asyncio.create_task(dispatcher.pull("svc", f"i-{n}", wait_s)) for n in range(calls)]
 
 
-class TestPullDesk:
+class TestPullDispatcher:
     def test_a_call_gets_a_job_that_waits_at_the_store(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
+            _, stores, _, dispatcher = made()
             stores.add(STORE_1, [job(1)])
-            assert await desk.pull("svc", "i-1", 1.0) == job(1)
+            assert await dispatcher.pull("svc", "i-1", 1.0) == job(1)
             assert clock() < 0.05
             request = stores.requests[0][2]
             assert request.pull and request.visibility_ms == SETTINGS.bounds.visibility_ms
@@ -56,8 +58,8 @@
 
     def test_a_call_that_waits_gets_a_job_as_soon_as_it_comes(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
-            call = asyncio.create_task(desk.pull("svc", "i-1", 5.0))
+            _, stores, _, dispatcher = made()
+            call = asyncio.create_task(dispatcher.pull("svc", "i-1", 5.0))
             await asyncio.sleep(2.5)
             stores.add(STORE_1, [job(1)])
             assert await call == job(1)
@@ -67,18 +69,18 @@
 
     def test_a_call_ends_without_a_job_after_its_wait(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, _, _, desk = made()
-            assert await desk.pull("svc", "i-1", 1.5) is None
+            _, _, _, dispatcher = made()
+            assert await dispatcher.pull("svc", "i-1", 1.5) is None
             assert clock() == pytest.approx(1.5)
-            assert await desk.pull("svc", "i-1", 0.0) is None
+            assert await dispatcher.pull("svc", "i-1", 0.0) is None
             assert clock() == pytest.approx(1.5)
 
         play(work)
 
     def test_nothing_is_asked_for_while_no_call_waits(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
-            await desk.pull("svc", "i-1", 0.5)
+            _, stores, _, dispatcher = made()
+            await dispatcher.pull("svc", "i-1", 0.5)
             await asyncio.sleep(2)
             asked = len(stores.requests)
             await asyncio.sleep(60)
@@ -88,8 +90,8 @@
 
     def test_calls_are_served_in_the_order_of_their_arrival(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
-            calls = waiting(desk, 4)
+            _, stores, _, dispatcher = made()
+            calls = waiting(dispatcher, 4)
             await asyncio.sleep(0.1)
             for number in range(4):
                 stores.add(STORE_1, [job(number)])
@@ -99,8 +101,8 @@
 
     def test_one_request_for_all_calls_that_wait(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
-            waiting(desk, 6, 3.0)
+            _, stores, _, dispatcher = made()
+            waiting(dispatcher, 6, 3.0)
             await asyncio.sleep(1.5)
             assert stores.most_outstanding == 1
             assert stores.requests[-1][2].most == 6
@@ -109,11 +111,11 @@
 
     def test_a_job_nobody_waits_for_is_offered_to_the_next_call(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
-            assert await desk.pull("svc", "i-1", 0.5) is None  # the store's long poll goes on
+            _, stores, _, dispatcher = made()
+            assert await dispatcher.pull("svc", "i-1", 0.5) is None  # the store's long poll goes on
             stores.add(STORE_1, [job(1)])
             await asyncio.sleep(0.1)
-            assert await desk.pull("svc", "i-1", 0.5) == job(1)
+            assert await dispatcher.pull("svc", "i-1", 0.5) == job(1)
             await asyncio.sleep(1)
             assert stores.results() == {}
 
@@ -121,20 +123,20 @@
 
     def test_else_it_is_given_back_unrun(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
-            assert await desk.pull("svc", "i-1", 0.5) is None
+            _, stores, _, dispatcher = made()
+            assert await dispatcher.pull("svc", "i-1", 0.5) is None
             stores.add(STORE_1, [job(1)])
-            await asyncio.sleep(SPARE_KEPT_S + 0.05)
+            await asyncio.sleep(UNCLAIMED_JOB_TTL_S + 0.05)
             assert stores.results() == {"not_run": 1}
 
         play(work)
 
     def test_a_cancelled_calls_job_goes_to_the_next_call(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, _, _, desk = made()
-            first, second = waiting(desk, 2, 5.0)
+            _, _, _, dispatcher = made()
+            first, second = waiting(dispatcher, 2, 5.0)
             await asyncio.sleep(0.1)
-            desk._desks["svc"].calls[0].set_result(job(1))
+            dispatcher._services["svc"].calls[0].set_result(job(1))
             first.cancel()
             assert await asyncio.wait_for(second, 1) == job(1)
             assert first.cancelled() or await asyncio.wait([first])
@@ -143,8 +145,8 @@
 
     def test_a_cancelled_call_is_not_counted(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, _, desk = made()
-            first, second = waiting(desk, 2, 5.0)
+            _, stores, _, dispatcher = made()
+            first, second = waiting(dispatcher, 2, 5.0)
             await asyncio.sleep(0.1)
             first.cancel()
             await asyncio.sleep(0.1)
@@ -156,12 +158,12 @@
 
     def test_other_stores_where_jobs_wait_are_asked_while_calls_wait(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, subject, desk = made()
+            _, stores, subject, dispatcher = made()
             subject.handle(JobsWaiting("svc", STORE_2))
             await asyncio.sleep(0.1)
             assert stores.requests == []  # no call waits
             stores.add(STORE_2, [job(1)])
-            call = waiting(desk, 1)[0]
+            call = waiting(dispatcher, 1)[0]
             await asyncio.sleep(0.1)
             subject.handle(JobsWaiting("svc", STORE_2))
             assert await call == job(1)
@@ -170,8 +172,8 @@
 
     def test_the_new_primary_is_asked_after_a_change(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            cluster, stores, _, desk = made()
-            call = waiting(desk, 1, 5.0)[0]
+            cluster, stores, _, dispatcher = made()
+            call = waiting(dispatcher, 1, 5.0)[0]
             await asyncio.sleep(0.1)
             stores.down.add(ADDRESSES[STORE_1])
             cluster.place(STORE_2)
@@ -183,8 +185,8 @@
 
     def test_a_stop_ends_calls_and_gives_back_what_comes_later(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            _, stores, subject, desk = made()
-            calls = waiting(desk, 2, 5.0)
+            _, stores, subject, dispatcher = made()
+            calls = waiting(dispatcher, 2, 5.0)
             await asyncio.sleep(0.3)
             stop = asyncio.create_task(subject.stop(4))
             assert await asyncio.gather(*calls) == [None, None]
@@ -192,6 +194,6 @@
             await stop
             assert stores.results() == {"not_run": 1}
             assert clock() < 2
-            assert await desk.pull("svc", "i-1", 1.0) is None
+            assert await dispatcher.pull("svc", "i-1", 1.0) is None
 
         play(work)
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -15,19 +15,25 @@
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.intake.admission import (
     Admission,
-    IntakeRequest,
-    Reason,
-    Refusal,
+    ClientRequest,
+    Rejection,
+    RejectionReason,
     RouteIndex,
     admit,
-    admit_head,
-    callback_is_valid,
     host_name,
-    milliseconds,
+    is_valid_callback_url,
+    parse_milliseconds,
+    reject_head,
 )
-from hollowusher.intake.intake import DRAINING_PULL_S, SPARE_S, Intake, IntakeAnswer, IntakeLimits
-from hollowusher.intake.load import LoadGate
-from hollowusher.intake.worker_calls import finish_result, store_lease_id, worker_lease_id
+from hollowusher.intake.intake_service import (
+    DRAINING_PULL_WAIT_S,
+    RESPONSE_MARGIN_S,
+    ClientResponse,
+    IntakeLimits,
+    IntakeService,
+)
+from hollowusher.intake.load_limiter import LoadLimiter
+from hollowusher.intake.pull_worker_headers import finish_result, store_lease_id, worker_lease_id
 from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.messages import MessageStatusResponse, NewMessage, PutResponse
@@ -78,14 +84,14 @@
 
 def request(
     target: str = "/a/1?q=2", method: str = "POST", body: bytes = b"body", host: str = HOST, **headers: str
-) -> IntakeRequest:
+) -> ClientRequest:
     """A request; header names are given with underscores.  An empty value leaves the header out."""
     values = {"Host": host, "X-Attempt-Id": "id1"}
     values.update({name.replace("_", "-"): value for name, value in headers.items()})
-    return IntakeRequest(method, target, CIMultiDict({k: v for k, v in values.items() if v}), body)
+    return ClientRequest(method, target, CIMultiDict({k: v for k, v in values.items() if v}), body)
 
 
-def admitted(wanted: IntakeRequest) -> Admission:
+def admitted(wanted: ClientRequest) -> Admission:
     found = admit(wanted, INDEX)
     assert isinstance(found, Admission), found
     return found
@@ -94,7 +100,7 @@
 class TestAdmission:
     def test_a_message_carries_the_request_and_its_routes_terms(self) -> None:
         found = admitted(request(Content_Type="text/csv", X_Deadline_Ms="1500", X_Delay_Ms="20.2"))
-        assert found.client_wait_s == 1.5
+        assert found.remaining_client_wait_s == 1.5
         assert found.message == NewMessage(
             id="id1",
             route="short",
@@ -133,33 +139,33 @@
     @pytest.mark.parametrize(
         "wanted, status, reason",
         [
-            (request("/none"), 404, Reason.NO_ROUTE),
-            (request(host="huno84.example"), 404, Reason.NO_ROUTE),
-            (request("/none", X_Attempt_Id=""), 404, Reason.NO_ROUTE),
-            (request(host=""), 400, Reason.MALFORMED),
-            (request("http://boye61.example/a/"), 400, Reason.MALFORMED),
-            (request("/a/\udcff"), 400, Reason.MALFORMED),
-            (request(X_Attempt_Id=""), 400, Reason.MALFORMED),
-            (request(X_Attempt_Id="a b"), 400, Reason.MALFORMED),
-            (request(X_Attempt_Id="x" * 257), 400, Reason.MALFORMED),
-            (request(X_Delay_Ms="soon"), 400, Reason.MALFORMED),
-            (request(X_Delay_Ms="-1"), 400, Reason.MALFORMED),
-            (request(X_Delay_Ms="nan"), 400, Reason.MALFORMED),
-            (request(X_Delay_Ms="1e3"), 400, Reason.MALFORMED),
-            (request(X_Delay_Ms="٣"), 400, Reason.MALFORMED),
-            (request(X_Deadline_Ms="inf"), 400, Reason.MALFORMED),
-            (request(X_Deadline_Ms="9" * 12), 400, Reason.MALFORMED),
-            (request(Content_Type="a\udcff"), 400, Reason.MALFORMED),
-            (request("/o/", X_Ordering_Key="\udcff"), 400, Reason.MALFORMED),
-            (request("/o/", X_Ordering_Key="k" * 1025), 400, Reason.MALFORMED),
-            (request("/t/", X_Callback_Url="ftp://10.0.0.4:80/"), 400, Reason.MALFORMED),
-            (request(body=b"x" * 101), 413, Reason.TOO_LARGE),
-            (request("/s/"), 503, Reason.UNREADY),
+            (request("/none"), 404, RejectionReason.NO_ROUTE),
+            (request(host="huno84.example"), 404, RejectionReason.NO_ROUTE),
+            (request("/none", X_Attempt_Id=""), 404, RejectionReason.NO_ROUTE),
+            (request(host=""), 400, RejectionReason.MALFORMED),
+            (request("http://boye61.example/a/"), 400, RejectionReason.MALFORMED),
+            (request("/a/\udcff"), 400, RejectionReason.MALFORMED),
+            (request(X_Attempt_Id=""), 400, RejectionReason.MALFORMED),
+            (request(X_Attempt_Id="a b"), 400, RejectionReason.MALFORMED),
+            (request(X_Attempt_Id="x" * 257), 400, RejectionReason.MALFORMED),
+            (request(X_Delay_Ms="soon"), 400, RejectionReason.MALFORMED),
+            (request(X_Delay_Ms="-1"), 400, RejectionReason.MALFORMED),
+            (request(X_Delay_Ms="nan"), 400, RejectionReason.MALFORMED),
+            (request(X_Delay_Ms="1e3"), 400, RejectionReason.MALFORMED),
+            (request(X_Delay_Ms="٣"), 400, RejectionReason.MALFORMED),
+            (request(X_Deadline_Ms="inf"), 400, RejectionReason.MALFORMED),
+            (request(X_Deadline_Ms="9" * 12), 400, RejectionReason.MALFORMED),
+            (request(Content_Type="a\udcff"), 400, RejectionReason.MALFORMED),
+            (request("/o/", X_Ordering_Key="\udcff"), 400, RejectionReason.MALFORMED),
+            (request("/o/", X_Ordering_Key="k" * 1025), 400, RejectionReason.MALFORMED),
+            (request("/t/", X_Callback_Url="ftp://10.0.0.4:80/"), 400, RejectionReason.MALFORMED),
+            (request(body=b"x" * 101), 413, RejectionReason.TOO_LARGE),
+            (request("/s/"), 503, RejectionReason.NOT_READY),
         ],
     )
-    def test_refusals(self, wanted: IntakeRequest, status: int, reason: Reason) -> None:
+    def test_refusals(self, wanted: ClientRequest, status: int, reason: RejectionReason) -> None:
         found = admit(wanted, INDEX)
-        assert isinstance(found, Refusal)
+        assert isinstance(found, Rejection)
         assert (found.status, found.reason) == (status, reason)
 
     def test_a_body_of_the_greatest_length_is_taken(self) -> None:
@@ -176,7 +182,7 @@
         assert admitted(request("/a/", X_Callback_Url="nonsense")).message.callback_url == ""
 
     @pytest.mark.parametrize(
-        "target, home_only",
+        "target, requires_home",
         [
             ("/a/", False),
             ("/o/", True),
@@ -185,19 +191,19 @@
         ],
     )
     def test_services_with_order_or_ceiling_keep_all_messages_at_home(
-        self, target: str, home_only: bool
+        self, target: str, requires_home: bool
     ) -> None:
-        assert admitted(request(target)).home_only is home_only
+        assert admitted(request(target)).requires_home is requires_home
 
     def test_the_wait_counts_from_the_head(self) -> None:
-        assert admitted(request()).client_wait_s == 1.0
-        assert admitted(attrs.evolve(request(), waited_s=0.3)).client_wait_s == pytest.approx(0.7)
-        assert admitted(attrs.evolve(request(), waited_s=3.0)).client_wait_s == 0.0
+        assert admitted(request()).remaining_client_wait_s == 1.0
+        assert admitted(attrs.evolve(request(), waited_s=0.3)).remaining_client_wait_s == pytest.approx(0.7)
+        assert admitted(attrs.evolve(request(), waited_s=3.0)).remaining_client_wait_s == 0.0
 
     def test_the_head_alone_shows_a_declared_length_over_the_bound(self) -> None:
-        assert admit_head(request(body=b""), INDEX, 100) is None
-        assert admit_head(request(body=b""), INDEX, None) is None
-        found = admit_head(request(body=b""), INDEX, 101)
+        assert reject_head(request(body=b""), INDEX, 100) is None
+        assert reject_head(request(body=b""), INDEX, None) is None
+        found = reject_head(request(body=b""), INDEX, 101)
         assert found is not None and found.status == 413
 
     @pytest.mark.parametrize(
@@ -217,10 +223,10 @@
         ],
     )
     def test_call_back_urls(self, url: str, valid: bool) -> None:
-        assert callback_is_valid(url) is valid
+        assert is_valid_callback_url(url) is valid
 
     def test_numbers_and_hosts(self) -> None:
-        assert [milliseconds(text) for text in ("0", " 1500 ", "1.5", "", "1_0", "0x1")] == [
+        assert [parse_milliseconds(text) for text in ("0", " 1500 ", "1.5", "", "1_0", "0x1")] == [
             0,
             1500,
             1.5,
@@ -263,16 +269,16 @@
 
 
 def test_load_gate() -> None:
-    gate = LoadGate(2, 100)
-    assert gate.enter(60)
-    assert not gate.enter(41)
-    assert gate.enter(40)
-    assert not gate.enter(0)
-    assert not gate.grow(1)
-    gate.leave(60)
-    assert gate.grow(60)
-    gate.leave(100)
-    assert (gate.requests, gate.bytes) == (0, 0)
+    limiter = LoadLimiter(2, 100)
+    assert limiter.try_acquire(60)
+    assert not limiter.try_acquire(41)
+    assert limiter.try_acquire(40)
+    assert not limiter.try_acquire(0)
+    assert not limiter.try_grow(1)
+    limiter.release(60)
+    assert limiter.try_grow(60)
+    limiter.release(100)
+    assert (limiter.requests, limiter.bytes) == (0, 0)
 
 
 class FakeStore:
@@ -289,11 +295,11 @@
         self.release = asyncio.Event()
 
     async def put(
-        self, message: NewMessage, candidates: Sequence[int], deadline: float, refuse_at: float | None = None
+        self, message: NewMessage, candidates: Sequence[int], deadline: float, reject_at: float | None = None
     ) -> PutResponse:
         self.calls.append(message)
         self.candidates = list(candidates)
-        self.times = (deadline, refuse_at)
+        self.times = (deadline, reject_at)
         if self.hold:
             await self.release.wait()
         return self.put_answer
@@ -311,7 +317,7 @@
         return self.status_answer
 
 
-class FakeDesk:
+class FakePullDispatcher:
     """Has one job or none."""
 
     def __init__(self, job: LeasedJob | None) -> None:
@@ -335,9 +341,9 @@
         self.loop = loop
         self.state = ClusterState()
         self.store = FakeStore()
-        self.desk = FakeDesk(job)
+        self.dispatcher = FakePullDispatcher(job)
         self.homes_asked = 0
-        self.intake = Intake(self.state, self.store, self.desk, self.homes, loop.time, limits)
+        self.intake = IntakeService(self.state, self.store, self.dispatcher, self.homes, loop.time, limits)
         self.place(1, [0, 1, 2])
         self.configure(1, DOCUMENT)
 
@@ -356,8 +362,8 @@
             [DistributedItem("configuration", [version], "c", version, orjson.dumps(document))], {}
         )
 
-    async def accept(self, wanted: IntakeRequest, gone: bool = False) -> IntakeAnswer:
-        return await self.intake.accept(wanted, lambda: gone)
+    async def handle(self, wanted: ClientRequest, is_disconnected: bool = False) -> ClientResponse:
+        return await self.intake.handle(wanted, lambda: is_disconnected)
 
 
 def play(
@@ -372,37 +378,37 @@
         loop.shut()
 
 
-def header(answer: IntakeAnswer, name: str) -> str | None:
+def header(answer: ClientResponse, name: str) -> str | None:
     return dict(answer.headers).get(name)
 
 
 class TestMessages:
     def test_a_stored_message_is_answered_with_its_reference(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.accept(request(X_Deadline_Ms="2000"))
+            answer = await world.handle(request(X_Deadline_Ms="2000"))
             assert (answer.status, header(answer, "X-Message-Ref")) == (202, "3-1-17")
             assert world.store.candidates == [2, 1, 0]
-            deadline, refuse_at = world.store.times
-            assert deadline == pytest.approx(1002 - SPARE_S)
-            assert refuse_at == pytest.approx(1000.8)
-            assert world.intake.figures.accepted == 1
+            deadline, reject_at = world.store.times
+            assert deadline == pytest.approx(1002 - RESPONSE_MARGIN_S)
+            assert reject_at == pytest.approx(1000.8)
+            assert world.intake.metrics.accepted == 1
 
         play(work)
 
     def test_home_only_messages_have_one_candidate(self) -> None:
         async def work(world: World) -> None:
-            await world.accept(request("/o/"))
+            await world.handle(request("/o/"))
             assert world.store.candidates == [2]
 
         play(work)
 
     def test_candidates_are_ranked_once_for_each_placement(self) -> None:
         async def work(world: World) -> None:
-            await world.accept(request())
-            await world.accept(request())
+            await world.handle(request())
+            await world.handle(request())
             assert world.homes_asked == 1
             world.place(2, [0, 1, 2, 3])
-            await world.accept(request())
+            await world.handle(request())
             assert world.store.candidates == [3, 2, 1, 0]
 
         play(work)
@@ -411,56 +417,56 @@
     def test_a_message_kept_nowhere_may_be_sent_again(self, deadline: str, seconds: str) -> None:
         async def work(world: World) -> None:
             world.store.put_answer = PutResponse("unavailable")
-            answer = await world.accept(request(X_Deadline_Ms=deadline))
+            answer = await world.handle(request(X_Deadline_Ms=deadline))
             assert (answer.status, header(answer, "Retry-After")) == (503, seconds)
-            assert world.intake.figures.refused_unavailable == 1
+            assert world.intake.metrics.refused_unavailable == 1
 
         play(work)
 
     def test_an_uncertain_message_gets_no_promise(self) -> None:
         async def work(world: World) -> None:
             world.store.put_answer = PutResponse("unknown")
-            answer = await world.accept(request())
+            answer = await world.handle(request())
             assert (answer.status, header(answer, "Retry-After")) == (504, None)
-            assert world.intake.figures.unknown == 1
+            assert world.intake.metrics.unknown == 1
 
         play(work)
 
     @pytest.mark.parametrize(
-        "limits", [IntakeLimits(most_puts=2), IntakeLimits(most_bytes=8)], ids=["requests", "bytes"]
+        "limits", [IntakeLimits(max_puts=2), IntakeLimits(max_bytes=8)], ids=["requests", "bytes"]
     )
     def test_too_much_under_way_is_refused_at_once(self, limits: IntakeLimits) -> None:
         async def work(world: World) -> None:
             world.store.hold = True
-            under_way = [asyncio.create_task(world.accept(request())) for _ in range(2)]
+            under_way = [asyncio.create_task(world.handle(request())) for _ in range(2)]
             await asyncio.sleep(0)
-            answer = await world.accept(request())
+            answer = await world.handle(request())
             assert answer.status == 503
             assert header(answer, "Retry-After") is not None
-            assert world.intake.figures.refused_load == 1
+            assert world.intake.metrics.refused_load == 1
             assert len(world.store.calls) == 2
             world.store.release.set()
             assert [done.status for done in await asyncio.gather(*under_way)] == [202, 202]
-            assert (await world.accept(request())).status == 202
+            assert (await world.handle(request())).status == 202
 
         play(work, limits=limits)
 
     def test_an_error_in_the_store_client_frees_the_place(self) -> None:
         async def work(world: World) -> None:
             world.store.hold = True
-            waiting = asyncio.create_task(world.accept(request()))
+            waiting = asyncio.create_task(world.handle(request()))
             await asyncio.sleep(0)
             waiting.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await waiting
-            assert (world.intake.gate.requests, world.intake.gate.bytes) == (0, 0)
+            assert (world.intake.load_limiter.requests, world.intake.load_limiter.bytes) == (0, 0)
 
         play(work)
 
     def test_refusals_are_counted_by_reason(self) -> None:
         async def work(world: World) -> None:
             statuses = [
-                (await world.accept(wanted)).status
+                (await world.handle(wanted)).status
                 for wanted in (
                     request("/none"),
                     request(X_Attempt_Id=""),
@@ -469,8 +475,8 @@
                 )
             ]
             assert statuses == [404, 400, 413, 503]
-            figures = world.intake.figures
-            assert (figures.no_route, figures.malformed, figures.too_large, figures.refused_unready) == (
+            metrics = world.intake.metrics
+            assert (metrics.no_route, metrics.malformed, metrics.too_large, metrics.refused_unready) == (
                 1,
                 1,
                 1,
@@ -482,18 +488,20 @@
 
     def test_without_a_configuration_nothing_is_known_to_be_absent(self) -> None:
         async def work(world: World) -> None:
-            intake = Intake(ClusterState(), world.store, world.desk, world.homes, world.loop.time)
+            intake = IntakeService(
+                ClusterState(), world.store, world.dispatcher, world.homes, world.loop.time
+            )
             for wanted in (request(), request("/pull/pulled"), request("/none")):
-                assert (await intake.accept(wanted)).status == 503
+                assert (await intake.handle(wanted)).status == 503
 
         play(work)
 
     def test_a_new_configuration_counts_at_once(self) -> None:
         async def work(world: World) -> None:
-            assert (await world.accept(request("/new/"))).status == 404
+            assert (await world.handle(request("/new/"))).status == 404
             world.configure(2, {**DOCUMENT, "routes": [route("new", "/new/")]})
-            assert (await world.accept(request("/new/"))).status == 202
-            assert (await world.accept(request("/a/"))).status == 404
+            assert (await world.handle(request("/new/"))).status == 202
+            assert (await world.handle(request("/a/"))).status == 404
 
         play(work)
 
@@ -510,7 +518,7 @@
     def test_a_state_is_told(self, state: MessageStatusResponse, body: dict[str, str]) -> None:
         async def work(world: World) -> None:
             world.store.status_answer = state
-            answer = await world.accept(request("/message/3-1-17", "GET"))
+            answer = await world.handle(request("/message/3-1-17", "GET"))
             assert (answer.status, answer.content_type) == (200, "application/json")
             assert orjson.loads(answer.body) == body
             assert world.store.calls == [("3-1-17", False)]
@@ -531,7 +539,7 @@
     def test_a_body_is_given_back(self, answer: MessageStatusResponse, status: int) -> None:
         async def work(world: World) -> None:
             world.store.status_answer = answer
-            found = await world.accept(request("/message-body/3-1-17", "GET"))
+            found = await world.handle(request("/message-body/3-1-17", "GET"))
             assert found.status == status
             assert status != 200 or found.body == b"\x00b"
             assert world.store.calls == [("3-1-17", True)]
@@ -542,33 +550,33 @@
     def test_only_what_is_certain_is_404(self, state: str, status: int) -> None:
         async def work(world: World) -> None:
             world.store.status_answer = MessageStatusResponse(state)
-            assert (await world.accept(request("/message/3-1-17", "GET"))).status == status
+            assert (await world.handle(request("/message/3-1-17", "GET"))).status == status
 
         play(work)
 
     def test_it_needs_no_configuration_and_no_head_check(self) -> None:
         async def work(world: World) -> None:
-            intake = Intake(ClusterState(), world.store, None, world.homes, world.loop.time)
-            assert (await intake.accept(request("/message/3-1-17", "GET"))).status == 200
-            assert intake.refuse_head(request("/message/3-1-17", "GET"), None) is None
+            intake = IntakeService(ClusterState(), world.store, None, world.homes, world.loop.time)
+            assert (await intake.handle(request("/message/3-1-17", "GET"))).status == 200
+            assert intake.reject_head(request("/message/3-1-17", "GET"), None) is None
 
         play(work)
 
     def test_other_methods_on_these_paths_are_messages(self) -> None:
         async def work(world: World) -> None:
-            assert (await world.accept(request("/message/3-1-17"))).status == 404
+            assert (await world.handle(request("/message/3-1-17"))).status == 404
 
         play(work)
 
 
-def worker_request(target: str, **headers: str) -> IntakeRequest:
+def worker_request(target: str, **headers: str) -> ClientRequest:
     return request(target, "POST", b"", "10.0.0.1:8069", X_Attempt_Id="", **headers)
 
 
 class TestPulls:
     def test_a_job_is_handed_over(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.accept(worker_request("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000"))
+            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000"))
             assert (answer.status, answer.body) == (200, b"job")
             assert dict(answer.headers) == {
                 "X-Attempt-Id": "id1",
@@ -576,14 +584,14 @@
                 "X-Job-Path": "/a/1?q",
                 "X-Lease-Id": worker_lease_id("3-1-17-2", "id1"),
             }
-            assert world.desk.calls == [("pulled", "i-1", 1.0)]
-            assert world.intake.figures.pulls_served == 1
+            assert world.dispatcher.calls == [("pulled", "i-1", 1.0)]
+            assert world.intake.metrics.pulls_served == 1
 
         play(work, JOB)
 
     def test_an_ordering_key_goes_along(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.accept(worker_request("/pull/pulled", X_Instance_Id="i"))
+            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
             assert header(answer, "X-Ordering-Key") == "k"
 
         message: Any = JOB.message
@@ -591,19 +599,21 @@
 
     def test_no_job(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.accept(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="10"))
+            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="10"))
             assert answer.status == 204
-            assert world.intake.figures.pulls_empty == 1
+            assert world.intake.metrics.pulls_empty == 1
 
         play(work)
 
     def test_a_job_for_a_worker_that_has_gone_is_given_back(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.accept(worker_request("/pull/pulled", X_Instance_Id="i"), gone=True)
+            answer = await world.handle(
+                worker_request("/pull/pulled", X_Instance_Id="i"), is_disconnected=True
+            )
             assert answer.status == 204
-            await world.intake.settle()
+            await world.intake.wait_for_background_calls()
             assert world.store.calls == [FinishLease("3-1-17-2", "not_run")]
-            assert world.intake.figures.jobs_given_back == 1
+            assert world.intake.metrics.jobs_given_back == 1
 
         play(work, JOB)
 
@@ -616,32 +626,32 @@
             (worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="long"), 400),
         ],
     )
-    def test_refusals(self, wanted: IntakeRequest, status: int) -> None:
+    def test_refusals(self, wanted: ClientRequest, status: int) -> None:
         async def work(world: World) -> None:
-            assert (await world.accept(wanted)).status == status
-            assert world.desk.calls == []
+            assert (await world.handle(wanted)).status == status
+            assert world.dispatcher.calls == []
 
         play(work, JOB)
 
     def test_a_process_that_drains_does_not_keep_workers_waiting(self) -> None:
         async def work(world: World) -> None:
             world.intake.drain()
-            await world.accept(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="20000"))
-            assert world.desk.calls == [("pulled", "i", DRAINING_PULL_S)]
+            await world.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="20000"))
+            assert world.dispatcher.calls == [("pulled", "i", DRAINING_PULL_WAIT_S)]
 
         play(work)
 
     def test_pulls_are_bounded(self) -> None:
         async def work(world: World) -> None:
-            answer = await world.accept(worker_request("/pull/pulled", X_Instance_Id="i"))
+            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
             assert answer.status == 503
-            assert world.desk.calls == []
+            assert world.dispatcher.calls == []
 
-        play(work, JOB, IntakeLimits(most_pulls=0))
+        play(work, JOB, IntakeLimits(max_pulls=0))
 
     def test_a_route_of_the_host_that_takes_the_path_goes_first(self) -> None:
         async def work(world: World) -> None:
-            assert (await world.accept(request("/pull/taken/1"))).status == 202
+            assert (await world.handle(request("/pull/taken/1"))).status == 202
 
         play(work, JOB)
 
@@ -666,7 +676,7 @@
     def test_the_stores_answer_decides(self, path: str, expected: Any, answer: str, status: int) -> None:
         async def work(world: World) -> None:
             world.store.lease_answer = LeaseUpdateResponse(answer)
-            found = await world.accept(
+            found = await world.handle(
                 worker_request(
                     path,
                     X_Lease_Id=worker_lease_id("3-1-17-2", "id1"),
@@ -682,7 +692,7 @@
     @pytest.mark.parametrize("path", ["/job-end/id2", "/job-extend/id2"])
     def test_the_lease_of_another_message_is_gone(self, path: str) -> None:
         async def work(world: World) -> None:
-            found = await world.accept(
+            found = await world.handle(
                 worker_request(path, X_Lease_Id=worker_lease_id("3-1-17-2", "id1"), X_Job_Result="500")
             )
             assert found.status == 409
@@ -692,7 +702,7 @@
 
     def test_a_failure_carries_no_signature(self) -> None:
         async def work(world: World) -> None:
-            await world.accept(
+            await world.handle(
                 worker_request(
                     "/job-end/id1",
                     X_Lease_Id=worker_lease_id("3-1-17-2", "id1"),
@@ -708,7 +718,7 @@
 class TestHeads:
     def test_a_request_that_cannot_be_kept_is_refused_before_its_body(self) -> None:
         async def work(world: World) -> None:
-            refuse = world.intake.refuse_head
+            refuse = world.intake.reject_head
             found = [refuse(request("/none", body=b""), 5), refuse(request(body=b""), 101)]
             assert [answer.status for answer in found if answer is not None] == [404, 413]
             assert refuse(request(body=b""), 100) is None
