--- a/tests/intake/test_intake_http.py
+++ b/tests/intake/test_intake_http.py
@@ -11,9 +11,9 @@
 import uvloop
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.intake.intake import Intake, IntakeLimits
+from hollowusher.intake.intake_service import IntakeLimits, IntakeService
+from hollowusher.intake.pull_worker_headers import worker_lease_id
 from hollowusher.intake.server import EdgeFrontend
-from hollowusher.intake.worker_calls import worker_lease_id
 from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.messages import MessageStatusResponse, NewMessage, PutResponse
@@ -46,7 +46,7 @@
         self.failure: Exception | None = None
 
     async def put(
-        self, message: NewMessage, candidates: Any, deadline: float, refuse_at: float | None = None
+        self, message: NewMessage, candidates: Any, deadline: float, reject_at: float | None = None
     ) -> PutResponse:
         self.messages.append(message)
         self.put_seen.set()
@@ -67,7 +67,7 @@
         return MessageStatusResponse("queued", body=b"\x00\xffbytes" if want_body else None)
 
 
-class FakeDesk:
+class FakePullDispatcher:
     """Gives its job once it may."""
 
     def __init__(self) -> None:
@@ -126,12 +126,12 @@
     def __init__(self, limits: IntakeLimits | None = None) -> None:
         self.state = ClusterState()
         self.store = FakeStore()
-        self.desk = FakeDesk()
+        self.dispatcher = FakePullDispatcher()
         self.errors: list[Exception] = []
         self.ready = True
         loop = asyncio.get_running_loop()
-        self.intake = Intake(
-            self.state, self.store, self.desk, lambda _, partitions: list(partitions), loop.time, limits
+        self.intake = IntakeService(
+            self.state, self.store, self.dispatcher, lambda _, partitions: list(partitions), loop.time, limits
         )
         placement = Placement(1, [PartitionPlacement(0, 1, "one/d", ["one/d"])])
         self.state.apply([DistributedItem("placement", [1], "c", 1, placement)], {})
@@ -219,7 +219,7 @@
                 await asyncio.sleep(0)
             assert (await client.answer()).status == 202
             assert world.store.messages[0].body == b"abcdef"
-            assert world.intake.gate.bytes == 0
+            assert world.intake.load_limiter.bytes == 0
 
         play(work)
 
@@ -296,7 +296,7 @@
             world.store.may_answer.set()
             assert (await first.answer()).status == 202
 
-        play(work, IntakeLimits(most_puts=1))
+        play(work, IntakeLimits(max_puts=1))
 
     def test_a_message_is_followed_to_its_end_when_its_client_has_gone(self) -> None:
         async def work(world: World) -> None:
@@ -307,9 +307,9 @@
             client.writer.transport.abort()
             await asyncio.sleep(0.01)
             world.store.may_answer.set()
-            while world.intake.gate.requests:
+            while world.intake.load_limiter.requests:
                 await asyncio.sleep(0)
-            assert world.intake.figures.accepted == 1
+            assert world.intake.metrics.accepted == 1
 
         play(work)
 
@@ -359,7 +359,7 @@
             answer = await (await world.client()).ask(data)
             assert answer.status == status
             assert world.store.messages == []
-            assert (world.intake.gate.requests, world.intake.gate.bytes) == (0, 0)
+            assert (world.intake.load_limiter.requests, world.intake.load_limiter.bytes) == (0, 0)
             assert world.errors == []
 
         play(work)
@@ -384,7 +384,7 @@
             answer = await client.ask(post(b"short", length=50))
             assert answer.status == 408
             assert world.store.messages == []
-            assert world.intake.figures.body_timeouts == 1
+            assert world.intake.metrics.body_timeouts == 1
 
         play(work)
 
@@ -394,10 +394,10 @@
             client.send(post(b"short", length=50))
             await asyncio.sleep(0.01)
             client.writer.close()
-            while not world.intake.figures.broken_off:
+            while not world.intake.metrics.broken_off:
                 await asyncio.sleep(0.001)
             assert world.store.messages == []
-            assert world.intake.gate.requests == 0
+            assert world.intake.load_limiter.requests == 0
 
         play(work)
 
@@ -457,9 +457,9 @@
             client = await world.client()
             answer = await client.ask(post(b"x" * 40_000, length=50_000))
             assert answer.status == 503
-            assert (world.intake.gate.requests, world.intake.gate.bytes) == (0, 0)
+            assert (world.intake.load_limiter.requests, world.intake.load_limiter.bytes) == (0, 0)
 
-        play(work, IntakeLimits(most_bytes=30_000))
+        play(work, IntakeLimits(max_bytes=30_000))
 
     def test_expect_continue_is_answered(self) -> None:
         async def work(world: World) -> None:
@@ -475,13 +475,13 @@
         "sent", [b"", f"POST /a/ HTTP/1.1\r\nHost: {HOST}\r\n".encode()], ids=["nothing", "half a head"]
     )
     def test_a_first_request_that_does_not_come(self, sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr("hollowusher.intake.server.SWEEP_PAUSE_S", 0.05)
+        monkeypatch.setattr("hollowusher.intake.server.SWEEP_INTERVAL_S", 0.05)
 
         async def work(world: World) -> None:
             client = await world.client()
             client.send(sent)
             assert await client.closed()
-            assert world.intake.figures.header_timeouts == 1
+            assert world.intake.metrics.header_timeouts == 1
 
         play(work)
 
@@ -518,7 +518,7 @@
 class TestPullWorkers:
     def test_a_job_and_its_end(self) -> None:
         async def work(world: World) -> None:
-            world.desk.job = JOB
+            world.dispatcher.job = JOB
             client = await world.client()
             job = await client.ask(worker_call("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000"))
             assert (job.status, job.body) == (200, b"job")
@@ -559,14 +559,14 @@
 
     def test_a_job_for_a_closed_connection_is_given_back(self) -> None:
         async def work(world: World) -> None:
-            world.desk.job = JOB
-            world.desk.may_answer.clear()
+            world.dispatcher.job = JOB
+            world.dispatcher.may_answer.clear()
             client = await world.client()
             client.send(worker_call("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="1000"))
-            await world.desk.asked.wait()
+            await world.dispatcher.asked.wait()
             client.writer.transport.abort()
             await asyncio.sleep(0.01)
-            world.desk.may_answer.set()
+            world.dispatcher.may_answer.set()
             await world.store.finish_seen.wait()
             assert world.store.finished == [FinishLease("3-1-17-2", "not_run")]
 
--- a/tests/intake/test_store_client.py
+++ b/tests/intake/test_store_client.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.intake.peer_health import PROBE_PAUSE_S, SILENCE_S, PeerHealth
+from hollowusher.intake.peer_health import HEALTH_CHECK_INTERVAL_S, SUSPECT_AFTER_S, PeerHealth
 from hollowusher.intake.store_client import CALL_TIMEOUT_S, StoreClient, partition_of
 from hollowusher.protocol.distribution import DistributedItem
 from hollowusher.protocol.leases import ExtendLease, FinishLease, LeaseUpdateResponse
@@ -133,10 +133,10 @@
         return self.loop.time() - 1000
 
     async def put(
-        self, candidates: list[int], deadline: float = 1.0, refuse_at: float | None = None
+        self, candidates: list[int], deadline: float = 1.0, reject_at: float | None = None
     ) -> PutResponse:
         return await self.client.put(
-            MESSAGE, candidates, self.at(deadline), None if refuse_at is None else self.at(refuse_at)
+            MESSAGE, candidates, self.at(deadline), None if reject_at is None else self.at(reject_at)
         )
 
 
@@ -205,11 +205,11 @@
 
     def test_patience_ends_before_the_deadline_only_while_nothing_was_sent(self) -> None:
         async def certain(world: World) -> None:
-            assert (await world.put([0], refuse_at=0.4)).status == "unavailable"
+            assert (await world.put([0], reject_at=0.4)).status == "unavailable"
             assert world.now() == pytest.approx(0.4, abs=0.01)
 
         async def uncertain(world: World) -> None:
-            assert (await world.put([0], refuse_at=0.4)).status == "unknown"
+            assert (await world.put([0], reject_at=0.4)).status == "unknown"
             assert world.now() == pytest.approx(1.0, abs=0.01)
 
         play({ONE: [refused(ONE)]}, certain)
@@ -289,7 +289,7 @@
             await world.put([0, 1])
             assert world.transport.puts() == [(ONE, 0), (TWO, 1), (TWO, 1)]
             assert world.transport.probes() == []
-            await asyncio.sleep(PROBE_PAUSE_S)
+            await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
             await world.put([0, 1])
             await asyncio.sleep(0.01)
             assert world.transport.probes() == [ONE]
@@ -302,16 +302,16 @@
         async def work(world: World) -> None:
             assert await world.put([0]) == STORED
             assert world.transport.puts() == [(ONE, 0), (ONE, 0)]
-            assert PROBE_PAUSE_S < world.now() < PROBE_PAUSE_S + 0.25
+            assert HEALTH_CHECK_INTERVAL_S < world.now() < HEALTH_CHECK_INTERVAL_S + 0.25
 
         play({ONE: [refused(ONE), MessageStatusResponse("unknown"), STORED]}, work)
 
     def test_a_new_placement_ends_it(self) -> None:
         async def work(world: World) -> None:
             await world.put([0, 1])
-            assert world.client.suspect(ONE)
+            assert world.client.is_suspect(ONE)
             place(world.state, 2, {0: "one", 1: "two"}, epoch=2)
-            assert not world.client.suspect(ONE)
+            assert not world.client.is_suspect(ONE)
             await world.put([0, 1])
             assert world.transport.puts()[-1] == (ONE, 0)
 
@@ -321,7 +321,7 @@
         async def work(world: World) -> None:
             await world.put([0, 1])
             place(world.state, 2, {0: "one", 1: "two"})
-            assert world.client.suspect(ONE)
+            assert world.client.is_suspect(ONE)
 
         play({ONE: [refused(ONE)], TWO: [STORED]}, work)
 
@@ -329,21 +329,21 @@
         async def work(world: World) -> None:
             await world.put([0, 1])
             announce(world.state, "one", ONE, incarnation=2)
-            assert not world.client.suspect(ONE)
+            assert not world.client.is_suspect(ONE)
 
         play({ONE: [refused(ONE)], TWO: [STORED]}, work)
 
     def test_a_silent_call_makes_later_messages_choose_elsewhere(self) -> None:
         async def work(world: World) -> None:
             first = asyncio.create_task(world.put([0, 1]))
-            await asyncio.sleep(SILENCE_S / 2)
-            assert not world.client.suspect(ONE)
-            await asyncio.sleep(SILENCE_S / 2 + 0.01)
-            assert world.client.suspect(ONE)
+            await asyncio.sleep(SUSPECT_AFTER_S / 2)
+            assert not world.client.is_suspect(ONE)
+            await asyncio.sleep(SUSPECT_AFTER_S / 2 + 0.01)
+            assert world.client.is_suspect(ONE)
             assert await world.put([0, 1]) == STORED
             assert world.transport.puts() == [(ONE, 0), (TWO, 1)]
             assert await first == STORED
-            assert not world.client.suspect(ONE)
+            assert not world.client.is_suspect(ONE)
 
         play(
             {
@@ -359,7 +359,7 @@
             await asyncio.sleep(0.2)
             await world.client.status("0-1-1", False, world.at(1))
             await asyncio.sleep(0.1)
-            assert not world.client.suspect(ONE)
+            assert not world.client.is_suspect(ONE)
             await slow
 
         play({ONE: [SlowAnswer(0.4, STORED), MessageStatusResponse("queued")]}, work)
@@ -378,22 +378,22 @@
 class TestPeerHealth:
     def test_silence_counts_from_the_later_of_the_oldest_call_and_the_last_answer(self) -> None:
         health = PeerHealth()
-        first = health.begin(10.0)
-        second = health.begin(10.1)
-        assert not health.suspect(10.0 + SILENCE_S)
-        assert health.suspect(10.01 + SILENCE_S)
-        health.answered(second, 10.2)
-        assert not health.suspect(10.2 + SILENCE_S)
-        assert health.suspect(10.21 + SILENCE_S)
-        health.abandoned(first)
-        assert not health.suspect(11.0)
+        first = health.call_started(10.0)
+        second = health.call_started(10.1)
+        assert not health.is_suspect(10.0 + SUSPECT_AFTER_S)
+        assert health.is_suspect(10.01 + SUSPECT_AFTER_S)
+        health.call_answered(second, 10.2)
+        assert not health.is_suspect(10.2 + SUSPECT_AFTER_S)
+        assert health.is_suspect(10.21 + SUSPECT_AFTER_S)
+        health.call_abandoned(first)
+        assert not health.is_suspect(11.0)
 
     def test_a_failure_lasts_until_an_answer(self) -> None:
         health = PeerHealth()
-        health.failed(health.begin(1.0), 1.0)
-        assert health.suspect(100.0)
-        health.answered(health.begin(100.0), 100.0)
-        assert not health.suspect(100.0)
+        health.call_failed(health.call_started(1.0), 1.0)
+        assert health.is_suspect(100.0)
+        health.call_answered(health.call_started(100.0), 100.0)
+        assert not health.is_suspect(100.0)
 
 
 class TestLeasesAndStates:
--- a/tests/intake/test_wire_rules_keys.py
+++ b/tests/intake/test_wire_rules_keys.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from hollowusher.delivery.worker_client import Endpoint, request_bytes
-from hollowusher.intake.admission import Reason, Refusal, admit
-from hollowusher.intake.intake import _job_answer
+from hollowusher.delivery.worker_client import Endpoint, encode_request
+from hollowusher.intake.admission import Rejection, RejectionReason, admit
+from hollowusher.intake.intake_service import _job_response
 from hollowusher.messages import records
 from hollowusher.messages.records import AcceptedMessage
 from hollowusher.protocol.leases import LeasedJob
@@ -16,7 +16,7 @@
 
 def delivered_key(kept: NewMessage) -> str | None:
     """The ordering key that a pushed worker reads."""
-    head = request_bytes(kept, Endpoint("10.0.0.1:80"), 1.0).partition(b"\r\n\r\n")[0].decode()
+    head = encode_request(kept, Endpoint("10.0.0.1:80"), 1.0).partition(b"\r\n\r\n")[0].decode()
     values = [line.partition(": ")[2] for line in head.split("\r\n") if line.startswith("X-Ordering-Key: ")]
     assert len(values) <= 1
     return values[0] if values else None
@@ -24,7 +24,7 @@
 
 def pulled_key(kept: NewMessage) -> str | None:
     """The ordering key that a pull worker reads."""
-    headers = _job_answer(LeasedJob("0-1-1-2", kept, 0, 500)).headers
+    headers = _job_response(LeasedJob("0-1-1-2", kept, 0, 500)).headers
     values = [value for name, value in headers if name == "X-Ordering-Key"]
     assert len(values) <= 1
     return values[0] if values else None
@@ -49,4 +49,7 @@
 @pytest.mark.parametrize("target", ["/o/1", "/a/1"])
 def test_an_ordering_key_that_cannot_be_sent_on_is_refused(target: str) -> None:
     refusal = admit(request(target, X_Ordering_Key="\udcff"), INDEX)
-    assert isinstance(refusal, Refusal) and (refusal.status, refusal.reason) == (400, Reason.MALFORMED)
+    assert isinstance(refusal, Rejection) and (refusal.status, refusal.reason) == (
+        400,
+        RejectionReason.MALFORMED,
+    )
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -8,10 +8,10 @@
 from multidict import CIMultiDict
 
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.intake.admission import IntakeRequest
-from hollowusher.intake.intake import Intake
+from hollowusher.intake.admission import ClientRequest
+from hollowusher.intake.intake_service import IntakeService
+from hollowusher.intake.pull_worker_headers import worker_lease_id
 from hollowusher.intake.store_client import StoreClient
-from hollowusher.intake.worker_calls import worker_lease_id
 from hollowusher.protocol.leases import LeasedJob
 from hollowusher.simulation.addresses import host_of
 from hollowusher.simulation.event_loop import SimulatedProcess
@@ -31,7 +31,9 @@
         self.cluster = cluster
         transport = cluster.network.transport(SimulatedProcess(f"edge-{number}"), address)
         store = StoreClient(transport, self.state, cluster.loop.time)
-        self.intake = Intake(self.state, store, None, lambda service, partitions: [0], cluster.loop.time)
+        self.intake = IntakeService(
+            self.state, store, None, lambda service, partitions: [0], cluster.loop.time
+        )
 
     async def call(self, path: str, job: LeasedJob, result: str = "") -> int:
         """A worker's word about a job; the status of the answer."""
@@ -42,7 +44,7 @@
         if result == "200":
             headers["X-Server-Signature"] = SIGNATURE
         target = f"/{path}/{job.message.id}"
-        answer = await self.intake.accept(IntakeRequest("POST", target, CIMultiDict(headers), b""))
+        answer = await self.intake.handle(ClientRequest("POST", target, CIMultiDict(headers), b""))
         return answer.status
 
     async def end(self, job: LeasedJob, result: str) -> int:
--- a/tests/support/dispatch.py
+++ b/tests/support/dispatch.py
@@ -13,7 +13,7 @@
 from hollowusher.configuration.boot import BootSettings
 from hollowusher.configuration.model import Configuration, Route, Service
 from hollowusher.coordination.cluster_state import ClusterState
-from hollowusher.delivery.outcome import DeliveryOutcome, Ending
+from hollowusher.delivery.outcome import DeliveryOutcome, WorkerFeedback
 from hollowusher.delivery.worker_client import Endpoint
 from hollowusher.dispatch.dispatcher import Dispatcher
 from hollowusher.protocol.distribution import DistributedItem
@@ -206,13 +206,13 @@
         self.slots = slots  # by address
         self.run_s = run_s
         self.places = places
-        self.out: dict[str, int] = {}
-        self.most_out: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}
+        self.max_in_flight: dict[str, int] = {}
         self.begun: list[tuple[float, str, str]] = []  # when, where, message id
         self.endpoints: list[Endpoint] = []
         self.timeouts: list[float] = []
         self.answers: dict[str, DeliveryOutcome] = {}  # by address: what to answer at once in place of a run
-        self.forgotten: list[Endpoint] = []
+        self.retired: list[Endpoint] = []
         self._gates: dict[str, asyncio.Semaphore] = {}
 
     async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
@@ -224,22 +224,26 @@
         await asyncio.sleep(LATENCY_S)
         if address in self.answers:
             return self.answers[address]
-        if self.out.get(address, 0) >= self.slots[address] + self.places:
-            return DeliveryOutcome("not_run", Ending.FULL, retry_ms=50)
-        self.out[address] = self.out.get(address, 0) + 1
-        self.most_out[address] = max(self.most_out.get(address, 0), self.out[address])
+        if self.in_flight.get(address, 0) >= self.slots[address] + self.places:
+            return DeliveryOutcome("not_run", WorkerFeedback.FULL, retry_ms=50)
+        self.in_flight[address] = self.in_flight.get(address, 0) + 1
+        self.max_in_flight[address] = max(self.max_in_flight.get(address, 0), self.in_flight[address])
         gate = self._gates.setdefault(address, asyncio.Semaphore(self.slots[address]))
         try:
             async with gate:
                 await asyncio.sleep(self.run_s)
         finally:
-            self.out[address] -= 1
+            self.in_flight[address] -= 1
         return DeliveryOutcome(
-            "success", Ending.DONE, f"s-{job.message.id}", started=began, took=loop.time() - began
+            "success",
+            WorkerFeedback.DONE,
+            f"s-{job.message.id}",
+            started=began,
+            elapsed_s=loop.time() - began,
         )
 
-    def forget(self, endpoint: Endpoint) -> None:
-        self.forgotten.append(endpoint)
+    def retire(self, endpoint: Endpoint) -> None:
+        self.retired.append(endpoint)
 
     async def close(self) -> None:
         return None
