--- a/tests/balancing/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -250,7 +250,7 @@
     assert len(crew.answered) - before > 128
 
 
-def test_two_troubles_at_once_leave_the_third_worker_to_serve() -> None:
+def test_two_faults_at_once_leave_the_third_worker_to_serve() -> None:
     crew = three()
     crew.play(3 * S)
     crew.silent.add(1)
--- a/tests/configuration/test_boot_settings.py
+++ b/tests/configuration/test_boot_settings.py
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parent.parent.parent
 LONGEST_S = 60.0
 
-WHOLE = """\
+COMPLETE = """\
 nodeName = "edge-a-1"
 role = "edge"
 machineClass = "edge"
@@ -74,16 +74,16 @@
 
 
 def without(key: str) -> str:
-    return "\n".join(line for line in WHOLE.splitlines() if not line.startswith(f"{key} ="))
+    return "\n".join(line for line in COMPLETE.splitlines() if not line.startswith(f"{key} ="))
 
 
 def with_value(key: str, value: str) -> str:
-    lines = [f"{key} = {value}" if line.startswith(f"{key} =") else line for line in WHOLE.splitlines()]
+    lines = [f"{key} = {value}" if line.startswith(f"{key} =") else line for line in COMPLETE.splitlines()]
     return "\n".join(lines)
 
 
-def test_a_whole_file_is_read() -> None:
-    settings = parsed(WHOLE)
+def test_a_complete_file_is_read() -> None:
+    settings = parsed(COMPLETE)
     assert settings.node_name == "edge-a-1"
     assert settings.serves == ["edge", "control_plane"]
     assert settings.bind.admin == "10.1.0.40:8064"
@@ -96,7 +96,7 @@
 
 
 def test_the_internal_address_is_the_first_internal_port_and_the_seeds_have_the_same() -> None:
-    settings = parsed(WHOLE)
+    settings = parsed(COMPLETE)
     assert settings.internal_address == "10.1.0.40:7780"
     assert settings.seed_addresses() == ["10.1.0.40:7780", "10.2.0.39:7780"]
 
@@ -111,8 +111,8 @@
 
 
 def test_keys_that_are_not_known_are_disregarded() -> None:
-    later = WHOLE + "\n[newTable]\nnewKey = 1\n"
-    assert parsed("newKey = [1, 2]\n" + later) == parsed(WHOLE)
+    later = COMPLETE + "\n[newTable]\nnewKey = 1\n"
+    assert parsed("newKey = [1, 2]\n" + later) == parsed(COMPLETE)
 
 
 def test_every_fault_names_file_key_and_what_is_wanted(snapshot: SnapshotAssertion) -> None:
@@ -127,7 +127,7 @@
         "port too high": fault(with_value("internalPorts", "[1, 65536]")),
         "negative tolerance": fault(with_value("machines", "-1")),
         "visibility 0": fault(with_value("visibilityMs", "0")),
-        "bind as a number": fault("bind = 3\n" + WHOLE[: WHOLE.index("[bind]")]),
+        "bind as a number": fault("bind = 3\n" + COMPLETE[: COMPLETE.index("[bind]")]),
     }
     assert faults == snapshot
     assert all(text.startswith("boot.toml: ") and "\n" not in text for text in faults.values())
@@ -144,7 +144,7 @@
         ("internalPorts", '"7780"', "internalPorts: '7780' is not"),
     ],
 )
-def test_a_value_of_a_wrong_type_is_told_by_its_own_key(key: str, value: str, wanted: str) -> None:
+def test_a_value_of_a_wrong_type_is_reported_by_its_own_key(key: str, value: str, wanted: str) -> None:
     assert fault(with_value(key, value)).startswith(f"boot.toml: {wanted}")
 
 
@@ -177,9 +177,9 @@
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / "boot.toml"
-        self.path.write_text(WHOLE)
+        self.path.write_text(COMPLETE)
         self.changes: list[BootSettings] = []
-        self.watch = SettingsWatcher(str(self.path), parsed(WHOLE), self.changes.append)
+        self.watch = SettingsWatcher(str(self.path), parsed(COMPLETE), self.changes.append)
 
 
 @pytest.fixture
@@ -205,7 +205,7 @@
     watched.path.unlink()
     watched.watch.reload()
     assert watched.changes == []
-    assert watched.watch.settings == parsed(WHOLE)
+    assert watched.watch.settings == parsed(COMPLETE)
     assert watched.watch.rejected_count == 4
 
 
--- a/tests/configuration/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -125,7 +125,7 @@
     assert send(state, configuration(9), None).answer.status == 412
 
 
-def test_a_later_version_replaces_the_whole(state: ControlState) -> None:
+def test_a_later_version_replaces_everything(state: ControlState) -> None:
     sent = configuration(9)
     sent["routes"] = [route("r-9", "/z/", "s2")]
     later = taken(state, sent, 7)
@@ -213,7 +213,7 @@
         b'{"generation": NaN}',
     ],
 )
-def test_a_body_that_is_no_whole_object_is_refused(state: ControlState, body: bytes) -> None:
+def test_a_body_that_is_no_complete_object_is_refused(state: ControlState, body: bytes) -> None:
     for method in ("PUT", "PATCH"):
         outcome = send(state, body, 7, method)
         assert outcome.answer.status == 400 and error_of(outcome).startswith("body: ")
@@ -353,7 +353,7 @@
     assert orjson.loads(later.document) == configuration(8)
 
 
-def test_a_patch_is_checked_as_the_whole_it_makes(state: ControlState) -> None:
+def test_a_patch_is_checked_as_the_document_it_makes(state: ControlState) -> None:
     changes: tuple[Document, ...] = (
         patch(9, delete={"upstreams": ["s1"]}),
         patch(9, {"routes": [route("r-3", "/a/")]}),
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -91,7 +91,7 @@
     return state
 
 
-def whole_state(listed: list[Member], placed: Placement) -> ClusterState:
+def complete_state(listed: list[Member], placed: Placement) -> ClusterState:
     view = View(2, [Voter(name, "d", "a") for name in EDGES], ["edge-2", "edge-1", "edge-3"])
     workers = [
         PlatformWorker(f"w-{n}", "confirmations", f"10.0.0.{n}:80", "z", 4, "ready" if n else "draining")
@@ -127,11 +127,11 @@
     return SystemStatus(told, processes | {name.replace("_", "-"): each for name, each in others.items()})
 
 
-def test_the_status_of_a_whole_system(snapshot: SnapshotAssertion) -> None:
-    told = report(whole_state(members(), placement()))
-    whole = survey(told, edge_2=process("edge-2"), edge_3=process("edge-3"))
-    assert find_problems(whole) == []
-    assert format_system_status(whole) == snapshot
+def test_the_status_of_a_complete_system(snapshot: SnapshotAssertion) -> None:
+    told = report(complete_state(members(), placement()))
+    complete = survey(told, edge_2=process("edge-2"), edge_3=process("edge-3"))
+    assert find_problems(complete) == []
+    assert format_system_status(complete) == snapshot
 
 
 def test_the_status_names_everything_that_lacks(snapshot: SnapshotAssertion) -> None:
@@ -140,7 +140,7 @@
     placed.partitions[1].learners.append(store_id("store-3", "new"))
     placed.partitions[2].replicas[2] = store_id("store-9")
     silent = AdminCallError("GET /status", "127.0.0.2:8064", "no answer in time")
-    told = report(whole_state(listed, placed), process(generation=6))
+    told = report(complete_state(listed, placed), process(generation=6))
     wounded = survey(told, edge_2=silent, edge_3=process("edge-3", ready=False))
     text = format_system_status(wounded)
     assert text == snapshot
@@ -153,22 +153,22 @@
     assert format_system_status(survey(told)) == snapshot
 
 
-def test_copies_are_told_apart() -> None:
+def test_copies_are_reported_apart() -> None:
     listed = members(**{"store-2": {"status": 1}, "store-3": {"disk_id": "new"}})
     placed = Placement(1, [PartitionPlacement(0, 1, store_id("store-2"), [store_id(n) for n in STORES])])
     placed.partitions[0].replicas.append(store_id("store-4"))
-    told = report(whole_state(listed, placed)).placement
+    told = report(complete_state(listed, placed)).placement
     assert told is not None
     assert [copy.state for copy in told.partitions[0].copies] == [PRESENT, DEAD, OTHER_DISK, UNKNOWN]
     assert (told.copies_lacking, told.without_primary) == (3, 1)
 
 
-def test_a_report_of_a_large_system_is_bounded_and_its_totals_are_whole() -> None:
+def test_a_report_of_a_large_system_is_bounded_and_its_totals_are_complete() -> None:
     many = [member(f"edge-{n}", n, status=n % 2) for n in range(2 * MAX_MEMBERS)]
     placed = placement(2 * MAX_PARTITIONS)
     last = placed.partitions[-1]
     last.replicas.append(store_id("store-9"))
-    told = report(whole_state([*many, *members()], placed))
+    told = report(complete_state([*many, *members()], placed))
     assert told.placement is not None
     assert len(told.members.entries) == MAX_MEMBERS
     assert told.members.total == 2 * MAX_MEMBERS + len(STORES)
@@ -186,7 +186,7 @@
 
 def test_members(snapshot: SnapshotAssertion) -> None:
     listed = members(**{"store-2": {"status": 1}, "edge-3": {"controller": False, "counts": False}})
-    assert format_members(report(whole_state(listed, placement()))) == snapshot
+    assert format_members(report(complete_state(listed, placement()))) == snapshot
 
 
 def test_a_configuration(snapshot: SnapshotAssertion) -> None:
@@ -260,7 +260,7 @@
     """An edge process's admin address: the real status handlers, and canned answers to orders."""
 
     def __init__(self) -> None:
-        self.state = whole_state([member("edge-1", 1), *members()[3:]], placement())
+        self.state = complete_state([member("edge-1", 1), *members()[3:]], placement())
         self.orders: list[tuple[str, str, str | None, bytes]] = []
         self.answers: dict[tuple[str, str], list[tuple[int, bytes]]] = {}
         self.address = ""
--- a/tests/console/test_local_system.py
+++ b/tests/console/test_local_system.py
@@ -83,7 +83,7 @@
     assert tomllib.loads(text)["dataDir"] == str(folder)
 
 
-def test_a_process_that_cannot_start_is_told_with_its_last_line(tmp_path: Path) -> None:
+def test_a_process_that_cannot_start_is_reported_with_its_last_line(tmp_path: Path) -> None:
     layout = make_layout(3, 3, random.Random(3))
     files = write_settings(layout, tmp_path, "127.0.0.250:9000")
     for file in files.values():
--- a/tests/console/test_operator_commands.py
+++ b/tests/console/test_operator_commands.py
@@ -40,7 +40,7 @@
 STATUS = ControlStatus(
     "edge-1", 4, 12, 7, "edge-1", "edge-2", True, 2, VOTERS, ["edge-4"], 0, -1, PARTITIONS, 0.4
 )
-WHOLE = evolve(
+COMPLETE = evolve(
     STATUS,
     voters=[evolve(voter, heard=True, complete=True, state_version=[4, 12]) for voter in VOTERS],
     controller_losses_borne=1,
@@ -73,11 +73,11 @@
 
 
 def test_what_lacks_is_named() -> None:
-    assert control_problems(WHOLE) == []
+    assert control_problems(COMPLETE) == []
     first, second = control_problems(STATUS)
     assert "not heard: edge-3" in first and "without the whole state: edge-2" in first
     assert second.startswith("partition 2 is lost: 1 of 3 replicas live")
-    assert "no head answers" in control_problems(evolve(WHOLE, leads=False))[0]
+    assert "no head answers" in control_problems(evolve(COMPLETE, leads=False))[0]
     stalled = StoreReport(
         "store-1",
         "z",
@@ -96,7 +96,7 @@
     ]
 
 
-def test_the_whole_status_holds_control_and_stores() -> None:
+def test_the_full_status_holds_control_and_stores() -> None:
     report = StatusReport(ProcessReport("edge-1", "z", 1, True, True, 7, 1.0))
     survey = SystemStatus(report, {"edge-1": report.process}, 0, STATUS, {"store-1": STORE})
     text = format_system_status(survey)
@@ -165,7 +165,7 @@
     assert edge.orders == []
 
 
-def test_a_refusal_is_told(edge: Edge, recover: Callable[..., Result]) -> None:
+def test_a_refusal_is_reported(edge: Edge, recover: Callable[..., Result]) -> None:
     edge.answers(409, b'{"error":"store-1/d1 lives"}')
     refused = recover("--accept-loss", "store-1/d1", "--yes")
     assert refused.exit_code == 1 and "store-1/d1 lives" in refused.output
--- a/tests/contract/disk_files.py
+++ b/tests/contract/disk_files.py
@@ -68,7 +68,7 @@
     ring.close()
     await names.save_slot(folder / "slot", [b"first", b"second value", b""])
     names.identity_of(folder, SEED)
-    await names.claimed_life(folder / "life", WALL_MS, SEED)
+    await names.claimed_incarnation(folder / "life", WALL_MS, SEED)
     await names.save_states(folder / "small", [(3, small_state())])
     await names.save_states(folder / "large", [(3, large_state(1)), (4, large_state(2)), (4, large_state(3))])
     await names.save_slot(folder / "votes", votes())
--- a/tests/contract/make_system_data.py
+++ b/tests/contract/make_system_data.py
@@ -27,7 +27,7 @@
 DELAYED = 8  # still queued at the end
 DELAY_MS = 600_000
 REPEATS = 10_000  # of the body of a delayed message: so that the logs go through several segments
-SETTLE_S = 3.0
+STABILIZE_S = 3.0
 ORDER_TIMEOUT_S = 30.0
 KEPT = ("disk-id", "life.0", "life.1", "view.0", "view.1")  # besides the control state and the ring
 STATE_FILES = "control-*"
@@ -50,7 +50,7 @@
         f"{admin}/config", data=orjson.dumps(document), headers={"If-Match": "2"}
     ) as answer:
         print("put", answer.status, await answer.text())
-    await asyncio.sleep(SETTLE_S)
+    await asyncio.sleep(STABILIZE_S)
     for number in range(DELAYED):
         headers = {
             "Host": document["routes"][0]["hostname"],
@@ -63,7 +63,7 @@
             f"{frontend}{path}", data=b"late %02d " % number * REPEATS, headers=headers
         ) as answer:
             print("delayed", answer.status, answer.headers.get("X-Message-Ref"))
-    await asyncio.sleep(SETTLE_S)
+    await asyncio.sleep(STABILIZE_S)
 
 
 async def _run(folder: Path) -> None:
--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -119,7 +119,7 @@
     "boot_addresses",
     "call_rule",
     "check_result",
-    "claimed_life",
+    "claimed_incarnation",
     "decode",
     "encode",
     "field_names",
@@ -335,7 +335,7 @@
     return disk_identity(folder, Random(seed))
 
 
-async def claimed_life(path: Path, wall_ms: int, seed: int) -> int:
+async def claimed_incarnation(path: Path, wall_ms: int, seed: int) -> int:
     """The number of a new life, durable in a slot."""
     slot = SlotFile(path)
     number = await claim_incarnation(slot, wall_ms, Random(seed))
--- a/tests/contract/test_commands.py
+++ b/tests/contract/test_commands.py
@@ -17,7 +17,7 @@
 from syrupy.assertion import SnapshotAssertion
 
 from tests.contract import names
-from tests.contract.test_configuration_document import WHOLE
+from tests.contract.test_configuration_document import COMPLETE
 
 ROOT = Path(__file__).parent.parent.parent
 HELP_WORDS = re.compile(r"--?[a-zA-Z][\w-]*")
@@ -144,8 +144,8 @@
     ids=lambda value: " ".join(value) if isinstance(value, list) else "",
 )
 def test_exit_codes_of_the_operators_commands(words: list[str], code: int, tmp_path: Path) -> None:
-    (tmp_path / "good").write_bytes(orjson.dumps(WHOLE))
-    (tmp_path / "bad").write_bytes(orjson.dumps(WHOLE | {"generation": 0}))
+    (tmp_path / "good").write_bytes(orjson.dumps(COMPLETE))
+    (tmp_path / "bad").write_bytes(orjson.dumps(COMPLETE | {"generation": 0}))
     places = {"CLOSED": _closed_port(), "GOOD": str(tmp_path / "good"), "BAD": str(tmp_path / "bad")}
     given = [places.get(word, word) for word in words]
     result = CliRunner().invoke(names.PROGRAMS["hollowusher (whole service)"], given)
--- a/tests/contract/test_configuration_document.py
+++ b/tests/contract/test_configuration_document.py
@@ -39,7 +39,7 @@
     "fixed": "127.0.0.1:23",
 }
 LIMITS = {"maxHeaderBytes": 31, "maxBodyBytes": 32, "headerTimeoutMs": 33, "idleTimeoutMs": 34}
-WHOLE: dict[str, Any] = {"generation": 7, "routes": [ROUTE], "upstreams": [SERVICE], "limits": LIMITS}
+COMPLETE: dict[str, Any] = {"generation": 7, "routes": [ROUTE], "upstreams": [SERVICE], "limits": LIMITS}
 GONE = object()
 CHANGES: dict[str, tuple[tuple[Any, ...], Any]] = {  # where, and what stands there instead
     "in order": ((), None),
@@ -84,7 +84,7 @@
 
 def changed(path: tuple[Any, ...], value: Any) -> dict[str, Any]:
     """The whole document with one place changed."""
-    document = copy.deepcopy(WHOLE)
+    document = copy.deepcopy(COMPLETE)
     place: Any = document
     for step in path[:-1]:
         place = place[step]
@@ -99,8 +99,8 @@
     assert key_rows(names.Configuration) == snapshot
 
 
-def test_a_whole_document_is_read(snapshot: SnapshotAssertion) -> None:
-    assert positions(names.read_document(orjson.dumps(WHOLE))) == snapshot
+def test_a_complete_document_is_read(snapshot: SnapshotAssertion) -> None:
+    assert positions(names.read_document(orjson.dumps(COMPLETE))) == snapshot
 
 
 def test_the_least_document_is_read(snapshot: SnapshotAssertion) -> None:
--- a/tests/contract/test_disk_files.py
+++ b/tests/contract/test_disk_files.py
@@ -30,11 +30,11 @@
 )
 
 ARCHIVE = Path(__file__).parent / "data" / "files.tar.xz"
-LIFE_RANDOM_BITS = 16
+INCARNATION_RANDOM_BITS = 16
 COUNTING_FILES = 12
 SLOT_HEADER_BYTES = 28
 IDENTITY = "b9096a04e7d80068"
-LIFE = bytes.fromhex("018bcfe56800e7d8")
+INCARNATION = bytes.fromhex("018bcfe56800e7d8")
 
 
 @pytest.fixture(scope="module")
@@ -79,12 +79,12 @@
     assert names.identity_of(folder, SEED + 1) == (IDENTITY, False)
 
 
-def test_life(folder: Path) -> None:
+def test_incarnation(folder: Path) -> None:
     value = names.load_slot(folder / "life")
-    assert value == LIFE
+    assert value == INCARNATION
     number = int.from_bytes(value, "big")
-    assert number >> LIFE_RANDOM_BITS == WALL_MS
-    assert asyncio.run(names.claimed_life(folder / "life", WALL_MS - 1, SEED)) == number + 1
+    assert number >> INCARNATION_RANDOM_BITS == WALL_MS
+    assert asyncio.run(names.claimed_incarnation(folder / "life", WALL_MS - 1, SEED)) == number + 1
 
 
 def test_small_control_state(folder: Path) -> None:
@@ -166,7 +166,7 @@
             names.replayed_records(ring) == ([*records(), b"", b"last"], 0)
             and names.load_slot(folder / "slot") == b""
             and names.identity_of(folder, 0) == (IDENTITY, False)
-            and names.load_slot(folder / "life") == LIFE
+            and names.load_slot(folder / "life") == INCARNATION
             and names.load_state(folder / "small") == (3, small_state(), True)
             and names.load_state(folder / "large") == (4, large_state(3), True)
             and names.load_slot(folder / "votes") == votes()[-1]
--- a/tests/contract/test_messages.py
+++ b/tests/contract/test_messages.py
@@ -75,11 +75,11 @@
         for field, annotation in zip(attrs.fields(kind), field_types(kind), strict=True)
         if field.default is attrs.NOTHING
     ]
-    whole = filled(kind)
-    values = [getattr(whole, field.name) for field in attrs.fields(kind)][: len(needed)]
+    complete = filled(kind)
+    values = [getattr(complete, field.name) for field in attrs.fields(kind)][: len(needed)]
     short = kind(*values)
     assert names.encode(short).hex() == snapshot
-    assert names.decode(_cut(names.encode(whole), len(needed))) == short
+    assert names.decode(_cut(names.encode(complete), len(needed))) == short
 
 
 def _cut(encoded: bytes, fields: int) -> bytes:
--- a/tests/contract/test_operator_answers.py
+++ b/tests/contract/test_operator_answers.py
@@ -14,7 +14,7 @@
 
 from tests.contract import names
 from tests.contract.examples import type_of_tag
-from tests.contract.test_configuration_document import ROUTE, SERVICE, WHOLE
+from tests.contract.test_configuration_document import COMPLETE, ROUTE, SERVICE
 
 MEMBER_TAG, PLACED_TAG, PLACEMENT_TAG, STATE_TAG, ANSWER_TAG = 1, 20, 21, 22, 27
 HEADERS = ("Content-Type", "Retry-After", "Allow")
@@ -126,8 +126,8 @@
 ROUTE_2 = ROUTE | {"name": "r-2", "pathPrefix": "/b/"}
 SERVICE_2 = SERVICE | {"name": "s-2"}
 ORDERS: dict[str, tuple[str, int | None, Any]] = {
-    "put": ("PUT", 7, WHOLE | {"generation": 8}),
-    "put again": ("PUT", 7, WHOLE | {"generation": 9}),
+    "put": ("PUT", 7, COMPLETE | {"generation": 8}),
+    "put again": ("PUT", 7, COMPLETE | {"generation": 9}),
     "patch": ("PATCH", 7, {"generation": 8, "upsert": {"routes": [ROUTE_2], "upstreams": [SERVICE_2]}}),
     "patch that alters": ("PATCH", 7, {"generation": 8, "upsert": {"routes": [ROUTE | {"priority": 9}]}}),
     "patch that deletes": (
@@ -139,12 +139,12 @@
     "not JSON": ("PUT", 7, b"{"),
     "a list": ("PUT", 7, []),
     "by post": ("POST", 7, {}),
-    "on an older version": ("PUT", 6, WHOLE | {"generation": 8}),
-    "on no version": ("PUT", None, WHOLE | {"generation": 8}),
-    "the generation in force": ("PUT", 7, WHOLE | {"generation": 7}),
+    "on an older version": ("PUT", 6, COMPLETE | {"generation": 8}),
+    "on no version": ("PUT", None, COMPLETE | {"generation": 8}),
+    "the generation in force": ("PUT", 7, COMPLETE | {"generation": 7}),
     "an older generation": ("PATCH", 7, {"generation": 6}),
     "no generation": ("PATCH", 7, {}),
-    "an invalid document": ("PUT", 7, WHOLE | {"generation": 8, "routes": 1}),
+    "an invalid document": ("PUT", 7, COMPLETE | {"generation": 8, "routes": 1}),
     "upsert is a list": ("PATCH", 7, {"generation": 8, "upsert": []}),
     "delete is a list": ("PATCH", 7, {"generation": 8, "delete": []}),
     "upsert of limits": ("PATCH", 7, {"generation": 8, "upsert": {"limits": []}}),
@@ -159,20 +159,20 @@
 def test_orders(which: str, snapshot: SnapshotAssertion) -> None:
     method, if_match, content = ORDERS[which]
     body = content if isinstance(content, bytes) else orjson.dumps(content)
-    status, answer, state = names.order_answer(state_of(WHOLE, 7), method, if_match, body)
+    status, answer, state = names.order_answer(state_of(COMPLETE, 7), method, if_match, body)
     assert [status, answer, None if state is None else names.encode(state).hex()] == snapshot
 
 
 def test_the_same_order_gets_the_same_answer_again() -> None:
-    body = orjson.dumps(WHOLE | {"generation": 8}, option=orjson.OPT_INDENT_2)
-    state = names.order_answer(state_of(WHOLE, 7), "PUT", 7, body)[2]
-    again = orjson.dumps(dict(reversed((WHOLE | {"generation": 8}).items())))
+    body = orjson.dumps(COMPLETE | {"generation": 8}, option=orjson.OPT_INDENT_2)
+    state = names.order_answer(state_of(COMPLETE, 7), "PUT", 7, body)[2]
+    again = orjson.dumps(dict(reversed((COMPLETE | {"generation": 8}).items())))
     assert names.order_answer(state, "PUT", 7, again) == (200, b'{"generation":8}', None)
 
 
 def test_what_an_order_is_known_by(snapshot: SnapshotAssertion) -> None:
     """Digests are stored: another one would let an order that was taken count twice."""
-    digests = [names.order_digest("PUT", 7, copy.deepcopy(WHOLE)), names.order_digest("PATCH", None, {})]
+    digests = [names.order_digest("PUT", 7, copy.deepcopy(COMPLETE)), names.order_digest("PATCH", None, {})]
     assert [digest.hex() for digest in digests] == snapshot
 
 
--- a/tests/contract/test_settings_files.py
+++ b/tests/contract/test_settings_files.py
@@ -43,7 +43,7 @@
     },
 }
 LEAST = 'nodeName = "edge-1"\nmachineClass = "edge"\nip = "10.0.0.1"\n'
-WHOLE = """
+COMPLETE = """
 nodeName = "edge-1"
 role = "edge"
 machineClass = "edge"
@@ -117,7 +117,7 @@
     assert key_rows(names.BootSettings) == snapshot
 
 
-@pytest.mark.parametrize("text", [LEAST, WHOLE], ids=["least", "whole"])
+@pytest.mark.parametrize("text", [LEAST, COMPLETE], ids=["least", "whole"])
 def test_boot_settings_values(text: str, snapshot: SnapshotAssertion) -> None:
     settings = names.parse_settings(text, "boot.toml")
     assert [positions(settings), names.boot_addresses(settings)] == snapshot
--- a/tests/contract/test_status_answers.py
+++ b/tests/contract/test_status_answers.py
@@ -27,7 +27,7 @@
 
 from tests.contract import names
 from tests.contract.examples import filled, type_of_tag
-from tests.contract.test_configuration_document import WHOLE
+from tests.contract.test_configuration_document import COMPLETE
 from tests.contract.test_operator_answers import asked
 
 ROOT = Path(__file__).parent.parent.parent
@@ -74,7 +74,7 @@
     members = [member(name, n, name != "store-2") for n, name in enumerate((*EDGES, *STORES), start=1)]
     values = {
         "view": type_of_tag(VIEW_TAG)(2, voters, ["edge-2", "edge-1", "edge-3"]),
-        "configuration": orjson.dumps(WHOLE),
+        "configuration": orjson.dumps(COMPLETE),
         "placement": type_of_tag(PLACEMENT_TAG)(3, placed),
         "workers": type_of_tag(WORKERS_TAG)(workers),
         **{f"member/{each.name}": each for each in members},
--- a/tests/contract/test_system_data.py
+++ b/tests/contract/test_system_data.py
@@ -58,7 +58,7 @@
         "digest of their contents": digest([repr(content).encode() for content in contents]),
         "partitions": names.merged_messages(records, WALL_MS),
         "disk": names.identity_of(folder, 0),
-        "life": _life(folder),
+        "life": _incarnation(folder),
         "epoch of the view": view.epoch,
         "view": by_position(view),
     }
@@ -86,11 +86,11 @@
         "promised": promised,
         "accepted": [accepted_ballot, by_position(accepted)],
         "disk": names.identity_of(folder, 0),
-        "life": _life(folder),
+        "life": _incarnation(folder),
     }
 
 
-def _life(folder: Path) -> int:
+def _incarnation(folder: Path) -> int:
     value = names.load_slot(folder / "life")
     assert value is not None
     return int.from_bytes(value, "big")
--- a/tests/coordination/chain/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -149,7 +149,7 @@
     assert again.is_readable
 
 
-def test_a_state_of_an_earlier_epoch_is_not_settled_before_the_chain_has_it_again() -> None:
+def test_a_state_of_an_earlier_epoch_is_not_committed_before_the_chain_has_it_again() -> None:
     view, members = chain_of("ab")
     head = members["a"]
     write = head.begin()
@@ -257,7 +257,7 @@
     health.on_pong(Pong(name, f"disk-{name}", 1, True, ["a", "b", "c"], leaving, stalled), now)
 
 
-def test_a_voter_is_dead_after_silence_or_two_refusals() -> None:
+def test_a_voter_is_dead_after_no_answer_or_two_refusals() -> None:
     health = VoterHealth("a", 0.0)
     health.track("abc", 0.0)
     assert not health.is_dead("b", 1.1)
--- a/tests/coordination/chain/test_rejected_messages.py
+++ b/tests/coordination/chain/test_rejected_messages.py
@@ -128,7 +128,7 @@
     return [read_chunk(record, offset) for offset in range(0, len(record.encoded), CHUNK_BYTES)]
 
 
-def test_a_record_is_whole_after_its_chunks_in_order() -> None:
+def test_a_record_is_complete_after_its_chunks_in_order() -> None:
     record = record_of(LARGE)
     buffer = RecordBuffer(record.digest)
     for chunk in chunks(record):
@@ -182,7 +182,7 @@
 
 
 @virtual
-async def test_a_record_of_another_cluster_is_not_handed_out() -> None:
+async def test_a_record_of_another_cluster_is_not_granted() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
--- a/tests/coordination/chain/test_state_store.py
+++ b/tests/coordination/chain/test_state_store.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("failing", [0.0, 0.3])
-def test_a_crash_at_any_point_leaves_the_old_state_or_the_new_one_whole(failing: float) -> None:
+def test_a_crash_at_any_point_leaves_the_old_state_or_the_new_one_complete(failing: float) -> None:
     for seed in range(SEEDS):
         chance = random.Random(f"{failing} {seed}")
         asyncio.run(_save_until_the_end(RiskyDisk(chance, failing, 0.05), chance))
--- a/tests/coordination/chain/test_stuck_disks.py
+++ b/tests/coordination/chain/test_stuck_disks.py
@@ -15,7 +15,7 @@
 )
 from tests.support.controller_cluster import DISK_FULL, STALLED
 
-TROUBLE_S = 10.0
+FAULT_S = 10.0
 SLOWEST_ORDER_S = 3.5  # the first machine asked may be the stuck head, which answers after 3 s
 BACK_S = 4.0
 
@@ -24,12 +24,12 @@
 @pytest.mark.parametrize("victim", ["a", "b", "c"])
 @pytest.mark.parametrize("kind", [STALLED, DISK_FULL])
 @virtual
-async def test_orders_go_on_beside_a_disk_in_trouble(kind: str, victim: str, size: int) -> None:
+async def test_orders_go_on_beside_a_disk_with_faults(kind: str, victim: str, size: int) -> None:
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1, size), 0)
     loop = asyncio.get_running_loop()
     cluster[victim].files[kind] = b"yes"
-    ends_at = loop.time() + TROUBLE_S
+    ends_at = loop.time() + FAULT_S
     generation, slowest = 1, 0.0
     while loop.time() < ends_at:
         took = await send_until_taken(cluster, large_body(generation + 1, size), generation)
--- a/tests/coordination/consensus/test_paxos.py
+++ b/tests/coordination/consensus/test_paxos.py
@@ -60,9 +60,9 @@
 def test_the_same_answer_twice_is_no_majority() -> None:
     group = acceptors()
     proposer = Proposer(BASE, next_view("ab"), (1, "a"))
-    promise = group["a"].prepare(proposer.prepare())
-    assert not proposer.on_promise("a", promise)
-    assert not proposer.on_promise("a", promise)
+    promise_answer = group["a"].prepare(proposer.prepare())
+    assert not proposer.on_promise("a", promise_answer)
+    assert not proposer.on_promise("a", promise_answer)
     accepted = group["a"].accept(proposer.accept())
     assert not proposer.on_accepted("a", accepted)
     assert not proposer.on_accepted("a", accepted)
@@ -177,8 +177,8 @@
     def key(self) -> tuple[object, ...]:
         promises = tuple(
             sorted(
-                (name, tuple(promise.accepted_ballot or ()))
-                for name, promise in self.proposer._promises.items()
+                (name, tuple(promise_answer.accepted_ballot or ()))
+                for name, promise_answer in self.proposer._promises.items()
             )
         )
         return (
@@ -227,8 +227,8 @@
     run.reached |= {(run.phase, name)}
     acceptor, proposer = after.acceptors[name], run.proposer
     if run.phase == 0:
-        promise = acceptor.prepare(proposer.prepare())
-        if answered and proposer.on_promise(name, promise):
+        promise_answer = acceptor.prepare(proposer.prepare())
+        if answered and proposer.on_promise(name, promise_answer):
             run.phase = 1
     else:
         accepted = acceptor.accept(proposer.accept())
--- a/tests/coordination/consensus/test_view_consensus.py
+++ b/tests/coordination/consensus/test_view_consensus.py
@@ -301,10 +301,10 @@
             raise AssertionError(f"answered {answer}")
         assert not nodes["b"].running.confirm(ConfirmEpoch(1)).ok  # it may have voted: it does not say no
         disk.full = False
-        promise = await nodes["b"].handle(Prepare(2, [2, "c"], BASE))
-        assert isinstance(promise, Promise)
-        assert promise.granted
-        assert promise.accepted == X
+        promise_answer = await nodes["b"].handle(Prepare(2, [2, "c"], BASE))
+        assert isinstance(promise_answer, Promise)
+        assert promise_answer.granted
+        assert promise_answer.accepted == X
         nodes["b"].lose_power()
         nodes["b"].start()
         assert nodes["b"].running.acceptor.promised == (2, "c")
--- a/tests/coordination/consensus/test_view_discovery.py
+++ b/tests/coordination/consensus/test_view_discovery.py
@@ -136,7 +136,7 @@
     run_virtual(play())
 
 
-def test_seeds_that_forget_again_are_told_again() -> None:
+def test_seeds_that_forget_again_are_reported_again() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc", seeds=[f"{SEEDS[0]}:8064"])
         seed = Process(cluster, SEEDS[0], [])
@@ -156,7 +156,7 @@
     run_virtual(play())
 
 
-def test_seeds_that_the_settings_name_later_are_told() -> None:
+def test_seeds_that_the_settings_name_later_are_reported() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -372,7 +372,7 @@
 
 
 @virtual
-async def test_one_controller_alone_is_a_whole_system() -> None:
+async def test_one_controller_alone_is_a_complete_system() -> None:
     cluster = ControllerCluster("a")
     await cluster["a"].start(bootstrap=True)
     await cluster.until(lambda: cluster["a"].running.is_head, 6.0)
@@ -497,7 +497,7 @@
         loop = asyncio.get_running_loop()
         operators = Operators(cluster, chance)
         work = loop.create_task(operators.run(loop.time() + 30.0))
-        await _trouble(cluster, chance, loop.time() + 28.0)
+        await _fault(cluster, chance, loop.time() + 28.0)
         await work
         cluster.join_all()
         for node in cluster.nodes.values():
@@ -518,7 +518,7 @@
     check()
 
 
-async def _trouble(cluster: ControllerCluster, chance: random.Random, until: float) -> None:
+async def _fault(cluster: ControllerCluster, chance: random.Random, until: float) -> None:
     """One machine at a time is killed, stopped, cut off or loses its disk; at times all are killed."""
     loop = asyncio.get_running_loop()
     names = sorted(cluster.nodes)
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -20,18 +20,18 @@
 FROZEN_S = (0.5, 0.9, 1.1, 1.3, 2.0, 5.0, 20.0)
 
 
-async def in_trouble(controllers: SimulatedControllers, trouble: str, victim: str, seconds: float) -> None:
+async def with_fault(controllers: SimulatedControllers, fault: str, victim: str, seconds: float) -> None:
     """Bring a trouble about and end it, with orders and reads all the while."""
     loop = asyncio.get_running_loop()
     operators = [loop.create_task(controllers.change_continuously())]
     operators += [loop.create_task(controllers.read_continuously(name)) for name in controllers.nodes]
     await asyncio.sleep(0.5)
-    if trouble == "freeze":
+    if fault == "freeze":
         controllers.loop.freeze(controllers[victim].process)
         await asyncio.sleep(seconds)
         controllers.loop.thaw(controllers[victim].process)
     else:
-        controllers.cut(victim, trouble)
+        controllers.cut(victim, fault)
         await asyncio.sleep(seconds)
         controllers.network.heal_all()
     before = controllers.acknowledged
@@ -57,7 +57,7 @@
     def test_cut_off_for_twenty_seconds(self, shape: str, place: str, names: str) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
-            await in_trouble(controllers, shape, victim_of(controllers, place), CUT_S)
+            await with_fault(controllers, shape, victim_of(controllers, place), CUT_S)
 
         run_simulated_controllers(work, names)
 
@@ -66,7 +66,7 @@
     def test_frozen_and_woken_with_messages_queued(self, place: str, frozen_s: float) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
-            await in_trouble(controllers, "freeze", victim_of(controllers, place), frozen_s)
+            await with_fault(controllers, "freeze", victim_of(controllers, place), frozen_s)
 
         run_simulated_controllers(work)
 
@@ -122,7 +122,7 @@
     def test_a_cut_off_head_stops(self, shape: str) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
-            await in_trouble(controllers, shape, controllers.require_head().name, CUT_S)
+            await with_fault(controllers, shape, controllers.require_head().name, CUT_S)
 
         assert run_simulated_controllers(work).overlap_s() <= 0.5
 
@@ -150,7 +150,7 @@
 
         assert run_simulated_controllers(work).overlap_s() == 0.0
 
-    def test_a_list_that_was_asked_for_before_a_freeze_is_not_handed_out(self) -> None:
+    def test_a_list_that_was_asked_for_before_a_freeze_is_not_granted(self) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
             victim = controllers.require_head()
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -120,7 +120,7 @@
     talk(Deciders(None), conversation)
 
 
-def test_a_change_goes_on_after_its_caller_was_told_503(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_change_goes_on_after_its_caller_was_reported_503(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "CHANGE_TIMEOUT_S", 0.0)
     deciders = Deciders(OperatorResponse(200, b"{}"))
 
--- a/tests/coordination/controller/test_orders_random.py
+++ b/tests/coordination/controller/test_orders_random.py
@@ -19,7 +19,7 @@
 SEEDS = 12
 MAX_FAULT_S = 2.5
 CALM_S = 4.2  # `catchUpS`: the next loss may come right then
-SETTLE_S = 8.0
+STABILIZE_S = 8.0
 TAKEN_WITHIN_S = 15.0
 
 
@@ -94,7 +94,7 @@
     await RandomFaults(cluster, chance).play(troubles)
     operators.is_running = False
     await asyncio.gather(*tasks)
-    await asyncio.sleep(SETTLE_S)
+    await asyncio.sleep(STABILIZE_S)
     await finish(operators)
     return operators
 
@@ -119,6 +119,6 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_what_operators_are_told_fits_a_plain_list_of_orders(seed: int) -> None:
+def test_what_operators_are_reported_fits_a_plain_list_of_orders(seed: int) -> None:
     operators = run_virtual(play(seed, "abc" if seed % 3 else "abcd", (0.0, 0.02, 0.1, 0.3)[seed % 4]))
     assert sum(order.acknowledged_at is not None for order in operators.orders) > 5
--- a/tests/coordination/controller/test_worker_list_page.py
+++ b/tests/coordination/controller/test_worker_list_page.py
@@ -84,7 +84,7 @@
         page(entry(generation=1)),
     ],
 )
-def test_bad_pages_are_refused_whole(body: bytes) -> None:
+def test_bad_pages_are_rejected_entirely(body: bytes) -> None:
     with pytest.raises(MalformedPageError):
         parse_page(body)
 
--- a/tests/coordination/controller/voter_recovery_times.py
+++ b/tests/coordination/controller/voter_recovery_times.py
@@ -77,7 +77,7 @@
     return SUCCESSOR
 
 
-def is_whole(cluster: ControllerCluster, name: str) -> bool:
+def is_complete(cluster: ControllerCluster, name: str) -> bool:
     """Whether the chain has three members that are there, among them the one that came with the state."""
     views = [node.running.view for node in cluster.nodes.values()]
     newest = max((view for view in views if view is not None), key=lambda view: view.epoch)
@@ -102,7 +102,7 @@
     came = await loss(cluster, cluster[victim], absence_s)
     ended = asyncio.get_running_loop().time()
     await asyncio.sleep(0.05)
-    await cluster.until(lambda: is_whole(cluster, came), GIVEN_UP_S)
+    await cluster.until(lambda: is_complete(cluster, came), GIVEN_UP_S)
     return asyncio.get_running_loop().time() - ended
 
 
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -603,7 +603,7 @@
     play(work)
 
 
-def test_a_quick_restart_ends_the_old_life_without_any_death() -> None:
+def test_a_quick_restart_ends_the_old_incarnation_without_any_death() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         cluster.restart("store0")
@@ -629,7 +629,7 @@
     play(work)
 
 
-def test_a_whole_zone_lost_is_judged_dead() -> None:
+def test_a_full_zone_lost_is_judged_dead() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         for name in ("core1", "edge1", "store1"):
--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_jobs_whose_answer_met_a_reset_are_handed_out_again_at_once(times: int) -> None:
+def test_jobs_whose_answer_met_a_reset_are_granted_again_at_once(times: int) -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         lost = lose_answers(cluster, times)
--- a/tests/delivery/test_calls_workers.py
+++ b/tests/delivery/test_calls_workers.py
@@ -70,16 +70,19 @@
 def test_a_request_that_may_not_run_twice_is_sent_once_whatever_its_connection_does(
     sent: str, reset: bool
 ) -> None:
-    whole = answer("m", body=b"0123456789")
-    part = {"nothing": 0, "a first byte": 1, "a head": whole.index(b"0123"), "half a body": len(whole) - 5}[
-        sent
-    ]
+    complete = answer("m", body=b"0123456789")
+    part = {
+        "nothing": 0,
+        "a first byte": 1,
+        "a head": complete.index(b"0123"),
+        "half a body": len(complete) - 5,
+    }[sent]
 
     async def behaviour(exchange: Exchange) -> None:
         if exchange.id == "before":
             exchange.send(answer("before"))
             return
-        exchange.send(whole[:part])
+        exchange.send(complete[:part])
         await exchange.writer.drain()
         if reset:
             exchange.writer.transport.abort()
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -159,7 +159,7 @@
 
         real(work)
 
-    def test_a_fixed_endpoint_is_told_no_instance_and_an_empty_body_its_length(self) -> None:
+    def test_a_fixed_endpoint_is_reported_no_instance_and_an_empty_body_its_length(self) -> None:
         async def work() -> None:
             async with serving(well) as (server, client, endpoint):
                 await client.deliver(Endpoint(endpoint.address), job(1, body=b""), TIMEOUT_S)
@@ -223,7 +223,7 @@
             assert interpret_response(DeliveryResponse(status, {})).result == "unknown"
         assert interpret_response(DeliveryResponse(503, {"X-Not-Executed": "1"})).result == "not_run"
 
-    def test_a_chunked_answer_must_be_whole(self) -> None:
+    def test_a_chunked_answer_must_be_complete(self) -> None:
         async def work() -> None:
             async def behave(exchange: Exchange) -> None:
                 head = [
@@ -301,7 +301,7 @@
 
         real(work)
 
-    def test_silence_is_unknown_and_its_connection_is_closed(self) -> None:
+    def test_no_answer_is_unknown_and_its_connection_is_closed(self) -> None:
         async def work() -> None:
             async def behave(exchange: Exchange) -> None:
                 if exchange.id != "m1":
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -113,10 +113,10 @@
         control = WorkerFlowControl(0.0, 16)
         fill(control, 0.0)
         assert control.jobs_allowed(0.001) == 0
-        handed = 3
+        delivered = 3
         for tick in range(1, 60):
-            handed += len(fill(control, tick * CONTROL_PERIOD_S + 0.001))
-        assert handed == control.in_flight
+            delivered += len(fill(control, tick * CONTROL_PERIOD_S + 0.001))
+        assert delivered == control.in_flight
         assert 16 <= control.in_flight <= 32
         assert control.bundle > 0
 
@@ -174,7 +174,7 @@
             control.record_feedback(0.0, str(number), WorkerFeedback.FULL)
             assert control.resumes_at(0.0) == pytest.approx(pause)
 
-    def test_an_endpoint_without_told_capacity_learns_it_from_refusals(self) -> None:
+    def test_an_endpoint_without_reported_capacity_learns_it_from_refusals(self) -> None:
         control = WorkerFlowControl(0.0)
         for lease in ("a", "b", "c"):
             control.record_sent(0.0, lease)
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -98,13 +98,13 @@
             process = SimulatedProcess("e1")
             real = WorkerFlowControl.record_sent
 
-            def handed(control: WorkerFlowControl, *arguments: Any) -> None:
+            def delivered(control: WorkerFlowControl, *arguments: Any) -> None:
                 real(control, *arguments)
                 loop.freeze(process)
 
             await start(process, cluster, stores, workers)
             stores.add(STORE_1, [job(1)])
-            monkeypatch.setattr(WorkerFlowControl, "record_sent", handed)
+            monkeypatch.setattr(WorkerFlowControl, "record_sent", delivered)
             await asyncio.sleep(0.6)
             assert process.frozen
             monkeypatch.undo()
@@ -151,7 +151,7 @@
 
 class TestPullWorkers:
     @pytest.mark.parametrize("frozen_s", [0.5, 5.0, 20.0])
-    def test_a_spare_job_is_not_handed_out_after_a_freeze(self, frozen_s: float) -> None:
+    def test_a_spare_job_is_not_granted_after_a_freeze(self, frozen_s: float) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster = Cluster([edge("e1")], [Service("svc", pull=True)], [route()], [])
             stores, process = LeasingStores(), SimulatedProcess("e1")
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -268,7 +268,7 @@
         assert store_lease_id("", "id1") is None
 
 
-def test_load_gate() -> None:
+def test_load_limiter() -> None:
     limiter = LoadLimiter(2, 100)
     assert limiter.try_acquire(60)
     assert not limiter.try_acquire(41)
@@ -423,7 +423,7 @@
 
         play(work)
 
-    def test_an_uncertain_message_gets_no_promise(self) -> None:
+    def test_an_uncertain_message_gets_no_acknowledgement(self) -> None:
         async def work(world: World) -> None:
             world.store.put_answer = PutResponse("unknown")
             answer = await world.handle(request())
@@ -515,7 +515,7 @@
             (MessageStatusResponse("dead_letter", "ignored"), {"state": "dead_letter"}),
         ],
     )
-    def test_a_state_is_told(self, state: MessageStatusResponse, body: dict[str, str]) -> None:
+    def test_a_state_is_reported(self, state: MessageStatusResponse, body: dict[str, str]) -> None:
         async def work(world: World) -> None:
             world.store.status_answer = state
             answer = await world.handle(request("/message/3-1-17", "GET"))
@@ -574,7 +574,7 @@
 
 
 class TestPulls:
-    def test_a_job_is_handed_over(self) -> None:
+    def test_a_job_is_delivered(self) -> None:
         async def work(world: World) -> None:
             answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000"))
             assert (answer.status, answer.body) == (200, b"job")
--- a/tests/intake/test_store_client.py
+++ b/tests/intake/test_store_client.py
@@ -376,7 +376,7 @@
 
 
 class TestPeerHealth:
-    def test_silence_counts_from_the_later_of_the_oldest_call_and_the_last_answer(self) -> None:
+    def test_no_answer_counts_from_the_later_of_the_oldest_call_and_the_last_answer(self) -> None:
         health = PeerHealth()
         first = health.call_started(10.0)
         second = health.call_started(10.1)
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -144,7 +144,7 @@
     play(work)
 
 
-def test_a_job_is_not_handed_out_again_before_the_visibility_after_the_last_word() -> None:
+def test_a_job_is_not_granted_again_before_the_visibility_after_the_last_word() -> None:
     async def work(cluster: StoreCluster) -> None:
         one, _, job = await pulled(cluster)
         await asyncio.sleep(2.0)
--- a/tests/messages/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -55,7 +55,7 @@
 
         play(work)
 
-    def test_an_end_is_told_only_once_it_is_committed(self) -> None:
+    def test_an_end_is_reported_only_once_it_is_committed(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
@@ -246,9 +246,9 @@
             await cluster.start()
             await cluster.stored(message("m0"))
             await cluster.lease(pull=True, visibility_ms=3_000)
-            handed_over_at = cluster.loop.time() + 0.95
+            transferred_at = cluster.loop.time() + 0.95
             assert len(await cluster.lease(pull=True, wait_ms=9_000, visibility_ms=3_000)) == 1
-            assert cluster.loop.time() - handed_over_at >= 3.0
+            assert cluster.loop.time() - transferred_at >= 3.0
 
         play(work)
 
--- a/tests/messages/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -781,7 +781,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_plays_break_no_promise(seed: int) -> None:
+def test_random_plays_break_no_guarantee(seed: int) -> None:
     play = ModelPlay(seed)
     steps = [play.put, play.lease, play.finish] * 2 + [play.extend, play.pass_time]
     for number in range(1_500):
--- a/tests/messages/test_queue.py
+++ b/tests/messages/test_queue.py
@@ -223,7 +223,7 @@
         for start in grants:
             assert sum(start <= grant < start + 5.0 for grant in grants) <= 19.5 * 5.0
 
-    def test_is_used_nearly_whole(self) -> None:
+    def test_is_used_nearly_completely(self) -> None:
         bucket, now, grants = TokenBucket(10.0, 0.0), 0.0, 0
         while now < 100.0:
             now = bucket.next_token_at(now)
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -186,7 +186,7 @@
     @pytest.mark.parametrize("seed", range(8))
     def test_both_end_with_the_newest_of_everything(self, seed: int) -> None:
         chance = random.Random(seed)
-        one, other, whole = new_table(), new_table(), new_table()
+        one, other, complete = new_table(), new_table(), new_table()
         for sequence in range(300):
             made = [
                 put_record(sequence),
@@ -196,10 +196,10 @@
                 made.append(state_record((1, sequence), (2, sequence), MessageStatus.COMPLETED))
             for record in made:
                 chosen = chance.choice([(one,), (other,), (one, other)])
-                for table in (*chosen, whole):
+                for table in (*chosen, complete):
                     table.apply(record, EPOCH_MS)
         self.settle(one, other)
-        assert one.bucket_digests() == other.bucket_digests() == whole.bucket_digests()
+        assert one.bucket_digests() == other.bucket_digests() == complete.bucket_digests()
         assert self.settle(one, other) == 0
 
     def test_only_differences_go_over(self) -> None:
@@ -610,7 +610,7 @@
             if open_ones:
                 self.wrong.append(f"{name} before {open_ones}")
 
-    async def trouble(self) -> None:
+    async def fault(self) -> None:
         for _ in range(8):
             await asyncio.sleep(1.5 + self.chance.random() * 2)
             victim = self.chance.randrange(3)
@@ -662,13 +662,13 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_troubles_lose_nothing(seed: int) -> None:
+def test_random_faults_lose_nothing(seed: int) -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         troubles = Troubles(cluster)
         workers = [asyncio.create_task(troubles.worker()) for _ in range(3)]
         clients = [asyncio.create_task(troubles.client(name)) for name in ("a", "b", "c")]
-        await troubles.trouble()
+        await troubles.fault()
         if seed % 2:
             await troubles.all_at_once()
         await asyncio.gather(*clients)
@@ -684,7 +684,7 @@
     play(work, seed=seed)
 
 
-def test_a_stream_takes_back_no_acknowledgement_of_another_life() -> None:
+def test_a_stream_takes_back_no_acknowledgement_of_another_incarnation() -> None:
     """Records that were sent by a primary that has resigned since commit nothing."""
 
     async def work(cluster: StoreCluster) -> None:
--- a/tests/messages/test_store_service.py
+++ b/tests/messages/test_store_service.py
@@ -308,7 +308,7 @@
 
         play(work)
 
-    def test_dispatchers_are_told_of_jobs_that_nobody_asks_for(self) -> None:
+    def test_dispatchers_are_reported_of_jobs_that_nobody_asks_for(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -395,7 +395,7 @@
 
         play(work)
 
-    def test_a_frozen_primary_does_not_take_silence_for_an_end(self) -> None:
+    def test_a_frozen_primary_does_not_take_no_answer_for_an_end(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -427,7 +427,7 @@
     URL = "http://10.9.0.1:8080/done"
     SERVICE = "callback:10.9.0.1:8080"
 
-    def test_owed_after_the_end_until_told(self) -> None:
+    def test_owed_after_the_end_until_reported(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1", callback_url=self.URL))
--- a/tests/roles/test_cluster_change_log.py
+++ b/tests/roles/test_cluster_change_log.py
@@ -58,7 +58,7 @@
     assert [line["chain"] for line in lines if line["event"] == "view_decided"] == [["a"]]
 
 
-def test_each_change_is_told_as_it_comes(lines: list[dict[str, Any]]) -> None:
+def test_each_change_is_reported_as_it_comes(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
     ClusterChangeLog(state, "", lambda: True)
     for item in (member(0), member(1), placement(1, "a/1"), placement(2, "b/1")):
--- a/tests/roles/test_status_server.py
+++ b/tests/roles/test_status_server.py
@@ -45,7 +45,7 @@
     return answer
 
 
-def test_the_status_is_told_and_the_connection_ends() -> None:
+def test_the_status_is_reported_and_the_connection_ends() -> None:
     async def work(host: str, port: int) -> None:
         answer = await told(host, port, b"GET /status HTTP/1.1\r\nHost: h\r\n\r\n")
         head, _, body = answer.partition(b"\r\n\r\n")
--- a/tests/scheduler/test_emulator_model.py
+++ b/tests/scheduler/test_emulator_model.py
@@ -145,7 +145,7 @@
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.sampled_from("oooowsldkr"), st.integers(1, 900)), max_size=40))
-    def test_any_order_of_troubles_keeps_the_books(self, steps: list[tuple[str, int]]) -> None:
+    def test_any_order_of_faults_keeps_the_books(self, steps: list[tuple[str, int]]) -> None:
         node, now, sent = NodeModel(NodeKind(2, 0.7, 3, queue=4, refresh_ns=300 * MS), 0, cold=True), 0, 0
         taken: set[int] = set()
         withdrawn: set[int] = set()
--- a/tests/scheduler/test_rehearsal_script.py
+++ b/tests/scheduler/test_rehearsal_script.py
@@ -79,7 +79,7 @@
         for file in sorted((ROOT / "rehearsals").glob("*.rehearsal")):
             self.assertGreaterEqual(len(read(file).kinds), 12, file.name)
 
-    def test_two_troubles_at_one_instant_come_in_the_scripts_order(self) -> None:
+    def test_two_faults_at_one_instant_come_in_the_scripts_order(self) -> None:
         run = stage(parse(GOOD + "at 3s kill node 1\nat 3s restart node 1\n"))
         run.heap.run(run.start_ns + 4 * 10**9)
         self.assertFalse(run.nodes[1].model.down)
--- a/tests/simulation/test_planted_faults.py
+++ b/tests/simulation/test_planted_faults.py
@@ -15,7 +15,7 @@
     ),
     "emptied-too-early": "tests/coordination/placement/test_store_retirement.py",
     "learner-promoted-early": "tests/coordination/placement/test_planner_replicas.py",
-    "moved-primary-serves-on": "tests/messages/test_replication.py::test_random_troubles_lose_nothing",
+    "moved-primary-serves-on": "tests/messages/test_replication.py::test_random_faults_lose_nothing",
     "seed-forgets-the-view": "tests/coordination/distribution/test_cluster_client.py",
     "unknown-put-answered-503": "tests/intake/test_store_client.py",
 }
--- a/tests/simulation/test_simulated_invariants.py
+++ b/tests/simulation/test_simulated_invariants.py
@@ -137,7 +137,7 @@
         history.observations.states.append(MessageStateResponse("a", 3.2, 404))
         assert history.violated_rules() == ["LOST"]
 
-    def test_unknown_in_trouble_is_not_counted(self) -> None:
+    def test_unknown_with_faults_is_not_counted(self) -> None:
         history = History()
         history.sent("a")
         history.ran("a", 2.0)
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -304,7 +304,7 @@
 
         play(work)
 
-    def test_a_failed_handler_is_told_and_recorded(self) -> None:
+    def test_a_failed_handler_is_reported_and_recorded(self) -> None:
         async def fail(message: Any) -> Any:
             raise KeyError("x")
 
@@ -407,7 +407,7 @@
         seen.states.append(MessageStateResponse("a", 40.0, 404, final=True))
         assert "LOST" in self.violated_rules(seen)
 
-    def test_lost_when_told_as_dead_without_an_end(self) -> None:
+    def test_lost_when_reported_as_dead_without_an_end(self) -> None:
         seen = self.observations()
         self.sent(seen, "a")
         seen.states.append(MessageStateResponse("a", 40.0, 200, "dead_letter", body=b"body", final=True))
@@ -591,7 +591,7 @@
         self.read(seen, seen.orders[0])
         assert {"LOST", "MIXED"} <= set(self.violated_rules(seen))
 
-    def test_configuration_never_goes_back_in_a_life(self) -> None:
+    def test_configuration_never_goes_back_in_an_incarnation(self) -> None:
         seen = self.observations()
         seen.generations += [ObservedGeneration("edge-1", 1, 4, 5.0), ObservedGeneration("edge-1", 2, 2, 6.0)]
         assert self.violated_rules(seen) == []
--- a/tests/simulation/test_wire_rules_drain.py
+++ b/tests/simulation/test_wire_rules_drain.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_all_edges_told_to_stop_at_once_are_unready_at_once_and_for_good(seed: int) -> None:
+def test_all_edges_reported_to_stop_at_once_are_unready_at_once_and_for_good(seed: int) -> None:
     loop = VirtualTimeLoop()
     run = SimulationRun(
         loop,
--- a/tests/storage/test_ring_log.py
+++ b/tests/storage/test_ring_log.py
@@ -56,7 +56,7 @@
     asyncio.run(wrapped())
 
 
-async def settle() -> None:
+async def finish_saves() -> None:
     """Let callbacks of finished jobs run."""
     for _ in range(6):
         await asyncio.sleep(0)
@@ -198,7 +198,7 @@
 
     async def sync(self) -> None:
         self.tasks += [asyncio.ensure_future(self._sync()) for _ in range(self.chance.randint(1, 3))]
-        await settle()
+        await finish_saves()
 
     async def _sync(self) -> None:
         try:
@@ -213,7 +213,7 @@
     async def work(self) -> None:
         while self.worker.waiting:
             self.worker.run_next()
-            await settle()
+            await finish_saves()
         self.worker.held = self.chance.random() < 0.5
         self.disk.full = self.disk.full and self.chance.random() < 0.5
 
@@ -229,7 +229,7 @@
     async def crash(self) -> None:
         for task in self.tasks:
             task.cancel()
-        await settle()
+        await finish_saves()
         self.tasks = []
         self.moved += self.log.moved_records
         self.failed += self.log.failed_batches
@@ -301,7 +301,7 @@
             model.release(chance.choice(list(model.live)))
             model.append(b"again %04d" % number)
             await model.sync()
-            await settle()
+            await finish_saves()
         model.check_reads()
         assert log.moved_records > 100
 
@@ -341,19 +341,19 @@
         before = log.syncs
         log.append(b"first")
         first = asyncio.ensure_future(log.sync())
-        await settle()
+        await finish_saves()
         later = []
         for number in range(20):
             log.append(b"%d" % number)
             later.append(asyncio.ensure_future(log.sync()))
-        await settle()
+        await finish_saves()
         assert len(worker.waiting) == 1
         worker.run_next()
-        await settle()
+        await finish_saves()
         assert first.done() and not any(task.done() for task in later)
         assert len(worker.waiting) == 1
         worker.run_next()
-        await settle()
+        await finish_saves()
         assert all(task.done() for task in later)
         assert log.syncs == before + 2
 
@@ -367,10 +367,10 @@
         worker.held = True
         log.append(b"one")
         cancelled, waits = asyncio.ensure_future(log.sync()), asyncio.ensure_future(log.sync())
-        await settle()
+        await finish_saves()
         cancelled.cancel()
         worker.run_next()
-        await settle()
+        await finish_saves()
         assert cancelled.cancelled() and waits.done()
 
     run(scenario)
@@ -385,7 +385,7 @@
         worker.held = True
         log.append(b"one")
         waits = asyncio.ensure_future(log.sync())
-        await settle()
+        await finish_saves()
         assert not log.stalled(now + 1)
         assert log.stalled(now + 100)
         log.append(b"two")
@@ -424,7 +424,7 @@
     run(scenario)
 
 
-def test_syncs_that_keep_failing_are_told_and_a_later_one_writes_all() -> None:
+def test_syncs_that_keep_failing_are_reported_and_a_later_one_writes_all() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
@@ -463,7 +463,7 @@
     run(scenario)
 
 
-def test_a_full_disk_is_told_and_all_is_written_when_there_is_room() -> None:
+def test_a_full_disk_is_reported_and_all_is_written_when_there_is_capacity() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
@@ -567,9 +567,9 @@
         for number in range(150):
             model.release(model.append(b"%090d" % number))
             waits = asyncio.ensure_future(model.sync())
-            await settle()
+            await finish_saves()
             worker.run_next()
-            await settle()
+            await finish_saves()
             assert waits.done()
             if worker.waiting:  # the next file is being made ready
                 prepared += 1
@@ -577,10 +577,10 @@
                 for more in range(4):
                     model.release(model.append(b"more %d %080d" % (more, number)))
                 waits = asyncio.ensure_future(model.sync())
-                await settle()
+                await finish_saves()
                 while worker.waiting:
                     worker.run_next()
-                    await settle()
+                    await finish_saves()
                 assert waits.done()
         assert prepared > 5
         assert lost == []
@@ -588,7 +588,7 @@
     run(scenario)
 
 
-def test_a_refused_append_gets_its_room_without_further_appends() -> None:
+def test_a_refused_append_gets_its_capacity_without_further_appends() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk, segment_bytes=1024 * 1024)
@@ -610,7 +610,7 @@
         with pytest.raises(StorageError, match="no segment is free"):
             model.append(b"refused")
         for _ in range(100):
-            await settle()
+            await finish_saves()
         assert log.moved_records * 8000 > 2 * MOVED_PER_BATCH
         for number in range(150):  # more than a segment holds
             model.release(model.append(b"%06d again" % number + bytes(8000)))
@@ -639,7 +639,7 @@
         for _ in range(20):
             with suppress(StorageError):
                 model.release(model.append(b"passing"))
-            await settle()
+            await finish_saves()
         model.release(model.append(b"passing"))
         await model.sync()
         assert kept == set(model.live.values())
@@ -789,12 +789,12 @@
         log.append(b"one")
         worker.held = True
         waits = asyncio.ensure_future(log.sync())
-        await settle()
+        await finish_saves()
         log.close()
         with pytest.raises(StorageError, match="closed"):
             await waits
         worker.run_next()
-        await settle()
+        await finish_saves()
         assert disk.open_files == {}
         with pytest.raises(StorageError, match="closed"):
             log.append(b"two")
--- a/tests/storage/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -30,7 +30,7 @@
     asyncio.run(wrapped())
 
 
-async def settle() -> None:
+async def finish_saves() -> None:
     for _ in range(6):
         await asyncio.sleep(0)
 
@@ -111,7 +111,7 @@
     run(scenario)
 
 
-def test_contents_that_are_not_whole_have_no_value() -> None:
+def test_contents_that_are_not_complete_have_no_value() -> None:
     data = encode_value(7, b"value")
     assert decode_value(data) == (7, b"value")
     assert decode_value(data + b"left from a longer value") == (7, b"value")
@@ -121,7 +121,7 @@
         assert decode_value(data[:index] + bytes([data[index] ^ 1]) + data[index + 1 :]) is None
 
 
-def test_a_failed_save_is_told_and_the_next_one_works() -> None:
+def test_a_failed_save_is_reported_and_the_next_one_works() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         slot = open_slot(disk)
@@ -145,13 +145,13 @@
         slot.load()
         worker.held = True
         tasks = [asyncio.ensure_future(slot.save(b"%d" % number)) for number in range(10)]
-        await settle()
+        await finish_saves()
         tasks[3].cancel()
         worker.run_next()
-        await settle()
+        await finish_saves()
         assert tasks[0].done() and not tasks[9].done()
         worker.run_next()
-        await settle()
+        await finish_saves()
         assert all(task.done() for task in tasks)
         assert worker.waiting == []
         assert open_slot(disk.power_loss(Random(1))).load() == b"9"
@@ -165,7 +165,7 @@
         slot = open_slot(disk, worker)
         worker.held = True
         first, second = (asyncio.ensure_future(slot.save(value)) for value in (b"1", b"2"))
-        await settle()
+        await finish_saves()
         slot.close()
         with pytest.raises(StorageError, match="closed"):
             await second
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -24,7 +24,7 @@
     assert not is_listed("tests/test_b.py::Group", LISTED)
 
 
-def test_an_entry_that_names_no_test_is_told() -> None:
+def test_an_entry_that_names_no_test_is_reported() -> None:
     assert unknown(LISTED, ["tests/test_a.py::test_one[1]", "tests/test_b.py::Group::test_two_b"]) == [
         "tests/test_b.py::Group::test_two"
     ]
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -191,7 +191,7 @@
     play("store-9", handler, scene)
 
 
-def test_a_name_learnt_later_is_told_on_the_connection_that_stands() -> None:
+def test_a_name_learnt_later_is_reported_on_the_connection_that_stands() -> None:
     async def scene(pair: Pair) -> None:
         assert await pair.call(PUT) == PUT
         (connection,) = pair.server.accepted
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -107,7 +107,7 @@
     play(handler, scene)
 
 
-def test_large_messages_come_whole() -> None:
+def test_large_messages_come_complete() -> None:
     async def scene(pair: Pair) -> None:
         body = bytes(3 * 1024 * 1024)
         assert await pair.call([MemberRegistered(1), body]) == [MemberRegistered(1), body]
@@ -115,7 +115,7 @@
     play(echo, scene)
 
 
-def test_a_handler_that_fails_is_told_to_both_sides() -> None:
+def test_a_handler_that_fails_is_reported_to_both_sides() -> None:
     async def handler(message: Any) -> Any:
         raise RuntimeError("out of order")
 
