--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -611,7 +611,7 @@
         with (
             log,
             mock.patch.object(asyncio.get_running_loop(), "sock_accept", accept),
-            mock.patch.object(front, "_make_room") as makes_room,
+            mock.patch.object(front, "_free_connection") as makes_room,
         ):
             accepting = asyncio.create_task(front.accept())
             reader, writer = await asyncio.open_connection(*front._listener.getsockname())
