--- a/benchmarks/decoders.py
+++ b/benchmarks/decoders.py
@@ -1,6 +1,6 @@
 """Seeded inputs to the decoders of datagrams and frames: whatever comes is read or counted.
 
-    python -m benchmarks.decoders [--inputs 1000000] [--seed 1]
+python -m benchmarks.decoders [--inputs 1000000] [--seed 1]
 """
 
 from __future__ import annotations
@@ -38,7 +38,10 @@
 
 
 def feed(
-    chance: random.Random, inputs: int, good: bytes, read: Callable[[bytes], object],
+    chance: random.Random,
+    inputs: int,
+    good: bytes,
+    read: Callable[[bytes], object],
     sums: Callable[[bytes], int],
 ) -> int:
     """How many of so many inputs were read as messages."""
--- a/benchmarks/regression.py
+++ b/benchmarks/regression.py
@@ -41,8 +41,10 @@
 
 
 MODULE = (Play("sim-cluj", "bin/lbsim", "cluj"), Play("sim-cours", "bin/lbsim", "cours"))
-NETWORK = (Play("later-cluj", "more/mass/bin/lbreal", "cluj", ("--panel", "later", "--quick")),
-           Play("real-cours", "real/bin/lbreal", "cours"))
+NETWORK = (
+    Play("later-cluj", "more/mass/bin/lbreal", "cluj", ("--panel", "later", "--quick")),
+    Play("real-cours", "real/bin/lbreal", "cours"),
+)
 STANDING = (Play("standing", "more/mass/bin/lbreal", "cluj", ()),)
 
 
@@ -91,8 +93,10 @@
             now[play.name] = score
     for name, value, before, holds in compare(now, last_row()):
         sound = sound and holds
-        click.echo(f"{name:12} {value:.3f}  {'' if before is None else f'last {before:.3f}'}"
-                   f"{'' if holds else '  FELL'}")
+        click.echo(
+            f"{name:12} {value:.3f}  {'' if before is None else f'last {before:.3f}'}"
+            f"{'' if holds else '  FELL'}"
+        )
     if keep and sound:
         fresh = not TABLE.exists()
         with TABLE.open("a", newline="") as file:
--- a/hollowusher/__main__.py
+++ b/hollowusher/__main__.py
@@ -29,8 +29,10 @@
         else:
             from hollowusher.scheduler.cli import cli
     except ModuleNotFoundError as missing:
-        print(f"hollowusher: {missing.name} is not installed: the command line needs what {needs} lists",
-              file=sys.stderr)
+        print(
+            f"hollowusher: {missing.name} is not installed: the command line needs what {needs} lists",
+            file=sys.stderr,
+        )
         return 2
     return int(cli(words, prog_name="hollowusher") or 0)
 
--- a/hollowusher/balancing/__init__.py
+++ b/hollowusher/balancing/__init__.py
@@ -37,8 +37,8 @@
     Via,
     Wake,
     Watch,
-    WorkerList,
     Woken,
+    WorkerList,
 )
 
 __all__ = [
--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -18,9 +18,41 @@
 
 from hollowusher.balancing.attempt import Attempt
 from hollowusher.balancing.interface import (
-    FEW_BALANCERS, NS_PER_MS, Action, Arrival, BudgetSpent, Cancel, ClientGone, Discovery, Effect, Ended,
-    Event, Fail, Group, JobClass, Limits, Listed, ListKind, Log, Outcome, Probe, Probed, Progress, Reading,
-    Refuse, Send, Settings, SettingsChanged, Started, State, Streaming, Via, Wake, Watch, WorkerList, Woken,
+    FEW_BALANCERS,
+    NS_PER_MS,
+    Action,
+    Arrival,
+    BudgetSpent,
+    Cancel,
+    ClientGone,
+    Discovery,
+    Effect,
+    Ended,
+    Event,
+    Fail,
+    Group,
+    JobClass,
+    Limits,
+    Listed,
+    ListKind,
+    Log,
+    Outcome,
+    Probe,
+    Probed,
+    Progress,
+    Reading,
+    Refuse,
+    Send,
+    Settings,
+    SettingsChanged,
+    Started,
+    State,
+    Streaming,
+    Via,
+    Wake,
+    Watch,
+    Woken,
+    WorkerList,
 )
 from hollowusher.balancing.worker_speed import Pace
 
@@ -113,8 +145,10 @@
         if len(self.attempts) >= self.limits.max_attempts or not alone:
             return False
         left = self.window_left(now)
-        return left is None or (left > LAST_BYTE_NS and self.may_have_run()[0].worker.entry.shares_keys(
-            worker.entry, self.cls.group))
+        return left is None or (
+            left > LAST_BYTE_NS
+            and self.may_have_run()[0].worker.entry.shares_keys(worker.entry, self.cls.group)
+        )
 
     def refusable(self, now: int) -> bool:
         """The one predicate of rule 2 for a refusal: may the client be told that trying again is harmless?"""
@@ -483,8 +517,11 @@
             request = attempt.request
             if request.copied:  # the first to begin has the job, before another does any work on it
                 self.unqueue(request)
-                self.actions.extend(Cancel(request.id, a.number) for a in request.attempts
-                                    if a.outcome is None and a.started is None)
+                self.actions.extend(
+                    Cancel(request.id, a.number)
+                    for a in request.attempts
+                    if a.outcome is None and a.started is None
+                )
             worker, delay = attempt.worker, now - attempt.sent
             worker.note_delay = delay if worker.note_delay is None else min(delay, worker.note_delay)
             worker.running += attempt.request.slots
@@ -752,7 +789,8 @@
             jobs = sorted(jobs, key=lambda r: (r.cls.effect is Effect.UNSAFE, r.cls.worth))
         for request in jobs:
             if any(a.outcome is None and a.worker is worker for a in request.attempts) or (
-                    request.cls.kind and request.cls.kind != worker.entry.kind):
+                request.cls.kind and request.cls.kind != worker.entry.kind
+            ):
                 continue
             waited = now - request.arrived
             over = worker.others + worker.used_slots + request.slots - slots - (0.5 if request.late else 0.0)
@@ -788,7 +826,7 @@
             if head and now - head[0].arrived > CROWDED_PARTS * self.t_d:
                 rates, part = self.rates(), self.settings.over_share_worth
                 head.sort(key=lambda r: rates[r.cls.name] * (part if r.over_share else 1.0), reverse=True)
-            self.line = head + self.late[: -LOOK_AHEAD : -1]
+            self.line = head + self.late[:-LOOK_AHEAD:-1]
         return self.line
 
     def rates(self) -> dict[str, float]:
--- a/hollowusher/balancing/interface.py
+++ b/hollowusher/balancing/interface.py
@@ -161,8 +161,9 @@
         within = max(self.told_within_ns - self.drain_grace_ns, self.told_within_ns // 2)
         spread = min(within // 2, LIST_CALL_NS * max(0, balancers - FEW_BALANCERS))
         good = max(self.told_within_ns - 2 * dial_ns, self.told_within_ns // 2)
-        return ListCalls(within * 11 // 20, within * 3 // 20, within // 3, spread,
-                         min(self.ask_within_ns, good))
+        return ListCalls(
+            within * 11 // 20, within * 3 // 20, within // 3, spread, min(self.ask_within_ns, good)
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -403,8 +404,19 @@
     settings: Settings
 
 
-Event = (WorkerList | Arrival | Started | Progress | Streaming | Ended | ClientGone | Probed | Woken
-         | BudgetSpent | SettingsChanged)
+Event = (
+    WorkerList
+    | Arrival
+    | Started
+    | Progress
+    | Streaming
+    | Ended
+    | ClientGone
+    | Probed
+    | Woken
+    | BudgetSpent
+    | SettingsChanged
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -48,18 +48,33 @@
 def remember(balancer: Balancer) -> Memory:
     """What a decision module has learnt until now."""
     return Memory(
-        dict(balancer.runs), dict(balancer.hints), dict(balancer.in_time),
+        dict(balancer.runs),
+        dict(balancer.hints),
+        dict(balancer.in_time),
         [(kind, size, free) for (kind, size), free in balancer.alike.items()],
-        balancer.usual_pace, balancer.bearable_pace,
+        balancer.usual_pace,
+        balancer.bearable_pace,
         [_of_worker(worker) for worker in balancer.workers.values()],
     )
 
 
 def _of_worker(worker: Worker) -> WorkerMemory:
     return WorkerMemory(
-        worker.id, worker.entry.started_ns, worker.control.bundle, worker.most_free, worker.most_memory,
-        worker.others, worker.run, worker.shown.time, worker.shown.jobs, worker.note_delay,
-        worker.suspect, worker.dead, worker.strikes, worker.good, worker.trial_at,
+        worker.id,
+        worker.entry.started_ns,
+        worker.control.bundle,
+        worker.most_free,
+        worker.most_memory,
+        worker.others,
+        worker.run,
+        worker.shown.time,
+        worker.shown.jobs,
+        worker.note_delay,
+        worker.suspect,
+        worker.dead,
+        worker.strikes,
+        worker.good,
+        worker.trial_at,
     )
 
 
--- a/hollowusher/coordination/chain/state_service.py
+++ b/hollowusher/coordination/chain/state_service.py
@@ -7,10 +7,10 @@
 
 from hollowusher.configuration.order_history import CommittedAges
 from hollowusher.configuration.orders import Order, OrderOutcome, apply_order, read_order
-from hollowusher.coordination.consensus.agreement import Agreement
-from hollowusher.coordination.chain.chain_member import ChainMember
 from hollowusher.coordination.chain.chain_head import ChainOwner
+from hollowusher.coordination.chain.chain_member import ChainMember
 from hollowusher.coordination.chain.state_store import SLOWEST_BYTES_PER_S
+from hollowusher.coordination.consensus.agreement import Agreement
 from hollowusher.coordination.consensus.paxos import find_voter, is_voter
 from hollowusher.coordination.consensus.voter_group import VoterGroup
 from hollowusher.protocol.codec import evolve
--- a/hollowusher/coordination/consensus/voter_group.py
+++ b/hollowusher/coordination/consensus/voter_group.py
@@ -7,11 +7,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from hollowusher.coordination.consensus.agreement import Agreement
-from hollowusher.coordination.controller.bootstrap import read_view
 from hollowusher.coordination.chain.chain_member import ChainMember
-from hollowusher.coordination.controller.control_status import UNHEARD, VoterSigns
+from hollowusher.coordination.consensus.agreement import Agreement
 from hollowusher.coordination.consensus.controller_departure import Departure
+from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.coordination.consensus.reconfiguration import (
     PROPOSAL_STAGGER_S,
     Presence,
@@ -23,8 +22,9 @@
     proposal_rank,
 )
 from hollowusher.coordination.consensus.spare_controllers import Spares
-from hollowusher.coordination.consensus.paxos import find_voter
 from hollowusher.coordination.consensus.voter_set import VoterStep, next_step
+from hollowusher.coordination.controller.bootstrap import read_view
+from hollowusher.coordination.controller.control_status import UNHEARD, VoterSigns
 from hollowusher.protocol.control import Decided, Ping, Pong, View, Voter
 from hollowusher.transport.interface import PeerError, Transport
 
--- a/hollowusher/coordination/controller/control_status.py
+++ b/hollowusher/coordination/controller/control_status.py
@@ -12,8 +12,8 @@
 
 import attrs
 
-from hollowusher.coordination.placement.partition_recovery import store_losses_borne
 from hollowusher.coordination.consensus.paxos import majority
+from hollowusher.coordination.placement.partition_recovery import store_losses_borne
 from hollowusher.protocol.control import ControlState, View
 from hollowusher.protocol.status import ControlStatus, PartitionStatus, VoterStatus
 
--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -12,15 +12,20 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.distribution.cluster_state import CONFIGURATION, MEMBER_PREFIX, PLACEMENT, VIEW, WORKERS
+from hollowusher.coordination.controller.worker_list_reader import PlatformError
+from hollowusher.coordination.distribution.cluster_state import (
+    CONFIGURATION,
+    MEMBER_PREFIX,
+    PLACEMENT,
+    VIEW,
+    WORKERS,
+)
+from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.coordination.membership.directory import EDGE, Directory, version_of
 from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.coordination.placement.placement_manager import ControlChain, LogLine, PlacementDuty, no_log
 from hollowusher.coordination.placement.placement_manager import Update as Update
-from hollowusher.coordination.controller.worker_list_reader import PlatformError
-from hollowusher.coordination.distribution.feed import Feed
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import (
     ControlState,
--- a/hollowusher/coordination/placement/planner.py
+++ b/hollowusher/coordination/placement/planner.py
@@ -25,13 +25,13 @@
 from hollowusher.coordination.placement.initial_placement import balanced_primaries as balanced_primaries
 from hollowusher.coordination.placement.initial_placement import homes as homes
 from hollowusher.coordination.placement.initial_placement import initial_placement as initial_placement
-from hollowusher.coordination.rendezvous import weight
 from hollowusher.coordination.placement.replica_states import GONE_S as GONE_S
 from hollowusher.coordination.placement.replica_states import MISSING_S as MISSING_S
 from hollowusher.coordination.placement.replica_states import STEADY_S as STEADY_S
 from hollowusher.coordination.placement.replica_states import UNKNOWN_S as UNKNOWN_S
 from hollowusher.coordination.placement.replica_states import StoreStates
 from hollowusher.coordination.placement.replica_states import store_name as store_name
+from hollowusher.coordination.rendezvous import weight
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import PartitionPlacement, Placement
 
--- a/hollowusher/dispatch/worker_control.py
+++ b/hollowusher/dispatch/worker_control.py
@@ -1,10 +1,10 @@
 """How many jobs one pushed worker may be handed now.  No I/O, no clock: times are seconds that only grow.
 
 The ordinary path is the integral rule of `hollowusher.balancing.balancer.Controller`: a reading of the
-worker's busy share (one minus its free slots over the most free slots yet seen, known here from the process's own exchanges)
-resizes its bundle N, and every t_d the worker earns a bundle.  Around it stand limits that a rule or an
-unknown capacity asks for: jobs out stay near the worker's slots, a refusal pauses it, a worker in trouble
-gets single trial jobs, a cold one gets less.
+worker's busy share (one minus its free slots over the most free slots yet seen, known here from the process's
+own exchanges) resizes its bundle N, and every t_d the worker earns a bundle.  Around it stand limits that a
+rule or an unknown capacity asks for: jobs out stay near the worker's slots, a refusal pauses it, an unhealthy
+worker gets single trial jobs, a cold one gets less.
 """
 
 from __future__ import annotations
--- a/hollowusher/messages/service.py
+++ b/hollowusher/messages/service.py
@@ -13,7 +13,12 @@
 from typing import Any, NamedTuple
 
 from hollowusher.configuration.boot import BootSettings
-from hollowusher.coordination.distribution.cluster_state import CONFIGURATION, MEMBER_PREFIX, PLACEMENT, ClusterState
+from hollowusher.coordination.distribution.cluster_state import (
+    CONFIGURATION,
+    MEMBER_PREFIX,
+    PLACEMENT,
+    ClusterState,
+)
 from hollowusher.coordination.membership.pause_detector import PauseDetector
 from hollowusher.messages import records
 from hollowusher.messages.hosting import PartitionHost
--- a/hollowusher/roles/control.py
+++ b/hollowusher/roles/control.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 from typing import Any
 
+from hollowusher.coordination.chain.state_store import StateStore
 from hollowusher.coordination.controller.control_status import control_status
 from hollowusher.coordination.controller.controller import Controller
-from hollowusher.coordination.membership.directory import Directory
 from hollowusher.coordination.controller.head_roles import HeadDuties
 from hollowusher.coordination.controller.worker_list_reader import PlatformReader
 from hollowusher.coordination.distribution.feed import Feed
-from hollowusher.coordination.chain.state_store import StateStore
+from hollowusher.coordination.membership.directory import Directory
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control import ControlState, Member, View
 from hollowusher.protocol.status import ControlStatus, ReadControlStatus
--- a/hollowusher/scheduler/__init__.py
+++ b/hollowusher/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler in service (`deploy/balancer.toml`): takes jobs over HTTP and STOMP, sends them to workers."""
+"""The scheduler in service (`deploy/balancer.toml`): jobs come by HTTP or STOMP and go to workers."""
--- a/hollowusher/scheduler/app.py
+++ b/hollowusher/scheduler/app.py
@@ -13,21 +13,21 @@
 import uvloop
 
 from hollowusher.balancing.interface import Discovery, JobClass
+from hollowusher.scheduler.component import Part
 from hollowusher.scheduler.config import Config, load
 from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
 from hollowusher.scheduler.dispatch.metrics import Figures
 from hollowusher.scheduler.dispatch.worker_registry import Roster
 from hollowusher.scheduler.effects import Floor
 from hollowusher.scheduler.fronts.common import JobIds
+from hollowusher.scheduler.fronts.platform.clients import PlatformClients
 from hollowusher.scheduler.fronts.platform.discovery import NodeListWatch
 from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
-from hollowusher.scheduler.fronts.platform.clients import PlatformClients
 from hollowusher.scheduler.log import Log
 from hollowusher.scheduler.net.owner import DeskOwner
 from hollowusher.scheduler.net.pool import Pool
 from hollowusher.scheduler.net.ring import ring_bytes
 from hollowusher.scheduler.operations import NODE_SHARE, SPARE_SOCKETS, Operations
-from hollowusher.scheduler.component import Part
 from hollowusher.scheduler.reload import Reloads
 from hollowusher.scheduler.retune import Retuning
 from hollowusher.scheduler.rules.node_list import AskAgain
@@ -43,7 +43,10 @@
 
 
 async def serve(
-    config: Config, log: Log, stop: asyncio.Event | None = None, again: asyncio.Event | None = None,
+    config: Config,
+    log: Log,
+    stop: asyncio.Event | None = None,
+    again: asyncio.Event | None = None,
     read: Callable[[], Config] = _READ,
 ) -> None:
     """Run one scheduler until it is asked to stop, and end in good order.
@@ -52,8 +55,11 @@
     """
     log.attach(asyncio.get_running_loop().call_later)
     # Unheard faults would be printed by the library on this thread, where a stalled reader stops everything.
-    asyncio.get_running_loop().set_exception_handler(lambda _, told: log.error(
-        "loop-fault", str(told.get("message", "")), fault=repr(told.get("exception"))))
+    asyncio.get_running_loop().set_exception_handler(
+        lambda _, told: log.error(
+            "loop-fault", str(told.get("message", "")), fault=repr(told.get("exception"))
+        )
+    )
     sockets = descriptors(config.sockets) - SPARE_SOCKETS
     sockets = max(16, sockets)
     if config.stomp.enabled:
@@ -71,26 +77,40 @@
         from hollowusher.scheduler.net.log_replication.node import CopiesNode
 
         limits = config.settings.limits
-        gate = Gate(config.copies.classes, roster, lambda event: owner.post(event), floor.carry_out,
-                    limits.max_retry_after_ns // 2 if limits.retry_after else 0, config.seed)
+        gate = Gate(
+            config.copies.classes,
+            roster,
+            lambda event: owner.post(event),
+            floor.carry_out,
+            limits.max_retry_after_ns // 2 if limits.retry_after else 0,
+            config.seed,
+        )
         carry_out = gate.carry_out
         gate.node = copies = CopiesNode(
-            config.copies, {c.name: c for c in config.settings.classes}, config.seed, gate.act, log)
+            config.copies, {c.name: c for c in config.settings.classes}, config.seed, gate.act, log
+        )
     owner = DeskOwner(desk, carry_out, log)
     post = gate.post if gate is not None else owner.post
     watch = NodeListWatch(
-        config.discovery, roster, post, floor.changed, log,
+        config.discovery,
+        roster,
+        post,
+        floor.changed,
+        log,
         lambda name, kind: "http2" if config.http2.speaks(name, kind) else "platform",
         AskAgain(config.settings.rules.drain_grace_ns, random.Random(config.seed).random)
-        if config.settings.discovery is Discovery.PUSH else None, config.known, config.settings.list_calls,
-        random.Random(config.seed ^ 1).random)
+        if config.settings.discovery is Discovery.PUSH
+        else None,
+        config.known,
+        config.settings.list_calls,
+        random.Random(config.seed ^ 1).random,
+    )
     operations = Operations(config, roster, ids, owner, watch, floor, figures, log)
     parts: list[Part] = [watch, *operations.parts]
     if gate is not None:
         parts.append(copies)
     floor.post, floor.watch = post, watch.ask
-    http1 = floor.nodes["platform"] = PlatformNodes(
-        roster, pool, config.meanings, post, log, figures)
+    http1 = floor.nodes["platform"] = PlatformNodes(roster, pool, config.meanings, post, log, figures)
     if config.http2.enabled:
         from hollowusher.scheduler.fronts.platform.http2 import Http2Nodes
         from hollowusher.scheduler.net.http2.streams import Carrier
@@ -99,8 +119,9 @@
         parts.append(carrier)
         floor.nodes["http2"] = Http2Nodes(roster, carrier, http1, config.meanings, post, log)
     classes = {c.name: c for c in config.settings.classes}
-    clients = PlatformClients(operations.listener(), classes,
-                              sockets - to_nodes, ids, post, log, ring, figures)
+    clients = PlatformClients(
+        operations.listener(), classes, sockets - to_nodes, ids, post, log, ring, figures
+    )
     fronts: list[Callable[[Mapping[str, JobClass]], None]] = [clients.follow]
     if gate is not None:
         clients.copied = gate.copied
@@ -126,8 +147,15 @@
             if gate is not None:
                 copies.view(node.member.missing())
 
-        node = PeerNode(peers.name, peers.listen, peers.peers, peers.cluster, config.seed, changed,
-                        most_per_s=peers.most_messages)
+        node = PeerNode(
+            peers.name,
+            peers.listen,
+            peers.peers,
+            peers.cluster,
+            config.seed,
+            changed,
+            most_per_s=peers.most_messages,
+        )
         parts.append(node)
         if config.shared.enabled:
             from hollowusher.scheduler.net.shared_state.node import SharedNode
--- a/hollowusher/scheduler/cli.py
+++ b/hollowusher/scheduler/cli.py
@@ -17,7 +17,12 @@
 from hollowusher.scheduler.app import run as run_scheduler
 from hollowusher.scheduler.config import SECTIONS, SETTINGS_FILE
 from hollowusher.scheduler.emulator.processes.commands import (
-    copies, faults, members, rehearse_members, shared, tell_play,
+    copies,
+    faults,
+    members,
+    rehearse_members,
+    shared,
+    tell_play,
 )
 from hollowusher.scheduler.emulator.script import Script, read, stage
 from hollowusher.scheduler.emulator.virtual import COUNTS, Rehearsal, Report
@@ -47,6 +52,7 @@
 for command in (ready, figures, detach, attach):
     cli.add_command(command)
 
+
 @cli.command()
 def run() -> None:
     """Run one scheduler, as without any word."""
@@ -60,8 +66,10 @@
     try:
         if file.suffix == ".rehearsal":
             script = read(file)
-            click.echo(f"{file.name}: {len(script.kinds)} nodes, {script.schedulers} schedulers, "
-                       f"{script.length_s:g} s, {len(script.troubles)} troubles")
+            click.echo(
+                f"{file.name}: {len(script.kinds)} nodes, {script.schedulers} schedulers, "
+                f"{script.length_s:g} s, {len(script.troubles)} troubles"
+            )
         else:
             read_http2(read_file(file, SECTIONS))
             click.echo(f"{file.name}: in order")
@@ -112,8 +120,9 @@
 @cli.command()
 @click.argument("script", type=_FILE)
 @click.option("--runs", type=click.IntRange(3, 10_000), default=10, show_default=True)
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), required=True,
-              help="The folder of the series.")
+@click.option(
+    "--out", type=click.Path(file_okay=False, path_type=Path), required=True, help="The folder of the series."
+)
 def experiment(script: Path, runs: int, out: Path) -> None:
     """Play a script with many seeds and keep a line of figures for each, to be compared."""
     from hollowusher.scheduler.lab.compare import write_series
@@ -175,11 +184,14 @@
     click.echo(f"{'class':16}" + "".join(f"{name:>10}" for name in COUNTS))
     for name, counts in sorted(report.by_class.items()):
         click.echo(f"{name:16}" + "".join(f"{counts[c]:10}" for c in COUNTS))
-    click.echo(f"worth in time {report.share:.4f}, worst 10 s {report.worst_10_s:.4f}, "
-               f"suspicions {report.suspicions}")
+    click.echo(
+        f"worth in time {report.share:.4f}, worst 10 s {report.worst_10_s:.4f}, "
+        f"suspicions {report.suspicions}"
+    )
     click.echo(
         f"rules: second runs {report.second_runs}, sent after a drain {report.late_sends}, "
-        f"cold nodes pushed over {report.fallen}, without one answer in time {report.unanswered}")
+        f"cold nodes pushed over {report.fallen}, without one answer in time {report.unanswered}"
+    )
 
 
 def keep(
@@ -189,7 +201,9 @@
     folder.mkdir(parents=True, exist_ok=True)
     shutil.copyfile(source, folder / "script.rehearsal")
     made_of = {
-        "seed": seed, "stopped": stopped, "python": platform.python_version(),
+        "seed": seed,
+        "stopped": stopped,
+        "python": platform.python_version(),
         **{name: version(name) for name in ("numpy", "click")},
     }
     (folder / "made-of.json").write_text(json.dumps(made_of, indent=1, sort_keys=True) + "\n")
@@ -207,5 +221,14 @@
         table.writerow(["job", "class", "asked_s", "work_s", "tries", "verdict", "took_s"])
         for r in rehearsal.results:
             verdict = "gone" if r.gone else r.verdict.value if r.verdict else ""
-            table.writerow([r.wanted.name, r.wanted.demand.name, f"{r.wanted.at / 1e9:.6f}",
-                            f"{r.wanted.work_s:.6f}", r.tries, verdict, f"{r.took_ns / 1e9:.6f}"])
+            table.writerow(
+                [
+                    r.wanted.name,
+                    r.wanted.demand.name,
+                    f"{r.wanted.at / 1e9:.6f}",
+                    f"{r.wanted.work_s:.6f}",
+                    r.tries,
+                    verdict,
+                    f"{r.took_ns / 1e9:.6f}",
+                ]
+            )
--- a/hollowusher/scheduler/config.py
+++ b/hollowusher/scheduler/config.py
@@ -13,16 +13,16 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from hollowusher.balancing.simulator_adapter import WireError, read_settings
 from hollowusher.balancing.interface import NS_PER_S, Settings
+from hollowusher.balancing.simulator_adapter import WireError, read_settings
 from hollowusher.scheduler.fronts.stomp.settings import STOMP, STOMP_NODE, StompConfig, read_stomp
-from hollowusher.scheduler.net.log_replication.settings import COPIES, COPY, CopiesConfig, read_copies
 from hollowusher.scheduler.net.http2.settings import HTTP2, Http2Config, read_http2
+from hollowusher.scheduler.net.log_replication.settings import COPIES, COPY, CopiesConfig, read_copies
 from hollowusher.scheduler.net.membership.settings import PEER, PEERS, Allowed, PeersConfig, read_peers
 from hollowusher.scheduler.net.reports.settings import REPORTS, read_reports
 from hollowusher.scheduler.net.shared_state.settings import SHARED, SharedConfig, read_shared
-from hollowusher.scheduler.settings.platform import faults
 from hollowusher.scheduler.settings.model import ConfigError, parse_address
+from hollowusher.scheduler.settings.platform import faults
 from hollowusher.scheduler.settings.reader import read_file
 
 T = TypeVar("T")
@@ -171,8 +171,11 @@
         raise ConfigError(f"HOLLOWUSHER_SYSLOG: must be a loopback address, is {syslog!r}")
     name = environ.get("PROXY_NAME") or _get(table, "name", str, "scheduler")
     allowed = Allowed(
-        pairs.get("caps.peer_messages") == "true", settings.me, _maybe_address(table, "peer_listen"),
-        tuple(address(f"peers[{i}]", a) for i, a in enumerate(_get(table, "peers", list, []))))
+        pairs.get("caps.peer_messages") == "true",
+        settings.me,
+        _maybe_address(table, "peer_listen"),
+        tuple(address(f"peers[{i}]", a) for i, a in enumerate(_get(table, "peers", list, []))),
+    )
     told, named = environ.get("PROXY_DISCOVERY"), table.get("discovery", "")
     key, service = ("discovery", named or told) if again else ("PROXY_DISCOVERY", told or named)
     return Config(
@@ -195,8 +198,9 @@
         copies=read_copies(sheet, name, frozenset(c.name for c in settings.classes)),
         reports=read_reports(sheet),
         table=table,
-        operators=_maybe_address({"admin_addr": environ.get("PROXY_ADMIN_ADDR") or table.get("admin_addr")},
-                                 "admin_addr"),
+        operators=_maybe_address(
+            {"admin_addr": environ.get("PROXY_ADMIN_ADDR") or table.get("admin_addr")}, "admin_addr"
+        ),
         shared_directory=Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None,
         peer_listen=allowed.listen,
         peer_all=_maybe_address(table, "peers_all"),
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -11,15 +11,57 @@
 
 from hollowusher.balancing.balancer import Balancer
 from hollowusher.balancing.interface import (
-    Action, Arrival, BudgetSpent, Cancel, ClientGone, Ended, Event, Fail, Log, Outcome, Probe, Probed,
-    Progress, Refuse, Send, Settings, SettingsChanged, Started, State, Wake, Watch, WorkerList, Woken,
+    Action,
+    Arrival,
+    BudgetSpent,
+    Cancel,
+    ClientGone,
+    Ended,
+    Event,
+    Fail,
+    Log,
+    Outcome,
+    Probe,
+    Probed,
+    Progress,
+    Refuse,
+    Send,
+    Settings,
+    SettingsChanged,
+    Started,
+    State,
+    Wake,
+    Watch,
+    Woken,
+    WorkerList,
 )
 from hollowusher.balancing.learned_state import Memory, remember, restore
 from hollowusher.balancing.tenant_shares import Shares
 from hollowusher.scheduler.dispatch.model import (
-    Answer, Attempt, AttemptEnded, AttemptProgress, AttemptStarted, BudgetShared, DeskEvent, Dispatch, Job,
-    JobTaken, MemoryHanded, NodeListTold, NodeProbed, Order, ProbeNode, Remark, Reply, ClientLeft,
-    SettingsTold, TimeCame, Verdict, WakeDesk, WatchNodeList, Withdraw,
+    Answer,
+    Attempt,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptStarted,
+    BudgetShared,
+    ClientLeft,
+    DeskEvent,
+    Dispatch,
+    Job,
+    JobTaken,
+    MemoryHanded,
+    NodeListTold,
+    NodeProbed,
+    Order,
+    ProbeNode,
+    Remark,
+    Reply,
+    SettingsTold,
+    TimeCame,
+    Verdict,
+    WakeDesk,
+    WatchNodeList,
+    Withdraw,
 )
 
 
@@ -60,8 +102,9 @@
 
     def avoided(self) -> frozenset[int]:
         """The workers that the module sends nothing to but trials, as far as they are in the list."""
-        return frozenset(w.id for w in self._module.workers.values()
-                         if w.suspect and w.entry.state is not State.GONE)
+        return frozenset(
+            w.id for w in self._module.workers.values() if w.suspect and w.entry.state is not State.GONE
+        )
 
     def work(self, now: int, events: Iterable[DeskEvent]) -> list[Order]:
         """Take a batch of events in one step of the module; the orders that follow."""
@@ -89,8 +132,15 @@
                 job.ticket = f"job-{self._count}"
                 self._jobs[job.ticket] = _Open(job)
                 return Arrival(
-                    job.ticket, job.job_class, max(0, job.deadline_ns - now), job.hint_ns, job.slots,
-                    job.memory, job.tenant, job.about, job.retry,
+                    job.ticket,
+                    job.job_class,
+                    max(0, job.deadline_ns - now),
+                    job.hint_ns,
+                    job.slots,
+                    job.memory,
+                    job.tenant,
+                    job.about,
+                    job.retry,
                     self._shares.over(job.tenant, job.retry, now),
                 )
             case ClientLeft(job, kept):
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hollowusher.balancing.learned_state import Memory
 from hollowusher.balancing.interface import Listed, ListKind, Outcome, Reading, Settings
+from hollowusher.balancing.learned_state import Memory
 
 
 class Verdict(Enum):
@@ -150,8 +150,17 @@
 
 
 DeskEvent = (
-    JobTaken | ClientLeft | AttemptStarted | AttemptProgress | AttemptEnded | NodeListTold | NodeProbed
-    | TimeCame | BudgetShared | SettingsTold | MemoryHanded
+    JobTaken
+    | ClientLeft
+    | AttemptStarted
+    | AttemptProgress
+    | AttemptEnded
+    | NodeListTold
+    | NodeProbed
+    | TimeCame
+    | BudgetShared
+    | SettingsTold
+    | MemoryHanded
 )
 
 
--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -80,8 +80,11 @@
     def missing(self, nodes: Iterable[RouteNode]) -> list[RouteNode]:
         """The nodes that a whole list no longer names, as gone."""
         named = {n.entry.worker for n in nodes} | self._fixed
-        return [replace(old, entry=replace(old.entry, state=State.GONE))
-                for number, old in self._nodes.items() if number not in named]
+        return [
+            replace(old, entry=replace(old.entry, state=State.GONE))
+            for number, old in self._nodes.items()
+            if number not in named
+        ]
 
     def told(self, kind: ListKind, nodes: Iterable[RouteNode]) -> NodeListTold:
         """Take what a list tells; the event for the desk, with the fixed nodes in every whole list."""
--- a/hollowusher/scheduler/effects.py
+++ b/hollowusher/scheduler/effects.py
@@ -9,7 +9,16 @@
 
 from hollowusher.balancing.interface import Outcome, State
 from hollowusher.scheduler.dispatch.model import (
-    Attempt, AttemptEnded, DeskEvent, Dispatch, NodeProbed, Order, ProbeNode, Remark, Reply, WatchNodeList,
+    Attempt,
+    AttemptEnded,
+    DeskEvent,
+    Dispatch,
+    NodeProbed,
+    Order,
+    ProbeNode,
+    Remark,
+    Reply,
+    WatchNodeList,
     Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
--- a/hollowusher/scheduler/emulator/faults/checks.py
+++ b/hollowusher/scheduler/emulator/faults/checks.py
@@ -66,11 +66,18 @@
                 open_now[act.number] = act
         for act in open_now.values():
             m = act.mishap
-            if m.what in ("cut", "hold") or (m.what == "lose" and m.amount > 0.5) or (
-                    m.what == "delay" and m.amount > 1.0):
+            if (
+                m.what in ("cut", "hold")
+                or (m.what == "lose" and m.amount > 0.5)
+                or (m.what == "delay" and m.amount > 1.0)
+            ):
                 bad |= pairs(m)
-        return [n for n in self.members if len(self._reach(n, bad)) < len(self.members)
-                or len(self._reach(n, {(b, a) for a, b in bad})) < len(self.members)]
+        return [
+            n
+            for n in self.members
+            if len(self._reach(n, bad)) < len(self.members)
+            or len(self._reach(n, {(b, a) for a, b in bad})) < len(self.members)
+        ]
 
     def _reach(self, name: str, bad: set[tuple[str, str]]) -> set[str]:
         found, rim = {name}, [name]
@@ -91,8 +98,9 @@
 
     def down(self, name: str, at: float) -> bool:
         """Whether its process does not run then."""
-        return any(since <= at < until for since, until, why in self.spans.get(name, ())
-                   if why in ("kill", "stop"))
+        return any(
+            since <= at < until for since, until, why in self.spans.get(name, ()) if why in ("kill", "stop")
+        )
 
 
 def check(
@@ -105,8 +113,9 @@
     findings += _numbers(entries)
     for entry in entries:
         if entry.what == "ended" and entry.why != "bidden":
-            findings.append(Finding(False, "no process ends unbidden", f"{entry.who} at {entry.at:.1f} s: "
-                                    f"{entry.why}"))
+            findings.append(
+                Finding(False, "no process ends unbidden", f"{entry.who} at {entry.at:.1f} s: {entry.why}")
+            )
     return findings + _jobs(entries)
 
 
@@ -115,9 +124,14 @@
         case "see" | "minority" | "majority":
             return _at(e, entries)
         case "died":
-            wrong = [f"{x.of} by {x.who} at {x.at:.1f} s" for x in entries
-                     if x.what == Change.DIED.value and x.of not in e.of and not course.down(x.who, x.at)
-                     and course.hindered(x.who, x.at, 0.0) != "cut off"]  # who hears nobody judges for itself
+            wrong = [
+                f"{x.of} by {x.who} at {x.at:.1f} s"
+                for x in entries
+                if x.what == Change.DIED.value
+                and x.of not in e.of
+                and not course.down(x.who, x.at)
+                and course.hindered(x.who, x.at, 0.0) != "cut off"
+            ]  # who hears nobody judges for itself
             return Finding(not wrong, e.text, ", ".join(wrong[:4]))
         case "told":
             missing = set(e.of) - {x.of for x in entries if x.what == e.who[0]}
@@ -153,8 +167,14 @@
             for other in course.members:
                 if other == name or course.hindered(other, at + e.amount, 0.0) or course.hindered(other, at):
                     continue
-                knew = min((x.at - at for x in entries if x.who == other and x.of == name and x.at >= at
-                            and x.what in _GONE), default=1e9)
+                knew = min(
+                    (
+                        x.at - at
+                        for x in entries
+                        if x.who == other and x.of == name and x.at >= at and x.what in _GONE
+                    ),
+                    default=1e9,
+                )
                 longest = max(longest, knew)
                 if knew > e.amount:
                     wrong.append(f"{other} after {knew:.2f} s" if knew < 1e9 else f"{other} never")
@@ -175,8 +195,13 @@
         others = {n for n in course.members if n != x.of and not course.hindered(n, x.at)}
         all_hold = x.what == Change.DIED.value and others and others <= dead[x.of]
         if all_hold and not course.hindered(x.of, x.at):
-            wrong.append(Finding(False, "who runs and can be reached is not held dead by all",
-                                 f"{x.of} at {x.at:.1f} s, the last of them {x.who}"))
+            wrong.append(
+                Finding(
+                    False,
+                    "who runs and can be reached is not held dead by all",
+                    f"{x.of} at {x.at:.1f} s, the last of them {x.who}",
+                )
+            )
     return wrong
 
 
@@ -205,7 +230,10 @@
             answers[x.of] = answers.get(x.of, 0) + 1
             if x.why in ("late", "wrong"):
                 wrong.append(Finding(False, "each job has one right answer in time", f"{x.of}: {x.why}"))
-    wrong += [Finding(False, "an unsafe job runs once at most", f"{job}: {n} runs")
-              for job, n in runs.items() if n > 1]
+    wrong += [
+        Finding(False, "an unsafe job runs once at most", f"{job}: {n} runs")
+        for job, n in runs.items()
+        if n > 1
+    ]
     wrong += [Finding(False, "each job has one answer", f"{job}: {n}") for job, n in answers.items() if n > 1]
     return wrong
--- a/hollowusher/scheduler/emulator/faults/links.py
+++ b/hollowusher/scheduler/emulator/faults/links.py
@@ -82,8 +82,11 @@
 
     def stream_wait(self, pair: Pair, size: int, now: int) -> int:
         """How long (ns) so many bytes of a stream take; asked only while the link is not blocked."""
-        return sum(self._wait(c, pair, size, now, lossy=False) or 0
-                   for c in self._on(pair) if c.kind in ("delay", "narrow"))
+        return sum(
+            self._wait(c, pair, size, now, lossy=False) or 0
+            for c in self._on(pair)
+            if c.kind in ("delay", "narrow")
+        )
 
     def _wait(self, c: Condition, pair: Pair, size: int, now: int, lossy: bool = True) -> int | None:
         if c.kind == "delay":
--- a/hollowusher/scheduler/emulator/faults/virtual.py
+++ b/hollowusher/scheduler/emulator/faults/virtual.py
@@ -18,7 +18,12 @@
     """One play of schedulers n1 to nN; the history is complete once `run` has returned."""
 
     def __init__(
-        self, members: int, mishaps: Sequence[Mishap], expects: Sequence[Expect], length_s: float, seed: int,
+        self,
+        members: int,
+        mishaps: Sequence[Mishap],
+        expects: Sequence[Expect],
+        length_s: float,
+        seed: int,
         configured: int = 0,
     ) -> None:
         self.names = [f"n{n}" for n in range(1, members + 1)]
@@ -35,8 +40,9 @@
     def run(self) -> list[Entry]:
         """Play to the end; the history."""
         self.net.run(round(self.length_s * NS))
-        told = [Entry(at / NS, who, t.change.value, t.name, t.why, t.number)
-                for at, who, t in self.net.history]
+        told = [
+            Entry(at / NS, who, t.change.value, t.name, t.why, t.number) for at, who, t in self.net.history
+        ]
         return sorted([*self.entries, *told], key=lambda e: e.at)
 
     def _tell_states(self) -> None:
@@ -45,7 +51,8 @@
             if process.up and self.net.now >= process.paused_until and isinstance(peer, Member):
                 standing = "minority" if peer.minority else "majority"
                 self.entries.append(
-                    Entry(self.net.now / NS, name, "state", ",".join(peer.present()), standing))
+                    Entry(self.net.now / NS, name, "state", ",".join(peer.present()), standing)
+                )
 
     def _do(self, act: Act) -> None:
         self.entries.append(told_of(act))
@@ -56,7 +63,8 @@
             else:
                 amount = mishap.amount * (NS if mishap.what == "delay" else 1)
                 net.links.begin(
-                    act.number, Condition(mishap.what, pairs(mishap), amount, mishap.spread_s * NS))
+                    act.number, Condition(mishap.what, pairs(mishap), amount, mishap.spread_s * NS)
+                )
         elif mishap.what in NOT_PLAYED:
             if not act.ends:
                 self.entries.append(Entry(act.at_s, RIG, "not-played", mishap.what))
@@ -88,5 +96,6 @@
     def _starve(self, name: str, share: float, until_s: float) -> None:
         if self.net.now < until_s * NS:
             self.net.pause(name, round((1 - share) * STARVED_SLICE_S * NS))
-            self.net.at(self.net.now + round(STARVED_SLICE_S * NS),
-                        lambda: self._starve(name, share, until_s))
+            self.net.at(
+                self.net.now + round(STARVED_SLICE_S * NS), lambda: self._starve(name, share, until_s)
+            )
--- a/hollowusher/scheduler/emulator/faults/words.py
+++ b/hollowusher/scheduler/emulator/faults/words.py
@@ -93,7 +93,12 @@
 _SPAN = span(0.001, 86_400)
 # What befalls links: the word and kind of its amount.  And schedulers: the same, and whether it lasts.
 ON_LINKS: dict[str, Kind | None] = {
-    "cut": None, "lose": SHARE, "double": SHARE, "delay": _SPAN, "hold": None, "narrow": size(1, 1 << 30),
+    "cut": None,
+    "lose": SHARE,
+    "double": SHARE,
+    "delay": _SPAN,
+    "hold": None,
+    "narrow": size(1, 1 << 30),
     "reset": None,
 }
 ON_MEMBERS = {"pause", "kill", "start", "restart", "stop", "starve", "flood", "twin", "rename"}
@@ -151,9 +156,16 @@
     if what in _LASTS and "for" not in found:
         raise line.fault(f"{what}: `for` is missing")
     return Mishap(
-        at_s, what, for_s=found.get("for", 0.0), every_s=found.get("every", 0.0),
-        until_s=found.get("until", at_s), spread_s=found.get("spread", 0.0), fresh=found.get("fresh", False),
-        clock_s=found.get("clock", 0.0), **fields)
+        at_s,
+        what,
+        for_s=found.get("for", 0.0),
+        every_s=found.get("every", 0.0),
+        until_s=found.get("until", at_s),
+        spread_s=found.get("spread", 0.0),
+        fresh=found.get("fresh", False),
+        clock_s=found.get("clock", 0.0),
+        **fields,
+    )
 
 
 _CHANGES = {change.value for change in Change}
--- a/hollowusher/scheduler/emulator/http1node.py
+++ b/hollowusher/scheduler/emulator/http1node.py
@@ -54,8 +54,10 @@
             writer.write(f"HTTP/1.1 {plan.how} No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".encode())
             return
         self.runs[job] += 1
-        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                     + self._chunk({"id": job, "state": "started"}))
+        writer.write(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + self._chunk({"id": job, "state": "started"})
+        )
         await asyncio.sleep(plan.run_s)
         result = plan.result if plan.result is not None else f"r:{job}"
         told: dict[str, object] = {"id": job, "state": plan.how, "result": result}
--- a/hollowusher/scheduler/emulator/http2node.py
+++ b/hollowusher/scheduler/emulator/http2node.py
@@ -20,15 +20,26 @@
 from h2.connection import H2Connection
 from h2.errors import ErrorCodes
 from h2.events import (
-    ConnectionTerminated, DataReceived, Event, RequestReceived, StreamEnded, StreamReset, WindowUpdated,
+    ConnectionTerminated,
+    DataReceived,
+    Event,
+    RequestReceived,
+    StreamEnded,
+    StreamReset,
+    WindowUpdated,
 )
 from h2.exceptions import H2Error, ProtocolError
 from h2.settings import SettingCodes, Settings
 from hyperframe.frame import Frame, GoAwayFrame
 
 ALL_STREAMS = 2**31 - 1
-_CONFIG = H2Configuration(client_side=False, validate_inbound_headers=False, validate_outbound_headers=False,
-                          normalize_outbound_headers=False, header_encoding=None)
+_CONFIG = H2Configuration(
+    client_side=False,
+    validate_inbound_headers=False,
+    validate_outbound_headers=False,
+    normalize_outbound_headers=False,
+    header_encoding=None,
+)
 
 
 @dataclass(slots=True)
@@ -81,10 +92,13 @@
 
     async def serve(self) -> None:
         """Serve until the connection ends."""
-        self.conn.local_settings = Settings(client=False, initial_values={
-            SettingCodes.MAX_CONCURRENT_STREAMS: self.node.limit,
-            SettingCodes.INITIAL_WINDOW_SIZE: self.node.window,
-        })
+        self.conn.local_settings = Settings(
+            client=False,
+            initial_values={
+                SettingCodes.MAX_CONCURRENT_STREAMS: self.node.limit,
+                SettingCodes.INITIAL_WINDOW_SIZE: self.node.window,
+            },
+        )
         self.conn.initiate_connection()
         self.flush()
         try:
@@ -212,7 +226,10 @@
     """A route node.  `plan` says of each job what becomes of it; `runs` counts by job id what it ran."""
 
     def __init__(
-        self, plan: Callable[[Job], Plan] = lambda job: Plan(), limit: int = 100, window: int = 65_535,
+        self,
+        plan: Callable[[Job], Plan] = lambda job: Plan(),
+        limit: int = 100,
+        window: int = 65_535,
     ) -> None:
         self.plan, self.limit, self.window = plan, limit, window
         self.opens_windows = True
@@ -324,7 +341,8 @@
         await session.data(job, line, plan.piece, end=not plan.report_in_trailers)
         if plan.report_in_trailers:
             session.conn.send_headers(
-                job.stream, [("x-load-report", json.dumps(plan.report))], end_stream=True)
+                job.stream, [("x-load-report", json.dumps(plan.report))], end_stream=True
+            )
             session.flush()
         session.over(job)
 
--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -21,10 +21,14 @@
 from hollowusher.scheduler.rules.log_replication.replica import Kept
 
 S = 1000 * MS
-CLASSES = {c.name: c for c in (
-    JobClass("quote", S, 5 * S, effect=Effect.SAFE),
-    JobClass("assign", S, 8 * S, effect=Effect.KEYED, group=Group.CELL, window_ns=2 * S),
-    JobClass("settle", S, 10 * S, effect=Effect.UNSAFE))}
+CLASSES = {
+    c.name: c
+    for c in (
+        JobClass("quote", S, 5 * S, effect=Effect.SAFE),
+        JobClass("assign", S, 8 * S, effect=Effect.KEYED, group=Group.CELL, window_ns=2 * S),
+        JobClass("settle", S, 10 * S, effect=Effect.UNSAFE),
+    )
+}
 BUDGET_MS = {"quote": 5_000, "assign": 8_000, "settle": 10_000}
 TICK_NS = 50 * MS
 ALONE_MS = 1_500  # after this without an answer, a client tries elsewhere
@@ -64,8 +68,14 @@
     """Some schedulers, all chance from one seed.  `make`: the keeper, or one with a planted fault."""
 
     def __init__(
-        self, size: int, seed: int, group: int = 3, storage: bool = False, loss: float = 0.0,
-        make: Callable[..., Keeper] = Keeper, custody: Callable[..., Custody] = Custody,
+        self,
+        size: int,
+        seed: int,
+        group: int = 3,
+        storage: bool = False,
+        loss: float = 0.0,
+        make: Callable[..., Keeper] = Keeper,
+        custody: Callable[..., Custody] = Custody,
         pace: Pace | None = None,
     ) -> None:
         super().__init__()
@@ -91,8 +101,16 @@
             p.disks = {}
         p.life += 1
         p.paused_until, p.inbox, p.attempts, p.work, p.handles = 0, [], Counter(), {}, {}
-        keeper = self._make(name, self.names, self.group, self.pace, random.Random(self.chance.random()),
-                            self._clock(p), CLASSES, copy.deepcopy(p.disks))
+        keeper = self._make(
+            name,
+            self.names,
+            self.group,
+            self.pace,
+            random.Random(self.chance.random()),
+            self._clock(p),
+            CLASSES,
+            copy.deepcopy(p.disks),
+        )
         p.custody = self._custody(keeper, self.names, CLASSES)
         self._after(p)
         self._tick(p, p.life)
@@ -149,8 +167,14 @@
         p = self.chance.choice(up)
         handle = (client.taken.job, client.tries, p.life, len(client.asked))
         client.asked.append((p.name, handle))
-        self.after(delay, lambda: self._do(p, lambda c: c.take(
-            self._clock(p), self._ms(), client.taken, handle, again)) if p.life == handle[2] else None)
+        self.after(
+            delay,
+            lambda: (
+                self._do(p, lambda c: c.take(self._clock(p), self._ms(), client.taken, handle, again))
+                if p.life == handle[2]
+                else None
+            ),
+        )
 
     def _again(self, job: str) -> None:
         self.clients[job].done = False
@@ -196,13 +220,23 @@
             keeper.stores = []
             sends, keeper.sends = keeper.sends, []
             for name, message in sends:
-                self._send(p.name, name, lambda c, q, m=message: c.keeper.step(  # type: ignore[misc]
-                    self._clock(q), self._ms(), m, p.name))
+                self._send(
+                    p.name,
+                    name,
+                    lambda c, q, m=message: c.keeper.step(  # type: ignore[misc]
+                        self._clock(q), self._ms(), m, p.name
+                    ),
+                )
             asks, custody.asks = custody.asks, []
             for name, ask in asks:
                 for other in [name] if name else [n for n in self.names if n != p.name]:
-                    self._send(p.name, other, lambda c, q, m=ask: c.heard(  # type: ignore[misc]
-                        self._clock(q), self._ms(), m, p.name))
+                    self._send(
+                        p.name,
+                        other,
+                        lambda c, q, m=ask: c.heard(  # type: ignore[misc]
+                            self._clock(q), self._ms(), m, p.name
+                        ),
+                    )
             self.told += [(self.now, p.name, owner, what) for owner, what in keeper.told]
             keeper.told = []
             acts, custody.acts = custody.acts, []
@@ -237,8 +271,7 @@
                     client.answers.append(act.answer)
                     client.done = True
                     if self.chance.random() < 0.2:  # it comes back for its answer
-                        self.at(self.now + round(self.chance.uniform(0.5, 5) * S),
-                                lambda: self._again(job))
+                        self.at(self.now + round(self.chance.uniform(0.5, 5) * S), lambda: self._again(job))
             case Do.GO:
                 self._run(p, self._job(act.handle))
                 if self.chance.random() < self.die_at_go and self.whole():
@@ -246,8 +279,14 @@
             case Do.NOT_SENT:
                 job = self._job(act.handle)
                 life = p.life
-                self.at(self.now + 100 * MS, lambda: self._do(p, lambda c: self._dispatch(p, c, job))
-                        if p.life == life and job in p.work else None)
+                self.at(
+                    self.now + 100 * MS,
+                    lambda: (
+                        self._do(p, lambda c: self._dispatch(p, c, job))
+                        if p.life == life and job in p.work
+                        else None
+                    ),
+                )
             case _:
                 pass
 
@@ -293,8 +332,13 @@
                 p.work.pop(job, None)
                 verdict = "failed" if fails else "served"
                 result = b"" if fails else f"r:{job}".encode()
-                c.answer(self._clock(p), self._ms(), Answered(job, verdict, self._ms(), result),
-                         p.handles.get(job), taken.until_ms)
+                c.answer(
+                    self._clock(p),
+                    self._ms(),
+                    Answered(job, verdict, self._ms(), result),
+                    p.handles.get(job),
+                    taken.until_ms,
+                )
 
             self._do(p, end)
 
@@ -322,8 +366,13 @@
         """Shares over all jobs: served, failed, nothing heard."""
         many = max(1, len(self.clients))
         served = sum(any(a.verdict == "served" for a in c.answers) for c in self.clients.values())
-        failed = sum(bool(c.answers) and all(a.verdict == "failed" for a in c.answers)
-                     for c in self.clients.values())
+        failed = sum(
+            bool(c.answers) and all(a.verdict == "failed" for a in c.answers) for c in self.clients.values()
+        )
         lost = sum(c.begun and not c.answers for c in self.clients.values())
-        return {"served": served / many, "failed": failed / many, "begun, no answer": lost / many,
-                "messages a job": self.messages / many}
+        return {
+            "served": served / many,
+            "failed": failed / many,
+            "begun, no answer": lost / many,
+            "messages a job": self.messages / many,
+        }
--- a/hollowusher/scheduler/emulator/log_replication.py
+++ b/hollowusher/scheduler/emulator/log_replication.py
@@ -44,8 +44,15 @@
     """Some copies of one log and the network between them; all chance from one seed."""
 
     def __init__(
-        self, size: int, seed: int, pace: Pace | None = None, loss: float = 0.0, storage: bool = False,
-        make: Make = Replica, drift: float = 0.01, delay_ms: tuple[float, float] = (0.2, 8.0),
+        self,
+        size: int,
+        seed: int,
+        pace: Pace | None = None,
+        loss: float = 0.0,
+        storage: bool = False,
+        make: Make = Replica,
+        drift: float = 0.01,
+        delay_ms: tuple[float, float] = (0.2, 8.0),
     ) -> None:
         super().__init__()
         self.chance, self.pace, self.storage, self._make = random.Random(seed), pace or Pace(), storage, make
@@ -74,8 +81,15 @@
             one.disk = one.old
         elif disk == "image":
             one.old = copy.deepcopy(one.disk)
-        one.replica = self._make(name, "n0", self.names, self.pace, random.Random(self.chance.random()),
-                                 self._clock(one), copy.deepcopy(one.disk))
+        one.replica = self._make(
+            name,
+            "n0",
+            self.names,
+            self.pace,
+            random.Random(self.chance.random()),
+            self._clock(one),
+            copy.deepcopy(one.disk),
+        )
         one.inbox, one.paused_until, one.made = [], 0, []
         one.applied = one.replica.commit
         self._after(one)
@@ -194,8 +208,12 @@
                 raise Broken(f"{one.name} and {self.leaders[term]} lead in term {term}")
         if replica.promises(self._clock(one)):
             for other in self.copies.values():
-                if (other is not one and other.replica is not None and self.now >= other.paused_until
-                        and other.replica.promises(self._clock(other))):
+                if (
+                    other is not one
+                    and other.replica is not None
+                    and self.now >= other.paused_until
+                    and other.replica.promises(self._clock(other))
+                ):
                     raise Broken(f"{one.name} and {other.name} both promise")
 
     def lost(self) -> list[bytes]:
@@ -210,7 +228,11 @@
 
 
 def storm(
-    net: CopyNet, seconds: int, seed: int, disks: tuple[str, ...] = ("kept",), most_down: int = 1,
+    net: CopyNet,
+    seconds: int,
+    seed: int,
+    disks: tuple[str, ...] = ("kept",),
+    most_down: int = 1,
     quiet: bool = False,
 ) -> None:
     """Faults at random for so long, then calm: crashes (of at most so many at a time), restarts, pauses,
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -8,8 +8,8 @@
 from itertools import product
 from typing import Any
 
-from hollowusher.scheduler.emulator.log_replication import Broken, CopyNet, storm
 from hollowusher.scheduler.emulator.job_replication import CustodyNet, S
+from hollowusher.scheduler.emulator.log_replication import Broken, CopyNet, storm
 from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Do, Seek
 from hollowusher.scheduler.rules.log_replication.keeper import Keeper
 from hollowusher.scheduler.rules.log_replication.messages import Ask, Entry, Learn, Taught
@@ -127,8 +127,16 @@
 
 
 REPLICAS: tuple[type[Replica], ...] = (
-    CommitByOne, VoteForgotten, NoFence, AnyVote, ForgetfulVoter, LeaseForGood, LeaseTooLong, WordBroken,
-    NotStored, EarlyPromise,
+    CommitByOne,
+    VoteForgotten,
+    NoFence,
+    AnyVote,
+    ForgetfulVoter,
+    LeaseForGood,
+    LeaseTooLong,
+    WordBroken,
+    NotStored,
+    EarlyPromise,
 )
 
 
@@ -242,7 +250,9 @@
 
 
 def find_in_jobs(
-    custody: Callable[..., Custody] = Custody, keeper: Callable[..., Keeper] = Keeper, seeds: int = 10,
+    custody: Callable[..., Custody] = Custody,
+    keeper: Callable[..., Keeper] = Keeper,
+    seeds: int = 10,
     seconds: int = 30,
 ) -> tuple[str, int]:
     """The same over jobs, clients and nodes."""
@@ -252,4 +262,3 @@
         if faults := net.faults():
             return faults[0], seed + 1
     return "", seeds
-
--- a/hollowusher/scheduler/emulator/membership.py
+++ b/hollowusher/scheduler/emulator/membership.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.emulator.faults.links import Links
+from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.rules.membership.events import Change, Told
 from hollowusher.scheduler.rules.membership.member import Member
 from hollowusher.scheduler.rules.membership.messages import MOST_LIFE, Message, message_bytes
@@ -52,8 +52,13 @@
     """Some processes and the network between them.  All chance comes from one seed."""
 
     def __init__(
-        self, names: Iterable[str], seed: int, pace: Pace | None = None, loss: float = 0.0,
-        delay_ms: tuple[float, float] = (1.8, 25.0), configured: Iterable[str] | None = None,
+        self,
+        names: Iterable[str],
+        seed: int,
+        pace: Pace | None = None,
+        loss: float = 0.0,
+        delay_ms: tuple[float, float] = (1.8, 25.0),
+        configured: Iterable[str] | None = None,
         make: Callable[[str, int], Peer] | None = None,
     ) -> None:
         super().__init__()
@@ -76,8 +81,15 @@
     def _member(self, name: str, now: int, clock_s: float = 0.0) -> Peer:
         self._starts += 1
         life = self.chance.randrange(MOST_LIFE)
-        return Member(name, life, max(0, 100_000 + now // S + round(clock_s)), self.configured, self.pace,
-                      random.Random(self.chance.random()), now)
+        return Member(
+            name,
+            life,
+            max(0, 100_000 + now // S + round(clock_s)),
+            self.configured,
+            self.pace,
+            random.Random(self.chance.random()),
+            now,
+        )
 
     def member(self, name: str, clock_s: float = 0.0) -> Peer:
         """A member that starts now, by a clock that is so far ahead."""
@@ -152,9 +164,14 @@
             if (process.name, name) in self.cuts or self.chance.random() < self.loss:
                 continue
             delay = round(self.chance.uniform(*self.delay_ms) * MS) + self.late.get(process.name, 0)
-            self.links.carry((process.name, name), message_bytes(message), self.now,
-                             lambda n=name, m=message, d=delay: self.at(  # type: ignore[misc]
-                                 self.now + d, lambda: self._arrive(n, m)))
+            self.links.carry(
+                (process.name, name),
+                message_bytes(message),
+                self.now,
+                lambda n=name, m=message, d=delay: self.at(  # type: ignore[misc]
+                    self.now + d, lambda: self._arrive(n, m)
+                ),
+            )
         when = max(self.now + 1, peer.due())
         if when != process.wake_at:
             process.wake_at = when
@@ -178,8 +195,11 @@
 
     def views(self) -> dict[str, tuple[str, ...]]:
         """Who is there, by each that runs."""
-        return {n: tuple(p.peer.present()) for n, p in self.processes.items()
-                if p.up and isinstance(p.peer, Member)}
+        return {
+            n: tuple(p.peer.present())
+            for n, p in self.processes.items()
+            if p.up and isinstance(p.peer, Member)
+        }
 
     def told(self, change: Change) -> list[tuple[int, str, Told]]:
         """All events of a kind: when, at whom, what."""
--- a/hollowusher/scheduler/emulator/membership_check.py
+++ b/hollowusher/scheduler/emulator/membership_check.py
@@ -55,8 +55,9 @@
     def copy(self) -> Trio:
         """Another one like it, that shares nothing which changes."""
         members = copy.deepcopy(self.members, {id(CHANCE): CHANCE})
-        return Trio(members, dict(self.clocks), list(self.flying), self.losses, self.restarts,
-                    dict(self.highest))
+        return Trio(
+            members, dict(self.clocks), list(self.flying), self.losses, self.restarts, dict(self.highest)
+        )
 
     def step(self, name: str, message: Message | None = None) -> None:
         """One member takes a message, or the time it asked for."""
@@ -75,8 +76,12 @@
 
     def frozen(self) -> tuple[object, ...]:
         """The state, in a form that is equal for equal ones."""
-        return (tuple(m.frozen(self.clocks[n]) for n, m in self.members.items()),
-                frozenset(Counter(self.flying).items()), self.losses, self.restarts)
+        return (
+            tuple(m.frozen(self.clocks[n]) for n, m in self.members.items()),
+            frozenset(Counter(self.flying).items()),
+            self.losses,
+            self.restarts,
+        )
 
     def wrong(self) -> str:
         """What does not hold here."""
@@ -145,8 +150,14 @@
     return {"well": trio(kind), "doubted": doubted, "dead": dead, "again": again}
 
 
-def check(depth: int, start: str = "well", losses: int = 2, restarts: int = 1, kind: type[Member] = Member,
-          most: int = 10_000_000) -> tuple[Explored[Trio], list[Trio]]:
+def check(
+    depth: int,
+    start: str = "well",
+    losses: int = 2,
+    restarts: int = 1,
+    kind: type[Member] = Member,
+    most: int = 10_000_000,
+) -> tuple[Explored[Trio], list[Trio]]:
     """Explore; what was seen, and the last states that do not settle."""
 
     def moves(state: Trio) -> Iterator[tuple[str, Callable[[], Trio]]]:
@@ -169,6 +180,7 @@
             if state.losses < losses:
                 yield f"lost: {message.kind.name} of {message.sender.name} to {name}", lose
         for name in state.members:
+
             def wait(name: str = name) -> Trio:
                 after = state.copy()
                 after.step(name)
@@ -176,6 +188,7 @@
 
             yield f"time passes at {name}", wait
         if state.restarts < restarts:
+
             def again() -> Trio:
                 after = state.copy()
                 after.restart("a", lambda n, life, inc, now: member(n, life, inc, now, kind))
--- a/hollowusher/scheduler/emulator/outside.py
+++ b/hollowusher/scheduler/emulator/outside.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-
 PORTS = range(12_000, 32_000)  # below those that the kernel gives to whoever connects
 CLAIMS = "127.0.0.77"  # a port bound here is claimed, so that plays side by side choose different ones
 _claimed: list[socket.socket] = []
@@ -20,12 +19,29 @@
 def platform_settings(grades: Sequence[Mapping[str, Any]], **changes: Any) -> dict[str, Any]:
     """The settings that the platform writes for these classes, with some changed."""
     return {
-        "grades": list(grades), "fleet_size": 1, "me": 0, "discovery": "ask", "granularity_ns": 2_000_000,
-        "caps": {"cancel": True, "probes": True, "second_copies": True, "retry_after": True,
-                 "max_retry_after_ns": 2_000_000_000, "max_attempts": 3, "connect_timeout_ns": 250_000_000,
-                 "idle_close_ns": 30_000_000_000},
-        "contract": {"drain_grace_ns": 250_000_000, "fall_multiple": 2.5, "tip_after_ns": 1_000_000_000,
-                     "cold_share": 0.12, "warm_after_ns": 24_000_000_000, "must_ask_in_ns": 10_000_000_000},
+        "grades": list(grades),
+        "fleet_size": 1,
+        "me": 0,
+        "discovery": "ask",
+        "granularity_ns": 2_000_000,
+        "caps": {
+            "cancel": True,
+            "probes": True,
+            "second_copies": True,
+            "retry_after": True,
+            "max_retry_after_ns": 2_000_000_000,
+            "max_attempts": 3,
+            "connect_timeout_ns": 250_000_000,
+            "idle_close_ns": 30_000_000_000,
+        },
+        "contract": {
+            "drain_grace_ns": 250_000_000,
+            "fall_multiple": 2.5,
+            "tip_after_ns": 1_000_000_000,
+            "cold_share": 0.12,
+            "warm_after_ns": 24_000_000_000,
+            "must_ask_in_ns": 10_000_000_000,
+        },
         **changes,
     }
 
@@ -47,8 +63,19 @@
 
 def node_rows(ports: Iterable[int]) -> list[dict[str, Any]]:
     """The node list's rows."""
-    return [{"id": f"s-{n + 1:x}", "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "k", "cell": 0,
-             "state": "SERVING", "weight": 1.0, "started_ms": 0} for n, port in enumerate(ports)]
+    return [
+        {
+            "id": f"s-{n + 1:x}",
+            "addr": f"127.0.0.1:{port}",
+            "zone": "a",
+            "kind": "k",
+            "cell": 0,
+            "state": "SERVING",
+            "weight": 1.0,
+            "started_ms": 0,
+        }
+        for n, port in enumerate(ports)
+    ]
 
 
 class NodeList:
@@ -107,7 +134,12 @@
         self.broken = 0  # jobs whose connection ended without an answer, or that got more than one
 
     async def ask(
-        self, at: float, job: str, job_class: str, budget_s: float, body: bytes = b"p" * 200,
+        self,
+        at: float,
+        job: str,
+        job_class: str,
+        budget_s: float,
+        body: bytes = b"p" * 200,
         again: bool = False,
     ) -> str:
         """One job at its time (the loop's clock); its time counts from then.  How it ended, in a word."""
@@ -117,11 +149,15 @@
         try:
             link = self._idle.pop() if self._idle else await asyncio.open_connection("127.0.0.1", self._port)
             reader, writer = link
-            writer.write((
-                f"POST /jobs/{job} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {job}\r\nX-Call-Class: {job_class}\r\n"
-                f"X-Budget: {budget_s:.3f}\r\n{MARK if again else ''}Idempotency-Key: k{job}\r\n"
-                f"Content-Length: {len(body)}\r\n\r\n"
-            ).encode() + body)
+            writer.write(
+                (
+                    f"POST /jobs/{job} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {job}\r\n"
+                    f"X-Call-Class: {job_class}\r\n"
+                    f"X-Budget: {budget_s:.3f}\r\n{MARK if again else ''}Idempotency-Key: k{job}\r\n"
+                    f"Content-Length: {len(body)}\r\n\r\n"
+                ).encode()
+                + body
+            )
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             length = int(head.lower().partition("content-length: ")[2].partition("\r\n")[0])
             result = await reader.readexactly(length)
--- a/hollowusher/scheduler/emulator/processes/board.py
+++ b/hollowusher/scheduler/emulator/processes/board.py
@@ -64,7 +64,8 @@
         """Where the first sends what is meant for the second."""
         relay = _Relay(self, pair, target)
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: relay, local_addr=("127.0.0.1", 0))
+            lambda: relay, local_addr=("127.0.0.1", 0)
+        )
         self._relays.append(relay)
         host, port = transport.get_extra_info("sockname")[:2]
         return host, port
@@ -121,8 +122,10 @@
         try:
             await self._open(pair)  # it was accepted, and nothing passes
             far_reader, far = await asyncio.open_connection(*target)
-            ways = [asyncio.create_task(self._pump(pair, reader, far)),
-                    asyncio.create_task(self._pump(back, far_reader, writer))]
+            ways = [
+                asyncio.create_task(self._pump(pair, reader, far)),
+                asyncio.create_task(self._pump(back, far_reader, writer)),
+            ]
             try:
                 await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
             finally:
--- a/hollowusher/scheduler/emulator/processes/commands.py
+++ b/hollowusher/scheduler/emulator/processes/commands.py
@@ -41,8 +41,9 @@
         folder = out or Path("found") / "faults" / f"{script.stem}-{seed}"
         shutil.rmtree(folder, ignore_errors=True)
         with click.progressbar(length=round(plan.length_s * 10), label=script.stem, file=sys.stderr) as bar:
-            play = ProcessPlay(plan, seed, folder, peers,
-                               progress=lambda at: bar.update(max(0, round(at * 10) - bar.pos)))
+            play = ProcessPlay(
+                plan, seed, folder, peers, progress=lambda at: bar.update(max(0, round(at * 10) - bar.pos))
+            )
             played = uvloop.run(play.run())
     except ConfigError as wrong:
         raise click.ClickException(str(wrong)) from None
@@ -71,16 +72,21 @@
 def members(where: str | None, conf: Path) -> None:
     """What a running scheduler sees of the others."""
     told = _report(where, conf, "members")
-    click.echo(f"{told['name']}: view {told['number']}, "
-               + ("in a minority" if told["minority"] else "in the majority")
-               + (", hears nobody" if told["deaf"] else "") + f", health {told['health']} (0 is best)")
+    click.echo(
+        f"{told['name']}: view {told['number']}, "
+        + ("in a minority" if told["minority"] else "in the majority")
+        + (", hears nobody" if told["deaf"] else "")
+        + f", health {told['health']} (0 is best)"
+    )
     rows = told["rows"]
     assert isinstance(rows, dict)
     click.echo(f"{'member':16}{'standing':10}{'incarnation':>13}{'life':>10}{'heard s ago':>13}  accused by")
     for name, row in rows.items():
         heard = f"{row['heard_s']:13.2f}" if row["heard_s"] < 3600 else f"{'never':>13}"
-        click.echo(f"{name:16}{row['standing']:10}{row['incarnation']:13}{row['life']:>10}{heard}  "
-                   f"{' '.join(row['accusers'])}")
+        click.echo(
+            f"{name:16}{row['standing']:10}{row['incarnation']:13}{row['life']:>10}{heard}  "
+            f"{' '.join(row['accusers'])}"
+        )
     absent = set(map(str, _listed(told["configured"]))) - set(map(str, _listed(told["present"])))
     if absent:
         click.echo("configured and not there: " + " ".join(sorted(absent)))
@@ -95,13 +101,17 @@
     told = _report(where, conf, "copies")
     rows = told["rows"]
     assert isinstance(rows, dict)
-    click.echo(f"{'owner':12}{'we are':10}{'leader':10}{'term':>6}{'promises':>10}{'committed':>11}"
-               f"{'open':>7}{'jobs':>8}{'bytes':>11}  lags")
+    click.echo(
+        f"{'owner':12}{'we are':10}{'leader':10}{'term':>6}{'promises':>10}{'committed':>11}"
+        f"{'open':>7}{'jobs':>8}{'bytes':>11}  lags"
+    )
     for owner, row in rows.items():
         lags = " ".join(f"{name}:{lag}" for name, lag in row["lags"].items())
-        click.echo(f"{owner:12}{row['role']:10}{row['leader']:10}{row['term']:6}"
-                   f"{'yes' if row['promises'] else 'no':>10}{row['committed']:11}{row['open']:7}"
-                   f"{row['jobs']:8}{row['bytes']:11}  {lags}")
+        click.echo(
+            f"{owner:12}{row['role']:10}{row['leader']:10}{row['term']:6}"
+            f"{'yes' if row['promises'] else 'no':>10}{row['committed']:11}{row['open']:7}"
+            f"{row['jobs']:8}{row['bytes']:11}  {lags}"
+        )
 
 
 @click.command()
@@ -149,8 +159,10 @@
     for name, value in played.figures.items():
         click.echo(f"{name:32}{value:10.2f}")
     for finding in played.findings:
-        click.echo(f"{'holds ' if finding.holds else 'BROKEN'}  {finding.what}"
-                   + (f"  ({finding.seen})" if finding.seen else ""))
+        click.echo(
+            f"{'holds ' if finding.holds else 'BROKEN'}  {finding.what}"
+            + (f"  ({finding.seen})" if finding.seen else "")
+        )
 
 
 def keep(folder: Path, plan: Script, seed: int, played: Played) -> None:
@@ -163,12 +175,13 @@
     history.write(folder / "history.jsonl", played.entries)
     rows = [[name, f"{value:.4f}"] for name, value in played.figures.items()]
     _table(folder / "figures.csv", [["figure", "value"], *rows])
-    _table(folder / "findings.csv", [["holds", "what", "seen"], *(
-        ["yes" if f.holds else "no", f.what, f.seen] for f in played.findings)])
+    _table(
+        folder / "findings.csv",
+        [["holds", "what", "seen"], *(["yes" if f.holds else "no", f.what, f.seen] for f in played.findings)],
+    )
     make(folder, plan, played.entries, played.findings)
 
 
 def _table(path: Path, rows: list[list[str]]) -> None:
     with path.open("w", newline="") as file:
         csv.writer(file, lineterminator="\n").writerows(rows)
-
--- a/hollowusher/scheduler/emulator/processes/fleet.py
+++ b/hollowusher/scheduler/emulator/processes/fleet.py
@@ -24,8 +24,10 @@
 Address = tuple[str, int]
 READY_S, END_S = 20.0, 12.0
 STARVED_SLICE_S = 0.2
-_LINE = re.compile(r"<\d+>1 \S+ \S+ hollowusher \d+ (\S+) "
-                   r"(?:-|\[[^ \]]+((?: [^ =]+=\"(?:[^\"\\]|\\.)*\")*)\]) ?(.*)")
+_LINE = re.compile(
+    r"<\d+>1 \S+ \S+ hollowusher \d+ (\S+) "
+    r"(?:-|\[[^ \]]+((?: [^ =]+=\"(?:[^\"\\]|\\.)*\")*)\]) ?(.*)"
+)
 _FIELD = re.compile(r" ([^ =]+)=\"((?:[^\"\\]|\\.)*)\"")
 _MEMBER = "member-"
 
@@ -54,8 +56,11 @@
         """Its two files."""
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "config.json").write_text(json.dumps(self.config))
-        shown = self.peers if names is None else {
-            n: a for n, a in {**self.peers, **self.later}.items() if n in names}
+        shown = (
+            self.peers
+            if names is None
+            else {n: a for n, a in {**self.peers, **self.later}.items() if n in names}
+        )
         lines = [f"[reports]\nlisten {self.reports[0]}:{self.reports[1]}"]
         if self.peers:
             lines.append(f"[peers]\nenabled yes\nlisten {self.peer_listen[0]}:{self.peer_listen[1]}")
@@ -78,17 +83,26 @@
         """Start its process; returns once it takes jobs."""
         one.bidden, one.paused, one.ready = False, False, asyncio.Event()
         one.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hollowusher.scheduler.emulator.processes.child", stderr=asyncio.subprocess.PIPE,
-            stdin=asyncio.subprocess.DEVNULL, env={
-                **os.environ, "PROXY_CONFIG": str(one.folder / "config.json"), CLOCK: str(clock_s),
-                "HOLLOWUSHER_CONF": str(one.folder / "hollowusher.conf")})
+            sys.executable,
+            "-m",
+            "hollowusher.scheduler.emulator.processes.child",
+            stderr=asyncio.subprocess.PIPE,
+            stdin=asyncio.subprocess.DEVNULL,
+            env={
+                **os.environ,
+                "PROXY_CONFIG": str(one.folder / "config.json"),
+                CLOCK: str(clock_s),
+                "HOLLOWUSHER_CONF": str(one.folder / "hollowusher.conf"),
+            },
+        )
         self._tell(Entry(self._clock(), one.name, "started"))
         one.reading = asyncio.create_task(self._read(one, one.process))
         async with asyncio.timeout(READY_S):
             await one.ready.wait()
         if one.process.returncode is not None:
-            raise ConfigError(f"{one.name}: ended with {one.process.returncode} before it took jobs: "
-                              f"{one.folder / 'log'}")
+            raise ConfigError(
+                f"{one.name}: ended with {one.process.returncode} before it took jobs: {one.folder / 'log'}"
+            )
 
     async def _read(self, one: Scheduler, process: asyncio.subprocess.Process) -> None:
         """Its log lines, until it ends."""
@@ -111,8 +125,16 @@
         if what == "ready":
             one.ready.set()
         elif what.startswith(_MEMBER):
-            self._tell(Entry(self._clock(), one.name, what[len(_MEMBER):], fields.get("member", ""), match[3],
-                             int(fields.get("view", 0))))
+            self._tell(
+                Entry(
+                    self._clock(),
+                    one.name,
+                    what[len(_MEMBER) :],
+                    fields.get("member", ""),
+                    match[3],
+                    int(fields.get("view", 0)),
+                )
+            )
         elif what.startswith("shared-"):
             self._tell(Entry(self._clock(), one.name, what, fields.get("node", ""), fields.get("weight", "")))
         elif what.endswith("-fault"):
@@ -181,6 +203,7 @@
 
     async def states(self) -> None:
         """Ask each that runs what it sees; one that does not answer tells nothing."""
+
         async def state(one: Scheduler) -> None:
             try:
                 told = await ask(one.reports, "members")
@@ -197,8 +220,13 @@
         """End all in good order."""
         for task in self._starving.values():
             task.cancel()
-        await asyncio.gather(*(self.stop(one) for one in [*self.schedulers.values(), *self.twins]
-                               if one.process is not None and one.process.returncode is None))
+        await asyncio.gather(
+            *(
+                self.stop(one)
+                for one in [*self.schedulers.values(), *self.twins]
+                if one.process is not None and one.process.returncode is None
+            )
+        )
 
     def _signal(self, one: Scheduler, number: signal.Signals, bidden: bool) -> None:
         one.bidden = bidden
@@ -218,18 +246,41 @@
 
 
 def platform_config(
-    name: str, number: int, seed: int, fleet: int, listen: Address, discovery: Address,
-    classes: list[dict[str, Any]], stretches: list[float],
+    name: str,
+    number: int,
+    seed: int,
+    fleet: int,
+    listen: Address,
+    discovery: Address,
+    classes: list[dict[str, Any]],
+    stretches: list[float],
 ) -> dict[str, Any]:
     """The platform's file for one scheduler, with the settings that a rehearsal has."""
     settings = platform_settings(
-        classes, fleet_size=fleet, me=number, az="a", zones=["a"], report={"via": "inline", "names": ["x0"]},
-        family_info={"report_x0": "free_slots", "tells_start": True, "progress_ns": 2_000_000_000,
-                     "class_stretch": stretches, "class_kind": [-1] * len(stretches),
-                     "class_priority": [0] * len(stretches)})
-    return {"name": name, "listen": f"{listen[0]}:{listen[1]}", "discovery": f"{discovery[0]}:{discovery[1]}",
-            "seed": f"{seed * 1000 + number + 1:x}", "limits": {"sockets": 512}, "settings": settings,
-            "known": {"version": 0, "full": True, "servers": []}}
+        classes,
+        fleet_size=fleet,
+        me=number,
+        az="a",
+        zones=["a"],
+        report={"via": "inline", "names": ["x0"]},
+        family_info={
+            "report_x0": "free_slots",
+            "tells_start": True,
+            "progress_ns": 2_000_000_000,
+            "class_stretch": stretches,
+            "class_kind": [-1] * len(stretches),
+            "class_priority": [0] * len(stretches),
+        },
+    )
+    return {
+        "name": name,
+        "listen": f"{listen[0]}:{listen[1]}",
+        "discovery": f"{discovery[0]}:{discovery[1]}",
+        "seed": f"{seed * 1000 + number + 1:x}",
+        "limits": {"sockets": 512},
+        "settings": settings,
+        "known": {"version": 0, "full": True, "servers": []},
+    }
 
 
 def now_s() -> float:
--- a/hollowusher/scheduler/emulator/script.py
+++ b/hollowusher/scheduler/emulator/script.py
@@ -13,10 +13,25 @@
 from typing import Any
 
 from hollowusher.balancing.interface import (
-    Discovery, Effect, Group, JobClass, Limits, Rules, Settings, State, Via,
+    Discovery,
+    Effect,
+    Group,
+    JobClass,
+    Limits,
+    Rules,
+    Settings,
+    State,
+    Via,
 )
 from hollowusher.scheduler.emulator.faults.words import (
-    MOST_MEMBERS, ON_LINKS, ON_MEMBERS, ON_NODES, Expect, Mishap, read_expect, read_mishap,
+    MOST_MEMBERS,
+    ON_LINKS,
+    ON_MEMBERS,
+    ON_NODES,
+    Expect,
+    Mishap,
+    read_expect,
+    read_mishap,
 )
 from hollowusher.scheduler.emulator.model import Kind
 from hollowusher.scheduler.emulator.traffic import Demand, Spell, draw
@@ -73,11 +88,18 @@
     def settings(self) -> Settings:
         """What the schedulers are told."""
         return Settings(
-            classes=tuple(self.classes), balancers=self.schedulers, zone="a", tick_ns=2 * MS,
-            discovery=Discovery.ASK, readings=Via.ANSWERS, reading_fields=("queue", "util", "x0"),
-            tells_start=True, progress_ns=2 * NS_PER_S,
-            rules=Rules(drain_grace_ns=250 * MS, fall_multiple=2.5, cold_share=0.12,
-                        warm_after_ns=24 * NS_PER_S),
+            classes=tuple(self.classes),
+            balancers=self.schedulers,
+            zone="a",
+            tick_ns=2 * MS,
+            discovery=Discovery.ASK,
+            readings=Via.ANSWERS,
+            reading_fields=("queue", "util", "x0"),
+            tells_start=True,
+            progress_ns=2 * NS_PER_S,
+            rules=Rules(
+                drain_grace_ns=250 * MS, fall_multiple=2.5, cold_share=0.12, warm_after_ns=24 * NS_PER_S
+            ),
             limits=Limits(True, True, True, True, 2 * NS_PER_S, 3),
         )
 
@@ -131,14 +153,27 @@
 _LENGTH = span(1.0, MOST_LENGTH_S)
 _SPAN = span(0.001, MOST_LENGTH_S)
 _NODE = {
-    "cores": count(1, 256), "speed": number(0.01, 100), "slots": number(0.1, 10_000),
-    "queue": count(0, 1_000_000), "reports": span(0, 60), "late": span(0, 60), "cold": number(0.001, 1),
+    "cores": count(1, 256),
+    "speed": number(0.01, 100),
+    "slots": number(0.1, 10_000),
+    "queue": count(0, 1_000_000),
+    "reports": span(0, 60),
+    "late": span(0, 60),
+    "cold": number(0.001, 1),
     "warm": span(0, 3600),
 }
 _CLASS = {
-    "share": number(0.001, 1_000_000), "work": _SPAN, "budget": _SPAN, "aim": _SPAN,
-    "stretch": number(0, 1000), "worth": number(0, 1_000_000), "late": number(0, 1),
-    "leaves": number(0, 1), "retries": count(0, 10), "shape": number(0.01, 1000), "window": span(0, 3600),
+    "share": number(0.001, 1_000_000),
+    "work": _SPAN,
+    "budget": _SPAN,
+    "aim": _SPAN,
+    "stretch": number(0, 1000),
+    "worth": number(0, 1_000_000),
+    "late": number(0, 1),
+    "leaves": number(0, 1),
+    "retries": count(0, 10),
+    "shape": number(0.01, 1000),
+    "window": span(0, 3600),
 }
 
 
@@ -255,8 +290,12 @@
     found = line.options(_NODE)
     cores = int(found.get("cores", 2))
     kind = Kind(
-        cores, found.get("speed", 1.0), found.get("slots", float(cores)), int(found.get("queue", 20)),
-        found.get("cold", 0.12), round(found.get("warm", 24.0) * NS_PER_S),
+        cores,
+        found.get("speed", 1.0),
+        found.get("slots", float(cores)),
+        int(found.get("queue", 20)),
+        found.get("cold", 0.12),
+        round(found.get("warm", 24.0) * NS_PER_S),
         refresh_ns=round(found.get("reports", 1.1) * NS_PER_S),
         report_late_ns=round(found.get("late", 0.0) * NS_PER_S),
     )
@@ -275,15 +314,30 @@
             raise line.fault(f"class {name}: {needed} is missing")
     if found["aim"] > found["budget"]:
         raise line.fault(f"class {name}: aim must not be above budget")
-    script.classes.append(JobClass(
-        name, round(found["aim"] * NS_PER_S), round(found["budget"] * NS_PER_S), found.get("worth", 1.0),
-        found.get("late", 0.0), found.get("stretch", 0.0), _EFFECTS[effect], Group.CELL,
-        round(found.get("window", 0.0) * NS_PER_S),
-    ))
-    script.demands.append(Demand(
-        name, found["share"], found["work"], found["budget"], found.get("shape", 1.0),
-        found.get("leaves", 0.0), int(found.get("retries", 0)),
-    ))
+    script.classes.append(
+        JobClass(
+            name,
+            round(found["aim"] * NS_PER_S),
+            round(found["budget"] * NS_PER_S),
+            found.get("worth", 1.0),
+            found.get("late", 0.0),
+            found.get("stretch", 0.0),
+            _EFFECTS[effect],
+            Group.CELL,
+            round(found.get("window", 0.0) * NS_PER_S),
+        )
+    )
+    script.demands.append(
+        Demand(
+            name,
+            found["share"],
+            found["work"],
+            found["budget"],
+            found.get("shape", 1.0),
+            found.get("leaves", 0.0),
+            int(found.get("retries", 0)),
+        )
+    )
 
 
 def _at(script: Script, line: _Line, lines: list[tuple[_Line, Trouble]], stands: int, raw: str) -> None:
@@ -320,10 +374,18 @@
         raise line.fault(f"{what}: `every` and `until` go together")
     if found.get("until", at_s) < at_s:
         raise line.fault(f"{what}: until lies before at")
-    lines.append((line, replace(
-        trouble, for_s=found.get("for", 0.0), every_s=found.get("every", 0.0),
-        until_s=found.get("until", at_s), by=found.get("by", 1.0),
-    )))
+    lines.append(
+        (
+            line,
+            replace(
+                trouble,
+                for_s=found.get("for", 0.0),
+                every_s=found.get("every", 0.0),
+                until_s=found.get("until", at_s),
+                by=found.get("by", 1.0),
+            ),
+        )
+    )
 
 
 def _numbers(line: _Line) -> tuple[int, ...]:
@@ -341,8 +403,15 @@
 
 
 _WORDS: dict[str, Callable[[Script, _Line], None]] = {
-    "seed": _seed, "length": _length, "schedulers": _schedulers, "traffic": _traffic, "nodes": _nodes,
-    "class": _class, "members": _members, "configured": _configured, "copies": _copies,
+    "seed": _seed,
+    "length": _length,
+    "schedulers": _schedulers,
+    "traffic": _traffic,
+    "nodes": _nodes,
+    "class": _class,
+    "members": _members,
+    "configured": _configured,
+    "copies": _copies,
 }
 
 
--- a/hollowusher/scheduler/emulator/shared_state.py
+++ b/hollowusher/scheduler/emulator/shared_state.py
@@ -31,8 +31,15 @@
     """So many members that share one budget of `bound` a `span`."""
 
     def __init__(
-        self, size: int, seed: int, bound: float = 100.0, span: int = S, permit: int = 80 * MS,
-        make: Make = Budgets, loss: float = 0.0, drift: float = 0.01,
+        self,
+        size: int,
+        seed: int,
+        bound: float = 100.0,
+        span: int = S,
+        permit: int = 80 * MS,
+        make: Make = Budgets,
+        loss: float = 0.0,
+        drift: float = 0.01,
     ) -> None:
         super().__init__()
         self.chance, self.bound = random.Random(seed), bound
@@ -44,8 +51,9 @@
         self.cuts: set[tuple[str, str]] = set()
         parts = [self.chance.expovariate(1.0) for _ in range(size)]
         rates = [1 + self.chance.uniform(-drift, drift) for _ in parts]
-        self.members = {f"n{i}": _Member(f"n{i}", rates[i], None, p / sum(parts))
-                        for i, p in enumerate(parts)}
+        self.members = {
+            f"n{i}": _Member(f"n{i}", rates[i], None, p / sum(parts)) for i, p in enumerate(parts)
+        }
         for name in self.members:
             self.start(name)
 
@@ -100,8 +108,7 @@
             for _ in range(1 + (self.chance.random() < 0.05)):
                 if (m.name, to) not in self.cuts and self.chance.random() >= self.loss:
                     delay = round(self.chance.choice((2, 5, 25, 25, 400)) * MS * self.chance.random())
-                    self.at(self.now + delay,
-                            lambda t=to, x=message: self._arrive(t, x, m.name))  # type: ignore[misc]
+                    self.at(self.now + delay, lambda t=to, x=message: self._arrive(t, x, m.name))  # type: ignore[misc]
 
     def _arrive(self, name: str, message: Ask | Grant, sender: str) -> None:
         m = self.members[name]
--- a/hollowusher/scheduler/emulator/traffic.py
+++ b/hollowusher/scheduler/emulator/traffic.py
@@ -69,8 +69,14 @@
             first = [float(chance["waits"].uniform(*demand.retry_wait_s)) for _ in range(demand.retries)]
             at_ns = round(at * NS_PER_S)
             gone = at_ns + round(leaves * demand.budget_s * NS_PER_S) if left < demand.leaves else None
-            jobs.append(Wanted(
-                f"{demand.name}.{len(jobs)}", demand, at_ns, max(1e-6, work), gone,
-                tuple(wait * 2**n for n, wait in enumerate(first)),
-            ))
+            jobs.append(
+                Wanted(
+                    f"{demand.name}.{len(jobs)}",
+                    demand,
+                    at_ns,
+                    max(1e-6, work),
+                    gone,
+                    tuple(wait * 2**n for n, wait in enumerate(first)),
+                )
+            )
     return jobs
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -11,13 +11,30 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-
 from hollowusher.balancing.interface import Effect, Listed, ListKind, Outcome, Reading, Settings, State
 from hollowusher.scheduler.dispatch.dispatcher import DispatchDesk
 from hollowusher.scheduler.dispatch.model import (
-    Answer, Attempt, AttemptEnded, AttemptProgress, AttemptStarted, DeskEvent, Dispatch, Job, JobTaken,
-    NodeListTold, NodeProbed, Order, ProbeNode, Remark, Reply, ClientLeft, TimeCame, Verdict, WakeDesk,
-    WatchNodeList, Withdraw,
+    Answer,
+    Attempt,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptStarted,
+    ClientLeft,
+    DeskEvent,
+    Dispatch,
+    Job,
+    JobTaken,
+    NodeListTold,
+    NodeProbed,
+    Order,
+    ProbeNode,
+    Remark,
+    Reply,
+    TimeCame,
+    Verdict,
+    WakeDesk,
+    WatchNodeList,
+    Withdraw,
 )
 from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.emulator.model import Kind, NodeModel, Told, What
@@ -249,14 +266,16 @@
 class Rehearsal:
     """A fleet, schedulers and clients on one heap."""
 
-    def __init__(self, settings: Settings, kinds: Sequence[Kind], schedulers: int, seed: int,
-                 net: Net | None = None) -> None:
+    def __init__(
+        self, settings: Settings, kinds: Sequence[Kind], schedulers: int, seed: int, net: Net | None = None
+    ) -> None:
         self.heap, self.settings, self.net = Heap(), settings, net or Net()
         self.heap.now = NS_PER_S
         self._chance = streams(seed, "net", "list", "modules")
         self._ways: Iterator[int] = iter(())
-        self.nodes = {n + 1: VirtualNode(self.heap, n + 1, kind, settings.progress_ns)
-                      for n, kind in enumerate(kinds)}
+        self.nodes = {
+            n + 1: VirtualNode(self.heap, n + 1, kind, settings.progress_ns) for n, kind in enumerate(kinds)
+        }
         self.states: dict[int, State] = {}
         self._classes = {c.name: c for c in settings.classes}
         self.unsafe = {c.name for c in settings.classes if c.effect is Effect.UNSAFE}
@@ -290,7 +309,8 @@
             return
         if node.model.down:
             self.heap.after(
-                self.net.connect_fails_ns, lambda: out.scheduler.over(out, Outcome.UNREACHABLE, None))
+                self.net.connect_fails_ns, lambda: out.scheduler.over(out, Outcome.UNREACHABLE, None)
+            )
         elif node.model.offer(self.heap.now, out, self._work[out.name]):
             node.out[out] = out
         elif not node.silent:
@@ -351,8 +371,16 @@
             if not result.gone:
                 self._answered(result, scheduler, answer, self.heap.now - begun)
 
-        job = Job(name, wanted.demand.name, f"/jobs/{wanted.name}", b"", begun, budget, answer_to,
-                  repeat_key=wanted.name)
+        job = Job(
+            name,
+            wanted.demand.name,
+            f"/jobs/{wanted.name}",
+            b"",
+            begun,
+            budget,
+            answer_to,
+            repeat_key=wanted.name,
+        )
 
         def leave() -> None:
             if not answered:
@@ -417,5 +445,3 @@
             report.suspicions += sum("is suspect" in text for _, text in scheduler.remarks)
         report.worst_10_s = min((got / asked for got, asked in windows.values() if asked), default=1.0)
         return report
-
-
--- a/hollowusher/scheduler/fronts/common.py
+++ b/hollowusher/scheduler/fronts/common.py
@@ -17,8 +17,15 @@
 MOST_NAME = 128  # characters of an id or a key
 TRAVEL_NS = 2_000_000  # a client counts its time from its sending, which is this much before its coming
 _MEANINGS = {
-    "inflight": "running", "concurrent": "running", "queue": "waiting", "depth": "waiting", "util": "busy",
-    "load_share": "busy", "qps": "served_per_s", "tps": "served_per_s", "eps": "errors_per_s",
+    "inflight": "running",
+    "concurrent": "running",
+    "queue": "waiting",
+    "depth": "waiting",
+    "util": "busy",
+    "load_share": "busy",
+    "qps": "served_per_s",
+    "tps": "served_per_s",
+    "eps": "errors_per_s",
     "err_ps": "errors_per_s",
 }
 _SERVICE = ("latency_ms", "mean_ms")  # a node's recent service time without waiting, in milliseconds
--- a/hollowusher/scheduler/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -13,12 +13,18 @@
 from typing import Any
 
 from hollowusher.balancing.interface import Effect, JobClass
-from hollowusher.scheduler.dispatch.model import Answer, DeskEvent, Job, JobTaken, ClientLeft, Verdict
+from hollowusher.scheduler.dispatch.metrics import Figures
+from hollowusher.scheduler.dispatch.model import Answer, ClientLeft, DeskEvent, Job, JobTaken, Verdict
 from hollowusher.scheduler.fronts.common import (
-    FIRST_S, MOST_NAME, REQUEST_S, TRAVEL_NS, JobIds, printable, read_budget_ns,
+    FIRST_S,
+    MOST_NAME,
+    REQUEST_S,
+    TRAVEL_NS,
+    JobIds,
+    printable,
+    read_budget_ns,
 )
 from hollowusher.scheduler.fronts.platform.http import BadInput, Request, RequestReader, answer_head
-from hollowusher.scheduler.dispatch.metrics import Figures
 from hollowusher.scheduler.log import Log
 from hollowusher.scheduler.net.link import BACKLOG, Link
 from hollowusher.scheduler.net.ring import MOST_BYTES
@@ -56,7 +62,10 @@
 
 
 def read_job(
-    request: Request, classes: Mapping[str, JobClass], now: int, answer_to: Callable[[Answer], None],
+    request: Request,
+    classes: Mapping[str, JobClass],
+    now: int,
+    answer_to: Callable[[Answer], None],
     last_ns: int | None = None,
 ) -> Job:
     """The job that a request asks for; BadInput says what is wrong with it.
@@ -85,9 +94,19 @@
     if last_ns is not None:
         left_ns = min(left_ns, last_ns - now)
     return Job(
-        job_id, job_class, request.target, request.body, now, left_ns, answer_to, repeat_key=repeat_key,
-        tenant=headers.get("x-caller", "")[:MOST_NAME], hint_ns=hint_ns,
-        slots=info.get("slots", 1.0), memory=info.get("memory", 0.0), retry=headers.get("x-again") == "1",
+        job_id,
+        job_class,
+        request.target,
+        request.body,
+        now,
+        left_ns,
+        answer_to,
+        repeat_key=repeat_key,
+        tenant=headers.get("x-caller", "")[:MOST_NAME],
+        hint_ns=hint_ns,
+        slots=info.get("slots", 1.0),
+        memory=info.get("memory", 0.0),
+        retry=headers.get("x-again") == "1",
     )
 
 
@@ -281,7 +300,8 @@
                 answered.set_result(answer)
 
         job = read_job(
-            request, self._front.classes, time.monotonic_ns(), answer_to, self._front.last_answer_ns)
+            request, self._front.classes, time.monotonic_ns(), answer_to, self._front.last_answer_ns
+        )
         job.gone = self.gone
         self._front.figures.in_flight += 1
         try:
@@ -333,7 +353,8 @@
         text = f"{bad.why}\n".encode()
         allow = "Allow: POST\r\n" if bad.status == 405 else ""
         await self._send(
-            answer_head(bad.status, len(text), True, f"Content-Type: text/plain\r\n{allow}"), text)
+            answer_head(bad.status, len(text), True, f"Content-Type: text/plain\r\n{allow}"), text
+        )
 
     async def _send(self, *parts: bytes) -> None:
         async with asyncio.timeout(SEND_S):  # one that does not read holds up nobody but itself
@@ -344,8 +365,15 @@
     """Accepts clients' connections and keeps their sessions."""
 
     def __init__(
-        self, listener: socket.socket, classes: Mapping[str, JobClass], most: int, ids: JobIds,
-        post: Callable[[DeskEvent], None], log: Log, ring: int = MOST_BYTES, figures: Figures | None = None,
+        self,
+        listener: socket.socket,
+        classes: Mapping[str, JobClass],
+        most: int,
+        ids: JobIds,
+        post: Callable[[DeskEvent], None],
+        log: Log,
+        ring: int = MOST_BYTES,
+        figures: Figures | None = None,
     ) -> None:
         """The listener is bound; clients can connect once it listens."""
         self.figures = figures or Figures(classes)
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from hollowusher.balancing.interface import Limits, ListCalls, ListKind, Rules
+from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.dispatch.model import DeskEvent, NodeListTold
 from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
 from hollowusher.scheduler.log import Log
 from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
-from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.rules.node_list import AskAgain, ListLines, ListRead, one_front, read_list
 
 CONNECT_TIMEOUT_S = 1.0
@@ -32,10 +32,17 @@
     name = "list"
 
     def __init__(
-        self, address: tuple[str, int], roster: Roster, post: Callable[[DeskEvent], None],
-        changed: Callable[[RouteNode], None], log: Log, front: Callable[[str, str], str] = one_front,
-        again: AskAgain | None = None, known: Mapping[str, Any] | None = None,
-        calls: ListCalls = CALLS, chance: Callable[[], float] = random.random,
+        self,
+        address: tuple[str, int],
+        roster: Roster,
+        post: Callable[[DeskEvent], None],
+        changed: Callable[[RouteNode], None],
+        log: Log,
+        front: Callable[[str, str], str] = one_front,
+        again: AskAgain | None = None,
+        known: Mapping[str, Any] | None = None,
+        calls: ListCalls = CALLS,
+        chance: Callable[[], float] = random.random,
     ) -> None:
         """With `again` the list is pushed: the address is an agent of our own machine, which this watch asks
         by itself; without, the desk says when the one service of all schedulers is asked."""
@@ -113,8 +120,11 @@
 
     def report(self) -> Mapping[str, object]:
         """The list held, and whether a watch on it stands."""
-        return {"version": self._version, "watched": self._standing is not None,
-                "service": f"{self._address[0]}:{self._address[1]}"}
+        return {
+            "version": self._version,
+            "watched": self._standing is not None,
+            "service": f"{self._address[0]}:{self._address[1]}",
+        }
 
     async def _watch(self, address: tuple[str, int], version: int) -> None:
         link: Link | None = None
--- a/hollowusher/scheduler/fronts/platform/http2.py
+++ b/hollowusher/scheduler/fronts/platform/http2.py
@@ -43,8 +43,11 @@
     What differs from job to job stays out of the compression's table: it would push out what does not."""
     own = NeverIndexedHeaderTuple
     headers = [
-        (b":method", b"POST"), (b":scheme", b"http"), (b":authority", host.encode("latin-1")),
-        own(b":path", subject.encode("latin-1")), own(b"x-call-id", job_id.encode("latin-1")),
+        (b":method", b"POST"),
+        (b":scheme", b"http"),
+        (b":authority", host.encode("latin-1")),
+        own(b":path", subject.encode("latin-1")),
+        own(b"x-call-id", job_id.encode("latin-1")),
         own(b"x-budget", b"%.3f" % left_s),
     ]
     if key:
@@ -145,8 +148,13 @@
     """Carries attempts and probes to nodes over shared connections."""
 
     def __init__(
-        self, roster: Roster, carrier: Carrier, http1: PlatformNodes, meanings: Mapping[str, str],
-        post: Callable[[DeskEvent], None], log: Log,
+        self,
+        roster: Roster,
+        carrier: Carrier,
+        http1: PlatformNodes,
+        meanings: Mapping[str, str],
+        post: Callable[[DeskEvent], None],
+        log: Log,
     ) -> None:
         self._roster, self._carrier, self._http1 = roster, carrier, http1
         self._meanings, self._post, self._log = meanings, post, log
@@ -179,8 +187,12 @@
 
         answer = JobAnswer(order, self._meanings, self._post)
         exchange = Exchange[Ending](
-            headers, job.body, answer, until_ns - LAST_MOMENT_NS,
-            lambda: self._roster.serving(number) and order.may_begin(time.monotonic_ns()))
+            headers,
+            job.body,
+            answer,
+            until_ns - LAST_MOMENT_NS,
+            lambda: self._roster.serving(number) and order.may_begin(time.monotonic_ns()),
+        )
         answer.settle = exchange.settle
         streams = self._carrier.to(number, node.name, node.address)
         try:
@@ -195,8 +207,14 @@
         if isinstance(how, Outcome):
             return Ending(how)
         if how in (Why.FULL, Why.WAITED):
-            self._log.warning("h2-turned-back", "a job went back unsent for want of a stream", node=node.name,
-                              why=how.value, waiting=streams.book.waiting, open=streams.book.open_streams)
+            self._log.warning(
+                "h2-turned-back",
+                "a job went back unsent for want of a stream",
+                node=node.name,
+                why=how.value,
+                waiting=streams.book.waiting,
+                open=streams.book.open_streams,
+            )
         return Ending(Outcome.UNREACHABLE if how is Why.UNREACHABLE else Outcome.NOT_SENT)
 
     async def probe(self, node: RouteNode) -> None:
@@ -208,8 +226,13 @@
         host = f"{node.address[0]}:{node.address[1]}".encode("latin-1")
         headers = [(b":method", b"GET"), (b":scheme", b"http"), (b":authority", host), (b":path", b"/-/load")]
         exchange = Exchange[tuple[bool, Reading | None]](
-            lambda: headers, b"", ProbeAnswer(self._meanings),
-            time.monotonic_ns() + round(PROBE_TIMEOUT_S * 1e9), lambda: True, urgent=True)
+            lambda: headers,
+            b"",
+            ProbeAnswer(self._meanings),
+            time.monotonic_ns() + round(PROBE_TIMEOUT_S * 1e9),
+            lambda: True,
+            urgent=True,
+        )
         streams, ok, reading = self._carrier.to(number, node.name, node.address), False, None
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
--- a/hollowusher/scheduler/fronts/platform/nodes.py
+++ b/hollowusher/scheduler/fronts/platform/nodes.py
@@ -36,8 +36,13 @@
     """Carries attempts and probes to nodes over pooled connections."""
 
     def __init__(
-        self, roster: Roster, pool: Pool, meanings: Mapping[str, str], post: Callable[[DeskEvent], None],
-        log: Log, figures: Figures | None = None,
+        self,
+        roster: Roster,
+        pool: Pool,
+        meanings: Mapping[str, str],
+        post: Callable[[DeskEvent], None],
+        log: Log,
+        figures: Figures | None = None,
     ) -> None:
         self._roster, self._pool, self._meanings, self._post, self._log = roster, pool, meanings, post, log
         self._figures = figures or Figures()
--- a/hollowusher/scheduler/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -17,13 +17,18 @@
 from functools import partial
 
 from hollowusher.balancing.interface import Effect, JobClass
-from hollowusher.scheduler.fronts.stomp.settings import StompConfig
-from hollowusher.scheduler.dispatch.model import Answer, DeskEvent, Job, JobTaken, ClientLeft, Verdict
+from hollowusher.scheduler.dispatch.model import Answer, ClientLeft, DeskEvent, Job, JobTaken, Verdict
 from hollowusher.scheduler.fronts.common import (
-    FIRST_S, REQUEST_S, TRAVEL_NS, JobIds, printable, read_budget_ns,
+    FIRST_S,
+    REQUEST_S,
+    TRAVEL_NS,
+    JobIds,
+    printable,
+    read_budget_ns,
 )
 from hollowusher.scheduler.fronts.stomp.frames import FROM_CLIENT, Frame, FrameError
 from hollowusher.scheduler.fronts.stomp.job_table import Entry, Finding, Ledger, fingerprint
+from hollowusher.scheduler.fronts.stomp.settings import StompConfig
 from hollowusher.scheduler.fronts.stomp.wire import StompLink, read_beat
 from hollowusher.scheduler.log import Log
 from hollowusher.scheduler.net.link import Link
@@ -150,8 +155,11 @@
         subscription, ack = next(iter(self._subscriptions.items()))
         number = f"{self._front.next_number()}"
         headers = {
-            "subscription": subscription, "message-id": number, "destination": ANSWERS,
-            "job-id": waiter.job_id, "verdict": answer.verdict.value,
+            "subscription": subscription,
+            "message-id": number,
+            "destination": ANSWERS,
+            "job-id": waiter.job_id,
+            "verdict": answer.verdict.value,
         }
         if waiter.receipt:
             headers["answers-receipt"] = waiter.receipt
@@ -189,10 +197,17 @@
         frame.need("host")
         self.identity = _printable(frame, "login", frame.need("login"))
         theirs, ours = read_beat(frame), self._front.config.heart_beat_ms
-        self._wire.put(Frame("CONNECTED", {
-            "version": "1.2", "heart-beat": f"{ours},{ours}", "server": "hollowusher",
-            "session": f"{self._front.next_number()}",
-        }))
+        self._wire.put(
+            Frame(
+                "CONNECTED",
+                {
+                    "version": "1.2",
+                    "heart-beat": f"{ours},{ours}",
+                    "server": "hollowusher",
+                    "session": f"{self._front.next_number()}",
+                },
+            )
+        )
         self._wire.agree(ours, theirs)
         self._connected = True
 
@@ -251,8 +266,14 @@
             raise FrameError("this job-class needs a repeat-key", receipt)
         now = time.monotonic_ns()
         job = Job(
-            job_id, name, subject, frame.body, now, self._budget_ns(frame) - TRAVEL_NS,
-            lambda answer: None, repeat_key,
+            job_id,
+            name,
+            subject,
+            frame.body,
+            now,
+            self._budget_ns(frame) - TRAVEL_NS,
+            lambda answer: None,
+            repeat_key,
         )
         waiter = Waiter(self, job_id, receipt)
         taken = (lambda: self._wire.put(Frame("RECEIPT", {"receipt-id": receipt}))) if receipt else None
@@ -269,14 +290,22 @@
     """Accepts clients and keeps the ledger that all their sessions share."""
 
     def __init__(
-        self, listener: socket.socket, classes: Mapping[str, JobClass], config: StompConfig,
-        max_wait_ns: int, ids: JobIds, post: Callable[[DeskEvent], None], log: Log,
+        self,
+        listener: socket.socket,
+        classes: Mapping[str, JobClass],
+        config: StompConfig,
+        max_wait_ns: int,
+        ids: JobIds,
+        post: Callable[[DeskEvent], None],
+        log: Log,
     ) -> None:
         self._listener, self.classes, self.config = listener, classes, config
         self._full_wait_ns = min(FULL_WAIT_NS, max_wait_ns)
         self._ids, self._post, self.log = ids, post, log
         self.ledger = Ledger(
-            config.ledger_jobs, config.ledger_bytes, round(config.unsafe_window_s * 1e9),
+            config.ledger_jobs,
+            config.ledger_bytes,
+            round(config.unsafe_window_s * 1e9),
             round(config.keep_s * 1e9),
         )
         self._sessions: dict[ClientSession, None] = {}  # the oldest first
--- a/hollowusher/scheduler/fronts/stomp/frames.py
+++ b/hollowusher/scheduler/fronts/stomp/frames.py
@@ -9,10 +9,21 @@
 MOST_HEAD = 8 * 1024
 MOST_HEADERS = 64
 MOST_BODY = 64 * 1024
-FROM_CLIENT = frozenset((
-    "CONNECT", "STOMP", "SEND", "SUBSCRIBE", "UNSUBSCRIBE", "ACK", "NACK", "BEGIN", "COMMIT", "ABORT",
-    "DISCONNECT",
-))
+FROM_CLIENT = frozenset(
+    (
+        "CONNECT",
+        "STOMP",
+        "SEND",
+        "SUBSCRIBE",
+        "UNSUBSCRIBE",
+        "ACK",
+        "NACK",
+        "BEGIN",
+        "COMMIT",
+        "ABORT",
+        "DISCONNECT",
+    )
+)
 FROM_SERVER = frozenset(("CONNECTED", "MESSAGE", "RECEIPT", "ERROR"))
 _BARE = frozenset(("CONNECT", "CONNECTED"))  # not escaped, for the sake of 1.0 peers
 _WITH_BODY = frozenset(("SEND", "MESSAGE", "ERROR"))
--- a/hollowusher/scheduler/fronts/stomp/front.py
+++ b/hollowusher/scheduler/fronts/stomp/front.py
@@ -11,8 +11,8 @@
 from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
 from hollowusher.scheduler.effects import Floor
 from hollowusher.scheduler.fronts.common import JobIds
-from hollowusher.scheduler.fronts.stomp.nodes import StompNodes
 from hollowusher.scheduler.fronts.stomp.clients import StompClients
+from hollowusher.scheduler.fronts.stomp.nodes import StompNodes
 from hollowusher.scheduler.log import Log
 from hollowusher.scheduler.net.link import listen
 
@@ -23,7 +23,12 @@
     name = "stomp"
 
     def __init__(
-        self, config: Config, roster: Roster, floor: Floor, ids: JobIds, post: Callable[[DeskEvent], None],
+        self,
+        config: Config,
+        roster: Roster,
+        floor: Floor,
+        ids: JobIds,
+        post: Callable[[DeskEvent], None],
         log: Log,
     ) -> None:
         stomp = config.stomp
--- a/hollowusher/scheduler/fronts/stomp/nodes.py
+++ b/hollowusher/scheduler/fronts/stomp/nodes.py
@@ -16,7 +16,12 @@
 
 from hollowusher.balancing.interface import Outcome, State
 from hollowusher.scheduler.dispatch.model import (
-    AttemptEnded, AttemptProgress, AttemptStarted, DeskEvent, Dispatch, NodeProbed,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptStarted,
+    DeskEvent,
+    Dispatch,
+    NodeProbed,
 )
 from hollowusher.scheduler.dispatch.worker_registry import Roster, RouteNode
 from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, Ending, read_load
@@ -69,8 +74,14 @@
     """Carries attempts and probes to STOMP nodes, and tells the roster of their drains and starts."""
 
     def __init__(
-        self, roster: Roster, meanings: Mapping[str, str], post: Callable[[DeskEvent], None], log: Log,
-        name: str, heart_beat_ms: int, connect_timeout_s: float,
+        self,
+        roster: Roster,
+        meanings: Mapping[str, str],
+        post: Callable[[DeskEvent], None],
+        log: Log,
+        name: str,
+        heart_beat_ms: int,
+        connect_timeout_s: float,
     ) -> None:
         self._roster, self._meanings, self._post, self._log = roster, meanings, post, log
         self._name, self._beat_ms, self._connect_timeout_s = name, heart_beat_ms, connect_timeout_s
@@ -106,15 +117,20 @@
             async with asyncio.timeout(max(0.0, left_ns / 1e9)):
                 session = await self._session(node)
                 session.attempts[name] = under_way
-                session.wire.put_out(Outgoing(
-                    self._job_frame(name, order),
-                    # Asked just before the first byte: while the connection came up or other frames were
-                    # written the node may have begun to drain, the desk have withdrawn the attempt, the
-                    # client have left, or the window of a repeat have run out.
-                    lambda: (self._roster.serving(order.attempt.node) and not under_way.withdrawn
-                             and order.may_begin(time.monotonic_ns())),
-                    under_way.fate,
-                ))
+                session.wire.put_out(
+                    Outgoing(
+                        self._job_frame(name, order),
+                        # Asked just before the first byte: while the connection came up or other frames were
+                        # written the node may have begun to drain, the desk have withdrawn the attempt, the
+                        # client have left, or the window of a repeat have run out.
+                        lambda: (
+                            self._roster.serving(order.attempt.node)
+                            and not under_way.withdrawn
+                            and order.may_begin(time.monotonic_ns())
+                        ),
+                        under_way.fate,
+                    )
+                )
                 ending = await under_way.ending
         except TimeoutError:
             ending = Ending(Outcome.TIMEOUT if under_way.written else Outcome.UNREACHABLE)
@@ -160,8 +176,12 @@
         job = order.job
         left_s = max(0.001, (job.deadline_ns - time.monotonic_ns()) / 1e9)
         headers = {
-            "destination": NODE_JOBS, "attempt": name, "job-id": job.job_id, "job-class": job.job_class,
-            "subject": job.subject, "budget": f"{left_s:.3f}",
+            "destination": NODE_JOBS,
+            "attempt": name,
+            "job-id": job.job_id,
+            "job-class": job.job_class,
+            "subject": job.subject,
+            "budget": f"{left_s:.3f}",
         }
         if job.repeat_key:
             headers["repeat-key"] = job.repeat_key
@@ -182,10 +202,17 @@
         writer = asyncio.create_task(wire.write())
         try:
             async with asyncio.timeout(2 * self._connect_timeout_s):
-                wire.put(Frame("CONNECT", {
-                    "accept-version": "1.2", "host": node.name, "login": self._name,
-                    "heart-beat": f"{self._beat_ms},{self._beat_ms}",
-                }))
+                wire.put(
+                    Frame(
+                        "CONNECT",
+                        {
+                            "accept-version": "1.2",
+                            "host": node.name,
+                            "login": self._name,
+                            "heart-beat": f"{self._beat_ms},{self._beat_ms}",
+                        },
+                    )
+                )
                 hello = await wire.receive()
             if hello.command != "CONNECTED" or hello.headers.get("version") != "1.2":
                 raise ConnectionAbortedError(f"{node.name} does not speak STOMP 1.2")
--- a/hollowusher/scheduler/fronts/stomp/settings.py
+++ b/hollowusher/scheduler/fronts/stomp/settings.py
@@ -5,7 +5,15 @@
 from dataclasses import dataclass
 
 from hollowusher.scheduler.settings.model import (
-    Directive, Section, address, count, number, size, span, switch, word,
+    Directive,
+    Section,
+    address,
+    count,
+    number,
+    size,
+    span,
+    switch,
+    word,
 )
 from hollowusher.scheduler.settings.reader import Sheet
 
@@ -38,36 +46,66 @@
 
 
 _BASE = StompConfig()
-STOMP = Section("stomp", "The STOMP front (docs/stomp.md). Off on the platform.", (
-    Directive("enabled", switch(), _BASE.enabled, "whether the front runs"),
-    Directive("listen", address(), _BASE.listen, "where clients connect"),
-    Directive("heart-beat", span(0, 600), _BASE.heart_beat_ms / 1000,
-              "the longest silence either side promises; 0: none"),
-    Directive("most-clients", count(1, 400), _BASE.most_clients, "clients connected at a time"),
-    Directive("ledger-jobs", count(1, 100_000), _BASE.ledger_jobs,
-              "jobs that the ledger remembers; when it is full, new jobs are refused"),
-    Directive("ledger-bytes", size(1 << 17, 64 << 20), _BASE.ledger_bytes,
-              "bytes of answers and fingerprints that it remembers"),
-    Directive("unsafe-window", span(1, 86_400), _BASE.unsafe_window_s,
-              "how long the entry of a job that must not run twice is kept after its answer"),
-    Directive("keep", span(1, 86_400), _BASE.keep_s, "and one of any other class"),
-))
-STOMP_NODE = Section("stomp-node", "A route node that speaks STOMP; the title is its name.", (
-    Directive("address", address(), None, "where the node listens", needed=True),
-    Directive("zone", word(), "", "the node's zone"),
-    Directive("kind", word(), "", "its machine kind"),
-    Directive("cell", count(0, 1_000_000), 0, "its rack"),
-    Directive("size", number(0.001, 1_000_000), 1.0, "its size beside the others'"),
-), titled=True)
+STOMP = Section(
+    "stomp",
+    "The STOMP front (docs/stomp.md). Off on the platform.",
+    (
+        Directive("enabled", switch(), _BASE.enabled, "whether the front runs"),
+        Directive("listen", address(), _BASE.listen, "where clients connect"),
+        Directive(
+            "heart-beat",
+            span(0, 600),
+            _BASE.heart_beat_ms / 1000,
+            "the longest silence either side promises; 0: none",
+        ),
+        Directive("most-clients", count(1, 400), _BASE.most_clients, "clients connected at a time"),
+        Directive(
+            "ledger-jobs",
+            count(1, 100_000),
+            _BASE.ledger_jobs,
+            "jobs that the ledger remembers; when it is full, new jobs are refused",
+        ),
+        Directive(
+            "ledger-bytes",
+            size(1 << 17, 64 << 20),
+            _BASE.ledger_bytes,
+            "bytes of answers and fingerprints that it remembers",
+        ),
+        Directive(
+            "unsafe-window",
+            span(1, 86_400),
+            _BASE.unsafe_window_s,
+            "how long the entry of a job that must not run twice is kept after its answer",
+        ),
+        Directive("keep", span(1, 86_400), _BASE.keep_s, "and one of any other class"),
+    ),
+)
+STOMP_NODE = Section(
+    "stomp-node",
+    "A route node that speaks STOMP; the title is its name.",
+    (
+        Directive("address", address(), None, "where the node listens", needed=True),
+        Directive("zone", word(), "", "the node's zone"),
+        Directive("kind", word(), "", "its machine kind"),
+        Directive("cell", count(0, 1_000_000), 0, "its rack"),
+        Directive("size", number(0.001, 1_000_000), 1.0, "its size beside the others'"),
+    ),
+    titled=True,
+)
 
 
 def read_stomp(sheet: Sheet) -> StompConfig:
     """The front's settings."""
     own = sheet.one(STOMP)
     return StompConfig(
-        enabled=own["enabled"], listen=own["listen"], heart_beat_ms=round(own["heart-beat"] * 1000),
-        most_clients=own["most-clients"], ledger_jobs=own["ledger-jobs"],
-        ledger_bytes=own["ledger-bytes"], unsafe_window_s=own["unsafe-window"], keep_s=own["keep"],
+        enabled=own["enabled"],
+        listen=own["listen"],
+        heart_beat_ms=round(own["heart-beat"] * 1000),
+        most_clients=own["most-clients"],
+        ledger_jobs=own["ledger-jobs"],
+        ledger_bytes=own["ledger-bytes"],
+        unsafe_window_s=own["unsafe-window"],
+        keep_s=own["keep"],
         nodes=tuple(
             StompNode(b.title, b["address"], b["zone"], b["kind"], b["cell"], b["size"])
             for b in sheet.all(STOMP_NODE)
--- a/hollowusher/scheduler/log.py
+++ b/hollowusher/scheduler/log.py
@@ -54,8 +54,12 @@
     Lines leave by a queue and writes that do not block: no reader, however slow, holds up a job."""
 
     def __init__(
-        self, host: str, per_s: float = 5.0, burst: float = 20.0,
-        forward: tuple[str, int] | None = None, clock: Callable[[], float] = time.monotonic,
+        self,
+        host: str,
+        per_s: float = 5.0,
+        burst: float = 20.0,
+        forward: tuple[str, int] | None = None,
+        clock: Callable[[], float] = time.monotonic,
         outlet: Outlet | None = None,
     ) -> None:
         self._host, self._per_s, self._burst, self._clock = host, per_s, burst, clock
@@ -112,5 +116,11 @@
                 self._forward.send(line.encode())
 
     def _dropped(self, count: int) -> str:
-        return message(_WARNING, datetime.now(UTC), self._host, "log-dropped",
-                       "the reader of this log stalled; lines were dropped", {"lines": str(count)})
+        return message(
+            _WARNING,
+            datetime.now(UTC),
+            self._host,
+            "log-dropped",
+            "the reader of this log stalled; lines were dropped",
+            {"lines": str(count)},
+        )
--- a/hollowusher/scheduler/logs/outlet.py
+++ b/hollowusher/scheduler/logs/outlet.py
@@ -29,8 +29,12 @@
     """
 
     def __init__(
-        self, descriptor: int, dropped: Callable[[int], str],
-        most_lines: int = MOST_LINES, most_bytes: int = MOST_BYTES, later: Later | None = None,
+        self,
+        descriptor: int,
+        dropped: Callable[[int], str],
+        most_lines: int = MOST_LINES,
+        most_bytes: int = MOST_BYTES,
+        later: Later | None = None,
     ) -> None:
         self._descriptor, self._dropped = descriptor, dropped
         self._most_lines, self._most_bytes = most_lines, most_bytes
--- a/hollowusher/scheduler/net/accept.py
+++ b/hollowusher/scheduler/net/accept.py
@@ -15,8 +15,12 @@
     """`serve` is called with each connection, and closes it."""
 
     def __init__(
-        self, address: tuple[str, int], serve: Callable[[Link], Coroutine[None, None, None]], most: int,
-        ring: int = MOST_BYTES, make_room: bool = False,
+        self,
+        address: tuple[str, int],
+        serve: Callable[[Link], Coroutine[None, None, None]],
+        most: int,
+        ring: int = MOST_BYTES,
+        make_room: bool = False,
     ) -> None:
         """At most so many at a time; more are closed at once, or the oldest is, to `make_room`."""
         self._address, self._serve, self._most, self._ring = address, serve, most, ring
--- a/hollowusher/scheduler/net/http2/exchange.py
+++ b/hollowusher/scheduler/net/http2/exchange.py
@@ -39,13 +39,34 @@
     """
 
     __slots__ = (
-        "answer", "answered", "begun_ns", "body", "connection", "end_at", "headers", "interim", "may_begin",
-        "result", "sent", "settled", "settled_ns", "stream", "tell", "unread", "until_ns", "urgent",
+        "answer",
+        "answered",
+        "begun_ns",
+        "body",
+        "connection",
+        "end_at",
+        "headers",
+        "interim",
+        "may_begin",
+        "result",
+        "sent",
+        "settled",
+        "settled_ns",
+        "stream",
+        "tell",
+        "unread",
+        "until_ns",
+        "urgent",
     )
 
     def __init__(
-        self, headers: Callable[[], list[tuple[bytes, bytes]]], body: bytes, answer: Answer[T], until_ns: int,
-        may_begin: Callable[[], bool], urgent: bool = False,
+        self,
+        headers: Callable[[], list[tuple[bytes, bytes]]],
+        body: bytes,
+        answer: Answer[T],
+        until_ns: int,
+        may_begin: Callable[[], bool],
+        urgent: bool = False,
     ) -> None:
         self.headers, self.body, self.answer = headers, body, answer
         self.until_ns, self.may_begin, self.urgent = until_ns, may_begin, urgent
--- a/hollowusher/scheduler/net/http2/guarded.py
+++ b/hollowusher/scheduler/net/http2/guarded.py
@@ -17,8 +17,16 @@
 from h2.settings import SettingCodes, Settings
 from hpack import Encoder
 from hyperframe.frame import (
-    DataFrame, ExtensionFrame, Frame, GoAwayFrame, HeadersFrame, PingFrame, PriorityFrame, RstStreamFrame,
-    SettingsFrame, WindowUpdateFrame,
+    DataFrame,
+    ExtensionFrame,
+    Frame,
+    GoAwayFrame,
+    HeadersFrame,
+    PingFrame,
+    PriorityFrame,
+    RstStreamFrame,
+    SettingsFrame,
+    WindowUpdateFrame,
 )
 
 STREAM_WINDOW = 128 * 1024  # bytes of one answer that may be under way: two results of the largest size
@@ -28,8 +36,11 @@
 _CONTROL = (SettingsFrame, PingFrame, RstStreamFrame, PriorityFrame, WindowUpdateFrame, ExtensionFrame)
 # Our own headers are right as they are, and of the node's only four are read, each by its exact name.
 _CONFIG = H2Configuration(
-    client_side=True, validate_outbound_headers=False, normalize_outbound_headers=False,
-    validate_inbound_headers=False, normalize_inbound_headers=False,
+    client_side=True,
+    validate_outbound_headers=False,
+    normalize_outbound_headers=False,
+    validate_inbound_headers=False,
+    normalize_inbound_headers=False,
 )
 
 
@@ -61,12 +72,15 @@
         super().__init__(_CONFIG)
         self._spend = spend
         self._greeted = False
-        self.local_settings = Settings(client=True, initial_values={
-            SettingCodes.ENABLE_PUSH: 0,
-            SettingCodes.MAX_CONCURRENT_STREAMS: 0,
-            SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW,
-            SettingCodes.MAX_HEADER_LIST_SIZE: HEADER_BYTES,
-        })
+        self.local_settings = Settings(
+            client=True,
+            initial_values={
+                SettingCodes.ENABLE_PUSH: 0,
+                SettingCodes.MAX_CONCURRENT_STREAMS: 0,
+                SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW,
+                SettingCodes.MAX_HEADER_LIST_SIZE: HEADER_BYTES,
+            },
+        )
         self.decoder.max_header_list_size = HEADER_BYTES
         self.encoder = PlainEncoder()
 
--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -14,8 +14,15 @@
 
 from h2.errors import ErrorCodes
 from h2.events import (
-    ConnectionTerminated, DataReceived, Event, InformationalResponseReceived, RemoteSettingsChanged,
-    ResponseReceived, StreamEnded, StreamReset, TrailersReceived,
+    ConnectionTerminated,
+    DataReceived,
+    Event,
+    InformationalResponseReceived,
+    RemoteSettingsChanged,
+    ResponseReceived,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
 )
 from h2.exceptions import H2Error, NoAvailableStreamIDError, TooManyStreamsError
 
@@ -63,7 +70,11 @@
     """The connection.  `wake` is called when there is something to make."""
 
     def __init__(
-        self, number: int, config: Http2Config, owner: Owner, clock: Callable[[], int],
+        self,
+        number: int,
+        config: Http2Config,
+        owner: Owner,
+        clock: Callable[[], int],
         wake: Callable[[], None],
     ) -> None:
         now = clock()
@@ -219,8 +230,9 @@
     def _told(self, event: Event) -> None:
         if isinstance(event, DataReceived):
             self._data(event)
-        elif isinstance(event, ResponseReceived | TrailersReceived | InformationalResponseReceived |
-        StreamEnded):
+        elif isinstance(
+            event, ResponseReceived | TrailersReceived | InformationalResponseReceived | StreamEnded
+        ):
             if (exchange := self._streams.get(event.stream_id or 0)) is not None:
                 self._answer(exchange, event)
         elif isinstance(event, StreamReset):
--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -9,15 +9,24 @@
 from typing import Any, TypeVar
 
 from hollowusher.balancing.interface import Outcome
+from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.log import Log
 from hollowusher.scheduler.net.http2.exchange import Exchange
 from hollowusher.scheduler.net.http2.session import Session
 from hollowusher.scheduler.net.http2.settings import Http2Config
 from hollowusher.scheduler.net.http2.wire import Wire
 from hollowusher.scheduler.net.pool import NoRoom, Pool
-from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.rules.stream_ends import Cause, outcome
-from hollowusher.scheduler.rules.streams import Act, Close, Give, Open, StreamBook, StreamLimits, TurnBack, Why
+from hollowusher.scheduler.rules.streams import (
+    Act,
+    Close,
+    Give,
+    Open,
+    StreamBook,
+    StreamLimits,
+    TurnBack,
+    Why,
+)
 
 T = TypeVar("T")
 BEAT_S = 0.1  # between two looks at what is open or waits
@@ -42,10 +51,16 @@
     ) -> None:
         self.name, self.address = name, address
         self._config, self._pool, self._log = config, pool, log
-        self.book = StreamBook(StreamLimits(
-            config.connections, config.streams, config.waiting, round(config.stream_wait_s * 1e9),
-            round(pool.idle_s * 1e9), config.used_most,
-        ))
+        self.book = StreamBook(
+            StreamLimits(
+                config.connections,
+                config.streams,
+                config.waiting,
+                round(config.stream_wait_s * 1e9),
+                round(pool.idle_s * 1e9),
+                config.used_most,
+            )
+        )
         self.counts = Counts()
         self._wires: dict[int, Wire] = {}
         self._opening: set[asyncio.Task[None]] = set()
@@ -100,7 +115,8 @@
         self._do(self.book.leaving(time.monotonic_ns()))
         wires, self._wires = list(self._wires.values()), {}
         await asyncio.gather(
-            *(wire.part() for wire in wires), *self._opening, *self._parting, return_exceptions=True)
+            *(wire.part() for wire in wires), *self._opening, *self._parting, return_exceptions=True
+        )
 
     # --- what the book orders
 
@@ -159,8 +175,13 @@
         """See `Owner`."""
         if code is not None:
             self.counts.goaways += 1
-            self._log.info("h2-goaway", "the node takes nothing more on a connection", node=self.name,
-                           code=code, above=above)
+            self._log.info(
+                "h2-goaway",
+                "the node takes nothing more on a connection",
+                node=self.name,
+                code=code,
+                above=above,
+            )
         self._do(self.book.retired(time.monotonic_ns(), session.number))
 
     def ended(self, session: Session, exchange: Exchange[Any]) -> None:
@@ -187,8 +208,11 @@
             tried = "is tried by HTTP/1.1"
             what = tried if self._config.fall_back else "gets nothing: [http2] fall-back is off"
             self._log.warning(
-                "h2-not-spoken", f"the node is listed as HTTP/2, does not speak it and {what}",
-                node=self.name, why=why)
+                "h2-not-spoken",
+                f"the node is listed as HTTP/2, does not speak it and {what}",
+                node=self.name,
+                why=why,
+            )
             if self._config.fall_back:
                 self.unspoken_until_ns = now + round(self._config.fall_back_for_s * 1e9)
         if not session.greeted:
@@ -196,8 +220,9 @@
                 self._log.info("node-unreachable", why, node=self.name)
             self._do(self.book.failed(now, session.number))
             return
-        self._log.warning("h2-lost", "a connection broke", node=self.name, why=why,
-                          streams=session.open_streams)
+        self._log.warning(
+            "h2-lost", "a connection broke", node=self.name, why=why, streams=session.open_streams
+        )
         self._do(self.book.lost(now, session.number))
 
     # --- time
@@ -287,8 +312,11 @@
 
     def report(self) -> Mapping[str, object]:
         """Connections and open streams by node."""
-        return {s.name: f"{s.book.connections} connections, {s.book.open_streams} streams, "
-                        f"{s.book.waiting} waiting" for s in self._nodes.values()}
+        return {
+            s.name: f"{s.book.connections} connections, {s.book.open_streams} streams, "
+            f"{s.book.waiting} waiting"
+            for s in self._nodes.values()
+        }
 
     def tell(self) -> None:
         """Log the figures now."""
@@ -296,11 +324,19 @@
             figures, counts = streams.book.figures, streams.counts
             if figures.given or counts.turned_back or streams.book.waiting:
                 self._log.info(
-                    "h2-figures", "streams to a node since the last of these lines", node=streams.name,
-                    connections=streams.book.connections, open=streams.book.open_streams,
-                    waiting=streams.book.waiting, given=figures.given, waited=figures.waited,
-                    longest_wait_ms=figures.longest_wait_ns // 1_000_000, opened=figures.opened,
-                    goaways=counts.goaways, lost=figures.lost, refused=counts.refused,
+                    "h2-figures",
+                    "streams to a node since the last of these lines",
+                    node=streams.name,
+                    connections=streams.book.connections,
+                    open=streams.book.open_streams,
+                    waiting=streams.book.waiting,
+                    given=figures.given,
+                    waited=figures.waited,
+                    longest_wait_ms=figures.longest_wait_ns // 1_000_000,
+                    opened=figures.opened,
+                    goaways=counts.goaways,
+                    lost=figures.lost,
+                    refused=counts.refused,
                     turned_back=counts.turned_back,
                 )
             streams.book.figures, streams.counts = type(figures)(), Counts()
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -7,7 +7,17 @@
 
 from hollowusher.balancing.interface import Outcome
 from hollowusher.scheduler.dispatch.model import (
-    Answer, Attempt, AttemptEnded, DeskEvent, Dispatch, Job, JobTaken, Order, Reply, ClientLeft, Verdict,
+    Answer,
+    Attempt,
+    AttemptEnded,
+    ClientLeft,
+    DeskEvent,
+    Dispatch,
+    Job,
+    JobTaken,
+    Order,
+    Reply,
+    Verdict,
     Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import Roster
@@ -20,8 +30,13 @@
     """`post` goes before the desk's queue, `carry_out` before the floor."""
 
     def __init__(
-        self, classes: frozenset[str], roster: Roster, post: Callable[[DeskEvent], None],
-        carry_out: Callable[[Order], None], wait_ns: int, seed: int,
+        self,
+        classes: frozenset[str],
+        roster: Roster,
+        post: Callable[[DeskEvent], None],
+        carry_out: Callable[[Order], None],
+        wait_ns: int,
+        seed: int,
     ) -> None:
         self.classes, self._roster, self._post, self._carry_out = classes, roster, post, carry_out
         self._wait_ns = wait_ns  # advice that goes with a refusal
@@ -44,8 +59,18 @@
         match event:
             case JobTaken(job) if self.copied(job):
                 until_ms = int(time.time() * 1000) + (job.deadline_ns - time.monotonic_ns()) // 1_000_000
-                taken = Taken(job.job_id, job.job_class, job.subject, job.body, until_ms, job.repeat_key,
-                              job.tenant, job.hint_ns, job.slots, job.memory)
+                taken = Taken(
+                    job.job_id,
+                    job.job_class,
+                    job.subject,
+                    job.body,
+                    until_ms,
+                    job.repeat_key,
+                    job.tenant,
+                    job.hint_ns,
+                    job.slots,
+                    job.memory,
+                )
                 self.node.take(taken, job, job.retry)
             case ClientLeft(job) if self.copied(job):
                 self.node.gone(job.job_id, job)  # it may come back: the job goes on
@@ -76,8 +101,9 @@
                 self._post(AttemptEnded(attempt, Outcome.NOT_SENT))
             case Reply(job, answer) if self.copied(job):
                 until_ms = int(time.time() * 1000) + (job.deadline_ns - time.monotonic_ns()) // 1_000_000
-                told = Answered(job.job_id, answer.verdict.value, int(time.time() * 1000), answer.result,
-                                answer.wait_ns)
+                told = Answered(
+                    job.job_id, answer.verdict.value, int(time.time() * 1000), answer.result, answer.wait_ns
+                )
                 self.node.answer(told, job, until_ms)
             case _:
                 self._carry_out(order)
@@ -114,6 +140,17 @@
 def _adopted(taken: Taken) -> Job:
     """A job of another's log: nobody waits for it here, its answer is for the book."""
     left_ns = taken.until_ms * 1_000_000 - time.time_ns()
-    return Job(taken.job, taken.job_class, taken.subject, taken.body, time.monotonic_ns(), left_ns,
-               lambda answer: None, repeat_key=taken.key, tenant=taken.tenant, hint_ns=taken.hint_ns,
-               slots=taken.slots, memory=taken.memory)
+    return Job(
+        taken.job,
+        taken.job_class,
+        taken.subject,
+        taken.body,
+        time.monotonic_ns(),
+        left_ns,
+        lambda answer: None,
+        repeat_key=taken.key,
+        tenant=taken.tenant,
+        hint_ns=taken.hint_ns,
+        slots=taken.slots,
+        memory=taken.memory,
+    )
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 
 from hollowusher.balancing.interface import JobClass
+from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.log import Log
 from hollowusher.scheduler.net.log_replication.settings import CopiesConfig
 from hollowusher.scheduler.net.log_replication.storage import Folder, Nowhere, Storage
 from hollowusher.scheduler.net.log_replication.wire import Incoming, Message, Outgoing, frame
-from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.rules.log_replication.job_replication import Act, Custody, Found, Seek
 from hollowusher.scheduler.rules.log_replication.keeper import Keeper
 from hollowusher.scheduler.rules.log_replication.pace import Pace
@@ -43,8 +43,13 @@
     name = "copies"
 
     def __init__(
-        self, config: CopiesConfig, classes: Mapping[str, JobClass], seed: int, act: Callable[[Act], None],
-        log: Log, storage: Storage | None = None,
+        self,
+        config: CopiesConfig,
+        classes: Mapping[str, JobClass],
+        seed: int,
+        act: Callable[[Act], None],
+        log: Log,
+        storage: Storage | None = None,
     ) -> None:
         self._config, self._classes, self._act, self._log = config, classes, act, log
         self._chance = random.Random(seed)
@@ -69,8 +74,17 @@
             self._log.error("copies-storage", fault)
         config = self._config
         keeper = Keeper(
-            config.name, config.others, config.group, Pace(round(config.lease_s * 1e9)), self._chance,
-            time.monotonic_ns(), self._classes, kept, round(config.keep_s * 1000), config.most_jobs)
+            config.name,
+            config.others,
+            config.group,
+            Pace(round(config.lease_s * 1e9)),
+            self._chance,
+            time.monotonic_ns(),
+            self._classes,
+            kept,
+            round(config.keep_s * 1000),
+            config.most_jobs,
+        )
         return Custody(keeper, tuple(sorted(config.others)), self._classes, config.seek_once)
 
     async def start(self) -> None:
@@ -79,8 +93,9 @@
             if name != self._config.name:
                 self._outgoing[name] = Outgoing(name, self._config.name, address)
         assert self._config.listen is not None
-        self._incoming = Incoming(self._config.listen, self._heard, lambda why: self._log.warning(
-            "copies-bad", why))
+        self._incoming = Incoming(
+            self._config.listen, self._heard, lambda why: self._log.warning("copies-bad", why)
+        )
         self._incoming.start()
         self._tick()
 
@@ -103,13 +118,22 @@
         for owner, log in keeper.logs.items():
             replica = log.replica
             rows[owner] = {
-                "role": replica.role.value, "leader": replica.leader, "term": replica.kept.term,
-                "promises": keeper.promises(now, owner), "committed": replica.commit,
-                "last": replica.kept.last, "open": len(log.book.open()), "jobs": len(log.book.jobs),
-                "bytes": log.book.size, "lags": {n: replica.kept.last - p.match
-                                                 for n, p in replica.peers.items()}}
-        return {"name": self._config.name, "rows": rows,
-                "queued": {n: out.connected for n, out in self._outgoing.items()}}
+                "role": replica.role.value,
+                "leader": replica.leader,
+                "term": replica.kept.term,
+                "promises": keeper.promises(now, owner),
+                "committed": replica.commit,
+                "last": replica.kept.last,
+                "open": len(log.book.open()),
+                "jobs": len(log.book.jobs),
+                "bytes": log.book.size,
+                "lags": {n: replica.kept.last - p.match for n, p in replica.peers.items()},
+            }
+        return {
+            "name": self._config.name,
+            "rows": rows,
+            "queued": {n: out.connected for n, out in self._outgoing.items()},
+        }
 
     # --- in -----------------------------------------------------------------------------------------------
 
--- a/hollowusher/scheduler/net/log_replication/settings.py
+++ b/hollowusher/scheduler/net/log_replication/settings.py
@@ -28,29 +28,49 @@
 
 
 _BASE = CopiesConfig()
-COPIES = Section("copies", "Copies of what is promised (docs/copies.md). Off on the platform.", (
-    Directive("enabled", switch(), False, "whether jobs of `classes` are copied before they are promised"),
-    Directive("listen", address(), None, "where the other schedulers reach it, by TCP"),
-    Directive("group", count(1, 5), _BASE.group, "schedulers that keep each log, its owner among them"),
-    Directive("classes", words(), (), "the classes that are copied"),
-    Directive("folder", word(), None, "where logs are kept over restarts; without it, in memory only"),
-    Directive("lease", span(0.2, 30.0), _BASE.lease_s,
-              "how long a silent owner keeps its log before another takes it over"),
-    Directive("keep", span(1.0, 86_400.0), _BASE.keep_s,
-              "how long an answer is kept for those who come back"),
-    Directive("seek-once", switch(), _BASE.seek_once,
-              "whether a job that must not run twice is looked for at all others before it is taken"),
-    Directive("most-jobs", count(1, 1_000_000), _BASE.most_jobs,
-              "jobs that the own log holds; when it is full, new ones are refused"),
-))
-COPY = Section("copy", "One of the schedulers that copy, our own among them; the title is its name.", (
-    Directive("address", address(), None, "where it is reached by TCP", needed=True),
-), titled=True)
+COPIES = Section(
+    "copies",
+    "Copies of what is promised (docs/copies.md). Off on the platform.",
+    (
+        Directive(
+            "enabled", switch(), False, "whether jobs of `classes` are copied before they are promised"
+        ),
+        Directive("listen", address(), None, "where the other schedulers reach it, by TCP"),
+        Directive("group", count(1, 5), _BASE.group, "schedulers that keep each log, its owner among them"),
+        Directive("classes", words(), (), "the classes that are copied"),
+        Directive("folder", word(), None, "where logs are kept over restarts; without it, in memory only"),
+        Directive(
+            "lease",
+            span(0.2, 30.0),
+            _BASE.lease_s,
+            "how long a silent owner keeps its log before another takes it over",
+        ),
+        Directive(
+            "keep", span(1.0, 86_400.0), _BASE.keep_s, "how long an answer is kept for those who come back"
+        ),
+        Directive(
+            "seek-once",
+            switch(),
+            _BASE.seek_once,
+            "whether a job that must not run twice is looked for at all others before it is taken",
+        ),
+        Directive(
+            "most-jobs",
+            count(1, 1_000_000),
+            _BASE.most_jobs,
+            "jobs that the own log holds; when it is full, new ones are refused",
+        ),
+    ),
+)
+COPY = Section(
+    "copy",
+    "One of the schedulers that copy, our own among them; the title is its name.",
+    (Directive("address", address(), None, "where it is reached by TCP", needed=True),),
+    titled=True,
+)
 
 
-def read_copies(
-    sheet: Sheet, name: str = "scheduler", known: frozenset[str] | None = None
-) -> CopiesConfig:
+def read_copies(sheet: Sheet, name: str = "scheduler", known: frozenset[str] | None = None) -> CopiesConfig:
     """The sections' values; SettingsError where they do not fit together.  `known`: the classes there are."""
     own = sheet.one(COPIES)
     if not own["enabled"]:
@@ -68,6 +88,14 @@
     if unknown:
         raise own.fault("classes", f"{', '.join(sorted(unknown))}: no such class here")
     return CopiesConfig(
-        own["listen"], name, own["group"], frozenset(own["classes"]),
-        Path(own["folder"]) if own["folder"] else None, own["lease"], own["keep"], own["most-jobs"],
-        own["seek-once"], others)
+        own["listen"],
+        name,
+        own["group"],
+        frozenset(own["classes"]),
+        Path(own["folder"]) if own["folder"] else None,
+        own["lease"],
+        own["keep"],
+        own["most-jobs"],
+        own["seek-once"],
+        others,
+    )
