--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class LearnedState:
     """What has been learnt of all workers and classes."""
 
     runs: dict[str, float]
@@ -45,9 +45,9 @@
     workers: list[WorkerMemory]
 
 
-def remember(balancer: Balancer) -> Memory:
+def remember(balancer: Balancer) -> LearnedState:
     """What a decision module has learnt until now."""
-    return Memory(
+    return LearnedState(
         dict(balancer.runs),
         dict(balancer.hints),
         dict(balancer.in_time),
@@ -78,7 +78,7 @@
     )
 
 
-def restore(balancer: Balancer, memory: Memory, now: int) -> None:
+def restore(balancer: Balancer, memory: LearnedState, now: int) -> None:
     """Begin with what another module has learnt; workers that this one does not know are left out."""
     balancer.runs.update(memory.runs)
     balancer.hints.update(memory.hints)
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -35,7 +35,7 @@
     Woken,
     WorkerList,
 )
-from hollowusher.balancing.learned_state import Memory, remember, restore
+from hollowusher.balancing.learned_state import LearnedState, remember, restore
 from hollowusher.balancing.tenant_shares import Shares
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
@@ -92,11 +92,11 @@
         """Jobs that are owed an answer."""
         return len(self._jobs)
 
-    def remember(self) -> Memory:
+    def remember(self) -> LearnedState:
         """What the module has learnt."""
         return remember(self._module)
 
-    def restore(self, memory: Memory, now: int) -> None:
+    def restore(self, memory: LearnedState, now: int) -> None:
         """Begin with what another module has learnt, once the list is known."""
         restore(self._module, memory, now)
 
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from hollowusher.balancing.interface import Listed, ListKind, Outcome, Reading, Settings
-from hollowusher.balancing.learned_state import Memory
+from hollowusher.balancing.learned_state import LearnedState
 
 
 class Verdict(Enum):
@@ -146,7 +146,7 @@
 class LearnedStateReceived:
     """Event: what another process of this scheduler has learnt; after the list that it held."""
 
-    memory: Memory
+    memory: LearnedState
 
 
 DispatchEvent = (
--- a/hollowusher/scheduler/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from hollowusher.balancing.learned_state import Memory
+from hollowusher.balancing.learned_state import LearnedState
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import DispatchEvent, Order, TimeCame, WakeDispatcher
 from hollowusher.scheduler.log import LogWriter
@@ -29,7 +29,7 @@
             tap(event)
         self._queue.put_nowait(event)
 
-    def remember(self) -> Memory:
+    def remember(self) -> LearnedState:
         """What the decision module has learnt."""
         return self._dispatcher.remember()
 
--- a/hollowusher/scheduler/operations.py
+++ b/hollowusher/scheduler/operations.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 from typing import TYPE_CHECKING
 
-from hollowusher.balancing.learned_state import Memory
+from hollowusher.balancing.learned_state import LearnedState
 from hollowusher.scheduler.component import Component
 from hollowusher.scheduler.config import SchedulerConfig
 from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
@@ -54,7 +54,7 @@
         self._config, self._registry, self._ids, self._owner = config, registry, ids, owner
         self._watch, self._executor, self._figures, self._log = watch, executor, figures, log
         self._accepting = False
-        self._memory: Memory | None = None
+        self._memory: LearnedState | None = None
         self._directory: SharedDirectory | None = None
         self.replacement: Replacement | None = None
         self._detached: DetachedWorkers | None = None
--- a/hollowusher/scheduler/replacement/process.py
+++ b/hollowusher/scheduler/replacement/process.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Mapping
 
-from hollowusher.balancing.learned_state import Memory
+from hollowusher.balancing.learned_state import LearnedState
 from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.dispatch.model import BudgetShared, DispatchEvent
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
@@ -33,7 +33,7 @@
         ids: JobIds,
         post: Callable[[DispatchEvent], None],
         list_version: Callable[[], int],
-        remember: Callable[[], Memory],
+        remember: Callable[[], LearnedState],
         log: LogWriter,
     ) -> None:
         """`list_version` and `remember` tell what is handed over beside the job ids and the list."""
--- a/hollowusher/scheduler/replacement/records.py
+++ b/hollowusher/scheduler/replacement/records.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from hollowusher.balancing.learned_state import Memory
+from hollowusher.balancing.learned_state import LearnedState
 
 VERSION = 1
 MOST_BYTES = 8 * 1024 * 1024
@@ -63,7 +63,7 @@
     job_ids: list[str]
     list_version: int
     workers: list[WorkerRecord]
-    memory: Memory | None = None
+    memory: LearnedState | None = None
 
 
 def write_record(path: Path, record: msgspec.Struct) -> None:
