--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerMemory:
+class LearnedWorkerState:
     """What has been learnt of one worker.  Times are on the machine's monotonic clock."""
 
     worker: int
@@ -42,7 +42,7 @@
     alike: list[tuple[str, float, float]]
     usual_pace: float
     bearable_pace: float
-    workers: list[WorkerMemory]
+    workers: list[LearnedWorkerState]
 
 
 def remember(balancer: Balancer) -> LearnedState:
@@ -58,8 +58,8 @@
     )
 
 
-def _of_worker(worker: WorkerState) -> WorkerMemory:
-    return WorkerMemory(
+def _of_worker(worker: WorkerState) -> LearnedWorkerState:
+    return LearnedWorkerState(
         worker.id,
         worker.entry.started_ns,
         worker.control.bundle,
@@ -92,7 +92,7 @@
             _restore_worker(worker, learnt, now)
 
 
-def _restore_worker(worker: WorkerState, learnt: WorkerMemory, now: int) -> None:
+def _restore_worker(worker: WorkerState, learnt: LearnedWorkerState, now: int) -> None:
     worker.control.bundle = learnt.bundle
     worker.most_free, worker.most_memory = learnt.most_free, learnt.most_memory
     worker.others, worker.others_at = learnt.others, now
