--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -66,7 +66,7 @@
 AIM_PARTS = 16  # t_d is the shortest aim over this, so that waiting for a timer costs little of any aim
 OVERLAP = 12  # t_d at most that a job may have to wait in the worker it is sent to
 STRETCH_SHARE = 0.6  # of what the stretch gives beyond a mean running time, so much may be spent waiting
-LEARN = 0.1  # weight of a new value in a mean
+EWMA_WEIGHT = 0.1  # weight of a new value in a mean
 READING_LAG_NS = 700 * NS_PER_MS  # how old a reading's content is taken to be when own jobs are counted out
 UNTOLD = 0.6  # jobs taken to wait in a full worker whose readings do not tell
 NOTE_SLACK_NS = 20 * NS_PER_MS  # a start note this much after the quickest one shows that the job waited
@@ -198,7 +198,7 @@
         self.last = reading
         self.count_own(now)
         self.readings += 1
-        weight = max(LEARN, 1.0 / self.readings)  # nodes that follow each late reading herd
+        weight = max(EWMA_WEIGHT, 1.0 / self.readings)  # nodes that follow each late reading herd
         if reading.free_memory is not None:
             self.most_memory = max(self.most_memory, reading.free_memory)
             taken = max(0.0, self.most_memory - reading.free_memory)
@@ -242,7 +242,7 @@
 
     def finished(self, run: float, expected: float) -> None:
         """A job's running time enters the mean and the pace."""
-        self.run = run if self.run is None else self.run + LEARN * (run - self.run)
+        self.run = run if self.run is None else self.run + EWMA_WEIGHT * (run - self.run)
         self.shown.finished(run / expected, self.running)
 
     def level(self, now: int) -> float:
@@ -496,7 +496,7 @@
         self.requests[request.id] = request
         if request.hint:
             mean = self.hints.get(cls.name, float(request.hint))
-            self.hints[cls.name] = mean + LEARN * (request.hint - mean)
+            self.hints[cls.name] = mean + EWMA_WEIGHT * (request.hint - mean)
         may_wait = cls.aim_ns + STRETCH_SHARE * max(0.0, cls.stretch - 1.0) * self.expected(request)
         late = request.arrived + max(2 * self.t_d, round(HOPE_SHARE * may_wait))  # a round of timers first
         self.probe_credit = min(PROBE_BURST, self.probe_credit + 1.0)
@@ -555,7 +555,7 @@
                 worker.finished(run, attempt.expected)
                 usual = run * worker.level(attempt.started)
                 mean = self.runs.get(request.cls.name, usual)
-                self.runs[request.cls.name] = mean + LEARN * (usual - mean)
+                self.runs[request.cls.name] = mean + EWMA_WEIGHT * (usual - mean)
             if self.crawls(now, worker):
                 self.strike(now, worker, "crawling")
             elif worker.relieve():
@@ -840,7 +840,7 @@
     def rates(self) -> dict[str, float]:
         """What a class's jobs earn for a worker's time: its worth, more if it is seldom in time, and what the
         goal gives the worst class, which is cheap to help if it asks for little."""
-        s, shares = self.settings, {name: max(LEARN, self.in_time[name]) for name in self.classes}
+        s, shares = self.settings, {name: max(EWMA_WEIGHT, self.in_time[name]) for name in self.classes}
         work = {n: self.came[n] * self.mean_run(c) for n, c in self.classes.items()}
         rate = {n: c.worth / (1.0 if s.worth_by_work else self.mean_run(c)) for n, c in self.classes.items()}
         worst = s.goal.worst_class / s.goal.complete / sum(share**-WORST_POWER for share in shares.values())
--- a/hollowusher/balancing/worker_speed.py
+++ b/hollowusher/balancing/worker_speed.py
@@ -8,7 +8,7 @@
 
 PRIOR = 3.0  # jobs of ordinary pace that a worker is taken to have done before it has shown any
 MOST = 4.0  # expected times that one job counts at most: a heavy job is no slow worker
-LEARN = 0.1  # weight of a new value in a mean
+EWMA_WEIGHT = 0.1  # weight of a new value in a mean
 
 
 class Pace:
@@ -28,6 +28,6 @@
     def finished(self, ratio: float, running: float) -> None:
         """A job took so many expected times; so many slots were running as it ended."""
         # Of many that began together the short ones end first: what is kept must reach back over all of them.
-        keep = 1.0 - min(LEARN, 1.0 / (1.0 + running))
+        keep = 1.0 - min(EWMA_WEIGHT, 1.0 / (1.0 + running))
         self.time = keep * self.time + min(MOST, ratio)
         self.jobs = keep * self.jobs + 1.0
--- a/hollowusher/dispatch/worker_flow_control.py
+++ b/hollowusher/dispatch/worker_flow_control.py
@@ -12,7 +12,7 @@
 import math
 from typing import Final
 
-from hollowusher.balancing.balancer import GOOD_TRIALS, LEARN, MOST_RATE, IntegralController
+from hollowusher.balancing.balancer import EWMA_WEIGHT, GOOD_TRIALS, MOST_RATE, IntegralController
 from hollowusher.delivery.outcome import WorkerFeedback
 
 NS_PER_S: Final = 1_000_000_000
@@ -228,9 +228,9 @@
 
     def _record_answer(self, now: float, took: float, was_full: bool) -> None:
         self.mean_run_s = (
-            took if self.mean_run_s is None else self.mean_run_s + LEARN * (took - self.mean_run_s)
+            took if self.mean_run_s is None else self.mean_run_s + EWMA_WEIGHT * (took - self.mean_run_s)
         )
-        self._fastest_mean_run_s = min(self._fastest_mean_run_s * (1.0 + LEARN / 10), self.mean_run_s)
+        self._fastest_mean_run_s = min(self._fastest_mean_run_s * (1.0 + EWMA_WEIGHT / 10), self.mean_run_s)
         self._connect_failures = 0
         quick = self.mean_run_s <= SLOW_RUN_FACTOR * self._fastest_mean_run_s
         self._refusals = 0
