--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -78,7 +78,9 @@
 SILENT_RUNS = 6.0  # mean running times, or a third of the above, that a job may sit unstarted without news
 COPY_NS = 10 * NS_PER_MS  # a job not begun this much after the quickest note waits, and a copy goes elsewhere
 WAIT_SHARE = 0.5  # share of the shortest aim that a job may lie unstarted before its worker counts as full
-MOST_RATE = 2.0  # N at most, in jobs that the worker can do in t_d: above it, one full reading takes all away
+MAX_BUNDLE_RATIO = (
+    2.0  # N at most, in jobs that the worker can do in t_d: above it, one full reading takes all away
+)
 CARRIED = 3.0  # jobs of credit a worker keeps while it is full: without them, it gets less than N on average
 HOPE_SHARE = 0.65  # a job that has waited this share of what it may is taken after those that have not
 CROWDED_PARTS = 2  # a queue whose head has waited this many t_d is crowded
@@ -741,7 +743,7 @@
         elapsed, worker.read_at = now - worker.read_at, now
         worker.move_on(now)
         t_p, trusted = self.time_per_job(worker), not worker.suspect and not worker.unheard(now)
-        most = min(self.slots(worker), MOST_RATE * self.t_d / t_p)
+        most = min(self.slots(worker), MAX_BUNDLE_RATIO * self.t_d / t_p)
         worker.control.resize(busy, elapsed, t_p, most, trusted)
 
     def time_per_job(self, worker: WorkerState) -> float:
--- a/hollowusher/dispatch/worker_flow_control.py
+++ b/hollowusher/dispatch/worker_flow_control.py
@@ -12,7 +12,7 @@
 import math
 from typing import Final
 
-from hollowusher.balancing.balancer import EWMA_WEIGHT, GOOD_TRIALS, MOST_RATE, IntegralController
+from hollowusher.balancing.balancer import EWMA_WEIGHT, GOOD_TRIALS, MAX_BUNDLE_RATIO, IntegralController
 from hollowusher.delivery.outcome import WorkerFeedback
 
 NS_PER_S: Final = 1_000_000_000
@@ -223,7 +223,7 @@
         if elapsed > QUIET_PERIODS * self._controller.t_d and not self._sent:
             self._controller.wanted = False  # used at the start of a quiet spell only: no reason to grow
         time_per_job = self.time_per_job() * NS_PER_S
-        ceiling = max(1.0, MOST_RATE * self._controller.t_d / time_per_job)
+        ceiling = max(1.0, MAX_BUNDLE_RATIO * self._controller.t_d / time_per_job)
         self._controller.resize(self.busy_share(), elapsed, time_per_job, ceiling, not self.is_suspect)
 
     def _record_answer(self, now: float, took: float, was_full: bool) -> None:
