--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -113,7 +113,7 @@
         self.bundle = max(0.0, min(limit, self.bundle + step))
         self.wanted = False
 
-    def earn(self, times: int) -> None:
+    def accrue_credit(self, times: int) -> None:
         """Each t_d the bundle falls due; fractions are carried, never more than a bundle or a few jobs."""
         self.credit = min(max(CARRIED, self.bundle), self.credit + times * self.bundle)
 
@@ -220,7 +220,7 @@
         """Each time its t_d timer fired the bundle fell due; where no reading ever tells, a guess fades."""
         if self.due <= now:
             times = (now - self.due) // self.control.t_d + 1
-            self.control.earn(times)
+            self.control.accrue_credit(times)
             self.due += times * self.control.t_d
         if self.last is None and now - self.others_at > PROBE_LOST_NS:
             self.others, self.others_at = self.others / 2, now - PROBE_LOST_NS + SAMPLE_NS
--- a/hollowusher/dispatch/worker_flow_control.py
+++ b/hollowusher/dispatch/worker_flow_control.py
@@ -215,7 +215,7 @@
         times = int((now - self._due) / CONTROL_PERIOD_S) + 1
         self._due += times * CONTROL_PERIOD_S
         self._take_reading(now)
-        self._controller.earn(times)
+        self._controller.accrue_credit(times)
 
     def _take_reading(self, now: float) -> None:
         elapsed = round((now - self._read_at) * NS_PER_S)
--- a/tests/balancing/test_integral_controller.py
+++ b/tests/balancing/test_integral_controller.py
@@ -98,10 +98,10 @@
 def test_fractions_are_carried_and_bounded() -> None:
     c = controller(bundle=0.25)
     c.credit = 0.0
-    c.earn(3)
+    c.accrue_credit(3)
     assert c.credit == pytest.approx(0.75)
-    c.earn(1000)
+    c.accrue_credit(1000)
     assert c.credit == 3.0
     c.bundle = 5.0
-    c.earn(1000)
+    c.accrue_credit(1000)
     assert c.credit == 5.0
