--- a/hollowusher/balancing/simulator_adapter.py
+++ b/hollowusher/balancing/simulator_adapter.py
@@ -51,7 +51,7 @@
     Woken,
     WorkerList,
 )
-from hollowusher.balancing.tenant_shares import Shares
+from hollowusher.balancing.tenant_shares import TenantShares
 
 _OUTCOMES = {
     "ok": Outcome.OK,
@@ -261,7 +261,7 @@
 
     def __init__(self, seed: int, settings: Settings, meanings: dict[str, str], now: int) -> None:
         self.balancer = Balancer(settings, seed, now)
-        self.shares = Shares(settings, now)
+        self.shares = TenantShares(settings, now)
         self.meanings = meanings
         self.classes = [c.name for c in settings.classes]
         self.events: list[Event] = []
--- a/hollowusher/balancing/tenant_shares.py
+++ b/hollowusher/balancing/tenant_shares.py
@@ -10,7 +10,7 @@
 SPARE = 2.0  # requests above its share that a tenant may ask for at once: counts this small tell nothing
 
 
-class Shares:
+class TenantShares:
     """First tries of each tenant at this scheduler, fading.
 
     A tenant is within its share as long as it asks for no more than its allowance, cut evenly among the
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -36,7 +36,7 @@
     WorkerList,
 )
 from hollowusher.balancing.learned_state import LearnedState, remember, restore
-from hollowusher.balancing.tenant_shares import Shares
+from hollowusher.balancing.tenant_shares import TenantShares
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
     AttemptProgress,
@@ -167,7 +167,7 @@
         return None
 
     def _follow(self, settings: Settings, now: int) -> None:
-        self._shares = Shares(settings, now)
+        self._shares = TenantShares(settings, now)
         self._max_wait = settings.limits.max_retry_after_ns if settings.limits.retry_after else 0
 
     def _order(self, action: Action) -> None:
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -13,7 +13,7 @@
 
 from hollowusher.balancing import Arrival, Discovery, ListKind, Prices, Probed, Reading, Refuse, Rules, Tenant
 from hollowusher.balancing.interface import Goal
-from hollowusher.balancing.tenant_shares import Shares
+from hollowusher.balancing.tenant_shares import TenantShares
 from hollowusher.scheduler.config import load
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import JobTaken
@@ -181,12 +181,14 @@
             (3.0, "big", False),
             (9.0, "nobody", False),
         ):
-            shares, over = Shares(settings, 0), False
+            shares, over = TenantShares(settings, 0), False
             for n in range(int(20 * rate)):
                 now = round(n / rate * S)
                 over = shares.over(name, False, now)
                 self.assertFalse(shares.over(name, True, now))  # a retry belongs to its first try
             self.assertEqual(over, beyond, (rate, name))
-        mixed = Shares(settings, 0)  # twice the allowance, as all others: its part of what comes is its share
+        mixed = TenantShares(
+            settings, 0
+        )  # twice the allowance, as all others: its part of what comes is its share
         reported = [mixed.over("big" if n % 5 else "small", False, n * 25 * MS) for n in range(400)]
         self.assertFalse(any(reported))
