--- a/tests/balancing/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -23,7 +23,19 @@
     Watch,
     Woken,
 )
-from tests.support.balancer import MS, SAFE, SITE, UNSAFE, Crew, Node, S, only, sends, site, workers
+from tests.support.balancer import (
+    MS,
+    SAFE,
+    SITE,
+    UNSAFE,
+    Node,
+    S,
+    SimulatedWorkers,
+    only,
+    sends,
+    site,
+    workers,
+)
 
 # --- the node itself --------------------------------------------------------------------------------
 
@@ -175,7 +187,7 @@
     """Two slots do ten jobs a second; twenty dear and ten cheap ones come: some of each are served."""
     dear = replace(UNSAFE, name="dear", worth=10.0)
     cheap = replace(dear, name="cheap", worth=1.0)
-    crew = Crew(Node(site(classes=(dear, cheap)), workers(1), free={1: 2.0}), run=200 * MS)
+    crew = SimulatedWorkers(Node(site(classes=(dear, cheap)), workers(1), free={1: 2.0}), run=200 * MS)
     for i in range(300):
         crew.play(50 * MS, 50 * MS, "dear", f"dear{i}-")
         if i % 2:
@@ -187,9 +199,9 @@
 # --- one worker of three in trouble: little is risked on it, and it gets its share again afterwards ------
 
 
-def three(job_class: JobClass = SAFE) -> Crew:
+def three(job_class: JobClass = SAFE) -> SimulatedWorkers:
     """A node with three workers that report two slots each."""
-    return Crew(Node(only(job_class), workers(1, 2, 3), free={1: 2.0, 2: 2.0, 3: 2.0}))
+    return SimulatedWorkers(Node(only(job_class), workers(1, 2, 3), free={1: 2.0, 2: 2.0, 3: 2.0}))
 
 
 def share(of: list[Send], worker: int) -> float:
@@ -265,7 +277,7 @@
     """A trial may be lost: a job that cannot be repeated should not be the one."""
     only_x = site(classes=(replace(SAFE, kind="x"), replace(UNSAFE, kind="x")))
     others = workers(2, 3, kind="y")  # two that look well, so the trouble is the one worker's own
-    crew = Crew(Node(only_x, workers(1, kind="x") + others, free={1: 2.0, 2: 2.0, 3: 2.0}))
+    crew = SimulatedWorkers(Node(only_x, workers(1, kind="x") + others, free={1: 2.0, 2: 2.0, 3: 2.0}))
     crew.failing.add(1)
     crew.play(S)
     crew.failing.clear()
@@ -294,7 +306,7 @@
 def test_the_order_of_a_list_decides_nothing() -> None:
     sent = []
     for ids in ((1, 2, 3), (3, 1, 2)):
-        crew = Crew(Node(only(SAFE), (), free={1: 2.0, 2: 2.0, 3: 2.0}))
+        crew = SimulatedWorkers(Node(only(SAFE), (), free={1: 2.0, 2: 2.0, 3: 2.0}))
         crew.node.listing(ListKind.FULL, *workers(*ids))
         crew.play(3 * S)
         sent.append((len(crew.answered), {s.worker for s in crew.sent}))
@@ -325,7 +337,9 @@
 def test_a_zone_that_cannot_be_reached_is_replaced_by_the_other() -> None:
     far = [replace(w, zone="b") for w in workers(3, 4)]
     prices = Prices(cross_zone=0.1)
-    crew = Crew(Node(only(SAFE, prices=prices), workers(1, 2) + far, free=dict.fromkeys((1, 2, 3, 4), 2.0)))
+    crew = SimulatedWorkers(
+        Node(only(SAFE, prices=prices), workers(1, 2) + far, free=dict.fromkeys((1, 2, 3, 4), 2.0))
+    )
     near = crew.play(3 * S, every=100 * MS)
     assert share(near, 1) + share(near, 2) > 0.9
     crew.refusing = {1, 2}
@@ -408,7 +422,7 @@
 
 def test_workers_that_cannot_be_reached_do_not_excuse_one_that_fails() -> None:
     """Two are dead and one fails: that is no shared cause while the fourth serves."""
-    crew = Crew(Node(only(SAFE), workers(1, 2, 3, 4), free=dict.fromkeys((1, 2, 3, 4), 2.0)))
+    crew = SimulatedWorkers(Node(only(SAFE), workers(1, 2, 3, 4), free=dict.fromkeys((1, 2, 3, 4), 2.0)))
     crew.refusing, crew.failing = {1, 2}, {3}
     crew.play(3 * S, every=74 * MS)
     assert share(crew.play(5 * S, every=74 * MS, prefix="t"), 3) < 0.15
--- a/tests/scheduler/test_replacement.py
+++ b/tests/scheduler/test_replacement.py
@@ -24,7 +24,7 @@
     write_record,
 )
 from tests.scheduler.test_reload import Process
-from tests.support.balancer import MS, SITE, Crew, Node, S, sends, site, workers
+from tests.support.balancer import MS, SITE, Node, S, SimulatedWorkers, sends, site, workers
 from tests.support.standins import free_port, post, read_http
 
 HERE = ("127.0.0.1", 7)
@@ -127,7 +127,7 @@
 class Learnt(unittest.TestCase):
     def test_what_was_learnt_is_transferred_but_not_of_a_worker_that_has_started_anew(self) -> None:
         node = Node(SITE, workers(1, 2, 3))
-        crew = Crew(node)
+        crew = SimulatedWorkers(node)
         crew.failing.add(2)
         crew.slow[3] = 3.0
         crew.play(4 * S)
@@ -148,7 +148,7 @@
 
     def test_a_worker_that_comes_back_as_a_new_process_is_trusted(self) -> None:
         node = Node(SITE, workers(1, 2))
-        crew = Crew(node)
+        crew = SimulatedWorkers(node)
         crew.failing.add(2)
         crew.play(2 * S)
         suspect = node.balancer.workers[2]
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -159,7 +159,7 @@
     return [a for a in actions if isinstance(a, Send)]
 
 
-class Crew:
+class SimulatedWorkers:
     """Workers for a node: each starts jobs in order as slots free up, unless something is wrong."""
 
     def __init__(self, node: Node, slots: int = 2, run: int = 100 * MS) -> None:
