--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -354,7 +354,7 @@
         )  # late: waited too long to be in time
         self.runs, self.hints = dict[str, float](), dict[str, float]()  # a class's mean running time and hint
         self.in_time = dict[str, float]()  # by class: share of jobs started before they were late
-        self.came = dict[str, int]()  # by class: jobs that came, and one more
+        self.arrival_counts = dict[str, int]()  # by class: jobs that came, and one more
         self.lefts = dict[str, int]()  # by class: the most time that one of them had left
         self.alike: dict[tuple[str, float], float] = {}  # most free slots seen on like workers
         self.usual_pace = 1.0  # the median pace of the workers: above 1 when a shared cause slows all
@@ -378,7 +378,7 @@
         limits, self.calls = settings.limits, settings.list_calls
         self.copies = limits.second_copies and limits.cancel and settings.balancers > FEW_BALANCERS
         self.in_time = dict.fromkeys(self.classes, 1.0) | self.in_time
-        self.came = dict.fromkeys(self.classes, 1) | self.came
+        self.arrival_counts = dict.fromkeys(self.classes, 1) | self.arrival_counts
         self.lefts = dict.fromkeys(self.classes, 0) | self.lefts
         for worker in self.workers.values():
             worker.settings = settings
@@ -492,8 +492,8 @@
         self.lefts[cls.name] = max(event.left_ns, self.lefts[cls.name])
         past = self.lefts[cls.name] - event.left_ns if event.retry else 0
         request = QueuedRequest(event, cls, self.settings.limits, now, self.seq, past)
-        self.came[cls.name] += 1
-        rate = sum(self.came.values()) / max(1, now - self.began)
+        self.arrival_counts[cls.name] += 1
+        rate = sum(self.arrival_counts.values()) / max(1, now - self.began)
         self.send_rules.use = 1.0 - math.exp(-rate * self.settings.rules.fall_span_ns / 2)
         self.requests[request.id] = request
         if request.hint:
@@ -843,7 +843,7 @@
         """What a class's jobs earn for a worker's time: its worth, more if it is seldom in time, and what the
         goal gives the worst class, which is cheap to help if it asks for little."""
         s, shares = self.settings, {name: max(EWMA_WEIGHT, self.in_time[name]) for name in self.classes}
-        work = {n: self.came[n] * self.mean_run(c) for n, c in self.classes.items()}
+        work = {n: self.arrival_counts[n] * self.mean_run(c) for n, c in self.classes.items()}
         rate = {n: c.worth / (1.0 if s.worth_by_work else self.mean_run(c)) for n, c in self.classes.items()}
         worst = s.goal.worst_class / s.goal.complete / sum(share**-WORST_POWER for share in shares.values())
         mean = sum(work[name] * rate[name] for name in work) or 1.0
