--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -353,7 +353,7 @@
             list[QueuedRequest](),
         )  # late: waited too long to be in time
         self.runs, self.hints = dict[str, float](), dict[str, float]()  # a class's mean running time and hint
-        self.in_time = dict[str, float]()  # by class: share of jobs started before they were late
+        self.on_time_share = dict[str, float]()  # by class: share of jobs started before they were late
         self.arrival_counts = dict[str, int]()  # by class: jobs that came, and one more
         self.lefts = dict[str, int]()  # by class: the most time that one of them had left
         self.alike: dict[tuple[str, float], float] = {}  # most free slots seen on like workers
@@ -377,7 +377,7 @@
         # Few schedulers have readings enough to choose by; of many, none knows which worker is free.
         limits, self.calls = settings.limits, settings.list_calls
         self.copies = limits.second_copies and limits.cancel and settings.balancers > FEW_BALANCERS
-        self.in_time = dict.fromkeys(self.classes, 1.0) | self.in_time
+        self.on_time_share = dict.fromkeys(self.classes, 1.0) | self.on_time_share
         self.arrival_counts = dict.fromkeys(self.classes, 1) | self.arrival_counts
         self.lefts = dict.fromkeys(self.classes, 0) | self.lefts
         for worker in self.workers.values():
@@ -619,7 +619,7 @@
         request.late = True
         if queued:
             self.enqueue(request)
-            self.in_time[request.cls.name] *= 1.0 - FAIR_MEMORY
+            self.on_time_share[request.cls.name] *= 1.0 - FAIR_MEMORY
 
     def close(self, request: QueuedRequest) -> None:
         """The request has its final answer: nothing more is sent, what is still out is called off."""
@@ -842,7 +842,7 @@
     def rates(self) -> dict[str, float]:
         """What a class's jobs earn for a worker's time: its worth, more if it is seldom in time, and what the
         goal gives the worst class, which is cheap to help if it asks for little."""
-        s, shares = self.settings, {name: max(EWMA_WEIGHT, self.in_time[name]) for name in self.classes}
+        s, shares = self.settings, {name: max(EWMA_WEIGHT, self.on_time_share[name]) for name in self.classes}
         work = {n: self.arrival_counts[n] * self.mean_run(c) for n, c in self.classes.items()}
         rate = {n: c.worth / (1.0 if s.worth_by_work else self.mean_run(c)) for n, c in self.classes.items()}
         worst = s.goal.worst_class / s.goal.complete / sum(share**-WORST_POWER for share in shares.values())
@@ -860,7 +860,7 @@
         self.unqueue(request)
         self.fruitless, left = 0, request.window_left(now)
         if not request.attempts and not request.late:
-            self.in_time[request.cls.name] += FAIR_MEMORY * (1.0 - self.in_time[request.cls.name])
+            self.on_time_share[request.cls.name] += FAIR_MEMORY * (1.0 - self.on_time_share[request.cls.name])
         attempt = Attempt(request, worker, now, self.expected(request) / worker.level(now))
         request.attempts.append(attempt)
         if not worker.out:
--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -50,7 +50,7 @@
     return LearnedState(
         dict(balancer.runs),
         dict(balancer.hints),
-        dict(balancer.in_time),
+        dict(balancer.on_time_share),
         [(kind, size, free) for (kind, size), free in balancer.alike.items()],
         balancer.usual_pace,
         balancer.bearable_pace,
@@ -82,8 +82,8 @@
     """Begin with what another module has learnt; workers that this one does not know are left out."""
     balancer.runs.update(memory.runs)
     balancer.hints.update(memory.hints)
-    known = {name: share for name, share in memory.in_time.items() if name in balancer.in_time}
-    balancer.in_time.update(known)
+    known = {name: share for name, share in memory.in_time.items() if name in balancer.on_time_share}
+    balancer.on_time_share.update(known)
     balancer.alike.update({(kind, size): free for kind, size, free in memory.alike})
     balancer.usual_pace, balancer.bearable_pace = memory.usual_pace, memory.bearable_pace
     for learnt in memory.workers:
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -160,7 +160,7 @@
         for worst, best in ((0.0, "dear"), (0.4, "cheap")):
             balancer = Node(site(classes=(dear, cheap), goal=Goal(0.6, worst))).balancer
             balancer.arrival_counts.update(dear=90, cheap=10)
-            balancer.in_time.update(dear=0.9, cheap=0.7)
+            balancer.on_time_share.update(dear=0.9, cheap=0.7)
             rates = balancer.rates()
             self.assertEqual(max(rates, key=lambda name: rates[name]), best)
 
