--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -834,12 +834,12 @@
         if self.line is None:
             head = self.queue[:LOOK_AHEAD]
             if head and now - head[0].arrived > CROWDED_PARTS * self.t_d:
-                rates, part = self.rates(), self.settings.over_share_worth
+                rates, part = self.class_priorities(), self.settings.over_share_worth
                 head.sort(key=lambda r: rates[r.cls.name] * (part if r.over_share else 1.0), reverse=True)
             self.line = head + self.late[:-LOOK_AHEAD:-1]
         return self.line
 
-    def rates(self) -> dict[str, float]:
+    def class_priorities(self) -> dict[str, float]:
         """What a class's jobs earn for a worker's time: its worth, more if it is seldom in time, and what the
         goal gives the worst class, which is cheap to help if it asks for little."""
         s, shares = self.settings, {name: max(EWMA_WEIGHT, self.on_time_share[name]) for name in self.classes}
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -161,7 +161,7 @@
             balancer = Node(site(classes=(dear, cheap), goal=Goal(0.6, worst))).balancer
             balancer.arrival_counts.update(dear=90, cheap=10)
             balancer.on_time_share.update(dear=0.9, cheap=0.7)
-            rates = balancer.rates()
+            rates = balancer.class_priorities()
             self.assertEqual(max(rates, key=lambda name: rates[name]), best)
 
     def test_patience_before_a_crossing_is_its_price_in_parts_of_the_complete(self) -> None:
