--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -770,7 +770,7 @@
         control, slots, oldest = worker.control, self.slots(worker), (self.late or self.queue)[0]
         waited = now - oldest.arrived
         home = worker.entry.zone == self.settings.zone
-        near = home or waited >= self.patience(oldest)  # whether a job that waits would go there
+        near = home or waited >= self.own_zone_wait(oldest)  # whether a job that waits would go there
         if now - worker.seen_at >= SAMPLE_NS and not sure:
             # By the clock a large fleet would send more probes than jobs: so a job asks, and waits a bit.
             if self.asks:
@@ -809,7 +809,7 @@
             taken = worker.others_memory + worker.used_memory + request.memory
             if request.memory and worker.out and taken > worker.most_memory > 0:
                 continue
-            if not home and waited < self.patience(request):
+            if not home and waited < self.own_zone_wait(request):
                 continue
             if not request.late and not trial and self.slack(now, request, pace) < 0:
                 continue  # here it would end late: rather wait for a faster worker, or be refused
@@ -849,7 +849,7 @@
         mean = sum(work[name] * rate[name] for name in work) or 1.0
         return {n: rate[n] / mean / t**2 + worst * t**-WORST_POWER / work[n] for n, t in shares.items()}
 
-    def patience(self, request: QueuedRequest) -> float:
+    def own_zone_wait(self, request: QueuedRequest) -> float:
         """How long a job waits for a worker of its own zone: the crossing's price in terms of its aim."""
         cls = request.cls
         share = self.settings.prices.cross_zone / self.settings.goal.complete
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -169,7 +169,7 @@
         for complete in (1.0, 0.5):
             node = Node(only(SAFE, prices=Prices(cross_zone=0.1), goal=Goal(complete)))
             node.arrive("r", "safe")
-            waits.append(node.balancer.patience(node.balancer.requests["r"]))
+            waits.append(node.balancer.own_zone_wait(node.balancer.requests["r"]))
         self.assertAlmostEqual(waits[1], 2 * waits[0])
 
     def test_shares_are_counted_by_allowance_or_by_part_of_all_that_comes(self) -> None:
