--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -536,7 +536,10 @@
             worker.note_delay = delay if worker.note_delay is None else min(delay, worker.note_delay)
             worker.running += attempt.request.slots
             if delay > worker.note_delay + NOTE_SLACK_NS:  # it had to wait, so just now all slots were taken
-                worker.others, worker.others_at = max(worker.others, self.slots(worker) - worker.running), now
+                worker.others, worker.others_at = (
+                    max(worker.others, self.slot_count(worker) - worker.running),
+                    now,
+                )
 
     def ended(self, now: int, event: Ended) -> None:
         """An attempt is over: learn, judge the worker, and see what its request needs."""
@@ -566,7 +569,10 @@
             worker.dead = event.outcome is Outcome.UNREACHABLE
             self.strike(now, worker, event.outcome.value)
         elif event.outcome is Outcome.FULL:
-            worker.others, worker.others_at = max(worker.others, self.slots(worker) - worker.used_slots), now
+            worker.others, worker.others_at = (
+                max(worker.others, self.slot_count(worker) - worker.used_slots),
+                now,
+            )
             worker.control.credit += 1.0
         if request.closed:
             return
@@ -677,7 +683,7 @@
         self.at(self.watch_at, self.watch)
         self.actions.append(Watch())
 
-    def slots(self, worker: WorkerState) -> float:
+    def slot_count(self, worker: WorkerState) -> float:
         """The slots a worker is taken to have: the most free ones seen on it or on one like it."""
         return max(1.0, self.alike.get(self.like(worker), 0.0), worker.most_free)
 
@@ -743,12 +749,12 @@
         elapsed, worker.read_at = now - worker.read_at, now
         worker.move_on(now)
         t_p, trusted = self.time_per_job(worker), not worker.suspect and not worker.unheard(now)
-        most = min(self.slots(worker), MAX_BUNDLE_RATIO * self.t_d / t_p)
+        most = min(self.slot_count(worker), MAX_BUNDLE_RATIO * self.t_d / t_p)
         worker.control.resize(busy, elapsed, t_p, most, trusted)
 
     def time_per_job(self, worker: WorkerState) -> float:
         """t_p: a worker's running time over its slots; the pooled mean until it has shown its own."""
-        return max(1.0, (worker.run or self.mean_run()) / self.slots(worker))
+        return max(1.0, (worker.run or self.mean_run()) / self.slot_count(worker))
 
     def crawls(self, now: int, worker: WorkerState) -> bool:
         """Whether its jobs end late even without waiting, which no reading of its slots tells."""
@@ -767,7 +773,7 @@
         if worker.entry.state is not State.READY or not (self.queue or self.late):
             return
         worker.move_on(now)
-        control, slots, oldest = worker.control, self.slots(worker), (self.late or self.queue)[0]
+        control, slots, oldest = worker.control, self.slot_count(worker), (self.late or self.queue)[0]
         waited = now - oldest.arrived
         home = worker.entry.zone == self.settings.zone
         near = home or waited >= self.own_zone_wait(oldest)  # whether a job that waits would go there
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -140,7 +140,7 @@
         for reported, slots in ((True, 1.0), (False, 8.0)):
             node = Node(site(reports_sizes=reported), [*workers(1, size=6.5), *workers(2, size=3.1)])
             node.step(Probed(1, True, Reading(free_slots=8.0)))
-            self.assertEqual(node.balancer.slots(node.balancer.workers[2]), slots)
+            self.assertEqual(node.balancer.slot_count(node.balancer.workers[2]), slots)
 
     def test_a_job_beyond_its_tenants_share_gives_way_once_it_is_crowded(self) -> None:
         brief = replace(SAFE, aim_ns=100 * MS, late_share=0.5)
