--- a/hollowusher/balancing/interface.py
+++ b/hollowusher/balancing/interface.py
@@ -134,7 +134,7 @@
     longest_wait_ns: int  # between two calls; a part of it is by chance
     broken_wait_ns: int  # after a watch that stood and broke, as all of them may at once
     spread_ns: int  # over which the calls of balancers that begin at once are spread
-    good_ns: int  # how long the list held counts once nothing watches it
+    valid_ns: int  # how long the list held counts once nothing watches it
 
     def wait_ns(self, failures: int, stood: bool) -> int:
         """The longest wait after so many failures in a row before this one, or after a watch that `stood`.
--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -48,12 +48,12 @@
 def remember(balancer: Balancer) -> LearnedState:
     """What a decision module has learnt until now."""
     return LearnedState(
-        dict(balancer.runs),
-        dict(balancer.hints),
+        dict(balancer.mean_runtimes),
+        dict(balancer.mean_hints),
         dict(balancer.on_time_share),
-        [(kind, size, free) for (kind, size), free in balancer.alike.items()],
-        balancer.usual_pace,
-        balancer.bearable_pace,
+        [(kind, size, free) for (kind, size), free in balancer.max_free_by_type.items()],
+        balancer.median_slowdown,
+        balancer.max_slowdown,
         [_of_worker(worker) for worker in balancer.workers.values()],
     )
 
@@ -62,41 +62,45 @@
     return LearnedWorkerState(
         worker.id,
         worker.entry.started_ns,
-        worker.control.bundle,
-        worker.most_free,
-        worker.most_memory,
-        worker.others,
-        worker.run,
-        worker.shown.time,
-        worker.shown.jobs,
-        worker.note_delay,
+        worker.controller.bundle,
+        worker.max_free_slots,
+        worker.max_free_memory,
+        worker.other_slots,
+        worker.mean_runtime,
+        worker.slowdown_estimate.time,
+        worker.slowdown_estimate.jobs,
+        worker.min_start_delay,
         worker.suspect,
-        worker.dead,
-        worker.strikes,
-        worker.good,
-        worker.trial_at,
+        worker.unreachable,
+        worker.suspicion_count,
+        worker.successful_trials,
+        worker.next_trial_at,
     )
 
 
 def restore(balancer: Balancer, memory: LearnedState, now: int) -> None:
     """Begin with what another module has learnt; workers that this one does not know are left out."""
-    balancer.runs.update(memory.runs)
-    balancer.hints.update(memory.hints)
+    balancer.mean_runtimes.update(memory.runs)
+    balancer.mean_hints.update(memory.hints)
     known = {name: share for name, share in memory.in_time.items() if name in balancer.on_time_share}
     balancer.on_time_share.update(known)
-    balancer.alike.update({(kind, size): free for kind, size, free in memory.alike})
-    balancer.usual_pace, balancer.bearable_pace = memory.usual_pace, memory.bearable_pace
-    for learnt in memory.workers:
-        worker = balancer.workers.get(learnt.worker)
-        if worker is not None and worker.entry.same_process(learnt.started_ns):
-            _restore_worker(worker, learnt, now)
-
-
-def _restore_worker(worker: WorkerState, learnt: LearnedWorkerState, now: int) -> None:
-    worker.control.bundle = learnt.bundle
-    worker.most_free, worker.most_memory = learnt.most_free, learnt.most_memory
-    worker.others, worker.others_at = learnt.others, now
-    worker.run, worker.note_delay = learnt.run, learnt.note_delay
-    worker.shown.time, worker.shown.jobs = learnt.pace_time, learnt.pace_jobs
-    worker.suspect, worker.dead = learnt.suspect, learnt.dead
-    worker.strikes, worker.good, worker.trial_at = learnt.strikes, learnt.good, learnt.trial_at
+    balancer.max_free_by_type.update({(kind, size): free for kind, size, free in memory.alike})
+    balancer.median_slowdown, balancer.max_slowdown = memory.usual_pace, memory.bearable_pace
+    for learned in memory.workers:
+        worker = balancer.workers.get(learned.worker)
+        if worker is not None and worker.entry.same_process(learned.started_ns):
+            _restore_worker(worker, learned, now)
+
+
+def _restore_worker(worker: WorkerState, learned: LearnedWorkerState, now: int) -> None:
+    worker.controller.bundle = learned.bundle
+    worker.max_free_slots, worker.max_free_memory = learned.most_free, learned.most_memory
+    worker.other_slots, worker.other_slots_at = learned.others, now
+    worker.mean_runtime, worker.min_start_delay = learned.run, learned.note_delay
+    worker.slowdown_estimate.time, worker.slowdown_estimate.jobs = learned.pace_time, learned.pace_jobs
+    worker.suspect, worker.unreachable = learned.suspect, learned.dead
+    worker.suspicion_count, worker.successful_trials, worker.next_trial_at = (
+        learned.strikes,
+        learned.good,
+        learned.trial_at,
+    )
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -205,7 +205,7 @@
     node = asker()
     for _ in range(20 * S // every):
         node.balancer.watch_at = node.now + 10**15  # the calls are made here
-        node.balancer.send_rules.asked_at = node.now
+        node.balancer.send_rules.list_requested_at = node.now
         node.listing(kind)
         node.run(every)
     node.arrive("r1", "safe")
@@ -262,13 +262,13 @@
     for now in range(3 * S, 25 * S, 25 * MS):  # the turns that have passed without a job are no credit
         for view, unit in zip(views, units, strict=True):
             cost = round(chance.choice((0.5, 1.0, 1.0, 4.0)) * unit)
-            if view.cold_allows(now, cost, unit, slots):
-                view.sends.append((now, cost))
+            if view.fits_cold_budget(now, cost, unit, slots):
+                view.recent_sends.append((now, cost))
                 sent.append((now, cost))
-        level = views[0].level(now)
+        level = views[0].warmup_level(now)
         most = max(most, sum(c for t, c in sent if t > now - S) / (2.5 * level * slots * S))
     assert most < 1.2  # a tenth or so above 1 is what the learnt costs scatter
-    assert sum(c for _, c in sent) > 0.8 * slots * sum(views[0].level(i * S) for i in range(3, 25)) * S
+    assert sum(c for _, c in sent) > 0.8 * slots * sum(views[0].warmup_level(i * S) for i in range(3, 25)) * S
 
 
 @pytest.mark.parametrize(("balancers", "rate"), [(40, 1.2), (200, 1.2), (200, 0.3)])
@@ -285,18 +285,18 @@
     for knows in used:
         sent = list[int]()
         for view in views:
-            view.sends.clear()
+            view.recent_sends.clear()
         for now in range(3 * S, 23 * S, 50 * MS):
             for view, own in zip(views, rates, strict=True):
                 use = 1 - math.exp(-own / 2) if knows else 1.0
-                if chance.random() < own / 20 and view.cold_allows(now, unit, unit, slots, use):
-                    view.sends.append((now, unit))
+                if chance.random() < own / 20 and view.fits_cold_budget(now, unit, unit, slots, use):
+                    view.recent_sends.append((now, unit))
                     sent.append(now)
-            n = 2.5 * views[0].level(now) * slots * S / unit  # the rule, and its room for chance
+            n = 2.5 * views[0].warmup_level(now) * slots * S / unit  # the rule, and its room for chance
             most = max(most, sum(t > now - S for t in sent) / (n + 3 * math.sqrt(n) + 3))
         used[knows] = len(sent)
     assert most < 1.0
-    bears = sum(COLD_MARGIN * 2.5 * views[0].level(i * S) * slots * S / unit for i in range(3, 23))
+    bears = sum(COLD_MARGIN * 2.5 * views[0].warmup_level(i * S) * slots * S / unit for i in range(3, 23))
     assert used[True] > 1.4 * used[False]
     assert used[True] < bears  # on average the module's own margin is kept
 
@@ -307,7 +307,7 @@
     for count in range(60):
         node.arrive(f"r{count}", "safe")
         node.run(S if count < 30 else S // 10)
-        uses.append(node.balancer.send_rules.use)
+        uses.append(node.balancer.send_rules.turn_hit_rate)
     assert abs(uses[29] - (1 - math.exp(-0.5))) < 0.05  # one job a second, half a span
     assert uses[-1] > uses[29] + 0.1
 
@@ -318,7 +318,7 @@
     allowed = [
         now
         for now in range(S, 24 * S, 100 * MS)
-        if any(view.cold_allows(now, 1_650 * MS, 750 * MS, 2.0) for view in views)
+        if any(view.fits_cold_budget(now, 1_650 * MS, 750 * MS, 2.0) for view in views)
     ]
     assert 12 * S < min(allowed) < 16 * S
 
@@ -334,7 +334,7 @@
         ours = {
             w.id
             for w in node.balancer.workers.values()
-            if w.id > 8 and w.cold_allows(node.now, 400 * MS, 400 * MS, 1.0)
+            if w.id > 8 and w.fits_cold_budget(node.now, 400 * MS, 400 * MS, 1.0)
         }
         then = node.arrive("r1", "safe")  # nor is a reading asked for: all together send it little
         took += bool(ours)
@@ -345,21 +345,21 @@
 def test_a_cold_workers_slowness_is_expected_and_not_held_against_it() -> None:
     rules = Rules(fall_multiple=2.5, fall_span_ns=S, cold_share=0.2, warm_after_ns=20 * S)
     node = Node(only(SAFE, rules=rules), free={1: 2.0})
-    node.balancer.runs["safe"] = 100.0 * MS
+    node.balancer.mean_runtimes["safe"] = 100.0 * MS
     node.listing(ListKind.FULL, *workers(1, started_ns=node.now - 5 * S))
     worker = node.balancer.workers[1]
-    assert worker.level(node.now) == pytest.approx(0.4)
+    assert worker.warmup_level(node.now) == pytest.approx(0.4)
     request = QueuedRequest(Arrival("r1", "safe", 5 * S), SAFE, LIMITS, node.now, 1, 0)
     node.balancer.send(node.now, worker, request, 100.0 * MS)
-    worker.finished(250.0 * MS, request.attempts[0].expected)
-    assert worker.pace(node.now) == pytest.approx(1.0, abs=0.01)
-    assert worker.level(node.now + 15 * S) == 1.0
+    worker.record_runtime(250.0 * MS, request.attempts[0].expected)
+    assert worker.slowdown(node.now) == pytest.approx(1.0, abs=0.01)
+    assert worker.warmup_level(node.now + 15 * S) == 1.0
     node.started(Send("r1", 1, 0))
     node.run(250 * MS)
     node.ended(Send("r1", 1, 0), Outcome.OK)
-    assert node.balancer.runs["safe"] == pytest.approx(100 * MS, rel=0.01)
+    assert node.balancer.mean_runtimes["safe"] == pytest.approx(100 * MS, rel=0.01)
     # a job that would end late there waits for a warm worker: aim 200 ms and twice its time, of 2 s
-    node.balancer.runs["safe"] = 2.0 * S
+    node.balancer.mean_runtimes["safe"] = 2.0 * S
     node.arrive("r2", "safe")
     assert not sends(node.run(200 * MS))
     warm = node.listing(ListKind.CHANGES, *workers(2)) + node.run(200 * MS)
@@ -413,19 +413,22 @@
                     self.runs[me] = self.run_of_process(me, now + 300 * MS)
                 rules, view, unit = self.runs[me]
                 more = burst if 12 * S <= now < 14 * S else 1.0
-                if now < max(rules.began, self.heard[me]) or chance.random() > more * rates[me] * step / S:
+                if (
+                    now < max(rules.started_at, self.heard[me])
+                    or chance.random() > more * rates[me] * step / S
+                ):
                     continue
                 number += 1
                 work = chance.choice((0.5, 1.0, 1.0, 4.0)) / 1.625 if self.heavy else 1.0
                 request = QueuedRequest(Arrival(f"r{number}", "safe", 5 * S), SAFE, LIMITS, now, number, 0)
-                rules.watching, rules.use = True, 1 - math.exp(-rates[me] / 2)
+                rules.watching, rules.turn_hit_rate = True, 1 - math.exp(-rates[me] / 2)
                 if rules.allows(request, view, now, (work * unit, unit, 2.0)):
-                    view.sends.append((now, work * unit))
+                    view.recent_sends.append((now, work * unit))
                     self.sent.append((now, work))
 
     def budget(self, now: int) -> float:
         """N: calls of mean work that the worker bears in the span that begins now."""
-        return 2.5 * self.runs[0][1].level(now) * 2.0 * S / MEAN
+        return 2.5 * self.runs[0][1].warmup_level(now) * 2.0 * S / MEAN
 
     def most(self) -> float:
         """The most that one span saw, in parts of N + 2 roots of N + 2."""
