--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -1,10 +1,11 @@
-"""Every decision of a dispatcher, in one module.
+"""All decisions of one balancer: queueing, dispatch, health of workers and the worker list.
 
-Its types, events and actions: hollowusher/balancing/interface.py.
+Settings, events and actions are defined in hollowusher/balancing/interface.py.
 
-The ordinary path is the integral controller of Siqueira and Figueiredo (section 3 of their paper): one
-controller for each worker sizes a bundle N from that worker's readings; every t_d the worker's own timer
-takes up to N jobs from the head of the one queue.  docs/design.md lists each departure and when it acts.
+The normal path is the integral controller of Siqueira and Figueiredo (section 3 of their paper). Each worker
+has its own controller, which computes a bundle size N from the readings of that worker. Every control period
+t_d the timer of the worker fires, and the worker takes up to N jobs from the head of the shared queue.
+docs/design.md lists each departure from the paper and when it applies.
 """
 
 from __future__ import annotations
@@ -56,90 +57,115 @@
 )
 from hollowusher.balancing.worker_speed import SlowdownEstimate
 
-SET_POINT = 0.98  # C*: the busy share each controller steers to; the rest is room for other nodes' surprises
-SAMPLE_NS = 500 * NS_PER_MS  # t_s: a worker whose reading is older is asked by probe when its timer fires
-PROBE_COST_SHARE = 0.006  # what probes may take off the result: at their price, so many for each request
-MAX_PROBES_PER_REQUEST = 3.0  # and never more for each request, nor out at once for each job that waits
-PROBE_BURST = 12.0  # requests whose probes a node may save up
-PROBE_TIMEOUT_NS = 2_500 * NS_PER_MS  # a probe without a result is asked again after this
-WINDOW_NS = 500 * NS_PER_MS  # t_w: the span in which a controller closes the gap to the set-point
-PERIODS_PER_AIM = 16  # t_d is the shortest aim over this, so that waiting for a timer costs little of any aim
-MAX_WAIT_PERIODS = 12  # t_d at most that a job may have to wait in the worker it is sent to
-STRETCH_WAIT_SHARE = 0.6  # of what the stretch gives beyond a mean running time, so much may be spent waiting
-EWMA_WEIGHT = 0.1  # weight of a new value in a mean
-READING_LAG_NS = 700 * NS_PER_MS  # how old a reading's content is taken to be when own jobs are counted out
-ASSUMED_WAITING_JOBS = 0.6  # jobs taken to wait in a full worker whose readings do not tell
-START_DELAY_SLACK_NS = (
-    20 * NS_PER_MS
-)  # a start note this much after the quickest one shows that the job waited
-UNKNOWN_CLASS_COST_FACTOR = 4.0  # times its guess that a job of a class that has not run yet may cost
-COLD_MARGIN = 0.6  # the part of its share of a cold worker's budget that a node spends
-FIRST_TRIAL_DELAY_NS = (
-    500 * NS_PER_MS
-)  # wait for a suspect worker's first trial; four strikes double it at most
-GOOD_TRIALS = 3  # trials in a row that must succeed before a suspect worker gets bundles again
-MAX_MISSED_UPDATES = 2.5  # progress notes that may be missing before a worker with running jobs is silent
-MAX_START_DELAY_RUNS = (
-    6.0  # mean running times, or a third of the above, that a job may sit unstarted without news
-)
-COPY_DELAY_NS = (
-    10 * NS_PER_MS
-)  # a job not begun this much after the quickest note waits, and a copy goes elsewhere
-MAX_START_DELAY_SHARE = (
-    0.5  # share of the shortest aim that a job may lie unstarted before its worker counts as full
-)
-MAX_BUNDLE_RATIO = (
-    2.0  # N at most, in jobs that the worker can do in t_d: above it, one full reading takes all away
-)
-MIN_CREDIT_LIMIT = (
-    3.0  # jobs of credit a worker keeps while it is full: without them, it gets less than N on average
-)
-LATE_WAIT_SHARE = 0.65  # a job that has waited this share of what it may is taken after those that have not
-CROWDED_PERIODS = 2  # a queue whose head has waited this many t_d is crowded
-ON_TIME_EWMA_WEIGHT = 0.02  # weight of one job in its class's share of jobs that start in time
-MAX_TIMERS_PER_STEP = (
-    16  # timers a step serves: in a large fleet one is always due, and a node's CPU is small
-)
-WORST_CLASS_EXPONENT = 4  # how sharply the class that is seldomest in time counts as the worst one
-LOOK_AHEAD = 20  # queued jobs a worker looks at for one that it can take
-FINAL_ANSWER_MARGIN_NS = (
-    20 * NS_PER_MS
-)  # the final answer leaves two ticks and this before the client gives up
-WRITE_MARGIN_NS = 50 * NS_PER_MS  # how long before its window ends a repeat's last byte must have left
+# C*: target busy share of a worker. The remaining 2 % absorb unexpected load from other balancers.
+SET_POINT = 0.98
+SAMPLE_NS = 500 * NS_PER_MS  # t_s: a worker whose last reading is older is probed when its timer fires
+# Largest part of the service's worth that probes may cost. Together with the price of a probe it limits the
+# number of probes for each request.
+PROBE_COST_SHARE = 0.006
+# Upper bound on probes for each request, and on outstanding probes for each waiting job.
+MAX_PROBES_PER_REQUEST = 3.0
+PROBE_BURST = 12.0  # number of requests for which a balancer may accumulate unused probe credit
+PROBE_TIMEOUT_NS = 2_500 * NS_PER_MS  # timeout after which a probe without a result is sent again
+WINDOW_NS = 500 * NS_PER_MS  # t_w: time in which a controller closes the gap to the set point
+# t_d is the shortest aim divided by this, so that waiting for a timer takes only a small part of any aim.
+PERIODS_PER_AIM = 16
+# Longest time, in t_d, that a job may be expected to wait at the worker that receives it.
+MAX_WAIT_PERIODS = 12
+# The stretch of a class allows a job more time than one running time. The job may spend this share of the
+# extra time waiting.
+STRETCH_WAIT_SHARE = 0.6
+EWMA_WEIGHT = 0.1  # weight of a new value in an exponentially weighted moving average
+# Assumed age of the data in a reading when this balancer subtracts its own jobs from it.
+READING_LAG_NS = 700 * NS_PER_MS
+ASSUMED_WAITING_JOBS = 0.6  # jobs assumed to wait at a full worker whose readings omit the queue length
+# A start delay that exceeds the shortest one by this much shows that the job waited at the worker.
+START_DELAY_SLACK_NS = 20 * NS_PER_MS
+# Factor on the estimated cost of a job while no job of its class has run yet.
+UNKNOWN_CLASS_COST_FACTOR = 4.0
+COLD_MARGIN = 0.6  # part of its share of a cold worker's budget that a balancer uses
+# Delay before the first trial of a suspect worker. Each further suspicion doubles it, at most four times.
+FIRST_TRIAL_DELAY_NS = 500 * NS_PER_MS
+GOOD_TRIALS = 3  # consecutive successful trials after which a suspect worker receives bundles again
+MAX_MISSED_UPDATES = 2.5  # missed progress updates after which a worker with running jobs counts as silent
+# A worker counts as silent when a job has not started after this many mean running times, or after a third of
+# the time limit for progress updates, whichever is shorter.
+MAX_START_DELAY_RUNS = 6.0
+# A job that has not started this long after the shortest start delay is copied to another worker.
+COPY_DELAY_NS = 10 * NS_PER_MS
+# A worker counts as full when a job has not started after this share of the shortest aim.
+MAX_START_DELAY_SHARE = 0.5
+# Upper bound on N as a multiple of the jobs that the worker can finish in t_d. With a higher bound a single
+# reading of a full worker would reduce N to 0.
+MAX_BUNDLE_RATIO = 2.0
+# Jobs of credit that a worker keeps while it is full. Without them it would receive fewer than N jobs on
+# average.
+MIN_CREDIT_LIMIT = 3.0
+# A job that has waited this share of its allowed wait becomes late and is served after the other jobs.
+LATE_WAIT_SHARE = 0.65
+CROWDED_PERIODS = 2  # a queue is crowded when its head has waited longer than this many t_d
+ON_TIME_EWMA_WEIGHT = 0.02  # weight of one job in the on-time share of its class
+# Limit on the timers served in one step: in a large fleet a timer is always due, and the CPU of a balancer is
+# limited.
+MAX_TIMERS_PER_STEP = 16
+# Exponent that sets how strongly the class with the lowest on-time share is preferred.
+WORST_CLASS_EXPONENT = 4
+LOOK_AHEAD = 20  # number of queued jobs that a worker considers
+# The final answer is due two ticks plus this before the deadline of the client.
+FINAL_ANSWER_MARGIN_NS = 20 * NS_PER_MS
+# The last byte of a repeat must be sent this long before its deduplication window ends.
+WRITE_MARGIN_NS = 50 * NS_PER_MS
 
 
 class IntegralController:
-    """The paper's integral rule for one worker, its gain split among balancers, and the carried credit."""
+    """Integral controller of the bundle size of one worker.
+
+    The paper defines the rule; here its gain is divided among the balancers, and unused credit is carried
+    over.
+    """
 
     def __init__(self, t_d: int, balancers: int) -> None:
         self.t_d, self.balancers = t_d, balancers
-        self.bundle = 0.0  # N, jobs each t_d
-        self.credit = MIN_CREDIT_LIMIT  # so that jobs need not wait for the first reading after a start
-        self.wanted = False  # since the last resize a job was left for want of credit, or the bundle was used
+        self.bundle = 0.0  # N, jobs per t_d
+        self.credit = MIN_CREDIT_LIMIT  # an initial credit lets jobs start before the first reading
+        # Set when, since the last resize, a job used the credit or was held back because there was none.
+        self.wanted = False
 
     def resize(self, busy: float, elapsed: int, t_p: float, ceiling: float, trusted: bool) -> None:
-        """One step of equation 4, on B·N and divided by B, for one fresh reading."""
-        t_d, share = self.t_d, self.balancers
-        gain = (t_d + t_p * share * self.bundle) ** 2 / (t_p * t_d)
-        step = elapsed / WINDOW_NS * gain * (SET_POINT - busy) / share
-        # Anti-windup: in a quiet spell N would climb and the next burst would flood the worker.  Unused, N
-        # grows to an even share of what it can finish; used, to what it could start; suspect, not at all.
-        limit = ceiling if self.wanted else min(ceiling, t_d / t_p / share)
+        """Apply equation 4 once for a new reading: compute it for all balancers (B·N) and divide by B.
+
+        `busy` is the busy share of the worker, `elapsed` the time since the previous new reading in ns, `t_p`
+        the time per job in ns and `ceiling` the largest bundle. The bundle of a worker that is not `trusted`
+        does not grow.
+        """
+        t_d, balancer_count = self.t_d, self.balancers
+        gain = (t_d + t_p * balancer_count * self.bundle) ** 2 / (t_p * t_d)
+        step = elapsed / WINDOW_NS * gain * (SET_POINT - busy) / balancer_count
+        # Anti-windup: without a limit N would grow while there is little load, and the next burst would flood
+        # the worker. An unused bundle grows only to an even share of the jobs that the worker can finish, a
+        # used bundle to `ceiling`, and the bundle of an untrusted worker does not grow.
+        limit = ceiling if self.wanted else min(ceiling, t_d / t_p / balancer_count)
         limit = max(self.bundle, limit) if trusted else self.bundle
         self.bundle = max(0.0, min(limit, self.bundle + step))
         self.wanted = False
 
     def accrue_credit(self, times: int) -> None:
-        """Each t_d the bundle falls due; fractions are carried, never more than a bundle or a few jobs."""
+        """Add the bundles of `times` elapsed periods to the credit.
+
+        Fractions carry over. The credit is limited to one bundle or to MIN_CREDIT_LIMIT, whichever is larger.
+        """
         self.credit = min(max(MIN_CREDIT_LIMIT, self.bundle), self.credit + times * self.bundle)
 
 
 class QueuedRequest:
-    """A client's request and what its attempts allow."""
-
-    def __init__(self, event: Arrival, cls: JobClass, limits: Limits, now: int, seq: int, past: int) -> None:
-        self.id, self.cls, self.limits = event.request, cls, limits  # it keeps both if settings change
-        self.arrived, self.seq = now - past, seq
+    """A client request and its attempts."""
+
+    def __init__(
+        self, event: Arrival, cls: JobClass, limits: Limits, now: int, seq: int, elapsed_before: int
+    ) -> None:
+        # A request keeps its class and limits when the settings change.
+        self.id, self.cls, self.limits = event.request, cls, limits
+        self.arrived, self.seq = now - elapsed_before, seq
         self.deadline = now + event.left_ns
         self.hint, self.slots, self.memory = event.hint_ns, max(event.slots, 0.0), max(event.memory, 0.0)
         self.over_share = event.over_share
@@ -147,20 +173,24 @@
         self.queued = self.late = self.closed = self.streaming = self.copied = False
 
     def may_have_run(self) -> list[Attempt]:
-        """Attempts that did run, or are out, or ended without proof that they never ran."""
+        """Return the attempts that ran, are outstanding, or ended without proof that they never ran."""
         return [a for a in self.attempts if a.outcome is None or not a.outcome.never_ran]
 
     def window_left(self, now: int) -> int | None:
-        """How long a repeat of what may have run is still dropped by its key; None where none may have."""
+        """Return how long, in ns, workers still drop a repeat of this request by its key.
+
+        None means that no attempt can have had an effect or that repeats are safe; 0 means that a repeat is
+        never dropped.
+        """
         ran = self.may_have_run()
         if not ran or self.cls.effect is Effect.SAFE:
             return None
         return ran[0].sent + self.cls.window_ns - now if self.cls.effect is Effect.KEYED else 0
 
     def repeatable(self, worker: WorkerState, now: int) -> bool:
-        """The one predicate of rule 2 for a send: would it be harmless on this worker, now?"""
-        alone = self.limits.second_copies or not any(a.outcome is None for a in self.attempts)
-        if len(self.attempts) >= self.limits.max_attempts or not alone:
+        """Return whether rule 2 allows sending the request to this worker now without a duplicate effect."""
+        copy_allowed = self.limits.second_copies or not any(a.outcome is None for a in self.attempts)
+        if len(self.attempts) >= self.limits.max_attempts or not copy_allowed:
             return False
         left = self.window_left(now)
         return left is None or (
@@ -169,67 +199,74 @@
         )
 
     def refusable(self, now: int) -> bool:
-        """The one predicate of rule 2 for a refusal: may the client be told that trying again is harmless?"""
+        """Return whether rule 2 allows a refusal, which states that the client may safely retry."""
         left = self.window_left(now)
         return left is None or (left > WRITE_MARGIN_NS and self.cls.group is Group.ALL)
 
 
 class WorkerState:
-    """One worker as this node sees it: list state, readings, own jobs, health and cold budget."""
+    """State of one worker in this balancer: list entry, readings, own jobs, health and cold-start budget."""
 
     def __init__(self, entry: Listed, settings: Settings, t_d: int, due: int) -> None:
         self.id, self.entry, self.settings = entry.worker, entry, settings
         self.max_start_delay = round(MAX_START_DELAY_SHARE * min(c.aim_ns for c in settings.classes))
         self.controller, self.due = IntegralController(t_d, settings.balancers), due
         self.outstanding: dict[tuple[str, int], Attempt] = {}
-        self.used_slots = self.used_memory = 0.0  # own jobs out
-        self.running = 0.0  # own slots of jobs started
-        self.lagged_used_slots = 0.0  # own slots out as a reading, late as it is, would show them
+        self.used_slots = self.used_memory = 0.0  # resources of this balancer's outstanding jobs
+        self.running = 0.0  # slots of this balancer's started jobs
+        # Moving average of `used_slots` that approximates what a reading contains, given the age of its data.
+        self.lagged_used_slots = 0.0
         self.lagged_at = due
         self.max_free_slots = self.max_free_memory = self.other_slots = self.other_memory = 0.0
-        self.other_slots_at, self.reading_count = due, 0  # when others was told last; fresh readings
+        # Time of the last update of `other_slots`; number of new readings.
+        self.other_slots_at, self.reading_count = due, 0
         self.last_reading: Reading | None = None
-        self.fresh_reading_at = due - WINDOW_NS  # when the last fresh reading came
-        self.reading_at = due - SAMPLE_NS  # when the last reading came, fresh or a repeat
-        self.probe_sent_at = -PROBE_TIMEOUT_NS  # when a probe was sent last
-        self.mean_runtime: float | None = None  # mean running time of its jobs
+        self.fresh_reading_at = due - WINDOW_NS  # arrival of the last new reading
+        self.reading_at = due - SAMPLE_NS  # arrival of the last reading, new or repeated
+        self.probe_sent_at = -PROBE_TIMEOUT_NS  # time of the last probe
+        self.mean_runtime: float | None = None  # mean running time of this worker's jobs in ns
         self.slowdown_estimate = SlowdownEstimate()
-        self.min_start_delay: int | None = None  # the quickest start note seen
-        self.last_update_at = due  # the latest sign of a job's life
-        self.recent_sends: list[tuple[int, float]] = []  # when, and what they cost, while it is cold
-        self.suspect = self.unreachable = False  # dead: it cannot be reached
-        self.suspicion_count = self.successful_trials = self.missed_probes = self.next_trial_at = (
-            0  # the last: when a trial may go
-        )
+        # Shortest delay seen between a send and its start notification.
+        self.min_start_delay: int | None = None
+        self.last_update_at = due  # time of the last update from a job, or of its successful end
+        self.recent_sends: list[tuple[int, float]] = []  # (time, cost) of sends while the worker is cold
+        self.suspect = self.unreachable = False  # unreachable: connections or probes failed
+        # next_trial_at is the earliest time of the next trial job.
+        self.suspicion_count = self.successful_trials = self.missed_probes = self.next_trial_at = 0
 
     def add_own_load(self, now: int, slots: float = 0.0, memory: float = 0.0) -> None:
-        """Count own jobs out, and keep the average that a reading, late as it is, has in it."""
+        """Add resources of this balancer's jobs (negative when a job ends) and update the lagged average."""
         weight = 1.0 - math.exp(-max(0, now - self.lagged_at) / READING_LAG_NS)
         self.lagged_used_slots += weight * (self.used_slots - self.lagged_used_slots)
         self.lagged_at = now
         self.used_slots += slots
         self.used_memory += memory
 
-    def apply_reading(self, reading: Reading, now: int, alike: float) -> float | None:
-        """Take a reading; the busy share if it is fresh.  A repeat is the old reading seen again."""
+    def apply_reading(self, reading: Reading, now: int, type_max_free: float) -> float | None:
+        """Apply a reading and return the busy share if the reading is new, else None.
+
+        A reading that equals the last one within two sample periods counts as a repeat. `type_max_free` is
+        the largest number of free slots seen on workers of the same type.
+        """
         self.reading_at = now
         if reading == self.last_reading and now - self.fresh_reading_at < 2 * SAMPLE_NS:
             return None
         self.last_reading = reading
         self.add_own_load(now)
         self.reading_count += 1
-        weight = max(EWMA_WEIGHT, 1.0 / self.reading_count)  # nodes that follow each late reading herd
+        # A small weight, because balancers that all follow each late reading would move their load in step.
+        weight = max(EWMA_WEIGHT, 1.0 / self.reading_count)
         if reading.free_memory is not None:
             self.max_free_memory = max(self.max_free_memory, reading.free_memory)
             taken = max(0.0, self.max_free_memory - reading.free_memory)
             self.other_memory += weight * (taken - self.other_memory)
         if reading.free_slots is not None:
             self.max_free_slots = max(self.max_free_slots, reading.free_slots)
-            untold = (
-                ASSUMED_WAITING_JOBS if reading.free_slots < 0.5 else 0.0
-            )  # else all nodes keep its queue long, unseen
-            waiting = untold if reading.waiting is None else reading.waiting
-            taken = max(self.max_free_slots, alike) - reading.free_slots + waiting
+            # Without an assumed queue all balancers would keep sending to the full worker, and no reading
+            # would show its long queue.
+            assumed_waiting = ASSUMED_WAITING_JOBS if reading.free_slots < 0.5 else 0.0
+            waiting = assumed_waiting if reading.waiting is None else reading.waiting
+            taken = max(self.max_free_slots, type_max_free) - reading.free_slots + waiting
             taken = max(0.0, taken - self.lagged_used_slots)
             self.other_slots += weight * (taken - self.other_slots)
             self.other_slots_at = now
@@ -237,7 +274,11 @@
         return reading.busy
 
     def advance_timer(self, now: int) -> None:
-        """Each time its t_d timer fired the bundle fell due; where no reading ever tells, a guess fades."""
+        """Add the bundles of all t_d timers that fired since the last call.
+
+        If the worker never sends readings, the estimate of the slots used by other balancers is halved
+        periodically.
+        """
         if self.due <= now:
             times = (now - self.due) // self.controller.t_d + 1
             self.controller.accrue_credit(times)
@@ -246,73 +287,91 @@
             self.other_slots, self.other_slots_at = self.other_slots / 2, now - PROBE_TIMEOUT_NS + SAMPLE_NS
 
     def is_start_overdue(self, now: int) -> bool:
-        """Whether a job sent is overdue to start: the worker is full, whatever its reading says."""
+        """Return whether a job should have started by now; the worker is then full, whatever it reports."""
         first = next((a for a in self.outstanding.values() if a.started is None), None)
         return (
             first is not None
             and now - first.sent > (self.min_start_delay or START_DELAY_SLACK_NS) + self.max_start_delay
         )
 
-    def is_silent(self, now: int, run: float) -> bool:
-        """Whether its jobs give no sign of life for longer than they should."""
-        quiet, notes = now - self.last_update_at, MAX_MISSED_UPDATES * (self.settings.progress_ns or math.inf)
-        if self.running > 0 and notes < math.inf:
-            return quiet > notes
+    def is_silent(self, now: int, runtime: float) -> bool:
+        """Return whether the jobs have sent no update for too long; `runtime` is a mean running time, ns."""
+        idle_time, update_timeout = (
+            now - self.last_update_at,
+            MAX_MISSED_UPDATES * (self.settings.progress_ns or math.inf),
+        )
+        if self.running > 0 and update_timeout < math.inf:
+            return idle_time > update_timeout
         first = next((a for a in self.outstanding.values() if a.started is None), None)
-        return first is not None and min(quiet, now - first.sent) > min(MAX_START_DELAY_RUNS * run, notes / 3)
+        return first is not None and min(idle_time, now - first.sent) > min(
+            MAX_START_DELAY_RUNS * runtime, update_timeout / 3
+        )
 
     def slowdown(self, now: int) -> float:
-        """How many times the expected time its jobs take."""
+        """Return the ratio of actual to expected running time of the worker's jobs."""
         return self.slowdown_estimate.current(now, self.outstanding.values())
 
-    def record_runtime(self, run: float, expected: float) -> None:
-        """A job's running time enters the mean and the pace."""
+    def record_runtime(self, runtime: float, expected: float) -> None:
+        """Add the running time of a finished job to the mean and to the slowdown estimate."""
         self.mean_runtime = (
-            run if self.mean_runtime is None else self.mean_runtime + EWMA_WEIGHT * (run - self.mean_runtime)
+            runtime
+            if self.mean_runtime is None
+            else self.mean_runtime + EWMA_WEIGHT * (runtime - self.mean_runtime)
         )
-        self.slowdown_estimate.add_finished_job(run / expected, self.running)
+        self.slowdown_estimate.add_finished_job(runtime / expected, self.running)
 
     def warmup_level(self, now: int) -> float:
-        """The least part of its full capacity that it has by now: a worker that has just started is cold."""
+        """Return the share of its full capacity that the worker has at least; below 1 while it is cold."""
         rules, age = self.settings.rules, max(0, now - self.entry.started_ns)
         if self.entry.started_ns == 0 or age >= rules.warm_after_ns:
             return 1.0
         return rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_after_ns
 
     def fits_cold_budget(
-        self, now: int, cost: float, unit: float, slots: float, turn_hit_rate: float = 1.0
+        self, now: int, cost: float, mean_cost: float, slots: float, turn_hit_rate: float = 1.0
     ) -> bool:
-        """Rule 4: within any span all nodes together spend at most what a cold worker bears.  `cost` is what
-        this job costs, `unit` what one does on average, `use` the chance that a turn finds a job here."""
+        """Return whether a job fits the budget of a cold worker (rule 4).
+
+        All balancers together must not send more within any overload span than the cold worker can take.
+        `cost` is the cost of this job, `mean_cost` that of an average job, and `turn_hit_rate` the
+        probability that this balancer has a job when its turn comes.
+        """
         rules, nodes = self.settings.rules, self.settings.balancers
         age, level = now - self.entry.started_ns, self.warmup_level(now)
         if level >= 1.0:
             self.recent_sends.clear()
             return True
-        bears = COLD_MARGIN * rules.fall_multiple * level * max(1.0, slots) * rules.fall_span_ns
-        if bears / nodes >= unit:  # each has a share that some jobs fit in
+        budget = COLD_MARGIN * rules.fall_multiple * level * max(1.0, slots) * rules.fall_span_ns
+        if budget / nodes >= mean_cost:  # the share of each balancer holds at least one average job
             return (
-                sum(c for t, c in self.recent_sends if t > now - rules.fall_span_ns) + cost <= bears / nodes
+                sum(c for t, c in self.recent_sends if t > now - rules.fall_span_ns) + cost <= budget / nodes
             )
-        # Else nodes take turns of half a span by the worker's age alone (each learns its own costs); a span
-        # touches three.  A turn is one job for each of as many nodes as it bears, for heavy jobs not each.
-        # What passes unused (`use`) goes to more nodes, within the rule's room: 3 roots of N jobs beyond N.
+        # Otherwise balancers take turns, because the share of one balancer is smaller than one job. A turn
+        # lasts half a span and depends only on the worker's age, because each balancer learns different
+        # costs. A span overlaps three turns. In a turn, `nodes_per_turn` balancers may send one job each; a
+        # value below 1 (heavy jobs) means that only some turns admit a job. Turns that pass without a job are
+        # compensated by more balancers per turn (`turn_hit_rate`), within the tolerance of the rule: N +
+        # 3·sqrt(N) jobs.
         turn = age // max(1, rules.fall_span_ns // 2)
-        many = (
-            bears
-            * min(1 / turn_hit_rate, 1 + 3 * math.sqrt(COLD_MARGIN * unit / bears))
+        nodes_per_turn = (
+            budget
+            * min(1 / turn_hit_rate, 1 + 3 * math.sqrt(COLD_MARGIN * mean_cost / budget))
             / 3
-            / max(cost, unit)
+            / max(cost, mean_cost)
         )
-        place = (self.settings.me + self.id + turn) % nodes
-        mine = place < max(1.0, many) and turn % math.ceil(1.0 / many) == 0
-        used = any(
+        position = (self.settings.me + self.id + turn) % nodes
+        is_own_turn = position < max(1.0, nodes_per_turn) and turn % math.ceil(1.0 / nodes_per_turn) == 0
+        turn_used = any(
             t - self.entry.started_ns >= turn * (rules.fall_span_ns // 2) for t, _ in self.recent_sends
         )
-        return mine and not used and cost <= bears
+        return is_own_turn and not turn_used and cost <= budget
 
     def mark_suspect(self, now: int, rng: random.Random) -> bool:
-        """Lose trust: no bundles, then a trial, later with each strike.  True where this is new."""
+        """Mark the worker as suspect and schedule its next trial; return whether it was trusted before.
+
+        A suspect worker receives no bundles, only single trial jobs. The delay of the trial grows with each
+        suspicion.
+        """
         new = not self.suspect
         if new or now >= self.next_trial_at:
             self.suspicion_count += 1
@@ -322,7 +381,7 @@
         return new
 
     def record_success(self) -> bool:
-        """A job went well; True where that restores trust."""
+        """Record a successful job and return whether it makes a suspect worker trusted again."""
         if not self.suspect:
             self.suspicion_count = 0
             return False
@@ -337,26 +396,35 @@
 
 
 class SendRules:
-    """What every send must pass: the four rules and nothing of tuning."""
+    """The rules that every send must satisfy, independent of any tuning.
+
+    Rule 1: a request gets one final answer in time, and nothing is sent after it. Rule 2: no request takes
+    effect twice. Rule 3: a draining or removed worker receives no new jobs, so the worker list must be
+    current. Rule 4: a cold worker is not overloaded.
+    """
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.settings, self.started_at = settings, now
-        # Until when the list held is known to be all that there was to tell.  A call without an answer shows
-        # nothing: it may have reached the service, which may have told of nodes that are gone.
+        # `list_current_at` is the latest time at which the held list is known to contain all published
+        # changes. A call that times out does not advance it: the service may be up and may have published the
+        # removal of workers.
         self.list_current_at, self.list_requested_at, self.list_valid_ns = (
             now,
             now,
             settings.list_calls.valid_ns,
         )
-        self.turn_hit_rate = 1.0  # the chance that a turn at a cold worker finds a job here
+        # Probability that this balancer has a job when its turn at a cold worker comes.
+        self.turn_hit_rate = 1.0
         self.watching = settings.discovery is Discovery.PUSH
 
     def record_list_event(self, now: int, kind: ListKind) -> None:
-        """What the list's service has said, or failed to say."""
+        """Update how current the held list is after an event of the list service."""
         if kind in (ListKind.FULL, ListKind.CHANGES):
             self.watching, self.list_current_at = True, now
         elif self.settings.discovery is Discovery.ASK:
-            if kind is ListKind.FAILED:  # up to its end a watch has told all; a call met no service then
+            # A watch delivers all changes until it ends. A failed call shows that the service was unreachable
+            # when the call was made, so it cannot have published a change until then.
+            if kind is ListKind.FAILED:
                 self.list_current_at = (
                     now if self.watching else max(self.list_current_at, self.list_requested_at)
                 )
@@ -365,13 +433,15 @@
     def allows(
         self, request: QueuedRequest, worker: WorkerState, now: int, costs: tuple[float, float, float]
     ) -> bool:
-        """Whether this send keeps the rules."""
-        over = request.closed or request.streaming or now >= request.deadline
-        if over or worker.entry.state is not State.READY:
+        """Return whether the rules allow this send; `costs` is (job cost, mean cost, slots) for rule 4."""
+        cannot_send = request.closed or request.streaming or now >= request.deadline
+        if cannot_send or worker.entry.state is not State.READY:
             return False
         if not self.watching and now - self.list_current_at >= self.list_valid_ns:
             return False
-        # What a life before this one sent to a cold worker is forgotten, and lies within a span of it.
+        # An earlier process of this balancer may have sent jobs to the worker within the last span, and this
+        # process has no record of them. Until a span has passed, such a worker receives jobs only when it is
+        # warm.
         if (
             0 < worker.entry.started_ns < self.started_at
             and now - self.started_at < self.settings.rules.fall_span_ns
@@ -381,60 +451,58 @@
 
 
 class Balancer:
-    """The queue, the timers and the dispatch of one node."""
+    """Queue, timers and dispatch of one balancer."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.rng, self.started_at, self.classes = random.Random(seed), now, dict[str, JobClass]()
         self.t_d = max(settings.tick_ns, min(c.aim_ns for c in settings.classes) // PERIODS_PER_AIM)
         self.send_rules = SendRules(settings, now)
-        self.timer_ring: list[tuple[int, int]] = []  # the workers' t_d timers: (phase, worker), in order
-        self.timers_done_until, self.timers_without_send, self.seq = (
-            now,
-            0,
-            0,
-        )  # until when timers were served; then since a send
-        self.candidate_cache: list[QueuedRequest] | None = None  # the candidates, until one leaves or joins
+        # Timers of the workers, with period t_d, as sorted (phase, worker) pairs.
+        self.timer_ring: list[tuple[int, int]] = []
+        # Time up to which worker timers have been served; number of timers served since the last send.
+        self.timers_done_until, self.timers_without_send, self.seq = now, 0, 0
+        # Cached result of `candidates` until the queue changes.
+        self.candidate_cache: list[QueuedRequest] | None = None
         self.probe_credit = PROBE_BURST
-        self.pending_probes, self.probed_workers = (
-            set[int](),
-            list[WorkerState](),
-        )  # whose readings jobs wait for, and have now
-        self.job_joined = self.check_scheduled = (
-            False  # whether a job joined in this step; a check of workers is due
-        )
+        # Workers with an outstanding probe that a job waits for, and workers whose result came in this step.
+        self.pending_probes, self.probed_workers = set[int](), list[WorkerState]()
+        # Whether a job was queued in this step, and whether a check of the workers is scheduled.
+        self.job_joined = self.check_scheduled = False
         self.workers, self.requests = dict[int, WorkerState](), dict[str, QueuedRequest]()
-        self.queue, self.late_queue = (
-            list[QueuedRequest](),
-            list[QueuedRequest](),
-        )  # late: waited too long to be in time
-        self.mean_runtimes, self.mean_hints = (
-            dict[str, float](),
-            dict[str, float](),
-        )  # a class's mean running time and hint
-        self.on_time_share = dict[str, float]()  # by class: share of jobs started before they were late
-        self.arrival_counts = dict[str, int]()  # by class: jobs that came, and one more
-        self.max_time_left = dict[str, int]()  # by class: the most time that one of them had left
-        self.max_free_by_type: dict[tuple[str, float], float] = {}  # most free slots seen on like workers
-        self.median_slowdown = 1.0  # the median pace of the workers: above 1 when a shared cause slows all
-        self.max_slowdown = math.inf  # the pace at which the most pressing class ends late without waiting
+        # late_queue holds the requests that have waited most of their allowed time and are served last.
+        self.queue, self.late_queue = list[QueuedRequest](), list[QueuedRequest]()
+        # By class: mean running time and mean hint, in ns.
+        self.mean_runtimes, self.mean_hints = dict[str, float](), dict[str, float]()
+        # By class: share of jobs that were sent before they became late.
+        self.on_time_share = dict[str, float]()
+        self.arrival_counts = dict[str, int]()  # by class: number of arrivals plus one
+        self.max_time_left = dict[str, int]()  # by class: largest remaining client time of any arrival, in ns
+        # Most free slots seen on any worker of a type.
+        self.max_free_by_type: dict[tuple[str, float], float] = {}
+        # Median slowdown of the workers, at least 1. It exceeds 1 when a shared cause slows all of them.
+        self.median_slowdown = 1.0
+        # Slowdown at which a job of the most urgent class ends late even without waiting.
+        self.max_slowdown = math.inf
         self.timers: list[tuple[int, int, Callable[[int], None], QueuedRequest | None]] = []
         self.wake_at: int | None = None
         self.actions: list[Action] = []
         self.apply_settings(settings)
-        first = round(self.list_timing.spread_ns * self.rng.random()) if self.list_timing.spread_ns else 0
-        self.watch_failures, self.watch_at = 0, now + first
+        initial_delay = (
+            round(self.list_timing.spread_ns * self.rng.random()) if self.list_timing.spread_ns else 0
+        )
+        self.watch_failures, self.watch_at = 0, now + initial_delay
         self.schedule(self.watch_at, self.request_watch)
 
     def apply_settings(self, settings: Settings) -> None:
-        """From now on these settings hold; open requests keep the class and limits that they came with."""
+        """Apply new settings; open requests keep the class and limits that they arrived with."""
         self.settings = self.send_rules.settings = settings
-        kept = {r.cls.name: r.cls for r in self.requests.values()}
-        self.classes = kept | {c.name: c for c in settings.classes}
-        self.probe_cost = max(
-            1.0 / MAX_PROBES_PER_REQUEST, settings.prices.probe / PROBE_COST_SHARE
-        )  # in requests
+        classes_in_use = {r.cls.name: r.cls for r in self.requests.values()}
+        self.classes = classes_in_use | {c.name: c for c in settings.classes}
+        # Requests that must arrive to pay for one probe.
+        self.probe_cost = max(1.0 / MAX_PROBES_PER_REQUEST, settings.prices.probe / PROBE_COST_SHARE)
         self.probes_enabled = settings.limits.probes and settings.readings is not Via.NONE
-        # Few schedulers have readings enough to choose by; of many, none knows which worker is free.
+        # With few balancers each one has enough readings to choose a free worker. With many, no balancer
+        # knows which worker is free, so a second copy of a waiting job is worth its cost.
         limits, self.list_timing = settings.limits, settings.list_calls
         self.copies_enabled = limits.second_copies and limits.cancel and settings.balancers > FEW_BALANCERS
         self.on_time_share = dict.fromkeys(self.classes, 1.0) | self.on_time_share
@@ -444,18 +512,19 @@
             worker.settings = settings
 
     def step(self, now: int, events: list[Event]) -> list[Action]:
-        """Take what has come in, do what is due, and return what to do."""
+        """Process events, run due timers and return the resulting actions; `now` is in ns."""
         self.actions, self.candidate_cache, self.probed_workers = [], None, []
         if self.wake_at is not None and now >= self.wake_at:
             self.wake_at = None
         if not self.queue and not self.late_queue:
-            self.timers_done_until = now  # timers that found no job
+            # With an empty queue there is nothing to serve for the timers due until now.
+            self.timers_done_until = now
         for event in events:
             self.handle_event(now, event)
         while self.timers and self.timers[0][0] <= now:
-            _, _, what, request = heapq.heappop(self.timers)
+            _, _, callback, request = heapq.heappop(self.timers)
             if request is None or not request.closed:
-                what(now)
+                callback(now)
         for worker in self.probed_workers:
             self.serve_worker(now, worker)
         self.offer_to_cold_workers(now)
@@ -463,13 +532,15 @@
         self.schedule_wake(now)
         return self.actions
 
-    def schedule(self, when: int, what: Callable[[int], None], request: QueuedRequest | None = None) -> None:
-        """Do something later; nothing, if it was for a request that is closed by then."""
+    def schedule(
+        self, when: int, callback: Callable[[int], None], request: QueuedRequest | None = None
+    ) -> None:
+        """Call `callback` at time `when`, unless it belongs to a request that is closed by then."""
         self.seq += 1
-        heapq.heappush(self.timers, (when, self.seq, what, request))
+        heapq.heappush(self.timers, (when, self.seq, callback, request))
 
     def next_timer(self) -> tuple[int, WorkerState]:
-        """The first t_d timer after those served, and when it is due."""
+        """Return the due time and the worker of the first t_d timer that has not been served."""
         turn, offset = divmod(self.timers_done_until, self.t_d)
         index = bisect_right(self.timer_ring, (offset, math.inf))
         if index == len(self.timer_ring):
@@ -478,23 +549,22 @@
         return turn * self.t_d + phase, self.workers[worker]
 
     def is_idle(self) -> bool:
-        """Whether no worker of many has taken a job for two rounds."""
+        """Return whether, in a large fleet, no worker has taken a job for two rounds of timers."""
         return len(self.timer_ring) > MAX_TIMERS_PER_STEP and self.timers_without_send >= 2 * len(
             self.timer_ring
         )
 
     def serve_timers(self, now: int) -> None:
-        """The workers whose timers are due take from the queue, in order."""
-        if (
-            self.is_idle()
-        ):  # a round goes on where the last one stood: all have turns, however few a step serves
+        """Let the workers whose timers are due take jobs from the queue, in timer order."""
+        if self.is_idle():
+            # A round continues where the last step ended, so that every worker has its turn although a step
+            # serves only some timers.
             self.timers_done_until += max(0, (now - self.timers_done_until) // self.t_d - 1) * self.t_d
         else:
             self.timers_done_until = max(self.timers_done_until, now - self.t_d)
-        few = (
-            self.timers_without_send >= 2 * len(self.timer_ring) and not self.is_idle()
-        )  # none takes: spare the CPU
-        for _ in range(min(1 if few else MAX_TIMERS_PER_STEP, len(self.timer_ring))):
+        # No worker takes jobs: one timer per step saves CPU time.
+        throttled = self.timers_without_send >= 2 * len(self.timer_ring) and not self.is_idle()
+        for _ in range(min(1 if throttled else MAX_TIMERS_PER_STEP, len(self.timer_ring))):
             when, worker = self.next_timer()
             if when > now or not (self.queue or self.late_queue):
                 break
@@ -502,30 +572,32 @@
             self.serve_worker(now, worker)
 
     def offer_to_cold_workers(self, now: int) -> None:
-        """A job that has just joined goes to a cold worker first, if it is this node's turn there: among many
-        nodes turns are short and mostly pass without a job, while the warm workers are crowded."""
+        """Offer a newly queued job to the cold workers first if it is this balancer's turn there.
+
+        With many balancers turns are short and most pass without a job, while the warm workers are crowded.
+        """
         if self.job_joined and (self.queue or self.late_queue):
             for worker in self.workers.values():
                 if worker.warmup_level(now) < 1.0 and not worker.suspect:
-                    self.serve_worker(now, worker, sure=True)
+                    self.serve_worker(now, worker, skip_probe=True)
         self.job_joined = False
 
     def schedule_wake(self, now: int) -> None:
-        """Ask to be woken for the next thing due."""
+        """Request a wake-up for the next due timer."""
         while self.timers and self.timers[0][3] is not None and self.timers[0][3].closed:
             heapq.heappop(self.timers)
-        whens = [self.timers[0][0]] if self.timers else []
+        due_times = [self.timers[0][0]] if self.timers else []
         if (self.queue or self.late_queue) and self.timer_ring:
-            # In a large fleet a timer is always due, and a wake costs more than it: while none takes a job, a
-            # batch is served each t_d.
-            whens.append(max(self.next_timer()[0], now + self.t_d if self.is_idle() else 0))
-        when = max(min(whens, default=now), now + 1)
-        if whens and (self.wake_at is None or when < self.wake_at):
+            # In a large fleet a worker timer is always due, and a wake-up costs more CPU time than serving a
+            # timer. While no worker takes a job, timers are therefore served in one batch per t_d.
+            due_times.append(max(self.next_timer()[0], now + self.t_d if self.is_idle() else 0))
+        when = max(min(due_times, default=now), now + 1)
+        if due_times and (self.wake_at is None or when < self.wake_at):
             self.wake_at = when
             self.actions.append(Wake(when - now))
 
     def handle_event(self, now: int, event: Event) -> None:
-        """One event."""
+        """Dispatch one event to its handler."""
         match event:
             case Arrival():
                 self.handle_arrival(now, event)
@@ -541,23 +613,27 @@
             case Probed():
                 self.handle_probe_result(now, event)
             case BudgetSpent():
-                self.send_rules.started_at = now  # as if this life began now
+                # As after a restart, jobs that this balancer does not know of may have been sent.
+                self.send_rules.started_at = now
             case SettingsChanged(settings):
                 self.apply_settings(settings)
             case Woken():
                 if self.wake_at is not None and self.wake_at - now <= self.settings.tick_ns:
-                    self.wake_at = None  # a coarse clock wakes early: to wait on for this wake is to hang
+                    # A coarse clock can wake the balancer slightly before `wake_at`. If the time stayed
+                    # recorded, no new wake-up would be requested and the balancer would hang.
+                    self.wake_at = None
 
     def handle_arrival(self, now: int, event: Arrival) -> None:
-        """A request joins the queue."""
+        """Add a new request to the queue and schedule its time limits."""
         cls = self.classes.get(event.job_class)
         if cls is None or event.request in self.requests:
             return
         self.seq += 1
-        # A client's time runs over all its tries: what a first one has left and this one has not, is past.
+        # The time that a client waits covers all of its tries. For a retry, the difference to the largest
+        # remaining time of its class is taken as the time already spent on earlier tries.
         self.max_time_left[cls.name] = max(event.left_ns, self.max_time_left[cls.name])
-        past = self.max_time_left[cls.name] - event.left_ns if event.retry else 0
-        request = QueuedRequest(event, cls, self.settings.limits, now, self.seq, past)
+        elapsed_before = self.max_time_left[cls.name] - event.left_ns if event.retry else 0
+        request = QueuedRequest(event, cls, self.settings.limits, now, self.seq, elapsed_before)
         self.arrival_counts[cls.name] += 1
         rate = sum(self.arrival_counts.values()) / max(1, now - self.started_at)
         self.send_rules.turn_hit_rate = 1.0 - math.exp(-rate * self.settings.rules.fall_span_ns / 2)
@@ -565,25 +641,27 @@
         if request.hint:
             mean = self.mean_hints.get(cls.name, float(request.hint))
             self.mean_hints[cls.name] = mean + EWMA_WEIGHT * (request.hint - mean)
-        may_wait = cls.aim_ns + STRETCH_WAIT_SHARE * max(0.0, cls.stretch - 1.0) * self.expected_runtime(
-            request
-        )
-        late = request.arrived + max(
-            2 * self.t_d, round(LATE_WAIT_SHARE * may_wait)
-        )  # a round of timers first
+        max_queue_wait = cls.aim_ns + STRETCH_WAIT_SHARE * max(
+            0.0, cls.stretch - 1.0
+        ) * self.expected_runtime(request)
+        # Two control periods at least, so that every worker timer fires once before the job becomes late.
+        late_at = request.arrived + max(2 * self.t_d, round(LATE_WAIT_SHARE * max_queue_wait))
         self.probe_credit = min(PROBE_BURST, self.probe_credit + 1.0)
         self.enqueue(request)
-        self.schedule(late, lambda then: self.move_to_late_queue(then, request), request)
-        if cls.late_share <= 0:  # refuse what can no longer be in time, before it costs any work
-            hopeless = max(late, now + round(self.slack(now, request, 1.0)))
+        self.schedule(late_at, lambda then: self.move_to_late_queue(then, request), request)
+        # Refuse a job that can no longer be in time before any worker spends time on it.
+        if cls.late_share <= 0:
+            too_late_at = max(late_at, now + round(self.slack(now, request, 1.0)))
             self.schedule(
-                hopeless, lambda then: None if request.attempts else self.finish(then, request), request
+                too_late_at, lambda then: None if request.attempts else self.finish(then, request), request
             )
-        last = request.deadline - 2 * self.settings.tick_ns - FINAL_ANSWER_MARGIN_NS
-        self.schedule(last, lambda then: None if request.streaming else self.finish(then, request), request)
+        answer_by = request.deadline - 2 * self.settings.tick_ns - FINAL_ANSWER_MARGIN_NS
+        self.schedule(
+            answer_by, lambda then: None if request.streaming else self.finish(then, request), request
+        )
 
     def handle_job_update(self, now: int, event: Started | Progress | Streaming) -> None:
-        """A job shows a sign of life."""
+        """Process a start, progress or streaming update of a job."""
         worker = self.workers.get(event.worker)
         attempt = worker.outstanding.get((event.request, event.attempt)) if worker else None
         if worker is None or attempt is None:
@@ -593,11 +671,12 @@
         attempt.request.streaming |= isinstance(event, Streaming)
 
     def mark_started(self, now: int, attempt: Attempt) -> None:
-        """The job of an attempt runs from now on."""
+        """Record that the worker of an attempt has started its job."""
         if attempt.started is None:
             attempt.started = now
             request = attempt.request
-            if request.copied:  # the first to begin has the job, before another does any work on it
+            # The first copy to start keeps the job; the other copies are cancelled before they start.
+            if request.copied:
                 self.dequeue(request)
                 self.actions.extend(
                     Cancel(request.id, a.number)
@@ -609,16 +688,15 @@
                 delay if worker.min_start_delay is None else min(delay, worker.min_start_delay)
             )
             worker.running += attempt.request.slots
-            if (
-                delay > worker.min_start_delay + START_DELAY_SLACK_NS
-            ):  # it had to wait, so just now all slots were taken
+            if delay > worker.min_start_delay + START_DELAY_SLACK_NS:
+                # The job had to wait at the worker, so all slots were taken until now.
                 worker.other_slots, worker.other_slots_at = (
                     max(worker.other_slots, self.slot_count(worker) - worker.running),
                     now,
                 )
 
     def handle_ended(self, now: int, event: Ended) -> None:
-        """An attempt is over: learn, judge the worker, and see what its request needs."""
+        """Process the end of an attempt: update the worker, then close, repeat or finish the request."""
         worker = self.workers.get(event.worker)
         attempt = worker.outstanding.pop((event.request, event.attempt), None) if worker else None
         if worker is None or attempt is None:
@@ -632,11 +710,11 @@
         if event.outcome is Outcome.OK:
             worker.last_update_at = now
             if attempt.started is not None:
-                run = max(1.0, now - attempt.started)
-                worker.record_runtime(run, attempt.expected)
-                usual = run * worker.warmup_level(attempt.started)
-                mean = self.mean_runtimes.get(request.cls.name, usual)
-                self.mean_runtimes[request.cls.name] = mean + EWMA_WEIGHT * (usual - mean)
+                runtime = max(1.0, now - attempt.started)
+                worker.record_runtime(runtime, attempt.expected)
+                full_speed_runtime = runtime * worker.warmup_level(attempt.started)
+                mean = self.mean_runtimes.get(request.cls.name, full_speed_runtime)
+                self.mean_runtimes[request.cls.name] = mean + EWMA_WEIGHT * (full_speed_runtime - mean)
             if self.is_too_slow(now, worker):
                 self.suspect_worker(now, worker, "crawling")
             elif worker.record_success():
@@ -657,24 +735,29 @@
         elif not any(a.outcome is None for a in request.attempts):
             if any(request.repeatable(w, now) for w in self.workers.values()):
                 self.enqueue(request)
-                if (left := request.window_left(now)) is not None:  # after it, it could go nowhere any more
+                # When the window ends, no worker may receive the request any more.
+                if (left := request.window_left(now)) is not None:
                     self.schedule(now + left, lambda then: self.expire(then, request), request)
             else:
                 self.finish(now, request)
 
     def expected_runtime(self, request: QueuedRequest) -> float:
-        """The running time to expect."""
+        """Return the expected running time of a request on an ordinary worker, in ns."""
         hint = self.mean_hints.get(request.cls.name)
-        # A hint is work, so by hints a pace shows when all are slow; they are rough: half-way to the mean.
+        # A hint states work and not running time, so that a slowdown of all workers remains visible. Hints
+        # are rough; the geometric mean with the class mean halves their deviation.
         return math.sqrt(hint * request.hint) if hint and request.hint else self.typical_runtime(request.cls)
 
-    def slack(self, now: int, request: QueuedRequest, pace: float) -> float:
-        """How much longer a job could wait for a worker of this pace and still be in time."""
-        run = self.expected_runtime(request)
-        return request.arrived + request.cls.aim_ns + (request.cls.stretch - pace) * run - now
+    def slack(self, now: int, request: QueuedRequest, slowdown: float) -> float:
+        """Return how long, in ns, a job can wait for a worker with this slowdown and still be in time."""
+        runtime = self.expected_runtime(request)
+        return request.arrived + request.cls.aim_ns + (request.cls.stretch - slowdown) * runtime - now
 
     def typical_runtime(self, cls: JobClass | None = None) -> float:
-        """Mean running time of a class, or of all; before any is known, half the shortest aim stands in."""
+        """Return the mean running time of a class, or of all classes, in ns.
+
+        Before any job has finished, half of the shortest aim is the estimate.
+        """
         known = (
             [self.mean_runtimes[cls.name]]
             if cls and cls.name in self.mean_runtimes
@@ -683,23 +766,26 @@
         return sum(known) / len(known) if known else min(c.aim_ns for c in self.settings.classes) / 2
 
     def cost_factor(self, cls: JobClass) -> float:
-        """How many times its guess a job of a class may cost."""
+        """Return the factor on the estimated cost of a job of this class."""
         return 1.0 if cls.name in self.mean_runtimes else UNKNOWN_CLASS_COST_FACTOR
 
     def enqueue(self, request: QueuedRequest) -> None:
-        """Join the one queue, in order of arrival, whatever has been tried before."""
+        """Insert a request in order of arrival, regardless of earlier attempts."""
         if not request.queued and not request.closed:
             request.queued, self.candidate_cache, self.job_joined = True, None, True
             insort(self.late_queue if request.late else self.queue, request, key=lambda r: r.seq)
 
     def dequeue(self, request: QueuedRequest) -> None:
-        """Leave the queue."""
+        """Remove a request from the queue."""
         if request.queued:
             request.queued, self.candidate_cache = False, None
             (self.late_queue if request.late else self.queue).remove(request)
 
     def move_to_late_queue(self, now: int, request: QueuedRequest) -> None:
-        """The job has waited much of its aim: behind all others, else in overload all start too late."""
+        """Mark a request as late and queue it behind the others.
+
+        If late jobs kept their place in an overload, all jobs would start too late.
+        """
         queued = request.queued
         self.dequeue(request)
         request.late = True
@@ -708,7 +794,7 @@
             self.on_time_share[request.cls.name] *= 1.0 - ON_TIME_EWMA_WEIGHT
 
     def close(self, request: QueuedRequest) -> None:
-        """The request has its final answer: nothing more is sent, what is still out is called off."""
+        """Close a request that has its final answer and cancel its outstanding attempts."""
         request.closed = True
         self.dequeue(request)
         self.requests.pop(request.id, None)
@@ -716,26 +802,27 @@
             self.actions.extend(Cancel(request.id, a.number) for a in request.attempts if a.outcome is None)
 
     def expire(self, now: int, request: QueuedRequest) -> None:
-        """Its window is over: a request that no worker has is at its end."""
+        """Finish a request whose deduplication window has ended if it has no outstanding attempt."""
         if not any(a.outcome is None for a in request.attempts):
             self.finish(now, request)
 
     def finish(self, now: int, request: QueuedRequest) -> None:
-        """The final answer where no worker gave one: refuse where that is allowed, else fail."""
+        """Answer a request that no worker has answered: refuse it if rule 2 allows that, else fail it."""
         self.actions.append(Refuse(request.id) if request.refusable(now) else Fail(request.id))
         self.close(request)
 
     def update_worker_list(self, now: int, event: WorkerList) -> None:
-        """Follow the list."""
-        stood = self.send_rules.watching
+        """Apply a worker list, or schedule the next call when the list service failed."""
+        had_watch = self.send_rules.watching
         if event.kind is not ListKind.CACHED:
             self.send_rules.record_list_event(now, event.kind)
         if event.kind in (ListKind.FAILED, ListKind.SILENT):
             if not self.send_rules.watching:
-                longest = self.list_timing.wait_ns(self.watch_failures, stood)
+                max_delay = self.list_timing.wait_ns(self.watch_failures, had_watch)
                 self.watch_failures += 1
-                part = (0.0, 0.8) if stood else (0.5, 1.0)  # watches break all at once, calls fail one by one
-                self.watch_at = now + round(longest * self.rng.uniform(*part))
+                # Watches break all at once, so their retries are spread; calls fail one at a time.
+                jitter = (0.0, 0.8) if had_watch else (0.5, 1.0)
+                self.watch_at = now + round(max_delay * self.rng.uniform(*jitter))
                 self.schedule(self.watch_at, self.request_watch)
             return
         if event.kind is not ListKind.CACHED:
@@ -747,16 +834,16 @@
                 self.workers[entry.worker] = WorkerState(entry, self.settings, self.t_d, due)
                 insort(self.timer_ring, (due % self.t_d, entry.worker))
             else:
-                if not worker.entry.same_process(entry.started_ns):  # what is held against it was another's
+                if not worker.entry.same_process(entry.started_ns):  # suspicions concern the previous process
                     worker.suspect, worker.unreachable, worker.suspicion_count = False, False, 0
                 worker.entry = entry
         if event.kind is not ListKind.CHANGES:
-            named = {entry.worker for entry in event.entries}
-            for worker in (w for w in self.workers.values() if w.id not in named):
+            listed_ids = {entry.worker for entry in event.entries}
+            for worker in (w for w in self.workers.values() if w.id not in listed_ids):
                 worker.entry = replace(worker.entry, state=State.GONE)
 
     def request_watch(self, now: int) -> None:
-        """Ask for the list and its changes, and again where no answer comes."""
+        """Request the worker list and its changes, and request them again if no answer arrives."""
         if self.send_rules.watching or now < self.watch_at:
             return
         self.send_rules.list_requested_at, self.watch_at = now, now + 2 * self.list_timing.timeout_ns
@@ -764,19 +851,22 @@
         self.actions.append(Watch())
 
     def slot_count(self, worker: WorkerState) -> float:
-        """The slots a worker is taken to have: the most free ones seen on it or on one like it."""
+        """Return the assumed slots of a worker: the most free slots seen on it or on a worker of its type."""
         return max(1.0, self.max_free_by_type.get(self.worker_type(worker), 0.0), worker.max_free_slots)
 
     def worker_type(self, worker: WorkerState) -> tuple[str, float]:
-        """What workers of one build share.  A size that follows the load would make each one's its own."""
+        """Return the key under which workers share capacity data: the kind and, if it is reliable, the size.
+
+        A size that follows the load would put each worker into a type of its own.
+        """
         return worker.entry.kind, worker.entry.size if self.settings.reports_sizes else 1.0
 
     def check_workers(self, now: int) -> None:
-        """Notice silence and crawling, while jobs are out."""
-        shown = sorted(
+        """Suspect silent and slow workers while jobs are outstanding, and schedule the next check."""
+        slowdowns = sorted(
             w.slowdown(now) for w in self.workers.values() if w.outstanding or w.slowdown_estimate.jobs
         )
-        self.median_slowdown = max(1.0, shown[len(shown) // 2]) if shown else 1.0
+        self.median_slowdown = max(1.0, slowdowns[len(slowdowns) // 2]) if slowdowns else 1.0
         self.max_slowdown = min(c.stretch + c.aim_ns / self.typical_runtime(c) for c in self.settings.classes)
         busy = [w for w in self.workers.values() if w.outstanding]
         for worker in busy:
@@ -789,25 +879,26 @@
         if busy:
             self.schedule(now + SAMPLE_NS, self.check_workers)
 
-    def request_probe(self, now: int, worker: WorkerState, near: bool) -> None:
-        """Ask for a reading, within the price of probes."""
-        again = PROBE_TIMEOUT_NS if worker.id in self.pending_probes else SAMPLE_NS
-        if now - worker.probe_sent_at < again or self.probe_credit < self.probe_cost:
+    def request_probe(self, now: int, worker: WorkerState, zone_allowed: bool) -> None:
+        """Probe a worker if the probe budget allows it."""
+        min_interval = PROBE_TIMEOUT_NS if worker.id in self.pending_probes else SAMPLE_NS
+        if now - worker.probe_sent_at < min_interval or self.probe_credit < self.probe_cost:
             return
-        spare = self.probe_credit > PROBE_BURST / 2  # else none for workers that the head would not take
+        # Workers in a zone that the head of the queue would not use are probed only with spare credit.
+        has_spare_credit = self.probe_credit > PROBE_BURST / 2
         if (
-            spare
-            if not near
+            has_spare_credit
+            if not zone_allowed
             else len(self.pending_probes) < MAX_PROBES_PER_REQUEST * (len(self.queue) + len(self.late_queue))
         ):
             self.probe_credit -= self.probe_cost
             worker.probe_sent_at = now
-            if near:
+            if zone_allowed:
                 self.pending_probes.add(worker.id)
             self.actions.append(Probe(worker.id))
 
     def handle_probe_result(self, now: int, event: Probed) -> None:
-        """A probe's result."""
+        """Process the result of a probe."""
         worker = self.workers.get(event.worker)
         if worker is None:
             return
@@ -815,7 +906,8 @@
         self.probed_workers.append(worker)
         worker.missed_probes = 0 if event.ok else worker.missed_probes + 1
         if event.ok and worker.unreachable:
-            worker.unreachable, worker.next_trial_at = False, now  # it is back: try it at once
+            # The worker is reachable again: allow a trial at once.
+            worker.unreachable, worker.next_trial_at = False, now
         if event.reading is not None:
             self.handle_reading(now, worker, event.reading)
         if worker.missed_probes >= 2:
@@ -824,80 +916,94 @@
                 self.suspect_worker(now, worker, "unanswered probes")
 
     def handle_reading(self, now: int, worker: WorkerState, reading: Reading) -> None:
-        """A fresh reading resizes the bundle once."""
-        like = self.worker_type(worker)
+        """Apply a reading; a new one resizes the worker's bundle once."""
+        worker_type = self.worker_type(worker)
         if reading.free_slots is not None:
-            self.max_free_by_type[like] = max(self.max_free_by_type.get(like, 0.0), reading.free_slots)
-        busy = worker.apply_reading(reading, now, self.max_free_by_type.get(like, 0.0))
+            self.max_free_by_type[worker_type] = max(
+                self.max_free_by_type.get(worker_type, 0.0), reading.free_slots
+            )
+        busy = worker.apply_reading(reading, now, self.max_free_by_type.get(worker_type, 0.0))
         if busy is not None:
             self.resize_bundle(now, worker, busy)
 
     def resize_bundle(self, now: int, worker: WorkerState, busy: float) -> None:
-        """One step of the worker's controller."""
+        """Run one step of the worker's controller."""
         elapsed, worker.fresh_reading_at = now - worker.fresh_reading_at, now
         worker.advance_timer(now)
         t_p, trusted = self.time_per_job(worker), not worker.suspect and not worker.is_start_overdue(now)
-        most = min(self.slot_count(worker), MAX_BUNDLE_RATIO * self.t_d / t_p)
-        worker.controller.resize(busy, elapsed, t_p, most, trusted)
+        max_bundle = min(self.slot_count(worker), MAX_BUNDLE_RATIO * self.t_d / t_p)
+        worker.controller.resize(busy, elapsed, t_p, max_bundle, trusted)
 
     def time_per_job(self, worker: WorkerState) -> float:
-        """t_p: a worker's running time over its slots; the pooled mean until it has shown its own."""
+        """Return t_p in ns: the mean running time on this worker divided by its slots.
+
+        Before the worker has finished a job, the mean running time of all classes is used.
+        """
         return max(1.0, (worker.mean_runtime or self.typical_runtime()) / self.slot_count(worker))
 
     def is_too_slow(self, now: int, worker: WorkerState) -> bool:
-        """Whether its jobs end late even without waiting, which no reading of its slots tells."""
+        """Return whether the worker's jobs end late even without waiting, which no slot reading shows."""
         return worker.slowdown(now) > self.median_slowdown * self.max_slowdown
 
-    def suspect_worker(self, now: int, worker: WorkerState, why: str) -> None:
-        """Suspect a worker; its jobs that may be repeated go back to the queue."""
+    def suspect_worker(self, now: int, worker: WorkerState, reason: str) -> None:
+        """Suspect a worker and queue its repeatable jobs for other workers."""
         if worker.mark_suspect(now, self.rng):
-            self.actions.append(Log(f"worker {worker.id} is suspect: {why}"))
+            self.actions.append(Log(f"worker {worker.id} is suspect: {reason}"))
         for attempt in worker.outstanding.values() if self.settings.limits.second_copies else ():
             if attempt.request.cls.effect is not Effect.UNSAFE:
                 self.enqueue(attempt.request)
 
-    def serve_worker(self, now: int, worker: WorkerState, sure: bool = False) -> None:
-        """A worker's timer is due: it takes its bundle from the head of the queue.  `sure`: unasked."""
+    def serve_worker(self, now: int, worker: WorkerState, skip_probe: bool = False) -> None:
+        """Send jobs from the head of the queue to a worker, up to its credit.
+
+        `skip_probe` sends without first waiting for a new reading.
+        """
         if worker.entry.state is not State.READY or not (self.queue or self.late_queue):
             return
         worker.advance_timer(now)
-        control, slots, oldest = (
+        controller, slots, oldest = (
             worker.controller,
             self.slot_count(worker),
             (self.late_queue or self.queue)[0],
         )
         waited = now - oldest.arrived
-        home = worker.entry.zone == self.settings.zone
-        near = home or waited >= self.own_zone_wait(oldest)  # whether a job that waits would go there
-        if now - worker.reading_at >= SAMPLE_NS and not sure:
-            # By the clock a large fleet would send more probes than jobs: so a job asks, and waits a bit.
+        in_own_zone = worker.entry.zone == self.settings.zone
+        # Whether a waiting job may go to the worker's zone.
+        zone_allowed = in_own_zone or waited >= self.own_zone_wait(oldest)
+        if now - worker.reading_at >= SAMPLE_NS and not skip_probe:
+            # Waiting jobs trigger probes: with periodic probes a large fleet would send more probes than
+            # jobs. The job waits briefly for the result.
             if self.probes_enabled:
-                self.request_probe(now, worker, near)
-                hope = worker.id in self.pending_probes or self.probe_credit >= self.probe_cost
-                if hope and waited < self.t_d:  # a probe answers sooner; any longer, idle workers stand by
+                self.request_probe(now, worker, zone_allowed)
+                reading_expected = worker.id in self.pending_probes or self.probe_credit >= self.probe_cost
+                # Results usually arrive within t_d; a longer wait would leave workers idle.
+                if reading_expected and waited < self.t_d:
                     return
             elif self.settings.readings is Via.NONE:
                 self.resize_bundle(now, worker, min(1.0, worker.used_slots * self.settings.balancers / slots))
-        if not near:
+        if not zone_allowed:
             return
-        trial = worker.suspect
-        if trial and not worker.unreachable:  # where most look bad the cause is likely not theirs
+        is_trial = worker.suspect
+        # If most reachable workers are suspect, the cause is probably not in the workers; they then receive
+        # jobs as usual.
+        if is_trial and not worker.unreachable:
             ready = (w for w in self.workers.values() if w.entry.state is State.READY and not w.unreachable)
-            trial = sum(1 if w.suspect else -1 for w in ready) <= 0
-        if trial and (now < worker.next_trial_at or worker.outstanding):
+            is_trial = sum(1 if w.suspect else -1 for w in ready) <= 0
+        if is_trial and (now < worker.next_trial_at or worker.outstanding):
             return
         if worker.outstanding and (
             worker.is_start_overdue(now) or worker.is_silent(now, self.typical_runtime())
         ):
             return
-        if control.credit < 1.0 and control.wanted and not trial:
+        if controller.credit < 1.0 and controller.wanted and not is_trial:
             return
         jobs, t_p, classes = self.candidates(now), self.time_per_job(worker), self.settings.classes
-        unit = sum(self.typical_runtime(c) * self.cost_factor(c) for c in classes) / len(classes)
-        pace = worker.slowdown(now) / worker.warmup_level(
-            now
-        )  # a cold worker is slow, and not to blame for it
-        if trial:  # a trial risks a job: rather one that may be repeated, or else the cheapest
+        mean_cost = sum(self.typical_runtime(c) * self.cost_factor(c) for c in classes) / len(classes)
+        # `worker.slowdown` is relative to running times that allow for a cold worker. The division gives the
+        # slowdown relative to a warm one.
+        slowdown = worker.slowdown(now) / worker.warmup_level(now)
+        # A trial may lose its job, so a repeatable job goes first, then the job with the lowest worth.
+        if is_trial:
             jobs = sorted(jobs, key=lambda r: (r.cls.effect is Effect.UNSAFE, r.cls.worth))
         for request in jobs:
             if any(a.outcome is None and a.worker is worker for a in request.attempts) or (
@@ -905,53 +1011,64 @@
             ):
                 continue
             waited = now - request.arrived
-            over = (
+            excess_slots = (
                 worker.other_slots
                 + worker.used_slots
                 + request.slots
                 - slots
                 - (0.5 if request.late else 0.0)
             )
-            if over > 0 and over * t_p > min(
+            if excess_slots > 0 and excess_slots * t_p > min(
                 waited, request.cls.aim_ns - waited, MAX_WAIT_PERIODS * self.t_d
             ):
-                return  # nor for those behind it: else the patient class takes the room the head was denied
+                # The jobs behind it are not sent either; otherwise the class with the longest aim would take
+                # the capacity that the head of the queue was denied.
+                return
             taken = worker.other_memory + worker.used_memory + request.memory
             if request.memory and worker.outstanding and taken > worker.max_free_memory > 0:
                 continue
-            if not home and waited < self.own_zone_wait(request):
+            if not in_own_zone and waited < self.own_zone_wait(request):
                 continue
-            if not request.late and not trial and self.slack(now, request, pace) < 0:
-                continue  # here it would end late: rather wait for a faster worker, or be refused
+            if not request.late and not is_trial and self.slack(now, request, slowdown) < 0:
+                continue  # The job would end late here; it waits for a faster worker or is refused.
             cost = self.expected_runtime(request) * request.slots * self.cost_factor(request.cls)
-            if not self.send_rules.allows(request, worker, now, (cost, unit, slots)):
+            if not self.send_rules.allows(request, worker, now, (cost, mean_cost, slots)):
                 continue
-            control.wanted = True
-            if trial or control.credit >= 1.0:
-                control.credit = max(0.0, control.credit - 1.0)
+            controller.wanted = True
+            if is_trial or controller.credit >= 1.0:
+                controller.credit = max(0.0, controller.credit - 1.0)
                 self.send(now, worker, request, cost)
-            if trial or control.credit < 1.0:
+            if is_trial or controller.credit < 1.0:
                 return
 
     def enqueue_copy(self, now: int, attempt: Attempt) -> None:
-        """A job that waits in its worker goes to another as well: the first to begin has it."""
+        """Queue a copy of a job that its worker has not started; the first copy to start keeps the job."""
         if attempt.started is None and attempt.outcome is None:
             attempt.request.copied = True
             self.enqueue(attempt.request)
 
     def candidates(self, now: int) -> list[QueuedRequest]:
-        """The head of the queue, by worth once crowded, as some must lose; then late jobs, newest first."""
+        """Return the jobs to consider: the head of the queue, then late jobs with the newest first.
+
+        A crowded queue is sorted by class priority, because some jobs will be late.
+        """
         if self.candidate_cache is None:
             head = self.queue[:LOOK_AHEAD]
             if head and now - head[0].arrived > CROWDED_PERIODS * self.t_d:
-                rates, part = self.class_priorities(), self.settings.over_share_worth
-                head.sort(key=lambda r: rates[r.cls.name] * (part if r.over_share else 1.0), reverse=True)
+                priorities, over_share_factor = self.class_priorities(), self.settings.over_share_worth
+                head.sort(
+                    key=lambda r: priorities[r.cls.name] * (over_share_factor if r.over_share else 1.0),
+                    reverse=True,
+                )
             self.candidate_cache = head + self.late_queue[:-LOOK_AHEAD:-1]
         return self.candidate_cache
 
     def class_priorities(self) -> dict[str, float]:
-        """What a class's jobs earn for a worker's time: its worth, more if it is seldom in time, and what the
-        goal gives the worst class, which is cheap to help if it asks for little."""
+        """Return the priority of each class: the worth that its jobs yield per worker time.
+
+        Classes with a low on-time share count more. The goal's weight for the worst class is added; it is
+        divided by the work of the class, because a class with little work is cheap to help.
+        """
         s, shares = self.settings, {name: max(EWMA_WEIGHT, self.on_time_share[name]) for name in self.classes}
         work = {n: self.arrival_counts[n] * self.typical_runtime(c) for n, c in self.classes.items()}
         rate = {
@@ -969,13 +1086,16 @@
         }
 
     def own_zone_wait(self, request: QueuedRequest) -> float:
-        """How long a job waits for a worker of its own zone: the crossing's price in terms of its aim."""
+        """Return how long, in ns, a job waits for a worker in its own zone before it may cross zones.
+
+        The wait is the price of a crossing, applied to the time within which the job must end.
+        """
         cls = request.cls
         share = self.settings.prices.cross_zone / self.settings.goal.complete
         return share * (cls.aim_ns + cls.stretch * self.expected_runtime(request))
 
     def send(self, now: int, worker: WorkerState, request: QueuedRequest, cost: float) -> None:
-        """Start an attempt."""
+        """Send a request to a worker as a new attempt; `cost` counts against the budget of a cold worker."""
         self.dequeue(request)
         self.timers_without_send, left = 0, request.window_left(now)
         if not request.attempts and not request.late:
