--- a/hollowusher/balancing/simulator_adapter.py
+++ b/hollowusher/balancing/simulator_adapter.py
@@ -397,7 +397,7 @@
                 tenant,
                 key,
                 retry,
-                instance.shares.over(tenant, retry, now),
+                instance.shares.is_over_share(tenant, retry, now),
             )
         if word == "INTERIM":
             request, worker = f.read("request_id", str), f.read("executor", _complete)
--- a/hollowusher/balancing/tenant_shares.py
+++ b/hollowusher/balancing/tenant_shares.py
@@ -23,7 +23,7 @@
         self._asked = dict.fromkeys(self._tenants, 0.0)
         self._at = now
 
-    def over(self, tenant: str, retry: bool, now: int) -> bool:
+    def is_over_share(self, tenant: str, retry: bool, now: int) -> bool:
         """Count a request; whether it goes beyond its tenant's share.  Nobody's request never does, and a
         retry is part of the try before it."""
         if tenant not in self._tenants or retry:
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -141,7 +141,7 @@
                     job.tenant,
                     job.about,
                     job.retry,
-                    self._shares.over(job.tenant, job.retry, now),
+                    self._shares.is_over_share(job.tenant, job.retry, now),
                 )
             case ClientLeft(job, kept):
                 return self._gone(job.ticket, kept)
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -184,11 +184,11 @@
             shares, over = TenantShares(settings, 0), False
             for n in range(int(20 * rate)):
                 now = round(n / rate * S)
-                over = shares.over(name, False, now)
-                self.assertFalse(shares.over(name, True, now))  # a retry belongs to its first try
+                over = shares.is_over_share(name, False, now)
+                self.assertFalse(shares.is_over_share(name, True, now))  # a retry belongs to its first try
             self.assertEqual(over, beyond, (rate, name))
         mixed = TenantShares(
             settings, 0
         )  # twice the allowance, as all others: its part of what comes is its share
-        reported = [mixed.over("big" if n % 5 else "small", False, n * 25 * MS) for n in range(400)]
+        reported = [mixed.is_over_share("big" if n % 5 else "small", False, n * 25 * MS) for n in range(400)]
         self.assertFalse(any(reported))
