--- a/hollowusher/balancing/__init__.py
+++ b/hollowusher/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a job dispatcher, one integral controller for each worker."""
+"""Job dispatcher without I/O; an integral controller for each worker limits the jobs sent to it."""
 
 from hollowusher.balancing.balancer import Balancer
 from hollowusher.balancing.interface import (
--- a/hollowusher/balancing/attempt.py
+++ b/hollowusher/balancing/attempt.py
@@ -1,4 +1,4 @@
-"""The record of one send."""
+"""Record of one send of a request to a worker."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Attempt:
-    """One send of a request."""
+    """One send of a request; its start and outcome are None until the worker reports them."""
 
     def __init__(self, request: QueuedRequest, worker: WorkerState, now: int, expected: float) -> None:
         self.request, self.number, self.worker, self.sent = request, len(request.attempts), worker, now
-        self.expected = max(1.0, expected)  # its running time on a usual worker
+        self.expected = max(1.0, expected)  # expected running time on this worker in ns
         self.started: int | None = None
         self.outcome: Outcome | None = None
--- a/hollowusher/balancing/interface.py
+++ b/hollowusher/balancing/interface.py
@@ -1,7 +1,7 @@
-"""What a balancer is told, sees and does: settings, events and actions.
+"""Interface of a balancer: its settings, the events that it processes and the actions that it returns.
 
-All times and spans are integer nanoseconds on the clock of the caller.  A request is what a client
-asks for; a job is a request on its way to a worker; each send of it is an attempt.
+All times and durations are integers in nanoseconds on the caller's clock. A client sends a request. A job is
+the work of a request at a worker. Each send of a job to a worker is an attempt.
 """
 
 from __future__ import annotations
@@ -11,14 +11,19 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-START_SLACK_NS = 100 * NS_PER_MS  # between two tellings of one start
-LIST_CALL_NS = 200 * NS_PER_MS  # room that each balancer leaves the others' calls at the one list service
-LIST_FIRST_NS = 250 * NS_PER_MS  # wait before the first call after a failure, where few ask
-FEW_BALANCERS = 4  # whose calls at once the list service bears, and whose readings tell enough to choose by
+# Two reported start times of one worker process may differ by this much.
+START_TIME_TOLERANCE_NS = 100 * NS_PER_MS
+# Time by which each balancer beyond FEW_BALANCERS extends the spread of the first list calls.
+LIST_CALL_SPREAD_NS = 200 * NS_PER_MS
+# Wait before the first call after a failure if there are few balancers.
+FIRST_LIST_RETRY_NS = 250 * NS_PER_MS
+# Up to this number of balancers the list service can take the calls of all of them at once, and each balancer
+# has enough readings to choose workers by them.
+FEW_BALANCERS = 4
 
 
 class Effect(Enum):
-    """What repeating a request may do."""
+    """Effect of executing a request more than once."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -26,7 +31,7 @@
 
 
 class Group(Enum):
-    """The workers among which repeats of a keyed request are dropped."""
+    """Scope of deduplication: the workers that drop a repeated keyed request of one another."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,7 +39,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """Outcome of an attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -47,19 +52,19 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the worker did nothing of the job."""
+        """Whether the outcome proves that the worker did no work on the job."""
         return self in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 class Discovery(Enum):
-    """Whether the worker list comes unasked."""
+    """Whether the worker list is pushed to the balancer or must be requested."""
 
     PUSH = "push"
     ASK = "ask"
 
 
 class Via(Enum):
-    """Where a worker's readings come from."""
+    """Source of the load readings of workers."""
 
     ANSWERS = "answers"
     PROBE = "probe"
@@ -67,7 +72,7 @@
 
 
 class Order(Enum):
-    """How a worker serves its own waiting jobs."""
+    """Order in which a worker serves its waiting jobs."""
 
     FIFO = "fifo"
     BACKFILL = "backfill"
@@ -75,10 +80,13 @@
 
 
 class ListKind(Enum):
-    """CHANGES: only changed entries.  FULL: the whole list.  CACHED: the whole list as last held, perhaps
-    old.  FAILED: the service turned a call away or could not be reached, or a watch that stood has ended; the
-    list held stays.  SILENT: the service may have news that was not heard: a watch fell silent or cannot be
-    read, or a call was given up."""
+    """Kind of a worker list event.
+
+    CHANGES holds only the changed entries. FULL is the complete list. CACHED is the complete list as last
+    stored, which may be outdated. FAILED means that the service rejected a call or was unreachable, or that
+    an established watch ended; the held list remains in use. SILENT means that the service may have published
+    changes that did not arrive: a watch sent no data or unreadable data, or a call timed out.
+    """
 
     CHANGES = "changes"
     FULL = "full"
@@ -88,7 +96,7 @@
 
 
 class State(Enum):
-    """A worker's state in the list."""
+    """State of a worker in the worker list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -97,8 +105,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """One class of requests.  An answer is in time within `aim_ns` plus `stretch` times its own running
-    time on a standard core; later ones, up to the deadline, keep `late_share` of the worth."""
+    """A class of requests with common time limits and worth.
+
+    An answer is in time within `aim_ns` plus `stretch` times the job's running time on a standard core. A
+    later answer, up to the deadline, earns `late_share` of the worth. Workers drop repeats of a keyed request
+    for `window_ns`.
+    """
 
     name: str
     aim_ns: int
@@ -116,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and the rate that counts as within its share."""
+    """A customer, its share of the traffic, and the request rate that always counts as within its share."""
 
     name: str
     share: float = 1.0
@@ -125,27 +137,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ListCalls:
-    """How the list is asked for, so that at the return of its service each of any number of balancers has it
-    before its news counts as told, less the grace of a drain.  Of that time a call that hangs until it is
-    given up takes 11 parts of 20, the longest wait after it 3, and 6 are left for a call that waits its
-    turn.  Given up any sooner, calls end before a service that is away or overcharged tells so, after 3 s."""
+    """Timing of calls to the worker list service.
+
+    After an outage of the service, every balancer must hold the list before its changes count as reported,
+    however many balancers there are. The time until then, minus the grace of a drain, is divided as follows:
+    a call that hangs until its timeout takes 11/20, the longest wait before the next call 3/20, and 6/20
+    remain for a call that queues at the service. The timeout must not be shorter, because a service that is
+    unavailable or overloaded reports that after 3 s.
+    """
 
-    timeout_ns: int  # after which a call is given up
-    longest_wait_ns: int  # between two calls; a part of it is by chance
-    broken_wait_ns: int  # after a watch that stood and broke, as all of them may at once
-    spread_ns: int  # over which the calls of balancers that begin at once are spread
-    valid_ns: int  # how long the list held counts once nothing watches it
+    timeout_ns: int  # timeout of a call
+    longest_wait_ns: int  # longest wait between two calls, of which a part is random
+    # Longest wait after an established watch broke. It differs because all watches may break at once.
+    broken_wait_ns: int
+    spread_ns: int  # time over which the first calls of balancers that start together are spread
+    valid_ns: int  # how long the held list may be used without a watch
 
-    def wait_ns(self, failures: int, stood: bool) -> int:
-        """The longest wait after so many failures in a row before this one, or after a watch that `stood`.
-        A failed call costs the service as much as a good one, so it grows, as far as there is time."""
-        most = self.broken_wait_ns if stood else self.longest_wait_ns
-        return min(most, max(LIST_FIRST_NS, self.spread_ns) << min(failures, 8))
+    def wait_ns(self, failures: int, watch_broke: bool) -> int:
+        """Return the longest wait before the next call, in ns.
+
+        `failures` is the number of consecutive failures before this one; `watch_broke` states that an
+        established watch ended. The wait doubles with each failure up to its limit, because a failed call
+        costs the service as much as a successful one.
+        """
+        max_wait = self.broken_wait_ns if watch_broke else self.longest_wait_ns
+        return min(max_wait, max(FIRST_LIST_RETRY_NS, self.spread_ns) << min(failures, 8))
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules about draining and cold workers, answers and asking for the list."""
+    """Parameters of the rules on drains, cold workers, final answers and the worker list.
+
+    A cold worker starts with `cold_share` of its capacity and reaches full capacity `warm_after_ns` after its
+    start. It can fail if it receives more than `fall_multiple` times the work that it can do within
+    `fall_span_ns`. `drain_grace_ns` is the time after a reported drain in which a send is still tolerated.
+    """
 
     drain_grace_ns: int = NS_PER_S
     fall_multiple: float = 2.0
@@ -154,21 +180,29 @@
     warm_after_ns: int = 30 * NS_PER_S
     answer_grace_ns: int = 0
     ask_within_ns: int = 10 * NS_PER_S
-    reported_within_ns: int = 6 * NS_PER_S  # what the list's service has and can tell counts as told by then
+    # A change published by the list service counts as reported after this time.
+    reported_within_ns: int = 6 * NS_PER_S
 
     def list_calls(self, balancers: int, dial_ns: int) -> ListCalls:
-        """How the list is asked for; few balancers need not spread their calls."""
-        within = max(self.reported_within_ns - self.drain_grace_ns, self.reported_within_ns // 2)
-        spread = min(within // 2, LIST_CALL_NS * max(0, balancers - FEW_BALANCERS))
-        good = max(self.reported_within_ns - 2 * dial_ns, self.reported_within_ns // 2)
+        """Return the timing of list calls; `dial_ns` is the connect timeout.
+
+        Up to FEW_BALANCERS balancers do not spread their calls.
+        """
+        available = max(self.reported_within_ns - self.drain_grace_ns, self.reported_within_ns // 2)
+        call_spread = min(available // 2, LIST_CALL_SPREAD_NS * max(0, balancers - FEW_BALANCERS))
+        valid = max(self.reported_within_ns - 2 * dial_ns, self.reported_within_ns // 2)
         return ListCalls(
-            within * 11 // 20, within * 3 // 20, within // 3, spread, min(self.ask_within_ns, good)
+            available * 11 // 20,
+            available * 3 // 20,
+            available // 3,
+            call_spread,
+            min(self.ask_within_ns, valid),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a balancer may do."""
+    """Actions that a balancer may take, and their limits."""
 
     cancel: bool = False
     probes: bool = False
@@ -182,7 +216,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What is taken off the service, each times its share of first tries (`waste`: of work offered)."""
+    """Prices deducted from the score of the service.
+
+    Each price is multiplied by the number of its events per first try of a request, `waste` by the wasted
+    share of the offered work.
+    """
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -192,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """What the service is measured by: parts of 1."""
+    """Weights of the components of the service's score; each is a part of 1."""
 
     complete: float = 1.0
     worst_class: float = 0.0
@@ -200,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at its start."""
+    """Settings of a balancer."""
 
     classes: tuple[JobClass, ...]
     balancers: int = 1
@@ -218,14 +256,15 @@
     tells_start: bool = False
     progress_ns: int = 0
     order: Order = Order.FIFO
-    reports_sizes: bool = True  # a worker's listed size is its own; else it follows its load, or is no figure
+    # True if the listed size of a worker is its own property, False if it follows the load or is unknown.
+    reports_sizes: bool = True
     rules: Rules = field(default_factory=Rules)
     limits: Limits = field(default_factory=Limits)
     prices: Prices = field(default_factory=Prices)
     goal: Goal = field(default_factory=Goal)
 
     def __post_init__(self) -> None:
-        """Refuse what cannot hold, naming the field, so that a wrong file stops a node at its start."""
+        """Raise ValueError with the name of an invalid field, so that a balancer does not start with it."""
 
         def need(ok: bool, name: str, why: str) -> None:
             if not ok:
@@ -265,13 +304,13 @@
 
     @property
     def list_calls(self) -> ListCalls:
-        """How the list is asked for."""
+        """Timing of calls to the worker list service."""
         return self.rules.list_calls(self.balancers, self.limits.connect_timeout_ns)
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A worker's report of its own load; None where it does not tell."""
+    """A worker's report of its own load; a value that the worker does not report is None."""
 
     free_slots: float | None = None
     free_memory: float | None = None
@@ -285,7 +324,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """One worker in the list.  `started_ns` is the clock of its latest start, 0 for long ago."""
+    """An entry of the worker list; `started_ns` is the time of the worker's last start, 0 if long ago."""
 
     worker: int
     zone: str = ""
@@ -296,11 +335,14 @@
     started_ns: int = 0
 
     def same_process(self, started_ns: int) -> bool:
-        """Whether a start told is the one known: clocks are compared anew each time, and differ a little."""
-        return abs(self.started_ns - started_ns) < START_SLACK_NS
+        """Return whether a reported start time denotes the known process.
+
+        The clock of the worker is converted for each report, so that the start times differ slightly.
+        """
+        return abs(self.started_ns - started_ns) < START_TIME_TOLERANCE_NS
 
     def shares_keys(self, other: Listed, group: Group) -> bool:
-        """Whether the two workers drop each other's repeats of a keyed request with this group."""
+        """Return whether both workers drop repeats of each other's keyed requests in this group."""
         if group is Group.CELL:
             return self.cell == other.cell
         return group is Group.ALL or self.zone == other.zone
@@ -308,7 +350,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerList:
-    """Event: the list, or what changed of it."""
+    """Event: the worker list or its changes."""
 
     kind: ListKind
     entries: tuple[Listed, ...] = ()
@@ -316,8 +358,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Event: a client asks.  `left_ns` is how long it will wait, `hint_ns` the work to expect (0: untold),
-    `over_share` whether its tenant asks for more than its share."""
+    """Event: a client sent a request.
+
+    `left_ns` is how long the client will wait, `hint_ns` the expected work (0 if unknown), and `over_share`
+    states that the tenant exceeds its share.
+    """
 
     request: str
     job_class: str
@@ -333,7 +378,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """Event: a worker has begun a job."""
+    """Event: a worker started a job."""
 
     request: str
     attempt: int
@@ -342,7 +387,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Event: a worker has done this share of a job."""
+    """Event: a worker has completed a share of a job."""
 
     request: str
     attempt: int
@@ -352,7 +397,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Streaming:
-    """Event: the answer has begun to reach the client; from here on no deadline runs."""
+    """Event: the answer started to reach the client, after which no deadline applies."""
 
     request: str
     attempt: int
@@ -361,7 +406,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """Event: an attempt is over.  `final` tells that the request has its answer."""
+    """Event: an attempt ended; `final` states that the request has its answer."""
 
     request: str
     attempt: int
@@ -373,14 +418,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """Event: the client has left; no answer is owed."""
+    """Event: the client disconnected and expects no answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """Event: a probe's result."""
+    """Event: a probe returned its result or failed."""
 
     worker: int
     ok: bool
@@ -389,17 +434,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """Event: a time asked for with `Wake` has come."""
+    """Event: the time requested by a `Wake` action has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetSpent:
-    """Event: somebody else may just have spent what this balancer may send to cold workers."""
+    """Event: another process may just have used this balancer's budget for cold workers."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Event: these settings hold from now on; open requests keep the class that they came with."""
+    """Event: the settings changed; open requests keep the class that they arrived with."""
 
     settings: Settings
 
@@ -421,8 +466,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Action: start an attempt.  Attempts of a request count from 0 in the order of their sends.  Its last
-    byte has to leave within `write_within_ns`, and else none of it (0: as long as the client waits)."""
+    """Action: start an attempt.
+
+    Attempts of a request are numbered from 0 in the order of their sends. The last byte of the job
+    must be sent within `write_within_ns`, otherwise none of it may be sent (0: the limit is the client's
+    deadline).
+    """
 
     request: str
     worker: int
@@ -432,7 +481,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Action: stop waiting for one attempt."""
+    """Action: cancel an attempt."""
 
     request: str
     attempt: int
@@ -440,7 +489,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Action, a final answer: trying again is harmless, best after `wait_ns` (0: not said)."""
+    """Action: refuse a request with a final answer.
+
+    The client may safely retry, preferably after `wait_ns` (0: at any time).
+    """
 
     request: str
     wait_ns: int = 0
@@ -448,33 +500,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Action, a final answer that promises nothing about what ran."""
+    """Action: send a final failure, which makes no statement about whether the job ran."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Action: ask a worker for a reading."""
+    """Action: request a reading from a worker."""
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Action: ask for the list and its changes from now on."""
+    """Action: request the worker list and all further changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Action: let `step` be called after this span, with `Woken`."""
+    """Action: call `step` with `Woken` after `in_ns`."""
 
     in_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Action: one line for the people on call."""
+    """Action: write a log line for operators."""
 
     text: str
 
--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -1,7 +1,7 @@
-"""What a decision module has learnt, as it passes from one process of a scheduler to the next.
+"""Learned state of a balancer, which one process of a scheduler hands over to the next.
 
-Nothing is decided here: values are copied, of jobs that have ended and of workers as they have shown
-themselves.  What concerns jobs that are open stays with the process that has them.
+This module only copies values. They derive from finished jobs and from the observed behaviour of workers. The
+state of open jobs stays with the process that holds them.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedWorkerState:
-    """What has been learnt of one worker.  Times are on the machine's monotonic clock."""
+    """Learned state of one worker. Times are on the machine's monotonic clock, in ns."""
 
     worker: int
-    started_ns: int  # of the process that it was learnt of
+    started_ns: int  # start time of the worker process that the state belongs to
     bundle: float
     most_free: float
     most_memory: float
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What has been learnt of all workers and classes."""
+    """Learned state of all classes and workers."""
 
     runs: dict[str, float]
     hints: dict[str, float]
@@ -46,7 +46,7 @@
 
 
 def remember(balancer: Balancer) -> LearnedState:
-    """What a decision module has learnt until now."""
+    """Return a copy of the state that a balancer has learned so far."""
     return LearnedState(
         dict(balancer.mean_runtimes),
         dict(balancer.mean_hints),
@@ -54,11 +54,11 @@
         [(kind, size, free) for (kind, size), free in balancer.max_free_by_type.items()],
         balancer.median_slowdown,
         balancer.max_slowdown,
-        [_of_worker(worker) for worker in balancer.workers.values()],
+        [_capture_worker(worker) for worker in balancer.workers.values()],
     )
 
 
-def _of_worker(worker: WorkerState) -> LearnedWorkerState:
+def _capture_worker(worker: WorkerState) -> LearnedWorkerState:
     return LearnedWorkerState(
         worker.id,
         worker.entry.started_ns,
@@ -67,7 +67,7 @@
         worker.max_free_memory,
         worker.other_slots,
         worker.mean_runtime,
-        worker.slowdown_estimate.time,
+        worker.slowdown_estimate.ratio_sum,
         worker.slowdown_estimate.jobs,
         worker.min_start_delay,
         worker.suspect,
@@ -78,15 +78,15 @@
     )
 
 
-def restore(balancer: Balancer, memory: LearnedState, now: int) -> None:
-    """Begin with what another module has learnt; workers that this one does not know are left out."""
-    balancer.mean_runtimes.update(memory.runs)
-    balancer.mean_hints.update(memory.hints)
-    known = {name: share for name, share in memory.in_time.items() if name in balancer.on_time_share}
+def restore(balancer: Balancer, state: LearnedState, now: int) -> None:
+    """Load the learned state of another balancer, except for workers that this balancer does not know."""
+    balancer.mean_runtimes.update(state.runs)
+    balancer.mean_hints.update(state.hints)
+    known = {name: share for name, share in state.in_time.items() if name in balancer.on_time_share}
     balancer.on_time_share.update(known)
-    balancer.max_free_by_type.update({(kind, size): free for kind, size, free in memory.alike})
-    balancer.median_slowdown, balancer.max_slowdown = memory.usual_pace, memory.bearable_pace
-    for learned in memory.workers:
+    balancer.max_free_by_type.update({(kind, size): free for kind, size, free in state.alike})
+    balancer.median_slowdown, balancer.max_slowdown = state.usual_pace, state.bearable_pace
+    for learned in state.workers:
         worker = balancer.workers.get(learned.worker)
         if worker is not None and worker.entry.same_process(learned.started_ns):
             _restore_worker(worker, learned, now)
@@ -97,7 +97,7 @@
     worker.max_free_slots, worker.max_free_memory = learned.most_free, learned.most_memory
     worker.other_slots, worker.other_slots_at = learned.others, now
     worker.mean_runtime, worker.min_start_delay = learned.run, learned.note_delay
-    worker.slowdown_estimate.time, worker.slowdown_estimate.jobs = learned.pace_time, learned.pace_jobs
+    worker.slowdown_estimate.ratio_sum, worker.slowdown_estimate.jobs = learned.pace_time, learned.pace_jobs
     worker.suspect, worker.unreachable = learned.suspect, learned.dead
     worker.suspicion_count, worker.successful_trials, worker.next_trial_at = (
         learned.strikes,
--- a/hollowusher/balancing/simulator_adapter.py
+++ b/hollowusher/balancing/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""The simulator's wire on standard input and output.  Words in, events out and back; no decisions.
+"""Adapter between the line protocol of the simulator, on standard input and output, and balancers.
 
-One process hosts many instances; each has a `Balancer` of its own and they share nothing.
+It parses messages into events and formats actions as replies, without decisions of its own. One process hosts
+many instances. Each has its own `Balancer`, and they share no state.
 """
 
 from __future__ import annotations
@@ -64,10 +65,10 @@
     "moot": Outcome.NOT_SENT,
 }
 _STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
-_LISTS = {"D": ListKind.CHANGES, "F": ListKind.FULL, "C": ListKind.CACHED, "X": ListKind.FAILED}
+_LIST_KINDS = {"D": ListKind.CHANGES, "F": ListKind.FULL, "C": ListKind.CACHED, "X": ListKind.FAILED}
 _EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
 _GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-_VIAS = {"inline": Via.ANSWERS, "on_probe": Via.PROBE, "off": Via.NONE}
+_READING_SOURCES = {"inline": Via.ANSWERS, "on_probe": Via.PROBE, "off": Via.NONE}
 _DISCOVERY = {"push": Discovery.PUSH, "ask": Discovery.ASK}
 _ORDERS = {"fifo": Order.FIFO, "backfill": Order.BACKFILL, "priority": Order.PRIORITY}
 _BOOLS = {"true": True, "false": False, "1": True, "0": False, "True": True, "False": False}
@@ -78,21 +79,21 @@
     "tps": "served_per_s",
     "err_ps": "errors_per_s",
 }
-_X_FIELDS = {"free_slots": "free_slots", "free_memory": "free_memory"}
+_EXTRA_READING_FIELDS = {"free_slots": "free_slots", "free_memory": "free_memory"}
 T = TypeVar("T")
 _LONGEST_TIMER_NS = 71 * 60 * NS_PER_S
 _HINT_VALID, _CLIENT_RETRY = 1, 2
 
 
 class WireError(Exception):
-    """A line that cannot be read: which message, which field."""
+    """An invalid input line; the text names the message and the field."""
 
     def __init__(self, message: str, field: str) -> None:
         super().__init__(f"message {message}, field {field}")
 
 
 class Fields:
-    """The values of one line, read in order; `-` and missing ones take the default."""
+    """Reads the values of one line in order; `-` and missing values take the default."""
 
     def __init__(self, message: str, parts: list[str]) -> None:
         self.message = message
@@ -100,7 +101,10 @@
         self._at = 0
 
     def read(self, name: str, parse: Callable[[str], T], default: T | None = None) -> T:
-        """The next value; one that is absent without a default, or does not parse, is an error."""
+        """Return the next value.
+
+        Raises WireError if the value is absent and has no default, or if it does not parse.
+        """
         at, self._at = self._at, self._at + 1
         text = self._parts[at] if at < len(self._parts) else "-"
         if text == "-":
@@ -113,8 +117,8 @@
             raise WireError(self.message, name) from None
 
 
-def _complete(text: str) -> int:
-    """A whole number, not negative."""
+def _non_negative_int(text: str) -> int:
+    """Parse a non-negative integer; raises ValueError."""
     value = int(text)
     if value < 0:
         raise ValueError(text)
@@ -122,7 +126,7 @@
 
 
 def _number(text: str) -> float:
-    """A finite number."""
+    """Parse a finite number; raises ValueError."""
     value = float(text)
     if value != value or value in (float("inf"), float("-inf")):
         raise ValueError(text)
@@ -130,7 +134,7 @@
 
 
 class Options:
-    """The settings of a start message: path=value pairs.  Keys that are not asked for are skipped."""
+    """Options of a BEGIN message, given as path=value pairs; unknown keys are ignored."""
 
     def __init__(self, message: str, pairs: Iterable[str]) -> None:
         self._message = message
@@ -142,7 +146,7 @@
             self._values[path] = value
 
     def get(self, path: str, parse: Callable[[str], T], default: T) -> T:
-        """The value at a path, or the default where it is absent or empty."""
+        """Return the value at a path, or the default if it is absent or empty."""
         text = self._values.get(path, "")
         if text in ("", "-"):
             return default
@@ -151,23 +155,23 @@
         except (ValueError, KeyError, OverflowError):
             raise WireError(self._message, f"options.{path}") from None
 
-    def words(self, path: str) -> tuple[str, ...]:
-        """A list of plain values."""
+    def list_values(self, path: str) -> tuple[str, ...]:
+        """Return the comma-separated values at a path."""
         text = self._values.get(path, "")
         return tuple(text.split(",")) if text not in ("", "-") else ()
 
     def item(self, path: str, index: int, default: str) -> str:
-        """One value out of a list of plain values."""
-        words = self.words(path)
-        return words[index] if index < len(words) else default
+        """Return one of the comma-separated values at a path, or the default if it is absent."""
+        items = self.list_values(path)
+        return items[index] if index < len(items) else default
 
 
 def read_settings(message: str, pairs: Iterable[str]) -> tuple[Settings, dict[str, str]]:
-    """The settings, and what each value name of a load report stands for."""
+    """Return the settings and a map from the value names of load reports to the fields of `Reading`."""
     o = Options(message, pairs)
-    kinds = o.words("kinds")
+    kinds = o.list_values("kinds")
     classes = []
-    for i in range(o.get("grades.count", _complete, 0)):
+    for i in range(o.get("grades.count", _non_negative_int, 0)):
         at = f"grades.{i}."
         kind = o.item("family_info.class_kind", i, "-1")
         try:
@@ -198,11 +202,11 @@
             o.get(f"customers.{i}.share", _number, 1.0),
             o.get(f"customers.{i}.allowance_per_s", _number, 0.0),
         )
-        for i in range(o.get("customers.count", _complete, 0))
+        for i in range(o.get("customers.count", _non_negative_int, 0))
     )
     meanings = dict(_READING_FIELDS)
     for x in ("x0", "x1"):
-        meaning = _X_FIELDS.get(o.get(f"family_info.report_{x}", str, ""), "")
+        meaning = _EXTRA_READING_FIELDS.get(o.get(f"family_info.report_{x}", str, ""), "")
         if meaning:
             meanings[x] = meaning
     settings = Settings(
@@ -210,15 +214,15 @@
         balancers=o.get("fleet_size", int, 1),
         me=o.get("me", int, 0),
         zone=o.get("az", str, ""),
-        zones=o.words("zones"),
+        zones=o.list_values("zones"),
         kinds=kinds,
         tenants=tenants,
         over_share_worth=o.get("over_share_worth", _number, 1.0),
         worth_by_work=o.get("counted_by", str, "request") == "work",
         tick_ns=o.get("granularity_ns", int, NS_PER_MS),
         discovery=o.get("discovery", _DISCOVERY.__getitem__, Discovery.PUSH),
-        readings=o.get("report.via", _VIAS.__getitem__, Via.NONE),
-        reading_fields=o.words("report.names"),
+        readings=o.get("report.via", _READING_SOURCES.__getitem__, Via.NONE),
+        reading_fields=o.list_values("report.names"),
         tells_start=o.get("family_info.tells_start", _BOOLS.__getitem__, False),
         progress_ns=o.get("family_info.progress_ns", int, 0),
         reports_sizes=o.get("weights", str, "nominal") == "nominal",
@@ -257,7 +261,7 @@
 
 
 class Instance:
-    """One balancer and the names its wire uses for it."""
+    """A balancer, its tenant counts, and the names that its messages use."""
 
     def __init__(self, seed: int, settings: Settings, meanings: dict[str, str], now: int) -> None:
         self.balancer = Balancer(settings, seed, now)
@@ -266,8 +270,8 @@
         self.classes = [c.name for c in settings.classes]
         self.events: list[Event] = []
 
-    def reading(self, text: str) -> Reading:
-        """A load report: name:value pairs."""
+    def parse_reading(self, text: str) -> Reading:
+        """Parse a load report of comma-separated name:value pairs; raises ValueError."""
         values: dict[str, float] = {}
         service: int | None = None
         for pair in text.split(","):
@@ -285,7 +289,7 @@
 
 
 class Host:
-    """Reads batches, steps the balancers that have events, writes their actions."""
+    """Reads batches of messages, steps the balancers that received events, and writes their actions."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self._source = source
@@ -293,7 +297,7 @@
         self._line = 0
         self._instances: dict[str, Instance] = {}
 
-    def _next(self) -> list[str] | None:
+    def _read_line(self) -> list[str] | None:
         line = self._source.readline()
         if not line:
             return None
@@ -301,25 +305,25 @@
         return line.rstrip("\r\n").split(" ")
 
     def run(self) -> int:
-        """Serve until the end of input; the process's exit code."""
+        """Serve until the end of the input; return the exit code of the process, 2 after an invalid line."""
         try:
-            while (parts := self._next()) is not None:
+            while (parts := self._read_line()) is not None:
                 if parts == [""]:
                     continue
                 if parts[0] != "FRAME":
                     raise WireError(parts[0][:40], "message (a batch begins with FRAME)")
-                now = Fields("FRAME", parts[1:]).read("clock", _complete)
-                self._batch(now)
-        except WireError as bad:
-            print(f"line {self._line}: {bad}", file=sys.stderr)
+                now = Fields("FRAME", parts[1:]).read("clock", _non_negative_int)
+                self._process_batch(now)
+        except WireError as wire_error:
+            print(f"line {self._line}: {wire_error}", file=sys.stderr)
             return 2
         return 0
 
-    def _batch(self, now: int) -> None:
+    def _process_batch(self, now: int) -> None:
         node = ""
         touched: dict[str, None] = {}
         while True:
-            parts = self._next()
+            parts = self._read_line()
             if parts is None:
                 raise WireError("FRAME", "OVER_TO_YOU (input ended inside a batch)")
             word = parts[0]
@@ -335,44 +339,44 @@
                 try:
                     settings, meanings = read_settings(word, (p for p in parts[2:] if p))
                     self._instances[node] = Instance(seed, settings, meanings, now)
-                except ValueError as wrong:
-                    raise WireError(word, f"options ({wrong})") from None
+                except ValueError as error:
+                    raise WireError(word, f"options ({error})") from None
                 touched[node] = None
             elif word == "DESTROY":
                 self._instances.pop(node, None)
             elif node not in self._instances:
-                raise WireError(word[:40], f"node ({node} has not begun)")
+                raise WireError(word[:40], f"node (no BEGIN for {node})")
             else:
                 instance = self._instances[node]
-                event = self._event(instance, word, parts[1:], now)
+                event = self._parse_event(instance, word, parts[1:], now)
                 if event is not None:
                     instance.events.append(event)
                 touched[node] = None
         out: list[str] = []
         for node in touched:
             if node in self._instances:
-                self._step(node, self._instances[node], now, out)
+                self._step_instance(node, self._instances[node], now, out)
         out.append("YIELD\n")
         self._sink.write("\n".join(out))
         self._sink.flush()
 
-    def _step(self, node: str, instance: Instance, now: int, out: list[str]) -> None:
+    def _step_instance(self, node: str, instance: Instance, now: int, out: list[str]) -> None:
         events, instance.events = instance.events, []
         try:
             actions = instance.balancer.step(now, events)
-        except Exception as wrong:  # the wire asks that any fault of the decisions be told
+        except Exception as error:  # the protocol requires a GIVE_IN reply for any failure
             traceback.print_exc(file=sys.stderr)
-            text = " ".join(f"{type(wrong).__name__}: {wrong}".split())
+            text = " ".join(f"{type(error).__name__}: {error}".split())
             out.extend((f"CONTEXT {node}", f"GIVE_IN {text}"))
             return
         if actions:
             out.append(f"CONTEXT {node}")
             out.extend(write_action(a) for a in actions)
 
-    def _event(self, instance: Instance, word: str, parts: list[str], now: int) -> Event | None:
+    def _parse_event(self, instance: Instance, word: str, parts: list[str], now: int) -> Event | None:
         f = Fields(word, parts)
         if word == "WAKEUP":
-            f.read("ctx", _complete)
+            f.read("ctx", _non_negative_int)
             return Woken()
         if word == "INBOUND":
             request = f.read("request_id", str)
@@ -385,7 +389,7 @@
             hint = f.read("estimate_ns", int, 0)
             slots = f.read("slots", _number, 1.0)
             memory = f.read("mem_needed", _number, 0.0)
-            flags = f.read("opts", _complete, 0)
+            flags = f.read("opts", _non_negative_int, 0)
             retry = bool(flags & _CLIENT_RETRY)
             return Arrival(
                 request,
@@ -400,48 +404,52 @@
                 instance.shares.is_over_share(tenant, retry, now),
             )
         if word == "INTERIM":
-            request, worker = f.read("request_id", str), f.read("executor", _complete)
+            request, worker = f.read("request_id", str), f.read("executor", _non_negative_int)
             sort, amount = f.read("sort", int), f.read("amount", _number, 0.0)
-            attempt = f.read("seq_no", _complete)
+            attempt = f.read("seq_no", _non_negative_int)
             if sort == 1:
                 return Started(request, attempt, worker)
             return Progress(request, attempt, worker, amount) if sort == 2 else None
         if word == "DONE":
-            request, attempt = f.read("request_id", str), f.read("seq_no", _complete)
-            worker = f.read("executor", _complete)
+            request, attempt = f.read("request_id", str), f.read("seq_no", _non_negative_int)
+            worker = f.read("executor", _non_negative_int)
             outcome = f.read("status", _OUTCOMES.__getitem__)
             f.read("cost_time_ns", int, 0)
             final = f.read("complete", _BOOLS.__getitem__, False)
             f.read("detail", int, 0)
-            reading = f.read("feedback", instance.reading, Reading())
+            reading = f.read("feedback", instance.parse_reading, Reading())
             return Ended(request, attempt, worker, outcome, final, None if reading == Reading() else reading)
         if word == "PROBE_DONE":
             status = f.read("status", str)
             f.read("cost_time_ns", int, 0)
-            worker = f.read("executor", _complete)
-            reading = f.read("feedback", instance.reading, Reading())
+            worker = f.read("executor", _non_negative_int)
+            reading = f.read("feedback", instance.parse_reading, Reading())
             return Probed(worker, status == "ok", None if reading == Reading() else reading)
         if word == "MEMBERSHIP":
-            kind = f.read("mode", _LISTS.__getitem__)
+            kind = f.read("mode", _LIST_KINDS.__getitem__)
             f.read("stamp", int, 0)
-            return WorkerList(kind, tuple(self._row() for _ in range(f.read("elements", _complete, 0))))
+            return WorkerList(
+                kind, tuple(self._parse_row() for _ in range(f.read("elements", _non_negative_int, 0)))
+            )
         if word == "DROPPED":
             return ClientGone(f.read("request_id", str))
         if word == "FIRST_BYTE":
             request = f.read("request_id", str)
             f.read("cost_time_ns", int, 0)
-            return Streaming(request, f.read("seq_no", _complete), f.read("executor", _complete))
+            return Streaming(
+                request, f.read("seq_no", _non_negative_int), f.read("executor", _non_negative_int)
+            )
         if word == "MEMO":
             return None
         raise WireError(word[:40], "message (unknown)")
 
-    def _row(self) -> Listed:
-        parts = self._next()
+    def _parse_row(self) -> Listed:
+        parts = self._read_line()
         if parts is None or parts[0] != "ROW":
             raise WireError("MEMBERSHIP", "elements (too few ROW lines)")
         f = Fields("ROW", parts[1:])
         return Listed(
-            f.read("executor", _complete),
+            f.read("executor", _non_negative_int),
             f.read("site", str, ""),
             f.read("flavor", str, ""),
             f.read("bay", int, 0),
@@ -452,7 +460,7 @@
 
 
 def write_action(action: Action) -> str:
-    """One reply line."""
+    """Format an action as a reply line."""
     match action:
         case Send(request, worker, timeout):
             return f"FORWARD {request} {worker} {timeout}"
@@ -473,7 +481,7 @@
 
 
 def main() -> int:
-    """Serve the wire on standard input and output."""
+    """Serve the simulator on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return Host(sys.stdin, sys.stdout).run()
--- a/hollowusher/balancing/tenant_shares.py
+++ b/hollowusher/balancing/tenant_shares.py
@@ -1,4 +1,7 @@
-"""What each tenant asks for, against its share: a count that the module is told; what follows, it decides."""
+"""Request rates of tenants compared with their shares.
+
+This module only classifies requests; the balancer decides how to treat requests beyond a share.
+"""
 
 from __future__ import annotations
 
@@ -6,31 +9,42 @@
 
 from hollowusher.balancing.interface import NS_PER_S, Settings
 
-MEMORY_NS = 4 * NS_PER_S  # over this long what was asked for fades
-SPARE = 2.0  # requests above its share that a tenant may ask for at once: counts this small tell nothing
+DECAY_TIME_NS = 4 * NS_PER_S  # time constant of the exponential decay of the request counts
+# Requests that a tenant may send above its share, because such small counts are not significant.
+BURST_ALLOWANCE = 2.0
 
 
 class TenantShares:
-    """First tries of each tenant at this scheduler, fading.
+    """Decaying counts of the first tries that each tenant sent to this scheduler.
 
-    A tenant is within its share as long as it asks for no more than its allowance, cut evenly among the
-    schedulers, or than its share of all that is asked for here: traffic is not spread evenly over them.
+    A tenant is within its share while its count does not exceed the larger of two limits: its allowance
+    divided evenly among the schedulers, and its share of all requests at this scheduler. The second limit is
+    needed because traffic is not spread evenly over the schedulers.
     """
 
     def __init__(self, settings: Settings, now: int) -> None:
-        part = MEMORY_NS / NS_PER_S / settings.balancers
-        self._tenants = {t.name: (t.allowance_per_s * part, t.share) for t in settings.tenants}
-        self._asked = dict.fromkeys(self._tenants, 0.0)
-        self._at = now
+        allowance_factor = DECAY_TIME_NS / NS_PER_S / settings.balancers
+        self._tenants = {t.name: (t.allowance_per_s * allowance_factor, t.share) for t in settings.tenants}
+        self._request_counts = dict.fromkeys(self._tenants, 0.0)
+        self._updated_at = now
 
     def is_over_share(self, tenant: str, retry: bool, now: int) -> bool:
-        """Count a request; whether it goes beyond its tenant's share.  Nobody's request never does, and a
-        retry is part of the try before it."""
+        """Count a request and return whether it exceeds its tenant's share; `now` is in ns.
+
+        A request without a known tenant never does. A retry is not counted, because it belongs to the first
+        try.
+        """
         if tenant not in self._tenants or retry:
             return False
-        fade, self._at = math.exp(-max(0, now - self._at) / MEMORY_NS), max(now, self._at)
-        for name in self._asked:
-            self._asked[name] *= fade
-        self._asked[tenant] += 1.0
+        decay, self._updated_at = (
+            math.exp(-max(0, now - self._updated_at) / DECAY_TIME_NS),
+            max(now, self._updated_at),
+        )
+        for name in self._request_counts:
+            self._request_counts[name] *= decay
+        self._request_counts[tenant] += 1.0
         allowed, share = self._tenants[tenant]
-        return self._asked[tenant] > max(allowed, share * sum(self._asked.values())) + SPARE
+        return (
+            self._request_counts[tenant]
+            > max(allowed, share * sum(self._request_counts.values())) + BURST_ALLOWANCE
+        )
--- a/hollowusher/balancing/worker_speed.py
+++ b/hollowusher/balancing/worker_speed.py
@@ -1,4 +1,4 @@
-"""How fast a worker has shown itself to be: a measurement that the decisions read."""
+"""Estimate of how much longer than expected the jobs of a worker take."""
 
 from __future__ import annotations
 
@@ -6,28 +6,35 @@
 
 from hollowusher.balancing.attempt import Attempt
 
-PRIOR_JOBS = 3.0  # jobs of ordinary pace that a worker is taken to have done before it has shown any
-MAX_JOB_RATIO = 4.0  # expected times that one job counts at most: a heavy job is no slow worker
-EWMA_WEIGHT = 0.1  # weight of a new value in a mean
+# Number of jobs with the expected running time that the estimate of a new worker starts with.
+PRIOR_JOBS = 3.0
+# Largest ratio that one job contributes, because a single heavy job does not make its worker slow.
+MAX_JOB_RATIO = 4.0
+EWMA_WEIGHT = 0.1  # weight of a new value in an exponentially weighted moving average
 
 
 class SlowdownEstimate:
-    """The times that a worker's latest jobs took, in expected times, and their count; both fade."""
+    """Decaying sum and count of the ratios of actual to expected running time of a worker's jobs."""
 
     def __init__(self) -> None:
-        self.time = self.jobs = 0.0
+        self.ratio_sum = self.jobs = 0.0
 
     def current(self, now: int, outstanding: Iterable[Attempt]) -> float:
-        """How many times the expected time its jobs take: time run, also by those not finished, over jobs."""
-        started = [(now - a.started) / a.expected for a in outstanding if a.started is not None]
-        # Finished jobs are forgotten: without a like weight, the times of many that run would count alone.
-        weight = min(1.0, (PRIOR_JOBS + self.jobs) / max(1, len(started)))
-        time = self.time + weight * sum(min(MAX_JOB_RATIO, ratio) for ratio in started)
-        return (PRIOR_JOBS + time) / (PRIOR_JOBS + self.jobs)
+        """Return the mean ratio of actual to expected running time, including the jobs that still run."""
+        running_ratios = [(now - a.started) / a.expected for a in outstanding if a.started is not None]
+        # The contribution of finished jobs decays. Without this weight, many running jobs would determine the
+        # result alone.
+        weight = min(1.0, (PRIOR_JOBS + self.jobs) / max(1, len(running_ratios)))
+        ratio_sum = self.ratio_sum + weight * sum(min(MAX_JOB_RATIO, ratio) for ratio in running_ratios)
+        return (PRIOR_JOBS + ratio_sum) / (PRIOR_JOBS + self.jobs)
 
     def add_finished_job(self, ratio: float, running: float) -> None:
-        """A job took so many expected times; so many slots were running as it ended."""
-        # Of many that began together the short ones end first: what is kept must reach back over all of them.
-        keep = 1.0 - min(EWMA_WEIGHT, 1.0 / (1.0 + running))
-        self.time = keep * self.time + min(MAX_JOB_RATIO, ratio)
-        self.jobs = keep * self.jobs + 1.0
+        """Add a finished job.
+
+        `ratio` is its actual divided by its expected running time, `running` the number of busy slots.
+        """
+        # Of many jobs that start together the short ones end first. The average must cover all of them, so
+        # the decay is slower when more slots are busy.
+        decay = 1.0 - min(EWMA_WEIGHT, 1.0 / (1.0 + running))
+        self.ratio_sum = decay * self.ratio_sum + min(MAX_JOB_RATIO, ratio)
+        self.jobs = decay * self.jobs + 1.0
