--- a/tests/balancing/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -40,7 +40,7 @@
 # --- the node itself --------------------------------------------------------------------------------
 
 
-def test_a_wake_that_comes_a_little_early_is_followed_by_another() -> None:
+def test_early_wake_is_followed_by_another() -> None:
     """A clock coarser than a nanosecond wakes early; waiting on for that wake would hang the node."""
     node = Node(site(tick_ns=2 * MS))
     node.step()
@@ -57,7 +57,7 @@
 # --- overload ---------------------------------------------------------------------------------------
 
 
-def test_a_crowded_queue_gives_way_to_worth_and_an_ordinary_one_to_arrival() -> None:
+def test_crowded_queue_is_served_by_worth_and_ordinary_one_by_arrival() -> None:
     """By arrival alone the class with the longest aim would get all of a full worker."""
     dear = JobClass("dear", aim_ns=800 * MS, deadline_ns=5 * S, stretch=2.0, effect=Effect.UNSAFE, worth=10)
     cheap = replace(dear, name="cheap", worth=1)
@@ -73,7 +73,7 @@
         assert sends(a for _, a in node.log)[0].request == first[0]
 
 
-def test_the_patient_class_does_not_get_the_capacity_that_the_head_was_denied() -> None:
+def test_class_with_long_aim_does_not_take_capacity_denied_to_head() -> None:
     """Else a class with a long aim, which bears a longer wait, would keep every worker full for itself."""
     quick = replace(SAFE, name="quick", late_share=0.5)
     patient = replace(quick, name="patient", aim_ns=2 * S)
@@ -92,7 +92,7 @@
     assert {s.request for s in sends(node.run(2 * S))} == {"q", "p3"}
 
 
-def test_a_job_that_its_stretch_lets_wait_keeps_its_place() -> None:
+def test_job_with_time_left_by_its_stretch_keeps_queue_position() -> None:
     """At 130 ms, the larger part of its aim alone, it would go behind all others, though it may still wait
     for 440 ms: on a busy fleet every second job would end late for want of a place in the queue."""
     node = Node(only(SAFE), workers(1), free={1: 1.0})  # one slot; a job takes 400 ms, the stretch gives 800
@@ -111,7 +111,7 @@
 # --- readings ---------------------------------------------------------------------------------------
 
 
-def test_a_job_does_not_stand_by_idle_workers_for_a_reading() -> None:
+def test_job_does_not_wait_long_for_reading_of_idle_worker() -> None:
     """A probe answers in a few ms or not soon: to wait for 100 ms cost half of the shortest aim."""
     node = Node(SITE, workers(1, 2))
     node.answers_probes = False
@@ -120,7 +120,7 @@
     assert [s.request for s in sends(node.run(30 * MS))] == ["r"]
 
 
-def test_a_probe_whose_result_is_lost_is_asked_again() -> None:
+def test_lost_probe_is_retried() -> None:
     """Else one lost result would leave its worker unread for good; 2.5 s lie between the two questions."""
     node = Node(SITE, workers(1))
     node.answers_probes = False
@@ -131,7 +131,7 @@
     assert 2500 * MS <= second - first <= 3100 * MS
 
 
-def test_probes_are_asked_for_by_jobs_and_bounded_by_them() -> None:
+def test_probes_are_triggered_and_limited_by_jobs() -> None:
     """Twice a second for each worker, 200 nodes of 200 workers would send more probes than there are jobs."""
     node = Node(only(SAFE), workers(*range(1, 201)), free=dict.fromkeys(range(1, 201), 2.0))
     node.run(5 * S)
@@ -146,7 +146,7 @@
     assert 50 <= len([a for _, a in node.log if isinstance(a, Probe)]) <= 3 * (50 + 12)
 
 
-def test_a_job_waits_for_a_reading_and_passes_the_worker_that_reports_full() -> None:
+def test_job_waits_for_reading_and_skips_full_worker() -> None:
     """In a large fleet a node knows next to nothing of the worker whose timer comes next."""
     for seed in range(10):
         node = Node(only(SAFE), workers(1, 2), seed=seed, free={1: 2.0, 2: 2.0})
@@ -163,7 +163,7 @@
         assert [s.worker for s in made] == [2]
 
 
-def test_a_repeated_reading_still_answers_the_question() -> None:
+def test_repeated_reading_counts_as_probe_result() -> None:
     """Else no bundle leaves a worker between two of its slow refreshes, and jobs cross zones for nothing."""
     node = Node(only(SAFE), workers(1), free={1: 2.0})
     for i in range(6):
@@ -175,7 +175,7 @@
         node.run(600 * MS)
 
 
-def test_a_worker_that_was_full_once_and_tells_no_reading_is_tried_again() -> None:
+def test_full_worker_without_readings_is_retried() -> None:
     """Without readings nothing takes back the guess that other dispatchers fill it."""
     node = Node(only(SAFE), workers(1))
     node.arrive("a", "safe")
@@ -183,23 +183,23 @@
     assert sends(node.run(3 * S)) == [Send("a", 1, 0)]
 
 
-def test_worth_alone_does_not_starve_the_cheap_class() -> None:
+def test_low_worth_class_is_not_starved() -> None:
     """Two slots do ten jobs a second; twenty dear and ten cheap ones come: some of each are served."""
     dear = replace(UNSAFE, name="dear", worth=10.0)
     cheap = replace(dear, name="cheap", worth=1.0)
-    crew = SimulatedWorkers(Node(site(classes=(dear, cheap)), workers(1), free={1: 2.0}), run=200 * MS)
+    simulation = SimulatedWorkers(Node(site(classes=(dear, cheap)), workers(1), free={1: 2.0}), run=200 * MS)
     for i in range(300):
-        crew.play(50 * MS, 50 * MS, "dear", f"dear{i}-")
+        simulation.play(50 * MS, 50 * MS, "dear", f"dear{i}-")
         if i % 2:
-            crew.node.arrive(f"cheap{i}", "cheap")
-    served = [name[0] for name in crew.answered]
+            simulation.node.arrive(f"cheap{i}", "cheap")
+    served = [name[0] for name in simulation.answered]
     assert served.count("d") > served.count("c") > 5
 
 
 # --- one worker of three in trouble: little is risked on it, and it gets its share again afterwards ------
 
 
-def three(job_class: JobClass = SAFE) -> SimulatedWorkers:
+def three_workers(job_class: JobClass = SAFE) -> SimulatedWorkers:
     """A node with three workers that report two slots each."""
     return SimulatedWorkers(Node(only(job_class), workers(1, 2, 3), free={1: 2.0, 2: 2.0, 3: 2.0}))
 
@@ -210,82 +210,82 @@
 
 
 @pytest.mark.parametrize("fault", ["silent", "failing", "refusing"])
-def test_a_worker_with_faults_is_left_but_for_trials_and_trusted_again(fault: str) -> None:
+def test_faulty_worker_receives_only_trials_until_trusted_again(fault: str) -> None:
     """Silent: it answers probes, reports free slots, and runs nothing: it looks better than all others."""
-    crew = three()
-    crew.play(3 * S)
-    bad: set[int] = getattr(crew, fault)
+    simulation = three_workers()
+    simulation.play(3 * S)
+    bad: set[int] = getattr(simulation, fault)
     bad.add(3)
-    crew.play(3 * S, prefix="t")  # time to notice
-    assert share(crew.play(5 * S, prefix="u"), 3) < 0.1
+    simulation.play(3 * S, prefix="t")  # time to notice
+    assert share(simulation.play(5 * S, prefix="u"), 3) < 0.1
     bad.clear()
-    crew.play(10 * S, prefix="v")  # a trial comes at most 9.6 s later
-    assert share(crew.play(5 * S, prefix="w"), 3) > 0.15
+    simulation.play(10 * S, prefix="v")  # a trial comes at most 9.6 s later
+    assert share(simulation.play(5 * S, prefix="w"), 3) > 0.15
 
 
-def test_a_crawling_worker_is_left_and_trusted_again() -> None:
+def test_slow_worker_is_avoided_and_trusted_again() -> None:
     """Ten times slower, its jobs end late even without a wait, though it reports free slots."""
-    crew = three()
-    crew.play(3 * S)
-    crew.slow[3] = 10.0
-    crew.play(3 * S, prefix="t")
-    assert share(crew.play(5 * S, prefix="u"), 3) < 0.1
-    crew.slow.clear()
-    crew.play(12 * S, prefix="v")
-    assert share(crew.play(5 * S, prefix="w"), 3) > 0.15
+    simulation = three_workers()
+    simulation.play(3 * S)
+    simulation.slow[3] = 10.0
+    simulation.play(3 * S, prefix="t")
+    assert share(simulation.play(5 * S, prefix="u"), 3) < 0.1
+    simulation.slow.clear()
+    simulation.play(12 * S, prefix="v")
+    assert share(simulation.play(5 * S, prefix="w"), 3) > 0.15
 
 
-def test_when_all_workers_slow_down_none_is_shut_out() -> None:
+def test_no_worker_is_excluded_when_all_slow_down() -> None:
     """What strikes all at once is no worker's fault, and shutting all out would be worse than any of it."""
-    crew = three()
-    crew.play(3 * S)
-    crew.slow = {1: 4.0, 2: 4.0, 3: 4.0}
-    sent = crew.play(6 * S, every=190 * MS, prefix="t")
+    simulation = three_workers()
+    simulation.play(3 * S)
+    simulation.slow = {1: 4.0, 2: 4.0, 3: 4.0}
+    sent = simulation.play(6 * S, every=190 * MS, prefix="t")
     assert all(share(sent, w) > 0.1 for w in (1, 2, 3))
-    crew.slow.clear()
-    crew.play(3 * S, prefix="u")
-    before = len(crew.answered)
-    crew.play(5 * S, prefix="v")
-    assert len(crew.answered) - before > 128  # of 135
+    simulation.slow.clear()
+    simulation.play(3 * S, prefix="u")
+    before = len(simulation.answered)
+    simulation.play(5 * S, prefix="v")
+    assert len(simulation.answered) - before > 128  # of 135
 
 
-def test_when_all_workers_fail_each_is_still_tried() -> None:
+def test_each_worker_is_still_tried_when_all_fail() -> None:
     """The cause may be the node's own; it must notice when it has passed."""
-    crew = three()
-    crew.failing = {1, 2, 3}
-    crew.play(5 * S)
-    assert {s.worker for s in crew.play(10 * S, prefix="t")} == {1, 2, 3}
-    crew.failing.clear()
-    crew.play(12 * S, prefix="u")
-    before = len(crew.answered)
-    crew.play(5 * S, prefix="v")
-    assert len(crew.answered) - before > 128
-
-
-def test_two_faults_at_once_leave_the_third_worker_to_serve() -> None:
-    crew = three()
-    crew.play(3 * S)
-    crew.silent.add(1)
-    crew.failing.add(2)
-    crew.play(3 * S, prefix="t")
-    before = len(crew.answered)
-    assert share(crew.play(5 * S, every=74 * MS, prefix="u"), 1) < 0.1
-    assert len(crew.answered) - before > 60  # of 68, though most workers look bad
-
-
-def test_an_unsafe_job_is_never_the_trial_where_another_waits() -> None:
+    simulation = three_workers()
+    simulation.failing = {1, 2, 3}
+    simulation.play(5 * S)
+    assert {s.worker for s in simulation.play(10 * S, prefix="t")} == {1, 2, 3}
+    simulation.failing.clear()
+    simulation.play(12 * S, prefix="u")
+    before = len(simulation.answered)
+    simulation.play(5 * S, prefix="v")
+    assert len(simulation.answered) - before > 128
+
+
+def test_third_worker_serves_when_two_are_faulty() -> None:
+    simulation = three_workers()
+    simulation.play(3 * S)
+    simulation.silent.add(1)
+    simulation.failing.add(2)
+    simulation.play(3 * S, prefix="t")
+    before = len(simulation.answered)
+    assert share(simulation.play(5 * S, every=74 * MS, prefix="u"), 1) < 0.1
+    assert len(simulation.answered) - before > 60  # of 68, though most workers look bad
+
+
+def test_trial_prefers_repeatable_job() -> None:
     """A trial may be lost: a job that cannot be repeated should not be the one."""
     only_x = site(classes=(replace(SAFE, kind="x"), replace(UNSAFE, kind="x")))
     others = workers(2, 3, kind="y")  # two that look well, so the trouble is the one worker's own
-    crew = SimulatedWorkers(Node(only_x, workers(1, kind="x") + others, free={1: 2.0, 2: 2.0, 3: 2.0}))
-    crew.failing.add(1)
-    crew.play(S)
-    crew.failing.clear()
-    crew.play(3 * S, every=0)
+    simulation = SimulatedWorkers(Node(only_x, workers(1, kind="x") + others, free={1: 2.0, 2: 2.0, 3: 2.0}))
+    simulation.failing.add(1)
+    simulation.play(S)
+    simulation.failing.clear()
+    simulation.play(3 * S, every=0)
     for i in range(20):
-        crew.node.arrive(f"unsafe{i}", "unsafe")
-        crew.node.arrive(f"safe{i}", "safe")
-        sent = crew.play(500 * MS, every=0)
+        simulation.node.arrive(f"unsafe{i}", "unsafe")
+        simulation.node.arrive(f"safe{i}", "safe")
+        sent = simulation.play(500 * MS, every=0)
         if sent:
             break
     assert sent[0].request.startswith("safe")
@@ -294,76 +294,76 @@
 # --- the list ---------------------------------------------------------------------------------------
 
 
-def test_an_empty_list_stops_all_and_a_new_one_starts_again() -> None:
-    crew = three()
-    crew.play(2 * S)
-    crew.node.listing(ListKind.FULL)
-    assert crew.play(S, prefix="t") == []
-    crew.node.listing(ListKind.FULL, *workers(3, 1, 2))
-    assert {s.worker for s in crew.play(2 * S, prefix="u")} == {1, 2, 3}
+def test_empty_list_stops_sends_and_new_list_resumes_them() -> None:
+    simulation = three_workers()
+    simulation.play(2 * S)
+    simulation.node.listing(ListKind.FULL)
+    assert simulation.play(S, prefix="t") == []
+    simulation.node.listing(ListKind.FULL, *workers(3, 1, 2))
+    assert {s.worker for s in simulation.play(2 * S, prefix="u")} == {1, 2, 3}
 
 
-def test_the_order_of_a_list_decides_nothing() -> None:
+def test_list_order_has_no_effect() -> None:
     sent = []
     for ids in ((1, 2, 3), (3, 1, 2)):
-        crew = SimulatedWorkers(Node(only(SAFE), (), free={1: 2.0, 2: 2.0, 3: 2.0}))
-        crew.node.listing(ListKind.FULL, *workers(*ids))
-        crew.play(3 * S)
-        sent.append((len(crew.answered), {s.worker for s in crew.sent}))
+        simulation = SimulatedWorkers(Node(only(SAFE), (), free={1: 2.0, 2: 2.0, 3: 2.0}))
+        simulation.node.listing(ListKind.FULL, *workers(*ids))
+        simulation.play(3 * S)
+        sent.append((len(simulation.answered), {s.worker for s in simulation.sent}))
     assert sent[0] == sent[1]
 
 
-def test_a_failed_list_call_keeps_the_workers_known_so_far() -> None:
-    crew = three()
-    crew.play(S)
-    crew.node.listing(ListKind.FAILED)
-    assert {s.worker for s in crew.play(3 * S, prefix="t")} == {1, 2, 3}
+def test_failed_list_call_keeps_known_workers() -> None:
+    simulation = three_workers()
+    simulation.play(S)
+    simulation.node.listing(ListKind.FAILED)
+    assert {s.worker for s in simulation.play(3 * S, prefix="t")} == {1, 2, 3}
 
 
-def test_a_worker_that_restarts_over_and_over_is_never_sent_more_than_a_cold_one_bears() -> None:
+def test_repeatedly_restarting_worker_stays_within_cold_budget() -> None:
     """Each list entry tells of a fresh start, so it never warms up; the others take its jobs."""
-    crew = three()
+    simulation = three_workers()
     for i in range(10):
-        crew.node.listing(ListKind.CHANGES, replace(workers(3)[0], started_ns=crew.node.now))
-        crew.play(S, prefix=f"t{i}-")
+        simulation.node.listing(ListKind.CHANGES, replace(workers(3)[0], started_ns=simulation.node.now))
+        simulation.play(S, prefix=f"t{i}-")
     # All nodes together: twice a tenth of two slots, so 0.4 slots or 4 jobs of 100 ms each second.
-    assert sum(s.worker == 3 for s in crew.sent) <= 40
-    assert len(crew.answered) > 255  # of 270
+    assert sum(s.worker == 3 for s in simulation.sent) <= 40
+    assert len(simulation.answered) > 255  # of 270
 
 
 # --- zones ------------------------------------------------------------------------------------------
 
 
-def test_a_zone_that_cannot_be_reached_is_replaced_by_the_other() -> None:
+def test_unreachable_zone_is_replaced_by_other_zone() -> None:
     far = [replace(w, zone="b") for w in workers(3, 4)]
     prices = Prices(cross_zone=0.1)
-    crew = SimulatedWorkers(
+    simulation = SimulatedWorkers(
         Node(only(SAFE, prices=prices), workers(1, 2) + far, free=dict.fromkeys((1, 2, 3, 4), 2.0))
     )
-    near = crew.play(3 * S, every=100 * MS)
+    near = simulation.play(3 * S, every=100 * MS)
     assert share(near, 1) + share(near, 2) > 0.9
-    crew.refusing = {1, 2}
-    crew.play(3 * S, prefix="t")
-    before = len(crew.answered)
-    crew.play(5 * S, prefix="u")
-    assert len(crew.answered) - before > 128  # of 135, by the two that can be reached
+    simulation.refusing = {1, 2}
+    simulation.play(3 * S, prefix="t")
+    before = len(simulation.answered)
+    simulation.play(5 * S, prefix="u")
+    assert len(simulation.answered) - before > 128  # of 135, by the two that can be reached
 
 
 # --- traffic ----------------------------------------------------------------------------------------
 
 
-def test_a_burst_after_quiet_does_not_flood_the_workers() -> None:
+def test_burst_after_low_load_does_not_flood_workers() -> None:
     """N must not wind up while nothing is asked: three workers of two slots run six jobs, a few may wait."""
-    crew = three()
-    crew.play(20 * S, every=S)
+    simulation = three_workers()
+    simulation.play(20 * S, every=S)
     for i in range(60):
-        crew.node.arrive(f"burst{i}", "safe")
-    crew.node.run(60 * MS)  # each timer has come once
-    crew._work()
-    assert len(crew.sent) - 20 <= 12
+        simulation.node.arrive(f"burst{i}", "safe")
+    simulation.node.run(60 * MS)  # each timer has come once
+    simulation._work()
+    assert len(simulation.sent) - 20 <= 12
 
 
-def test_a_node_that_starts_anew_serves_its_first_jobs() -> None:
+def test_new_balancer_serves_first_jobs_without_readings() -> None:
     """With no answer to any probe a node has to send all the same, after 2 t_d and a timer: 150 ms."""
     node = Node(only(SAFE), workers(1, 2, 3))
     node.arrive("first", "safe")
@@ -372,20 +372,18 @@
 
 def test_one_heavy_job_does_not_make_its_worker_suspect() -> None:
     """A job of 20 times the usual time holds one slot, tells its progress, and the other slot goes on."""
-    crew = three()
-    crew.play(3 * S)
-    heavy = next(s for s in crew.play(S, prefix="t") if s.worker == 3)
-    node = crew.node
-    crew.running[3] = [(node.now + 2 * S, heavy, 0)]
+    simulation = three_workers()
+    simulation.play(3 * S)
+    heavy = next(s for s in simulation.play(S, prefix="t") if s.worker == 3)
+    node = simulation.node
+    simulation.running[3] = [(node.now + 2 * S, heavy, 0)]
     node.run(1)
-    sent = crew.play(1500 * MS, prefix="u")
+    sent = simulation.play(1500 * MS, prefix="u")
     assert share(sent, 3) > 0.1
 
 
 @pytest.mark.parametrize(("job_class", "again"), [(SAFE, True), (UNSAFE, False)])
-def test_a_job_on_a_frozen_worker_is_repeated_elsewhere_where_that_is_safe(
-    job_class: JobClass, again: bool
-) -> None:
+def test_only_safe_job_on_frozen_worker_is_repeated_elsewhere(job_class: JobClass, again: bool) -> None:
     """Progress comes each second from a worker that moves; two missing and a half make it silent."""
     node = Node(only(job_class), workers(1, 2), free={1: 2.0, 2: 2.0})
     node.arrive("a", job_class.name, left=10 * S)
@@ -396,7 +394,7 @@
     assert [s.worker for s in sends(node.run(2 * S))] == ([3 - first.worker] if again else [])
 
 
-def test_a_job_that_a_silent_worker_never_started_is_repeated_within_a_note_or_so() -> None:
+def test_unstarted_job_on_silent_worker_is_repeated_soon() -> None:
     """Six mean running times let a job of half a second sit for three, past all use, where the worker or the
     way to it says nothing at all; notes come each second, so that a third of 2.5 of them tells enough."""
     node = Node(only(SAFE), workers(1, 2), free={1: 2.0, 2: 2.0})
@@ -407,7 +405,7 @@
     assert [s.worker for s in sends(node.run(1500 * MS))] == [3 - first.worker]
 
 
-def test_nothing_more_goes_to_a_worker_that_does_not_start_what_it_has() -> None:
+def test_worker_with_overdue_start_receives_no_more_jobs() -> None:
     """It reports ten free slots, but a job has lain there unstarted for longer than half the shortest aim."""
     node = Node(only(SAFE), workers(1), free={1: 10.0})
     node.run(S)
@@ -420,15 +418,17 @@
     assert [s.request for s in sends(node.run(100 * MS))] == ["b"]
 
 
-def test_workers_that_cannot_be_reached_do_not_excuse_one_that_fails() -> None:
+def test_unreachable_workers_do_not_excuse_failing_worker() -> None:
     """Two are dead and one fails: that is no shared cause while the fourth serves."""
-    crew = SimulatedWorkers(Node(only(SAFE), workers(1, 2, 3, 4), free=dict.fromkeys((1, 2, 3, 4), 2.0)))
-    crew.refusing, crew.failing = {1, 2}, {3}
-    crew.play(3 * S, every=74 * MS)
-    assert share(crew.play(5 * S, every=74 * MS, prefix="t"), 3) < 0.15
+    simulation = SimulatedWorkers(
+        Node(only(SAFE), workers(1, 2, 3, 4), free=dict.fromkeys((1, 2, 3, 4), 2.0))
+    )
+    simulation.refusing, simulation.failing = {1, 2}, {3}
+    simulation.play(3 * S, every=74 * MS)
+    assert share(simulation.play(5 * S, every=74 * MS, prefix="t"), 3) < 0.15
 
 
-def test_memory_that_is_not_there_is_not_sent_for() -> None:
+def test_job_is_not_sent_without_free_memory() -> None:
     node = Node(only(SAFE), workers(1))
     node.step(Probed(1, True, Reading(free_slots=4.0, free_memory=4.0)))
     for name in ("a", "b"):
@@ -439,7 +439,7 @@
     assert len(sends(node.run(60 * MS))) == 1
 
 
-def test_a_list_service_that_fails_is_asked_ever_more_seldom() -> None:
+def test_list_calls_back_off_after_failures() -> None:
     """All nodes ask one service: asking at once after each failure would keep it down."""
     node = Node(site(discovery=Discovery.ASK), workers(1))
     asked = 0
@@ -450,7 +450,7 @@
     assert 3 <= asked <= 12  # in 10 s: 0.25, 0.5, 1, 2, 2.5, 2.5 s apart, each up to twice as soon
 
 
-def test_no_class_bears_a_longer_wait_in_a_worker_than_the_shortest_aim() -> None:
+def test_wait_at_worker_is_limited_by_shortest_aim() -> None:
     """Else patient jobs keep a worker so full that a pressing one never finds room there."""
     patient = replace(SAFE, name="patient", aim_ns=2 * S)
     node = Node(site(classes=(SAFE, patient)), workers(1), free={1: 1.0})  # one slot; a job takes 140 ms
@@ -465,7 +465,7 @@
     assert [s.request for s in sends(node.run(S))] == ["p3"]
 
 
-def test_a_late_start_note_shows_a_full_worker_whatever_it_reports() -> None:
+def test_late_start_shows_full_worker_despite_reading() -> None:
     """Two slots reported free, but a job had to wait 80 ms there: other dispatchers have filled them."""
     node = Node(only(SAFE), workers(1), free={1: 2.0})
     node.arrive("a", "safe")
@@ -479,9 +479,7 @@
 
 
 @pytest.mark.parametrize(("waiting", "goes"), [(None, False), (0.0, True)])
-def test_a_full_worker_that_does_not_tell_its_queue_is_taken_to_have_one(
-    waiting: float | None, goes: bool
-) -> None:
+def test_full_worker_without_queue_length_is_assumed_to_have_queue(waiting: float | None, goes: bool) -> None:
     """Four slots of 300 ms: one frees in 75 ms if none waits; if some wait it is too long."""
     node = Node(only(SAFE), workers(1), free={1: 4.0})
     node.arrive("w", "safe")
@@ -494,7 +492,7 @@
     assert bool(sends(node.run(130 * MS))) is goes
 
 
-def test_a_worker_last_read_full_stays_left_until_a_reading_says_otherwise() -> None:
+def test_worker_last_reported_full_is_avoided_until_next_reading() -> None:
     """In overload sixty nodes that each forget it after seconds send it more than it can turn away."""
     node = Node(only(SAFE), workers(1), free={1: 2.0})
     for i in range(4):
@@ -518,7 +516,7 @@
     assert len(made) > 5
 
 
-def test_a_node_whose_rounds_bring_no_send_finds_the_worker_that_frees_up() -> None:
+def test_throttled_balancer_finds_worker_that_becomes_free() -> None:
     """It serves fewer timers then, to spare its CPU, but none is left out."""
     free = dict.fromkeys(range(1, 41), 0.0)
     node = Node(only(SAFE), workers(*free), free=free)
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -32,15 +32,15 @@
     """The one service of all schedulers, which takes one call after another.  A call that a scheduler has
     given up, or that waited for 3 s, costs it as much all the same.  In an outage it refuses, or is mute."""
 
-    def __init__(self, cost: int, outage: tuple[int, int] = (0, 0), mute: bool = False) -> None:
-        self.cost, self.outage, self.mute, self.free_at = cost, outage, mute, 0
+    def __init__(self, cost: int, outage: tuple[int, int] = (0, 0), hangs: bool = False) -> None:
+        self.cost, self.outage, self.hangs, self.free_at = cost, outage, hangs, 0
 
     def call(self, now: int, timeout: int) -> tuple[int, ListKind]:
         """When a call ends, and how."""
         begin, end = self.outage
         if begin <= now < end:
             # A mute one may get the call at its return: it is out of reach, and the caller cannot know.
-            return (now + timeout, ListKind.SILENT) if self.mute else (now, ListKind.FAILED)
+            return (now + timeout, ListKind.SILENT) if self.hangs else (now, ListKind.FAILED)
         self.free_at = max(now, self.free_at) + self.cost
         late = min(timeout, 3 * S)
         if self.free_at - now > late:
@@ -92,46 +92,44 @@
         (200, 11, 6 * S),
     ],
 )
-def test_all_that_start_at_once_get_the_list(balancers: int, cost: int, within: int) -> None:
+def test_balancers_that_start_together_get_list(balancers: int, cost: int, within: int) -> None:
     # Forty that ask at once, and again within two seconds, keep the service on calls that have failed.
     # Of 200 the first call came up to 39 s after the start; from 10 s on nothing may be sent without it.
     reported = reported_after(balancers, 20 * S, ListService(cost * MS))
     assert len(reported) == balancers and reported[-1] < within
 
 
-@pytest.mark.parametrize("mute", [False, True])
+@pytest.mark.parametrize("hangs", [False, True])
 @pytest.mark.parametrize("grace", [250 * MS, 500 * MS, 1500 * MS])
 @pytest.mark.parametrize("balancers", [2, 3, 8, 20, 40, 100, 200])
-def test_all_have_a_fresh_list_in_time_once_its_service_is_back(
-    balancers: int, grace: int, mute: bool
-) -> None:
+def test_all_balancers_get_list_in_time_after_outage(balancers: int, grace: int, hangs: bool) -> None:
     # A change made while it was away counts as told 6 s after its return.  The service has time for all, with
     # half of it to spare for calls that come in a crowd: 14 ms each of 200, which is what was measured.
     cost = min(150 * MS, (6 * S - grace) // 2 // balancers)
     for seconds in (0, 1, 4, 9):
-        service = ListService(cost, (S, (1 + seconds) * S), mute)
+        service = ListService(cost, (S, (1 + seconds) * S), hangs)
         reported = reported_after(
-            balancers, 20 * S, service, ListKind.SILENT if mute else ListKind.FAILED, grace
+            balancers, 20 * S, service, ListKind.SILENT if hangs else ListKind.FAILED, grace
         )
         assert len(reported) == balancers and reported[-1] <= 6 * S - grace
 
 
-def test_a_scheduler_that_knows_no_worker_yet_asks_for_the_list() -> None:
+def test_balancer_without_workers_requests_list() -> None:
     node = Node(replace(SITE, discovery=Discovery.ASK))
     node.arrive("r1", "safe")
     node.run(S)
     assert Watch() in [a for _, a in node.log]
 
 
-def asker() -> Node:
+def polling_balancer() -> Node:
     rules = Rules(ask_within_ns=10 * S)
     settings = replace(SITE, balancers=40, discovery=Discovery.ASK, rules=rules)
     return Node(settings, workers=workers(1), free={1: 4.0}, seed=7)
 
 
-def test_an_asking_counts_once_it_is_answered() -> None:
+def test_list_request_counts_only_when_answered() -> None:
     # One asked at 20.332 s, sent in that step to a node listed as gone at 9.89 s, and heard at 20.343 s.
-    node = asker()
+    node = polling_balancer()
     node.run(10 * S)
     node.arrive("r1", "safe")
     assert sends(node.run(S)) == []
@@ -148,9 +146,9 @@
         (ListKind.FAILED, 3500 * MS, 1),
     ],
 )
-def test_what_a_silent_watch_did_not_bring_counts_as_reported(kind: ListKind, heard: int, sent: int) -> None:
+def test_changes_missed_by_silent_watch_count_as_reported(kind: ListKind, heard: int, sent: int) -> None:
     # Silence is noticed late; what was listed since the last line counts as told 6 s later, come or not.
-    node = asker()
+    node = polling_balancer()
     node.listing(ListKind.CHANGES)
     node.run(heard)
     node.listing(kind)
@@ -159,7 +157,7 @@
     assert len(sends(node.run(500 * MS))) == sent
 
 
-def test_a_watch_that_stood_and_broke_is_soon_asked_for_again() -> None:
+def test_broken_watch_is_soon_requested_again() -> None:
     settings = replace(SITE, balancers=40, discovery=Discovery.ASK, rules=Rules(ask_within_ns=10 * S))
     for seed in range(20):
         node = Node(settings, workers=workers(1), free={1: 4.0}, seed=seed)
@@ -173,7 +171,7 @@
 
 
 @pytest.mark.parametrize("balancers", [2, 8, 40, 200])
-def test_waits_after_failed_calls_grow_to_their_ceiling_and_scatter(balancers: int) -> None:
+def test_list_call_backoff_grows_to_limit_with_jitter(balancers: int) -> None:
     settings = replace(SITE, balancers=balancers, discovery=Discovery.ASK)
     calls = settings.list_calls
     assert calls.timeout_ns + calls.longest_wait_ns <= 0.7 * (6 * S - settings.rules.drain_grace_ns)
@@ -201,8 +199,8 @@
         (ListKind.SILENT, S, False),  # it can be reached, and may have news
     ],
 )
-def test_what_is_known_after_calls_without_an_answer(kind: ListKind, every: int, sent: bool) -> None:
-    node = asker()
+def test_list_validity_after_unanswered_calls(kind: ListKind, every: int, sent: bool) -> None:
+    node = polling_balancer()
     for _ in range(20 * S // every):
         node.balancer.watch_at = node.now + 10**15  # the calls are made here
         node.balancer.send_rules.list_requested_at = node.now
@@ -222,7 +220,7 @@
         (SAFE, 2, False, False),
     ],
 )
-def test_a_job_that_has_not_begun_goes_elsewhere_and_the_first_to_begin_has_it(
+def test_unstarted_job_is_copied_and_first_copy_to_start_wins(
     cls: JobClass, balancers: int, begins: bool, copied: bool
 ) -> None:
     cells = {1: 1, 2: 1, 3: 2, 4: 2}
@@ -250,18 +248,18 @@
 
 
 @pytest.mark.parametrize("balancers", [2, 8, 40, 200])
-def test_all_schedulers_together_keep_a_cold_workers_budget_and_use_it(balancers: int) -> None:
+def test_all_balancers_together_keep_and_use_cold_budget(balancers: int) -> None:
     # Each has learnt other costs, as running times scatter: by costs, their turns met.
-    chance, entry = random.Random(balancers), workers(1, started_ns=S)[0]
+    rng, entry = random.Random(balancers), workers(1, started_ns=S)[0]
     views = [
         WorkerState(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
         for me in range(balancers)
     ]
-    units = [round(400 * MS * chance.uniform(0.7, 1.4)) for _ in views]
+    units = [round(400 * MS * rng.uniform(0.7, 1.4)) for _ in views]
     sent, slots, most = list[tuple[int, int]](), 2.0, 0.0
     for now in range(3 * S, 25 * S, 25 * MS):  # the turns that have passed without a job are no credit
         for view, unit in zip(views, units, strict=True):
-            cost = round(chance.choice((0.5, 1.0, 1.0, 4.0)) * unit)
+            cost = round(rng.choice((0.5, 1.0, 1.0, 4.0)) * unit)
             if view.fits_cold_budget(now, cost, unit, slots):
                 view.recent_sends.append((now, cost))
                 sent.append((now, cost))
@@ -272,47 +270,47 @@
 
 
 @pytest.mark.parametrize(("balancers", "rate"), [(40, 1.2), (200, 1.2), (200, 0.3)])
-def test_turns_that_pass_unused_are_made_up_for_and_no_more(balancers: int, rate: float) -> None:
+def test_unused_turns_are_compensated_within_budget(balancers: int, rate: float) -> None:
     # A scheduler of many has a job at hand in a small part of its turns; each knows its own part alone.
-    chance, entry = random.Random(balancers), workers(1, started_ns=S)[0]
+    rng, entry = random.Random(balancers), workers(1, started_ns=S)[0]
     views = [
         WorkerState(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
         for me in range(balancers)
     ]
-    rates = [rate * chance.choice((0.5, 0.5, 1.0, 2.0)) for _ in views]
+    rates = [rate * rng.choice((0.5, 0.5, 1.0, 2.0)) for _ in views]
     used = dict.fromkeys((False, True), 0)
     unit, slots, most = 400 * MS, 2.0, 0.0
-    for knows in used:
+    for uses_hit_rate in used:
         sent = list[int]()
         for view in views:
             view.recent_sends.clear()
         for now in range(3 * S, 23 * S, 50 * MS):
             for view, own in zip(views, rates, strict=True):
-                use = 1 - math.exp(-own / 2) if knows else 1.0
-                if chance.random() < own / 20 and view.fits_cold_budget(now, unit, unit, slots, use):
+                use = 1 - math.exp(-own / 2) if uses_hit_rate else 1.0
+                if rng.random() < own / 20 and view.fits_cold_budget(now, unit, unit, slots, use):
                     view.recent_sends.append((now, unit))
                     sent.append(now)
             n = 2.5 * views[0].warmup_level(now) * slots * S / unit  # the rule, and its room for chance
             most = max(most, sum(t > now - S for t in sent) / (n + 3 * math.sqrt(n) + 3))
-        used[knows] = len(sent)
+        used[uses_hit_rate] = len(sent)
     assert most < 1.0
-    bears = sum(COLD_MARGIN * 2.5 * views[0].warmup_level(i * S) * slots * S / unit for i in range(3, 23))
+    max_jobs = sum(COLD_MARGIN * 2.5 * views[0].warmup_level(i * S) * slots * S / unit for i in range(3, 23))
     assert used[True] > 1.4 * used[False]
-    assert used[True] < bears  # on average the module's own margin is kept
+    assert used[True] < max_jobs  # on average the module's own margin is kept
 
 
-def test_a_scheduler_knows_how_often_a_turn_finds_a_job() -> None:
+def test_turn_hit_rate_follows_arrival_rate() -> None:
     node = Node(only(SAFE, balancers=200, rules=COLD), workers(1))
-    uses = []
+    hit_rates = []
     for count in range(60):
         node.arrive(f"r{count}", "safe")
         node.run(S if count < 30 else S // 10)
-        uses.append(node.balancer.send_rules.turn_hit_rate)
-    assert abs(uses[29] - (1 - math.exp(-0.5))) < 0.05  # one job a second, half a span
-    assert uses[-1] > uses[29] + 0.1
+        hit_rates.append(node.balancer.send_rules.turn_hit_rate)
+    assert abs(hit_rates[29] - (1 - math.exp(-0.5))) < 0.05  # one job a second, half a span
+    assert hit_rates[-1] > hit_rates[29] + 0.1
 
 
-def test_no_job_goes_to_a_cold_worker_that_would_be_all_it_bears() -> None:
+def test_job_larger_than_cold_budget_is_not_sent() -> None:
     settings, entry = replace(SITE, balancers=200, rules=COLD), workers(1, started_ns=S)[0]
     views = [WorkerState(entry, replace(settings, me=me), 12_500_000, S) for me in range(200)]
     allowed = [
@@ -323,7 +321,7 @@
     assert 12 * S < min(allowed) < 16 * S
 
 
-def test_a_new_job_goes_first_to_a_cold_worker_whose_turn_is_ours() -> None:
+def test_new_job_goes_first_to_cold_worker_on_own_turn() -> None:
     # Turns last half a span and mostly passed unused: the job went to whichever warm node was due next.
     known = [*workers(*range(1, 9)), *workers(*range(9, 29), started_ns=990 * S)]
     took = 0
@@ -342,7 +340,7 @@
     assert took >= 5
 
 
-def test_a_cold_workers_slowness_is_expected_and_not_held_against_it() -> None:
+def test_cold_worker_is_not_suspected_for_slowness() -> None:
     rules = Rules(fall_multiple=2.5, fall_span_ns=S, cold_share=0.2, warm_after_ns=20 * S)
     node = Node(only(SAFE, rules=rules), free={1: 2.0})
     node.balancer.mean_runtimes["safe"] = 100.0 * MS
@@ -366,7 +364,7 @@
     assert [a.worker for a in sends(warm)] == [2]
 
 
-def test_a_job_that_no_worker_takes_wakes_a_scheduler_of_many_workers_seldom() -> None:
+def test_unplaceable_job_causes_few_wakeups_in_large_fleet() -> None:
     # Sixty timers fall due every t_d; a wake for each of them took a whole share of a core for nothing.
     settings = only(replace(SAFE, kind="k", late_share=0.2))
     node = Node(settings, workers=workers(*range(1, 61), kind="other"))
@@ -378,10 +376,12 @@
     assert wakes <= 1.2 * S / node.balancer.t_d
     # and no worker is left out for it: the one that can take the job has its turn within a few rounds
     for late in range(1, 61, 4):
-        able = Node(settings, workers=workers(*range(1, 61), kind="other"))
-        able.arrive("r1", "safe", left=60 * S)
-        able.run(2 * S)
-        then = able.listing(ListKind.CHANGES, *workers(late)) + able.run(6 * able.balancer.t_d)
+        node_with_match = Node(settings, workers=workers(*range(1, 61), kind="other"))
+        node_with_match.arrive("r1", "safe", left=60 * S)
+        node_with_match.run(2 * S)
+        then = node_with_match.listing(ListKind.CHANGES, *workers(late)) + node_with_match.run(
+            6 * node_with_match.balancer.t_d
+        )
         assert [a.worker for a in sends(then)] == [late]
 
 
@@ -390,36 +390,36 @@
     own; some are restarted while it warms up, and forget what they sent."""
 
     def __init__(self, balancers: int, seed: int, heavy: bool) -> None:
-        self.chance, self.balancers, self.heavy = random.Random(seed), balancers, heavy
+        self.rng, self.balancers, self.heavy = random.Random(seed), balancers, heavy
         self.entry = workers(1, started_ns=S)[0]
-        self.runs = [self.run_of_process(me, 0) for me in range(balancers)]
-        self.heard = [S + round(self.chance.uniform(0.0, 6.0) * S) for _ in self.runs]
+        self.processes = [self.new_process(me, 0) for me in range(balancers)]
+        self.informed_at = [S + round(self.rng.uniform(0.0, 6.0) * S) for _ in self.processes]
         self.sent = list[tuple[int, float]]()
 
-    def run_of_process(self, me: int, began: int) -> tuple[SendRules, WorkerState, int]:
+    def new_process(self, me: int, began: int) -> tuple[SendRules, WorkerState, int]:
         """One process: its running times are learnt, and differ."""
         settings = replace(SITE, balancers=self.balancers, me=me, rules=COLD)
-        unit = round(MEAN * self.chance.uniform(0.7, 1.4))
+        unit = round(MEAN * self.rng.uniform(0.7, 1.4))
         return SendRules(settings, began), WorkerState(self.entry, settings, 12_500_000, began), unit
 
     def play(self, rate: float, killed: float, burst: float) -> None:
         """Jobs a second and scheduler, unevenly; of a hundred schedulers so many are killed each second.
         From 12 s on there are `burst` times as many jobs for a while, which nobody has learnt to expect."""
-        chance, step, number = self.chance, 40 * MS, 0
-        rates = [rate * chance.choice((0.3, 0.6, 1.0, 2.1)) for _ in self.runs]
+        rng, step, number = self.rng, 40 * MS, 0
+        rates = [rate * rng.choice((0.3, 0.6, 1.0, 2.1)) for _ in self.processes]
         for now in range(S, 25 * S, step):
             for me in range(self.balancers):
-                if chance.random() < killed / 100 * step / S:
-                    self.runs[me] = self.run_of_process(me, now + 300 * MS)
-                rules, view, unit = self.runs[me]
+                if rng.random() < killed / 100 * step / S:
+                    self.processes[me] = self.new_process(me, now + 300 * MS)
+                rules, view, unit = self.processes[me]
                 more = burst if 12 * S <= now < 14 * S else 1.0
                 if (
-                    now < max(rules.started_at, self.heard[me])
-                    or chance.random() > more * rates[me] * step / S
+                    now < max(rules.started_at, self.informed_at[me])
+                    or rng.random() > more * rates[me] * step / S
                 ):
                     continue
                 number += 1
-                work = chance.choice((0.5, 1.0, 1.0, 4.0)) / 1.625 if self.heavy else 1.0
+                work = rng.choice((0.5, 1.0, 1.0, 4.0)) / 1.625 if self.heavy else 1.0
                 request = QueuedRequest(Arrival(f"r{number}", "safe", 5 * S), SAFE, LIMITS, now, number, 0)
                 rules.watching, rules.turn_hit_rate = True, 1 - math.exp(-rates[me] / 2)
                 if rules.allows(request, view, now, (work * unit, unit, 2.0)):
@@ -428,7 +428,7 @@
 
     def budget(self, now: int) -> float:
         """N: calls of mean work that the worker bears in the span that begins now."""
-        return 2.5 * self.runs[0][1].warmup_level(now) * 2.0 * S / MEAN
+        return 2.5 * self.processes[0][1].warmup_level(now) * 2.0 * S / MEAN
 
     def most(self) -> float:
         """The most that one span saw, in parts of N + 2 roots of N + 2."""
@@ -455,7 +455,7 @@
     ],
 )
 @pytest.mark.parametrize("balancers", [2, 8, 20, 30, 40, 200])
-def test_what_all_send_to_a_cold_worker_is_bounded_as_a_sum(
+def test_total_sends_to_cold_worker_are_bounded(
     balancers: int, rate: float, killed: float, heavy: bool, burst: float, least: float
 ) -> None:
     fleet = ColdFleet(balancers, balancers, heavy)
@@ -465,9 +465,7 @@
 
 
 @pytest.mark.parametrize(("began", "sent"), [(2 * S, False), (1500 * MS, True), (S - 1, True)])
-def test_a_new_process_sends_nothing_to_a_cold_worker_that_an_old_one_may_have_sent_to(
-    began: int, sent: bool
-) -> None:
+def test_new_process_avoids_cold_worker_that_old_process_may_have_used(began: int, sent: bool) -> None:
     # What the life before sent within the last span is forgotten; a worker that began with us had none of it.
     settings, now = replace(SITE, rules=COLD), 2600 * MS
     entry = workers(1, started_ns=S)[0]
--- a/tests/balancing/test_integral_controller.py
+++ b/tests/balancing/test_integral_controller.py
@@ -20,7 +20,7 @@
     return made
 
 
-def test_figures_assumed_here() -> None:
+def test_constants_assumed_by_these_tests() -> None:
     assert SET_POINT == 0.98
     assert WINDOW_NS == 500 * MS
 
@@ -67,7 +67,7 @@
     assert c.bundle == 0.0
 
 
-def test_unused_it_grows_to_an_even_share_only() -> None:
+def test_unused_bundle_grows_only_to_even_share() -> None:
     # B = 4: t_d/t_p/B = 50/25/4 = 0.5, whatever the step
     c = controller(balancers=4, bundle=0.4, wanted=False)
     for _ in range(5):
@@ -75,19 +75,19 @@
         assert c.bundle == pytest.approx(0.5)
 
 
-def test_unused_it_keeps_what_it_had() -> None:
+def test_unused_bundle_keeps_its_size() -> None:
     c = controller(bundle=7.0, wanted=False)
     c.resize(0.0, 500 * MS, T_P, MANY, True)
     assert c.bundle == 7.0
 
 
-def test_used_it_grows_to_what_the_worker_could_start() -> None:
+def test_used_bundle_grows_to_ceiling() -> None:
     c = controller(bundle=3.0)
     c.resize(0.0, 500 * MS, T_P, 4.0, True)
     assert c.bundle == 4.0
 
 
-def test_without_trust_it_does_not_grow_but_shrinks() -> None:
+def test_untrusted_bundle_shrinks_but_does_not_grow() -> None:
     c = controller(bundle=2.0)
     c.resize(0.0, 500 * MS, T_P, MANY, False)
     assert c.bundle == 2.0
--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -3,10 +3,10 @@
 import ast
 from pathlib import Path
 
-POLICY = Path(__file__).parent.parent.parent / "hollowusher" / "balancing" / "balancer.py"
+BALANCER = Path(__file__).parent.parent.parent / "hollowusher" / "balancing" / "balancer.py"
 ADAPTER = "simulator_adapter.py"  # the one module that reads and writes
 IO_MODULES = {"asyncio", "logging", "os", "selectors", "socket", "subprocess", "sys", "threading", "time"}
-WIDEST = 110
+MAX_LINE_LENGTH = 110
 
 
 def imported(source: Path) -> set[str]:
@@ -21,17 +21,17 @@
 
 
 def test_decisions_import_neither_io_nor_clocks() -> None:
-    sources = [source for source in POLICY.parent.glob("*.py") if source.name != ADAPTER]
+    sources = [source for source in BALANCER.parent.glob("*.py") if source.name != ADAPTER]
     assert len(sources) >= 7
     for source in sources:
         assert not imported(source) & IO_MODULES, source.name
 
 
 def test_lines_keep_the_width() -> None:
-    for source in POLICY.parent.glob("*.py"):
+    for source in BALANCER.parent.glob("*.py"):
         for number, line in enumerate(source.read_text().splitlines(), 1):
-            assert len(line) <= WIDEST, f"{source.name}:{number}"
+            assert len(line) <= MAX_LINE_LENGTH, f"{source.name}:{number}"
 
 
 def test_interface_is_named_at_the_top() -> None:
-    assert "hollowusher/balancing/interface.py" in POLICY.read_text().partition('"""\n')[0]
+    assert "hollowusher/balancing/interface.py" in BALANCER.read_text().partition('"""\n')[0]
--- a/tests/balancing/test_properties.py
+++ b/tests/balancing/test_properties.py
@@ -140,11 +140,11 @@
             )
             for i in range(1, pick([2, 5, 9]))
         }
-        self.told_bad: dict[int, int] = {}
+        self.unavailable_since: dict[int, int] = {}
         self.cases: dict[str, Case] = {}
         self.out: list[tuple[str, int]] = []
         self.probing: list[int] = []
-        self.watch_owed = 0
+        self.unanswered_watches = 0
         self.wakes: list[int] = []
         self.cold_sends: list[tuple[int, int]] = []
         self.sends = 0
@@ -157,16 +157,16 @@
         """Some random steps, then quiet until everything must be answered."""
         for _ in range(steps):
             self.now += self.rng.choice([5, 5, 20, 100, 700]) * MS
-            self.late_wakes()
+            self.pop_due_wakes()
             self.step([e for _ in range(self.rng.randint(1, 4)) for e in self.event()])
         for _ in range(1200):
             self.now += 5 * MS
-            if self.late_wakes():
+            if self.pop_due_wakes():
                 self.step([Woken()])
         for request, case in self.cases.items():
             assert case.ended_at is not None, f"{request} has no answer"
 
-    def late_wakes(self) -> bool:
+    def pop_due_wakes(self) -> bool:
         due = [w for w in self.wakes if w <= self.now]
         self.wakes = [w for w in self.wakes if w > self.now]
         return bool(due)
@@ -192,10 +192,10 @@
         if what < 0.75 and self.out:
             request, number = self.out[rng.randrange(len(self.out))]
             worker = self.cases[request].tries[number].worker
-            note = rng.random()
-            if note < 0.25:
+            update = rng.random()
+            if update < 0.25:
                 return [Started(request, number, worker)]
-            if note < 0.35:
+            if update < 0.35:
                 return [Progress(request, number, worker, 0.5)]
             self.out.remove((request, number))
             case = self.cases[request]
@@ -215,11 +215,11 @@
                 request = rng.choice(open_cases)
                 self.cases[request].ended_at = self.now
                 return [ClientGone(request)]
-        if what < 0.95 and (self.settings.discovery is Discovery.PUSH or self.watch_owed):
-            self.watch_owed = max(0, self.watch_owed - 1)
+        if what < 0.95 and (self.settings.discovery is Discovery.PUSH or self.unanswered_watches):
+            self.unanswered_watches = max(0, self.unanswered_watches - 1)
             return [self.change()]
-        if self.watch_owed:
-            self.watch_owed -= 1
+        if self.unanswered_watches:
+            self.unanswered_watches -= 1
             return [WorkerList(ListKind.FAILED)]
         return [Woken()]
 
@@ -232,9 +232,9 @@
         entry = Listed(worker, old.zone, old.kind, old.cell, state, rng.choice([1.0, 2.5]), started)
         self.entries[worker] = entry
         if state is State.READY:
-            self.told_bad.pop(worker, None)
+            self.unavailable_since.pop(worker, None)
         else:
-            self.told_bad.setdefault(worker, self.now)
+            self.unavailable_since.setdefault(worker, self.now)
         return WorkerList(ListKind.CHANGES, (entry,))
 
     # --- the checker ------------------------------------------------------------------------------
@@ -244,9 +244,9 @@
             self.check(action)
         for request, case in self.cases.items():
             late = self.now > case.deadline + RULES.answer_grace_ns + 5 * MS
-            assert case.ended_at is not None or not late or self.overslept(case), request
+            assert case.ended_at is not None or not late or self.is_within_time_jump(case), request
 
-    def overslept(self, case: Case) -> bool:
+    def is_within_time_jump(self, case: Case) -> bool:
         """The play lets up to 0.7 s pass in one go, in which the node could not act."""
         return self.now - case.deadline <= 700 * MS
 
@@ -271,7 +271,7 @@
                 assert self.settings.limits.probes and worker in self.entries
                 self.probing.append(worker)
             case Watch():
-                self.watch_owed += 1
+                self.unanswered_watches += 1
             case Wake(in_ns):
                 assert in_ns > 0
                 self.wakes.append(self.now + in_ns)
@@ -291,7 +291,7 @@
             assert self.now < ran[0].sent + cls.window_ns
             same = {Group.ALL: True, Group.ZONE: first.zone == here.zone, Group.CELL: first.cell == here.cell}
             assert same[cls.group], "a keyed job left its group"
-        assert self.now <= self.told_bad.get(worker, self.now) + RULES.drain_grace_ns
+        assert self.now <= self.unavailable_since.get(worker, self.now) + RULES.drain_grace_ns
         self.check_cold(worker)
         case.tries.append(Try(worker, self.now))
         self.out.append((request, len(case.tries) - 1))
@@ -316,7 +316,7 @@
     World(seed).play(steps)
 
 
-def test_the_plays_do_send() -> None:
+def test_random_runs_send_and_repeat_jobs() -> None:
     worlds = [World(seed) for seed in range(20)]
     for world in worlds:
         world.play(100)
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("job_class", ["safe", "keyed", "unsafe"])
-def test_no_worker_at_all_is_refused_before_the_client_gives_up(job_class: str) -> None:
+def test_request_without_workers_is_refused_before_deadline(job_class: str) -> None:
     node = Node()
     node.arrive("r", job_class, left=5 * S)
     made = [(at, a) for at, a in node.log if isinstance(a, Refuse | Fail)]
@@ -65,7 +65,7 @@
     assert arrived + 4900 * MS <= when <= arrived + 5 * S
 
 
-def test_nothing_follows_the_answer_or_the_client_leaving() -> None:
+def test_no_send_or_answer_after_final_answer_or_disconnect() -> None:
     for end in ("answer", "gone"):
         node = Node(workers=workers(1, 2))
         send = first_send(node, "safe")
@@ -77,7 +77,7 @@
         assert not [a for a in later if isinstance(a, Send | Refuse | Fail)]
 
 
-def test_a_client_that_left_while_its_job_waited_gets_nothing() -> None:
+def test_client_gone_while_queued_gets_no_answer() -> None:
     node = Node()
     node.arrive("r", "safe")
     node.step(ClientGone("r"))
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
 @pytest.mark.parametrize("job_class", ["safe", "keyed", "unsafe"])
-def test_a_job_that_never_ran_goes_out_again(job_class: str, outcome: Outcome) -> None:
+def test_job_that_never_ran_is_resent(job_class: str, outcome: Outcome) -> None:
     node = Node(workers=workers(1, 2))
     send = first_send(node, job_class)
     node.ended(send, outcome)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("outcome", [*MAY_HAVE_RUN, *NEVER_RAN])
-def test_a_safe_job_goes_out_again_whatever_became_of_it(outcome: Outcome) -> None:
+def test_safe_job_is_resent_after_any_failure(outcome: Outcome) -> None:
     node = Node(workers=workers(1, 2))
     send = first_send(node, "safe")
     node.ended(send, outcome)
@@ -181,7 +181,7 @@
     assert Refuse("r") in answer
 
 
-def test_never_two_copies_where_that_is_forbidden() -> None:
+def test_no_second_copy_where_forbidden() -> None:
     node = Node(only(SAFE, limits=replace(LIMITS, second_copies=False)), workers=workers(1, 2))
     first_send(node, "safe")
     assert not sends(node.run(4 * S))
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_nothing_new_once_reported(state: State) -> None:
+def test_no_sends_after_reported_drain(state: State) -> None:
     node = Node(workers=workers(1))
     node.listing(ListKind.CHANGES, Listed(1, zone="a", kind="k", state=state))
     node.arrive("r", "safe")
@@ -210,7 +210,7 @@
     assert {a.worker for a in sends(node.run(S))} == {2}
 
 
-def test_a_stale_list_stops_sends_until_it_is_asked_for_again() -> None:
+def test_list_is_requested_repeatedly_while_calls_fail() -> None:
     node = Node(site(discovery=Discovery.ASK, rules=Rules(ask_within_ns=10 * S)), workers=workers(1))
     assert Watch() in [a for _, a in node.log]
     node.listing(ListKind.FAILED)
@@ -224,7 +224,7 @@
     assert len(asked) >= 20 and max(gaps) < 10 * S
 
 
-def test_a_worker_that_comes_back_is_asked_for_readings_again() -> None:
+def test_returning_worker_is_probed_again() -> None:
     """It kept its last reading for good, and so no bundle: the probes had ended while it was gone."""
     node = Node()
     node.free[1] = 4.0
@@ -259,7 +259,7 @@
 
 
 @pytest.mark.parametrize("balancers", [1, 4])
-def test_a_cold_worker_gets_no_more_than_this_nodes_share_in_any_span(balancers: int) -> None:
+def test_cold_worker_receives_at_most_own_share_per_span(balancers: int) -> None:
     # Unlearnt, a job is taken to run its aim, 0.2 s.  In the first span the worker does at most
     # (0.2 + 0.8·2/20)·8 slots·2 s = 4.48 slot-seconds, so all nodes may send 8.96 s of work: 44 jobs,
     # and one of four nodes 11.
@@ -279,16 +279,16 @@
     assert len(sends(node.run(300 * MS))) <= 1
 
 
-def test_notes_for_what_is_over_change_nothing() -> None:
+def test_updates_for_ended_attempts_have_no_effect() -> None:
     node = Node(workers=workers(1))
     send = first_send(node, "safe")
     node.ended(send, Outcome.OK)
     notes: list[Event] = [Started("r", 0, 1), Started("r", 7, 1), Started("x", 0, 1), Started("r", 0, 99)]
-    for odd in (*notes, ClientGone("x"), ClientGone("r")):
-        assert not [a for a in node.step(odd) if isinstance(a, Send | Refuse | Fail | Cancel)]
+    for event in (*notes, ClientGone("x"), ClientGone("r")):
+        assert not [a for a in node.step(event) if isinstance(a, Send | Refuse | Fail | Cancel)]
 
 
-def test_nodes_take_turns_at_a_cold_worker_whose_share_is_less_than_a_job() -> None:
+def test_balancers_take_turns_when_share_is_below_one_job() -> None:
     """Fifty nodes always have a job for a worker of one slot that has just started.
 
     A job of a class not run yet may cost 0.4 s.  All nodes spend 0.6 · 2 of what the worker can do: in ten
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -43,7 +43,7 @@
         ({"limits": Limits(max_retry_after_ns=-1)}, "limits.max_retry_after_ns"),
     ],
 )
-def test_what_cannot_hold_is_named(changes: dict[str, Any], field: str) -> None:
+def test_invalid_field_is_named(changes: dict[str, Any], field: str) -> None:
     with pytest.raises(ValueError, match="^" + re.escape(field) + ":"):
         replace(SITE, **changes)
 
--- a/tests/balancing/test_simulator_adapter.py
+++ b/tests/balancing/test_simulator_adapter.py
@@ -31,7 +31,7 @@
 )
 
 
-def talk(text: str) -> tuple[int, list[str]]:
+def exchange(text: str) -> tuple[int, list[str]]:
     """The exit code and the reply lines."""
     sink = io.StringIO()
     code = Host(io.StringIO(text), sink).run()
@@ -50,12 +50,12 @@
     assert settings.limits.cancel and not settings.limits.retry_after
 
 
-def test_a_request_goes_out_and_its_answer_ends_it() -> None:
+def test_request_is_forwarded_and_closed_by_its_answer() -> None:
     text = BEGIN + (
         "FRAME 1005000000\nFOR node-0\nINBOUND 00000000000000aa quick - - 5000000000 - 1 - 0\nOVER_TO_YOU\n"
         "FRAME 1065000000\nFOR node-0\nWAKEUP 0\nOVER_TO_YOU\n"
     )
-    code, lines = talk(text)
+    code, lines = exchange(text)
     assert code == 0
     forwards = [line.split() for line in lines if line.startswith("FORWARD")]
     assert len(forwards) == 1
@@ -64,17 +64,17 @@
         f"FRAME 1200000000\nFOR node-0\nINTERIM 00000000000000aa {forwards[0][2]} 1 - 0\n"
         f"DONE 00000000000000aa 0 {forwards[0][2]} ok 100000000 1 - mean_ms:14.5,x0:3\nOVER_TO_YOU\n"
     )
-    code, lines = talk(text + answer)
+    code, lines = exchange(text + answer)
     assert code == 0
     assert not [line for line in lines if line.startswith(("DECLINE", "END_FAILED"))]
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
-    assert talk("FRAME 5\nOVER_TO_YOU\n") == (0, ["YIELD"])
+    assert exchange("FRAME 5\nOVER_TO_YOU\n") == (0, ["YIELD"])
 
 
-def test_a_killed_instance_says_nothing_more() -> None:
-    code, lines = talk(BEGIN + "FRAME 2000000000\nFOR node-0\nDESTROY\nOVER_TO_YOU\n")
+def test_destroyed_instance_sends_no_more_replies() -> None:
+    code, lines = exchange(BEGIN + "FRAME 2000000000\nFOR node-0\nDESTROY\nOVER_TO_YOU\n")
     assert code == 0
     assert lines[-1] == "YIELD" and lines[-2] == "YIELD"
 
@@ -97,10 +97,10 @@
         ("BEGIN 1 fleet_size=some", "BEGIN", "options.fleet_size"),
     ],
 )
-def test_a_bad_line_ends_it_with_its_number_message_and_field(
+def test_invalid_line_ends_process_and_names_line_message_and_field(
     line: str, message: str, field: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    code, _ = talk(f"{BEGIN}FRAME 1005000000\nFOR node-0\n{line}\nOVER_TO_YOU\n")
+    code, _ = exchange(f"{BEGIN}FRAME 1005000000\nFOR node-0\n{line}\nOVER_TO_YOU\n")
     errors = capsys.readouterr().err.splitlines()
     assert code == 2
     assert len(errors) == 1
@@ -108,29 +108,29 @@
     assert errors[0].startswith(f"line {number}: message {message}, field {field}")
 
 
-def test_a_missing_instance_and_a_cut_batch_are_bad_lines() -> None:
-    assert talk("FRAME 5\nWAKEUP 0\nOVER_TO_YOU\n")[0] == 2
-    assert talk("FRAME 5\nFOR node-1\nWAKEUP 0\nOVER_TO_YOU\n")[0] == 2
-    assert talk("FRAME 5\n")[0] == 2
-    assert talk("OVER_TO_YOU\n")[0] == 2
+def test_missing_instance_and_truncated_batch_are_invalid() -> None:
+    assert exchange("FRAME 5\nWAKEUP 0\nOVER_TO_YOU\n")[0] == 2
+    assert exchange("FRAME 5\nFOR node-1\nWAKEUP 0\nOVER_TO_YOU\n")[0] == 2
+    assert exchange("FRAME 5\n")[0] == 2
+    assert exchange("OVER_TO_YOU\n")[0] == 2
     with pytest.raises(WireError):
         read_settings("BEGIN", ["grades.count=1", "grades.0.effect=often"])
 
 
-def test_a_fault_of_the_decisions_is_reported_on_the_wire(
+def test_balancer_exception_is_reported_as_reply(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> None:
         raise IndexError("index out\nof range")
 
     monkeypatch.setattr("hollowusher.balancing.balancer.Balancer.step", broken)
-    code, lines = talk(BEGIN)
+    code, lines = exchange(BEGIN)
     assert code == 0
     assert lines == ["CONTEXT node-0", "GIVE_IN IndexError: index out of range", "YIELD"]
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_it_runs_as_a_process_and_ends_with_its_input() -> None:
+def test_process_ends_with_its_input() -> None:
     command = [sys.executable, "-m", "hollowusher.balancing.simulator_adapter"]
     done = subprocess.run(command, input=BEGIN, capture_output=True, text=True, cwd=ROOT, check=True)
     assert done.stdout.splitlines()[-1] == "YIELD"
