--- a/tests/balancing/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -1,4 +1,4 @@
-"""What one node does in each kind of trouble it may meet, seen from its own events, and how it recovers."""
+"""How one balancer handles each kind of failure, observed through its events, and how it recovers."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def test_early_wake_is_followed_by_another() -> None:
-    """A clock coarser than a nanosecond wakes early; waiting on for that wake would hang the node."""
+    """A clock coarser than 1 ns can wake the balancer early; without a new wake-up it would hang."""
     node = Node(site(tick_ns=2 * MS))
     node.step()
     asked = [a.in_ns for a in node.arrive("r", "safe", left=S) if isinstance(a, Wake)]
@@ -58,10 +58,12 @@
 
 
 def test_crowded_queue_is_served_by_worth_and_ordinary_one_by_arrival() -> None:
-    """By arrival alone the class with the longest aim would get all of a full worker."""
+    """If a crowded queue were served by arrival alone, the class with the longest aim would take a full
+    worker.
+    """
     dear = JobClass("dear", aim_ns=800 * MS, deadline_ns=5 * S, stretch=2.0, effect=Effect.UNSAFE, worth=10)
     cheap = replace(dear, name="cheap", worth=1)
-    brief = replace(SAFE, aim_ns=100 * MS)  # t_d is 25 ms, crowded is a wait above 50
+    brief = replace(SAFE, aim_ns=100 * MS)  # t_d is 25 ms, so a wait above 50 ms makes the queue crowded
     for waited, first in ((10 * MS, "cheap"), (300 * MS, "dear")):
         node = Node(site(classes=(dear, cheap, brief)), free={1: 1.0})
         node.arrive("c", "cheap")
@@ -74,17 +76,18 @@
 
 
 def test_class_with_long_aim_does_not_take_capacity_denied_to_head() -> None:
-    """Else a class with a long aim, which bears a longer wait, would keep every worker full for itself."""
+    """Otherwise a class with a long aim, which tolerates a longer wait, would keep every worker full."""
     quick = replace(SAFE, name="quick", late_share=0.5)
     patient = replace(quick, name="patient", aim_ns=2 * S)
-    brief = replace(quick, name="brief", aim_ns=110 * MS)  # makes the timers come each 27 ms
-    node = Node(site(classes=(quick, patient, brief)), workers(1), free={1: 1.0})  # one slot, 51 ms a job
+    brief = replace(quick, name="brief", aim_ns=110 * MS)  # sets the timer period to 27 ms
+    node = Node(site(classes=(quick, patient, brief)), workers(1), free={1: 1.0})  # one slot, 51 ms per job
     node.arrive("w", "patient")
     node.serve(sends(node.run(100 * MS))[0], run=51 * MS)
-    for name in ("p1", "p2"):  # the second is taken once it has waited 51 ms, the first one's time
+    # The second job is sent after 51 ms, when its wait equals the expected wait at the worker.
+    for name in ("p1", "p2"):
         node.arrive(name, "patient")
         node.started(sends(node.run(100 * MS))[0])
-    node.arrive("q", "quick")  # a wait of 102 ms in the worker is more than half its aim
+    node.arrive("q", "quick")  # a wait of 102 ms at the worker exceeds half of its aim
     node.arrive("p3", "patient")
     assert sends(node.run(125 * MS)) == []
     node.ended(Send("p1", 1, 0), Outcome.OK)
@@ -93,9 +96,12 @@
 
 
 def test_job_with_time_left_by_its_stretch_keeps_queue_position() -> None:
-    """At 130 ms, the larger part of its aim alone, it would go behind all others, though it may still wait
-    for 440 ms: on a busy fleet every second job would end late for want of a place in the queue."""
-    node = Node(only(SAFE), workers(1), free={1: 1.0})  # one slot; a job takes 400 ms, the stretch gives 800
+    """If the limit for late jobs depended on the aim alone, this job would go behind all others after 130 ms,
+    although it may wait for 440 ms. In a busy fleet every second job would then end late because it lost its
+    place.
+    """
+    # One slot, 400 ms per job, 800 ms allowed by the stretch.
+    node = Node(only(SAFE), workers(1), free={1: 1.0})
     node.arrive("w", "safe")
     node.serve(sends(node.run(60 * MS))[0], run=400 * MS)
     node.arrive("busy", "safe")
@@ -112,7 +118,7 @@
 
 
 def test_job_does_not_wait_long_for_reading_of_idle_worker() -> None:
-    """A probe answers in a few ms or not soon: to wait for 100 ms cost half of the shortest aim."""
+    """A probe returns within a few ms or not soon. A wait of 100 ms would use up half of the shortest aim."""
     node = Node(SITE, workers(1, 2))
     node.answers_probes = False
     node.run(2 * S)
@@ -121,7 +127,7 @@
 
 
 def test_lost_probe_is_retried() -> None:
-    """Else one lost result would leave its worker unread for good; 2.5 s lie between the two questions."""
+    """Otherwise a worker whose probe was lost would never be read again. Probes are at least 2.5 s apart."""
     node = Node(SITE, workers(1))
     node.answers_probes = False
     for i in range(8):
@@ -132,7 +138,9 @@
 
 
 def test_probes_are_triggered_and_limited_by_jobs() -> None:
-    """Twice a second for each worker, 200 nodes of 200 workers would send more probes than there are jobs."""
+    """With probes twice a second for each worker, 200 balancers with 200 workers would send more probes than
+    jobs.
+    """
     node = Node(only(SAFE), workers(*range(1, 201)), free=dict.fromkeys(range(1, 201), 2.0))
     node.run(5 * S)
     assert not [a for _, a in node.log if isinstance(a, Probe)]
@@ -142,18 +150,18 @@
             node.started(send)
             node.ended(send, Outcome.OK)
     assert len({a.request for _, a in node.log if isinstance(a, Send)}) == 50
-    # Three for each job that waits, and what twelve jobs may save up.
+    # Up to three probes for each waiting job, plus the saved-up probes of twelve jobs.
     assert 50 <= len([a for _, a in node.log if isinstance(a, Probe)]) <= 3 * (50 + 12)
 
 
 def test_job_waits_for_reading_and_skips_full_worker() -> None:
-    """In a large fleet a node knows next to nothing of the worker whose timer comes next."""
+    """In a large fleet a balancer has no recent reading of the worker whose timer fires next."""
     for seed in range(10):
         node = Node(only(SAFE), workers(1, 2), seed=seed, free={1: 2.0, 2: 2.0})
         node.arrive("a", "safe")
         node.serve(sends(node.run(100 * MS))[0])
         node.free[1] = 0.0
-        for i in range(3):  # each a second after the last: every reading is old
+        for i in range(3):  # one second apart, so that every reading is outdated
             node.run(S)
             node.arrive(f"b{i}", "safe")
             made = sends(node.run(400 * MS))
@@ -164,11 +172,13 @@
 
 
 def test_repeated_reading_counts_as_probe_result() -> None:
-    """Else no bundle leaves a worker between two of its slow refreshes, and jobs cross zones for nothing."""
+    """Otherwise a worker with slow refreshes would receive no bundle between them, and jobs would cross
+    zones.
+    """
     node = Node(only(SAFE), workers(1), free={1: 2.0})
     for i in range(6):
         node.arrive(f"r{i}", "safe")
-        made = sends(node.run(90 * MS))  # within the 100 ms that a bundle waits for a reading
+        made = sends(node.run(90 * MS))  # within the 100 ms for which a bundle waits for a reading
         assert len(made) == 1
         node.started(made[0])
         node.ended(made[0], Outcome.OK)
@@ -176,15 +186,17 @@
 
 
 def test_full_worker_without_readings_is_retried() -> None:
-    """Without readings nothing takes back the guess that other dispatchers fill it."""
+    """Without readings nothing corrects the estimate of other balancers' jobs, so it must expire."""
     node = Node(only(SAFE), workers(1))
     node.arrive("a", "safe")
-    node.ended(sends(node.run(300 * MS))[0], Outcome.FULL)  # the job is late, so it takes free slots only
+    node.ended(sends(node.run(300 * MS))[0], Outcome.FULL)  # the job is late, so it may only use free slots
     assert sends(node.run(3 * S)) == [Send("a", 1, 0)]
 
 
 def test_low_worth_class_is_not_starved() -> None:
-    """Two slots do ten jobs a second; twenty dear and ten cheap ones come: some of each are served."""
+    """Two slots serve 10 jobs per second while 20 valuable and 10 cheap jobs arrive; some of each must be
+    served.
+    """
     dear = replace(UNSAFE, name="dear", worth=10.0)
     cheap = replace(dear, name="cheap", worth=1.0)
     simulation = SimulatedWorkers(Node(site(classes=(dear, cheap)), workers(1), free={1: 2.0}), run=200 * MS)
@@ -196,35 +208,37 @@
     assert served.count("d") > served.count("c") > 5
 
 
-# --- one worker of three in trouble: little is risked on it, and it gets its share again afterwards ------
+# --- one of three workers is faulty: it receives few jobs, and its full share after recovery ---------
 
 
 def three_workers(job_class: JobClass = SAFE) -> SimulatedWorkers:
-    """A node with three workers that report two slots each."""
+    """Return three simulated workers with two slots each, and their balancer."""
     return SimulatedWorkers(Node(only(job_class), workers(1, 2, 3), free={1: 2.0, 2: 2.0, 3: 2.0}))
 
 
 def share(of: list[Send], worker: int) -> float:
-    """The share of sends that went to a worker."""
+    """Return the share of sends that went to a worker."""
     return sum(s.worker == worker for s in of) / len(of)
 
 
 @pytest.mark.parametrize("fault", ["silent", "failing", "refusing"])
 def test_faulty_worker_receives_only_trials_until_trusted_again(fault: str) -> None:
-    """Silent: it answers probes, reports free slots, and runs nothing: it looks better than all others."""
+    """The silent worker is hardest to detect: it answers probes with free slots but runs nothing."""
     simulation = three_workers()
     simulation.play(3 * S)
     bad: set[int] = getattr(simulation, fault)
     bad.add(3)
-    simulation.play(3 * S, prefix="t")  # time to notice
+    simulation.play(3 * S, prefix="t")  # time to detect the fault
     assert share(simulation.play(5 * S, prefix="u"), 3) < 0.1
     bad.clear()
-    simulation.play(10 * S, prefix="v")  # a trial comes at most 9.6 s later
+    simulation.play(10 * S, prefix="v")  # the next trial comes after at most 9.6 s
     assert share(simulation.play(5 * S, prefix="w"), 3) > 0.15
 
 
 def test_slow_worker_is_avoided_and_trusted_again() -> None:
-    """Ten times slower, its jobs end late even without a wait, though it reports free slots."""
+    """The jobs of a worker that is ten times slower end late even without waiting, though it reports free
+    slots.
+    """
     simulation = three_workers()
     simulation.play(3 * S)
     simulation.slow[3] = 10.0
@@ -236,7 +250,7 @@
 
 
 def test_no_worker_is_excluded_when_all_slow_down() -> None:
-    """What strikes all at once is no worker's fault, and shutting all out would be worse than any of it."""
+    """A slowdown of all workers has a shared cause, and excluding all of them would leave no capacity."""
     simulation = three_workers()
     simulation.play(3 * S)
     simulation.slow = {1: 4.0, 2: 4.0, 3: 4.0}
@@ -250,7 +264,7 @@
 
 
 def test_each_worker_is_still_tried_when_all_fail() -> None:
-    """The cause may be the node's own; it must notice when it has passed."""
+    """The cause may be the balancer itself, so it must detect when the fault has ended."""
     simulation = three_workers()
     simulation.failing = {1, 2, 3}
     simulation.play(5 * S)
@@ -270,13 +284,14 @@
     simulation.play(3 * S, prefix="t")
     before = len(simulation.answered)
     assert share(simulation.play(5 * S, every=74 * MS, prefix="u"), 1) < 0.1
-    assert len(simulation.answered) - before > 60  # of 68, though most workers look bad
+    assert len(simulation.answered) - before > 60  # of 68, although most workers look faulty
 
 
 def test_trial_prefers_repeatable_job() -> None:
-    """A trial may be lost: a job that cannot be repeated should not be the one."""
+    """A trial may lose its job, so a job that cannot be repeated must not be used while a safe one waits."""
     only_x = site(classes=(replace(SAFE, kind="x"), replace(UNSAFE, kind="x")))
-    others = workers(2, 3, kind="y")  # two that look well, so the trouble is the one worker's own
+    # Two healthy workers, so that the fault belongs to the first worker alone.
+    others = workers(2, 3, kind="y")
     simulation = SimulatedWorkers(Node(only_x, workers(1, kind="x") + others, free={1: 2.0, 2: 2.0, 3: 2.0}))
     simulation.failing.add(1)
     simulation.play(S)
@@ -321,12 +336,12 @@
 
 
 def test_repeatedly_restarting_worker_stays_within_cold_budget() -> None:
-    """Each list entry tells of a fresh start, so it never warms up; the others take its jobs."""
+    """Each list entry reports a new start, so the worker never warms up and the others take its jobs."""
     simulation = three_workers()
     for i in range(10):
         simulation.node.listing(ListKind.CHANGES, replace(workers(3)[0], started_ns=simulation.node.now))
         simulation.play(S, prefix=f"t{i}-")
-    # All nodes together: twice a tenth of two slots, so 0.4 slots or 4 jobs of 100 ms each second.
+    # Limit for all balancers: twice a tenth of two slots, so 0.4 slots or 4 jobs of 100 ms per second.
     assert sum(s.worker == 3 for s in simulation.sent) <= 40
     assert len(simulation.answered) > 255  # of 270
 
@@ -346,32 +361,32 @@
     simulation.play(3 * S, prefix="t")
     before = len(simulation.answered)
     simulation.play(5 * S, prefix="u")
-    assert len(simulation.answered) - before > 128  # of 135, by the two that can be reached
+    assert len(simulation.answered) - before > 128  # of 135, served by the two reachable workers
 
 
 # --- traffic ----------------------------------------------------------------------------------------
 
 
 def test_burst_after_low_load_does_not_flood_workers() -> None:
-    """N must not wind up while nothing is asked: three workers of two slots run six jobs, a few may wait."""
+    """N must not grow without demand. Three workers of two slots run six jobs, and a few more may wait."""
     simulation = three_workers()
     simulation.play(20 * S, every=S)
     for i in range(60):
         simulation.node.arrive(f"burst{i}", "safe")
-    simulation.node.run(60 * MS)  # each timer has come once
+    simulation.node.run(60 * MS)  # each timer has fired once
     simulation._work()
     assert len(simulation.sent) - 20 <= 12
 
 
 def test_new_balancer_serves_first_jobs_without_readings() -> None:
-    """With no answer to any probe a node has to send all the same, after 2 t_d and a timer: 150 ms."""
+    """Without any probe result a balancer must send anyway after 2 t_d and one timer period, 150 ms."""
     node = Node(only(SAFE), workers(1, 2, 3))
     node.arrive("first", "safe")
     assert [s.request for s in sends(node.run(150 * MS))] == ["first"]
 
 
 def test_one_heavy_job_does_not_make_its_worker_suspect() -> None:
-    """A job of 20 times the usual time holds one slot, tells its progress, and the other slot goes on."""
+    """A job of 20 times the usual running time holds one slot and reports progress; the other slot works."""
     simulation = three_workers()
     simulation.play(3 * S)
     heavy = next(s for s in simulation.play(S, prefix="t") if s.worker == 3)
@@ -384,7 +399,7 @@
 
 @pytest.mark.parametrize(("job_class", "again"), [(SAFE, True), (UNSAFE, False)])
 def test_only_safe_job_on_frozen_worker_is_repeated_elsewhere(job_class: JobClass, again: bool) -> None:
-    """Progress comes each second from a worker that moves; two missing and a half make it silent."""
+    """A working worker reports progress every second; after 2.5 missed updates it counts as silent."""
     node = Node(only(job_class), workers(1, 2), free={1: 2.0, 2: 2.0})
     node.arrive("a", job_class.name, left=10 * S)
     first = sends(node.run(100 * MS))[0]
@@ -395,8 +410,10 @@
 
 
 def test_unstarted_job_on_silent_worker_is_repeated_soon() -> None:
-    """Six mean running times let a job of half a second sit for three, past all use, where the worker or the
-    way to it says nothing at all; notes come each second, so that a third of 2.5 of them tells enough."""
+    """A limit of six mean running times alone would leave a job of 0.5 s unstarted for 3 s, which is too long
+    if the worker or the connection is silent. Updates come every second, so a third of 2.5 update periods is
+    enough.
+    """
     node = Node(only(SAFE), workers(1, 2), free={1: 2.0, 2: 2.0})
     node.arrive("w", "safe")
     node.serve(sends(node.run(100 * MS))[0], run=500 * MS)
@@ -406,7 +423,9 @@
 
 
 def test_worker_with_overdue_start_receives_no_more_jobs() -> None:
-    """It reports ten free slots, but a job has lain there unstarted for longer than half the shortest aim."""
+    """The worker reports ten free slots, but a job has been unstarted for longer than half of the shortest
+    aim.
+    """
     node = Node(only(SAFE), workers(1), free={1: 10.0})
     node.run(S)
     node.arrive("a", "safe")
@@ -419,7 +438,9 @@
 
 
 def test_unreachable_workers_do_not_excuse_failing_worker() -> None:
-    """Two are dead and one fails: that is no shared cause while the fourth serves."""
+    """Two workers are unreachable and one fails, which is no shared cause while the fourth worker serves
+    jobs.
+    """
     simulation = SimulatedWorkers(
         Node(only(SAFE), workers(1, 2, 3, 4), free=dict.fromkeys((1, 2, 3, 4), 2.0))
     )
@@ -440,33 +461,35 @@
 
 
 def test_list_calls_back_off_after_failures() -> None:
-    """All nodes ask one service: asking at once after each failure would keep it down."""
+    """All balancers call one service, and immediate retries after each failure would keep it overloaded."""
     node = Node(site(discovery=Discovery.ASK), workers(1))
     asked = 0
     for _ in range(200):
         if any(isinstance(a, Watch) for a in node.run(50 * MS)):
             asked += 1
             node.listing(ListKind.FAILED)
-    assert 3 <= asked <= 12  # in 10 s: 0.25, 0.5, 1, 2, 2.5, 2.5 s apart, each up to twice as soon
+    # In 10 s: waits of 0.25, 0.5, 1, 2, 2.5 and 2.5 s, each shortened at random by up to half.
+    assert 3 <= asked <= 12
 
 
 def test_wait_at_worker_is_limited_by_shortest_aim() -> None:
-    """Else patient jobs keep a worker so full that a pressing one never finds room there."""
+    """Otherwise jobs with long aims would keep a worker so full that urgent jobs find no free slot."""
     patient = replace(SAFE, name="patient", aim_ns=2 * S)
-    node = Node(site(classes=(SAFE, patient)), workers(1), free={1: 1.0})  # one slot; a job takes 140 ms
+    node = Node(site(classes=(SAFE, patient)), workers(1), free={1: 1.0})  # one slot, 140 ms per job
     node.arrive("w", "patient")
     node.serve(sends(node.run(100 * MS))[0], run=140 * MS)
-    for name in ("p1", "p2"):  # the second is taken when it has waited 140 ms
+    for name in ("p1", "p2"):  # the second job is sent after it has waited 140 ms
         node.arrive(name, "patient")
         node.started(sends(node.run(250 * MS))[0])
-    node.arrive("p3", "patient")  # would wait for two jobs, 280 ms, over the 200
+    # Would wait for two jobs, 280 ms, which exceeds the 200 ms of the shortest aim.
+    node.arrive("p3", "patient")
     assert sends(node.run(S)) == []
     node.ended(Send("p1", 1, 0), Outcome.OK)
     assert [s.request for s in sends(node.run(S))] == ["p3"]
 
 
 def test_late_start_shows_full_worker_despite_reading() -> None:
-    """Two slots reported free, but a job had to wait 80 ms there: other dispatchers have filled them."""
+    """The worker reports two free slots, but a job waited 80 ms there: other balancers have filled them."""
     node = Node(only(SAFE), workers(1), free={1: 2.0})
     node.arrive("a", "safe")
     node.serve(sends(node.run(60 * MS))[0], run=200 * MS)
@@ -474,13 +497,13 @@
     sent = sends(node.run(60 * MS))[0]
     node.run(80 * MS)
     node.started(sent)
-    node.arrive("c", "safe")  # one job too many: it waits here for the 100 ms in which a slot frees
+    node.arrive("c", "safe")  # one job too many: it would wait for the 100 ms until a slot becomes free
     assert sends(node.run(60 * MS)) == []
 
 
 @pytest.mark.parametrize(("waiting", "goes"), [(None, False), (0.0, True)])
 def test_full_worker_without_queue_length_is_assumed_to_have_queue(waiting: float | None, goes: bool) -> None:
-    """Four slots of 300 ms: one frees in 75 ms if none waits; if some wait it is too long."""
+    """Of four slots with 300 ms per job one becomes free after 75 ms; with a queue the wait is too long."""
     node = Node(only(SAFE), workers(1), free={1: 4.0})
     node.arrive("w", "safe")
     node.serve(sends(node.run(100 * MS))[0], run=300 * MS)
@@ -493,13 +516,15 @@
 
 
 def test_worker_last_reported_full_is_avoided_until_next_reading() -> None:
-    """In overload sixty nodes that each forget it after seconds send it more than it can turn away."""
+    """If 60 overloaded balancers forgot a full worker after seconds, it would receive more jobs than it can
+    reject.
+    """
     node = Node(only(SAFE), workers(1), free={1: 2.0})
     for i in range(4):
         node.arrive(f"a{i}", "safe")
         node.serve(sends(node.run(200 * MS))[0])
     node.free[1] = 0.0
-    for i in range(40):  # of ten readings and more: others' jobs fill it
+    for i in range(40):  # over more than ten readings, jobs of other balancers fill the worker
         node.arrive(f"b{i}", "safe", left=400 * MS)
         for send in sends(node.run(500 * MS)):
             node.serve(send)
@@ -517,11 +542,11 @@
 
 
 def test_throttled_balancer_finds_worker_that_becomes_free() -> None:
-    """It serves fewer timers then, to spare its CPU, but none is left out."""
+    """The balancer serves fewer timers per step to save CPU time, but it must not skip any worker."""
     free = dict.fromkeys(range(1, 41), 0.0)
     node = Node(only(SAFE), workers(*free), free=free)
-    node.step(*(Probed(i, True, Reading(free_slots=2.0)) for i in free))  # each has two slots
-    for i in range(40):  # jobs that find all of them full, reading after reading
+    node.step(*(Probed(i, True, Reading(free_slots=2.0)) for i in free))  # each worker has two slots
+    for i in range(40):  # jobs that find all workers full, reading after reading
         node.arrive(f"a{i}", "safe", left=400 * MS)
         for send in sends(node.run(500 * MS)):
             node.ended(send, Outcome.FULL)
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -1,4 +1,4 @@
-"""What is harmless from one scheduler and harmful from forty, without a bench."""
+"""Behaviour that is harmless in one balancer and harmful in forty or more, tested without real processes."""
 
 from __future__ import annotations
 
@@ -29,17 +29,20 @@
 
 
 class ListService:
-    """The one service of all schedulers, which takes one call after another.  A call that a scheduler has
-    given up, or that waited for 3 s, costs it as much all the same.  In an outage it refuses, or is mute."""
+    """The list service of all balancers, which serves one call at a time.
+
+    A call that its balancer gave up or that waited for 3 s still costs the service its full time. During an
+    outage the service refuses calls, or calls hang until their timeout.
+    """
 
     def __init__(self, cost: int, outage: tuple[int, int] = (0, 0), hangs: bool = False) -> None:
         self.cost, self.outage, self.hangs, self.free_at = cost, outage, hangs, 0
 
     def call(self, now: int, timeout: int) -> tuple[int, ListKind]:
-        """When a call ends, and how."""
+        """Return when a call ends and the resulting kind of list event."""
         begin, end = self.outage
         if begin <= now < end:
-            # A mute one may get the call at its return: it is out of reach, and the caller cannot know.
+            # A hanging call may reach the service when it returns; the caller cannot know this.
             return (now + timeout, ListKind.SILENT) if self.hangs else (now, ListKind.FAILED)
         self.free_at = max(now, self.free_at) + self.cost
         late = min(timeout, 3 * S)
@@ -55,8 +58,10 @@
     broken: ListKind | None = None,
     grace: int = 250 * MS,
 ) -> list[int]:
-    """From the return of a service, or the start of all, on: when each of so many schedulers has its list.
-    With `broken` they had watches, which all end so at the outage's begin."""
+    """Return how long after the outage (or after the start) each balancer receives its list, sorted, in ns.
+
+    With `broken`, the balancers have watches, which all end with this kind of event when the outage begins.
+    """
     rules = Rules(ask_within_ns=10 * S, drain_grace_ns=grace)
     settings = replace(SITE, balancers=balancers, discovery=Discovery.ASK, rules=rules)
     nodes = [Node(replace(settings, me=i), workers=workers(1), seed=100 + i) for i in range(balancers)]
@@ -93,8 +98,9 @@
     ],
 )
 def test_balancers_that_start_together_get_list(balancers: int, cost: int, within: int) -> None:
-    # Forty that ask at once, and again within two seconds, keep the service on calls that have failed.
-    # Of 200 the first call came up to 39 s after the start; from 10 s on nothing may be sent without it.
+    # Forty balancers that call at once, and again within two seconds, keep the service busy with calls that
+    # have already failed. When the first calls of 200 balancers were spread over 39 s, balancers stopped
+    # sending, because they may send nothing without a list from 10 s on.
     reported = reported_after(balancers, 20 * S, ListService(cost * MS))
     assert len(reported) == balancers and reported[-1] < within
 
@@ -103,8 +109,9 @@
 @pytest.mark.parametrize("grace", [250 * MS, 500 * MS, 1500 * MS])
 @pytest.mark.parametrize("balancers", [2, 3, 8, 20, 40, 100, 200])
 def test_all_balancers_get_list_in_time_after_outage(balancers: int, grace: int, hangs: bool) -> None:
-    # A change made while it was away counts as told 6 s after its return.  The service has time for all, with
-    # half of it to spare for calls that come in a crowd: 14 ms each of 200, which is what was measured.
+    # A change published during the outage counts as reported 6 s after its end. In half of that time the
+    # service can answer the calls of all balancers (14 ms per call with 200 balancers). The other half is
+    # left for calls that arrive together.
     cost = min(150 * MS, (6 * S - grace) // 2 // balancers)
     for seconds in (0, 1, 4, 9):
         service = ListService(cost, (S, (1 + seconds) * S), hangs)
@@ -128,7 +135,8 @@
 
 
 def test_list_request_counts_only_when_answered() -> None:
-    # One asked at 20.332 s, sent in that step to a node listed as gone at 9.89 s, and heard at 20.343 s.
+    # A balancer requested the list at 20.332 s, sent in the same step to a worker that was listed as gone at
+    # 9.89 s, and received the list at 20.343 s.
     node = polling_balancer()
     node.run(10 * S)
     node.arrive("r1", "safe")
@@ -147,7 +155,8 @@
     ],
 )
 def test_changes_missed_by_silent_watch_count_as_reported(kind: ListKind, heard: int, sent: int) -> None:
-    # Silence is noticed late; what was listed since the last line counts as told 6 s later, come or not.
+    # A silent watch is detected late. Changes since its last message count as reported after 6 s, whether
+    # they arrived or not.
     node = polling_balancer()
     node.listing(ListKind.CHANGES)
     node.run(heard)
@@ -167,7 +176,7 @@
         node.listing(ListKind.FAILED)
         node.arrive("r1", "safe")
         then = node.run(1600 * MS)
-        assert Watch() in then and len(sends(then)) == 1  # what it told is good for a few seconds
+        assert Watch() in then and len(sends(then)) == 1  # the last list remains valid for a few seconds
 
 
 @pytest.mark.parametrize("balancers", [2, 8, 40, 200])
@@ -187,22 +196,24 @@
     means = [sum(waits) / 30 for waits in rounds]
     assert means[0] < 0.2 * S or balancers > 4
     assert all(max(waits) <= calls.longest_wait_ns for waits in rounds)
-    assert all(max(waits) > 1.5 * min(waits) for waits in rounds)  # else all come back at once
+    # Otherwise all balancers would retry at once.
+    assert all(max(waits) > 1.5 * min(waits) for waits in rounds)
     assert means[-1] > 0.65 * calls.longest_wait_ns
 
 
 @pytest.mark.parametrize(
     ("kind", "every", "sent"),
     [
-        (ListKind.FAILED, S, True),  # out of reach again and again: nothing of it can be told
-        (ListKind.FAILED, 20 * S, False),  # it may have been back for long
-        (ListKind.SILENT, S, False),  # it can be reached, and may have news
+        # The service was repeatedly unreachable, so it cannot have published changes.
+        (ListKind.FAILED, S, True),
+        (ListKind.FAILED, 20 * S, False),  # the service may have been back for long
+        (ListKind.SILENT, S, False),  # the service is reachable and may have published changes
     ],
 )
 def test_list_validity_after_unanswered_calls(kind: ListKind, every: int, sent: bool) -> None:
     node = polling_balancer()
     for _ in range(20 * S // every):
-        node.balancer.watch_at = node.now + 10**15  # the calls are made here
+        node.balancer.watch_at = node.now + 10**15  # suppresses the balancer's own calls; the test makes them
         node.balancer.send_rules.list_requested_at = node.now
         node.listing(kind)
         node.run(every)
@@ -243,13 +254,14 @@
         assert not sends(node.run(60 * MS))
 
 
-MEAN = 400 * MS  # the mean work of a call
+MEAN = 400 * MS  # mean work of a job
 COLD = Rules(fall_multiple=2.5, fall_span_ns=S, cold_share=0.12, warm_after_ns=24 * S, ask_within_ns=10 * S)
 
 
 @pytest.mark.parametrize("balancers", [2, 8, 40, 200])
 def test_all_balancers_together_keep_and_use_cold_budget(balancers: int) -> None:
-    # Each has learnt other costs, as running times scatter: by costs, their turns met.
+    # Each balancer learns different costs, because running times vary. When turns depended on costs, the
+    # turns of several balancers coincided.
     rng, entry = random.Random(balancers), workers(1, started_ns=S)[0]
     views = [
         WorkerState(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
@@ -257,7 +269,7 @@
     ]
     units = [round(400 * MS * rng.uniform(0.7, 1.4)) for _ in views]
     sent, slots, most = list[tuple[int, int]](), 2.0, 0.0
-    for now in range(3 * S, 25 * S, 25 * MS):  # the turns that have passed without a job are no credit
+    for now in range(3 * S, 25 * S, 25 * MS):  # turns that passed without a job give no credit
         for view, unit in zip(views, units, strict=True):
             cost = round(rng.choice((0.5, 1.0, 1.0, 4.0)) * unit)
             if view.fits_cold_budget(now, cost, unit, slots):
@@ -265,13 +277,13 @@
                 sent.append((now, cost))
         level = views[0].warmup_level(now)
         most = max(most, sum(c for t, c in sent if t > now - S) / (2.5 * level * slots * S))
-    assert most < 1.2  # a tenth or so above 1 is what the learnt costs scatter
+    assert most < 1.2  # the variation of the learned costs allows about a tenth above 1
     assert sum(c for _, c in sent) > 0.8 * slots * sum(views[0].warmup_level(i * S) for i in range(3, 25)) * S
 
 
 @pytest.mark.parametrize(("balancers", "rate"), [(40, 1.2), (200, 1.2), (200, 0.3)])
 def test_unused_turns_are_compensated_within_budget(balancers: int, rate: float) -> None:
-    # A scheduler of many has a job at hand in a small part of its turns; each knows its own part alone.
+    # With many balancers, each has a job in only a small part of its turns and knows only its own part.
     rng, entry = random.Random(balancers), workers(1, started_ns=S)[0]
     views = [
         WorkerState(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
@@ -290,13 +302,14 @@
                 if rng.random() < own / 20 and view.fits_cold_budget(now, unit, unit, slots, use):
                     view.recent_sends.append((now, unit))
                     sent.append(now)
-            n = 2.5 * views[0].warmup_level(now) * slots * S / unit  # the rule, and its room for chance
+            # The limit of the rule, plus a tolerance for random variation.
+            n = 2.5 * views[0].warmup_level(now) * slots * S / unit
             most = max(most, sum(t > now - S for t in sent) / (n + 3 * math.sqrt(n) + 3))
         used[uses_hit_rate] = len(sent)
     assert most < 1.0
     max_jobs = sum(COLD_MARGIN * 2.5 * views[0].warmup_level(i * S) * slots * S / unit for i in range(3, 23))
     assert used[True] > 1.4 * used[False]
-    assert used[True] < max_jobs  # on average the module's own margin is kept
+    assert used[True] < max_jobs  # on average the balancers keep their own margin
 
 
 def test_turn_hit_rate_follows_arrival_rate() -> None:
@@ -306,7 +319,7 @@
         node.arrive(f"r{count}", "safe")
         node.run(S if count < 30 else S // 10)
         hit_rates.append(node.balancer.send_rules.turn_hit_rate)
-    assert abs(hit_rates[29] - (1 - math.exp(-0.5))) < 0.05  # one job a second, half a span
+    assert abs(hit_rates[29] - (1 - math.exp(-0.5))) < 0.05  # one job per second, half a span
     assert hit_rates[-1] > hit_rates[29] + 0.1
 
 
@@ -322,7 +335,8 @@
 
 
 def test_new_job_goes_first_to_cold_worker_on_own_turn() -> None:
-    # Turns last half a span and mostly passed unused: the job went to whichever warm node was due next.
+    # When every job went to the worker whose timer fired next, usually a warm one, most turns at the cold
+    # worker (half a span each) passed unused.
     known = [*workers(*range(1, 9)), *workers(*range(9, 29), started_ns=990 * S)]
     took = 0
     for me in range(200):
@@ -334,7 +348,8 @@
             for w in node.balancer.workers.values()
             if w.id > 8 and w.fits_cold_budget(node.now, 400 * MS, 400 * MS, 1.0)
         }
-        then = node.arrive("r1", "safe")  # nor is a reading asked for: all together send it little
+        # Without a probe, because all balancers together send this worker little.
+        then = node.arrive("r1", "safe")
         took += bool(ours)
         assert not ours or ([s.worker in ours for s in sends(then)], Probe(9) in then) == ([True], False)
     assert took >= 5
@@ -356,7 +371,8 @@
     node.run(250 * MS)
     node.ended(Send("r1", 1, 0), Outcome.OK)
     assert node.balancer.mean_runtimes["safe"] == pytest.approx(100 * MS, rel=0.01)
-    # a job that would end late there waits for a warm worker: aim 200 ms and twice its time, of 2 s
+    # A job that would end late at the cold worker waits for a warm one. It may take its aim of 200 ms plus
+    # twice its running time of 2 s.
     node.balancer.mean_runtimes["safe"] = 2.0 * S
     node.arrive("r2", "safe")
     assert not sends(node.run(200 * MS))
@@ -365,7 +381,7 @@
 
 
 def test_unplaceable_job_causes_few_wakeups_in_large_fleet() -> None:
-    # Sixty timers fall due every t_d; a wake for each of them took a whole share of a core for nothing.
+    # Sixty timers fire every t_d. A wake-up for each of them used a whole CPU core without any send.
     settings = only(replace(SAFE, kind="k", late_share=0.2))
     node = Node(settings, workers=workers(*range(1, 61), kind="other"))
     node.arrive("r1", "safe", left=60 * S)
@@ -374,7 +390,7 @@
     node.run(S)
     wakes = sum(isinstance(a, Wake) for _, a in node.log[before:])
     assert wakes <= 1.2 * S / node.balancer.t_d
-    # and no worker is left out for it: the one that can take the job has its turn within a few rounds
+    # No worker is skipped as a result: the one that can take the job has its turn within a few rounds.
     for late in range(1, 61, 4):
         node_with_match = Node(settings, workers=workers(*range(1, 61), kind="other"))
         node_with_match.arrive("r1", "safe", left=60 * S)
@@ -386,8 +402,10 @@
 
 
 class ColdFleet:
-    """Schedulers of which each sees its own part of the traffic and hears of a cold worker at a time of its
-    own; some are restarted while it warms up, and forget what they sent."""
+    """Balancers that each see a different part of the traffic and learn of a cold worker at different times.
+
+    Some of them restart while the worker warms up and lose the record of their sends.
+    """
 
     def __init__(self, balancers: int, seed: int, heavy: bool) -> None:
         self.rng, self.balancers, self.heavy = random.Random(seed), balancers, heavy
@@ -397,14 +415,17 @@
         self.sent = list[tuple[int, float]]()
 
     def new_process(self, me: int, began: int) -> tuple[SendRules, WorkerState, int]:
-        """One process: its running times are learnt, and differ."""
+        """Return the send rules, worker state and mean job cost of a new process; the cost varies."""
         settings = replace(SITE, balancers=self.balancers, me=me, rules=COLD)
         unit = round(MEAN * self.rng.uniform(0.7, 1.4))
         return SendRules(settings, began), WorkerState(self.entry, settings, 12_500_000, began), unit
 
     def play(self, rate: float, killed: float, burst: float) -> None:
-        """Jobs a second and scheduler, unevenly; of a hundred schedulers so many are killed each second.
-        From 12 s on there are `burst` times as many jobs for a while, which nobody has learnt to expect."""
+        """Simulate 24 s with `rate` jobs per second and balancer, distributed unevenly.
+
+        `killed` is the percentage of balancers that restart each second. From 12 s to 14 s there are `burst`
+        times as many jobs, which no balancer has learned to expect.
+        """
         rng, step, number = self.rng, 40 * MS, 0
         rates = [rate * rng.choice((0.3, 0.6, 1.0, 2.1)) for _ in self.processes]
         for now in range(S, 25 * S, step):
@@ -427,11 +448,11 @@
                     self.sent.append((now, work))
 
     def budget(self, now: int) -> float:
-        """N: calls of mean work that the worker bears in the span that begins now."""
+        """Return N, the number of mean jobs that the worker can take in the span that begins now."""
         return 2.5 * self.processes[0][1].warmup_level(now) * 2.0 * S / MEAN
 
     def most(self) -> float:
-        """The most that one span saw, in parts of N + 2 roots of N + 2."""
+        """Return the largest number of jobs or work in any span, relative to N + 2·sqrt(N) + 2."""
         most = 0.0
         for first, (begin, _) in enumerate(self.sent):
             n = self.budget(begin)
@@ -440,7 +461,7 @@
         return most
 
     def used(self) -> float:
-        """The share of N that was used from when all had heard of it on."""
+        """Return the used share of N after all balancers have learned of the worker."""
         spans = range(8, 24)
         return sum(8 * S <= t < 24 * S for t, _ in self.sent) / sum(self.budget(i * S) for i in spans)
 
@@ -461,12 +482,13 @@
     fleet = ColdFleet(balancers, balancers, heavy)
     fleet.play(rate, killed, burst)
     assert fleet.most() <= 1.0
-    assert fleet.used() >= least  # a bound that is kept by using nothing would be none
+    assert fleet.used() >= least  # a balancer that never used the budget would keep any bound
 
 
 @pytest.mark.parametrize(("began", "sent"), [(2 * S, False), (1500 * MS, True), (S - 1, True)])
 def test_new_process_avoids_cold_worker_that_old_process_may_have_used(began: int, sent: bool) -> None:
-    # What the life before sent within the last span is forgotten; a worker that began with us had none of it.
+    # A new process does not know what its predecessor sent within the last span. A worker that started after
+    # the new process received nothing from the predecessor.
     settings, now = replace(SITE, rules=COLD), 2600 * MS
     entry = workers(1, started_ns=S)[0]
     rules, view = SendRules(settings, began), WorkerState(entry, settings, 12_500_000, began)
--- a/tests/balancing/test_integral_controller.py
+++ b/tests/balancing/test_integral_controller.py
@@ -1,7 +1,7 @@
-"""The integral rule's arithmetic, against values worked out by hand from equation 4 of the paper.
+"""Arithmetic of the integral controller, compared with values computed by hand from equation 4 of the paper.
 
-With t_d = 50 ms and t_p = 25 ms, C* = 0.98 and t_s = t_w = 0.5 s, the gain at N is
-(50 + 25·B·N)² / (25·50) and one step is gain·(0.98 - C)/B.
+With t_d = 50 ms and t_p = 25 ms, C* = 0.98 and t_s = t_w = 0.5 s, the gain at N is (50 + 25·B·N)² / (25·50)
+and one step is gain·(0.98 - C)/B.
 """
 
 from __future__ import annotations
--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -1,16 +1,16 @@
-"""The balancing package decides without I/O and without a clock of its own."""
+"""Limits of the balancing package: only the adapter imports I/O or clocks, and lines are at most 110 long."""
 
 import ast
 from pathlib import Path
 
 BALANCER = Path(__file__).parent.parent.parent / "hollowusher" / "balancing" / "balancer.py"
-ADAPTER = "simulator_adapter.py"  # the one module that reads and writes
+ADAPTER = "simulator_adapter.py"  # the only module with input and output
 IO_MODULES = {"asyncio", "logging", "os", "selectors", "socket", "subprocess", "sys", "threading", "time"}
 MAX_LINE_LENGTH = 110
 
 
 def imported(source: Path) -> set[str]:
-    """The top-level names of all modules that a source file imports."""
+    """Return the top-level names of all modules that a source file imports."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(source.read_text())):
         if isinstance(node, ast.Import):
--- a/tests/balancing/test_properties.py
+++ b/tests/balancing/test_properties.py
@@ -1,6 +1,6 @@
-"""Random legal event sequences: whatever comes in, the actions keep the rules.
+"""Random sequences of valid events, after which every action must satisfy the rules.
 
-The checker below keeps its own books from events and actions alone; it shares no code with the module.
+The checker records events and actions itself and shares no code with the balancer.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 @dataclass
 class Try:
-    """One attempt in the checker's books."""
+    """An attempt as recorded by the checker."""
 
     worker: int
     sent: int
@@ -75,7 +75,7 @@
 
 @dataclass
 class Case:
-    """One request in the checker's books."""
+    """A request as recorded by the checker."""
 
     cls: JobClass
     deadline: int
@@ -84,7 +84,7 @@
 
 
 class World:
-    """Makes legal events at random and checks each action against the rules."""
+    """Generates valid random events and checks each action against the rules."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -105,7 +105,7 @@
                 [(Effect.SAFE, Group.ALL), (Effect.UNSAFE, Group.ALL), *((Effect.KEYED, g) for g in Group)]
             )
         ]
-        classes = self.rng.sample(classes, pick([1, 2, 5]))  # also sites with one class of one kind
+        classes = self.rng.sample(classes, pick([1, 2, 5]))  # includes settings with a single class
         self.settings = Settings(
             classes=tuple(classes),
             balancers=pick([1, 4]),
@@ -154,7 +154,7 @@
     # --- events -----------------------------------------------------------------------------------
 
     def play(self, steps: int) -> None:
-        """Some random steps, then quiet until everything must be answered."""
+        """Run random steps, then let time pass without events until every request must have its answer."""
         for _ in range(steps):
             self.now += self.rng.choice([5, 5, 20, 100, 700]) * MS
             self.pop_due_wakes()
@@ -247,7 +247,7 @@
             assert case.ended_at is not None or not late or self.is_within_time_jump(case), request
 
     def is_within_time_jump(self, case: Case) -> bool:
-        """The play lets up to 0.7 s pass in one go, in which the node could not act."""
+        """Return whether a time step of up to 0.7 s, in which no action was possible, explains the delay."""
         return self.now - case.deadline <= 700 * MS
 
     def check(self, action: Action) -> None:
@@ -256,7 +256,7 @@
                 self.check_send(self.cases[request], request, worker)
             case Refuse(request):
                 case = self.cases[request]
-                assert case.ended_at in (None, self.now)  # the end may stand later in the same batch
+                assert case.ended_at in (None, self.now)  # the end event may follow later in the same batch
                 case.ended_at = self.now
                 ran = any(t.may_have_run for t in case.tries)
                 keyed_for_all = case.cls.effect is Effect.KEYED and case.cls.group is Group.ALL
@@ -297,7 +297,7 @@
         self.out.append((request, len(case.tries) - 1))
 
     def check_cold(self, worker: int) -> None:
-        """A worker of 4 slots does at most 4 slot-seconds a second; here one job counts as 50 ms at least."""
+        """A worker of 4 slots does at most 4 slot-seconds per second; a job counts as at least 50 ms here."""
         started = self.entries[worker].started_ns
         age = self.now - started
         self.cold_sends.append((worker, self.now))
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules at their boundaries, through `Balancer.step`."""
+"""Boundary cases of the four send rules, tested through `Balancer.step`."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def first_send(node: Node, job_class: str, request: str = "r") -> Send:
-    """The request's first send."""
+    """Let a request arrive and return its first send."""
     node.arrive(request, job_class)
     made = sends(node.run(200 * MS))
     assert len(made) == 1
@@ -85,7 +85,7 @@
     assert not [a for a in node.run(10 * S) if isinstance(a, Send | Refuse | Fail)]
 
 
-# --- rule 2: no double effect ----------------------------------------------------------------------
+# --- rule 2: no duplicate effect -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
@@ -187,7 +187,7 @@
     assert not sends(node.run(4 * S))
 
 
-# --- rule 3: drains are kept -----------------------------------------------------------------------
+# --- rule 3: no sends to draining workers -----------------------------------------------------------
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
@@ -225,7 +225,7 @@
 
 
 def test_returning_worker_is_probed_again() -> None:
-    """It kept its last reading for good, and so no bundle: the probes had ended while it was gone."""
+    """Probes stopped while the worker was gone. It kept its last reading forever and received no bundle."""
     node = Node()
     node.free[1] = 4.0
     node.listing(ListKind.FULL, *workers(1))
@@ -238,13 +238,13 @@
     assert Probe(1) in node.run(S)
 
 
-# --- rule 4: a cold worker is not overdriven -------------------------------------------------------
+# --- rule 4: a cold worker is not overloaded --------------------------------------------------------
 
 COLD = Rules(fall_multiple=2.0, fall_span_ns=2 * S, cold_share=0.2, warm_after_ns=20 * S)
 
 
 def cold_sends(balancers: int) -> list[int]:
-    """When a node sends to a worker that has just started while a burst of long jobs waits."""
+    """Return the times of sends to a newly started worker while a burst of long jobs waits, in ns."""
     node = Node(only(SAFE, balancers=balancers, rules=COLD, limits=replace(LIMITS, max_attempts=1)))
     node.free[1] = 8.0
     node.listing(ListKind.FULL, *workers(1, started_ns=node.now))
@@ -260,9 +260,9 @@
 
 @pytest.mark.parametrize("balancers", [1, 4])
 def test_cold_worker_receives_at_most_own_share_per_span(balancers: int) -> None:
-    # Unlearnt, a job is taken to run its aim, 0.2 s.  In the first span the worker does at most
-    # (0.2 + 0.8·2/20)·8 slots·2 s = 4.48 slot-seconds, so all nodes may send 8.96 s of work: 44 jobs,
-    # and one of four nodes 11.
+    # A job of an unknown class is expected to run for its aim, 0.2 s. In the first span the worker does at
+    # most (0.2 + 0.8·2/20)·8 slots·2 s = 4.48 slot-seconds, so all balancers may send 8.96 s of work: 44
+    # jobs, and one of four balancers 11.
     made = cold_sends(balancers)
     first_span = [t for t in made if t <= made[0] + 2 * S]
     assert 1 <= len(first_span) <= 44 // balancers
@@ -275,7 +275,7 @@
     node.listing(ListKind.CHANGES, *workers(1, started_ns=node.now))
     for i in range(10):
         node.arrive(f"r{i}", "safe")
-    # One slot, a share of an eighth: 0.28 s · 2 · 2 / 8 in a span of 2 s is less than one job of 0.2 s.
+    # One slot and a share of an eighth: 0.28 s · 2 · 2 / 8 in a span of 2 s is less than one job of 0.2 s.
     assert len(sends(node.run(300 * MS))) <= 1
 
 
@@ -289,11 +289,12 @@
 
 
 def test_balancers_take_turns_when_share_is_below_one_job() -> None:
-    """Fifty nodes always have a job for a worker of one slot that has just started.
+    """Fifty balancers always have a job for a worker with one slot that has just started.
 
-    A job of a class not run yet may cost 0.4 s.  All nodes spend 0.6 · 2 of what the worker can do: in ten
-    seconds, over which it goes from 0.2 to 0.6, 4.8 s or twelve jobs.  It allows 2 · 0.6 · 2 s = 2.4 s,
-    six jobs, in any two of them.  When each waited until its share had paid for a job, all came at once.
+    A job of an unknown class may cost 0.4 s. All balancers together use 0.6 · 2 times the work that the
+    worker can do. In ten seconds, while its level rises from 0.2 to 0.6, this is 4.8 s or twelve jobs. In any
+    two seconds the rule allows 2 · 0.6 · 2 s = 2.4 s or six jobs. When each balancer waited until its share
+    had paid for a job, all balancers sent at the same time.
     """
     made: list[int] = []
     for me in range(50):
@@ -301,7 +302,7 @@
         start = node.now
         node.free[1] = 1.0
         node.listing(ListKind.FULL, *workers(1, started_ns=start))
-        for i in range(50):  # there is always a job that could go
+        for i in range(50):  # there is always a job that could be sent
             node.arrive(f"r{i}", "safe")
             node.run(200 * MS)
         made += [at - start for at, action in node.log if isinstance(action, Send)]
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot hold are refused by the field's name."""
+"""Invalid settings are rejected with an error that names the field."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_simulator_adapter.py
+++ b/tests/balancing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter: words in, words out, and what bad input gets."""
+"""Line protocol of the simulator adapter: parsing, replies and the handling of invalid input."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def exchange(text: str) -> tuple[int, list[str]]:
-    """The exit code and the reply lines."""
+    """Run the adapter on an input and return its exit code and reply lines."""
     sink = io.StringIO()
     code = Host(io.StringIO(text), sink).run()
     return code, sink.getvalue().splitlines()
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -1,4 +1,4 @@
-"""Builders and a small driver for tests of the module through `Balancer.step`."""
+"""Builders and a driver for tests of balancers through `Balancer.step`."""
 
 from __future__ import annotations
 
@@ -60,24 +60,24 @@
 
 
 def site(**changes: object) -> Settings:
-    """The common settings with some changed."""
+    """Return the common settings with changes."""
     return replace(SITE, **changes)  # type: ignore[arg-type]
 
 
 def only(cls: JobClass, **changes: object) -> Settings:
-    """The common settings with one class."""
+    """Return the common settings with a single class."""
     return site(classes=(cls,), **changes)
 
 
 class Node:
-    """Drives one balancer: keeps the clock, honours its wakes, remembers its actions."""
+    """Drives one balancer: advances the clock, delivers requested wake-ups and records the actions."""
 
     def __init__(
         self,
         settings: Settings = SITE,
         workers: Iterable[Listed] = (),
         seed: int = 1,
-        free: dict[int, float] | None = None,  # the free slots that each worker's probes report
+        free: dict[int, float] | None = None,  # free slots that probes of each worker report
     ) -> None:
         self.settings = settings
         self.now = 1000 * S
@@ -89,7 +89,7 @@
         self.listing(ListKind.CACHED, *workers)
 
     def step(self, *events: Event) -> list[Action]:
-        """One step at the present time; the actions."""
+        """Process events at the present time and return the actions."""
         actions = self.balancer.step(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
@@ -107,7 +107,7 @@
         return actions
 
     def run(self, span: int) -> list[Action]:
-        """Let time pass, waking the balancer when it asked; all actions of that time."""
+        """Advance the clock by `span` ns with all requested wake-ups and return the actions of that time."""
         end, start = self.now + span, len(self.log)
         while self.wakes and min(self.wakes) <= end:
             self.now = max(self.now, min(self.wakes))
@@ -118,56 +118,56 @@
         return [action for _, action in self.log[start:]]
 
     def listing(self, kind: ListKind, *entries: Listed) -> list[Action]:
-        """The worker list comes."""
+        """Deliver a worker list event."""
         return self.step(WorkerList(kind, tuple(entries)))
 
     def arrive(self, request: str, job_class: str, left: int = 5 * S, slots: float = 1.0) -> list[Action]:
-        """A client asks."""
+        """Deliver the arrival of a client request."""
         return self.step(Arrival(request, job_class, left, slots=slots))
 
     def ended(
         self, send: Send, outcome: Outcome, attempt: int = 0, reading: Reading | None = None
     ) -> list[Action]:
-        """An attempt is over; an OK finishes its request."""
+        """Deliver the end of an attempt; an OK outcome is the final answer of its request."""
         final = outcome is Outcome.OK
         return self.step(Ended(send.request, attempt, send.worker, outcome, final, reading))
 
     def started(self, send: Send, attempt: int = 0) -> list[Action]:
-        """A worker has begun a job."""
+        """Deliver the start of a job."""
         return self.step(Started(send.request, attempt, send.worker))
 
     def serve(self, send: Send, run: int = 100 * MS, attempt: int = 0) -> None:
-        """A worker starts a job at once and answers it after its running time."""
+        """Let a worker start a job at once and answer it after `run` ns."""
         self.started(send, attempt)
         self.run(run)
         self.ended(send, Outcome.OK, attempt)
 
 
 def workers(*ids: int, **fields: object) -> list[Listed]:
-    """Ready workers in the node's own zone."""
+    """Return list entries of ready workers in the balancer's own zone."""
     entry: Listed = replace(Listed(0, zone="a", kind="k"), **fields)  # type: ignore[arg-type]
     return [replace(entry, worker=i) for i in ids]
 
 
 def draining(worker: int) -> Listed:
-    """A list entry that tells of a drain."""
+    """Return the list entry of a draining worker."""
     return Listed(worker, zone="a", kind="k", state=State.DRAINING)
 
 
 def sends(actions: Iterable[Action]) -> list[Send]:
-    """The sends among actions."""
+    """Return the sends among actions."""
     return [a for a in actions if isinstance(a, Send)]
 
 
 class SimulatedWorkers:
-    """Workers for a node: each starts jobs in order as slots free up, unless something is wrong."""
+    """Simulated workers that start jobs in order as slots become free, unless a fault is set for them."""
 
     def __init__(self, node: Node, slots: int = 2, run: int = 100 * MS) -> None:
         self.node, self.slots, self.run = node, slots, run
-        self.silent: set[int] = set()  # take jobs and tell nothing
-        self.failing: set[int] = set()  # answer each job with an error, at once
-        self.refusing: set[int] = set()  # cannot be connected to
-        self.slow: dict[int, float] = {}  # times longer that a job takes
+        self.silent: set[int] = set()  # workers that accept jobs and send no updates
+        self.failing: set[int] = set()  # workers that answer each job with an error at once
+        self.refusing: set[int] = set()  # workers that refuse connections
+        self.slow: dict[int, float] = {}  # factor on the running time of a worker's jobs
         self.sent: list[Send] = []
         self.waiting: dict[int, list[tuple[Send, int]]] = {}
         self.running: dict[int, list[tuple[int, Send, int]]] = {}
@@ -176,7 +176,10 @@
         self._seen = len(node.log)
 
     def play(self, span: int, every: int = 37 * MS, job_class: str = "safe", prefix: str = "r") -> list[Send]:
-        """Let time pass with one request each so often (not in step with any timer); what was sent."""
+        """Advance the clock by `span` ns with one request every `every` ns and return the new sends.
+
+        The default interval does not coincide with any timer.
+        """
         node, end, count, first = self.node, self.node.now + span, 0, len(self.sent)
         due = node.now
         while node.now < end:
