--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -165,6 +165,7 @@
     ) -> None:
         # A request keeps its class and limits when the settings change.
         self.id, self.cls, self.limits = event.request, cls, limits
+        # The client's wait began `elapsed_before` ns ago with its first try.
         self.arrived, self.seq = now - elapsed_before, seq
         self.deadline = now + event.left_ns
         self.hint, self.slots, self.memory = event.hint_ns, max(event.slots, 0.0), max(event.memory, 0.0)
@@ -210,6 +211,7 @@
     def __init__(self, entry: Listed, settings: Settings, t_d: int, due: int) -> None:
         self.id, self.entry, self.settings = entry.worker, entry, settings
         self.max_start_delay = round(MAX_START_DELAY_SHARE * min(c.aim_ns for c in settings.classes))
+        # `due` is the time at which the timer of the worker fires next.
         self.controller, self.due = IntegralController(t_d, settings.balancers), due
         self.outstanding: dict[tuple[str, int], Attempt] = {}
         self.used_slots = self.used_memory = 0.0  # resources of this balancer's outstanding jobs
@@ -231,7 +233,7 @@
         self.last_update_at = due  # time of the last update from a job, or of its successful end
         self.recent_sends: list[tuple[int, float]] = []  # (time, cost) of sends while the worker is cold
         self.suspect = self.unreachable = False  # unreachable: connections or probes failed
-        # next_trial_at is the earliest time of the next trial job.
+        # `next_trial_at` is the earliest time of the next trial job.
         self.suspicion_count = self.successful_trials = self.missed_probes = self.next_trial_at = 0
 
     def add_own_load(self, now: int, slots: float = 0.0, memory: float = 0.0) -> None:
@@ -469,7 +471,7 @@
         # Whether a job was queued in this step, and whether a check of the workers is scheduled.
         self.job_joined = self.check_scheduled = False
         self.workers, self.requests = dict[int, WorkerState](), dict[str, QueuedRequest]()
-        # late_queue holds the requests that have waited most of their allowed time and are served last.
+        # `late_queue` holds the requests that have waited most of their allowed time and are served last.
         self.queue, self.late_queue = list[QueuedRequest](), list[QueuedRequest]()
         # By class: mean running time and mean hint, in ns.
         self.mean_runtimes, self.mean_hints = dict[str, float](), dict[str, float]()
@@ -834,7 +836,9 @@
                 self.workers[entry.worker] = WorkerState(entry, self.settings, self.t_d, due)
                 insort(self.timer_ring, (due % self.t_d, entry.worker))
             else:
-                if not worker.entry.same_process(entry.started_ns):  # suspicions concern the previous process
+                if not worker.entry.same_process(
+                    entry.started_ns
+                ):  # the suspicion concerned an earlier process
                     worker.suspect, worker.unreachable, worker.suspicion_count = False, False, 0
                 worker.entry = entry
         if event.kind is not ListKind.CHANGES:
@@ -968,7 +972,7 @@
         )
         waited = now - oldest.arrived
         in_own_zone = worker.entry.zone == self.settings.zone
-        # Whether a waiting job may go to the worker's zone.
+        # Whether the oldest waiting job may be sent to the worker's zone.
         zone_allowed = in_own_zone or waited >= self.own_zone_wait(oldest)
         if now - worker.reading_at >= SAMPLE_NS and not skip_probe:
             # Waiting jobs trigger probes: with periodic probes a large fleet would send more probes than
--- a/hollowusher/balancing/interface.py
+++ b/hollowusher/balancing/interface.py
@@ -238,7 +238,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a balancer."""
+    """Settings of a balancer.
+
+    `me` is the index of this balancer among `balancers`. `over_share_worth` is the factor on the worth of
+    requests beyond their tenant's share. With `worth_by_work` the worth of a class counts per unit of work
+    instead of per request. `tells_start` states that workers report the start of each job, and `progress_ns`
+    is the interval of their progress updates (0: none).
+    """
 
     classes: tuple[JobClass, ...]
     balancers: int = 1
--- a/hollowusher/balancing/worker_speed.py
+++ b/hollowusher/balancing/worker_speed.py
@@ -20,7 +20,10 @@
         self.ratio_sum = self.jobs = 0.0
 
     def current(self, now: int, outstanding: Iterable[Attempt]) -> float:
-        """Return the mean ratio of actual to expected running time, including the jobs that still run."""
+        """Return the mean ratio of actual to expected running time.
+
+        The sum includes the ratios of jobs that still run, while the divisor counts only finished jobs.
+        """
         running_ratios = [(now - a.started) / a.expected for a in outstanding if a.started is not None]
         # The contribution of finished jobs decays. Without this weight, many running jobs would determine the
         # result alone.
@@ -34,7 +37,7 @@
         `ratio` is its actual divided by its expected running time, `running` the number of busy slots.
         """
         # Of many jobs that start together the short ones end first. The average must cover all of them, so
-        # the decay is slower when more slots are busy.
+        # the values decay more slowly when more slots are busy.
         decay = 1.0 - min(EWMA_WEIGHT, 1.0 / (1.0 + running))
         self.ratio_sum = decay * self.ratio_sum + min(MAX_JOB_RATIO, ratio)
         self.jobs = decay * self.jobs + 1.0
