--- a/hollowusher/balancing/balancer.py
+++ b/hollowusher/balancing/balancer.py
@@ -503,8 +503,8 @@
         # Requests that must arrive to pay for one probe.
         self.probe_cost = max(1.0 / MAX_PROBES_PER_REQUEST, settings.prices.probe / PROBE_COST_SHARE)
         self.probes_enabled = settings.limits.probes and settings.readings is not Via.NONE
-        # With few balancers each one has enough readings to choose a free worker. With many, no balancer
-        # knows which worker is free, so a second copy of a waiting job is worth its cost.
+        # With few balancers each one has enough readings to choose a free worker. With many, the readings of
+        # a balancer are too rare for that, so a second copy of a waiting job is worth its cost.
         limits, self.list_timing = settings.limits, settings.list_calls
         self.copies_enabled = limits.second_copies and limits.cancel and settings.balancers > FEW_BALANCERS
         self.on_time_share = dict.fromkeys(self.classes, 1.0) | self.on_time_share
@@ -615,7 +615,7 @@
             case Probed():
                 self.handle_probe_result(now, event)
             case BudgetSpent():
-                # As after a restart, jobs that this balancer does not know of may have been sent.
+                # As after a restart, this balancer may lack the record of earlier sends to cold workers.
                 self.send_rules.started_at = now
             case SettingsChanged(settings):
                 self.apply_settings(settings)
--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -79,7 +79,7 @@
 
 
 def restore(balancer: Balancer, state: LearnedState, now: int) -> None:
-    """Load the learned state of another balancer, except for workers that this balancer does not know."""
+    """Load the learned state of another balancer, except for workers that are not in this balancer's list."""
     balancer.mean_runtimes.update(state.runs)
     balancer.mean_hints.update(state.hints)
     known = {name: share for name, share in state.in_time.items() if name in balancer.on_time_share}
--- a/tests/balancing/test_fleet.py
+++ b/tests/balancing/test_fleet.py
@@ -42,7 +42,7 @@
         """Return when a call ends and the resulting kind of list event."""
         begin, end = self.outage
         if begin <= now < end:
-            # A hanging call may reach the service when it returns; the caller cannot know this.
+            # A hanging call may reach the service when it returns; the caller cannot detect this.
             return (now + timeout, ListKind.SILENT) if self.hangs else (now, ListKind.FAILED)
         self.free_at = max(now, self.free_at) + self.cost
         late = min(timeout, 3 * S)
@@ -283,7 +283,8 @@
 
 @pytest.mark.parametrize(("balancers", "rate"), [(40, 1.2), (200, 1.2), (200, 0.3)])
 def test_unused_turns_are_compensated_within_budget(balancers: int, rate: float) -> None:
-    # With many balancers, each has a job in only a small part of its turns and knows only its own part.
+    # With many balancers, each has a job in only a small part of its turns, and it can only measure its own
+    # part.
     rng, entry = random.Random(balancers), workers(1, started_ns=S)[0]
     views = [
         WorkerState(entry, replace(SITE, balancers=balancers, me=me, rules=COLD), 12_500_000, S)
@@ -487,8 +488,8 @@
 
 @pytest.mark.parametrize(("began", "sent"), [(2 * S, False), (1500 * MS, True), (S - 1, True)])
 def test_new_process_avoids_cold_worker_that_old_process_may_have_used(began: int, sent: bool) -> None:
-    # A new process does not know what its predecessor sent within the last span. A worker that started after
-    # the new process received nothing from the predecessor.
+    # A new process has no record of what its predecessor sent within the last span. A worker that started
+    # after the new process received nothing from the predecessor.
     settings, now = replace(SITE, rules=COLD), 2600 * MS
     entry = workers(1, started_ns=S)[0]
     rules, view = SendRules(settings, began), WorkerState(entry, settings, 12_500_000, began)
