--- a/tests/balancing/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -37,7 +37,7 @@
     workers,
 )
 
-# --- the node itself --------------------------------------------------------------------------------
+# --- the balancer itself ----------------------------------------------------------------------------
 
 
 def test_early_wake_is_followed_by_another() -> None:
@@ -118,7 +118,7 @@
 
 
 def test_job_does_not_wait_long_for_reading_of_idle_worker() -> None:
-    """A probe returns within a few ms or not soon. A wait of 100 ms would use up half of the shortest aim."""
+    """Most probes return within a few ms. To wait 100 ms for one would use half of the shortest aim."""
     node = Node(SITE, workers(1, 2))
     node.answers_probes = False
     node.run(2 * S)
