--- a/hollowusher/balancing/learned_state.py
+++ b/hollowusher/balancing/learned_state.py
@@ -1,7 +1,7 @@
-"""What a decision module has learnt, as it passes from one process of a scheduler to the next.
+"""Learned state of a balancer, which one process of a scheduler hands over to the next.
 
-Nothing is decided here: values are copied, of jobs that have ended and of workers as they have shown
-themselves.  What concerns jobs that are open stays with the process that has them.
+This module only copies values. They derive from finished jobs and from the observed behaviour of workers. The
+state of open jobs stays with the process that holds them.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerMemory:
-    """What has been learnt of one worker.  Times are on the machine's monotonic clock."""
+class LearnedWorkerState:
+    """Learned state of one worker. Times are on the machine's monotonic clock, in ns."""
 
     worker: int
-    started_ns: int  # of the process that it was learnt of
+    started_ns: int  # start time of the worker process that the state belongs to
     bundle: float
     most_free: float
     most_memory: float
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
-    """What has been learnt of all workers and classes."""
+class LearnedState:
+    """Learned state of all classes and workers."""
 
     runs: dict[str, float]
     hints: dict[str, float]
@@ -42,61 +42,65 @@
     alike: list[tuple[str, float, float]]
     usual_pace: float
     bearable_pace: float
-    workers: list[WorkerMemory]
-
-
-def remember(balancer: Balancer) -> Memory:
-    """What a decision module has learnt until now."""
-    return Memory(
-        dict(balancer.runs),
-        dict(balancer.hints),
-        dict(balancer.in_time),
-        [(kind, size, free) for (kind, size), free in balancer.alike.items()],
-        balancer.usual_pace,
-        balancer.bearable_pace,
-        [_of_worker(worker) for worker in balancer.workers.values()],
+    workers: list[LearnedWorkerState]
+
+
+def remember(balancer: Balancer) -> LearnedState:
+    """Return a copy of the state that a balancer has learned so far."""
+    return LearnedState(
+        dict(balancer.mean_runtimes),
+        dict(balancer.mean_hints),
+        dict(balancer.on_time_share),
+        [(kind, size, free) for (kind, size), free in balancer.max_free_by_type.items()],
+        balancer.median_slowdown,
+        balancer.max_slowdown,
+        [_capture_worker(worker) for worker in balancer.workers.values()],
     )
 
 
-def _of_worker(worker: WorkerState) -> WorkerMemory:
-    return WorkerMemory(
+def _capture_worker(worker: WorkerState) -> LearnedWorkerState:
+    return LearnedWorkerState(
         worker.id,
         worker.entry.started_ns,
-        worker.control.bundle,
-        worker.most_free,
-        worker.most_memory,
-        worker.others,
-        worker.run,
-        worker.shown.time,
-        worker.shown.jobs,
-        worker.note_delay,
+        worker.controller.bundle,
+        worker.max_free_slots,
+        worker.max_free_memory,
+        worker.other_slots,
+        worker.mean_runtime,
+        worker.slowdown_estimate.ratio_sum,
+        worker.slowdown_estimate.jobs,
+        worker.min_start_delay,
         worker.suspect,
-        worker.dead,
-        worker.strikes,
-        worker.good,
-        worker.trial_at,
+        worker.unreachable,
+        worker.suspicion_count,
+        worker.successful_trials,
+        worker.next_trial_at,
     )
 
 
-def restore(balancer: Balancer, memory: Memory, now: int) -> None:
-    """Begin with what another module has learnt; workers that this one does not know are left out."""
-    balancer.runs.update(memory.runs)
-    balancer.hints.update(memory.hints)
-    known = {name: share for name, share in memory.in_time.items() if name in balancer.in_time}
-    balancer.in_time.update(known)
-    balancer.alike.update({(kind, size): free for kind, size, free in memory.alike})
-    balancer.usual_pace, balancer.bearable_pace = memory.usual_pace, memory.bearable_pace
-    for learnt in memory.workers:
-        worker = balancer.workers.get(learnt.worker)
-        if worker is not None and worker.entry.same_process(learnt.started_ns):
-            _restore_worker(worker, learnt, now)
-
-
-def _restore_worker(worker: WorkerState, learnt: WorkerMemory, now: int) -> None:
-    worker.control.bundle = learnt.bundle
-    worker.most_free, worker.most_memory = learnt.most_free, learnt.most_memory
-    worker.others, worker.others_at = learnt.others, now
-    worker.run, worker.note_delay = learnt.run, learnt.note_delay
-    worker.shown.time, worker.shown.jobs = learnt.pace_time, learnt.pace_jobs
-    worker.suspect, worker.dead = learnt.suspect, learnt.dead
-    worker.strikes, worker.good, worker.trial_at = learnt.strikes, learnt.good, learnt.trial_at
+def restore(balancer: Balancer, state: LearnedState, now: int) -> None:
+    """Load the learned state of another balancer, except for workers that are not in this balancer's list."""
+    balancer.mean_runtimes.update(state.runs)
+    balancer.mean_hints.update(state.hints)
+    known = {name: share for name, share in state.in_time.items() if name in balancer.on_time_share}
+    balancer.on_time_share.update(known)
+    balancer.max_free_by_type.update({(kind, size): free for kind, size, free in state.alike})
+    balancer.median_slowdown, balancer.max_slowdown = state.usual_pace, state.bearable_pace
+    for learned in state.workers:
+        worker = balancer.workers.get(learned.worker)
+        if worker is not None and worker.entry.same_process(learned.started_ns):
+            _restore_worker(worker, learned, now)
+
+
+def _restore_worker(worker: WorkerState, learned: LearnedWorkerState, now: int) -> None:
+    worker.controller.bundle = learned.bundle
+    worker.max_free_slots, worker.max_free_memory = learned.most_free, learned.most_memory
+    worker.other_slots, worker.other_slots_at = learned.others, now
+    worker.mean_runtime, worker.min_start_delay = learned.run, learned.note_delay
+    worker.slowdown_estimate.ratio_sum, worker.slowdown_estimate.jobs = learned.pace_time, learned.pace_jobs
+    worker.suspect, worker.unreachable = learned.suspect, learned.dead
+    worker.suspicion_count, worker.successful_trials, worker.next_trial_at = (
+        learned.strikes,
+        learned.good,
+        learned.trial_at,
+    )
--- a/hollowusher/dispatch/worker_flow_control.py
+++ b/hollowusher/dispatch/worker_flow_control.py
@@ -12,7 +12,7 @@
 import math
 from typing import Final
 
-from hollowusher.balancing.balancer import GOOD_TRIALS, LEARN, MOST_RATE, IntegralController
+from hollowusher.balancing.balancer import EWMA_WEIGHT, GOOD_TRIALS, MAX_BUNDLE_RATIO, IntegralController
 from hollowusher.delivery.outcome import WorkerFeedback
 
 NS_PER_S: Final = 1_000_000_000
@@ -215,7 +215,7 @@
         times = int((now - self._due) / CONTROL_PERIOD_S) + 1
         self._due += times * CONTROL_PERIOD_S
         self._take_reading(now)
-        self._controller.earn(times)
+        self._controller.accrue_credit(times)
 
     def _take_reading(self, now: float) -> None:
         elapsed = round((now - self._read_at) * NS_PER_S)
@@ -223,14 +223,14 @@
         if elapsed > QUIET_PERIODS * self._controller.t_d and not self._sent:
             self._controller.wanted = False  # used at the start of a quiet spell only: no reason to grow
         time_per_job = self.time_per_job() * NS_PER_S
-        ceiling = max(1.0, MOST_RATE * self._controller.t_d / time_per_job)
+        ceiling = max(1.0, MAX_BUNDLE_RATIO * self._controller.t_d / time_per_job)
         self._controller.resize(self.busy_share(), elapsed, time_per_job, ceiling, not self.is_suspect)
 
     def _record_answer(self, now: float, took: float, was_full: bool) -> None:
         self.mean_run_s = (
-            took if self.mean_run_s is None else self.mean_run_s + LEARN * (took - self.mean_run_s)
+            took if self.mean_run_s is None else self.mean_run_s + EWMA_WEIGHT * (took - self.mean_run_s)
         )
-        self._fastest_mean_run_s = min(self._fastest_mean_run_s * (1.0 + LEARN / 10), self.mean_run_s)
+        self._fastest_mean_run_s = min(self._fastest_mean_run_s * (1.0 + EWMA_WEIGHT / 10), self.mean_run_s)
         self._connect_failures = 0
         quick = self.mean_run_s <= SLOW_RUN_FACTOR * self._fastest_mean_run_s
         self._refusals = 0
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -35,8 +35,8 @@
     Woken,
     WorkerList,
 )
-from hollowusher.balancing.learned_state import Memory, remember, restore
-from hollowusher.balancing.tenant_shares import Shares
+from hollowusher.balancing.learned_state import LearnedState, remember, restore
+from hollowusher.balancing.tenant_shares import TenantShares
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
     AttemptProgress,
@@ -92,11 +92,11 @@
         """Jobs that are owed an answer."""
         return len(self._jobs)
 
-    def remember(self) -> Memory:
+    def remember(self) -> LearnedState:
         """What the module has learnt."""
         return remember(self._module)
 
-    def restore(self, memory: Memory, now: int) -> None:
+    def restore(self, memory: LearnedState, now: int) -> None:
         """Begin with what another module has learnt, once the list is known."""
         restore(self._module, memory, now)
 
@@ -141,7 +141,7 @@
                     job.tenant,
                     job.about,
                     job.retry,
-                    self._shares.over(job.tenant, job.retry, now),
+                    self._shares.is_over_share(job.tenant, job.retry, now),
                 )
             case ClientLeft(job, kept):
                 return self._gone(job.ticket, kept)
@@ -167,7 +167,7 @@
         return None
 
     def _follow(self, settings: Settings, now: int) -> None:
-        self._shares = Shares(settings, now)
+        self._shares = TenantShares(settings, now)
         self._max_wait = settings.limits.max_retry_after_ns if settings.limits.retry_after else 0
 
     def _order(self, action: Action) -> None:
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -13,7 +13,7 @@
 
 from hollowusher.balancing import Arrival, Discovery, ListKind, Prices, Probed, Reading, Refuse, Rules, Tenant
 from hollowusher.balancing.interface import Goal
-from hollowusher.balancing.tenant_shares import Shares
+from hollowusher.balancing.tenant_shares import TenantShares
 from hollowusher.scheduler.config import load
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import JobTaken
@@ -140,7 +140,7 @@
         for reported, slots in ((True, 1.0), (False, 8.0)):
             node = Node(site(reports_sizes=reported), [*workers(1, size=6.5), *workers(2, size=3.1)])
             node.step(Probed(1, True, Reading(free_slots=8.0)))
-            self.assertEqual(node.balancer.slots(node.balancer.workers[2]), slots)
+            self.assertEqual(node.balancer.slot_count(node.balancer.workers[2]), slots)
 
     def test_a_job_beyond_its_tenants_share_gives_way_once_it_is_crowded(self) -> None:
         brief = replace(SAFE, aim_ns=100 * MS, late_share=0.5)
@@ -159,9 +159,9 @@
         dear, cheap = replace(SAFE, name="dear", worth=10.0), replace(SAFE, name="cheap", worth=1.0)
         for worst, best in ((0.0, "dear"), (0.4, "cheap")):
             balancer = Node(site(classes=(dear, cheap), goal=Goal(0.6, worst))).balancer
-            balancer.came.update(dear=90, cheap=10)
-            balancer.in_time.update(dear=0.9, cheap=0.7)
-            rates = balancer.rates()
+            balancer.arrival_counts.update(dear=90, cheap=10)
+            balancer.on_time_share.update(dear=0.9, cheap=0.7)
+            rates = balancer.class_priorities()
             self.assertEqual(max(rates, key=lambda name: rates[name]), best)
 
     def test_patience_before_a_crossing_is_its_price_in_parts_of_the_complete(self) -> None:
@@ -169,7 +169,7 @@
         for complete in (1.0, 0.5):
             node = Node(only(SAFE, prices=Prices(cross_zone=0.1), goal=Goal(complete)))
             node.arrive("r", "safe")
-            waits.append(node.balancer.patience(node.balancer.requests["r"]))
+            waits.append(node.balancer.own_zone_wait(node.balancer.requests["r"]))
         self.assertAlmostEqual(waits[1], 2 * waits[0])
 
     def test_shares_are_counted_by_allowance_or_by_part_of_all_that_comes(self) -> None:
@@ -181,12 +181,14 @@
             (3.0, "big", False),
             (9.0, "nobody", False),
         ):
-            shares, over = Shares(settings, 0), False
+            shares, over = TenantShares(settings, 0), False
             for n in range(int(20 * rate)):
                 now = round(n / rate * S)
-                over = shares.over(name, False, now)
-                self.assertFalse(shares.over(name, True, now))  # a retry belongs to its first try
+                over = shares.is_over_share(name, False, now)
+                self.assertFalse(shares.is_over_share(name, True, now))  # a retry belongs to its first try
             self.assertEqual(over, beyond, (rate, name))
-        mixed = Shares(settings, 0)  # twice the allowance, as all others: its part of what comes is its share
-        reported = [mixed.over("big" if n % 5 else "small", False, n * 25 * MS) for n in range(400)]
+        mixed = TenantShares(
+            settings, 0
+        )  # twice the allowance, as all others: its part of what comes is its share
+        reported = [mixed.is_over_share("big" if n % 5 else "small", False, n * 25 * MS) for n in range(400)]
         self.assertFalse(any(reported))
