--- a/hollowusher/coordination/membership/member_directory.py
+++ b/hollowusher/coordination/membership/member_directory.py
@@ -113,12 +113,16 @@
             self._dead_state(name, self._suspicions.incarnation(name)) for name in self._suspicions.suspects()
         )
         return [
-            member for member in dead if member is not None and self._has_majority_against(member.name, now)
+            member
+            for member in dead
+            if member is not None and self._is_suspected_by_majority(member.name, now)
         ]
 
     def unconfirmed_suspects(self, now: float) -> list[Member]:
         """Return the members that have been suspected for `HEALTH_CHECK_AFTER_S`: the head checks them."""
-        return [self.members[name] for name in self._suspicions.suspects() if self._is_check_due(name, now)]
+        return [
+            self.members[name] for name in self._suspicions.suspects() if self._is_health_check_due(name, now)
+        ]
 
     def unreachable_state(self, member: Member, now: float) -> Member | None:
         """Return the state to publish for a suspect that did not answer this controller's health check.
@@ -127,7 +131,7 @@
         """
         if self._suspicions.incarnation(member.name) != member.incarnation:
             return None
-        if not self._is_check_due(member.name, now):
+        if not self._is_health_check_due(member.name, now):
             return None
         return self._dead_state(member.name, member.incarnation)
 
@@ -137,11 +141,11 @@
             return None
         return evolve(member, status=member.status + 1)
 
-    def _has_majority_against(self, name: str, now: float) -> bool:
+    def _is_suspected_by_majority(self, name: str, now: float) -> bool:
         edges = (member.name for member in self.live_members(MemberRole.EDGE))
         monitors = choose_monitors(name, edges)
         reporters = self._suspicions.reporters(name, now)
         return 2 * sum(monitor in reporters for monitor in monitors) > len(monitors)
 
-    def _is_check_due(self, name: str, now: float) -> bool:
+    def _is_health_check_due(self, name: str, now: float) -> bool:
         return self._suspicions.is_suspected_for(name, HEALTH_CHECK_AFTER_S, now)
--- a/hollowusher/coordination/placement/initial_placement.py
+++ b/hollowusher/coordination/placement/initial_placement.py
@@ -14,7 +14,7 @@
 PARTITION_COUNT = 16
 FIRST_VERSION = 1
 FIRST_EPOCH = 1
-MIN_STORES_FOR_HOMES = 2  # in some zone; with one store a zone the replicas cannot be nearer
+MIN_STORES_PER_HOME_ZONE = 2  # in some zone; with one store a zone the replicas cannot be nearer
 
 
 def plan_initial_placement(
@@ -30,19 +30,21 @@
     """
     replica_count = min(len(stores), 2 * tolerance + 1)
     load: Counter[str] = Counter()
-    homes: Counter[str] = Counter()  # how many partitions have their home in each zone
+    partitions_per_home_zone: Counter[str] = Counter()  # how many partitions have their home in each zone
     replicas = {}
-    candidates = {}  # for the primary
+    primary_candidates = {}  # for the primary
     for partition in range(partitions):
-        home: list[str] = []
+        home_replicas: list[str] = []
         if policy is ZonePolicy.QUORUM_AT_HOME:
-            home = _choose_home(partition, stores, tolerance + 1, homes, load)
-        chosen = _choose_replicas(partition, stores, replica_count, load, home)
+            home_replicas = _choose_home_replicas(
+                partition, stores, tolerance + 1, partitions_per_home_zone, load
+            )
+        chosen = _choose_replicas(partition, stores, replica_count, load, home_replicas)
         load.update(chosen)
         replicas[partition] = chosen
-        candidates[partition] = home or chosen
+        primary_candidates[partition] = home_replicas or chosen
     limit = -(-partitions // len(stores))
-    primaries = balance_primaries(candidates, limit)
+    primaries = balance_primaries(primary_candidates, limit)
     incarnations = {store.store_id: store.incarnation for store in stores}
     entries = [
         PartitionPlacement(
@@ -58,11 +60,11 @@
     return Placement(FIRST_VERSION, entries)
 
 
-def _choose_home(
+def _choose_home_replicas(
     partition: int,
     stores: Sequence[Member],
     quorum: int,
-    homes: Counter[str],
+    partitions_per_home_zone: Counter[str],
     load: Mapping[str, int],
 ) -> list[str]:
     """Choose the home zone of one partition, count it in `homes`, and return the replicas there.
@@ -73,10 +75,10 @@
     by_zone: dict[str, list[str]] = {}
     for store in stores:
         by_zone.setdefault(store.zone, []).append(store.store_id)
-    if max(map(len, by_zone.values())) < MIN_STORES_FOR_HOMES:
+    if max(map(len, by_zone.values())) < MIN_STORES_PER_HOME_ZONE:
         return []
-    zone = min(sorted(by_zone), key=lambda name: (homes[name] + 1) / len(by_zone[name]))
-    homes[zone] += 1
+    zone = min(sorted(by_zone), key=lambda name: (partitions_per_home_zone[name] + 1) / len(by_zone[name]))
+    partitions_per_home_zone[zone] += 1
     order = rank(f"partition/{partition}", by_zone[zone])
     return sorted(order, key=lambda store_id: load.get(store_id, 0))[:quorum]
 
@@ -86,7 +88,7 @@
     stores: Sequence[Member],
     replica_count: int,
     load: Mapping[str, int],
-    home: Sequence[str],
+    home_replicas: Sequence[str],
 ) -> list[str]:
     """Return the replicas of one partition, those of its `home` zone first.
 
@@ -95,7 +97,7 @@
     """
     by_id = {store.store_id: store for store in stores}
     order = {store_id: position for position, store_id in enumerate(rank(f"partition/{partition}", by_id))}
-    chosen = list(home[:replica_count])
+    chosen = list(home_replicas[:replica_count])
     while len(chosen) < replica_count:
         zones = Counter(by_id[store_id].zone for store_id in chosen)
         best = min(
--- a/hollowusher/coordination/placement/partition_recovery.py
+++ b/hollowusher/coordination/placement/partition_recovery.py
@@ -67,7 +67,7 @@
         if condition.member is not None and condition.member.alive
     }
     remaining = [replica for replica in entry.replicas if replica in incarnations]
-    primary = _recovered_primary(entry, remaining)
+    primary = _choose_primary(entry, remaining)
     return evolve(
         entry,
         epoch=entry.epoch + 1,
@@ -78,7 +78,7 @@
     )
 
 
-def _recovered_primary(entry: PartitionPlacement, remaining: Collection[str]) -> str:
+def _choose_primary(entry: PartitionPlacement, remaining: Collection[str]) -> str:
     if entry.primary in remaining:
         return entry.primary
     key = f"primary/{entry.partition}"
--- a/hollowusher/coordination/placement/placement_draft.py
+++ b/hollowusher/coordination/placement/placement_draft.py
@@ -55,7 +55,7 @@
         """Return whether all replicas are live, so that a move costs no more than a hand-over."""
         return self.live_replica_count(entry) == len(entry.replicas)
 
-    def home_count(self, replicas: Sequence[str], primary: str) -> int:
+    def home_replica_count(self, replicas: Sequence[str], primary: str) -> int:
         """Return how many of these replicas are at home: in the zone of a primary, up to a commit quorum.
 
         It is 0 where the replicas are to be spread.
--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -151,7 +151,7 @@
         return evolve(state, placement=placement, retiring=retiring)
 
     def _plan(self, state: ControlState, placement: Placement, *, allow_moves: bool) -> Placement | None:
-        given = PlanningInput(
+        planning_input = PlanningInput(
             stores=self._context.store_conditions(placement),
             tolerance=self._tolerance,
             retiring=state.retiring,
@@ -160,7 +160,7 @@
             allow_moves=allow_moves,
             policy=self._policy,
         )
-        return plan_placement(placement, given)
+        return plan_placement(placement, planning_input)
 
     # ---- the first placement
 
--- a/hollowusher/coordination/placement/planner.py
+++ b/hollowusher/coordination/placement/planner.py
@@ -45,18 +45,18 @@
     policy: ZonePolicy = ZonePolicy.SPREAD
 
 
-def plan_placement(placement: Placement, given: PlanningInput) -> Placement | None:
+def plan_placement(placement: Placement, planning_input: PlanningInput) -> Placement | None:
     """Return the next placement, None where the present one is right."""
-    states = ReplicaStates(given.stores, given.retiring, placement)
-    draft = PlacementDraft(placement, states, given.tolerance, given.policy)
+    states = ReplicaStates(planning_input.stores, planning_input.retiring, placement)
+    draft = PlacementDraft(placement, states, planning_input.tolerance, planning_input.policy)
     replicas = ReplicaPlanner(draft)
     primaries = PrimaryPlanner(draft)
     for partition in list(draft.entries):
-        replicas.promote_learners(partition, given.ready_learners)
+        replicas.promote_learners(partition, planning_input.ready_learners)
         primaries.replace_primary(partition)
-        replicas.update_learners(partition, given.lost_learners)
-    if given.allow_moves:
-        primaries.move_one()
+        replicas.update_learners(partition, planning_input.lost_learners)
+    if planning_input.allow_moves:
+        primaries.move_one_primary()
         replicas.start_balancing_move()
     entries = list(draft.entries.values())
     if entries == placement.partitions:
--- a/hollowusher/coordination/placement/primary_balance.py
+++ b/hollowusher/coordination/placement/primary_balance.py
@@ -19,7 +19,7 @@
     assignment = _PrimaryAssignment(replicas, limit)
     for partition in replicas:
         assignment.assign(partition)
-    assignment.even_out()
+    assignment.rebalance()
     return assignment.primaries
 
 
@@ -47,12 +47,12 @@
             if store in visited:
                 continue
             visited.add(store)
-            if self._load(store) < self._limit or self._pass_one_on(store, visited):
+            if self._load(store) < self._limit or self._reassign_one(store, visited):
                 self._set_primary(partition, store)
                 return True
         return False
 
-    def _pass_one_on(self, store: str, visited: set[str]) -> bool:
+    def _reassign_one(self, store: str, visited: set[str]) -> bool:
         partitions = sorted(self._partitions_of[store])
         return any(self._assign_within_limit(partition, visited) for partition in partitions)
 
@@ -66,7 +66,7 @@
     def _load(self, store: str) -> int:
         return len(self._partitions_of[store])
 
-    def even_out(self) -> None:
+    def rebalance(self) -> None:
         """Move primaries to replicas that have at least two fewer, until there are none."""
         load = Counter(self.primaries.values())
         has_moved = True
--- a/hollowusher/coordination/placement/primary_planner.py
+++ b/hollowusher/coordination/placement/primary_planner.py
@@ -44,13 +44,13 @@
             key=lambda store_id: (
                 store_id not in self.states.usable,
                 not self.states.is_stable(store_id),
-                -self.draft.home_count(entry.replicas, store_id),
+                -self.draft.home_replica_count(entry.replicas, store_id),
                 self.draft.primary_load[store_id],
                 weight(key, store_id),
             ),
         )
 
-    def move_one(self) -> None:
+    def move_one_primary(self) -> None:
         """Move one primary off a retiring machine, or else towards balance."""
         moves = [
             (gain, -entry.partition, replica)
@@ -71,8 +71,8 @@
             return RETIRING_PRIORITY - load[replica] if self._can_hand_over(entry) else 0
         if not self.states.is_stable(replica) or not self.draft.has_all_replicas_live(entry):
             return 0
-        at_home = self.draft.home_count(entry.replicas, entry.primary)
-        if self.draft.home_count(entry.replicas, replica) < at_home:
+        at_home = self.draft.home_replica_count(entry.replicas, entry.primary)
+        if self.draft.home_replica_count(entry.replicas, replica) < at_home:
             return 0
         difference = load[entry.primary] - load[replica]
         return difference if difference >= MIN_BALANCE_GAIN else 0
--- a/hollowusher/coordination/placement/replica_planner.py
+++ b/hollowusher/coordination/placement/replica_planner.py
@@ -148,7 +148,7 @@
             default=None,
             key=lambda store_id: (
                 store_name(store_id) not in returned,
-                -self.draft.home_count([*kept, store_id], entry.primary),
+                -self.draft.home_replica_count([*kept, store_id], entry.primary),
                 zones[self.states.zone(store_id)],
                 self.draft.copy_load[store_id],
                 -weight(key, store_id),
@@ -159,7 +159,7 @@
 
     def start_balancing_move(self) -> None:
         """While the cluster is quiet, have one store that holds few replicas learn one more partition."""
-        if not self._is_quiet():
+        if not self._is_steady():
             return
         load = self.draft.replica_load
         moves = [
@@ -173,14 +173,14 @@
             _, negated_partition, learner = max(moves)
             self.draft.set_learners(self.draft.entries[-negated_partition], [learner])
 
-    def _is_quiet(self) -> bool:
+    def _is_steady(self) -> bool:
         """Return whether nothing is being repaired, moved or retired, and every replica is stable."""
         return all(
-            not entry.learners and all(self._is_quiet_replica(replica) for replica in entry.replicas)
+            not entry.learners and all(self._is_steady_replica(replica) for replica in entry.replicas)
             for entry in self.draft.entries.values()
         )
 
-    def _is_quiet_replica(self, replica: str) -> bool:
+    def _is_steady_replica(self, replica: str) -> bool:
         return self.states.is_stable(replica) and not self.states.is_retiring(replica)
 
     def _replica_to_offload(self, entry: PartitionPlacement, learner: str) -> str | None:
@@ -193,14 +193,15 @@
             return None
         load = self.draft.replica_load
         spread = self._zone_count(entry.replicas)
-        at_home = self.draft.home_count(entry.replicas, entry.primary)
+        at_home = self.draft.home_replica_count(entry.replicas, entry.primary)
         candidates = [
             replica
             for replica in entry.replicas
             if replica != entry.primary
             and load[replica] - load[learner] >= MIN_BALANCE_GAIN
             and self._zone_count(replicas_after(entry, learner, replica)) >= spread
-            and self.draft.home_count(replicas_after(entry, learner, replica), entry.primary) >= at_home
+            and self.draft.home_replica_count(replicas_after(entry, learner, replica), entry.primary)
+            >= at_home
         ]
         return max(candidates, key=lambda replica: (load[replica], replica), default=None)
 
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -15,7 +15,7 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.operator_orders import RecoverPartition
 from hollowusher.protocol.placement import PartitionPlacement, Placement
-from tests.support.store_scenario import StoreScenario, play
+from tests.support.store_scenario import StoreScenario, run_scenario
 
 PLACEMENT = Placement(
     7,
@@ -46,14 +46,14 @@
 
 
 def test_lost_partitions_and_the_losses_that_are_borne() -> None:
-    def shown(dead: set[int]) -> tuple[list[bool], int]:
+    def loss_summary(dead: set[int]) -> tuple[list[bool], int]:
         statuses = partition_statuses(PLACEMENT, conditions(dead), 1)
         return [status.lost for status in statuses], store_losses_borne(statuses, 1)
 
-    assert shown(set()) == ([False, False], 1)
-    assert shown({0}) == ([False, False], 0)
-    assert shown({0, 1}) == ([True, False], -1)
-    assert shown({0, 2}) == ([True, True], -1)
+    assert loss_summary(set()) == ([False, False], 1)
+    assert loss_summary({0}) == ([False, False], 0)
+    assert loss_summary({0, 1}) == ([True, False], -1)
+    assert loss_summary({0, 2}) == ([True, True], -1)
 
 
 @pytest.mark.parametrize(
@@ -91,10 +91,12 @@
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         await asyncio.sleep(MAX_DEFERRAL_S + 0.5)
-        lost = [system.lose_for_good(name) for name in ("store-1", "store-2")]
+        lost = [system.lose_permanently(name) for name in ("store-1", "store-2")]
         await asyncio.sleep(1.0)
         for number, machine in enumerate(lost):
-            await system.start_slowly(system.add_store(machine.name, f"10.0.1.{number + 1}", machine.zone))
+            await system.start_after_delay(
+                system.add_store(machine.name, f"10.0.1.{number + 1}", machine.zone)
+            )
         await asyncio.sleep(10.0)
         alone = [
             entry
@@ -103,17 +105,17 @@
         ]
         assert alone  # those whose primary was lost; a live primary fills new replicas by itself
         for entry in alone:
-            given_up = [replica for replica in entry.replicas if not replica.startswith("store-3/")]
-            refused = await system.call_head(RecoverPartition(entry.partition, given_up[:1]))
+            abandoned = [replica for replica in entry.replicas if not replica.startswith("store-3/")]
+            refused = await system.call_head(RecoverPartition(entry.partition, abandoned[:1]))
             assert refused.status == 409
             assert b"not named" in refused.body
-            answer = await system.call_head(RecoverPartition(entry.partition, given_up))
+            answer = await system.call_head(RecoverPartition(entry.partition, abandoned))
             assert answer.status == 200, answer.body
             assert orjson.loads(answer.body) == {"state": "recovered"}
-            again = await system.call_head(RecoverPartition(entry.partition, given_up))
+            again = await system.call_head(RecoverPartition(entry.partition, abandoned))
             assert again.status == 409
-        await system.until(lambda: set(system.running_replica_counts()) == {3}, 10.0)
+        await system.wait_until(lambda: set(system.running_replica_counts()) == {3}, 10.0)
         assert await system.put()
-        assert await system.lost() == []  # each was on all three replicas before
+        assert await system.lost_messages() == []  # each was on all three replicas before
 
-    play(work)
+    run_scenario(work)
--- a/tests/coordination/placement/test_planner_invariants.py
+++ b/tests/coordination/placement/test_planner_invariants.py
@@ -20,7 +20,7 @@
 
 @settings(max_examples=120, deadline=None)
 @given(events)
-def test_invariants_over_any_course(course: list[tuple[int, str, bool]]) -> None:
+def test_invariants_over_any_sequence_of_events(event_sequence: list[tuple[int, str, bool]]) -> None:
     """Epochs and replicas change by the rules at each step.
 
     Epochs only grow, and they change with the primary or the replicas, or when a learner is removed.  A
@@ -29,11 +29,11 @@
     """
     tolerance = 1
     members = {f"s{number}": store(number) for number in range(5)}
-    since = dict.fromkeys(members, -LONG_S)
+    changed_at = dict.fromkeys(members, -LONG_S)
     retiring: set[str] = set()
     placement = plan_initial_placement(list(members.values()), tolerance)
     now = 0.0
-    for number, event, reports in course:
+    for number, event, reports in event_sequence:
         now += 3.0
         name = f"s{number}"
         member = members[name]
@@ -47,14 +47,16 @@
             members[name] = store(
                 number, incarnation=member.incarnation + alive, disk_id=disk, status=0 if alive else 1
             )
-            since[name] = now
-        conditions = {name: StoreCondition(member, now - since[name]) for name, member in members.items()}
+            changed_at[name] = now
+        conditions = {
+            name: StoreCondition(member, now - changed_at[name]) for name, member in members.items()
+        }
         ready = reports_of_all_learners(placement) if reports else set()
-        following = plan(placement, conditions, tolerance, retiring, ready, allow_moves=True)
-        if following is not None:
-            for old, new in zip(placement.partitions, following.partitions, strict=True):
+        planned = plan(placement, conditions, tolerance, retiring, ready, allow_moves=True)
+        if planned is not None:
+            for old, new in zip(placement.partitions, planned.partitions, strict=True):
                 check_step(old, new, conditions, tolerance)
-            placement = following
+            placement = planned
 
 
 def check_step(
@@ -70,10 +72,10 @@
     assert new.primary in new.replicas
     assert len(set(new.replicas)) == len(new.replicas) == 3
     assert not set(new.learners) & set(new.replicas)
-    came, left = set(new.replicas) - set(old.replicas), set(old.replicas) - set(new.replicas)
-    assert came <= set(old.learners)
-    assert len(came) == len(left) <= 1
-    if came:
+    added, removed = set(new.replicas) - set(old.replicas), set(old.replicas) - set(new.replicas)
+    assert added <= set(old.learners)
+    assert len(added) == len(removed) <= 1
+    if added:
         missing = [
             replica
             for replica in new.replicas
--- a/tests/coordination/placement/test_planner_primaries.py
+++ b/tests/coordination/placement/test_planner_primaries.py
@@ -78,10 +78,10 @@
     assert plan(before, with_store(all_live(3), back, STABLE_AFTER_S - 0.1), allow_moves=True) is None
     assert plan(before, with_store(all_live(3), back, STABLE_AFTER_S)) is None
     placement, conditions, moves = before, with_store(all_live(3), back, STABLE_AFTER_S), 0
-    while (following := plan(placement, conditions, allow_moves=True)) is not None:
-        grown = [number for number, epoch in epochs(following).items() if epoch > epochs(placement)[number]]
+    while (planned := plan(placement, conditions, allow_moves=True)) is not None:
+        grown = [number for number, epoch in epochs(planned).items() if epoch > epochs(placement)[number]]
         assert len(grown) == 1
-        placement, moves = following, moves + 1
+        placement, moves = planned, moves + 1
     assert moves == PARTITION_COUNT // 3
     assert max(primary_counts(placement).values()) <= -(-PARTITION_COUNT // 3)
     assert all(entry.primary_incarnation == 2 for entry in placement.partitions if entry.primary == "s0/d")
--- a/tests/coordination/placement/test_replica_states.py
+++ b/tests/coordination/placement/test_replica_states.py
@@ -27,7 +27,7 @@
     return ReplicaStates(conditions, retiring, PLACEMENT)
 
 
-def shown(states: ReplicaStates) -> tuple[bool, bool, bool]:
+def state_flags(states: ReplicaStates) -> tuple[bool, bool, bool]:
     return states.is_down(REPLICA), states.is_missing(REPLICA), states.is_gone(REPLICA)
 
 
@@ -54,14 +54,14 @@
     member: Member | None, state_age_s: float, expected: tuple[bool, bool, bool]
 ) -> None:
     conditions = {**all_live(3), "s0": StoreCondition(member, state_age_s)}
-    assert shown(states_of(conditions)) == expected
+    assert state_flags(states_of(conditions)) == expected
 
 
 def test_a_store_with_few_replicas_counts_as_the_replacement_of_one_that_is_down() -> None:
     conditions = with_store(with_store(all_live(3), dead_store(0)), store(3))
     states = states_of(conditions)
     assert states.underloaded == {"s3/d"}
-    assert shown(states) == (True, True, False)
+    assert state_flags(states) == (True, True, False)
 
 
 def test_a_replica_is_replaceable_once_it_is_gone_has_left_or_is_retiring() -> None:
--- a/tests/coordination/placement/test_store_replacement.py
+++ b/tests/coordination/placement/test_store_replacement.py
@@ -6,19 +6,19 @@
 
 import pytest
 
-from tests.support.store_scenario import CATCH_UP_S, StoreScenario, play
+from tests.support.store_scenario import CATCH_UP_S, StoreScenario, run_scenario
 
 
-async def lose_the_next(system: StoreScenario, victim: str) -> None:
+async def lose_second_disk(system: StoreScenario, victim: str) -> None:
     """Lose the disk of another store; the machine returns empty."""
     await system.lose_disk_and_return(victim)
 
 
 async def check_nothing_is_lost(system: StoreScenario, replicas: int) -> None:
     """Check that accepted messages are found, new ones are accepted, and the next loss would be borne."""
-    assert await system.lost() == []
+    assert await system.lost_messages() == []
     assert await system.put()
-    await system.until(lambda: set(system.running_replica_counts()) == {replicas}, CATCH_UP_S)
+    await system.wait_until(lambda: set(system.running_replica_counts()) == {replicas}, CATCH_UP_S)
 
 
 @pytest.mark.parametrize("victim", ["store-2", "store-3"])
@@ -27,16 +27,16 @@
 def test_a_lost_store_is_replaced_before_the_next_disk_is_lost(victim: str, name: str, stores: int) -> None:
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
-        system.lose_for_good("store-1")
+        system.lose_permanently("store-1")
         await asyncio.sleep(1.0)
         successor = system.add_store(name, "10.0.1.1", "zone-a")
         started_at = system.loop.time()
-        await system.start_slowly(successor)
+        await system.start_after_delay(successor)
         await asyncio.sleep(started_at + CATCH_UP_S - system.loop.time())
-        await lose_the_next(system, victim)
+        await lose_second_disk(system, victim)
         await check_nothing_is_lost(system, 3)
 
-    play(work, stores=stores)
+    run_scenario(work, stores=stores)
 
 
 @pytest.mark.parametrize("victim", ["store-2", "store-3"])
@@ -48,15 +48,15 @@
         await system.put_many(64)
         successor = system.add_store("store-9", "10.0.1.1", "zone-a")
         started_at = system.loop.time()
-        await system.start_slowly(successor)
+        await system.start_after_delay(successor)
         await asyncio.sleep(0.5)
         await system.cluster.terminate(system.cluster.machines["store-1"], 6.0)
-        system.lose_for_good("store-1")
+        system.lose_permanently("store-1")
         await asyncio.sleep(max(0.0, started_at + CATCH_UP_S - system.loop.time()))
-        await lose_the_next(system, victim)
+        await lose_second_disk(system, victim)
         await check_nothing_is_lost(system, 3)
 
-    play(work, stores=stores)
+    run_scenario(work, stores=stores)
 
 
 def test_large_replicas_are_copied_in_time() -> None:
@@ -65,18 +65,18 @@
     async def work(system: StoreScenario) -> None:
         for _ in range(10):
             await system.put_many(160, size=12_500)
-        system.lose_for_good("store-1")
+        system.lose_permanently("store-1")
         await asyncio.sleep(1.0)
         started_at = system.loop.time()
-        await system.start_slowly(system.add_store("store-9", "10.0.1.1", "zone-a"))
+        await system.start_after_delay(system.add_store("store-9", "10.0.1.1", "zone-a"))
         while system.loop.time() < started_at + CATCH_UP_S:
             await system.put_many(10, size=2_500)
             await asyncio.sleep(0.1)
         assert system.replicas_of("store-9") == len(system.placement.partitions)
-        await lose_the_next(system, "store-2")
+        await lose_second_disk(system, "store-2")
         await check_nothing_is_lost(system, 3)
 
-    play(work)
+    run_scenario(work)
 
 
 def test_a_restart_within_a_second_and_a_half_moves_nothing() -> None:
@@ -85,13 +85,13 @@
         before = [(entry.partition, sorted(entry.replicas)) for entry in system.placement.partitions]
         machine = system.cluster.machines["store-1"]
         system.cluster.kill(machine)
-        await system.start_slowly(machine)
+        await system.start_after_delay(machine)
         for _ in range(40):
             await asyncio.sleep(0.1)
             assert all(entry.learners == [] for entry in system.placement.partitions)
         assert before == [(entry.partition, sorted(entry.replicas)) for entry in system.placement.partitions]
 
-    play(work, stores=4)
+    run_scenario(work, stores=4)
 
 
 def test_a_store_that_returns_after_its_replicas_were_replaced_gets_some_again() -> None:
@@ -103,25 +103,25 @@
         await asyncio.sleep(10.0)
         assert system.replicas_of("store-1") == 0
         assert system.running_replica_counts() == {3: 16}
-        await system.start_slowly(machine)
+        await system.start_after_delay(machine)
         fewest = 3
         for _ in range(450):
             await asyncio.sleep(0.1)
             fewest = min(fewest, *system.running_replica_counts())
         assert fewest == 3  # a move never lessens the number of living replicas
         assert system.replicas_of("store-1") >= had - 2
-        assert await system.lost() == []
+        assert await system.lost_messages() == []
 
-    play(work, stores=4)
+    run_scenario(work, stores=4)
 
 
 def test_an_added_store_gets_replicas_while_the_cluster_is_quiet() -> None:
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
-        await system.start_slowly(system.add_store("store-9", "10.0.1.1", "zone-a"))
+        await system.start_after_delay(system.add_store("store-9", "10.0.1.1", "zone-a"))
         await asyncio.sleep(60.0)
         assert 6 <= system.replicas_of("store-9") <= 8  # zone-a's replicas are shared with store-1
         assert system.learners_of("store-9") == 0
-        assert await system.lost() == []
+        assert await system.lost_messages() == []
 
-    play(work)
+    run_scenario(work)
--- a/tests/coordination/placement/test_store_retirement.py
+++ b/tests/coordination/placement/test_store_retirement.py
@@ -10,7 +10,7 @@
 from hollowusher.coordination.placement.placed_stores import is_store_placed
 from hollowusher.coordination.placement.store_retirement import can_retire
 from tests.support.placement import all_live, dead_store, with_store
-from tests.support.store_scenario import StoreScenario, play
+from tests.support.store_scenario import StoreScenario, run_scenario
 
 DURATION_S = 10.0
 
@@ -23,7 +23,7 @@
     assert can_retire("s0", with_store(all_live(4), dead_store(0)), [], 1)
 
 
-async def finish(system: StoreScenario, name: str, within_s: float) -> float:
+async def wait_until_retired(system: StoreScenario, name: str, within_s: float) -> float:
     """Return the seconds until the machine is retired."""
     started = system.loop.time()
     while True:
@@ -37,11 +37,11 @@
 
 async def check_retired(system: StoreScenario, name: str) -> None:
     """Check that nothing names it; switch it off for good; check that every message is found."""
-    await system.until(lambda: not is_store_placed(system.placement, name), 1.0)
-    system.lose_for_good(name)
-    assert await system.lost() == []
+    await system.wait_until(lambda: not is_store_placed(system.placement, name), 1.0)
+    system.lose_permanently(name)
+    assert await system.lost_messages() == []
     assert await system.put()
-    await system.until(lambda: set(system.running_replica_counts()) == {3}, 6.0)
+    await system.wait_until(lambda: set(system.running_replica_counts()) == {3}, 6.0)
 
 
 @pytest.mark.parametrize("victim", ["store-2", "store-3", "store-4"])
@@ -54,11 +54,11 @@
         assert answer.status == 200
         await asyncio.sleep(delay_s)
         disturbed = asyncio.ensure_future(system.lose_disk_and_return(victim))
-        await finish(system, "store-1", DURATION_S)
+        await wait_until_retired(system, "store-1", DURATION_S)
         await disturbed
         await check_retired(system, "store-1")
 
-    play(work, stores=4)
+    run_scenario(work, stores=4)
 
 
 def test_two_disks_are_lost_one_after_the_other_while_a_machine_is_retiring() -> None:
@@ -70,10 +70,10 @@
         await system.lose_disk_and_return("store-2", 0.5)
         await asyncio.sleep(4.2)
         await system.lose_disk_and_return("store-3", 0.5)
-        await finish(system, "store-1", DURATION_S)
+        await wait_until_retired(system, "store-1", DURATION_S)
         await check_retired(system, "store-1")
 
-    play(work, stores=4)
+    run_scenario(work, stores=4)
 
 
 def test_a_retiring_machine_stays_a_source() -> None:
@@ -85,10 +85,10 @@
         await asyncio.sleep(0.1)
         assert any(entry.learners for entry in system.placement.partitions)
         await system.lose_disk_and_return("store-2", 0.3)
-        await finish(system, "store-1", DURATION_S)
-        assert await system.lost() == []
+        await wait_until_retired(system, "store-1", DURATION_S)
+        assert await system.lost_messages() == []
 
-    play(work, stores=4)
+    run_scenario(work, stores=4)
 
 
 def test_rejected_orders_change_nothing() -> None:
@@ -100,4 +100,4 @@
         await asyncio.sleep(1.0)
         assert system.placement == before
 
-    play(work)
+    run_scenario(work)
--- a/tests/coordination/placement/test_zone_policy.py
+++ b/tests/coordination/placement/test_zone_policy.py
@@ -24,7 +24,7 @@
     return int(store_name(store_id)[1:]) % ZONES
 
 
-def at_home(entry: PartitionPlacement) -> int:
+def home_replica_count(entry: PartitionPlacement) -> int:
     """Return how many replicas are in the primary's zone."""
     return sum(zone_of(replica) == zone_of(entry.primary) for replica in entry.replicas)
 
@@ -45,7 +45,7 @@
     in_zone = Counter(number % ZONES for number in range(count))
     for entry in placement.partitions:
         wanted = min(tolerance + 1, in_zone[zone_of(entry.primary)])
-        assert at_home(entry) >= wanted
+        assert home_replica_count(entry) >= wanted
         assert len(set(entry.replicas)) == 2 * tolerance + 1
         assert len({zone_of(replica) for replica in entry.replicas}) > 1
     homes = Counter(zone_of(entry.primary) for entry in placement.partitions)
@@ -64,13 +64,13 @@
     members = {store.name: store for store in stores(12, ZONES)}
     placement = first_placement(12, 1, ZonePolicy.QUORUM_AT_HOME)
     lost = store_name(placement.partitions[0].primary)
-    settled = settle(placement, members, lost)
+    settled = placement_after_loss(placement, members, lost)
     for entry in settled.partitions:
         assert lost not in map(store_name, entry.replicas)
-        assert at_home(entry) >= 2
+        assert home_replica_count(entry) >= 2
 
 
-def settle(placement: Placement, members: dict[str, Member], lost: str) -> Placement:
+def placement_after_loss(placement: Placement, members: dict[str, Member], lost: str) -> Placement:
     """Return the placement once a store is gone and all learners have caught up."""
     conditions = {name: StoreCondition(member, LONG_S) for name, member in members.items() if name != lost}
     conditions[lost] = StoreCondition(None, LONG_S)
@@ -80,10 +80,10 @@
             for entry in placement.partitions
             for learner in entry.learners
         }
-        given = PlanningInput(
+        planning_input = PlanningInput(
             conditions, 1, ready_learners=ready, allow_moves=True, policy=ZonePolicy.QUORUM_AT_HOME
         )
-        planned = plan_placement(placement, given)
+        planned = plan_placement(placement, planning_input)
         if planned is None:
             return placement
         placement = planned
--- a/tests/support/store_scenario.py
+++ b/tests/support/store_scenario.py
@@ -90,7 +90,7 @@
         for machine in self.cluster.machines.values():
             self.cluster.start(machine)
         await asyncio.sleep(1.0)
-        await self.until(lambda: self.state.placement is not None, 15.0)
+        await self.wait_until(lambda: self.state.placement is not None, 15.0)
         await asyncio.sleep(1.0)
 
     def add_store(self, name: str, ip: str, zone: str) -> SimulatedMachine:
@@ -105,12 +105,12 @@
     def _disk(self, name: str, ip: str) -> LargeDisk:
         return LargeDisk(self.cluster.random(f"disk {name} {ip}"), self.cluster.size.sync_s)
 
-    async def start_slowly(self, machine: SimulatedMachine) -> None:
+    async def start_after_delay(self, machine: SimulatedMachine) -> None:
         """A process needs a while before it registers."""
         await asyncio.sleep(START_S)
         self.cluster.start(machine)
 
-    def lose_for_good(self, name: str) -> SimulatedMachine:
+    def lose_permanently(self, name: str) -> SimulatedMachine:
         """The machine and its disk never return."""
         machine = self.cluster.machines.pop(name)
         self.cluster.lose_disk(machine)
@@ -120,9 +120,9 @@
         machine = self.cluster.machines[name]
         self.cluster.lose_disk(machine)
         await asyncio.sleep(after_s)
-        await self.start_slowly(machine)
+        await self.start_after_delay(machine)
 
-    async def until(self, condition: Callable[[], bool], within_s: float) -> float:
+    async def wait_until(self, condition: Callable[[], bool], within_s: float) -> float:
         """Seconds until a condition holds; fails after `within_s`."""
         started = self.loop.time()
         while not condition():
@@ -155,26 +155,26 @@
         )
         deadline = self.loop.time() + 6.0
         while self.loop.time() < deadline:
-            answer = await self._ask(partition, PutRequest(partition, message))
+            answer = await self._call(partition, PutRequest(partition, message))
             if isinstance(answer, PutResponse) and answer.status == "stored":
                 self.accepted[message_id] = answer.reference
                 return True
             await asyncio.sleep(0.1)
         return False
 
-    async def lost(self) -> list[str]:
+    async def lost_messages(self) -> list[str]:
         """The accepted messages that cannot be found any more."""
-        found = await asyncio.gather(*(self._stands(reference) for reference in self.accepted.values()))
+        found = await asyncio.gather(*(self._is_stored(reference) for reference in self.accepted.values()))
         return [name for name, stands in zip(self.accepted, found, strict=True) if not stands]
 
-    async def _stands(self, reference: str) -> bool:
+    async def _is_stored(self, reference: str) -> bool:
         from hollowusher.messages.records import parse_reference
 
         parsed = parse_reference(reference)
         assert parsed is not None
         partition = parsed[0]
         for _ in range(40):
-            answer = await self._ask(partition, MessageStatusRequest(reference, False))
+            answer = await self._call(partition, MessageStatusRequest(reference, False))
             if isinstance(answer, MessageStatusResponse) and answer.state not in (
                 "unavailable",
                 "not_primary",
@@ -183,7 +183,7 @@
             await asyncio.sleep(0.2)
         return False
 
-    async def _ask(self, partition: int, message: Any) -> Any:
+    async def _call(self, partition: int, message: Any) -> Any:
         address = self.state.primary_address(partition)
         if address is None:
             return None
@@ -230,7 +230,9 @@
         )
 
 
-def play(work: Callable[[StoreScenario], Coroutine[Any, Any, None]], stores: int = 3, seed: int = 1) -> None:
+def run_scenario(
+    work: Callable[[StoreScenario], Coroutine[Any, Any, None]], stores: int = 3, seed: int = 1
+) -> None:
     """Run a scenario; errors that nobody caught fail it."""
     loop = VirtualTimeLoop()
     try:
