--- a/hollowusher/coordination/membership/__init__.py
+++ b/hollowusher/coordination/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Cluster membership: the members with their incarnations, and failure detection by heartbeats.
+"""Cluster membership: the members, their incarnations and heartbeat failure detection.
 
-Every process runs a `FailureDetector`.  Each controller keeps a `MemberDirectory`; the head of the control
-chain confirms deaths from it and publishes them.
+Every process runs a `FailureDetector`.  Each controller keeps a `MemberDirectory`.  The head of the control
+chain uses its directory to confirm that suspected members are dead, and publishes their new state.
 """
--- a/hollowusher/coordination/membership/failure_detector.py
+++ b/hollowusher/coordination/membership/failure_detector.py
@@ -1,15 +1,16 @@
-"""Failure detection by heartbeats to a few monitors.  No I/O, no clock.
+"""Heartbeat failure detector in which a few monitors watch each member.
 
-A member sends a heartbeat to each of its monitors, so that the cost for a process does not grow with the
-cluster.  A monitor that has received none for `HEARTBEAT_TIMEOUT_S` suspects the member.  It reports that to
-the controllers, and repeats the report until the member is dead, sends a heartbeat, or gets other monitors.
-Controllers confirm deaths: see `member_directory`.
+The module performs no I/O and reads no clock: callers pass the time as `now`, in seconds of their monotonic
+clock.
 
-This is an unreliable failure detector in the sense of Chandra and Toueg ("Unreliable failure detectors for
-reliable distributed systems", 1996): a suspicion may be wrong.  SWIM's probes in turn are not used, because
-a death would then be known only after the period times the number of members.
+A member sends heartbeats only to its monitors, so the number of heartbeats that a process sends does not grow
+with the cluster.  A monitor that receives no heartbeat for `HEARTBEAT_TIMEOUT_S` suspects the member and
+reports the suspicion to the controllers.  It repeats the report until the member is declared dead, sends a
+heartbeat or is assigned to other monitors.  The controllers confirm deaths: see `member_directory`.
 
-All times are seconds of the caller's monotonic clock.
+This is an unreliable failure detector in the sense of Chandra and Toueg ("Unreliable failure detectors for
+reliable distributed systems", 1996): a suspicion may be wrong.  The round-robin probing of SWIM is not used,
+because with it the detection of a death could take the probe period times the number of members.
 """
 
 from __future__ import annotations
@@ -25,33 +26,35 @@
 HEARTBEAT_INTERVAL_S = 0.2
 HEARTBEAT_TIMEOUT_S = 0.7
 SUSPICION_REPEAT_S = 0.4
-MAX_TICK_INTERVAL_S = 0.4  # a monitor that did not run for longer may have missed heartbeats itself
-TIMER_TOLERANCE_S = 0.001  # a timer may fire this much early
+MAX_TICK_INTERVAL_S = 0.4  # after a longer gap the monitor may have missed heartbeats
+TIMER_TOLERANCE_S = 0.001  # timers may fire this early
 
 
 @attrs.define
 class _MonitoredMember:
-    """The last signs of one monitored member."""
+    """The heartbeat and report times of one monitored member."""
 
     incarnation: int
-    last_heartbeat_at: float  # or the time at which monitoring began
-    last_report_at: float | None = None  # of a suspicion; None while there is none
+    last_heartbeat_at: float  # or when the timeout was last restarted without a heartbeat
+    last_report_at: float | None = None  # time of the last suspicion report; None if not suspected
 
     def record_heartbeat(self, incarnation: int, now: float) -> None:
-        """Start the heartbeat timeout again and end the suspicion."""
+        """Restart the heartbeat timeout and clear the suspicion."""
         self.incarnation = incarnation
         self.last_heartbeat_at = now
         self.last_report_at = None
 
     def is_report_due(self, now: float) -> bool:
-        """Return whether the member is to be reported as suspect now."""
+        """Return whether the monitor has to report the member as suspect now."""
         if now - self.last_heartbeat_at < HEARTBEAT_TIMEOUT_S:
             return False
         return self.last_report_at is None or now - self.last_report_at >= SUSPICION_REPEAT_S
 
 
 class FailureDetector:
-    """The failure detector of one process: whom it monitors, and who monitors it.
+    """The failure detector of one process.
+
+    It tracks the members that this process monitors and the monitors of this process (`own_monitors`).
 
     Invariant: `monitored` holds exactly the live members that have this process among their monitors.
     """
@@ -66,11 +69,11 @@
 
     @property
     def monitored(self) -> list[str]:
-        """The members that this process monitors."""
+        """The names of the members that this process monitors, sorted."""
         return sorted(self._monitored)
 
     def update_members(self, members: Iterable[Member], now: float) -> None:
-        """Adopt the present members, this process among them; dead ones are ignored."""
+        """Replace the list of members, which includes this process; dead members are ignored."""
         live = {member.name: member for member in members if member.alive}
         edges = {name for name, member in live.items() if member.role == MemberRole.EDGE}
         self._assignment.update(edges, live.keys())
@@ -89,13 +92,16 @@
             self._monitored[name] = monitored
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Record a heartbeat; one of a former incarnation does not count."""
+        """Record a heartbeat; ignore it if it comes from an earlier incarnation."""
         monitored = self._monitored.get(heartbeat.name)
         if monitored is not None and heartbeat.incarnation >= monitored.incarnation:
             monitored.record_heartbeat(heartbeat.incarnation, now)
 
     def start_due_heartbeat(self, now: float) -> bool:
-        """Return whether the caller has to send heartbeats now; True counts as sent."""
+        """Return whether the caller has to send heartbeats now.
+
+        When the result is True the detector assumes that the caller sends them, and restarts the interval.
+        """
         last = self._last_heartbeat_sent_at
         if last is not None and now - last < HEARTBEAT_INTERVAL_S - TIMER_TOLERANCE_S:
             return False
@@ -103,7 +109,11 @@
         return True
 
     def tick(self, now: float) -> list[MemberSuspected]:
-        """Return the suspicions to report now.  To be called several times within `MAX_TICK_INTERVAL_S`."""
+        """Return the suspicions to report now.
+
+        The caller must call this method several times within `MAX_TICK_INTERVAL_S`.  After a longer gap the
+        process is assumed to have been paused: all heartbeat timeouts restart and nothing is reported.
+        """
         was_paused = self._last_tick is not None and now - self._last_tick > MAX_TICK_INTERVAL_S
         self._last_tick = now
         if was_paused:
--- a/hollowusher/coordination/membership/member_directory.py
+++ b/hollowusher/coordination/membership/member_directory.py
@@ -1,19 +1,20 @@
-"""The members of the cluster as one controller knows them, and the confirmation of deaths.  No I/O, no clock.
+"""The cluster members known to one controller, and the confirmation that a suspected member is dead.
 
-Incarnation numbers and suspicion follow SWIM (Das, Gupta, Motivala: "SWIM: scalable weakly-consistent
-infection-style process group membership protocol", 2002).  A member's version is [incarnation, status]: a
-new incarnation of a process replaces the former one at once.  Within one incarnation an even status means
-alive, an odd one dead or leaving.  A live process that finds itself called dead refutes it: it registers
-with the next even status.
+The module performs no I/O and reads no clock: callers pass the time as `now`, in seconds of their monotonic
+clock.
 
-A death is confirmed when a majority of the member's monitors suspects it.  Where some suspect a member
-without a majority (the other monitors may have failed together with it), the head of the control chain
-checks the member itself; if it gets no answer, that confirms the death.
+Incarnation numbers and suspicions follow SWIM (Das, Gupta, Motivala: "SWIM: scalable weakly-consistent
+infection-style process group membership protocol", 2002).  The version of a member is [incarnation, status].
+A new incarnation of a process replaces the previous one immediately.  Within one incarnation an even status
+means that the process is alive, and an odd status that it is dead or leaving.  A live process that was
+declared dead by mistake refutes this by registering with the next even status.
 
-A dead member's last item stays in the feed as a tombstone of some hundred bytes; nothing more is published
-about it.
+A death is confirmed when a majority of the member's monitors suspects the member.  If fewer monitors suspect
+it (the others may have failed together with the member), the head of the control chain sends a health check
+to the member.  If the member does not answer, its death is confirmed.
 
-All times are seconds of the caller's monotonic clock.
+The last item of a dead member stays in the feed as a tombstone of a few hundred bytes.  No further items are
+published for that member until it registers again.
 """
 
 from __future__ import annotations
@@ -27,27 +28,27 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.membership import Member, MemberDeparting, MemberSuspected
 
-HEALTH_CHECK_AFTER_S = 1.0  # a suspicion without a majority is this old before the head checks the member
+HEALTH_CHECK_AFTER_S = 1.0  # minimum age of a suspicion without a majority before a health check
 
 
 def member_version(member: Member) -> list[int]:
-    """Return the version of a member's item."""
+    """Return the version of a member's feed item: [incarnation, status]."""
     return [member.incarnation, member.status]
 
 
 class MemberDirectory:
-    """All members known to one controller, with the suspicions about them.
+    """All members known to one controller, and the suspicions reported about them.
 
-    It changes only by `update`: the methods that confirm a death return the state that is to be published,
-    which comes back through the feed.
+    Only `update` changes the members.  The methods that confirm a death return the state to publish; once
+    published, the state reaches `update` through the feed.
 
-    Invariants: a member's version never decreases; a suspicion is about the present incarnation of a live
-    member.
+    Invariants: the version of a member never decreases; every suspicion refers to the current incarnation of
+    a live member.
     """
 
     def __init__(self, now: float) -> None:
         self.started_at = now
-        self.change_count = 0  # grows with each change, so that readers need not compare
+        self.change_count = 0  # incremented by each change, so that readers can detect changes
         self.members: dict[str, Member] = {}
         self._changed_at: dict[str, float] = {}
         self._suspicions = SuspicionTable()
@@ -55,7 +56,7 @@
     # ---- members
 
     def update(self, member: Member, now: float) -> bool:
-        """Store a member's state; return False if it is not newer than the known one."""
+        """Store the state of a member; return False if the stored state is as new or newer."""
         known = self.members.get(member.name)
         if known is not None and member_version(member) <= member_version(known):
             return False
@@ -70,14 +71,14 @@
         return [member for _, member in sorted(self.members.items()) if member.alive and member.role == role]
 
     def state_since(self, name: str) -> float:
-        """Return when the member's present state was learnt.
+        """Return the time at which the directory received the member's current state.
 
-        For a member that has never registered here this is the time at which the directory was created.
+        For a member that is not in the directory, return the time at which the directory was created.
         """
         return self._changed_at.get(name, self.started_at)
 
     def store_conditions(self, placed: Iterable[str], now: float) -> Mapping[str, StoreCondition]:
-        """Return the conditions by name of all known stores and of the stores that are `placed`."""
+        """Return the condition of each known store and each store named in `placed`, by store name."""
         names = {name for name, member in self.members.items() if member.role == MemberRole.STORE}
         names.update(placed)
         return {
@@ -86,28 +87,28 @@
         }
 
     def leaving_state(self, leaving: MemberDeparting) -> Member | None:
-        """Return the state to publish for a member that stops; None if that incarnation is not alive."""
+        """Return the state to publish for a departing member; None if that incarnation is not alive."""
         dead = self._dead_state(leaving.name, leaving.incarnation)
         return None if dead is None else evolve(dead, leaving=True)
 
     # ---- suspicions
 
     def record_suspicion(self, suspicion: MemberSuspected, now: float) -> None:
-        """Record a monitor's report; one about a dead or former incarnation changes nothing."""
+        """Record a monitor's report; ignore it if that incarnation is dead or has been replaced."""
         member = self.members.get(suspicion.name)
         if member is not None and member.alive and member.incarnation == suspicion.incarnation:
             self._suspicions.record(suspicion, now)
 
     def clear_suspicion(self, member: Member) -> None:
-        """Drop the suspicions about a member that has answered this controller."""
+        """Drop the suspicions about a member that answered this controller's health check."""
         self._suspicions.remove(member.name)
 
     def clear_suspicions(self) -> None:
-        """Drop all suspicions; monitors repeat those that still stand."""
+        """Drop all suspicions; the monitors report again those that are still valid."""
         self._suspicions.clear()
 
     def confirmed_dead(self, now: float) -> list[Member]:
-        """Return the states to publish for the members that a majority of their monitors suspects."""
+        """Return the state to publish for each member that a majority of its monitors suspects."""
         self._suspicions.remove_expired(now)
         dead = (
             self._dead_state(name, self._suspicions.incarnation(name)) for name in self._suspicions.suspects()
@@ -119,7 +120,7 @@
         ]
 
     def unconfirmed_suspects(self, now: float) -> list[Member]:
-        """Return the members that have been suspected for `HEALTH_CHECK_AFTER_S`: the head checks them."""
+        """Return the members suspected for at least `HEALTH_CHECK_AFTER_S`, which the head has to check."""
         return [
             self.members[name] for name in self._suspicions.suspects() if self._is_health_check_due(name, now)
         ]
@@ -127,7 +128,7 @@
     def unreachable_state(self, member: Member, now: float) -> Member | None:
         """Return the state to publish for a suspect that did not answer this controller's health check.
 
-        None if that incarnation is no longer suspected.
+        Return None if that incarnation is no longer suspected.
         """
         if self._suspicions.incarnation(member.name) != member.incarnation:
             return None
--- a/hollowusher/coordination/membership/monitor_assignment.py
+++ b/hollowusher/coordination/membership/monitor_assignment.py
@@ -1,7 +1,7 @@
-"""Which processes monitor a member.  No I/O, no clock.
+"""Assignment of monitors to members.  The module performs no I/O and reads no clock.
 
-Every member has up to `MONITOR_COUNT` monitors among the other live edge processes.  Rendezvous hashing picks
-them, so that each process computes the same ones, and a change of the members moves few of them.
+Every member has up to `MONITOR_COUNT` monitors, which are other live edge processes.  Rendezvous hashing
+selects them, so every process computes the same assignment and a membership change reassigns few monitors.
 """
 
 from __future__ import annotations
@@ -15,7 +15,10 @@
 
 
 def choose_monitors(name: str, edges: Iterable[str]) -> list[str]:
-    """Return the monitors of a member among the names of the live edge processes, best first."""
+    """Return the monitors of a member, chosen from the names of the live edge processes.
+
+    The monitors are sorted by decreasing rendezvous weight.
+    """
     key = f"monitor/{name}"
     others = (edge for edge in edges if edge != name)
     return heapq.nlargest(MONITOR_COUNT, others, key=lambda edge: (weight(key, edge), edge))
@@ -24,7 +27,7 @@
 class MonitorAssignment:
     """The monitors of all live members, updated incrementally.
 
-    Invariant: after `update` each member has the monitors that `choose_monitors` returns for it.
+    Invariant: after `update`, each member has the monitors that `choose_monitors` returns for it.
     """
 
     def __init__(self) -> None:
@@ -32,11 +35,14 @@
         self._monitors: dict[str, list[str]] = {}  # member -> its monitors
 
     def monitors_of(self, name: str) -> Sequence[str]:
-        """Return the monitors of a member, best first; none for a name that is no live member."""
+        """Return the monitors of a member by decreasing weight; empty if it is not a live member."""
         return self._monitors.get(name, ())
 
     def update(self, edges: set[str], members: Iterable[str]) -> None:
-        """Assign monitors to the live `members`, choosing anew only where the choice may have changed."""
+        """Assign monitors to the live `members`; recompute only assignments that may have changed.
+
+        `edges` are the names of the live edge processes.
+        """
         added, removed = edges - self._edges, self._edges - edges
         previous = self._monitors
         self._edges = edges
--- a/hollowusher/coordination/membership/pause_detector.py
+++ b/hollowusher/coordination/membership/pause_detector.py
@@ -1,12 +1,12 @@
-"""Detection of pauses of this process.  No I/O, no clock.
+"""Detection of pauses of the calling process.  The module performs no I/O and reads no clock.
 
-A process that was frozen, or got no processor time, resumes with the state it had before: leases, worker
-lists, answers that lie unread.  None of it may be used before it has been confirmed again.  A user of such
-state calls `tick` with the monotonic clock, regularly and before each use; whichever call comes first after
-a pause detects it.
+A process that was suspended, or was not scheduled on a CPU, resumes with stale state: leases, worker lists
+and responses that it received but has not read.  The process must revalidate this state before it uses it.
+Code that depends on such state calls `tick` with the monotonic time, both periodically and before each use of
+the state.  The first call after a pause detects the pause.
 
 Compare Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
-consistency" (1989): a lease is safe only as long as its owner knows how much time has passed.
+consistency" (1989): a lease is safe only as long as its owner can measure how much time has passed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class PauseDetector:
-    """Detects a pause as two ticks that are further apart than a threshold."""
+    """Detects a pause when two consecutive ticks are more than `threshold_s` seconds apart."""
 
     def __init__(self, threshold_s: float) -> None:
         self.pause_count = 0
@@ -24,9 +24,9 @@
         self._last_pause_end = -math.inf
 
     def tick(self, now: float) -> float:
-        """Record that the process runs; return the length in seconds of the pause that has just ended.
+        """Record that the process is running at `now`, in seconds of the monotonic clock.
 
-        The length is 0 where there was no pause.
+        Return the length in seconds of the pause that this call detects, or 0 if there was none.
         """
         last, self._last_tick = self._last_tick, now
         if last is None or now - last <= self._threshold_s:
@@ -36,5 +36,5 @@
         return now - last
 
     def paused_since(self, moment: float) -> bool:
-        """Return whether a pause was detected at or after that moment."""
+        """Return whether a pause was detected at or after `moment`, in seconds of the monotonic clock."""
         return self._last_pause_end >= moment
--- a/hollowusher/coordination/membership/store_condition.py
+++ b/hollowusher/coordination/membership/store_condition.py
@@ -1,4 +1,4 @@
-"""The condition of a store, as far as placement needs it."""
+"""The condition of a store: the part of its membership state that placement uses."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 @attrs.frozen
 class StoreCondition:
-    """The newest state of a store's process, and for how long it has been in that state.
+    """The newest state of a store's process, and the time in seconds since this controller received it.
 
-    `member` is None for a store that this controller knows by its name alone, from the placement.
+    `member` is None for a store that the placement names but that is not in this controller's directory.
+    `state_age_s` is then the age of the directory.
     """
 
     member: Member | None
@@ -19,10 +20,10 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether its process is alive."""
+        """Whether the store's process is alive."""
         return self.member is not None and self.member.alive
 
     @property
     def store_id(self) -> str:
-        """Name and disk id of the newest incarnation; empty for a store that has never registered here."""
+        """The store id ("name/disk id") of the newest incarnation; empty if `member` is None."""
         return "" if self.member is None else self.member.store_id
--- a/hollowusher/coordination/membership/suspicion_table.py
+++ b/hollowusher/coordination/membership/suspicion_table.py
@@ -1,6 +1,7 @@
-"""The suspicions that monitors have reported to a controller.  No I/O, no clock.
+"""The suspicions that monitors have reported to a controller.
 
-All times are seconds of the caller's monotonic clock.
+The module performs no I/O and reads no clock: callers pass the time as `now`, in seconds of their monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 
 from hollowusher.protocol.membership import MemberSuspected
 
-SUSPICION_VALIDITY_S = 1.5  # a few times `SUSPICION_REPEAT_S`, so that one lost message changes nothing
+SUSPICION_VALIDITY_S = 1.5  # several times `SUSPICION_REPEAT_S`, to tolerate the loss of one report
 
 
 @attrs.define
 class _SuspicionRecord:
-    """The reports about one incarnation of a member."""
+    """The suspicion reports about one incarnation of a member."""
 
     incarnation: int
     first_reported_at: float
-    reported_at: dict[str, float] = attrs.Factory(dict)  # monitor -> time of its newest report
+    reported_at: dict[str, float] = attrs.Factory(dict)  # monitor name -> time of its newest report
 
     def current_reporters(self, now: float) -> set[str]:
-        """Return the monitors whose newest report is still valid."""
+        """Return the names of the monitors whose newest report is still valid."""
         return {
             monitor
             for monitor, reported_at in self.reported_at.items()
@@ -32,16 +33,19 @@
 
 
 class SuspicionTable:
-    """The valid suspicions by member.
+    """The suspicion reports by member.
 
-    Invariant: a member has one record at most, and all reports in it are about the same incarnation.
+    Invariant: a member has at most one record, and all reports in a record are about the same incarnation.
     """
 
     def __init__(self) -> None:
         self._records: dict[str, _SuspicionRecord] = {}
 
     def record(self, suspicion: MemberSuspected, now: float) -> None:
-        """Add a report; one about another incarnation than before starts a new record."""
+        """Add a report.
+
+        The report starts a new record if the existing record is about another incarnation or has expired.
+        """
         record = self._records.get(suspicion.name)
         if record is None or record.incarnation != suspicion.incarnation or not record.current_reporters(now):
             record = self._records[suspicion.name] = _SuspicionRecord(suspicion.incarnation, now)
@@ -56,7 +60,7 @@
         self._records.clear()
 
     def remove_expired(self, now: float) -> None:
-        """Drop the records of the members that no monitor suspects any longer."""
+        """Drop each record in which no report is valid any longer."""
         for name, record in list(self._records.items()):
             if not record.current_reporters(now):
                 del self._records[name]
@@ -66,17 +70,17 @@
         return self._records.keys()
 
     def incarnation(self, name: str) -> int | None:
-        """Return the incarnation that is suspected, None where the member has no record."""
+        """Return the suspected incarnation of a member; None if the member has no record."""
         record = self._records.get(name)
         return None if record is None else record.incarnation
 
     def reporters(self, name: str, now: float) -> set[str]:
-        """Return the monitors that suspect a member now."""
+        """Return the names of the monitors that currently suspect a member."""
         record = self._records.get(name)
         return set() if record is None else record.current_reporters(now)
 
     def is_suspected_for(self, name: str, duration_s: float, now: float) -> bool:
-        """Return whether some monitor suspects a member now and the first report is at least that old."""
+        """Return whether a member is suspected now and its first report is at least `duration_s` old."""
         record = self._records.get(name)
         if record is None or not record.current_reporters(now):
             return False
--- a/tests/coordination/membership/__init__.py
+++ b/tests/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of membership."""
+"""Tests of cluster membership and failure detection."""
--- a/tests/coordination/membership/test_failure_detector.py
+++ b/tests/coordination/membership/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""A monitor suspects a member after the heartbeat timeout, and reports that until it is over."""
+"""A monitor suspects a member after the heartbeat timeout and repeats its report until the suspicion ends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def detector_of_one_store(now: float = 0.0) -> FailureDetector:
-    """Return the detector of a monitor that one store was just assigned to."""
+    """Return the failure detector of a monitor that starts to monitor one store at `now`."""
     detector = FailureDetector("e0")
     detector.update_members([edge_member("e0"), store_member("s")], now)
     assert detector.monitored == ["s"]
@@ -26,22 +26,23 @@
 def ticks(
     detector: FailureDetector, start: float, end: float, step: float = 0.1
 ) -> list[tuple[float, MemberSuspected]]:
-    found = []
+    """Tick the detector every `step` seconds; return the reported suspicions with their times."""
+    reported = []
     now = start
     while now <= end:
-        found += [(now, suspicion) for suspicion in detector.tick(now)]
+        reported += [(now, suspicion) for suspicion in detector.tick(now)]
         now = round(now + step, 6)
-    return found
+    return reported
 
 
 def test_a_member_without_heartbeats_is_suspected_after_the_timeout_and_again() -> None:
-    found = ticks(detector_of_one_store(), 0.0, 2.4, 0.15)
-    times = [now for now, _ in found]
+    reported = ticks(detector_of_one_store(), 0.0, 2.4, 0.15)
+    times = [now for now, _ in reported]
     assert HEARTBEAT_TIMEOUT_S <= times[0] <= HEARTBEAT_TIMEOUT_S + 0.15
     gaps = [later - earlier for earlier, later in pairwise(times)]
     assert len(gaps) >= 2
     assert all(SUSPICION_REPEAT_S <= gap < SUSPICION_REPEAT_S + 0.15 for gap in gaps)
-    assert all(suspicion == MemberSuspected("s", 1, "e0") for _, suspicion in found)
+    assert all(suspicion == MemberSuspected("s", 1, "e0") for _, suspicion in reported)
 
 
 def test_a_heartbeat_ends_the_suspicion() -> None:
@@ -56,15 +57,15 @@
     detector = detector_of_one_store()
     detector.update_members([edge_member("e0"), store_member("s", 2)], 0.5)
     detector.record_heartbeat(Heartbeat("s", 1), 1.1)
-    found = ticks(detector, 0.5 + HEARTBEAT_TIMEOUT_S, 1.4)
-    assert found
-    assert found[0][1].incarnation == 2
+    reported = ticks(detector, 0.5 + HEARTBEAT_TIMEOUT_S, 1.4)
+    assert reported
+    assert reported[0][1].incarnation == 2
 
 
-def test_a_monitor_that_was_paused_suspects_nobody_for_what_it_missed() -> None:
+def test_a_monitor_does_not_suspect_members_for_heartbeats_missed_in_a_pause() -> None:
     detector = detector_of_one_store()
     assert ticks(detector, 0.0, HEARTBEAT_TIMEOUT_S - 0.1) == []
-    assert detector.tick(5.0) == []  # after a freeze
+    assert detector.tick(5.0) == []  # the first tick after a pause
     assert ticks(detector, 5.1, 5.0 + HEARTBEAT_TIMEOUT_S - 0.01) == []
     assert ticks(detector, 5.0 + HEARTBEAT_TIMEOUT_S, 6.5)
 
@@ -81,9 +82,9 @@
     detector = detector_of_one_store()
     ticks(detector, 0.0, 0.9)
     detector.update_members([edge_member("e0"), store_member("s"), store_member("late")], 0.9)
-    found = ticks(detector, 1.0, 0.9 + HEARTBEAT_TIMEOUT_S + 0.1)
-    assert {suspicion.name for now, suspicion in found if now < 0.9 + HEARTBEAT_TIMEOUT_S} == {"s"}
-    assert {suspicion.name for now, suspicion in found} == {"s", "late"}
+    reported = ticks(detector, 1.0, 0.9 + HEARTBEAT_TIMEOUT_S + 0.1)
+    assert {suspicion.name for now, suspicion in reported if now < 0.9 + HEARTBEAT_TIMEOUT_S} == {"s"}
+    assert {suspicion.name for now, suspicion in reported} == {"s", "late"}
 
 
 def test_heartbeats_are_due_at_their_interval() -> None:
--- a/tests/coordination/membership/test_health_check.py
+++ b/tests/coordination/membership/test_health_check.py
@@ -1,4 +1,7 @@
-"""The head checks a suspect that has no majority against it: only that incarnation's answer counts."""
+"""The head of the control chain sends a health check to a member that only a minority of monitors suspects.
+
+Only an answer of the suspected incarnation clears the suspicion.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 async def check(cluster: Cluster, name: str, incarnation: int) -> object:
-    """Return the answer of the process at a node's address when it is asked for one incarnation."""
+    """Send a health check for one incarnation to a node's address and return the answer."""
     node = cluster.nodes[name]
     return await cluster.nodes["core0"].transport.call(node.address, CheckIncarnation(name, incarnation), 0.5)
 
--- a/tests/coordination/membership/test_member_directory.py
+++ b/tests/coordination/membership/test_member_directory.py
@@ -1,4 +1,4 @@
-"""Members, their incarnations, and deaths that a majority of the monitors confirms."""
+"""The member directory orders incarnations and confirms deaths that a majority of the monitors reports."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 
 def directory_of(*members: Member, now: float = 0.0) -> MemberDirectory:
+    """Return a directory that received the given members at `now`."""
     directory = MemberDirectory(now)
     for member in members:
         assert directory.update(member, now)
@@ -27,7 +28,7 @@
     assert directory.members["s"].alive
 
 
-def test_leaving_gives_an_odd_status_once_and_only_to_that_incarnation() -> None:
+def test_departure_sets_an_odd_status_once_and_only_for_the_current_incarnation() -> None:
     directory = directory_of(store_member("s", 2))
     assert directory.leaving_state(MemberDeparting("s", 1)) is None
     dead = directory.leaving_state(MemberDeparting("s", 2))
@@ -58,10 +59,11 @@
     assert conditions["s2"].store_id == ""
 
 
-# ---- suspicion and death
+# ---- suspicions and confirmed deaths
 
 
 def suspected_by(directory: MemberDirectory, name: str, reporters: list[str], now: float) -> list[str]:
+    """Record a suspicion from each reporter; return the names of all members then confirmed dead."""
     for reporter in reporters:
         directory.record_suspicion(MemberSuspected(name, directory.members[name].incarnation, reporter), now)
     return [member.name for member in directory.confirmed_dead(now)]
@@ -79,7 +81,7 @@
     assert directory.confirmed_dead(1.3) == []
 
 
-def test_suspicions_do_not_add_up_over_long_times_or_incarnations() -> None:
+def test_expired_suspicions_and_those_of_earlier_incarnations_do_not_count() -> None:
     directory = directory_of(*EDGES, store_member("s"))
     monitors = choose_monitors("s", EDGE_NAMES)
     assert suspected_by(directory, "s", monitors[:1], 1.0) == []
@@ -90,8 +92,8 @@
     assert suspected_by(directory, "s", monitors[:1], 3.2) == []
 
 
-def test_dead_monitors_have_no_vote() -> None:
-    """With two monitors dead, three others are the monitors, and two of them decide."""
+def test_dead_monitors_are_replaced_and_do_not_count_for_the_majority() -> None:
+    """When two monitors are dead, three live ones are assigned, and two of these form a majority."""
     directory = directory_of(*EDGES, store_member("s"))
     first = choose_monitors("s", EDGE_NAMES)
     for name in first[:2]:
@@ -103,7 +105,7 @@
     assert suspected_by(directory, "s", second[:2], 1.0) == ["s"]
 
 
-def test_a_lone_monitor_decides_alone_and_nobody_confirms_the_death_of_the_last_edge_process() -> None:
+def test_a_single_monitor_is_a_majority_and_the_last_edge_process_has_no_monitor() -> None:
     directory = directory_of(edge_member("e0"), store_member("s"))
     assert suspected_by(directory, "s", ["e0"], 1.0) == ["s"]
     assert "e0" not in suspected_by(directory, "e0", ["e0"], 1.0)
@@ -125,7 +127,7 @@
     assert directory.unreachable_state(suspect, 2.1) is None
 
 
-def test_a_failed_check_of_a_former_incarnation_does_not_count_for_the_next() -> None:
+def test_a_failed_health_check_does_not_apply_to_a_later_incarnation() -> None:
     directory = directory_of(*EDGES, store_member("s"))
     for now in (1.0, 1.5, 2.0):
         directory.record_suspicion(MemberSuspected("s", 1, choose_monitors("s", EDGE_NAMES)[0]), now)
--- a/tests/coordination/membership/test_monitor_assignment.py
+++ b/tests/coordination/membership/test_monitor_assignment.py
@@ -1,4 +1,4 @@
-"""Every process computes the same monitors, all at once or incrementally."""
+"""Incremental updates and a computation from scratch assign the same monitors on every process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,9 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 9), st.booleans(), st.booleans()), max_size=40))
-def test_incremental_assignment_equals_a_new_choice(changes: list[tuple[int, bool, bool]]) -> None:
+def test_incremental_assignment_equals_a_computation_from_scratch(
+    changes: list[tuple[int, bool, bool]],
+) -> None:
     detector = FailureDetector("n0")
     present: dict[str, Member] = {"n0": edge_member("n0")}
     for number, there, is_edge in changes:
--- a/tests/coordination/membership/test_suspicion_table.py
+++ b/tests/coordination/membership/test_suspicion_table.py
@@ -1,4 +1,4 @@
-"""Reports of monitors count for one incarnation of a member, and only while they are repeated."""
+"""A suspicion report applies to one incarnation of a member and expires unless the monitor repeats it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from hollowusher.protocol.membership import MemberSuspected
 
 
-def test_a_report_is_valid_for_its_time_and_each_monitor_for_itself() -> None:
+def test_reports_of_different_monitors_expire_separately() -> None:
     table = SuspicionTable()
     table.record(MemberSuspected("s", 1, "e0"), 0.0)
     table.record(MemberSuspected("s", 1, "e1"), 1.0)
@@ -19,16 +19,18 @@
     assert table.incarnation("s") is None
 
 
-def test_the_first_report_counts_as_long_as_some_monitor_repeats() -> None:
+def test_a_suspicion_is_as_old_as_its_first_report_while_monitors_repeat_it() -> None:
     table = SuspicionTable()
     for now in (0.0, 1.0, 2.0):
         table.record(MemberSuspected("s", 1, "e0"), now)
     assert table.is_suspected_for("s", 2.0, 2.0)
-    table.record(MemberSuspected("s", 1, "e0"), 2.1 + SUSPICION_VALIDITY_S)  # all former reports have expired
+    table.record(
+        MemberSuspected("s", 1, "e0"), 2.1 + SUSPICION_VALIDITY_S
+    )  # all earlier reports have expired
     assert not table.is_suspected_for("s", 0.1, 2.1 + SUSPICION_VALIDITY_S)
 
 
-def test_a_report_about_another_incarnation_starts_anew() -> None:
+def test_a_report_about_another_incarnation_starts_a_new_record() -> None:
     table = SuspicionTable()
     table.record(MemberSuspected("s", 1, "e0"), 0.0)
     table.record(MemberSuspected("s", 2, "e1"), 1.0)
@@ -37,7 +39,7 @@
     assert not table.is_suspected_for("s", 1.0, 1.0)
 
 
-def test_removed_members_are_suspected_by_nobody() -> None:
+def test_removed_members_are_no_longer_suspected() -> None:
     table = SuspicionTable()
     table.record(MemberSuspected("s", 1, "e0"), 0.0)
     table.record(MemberSuspected("t", 1, "e0"), 0.0)
