--- a/hollowusher/coordination/placement/control_chain.py
+++ b/hollowusher/coordination/placement/control_chain.py
@@ -1,4 +1,4 @@
-"""What the head's tasks need of the control chain."""
+"""The interface through which placement tasks at the head use the control chain."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 
 
 class ControlChain(Protocol):
-    """The control chain as its head sees it; it owns the control state."""
+    """The control chain as seen by its head.  The chain owns the control state."""
 
     @property
     def is_head(self) -> bool:
-        """Whether this process is the chain's head and may write."""
+        """Whether this process is the head of the chain and may therefore write."""
 
     @property
     def view(self) -> View | None:
-        """The newest decided view."""
+        """The newest view on which the voters agreed; None if this process has received none."""
 
     @property
     def state(self) -> ControlState | None:
-        """The newest committed state."""
+        """The newest committed control state; None if this process has received none."""
 
     async def change(self, update: StateUpdate) -> bool:
-        """Commit what `update` returns for the newest state, None to leave it as it is.
+        """Call `update` with the newest state and commit the state that it returns.
 
-        `update` is called once at most.  Return True once the result is committed, False where that is not
-        known or this process is not the head.
+        If `update` returns None, the state stays unchanged.  `update` is called at most once.  Return True
+        once the result is committed.  Return False if this process is not the head or if the chain has not
+        confirmed the commit; the change may then still be committed.
         """
--- a/hollowusher/coordination/placement/errors.py
+++ b/hollowusher/coordination/placement/errors.py
@@ -1,4 +1,4 @@
-"""The errors of placement: orders of operators that are rejected."""
+"""The errors that placement raises when it rejects an operator's order."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class PlacementError(Exception):
-    """Root of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class OrderRejectedError(PlacementError):
-    """An operator's order is not carried out; nothing has changed.
+    """An operator's order was rejected and changed nothing.
 
-    The text is what the operator reads; `status` is that of the HTTP answer.
+    The HTTP response to the operator contains the error text and has the status code `status`.
     """
 
     status: ClassVar[HTTPStatus]
@@ -26,6 +26,6 @@
 
 
 class OrderConflictError(OrderRejectedError):
-    """The order contradicts the present state of the cluster."""
+    """The order conflicts with the current state of the cluster."""
 
     status = HTTPStatus.CONFLICT
--- a/hollowusher/coordination/placement/initial_placement.py
+++ b/hollowusher/coordination/placement/initial_placement.py
@@ -1,4 +1,4 @@
-"""The first placement of a new cluster.  No I/O, no clock."""
+"""The initial placement of a new cluster.  The module performs no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 PARTITION_COUNT = 16
 FIRST_VERSION = 1
 FIRST_EPOCH = 1
-MIN_STORES_PER_HOME_ZONE = 2  # in some zone; with one store a zone the replicas cannot be nearer
+# If every zone has only one store, no zone can hold two replicas of a partition and home zones are not used.
+MIN_STORES_PER_HOME_ZONE = 2
 
 
 def plan_initial_placement(
@@ -23,16 +24,16 @@
     partitions: int = PARTITION_COUNT,
     policy: ZonePolicy = ZonePolicy.SPREAD,
 ) -> Placement:
-    """Return the first placement on these stores, which does not depend on their order.
+    """Return the initial placement on `stores`; it does not depend on their order.
 
-    `tolerance` is the number of losses that the deployment tolerates (f): a partition gets 2f+1 replicas, or
-    as many as there are stores.
+    `tolerance` is the number of simultaneous machine losses that the deployment tolerates (f).  Each
+    partition gets 2f+1 replicas, or one replica on each store if there are fewer stores.
     """
     replica_count = min(len(stores), 2 * tolerance + 1)
     load: Counter[str] = Counter()
-    partitions_per_home_zone: Counter[str] = Counter()  # how many partitions have their home in each zone
+    partitions_per_home_zone: Counter[str] = Counter()  # by zone
     replicas = {}
-    primary_candidates = {}  # for the primary
+    primary_candidates = {}  # replicas that may become the primary, by partition
     for partition in range(partitions):
         home_replicas: list[str] = []
         if policy is ZonePolicy.QUORUM_AT_HOME:
@@ -67,10 +68,11 @@
     partitions_per_home_zone: Counter[str],
     load: Mapping[str, int],
 ) -> list[str]:
-    """Choose the home zone of one partition, count it in `homes`, and return the replicas there.
+    """Choose the home zone of one partition and return up to `quorum` replicas there.
 
-    That is the zone with the fewest partitions for its stores; nothing is returned where no zone has two
-    stores, since there is no choice then.
+    The home zone is the zone with the fewest home partitions per store; the function increments its count in
+    `partitions_per_home_zone`.  The result is empty if no zone has at least two stores, because then no zone
+    can hold more than one replica of the partition.
     """
     by_zone: dict[str, list[str]] = {}
     for store in stores:
@@ -90,10 +92,10 @@
     load: Mapping[str, int],
     home_replicas: Sequence[str],
 ) -> list[str]:
-    """Return the replicas of one partition, those of its `home` zone first.
+    """Return the replicas of one partition, starting with `home_replicas`, those in its home zone.
 
-    Stores of the zones that have the fewest of its replicas go first, then those with the least load, then
-    the order of rendezvous hashing.
+    Each further replica goes to a store in the zone that holds the fewest replicas of the partition.  Ties
+    are broken by the lower load (replicas of all partitions on the store), then by rendezvous hashing.
     """
     by_id = {store.store_id: store for store in stores}
     order = {store_id: position for position, store_id in enumerate(rank(f"partition/{partition}", by_id))}
--- a/hollowusher/coordination/placement/learner_reports.py
+++ b/hollowusher/coordination/placement/learner_reports.py
@@ -1,6 +1,7 @@
-"""The reports of primaries about their learners.  No I/O, no clock.
+"""The reports of primaries about their learners.
 
-All times are seconds of the caller's monotonic clock.
+The module performs no I/O and reads no clock: callers pass the time as `now`, in seconds of their monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -8,13 +9,13 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-REPORT_VALIDITY_S = 2.5  # a primary repeats its report more often than this while it stands
+REPORT_VALIDITY_S = 2.5  # a primary repeats its report at shorter intervals while the report holds
 
 
 class LearnerReport(NamedTuple):
-    """What a report is about: one learner of a partition in one epoch.
+    """The subject of a report: one learner of a partition in one epoch.
 
-    A report counts in that epoch alone, whenever it arrives.
+    A report applies only to that epoch, even if it arrives in a later one.
     """
 
     partition: int
@@ -23,37 +24,40 @@
 
 
 class LearnerReports:
-    """The valid reports; the newest one about a learner replaces those before it.
+    """The valid reports; a new report about a learner replaces the previous one.
 
-    Invariant: a report is in one of the two groups at most.
+    Invariant: a `LearnerReport` is never both in `ready` and in `lost`.
     """
 
     def __init__(self) -> None:
-        self._ready: dict[LearnerReport, float] = {}  # report -> when it was received last
+        self._ready: dict[LearnerReport, float] = {}  # report -> time of its last receipt
         self._lost: dict[LearnerReport, float] = {}
 
     @property
     def ready(self) -> Collection[LearnerReport]:
-        """The learners that hold every committed record of their partition."""
+        """The learners that hold every committed record of their partition, as their primary reported."""
         return self._ready.keys()
 
     @property
     def lost(self) -> Collection[LearnerReport]:
-        """The learners that do not answer their primary."""
+        """The learners that do not answer their primary, as the primary reported."""
         return self._lost.keys()
 
     def record_ready(self, report: LearnerReport, now: float) -> None:
-        """Record that a learner has caught up."""
+        """Record a primary's report that a learner has caught up."""
         self._lost.pop(report, None)
         self._ready[report] = now
 
     def record_lost(self, report: LearnerReport, now: float) -> None:
-        """Record that a learner does not answer its primary."""
+        """Record a primary's report that a learner does not answer it."""
         self._ready.pop(report, None)
         self._lost[report] = now
 
     def remove_expired(self, now: float) -> None:
-        """Drop the reports that are not repeated: their primary has lost the learner or the partition."""
+        """Drop the reports that the primary did not repeat within `REPORT_VALIDITY_S`.
+
+        Such a primary has lost the learner or is no longer the primary of the partition.
+        """
         oldest = now - REPORT_VALIDITY_S
         self._ready = {report: received for report, received in self._ready.items() if received >= oldest}
         self._lost = {report: received for report, received in self._lost.items() if received >= oldest}
--- a/hollowusher/coordination/placement/operator_answers.py
+++ b/hollowusher/coordination/placement/operator_answers.py
@@ -1,4 +1,4 @@
-"""The answers to operators' orders about stores and partitions.  Their texts are an interface."""
+"""The responses to operators' orders about stores and partitions.  The texts are part of the operator API."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def state_answer(state: str) -> OperatorResponse:
-    """Return the answer that shows the state of an order which was accepted."""
+    """Return the response to an accepted order: HTTP 200 with the state of the order as JSON."""
     return OperatorResponse(HTTPStatus.OK.value, orjson.dumps({"state": state}))
 
 
 def rejection_answer(error: OrderRejectedError) -> OperatorResponse:
-    """Return the answer to an order that was rejected."""
+    """Return the response to a rejected order: the HTTP status and the text of `error` as JSON."""
     return OperatorResponse(error.status.value, orjson.dumps({"error": str(error)}))
--- a/hollowusher/coordination/placement/partition_health.py
+++ b/hollowusher/coordination/placement/partition_health.py
@@ -1,7 +1,10 @@
-"""Which partitions can be served, and how many further losses of stores are tolerated.  No I/O, no clock.
+"""Which partitions can be served, and how many further store losses are tolerated.
 
-A partition is lost while fewer of its replicas are live than a takeover needs: no primary may serve it then,
-because a record may be known to the missing replicas alone.  If they return, it is restored by itself.
+The module performs no I/O and reads no clock.
+
+A partition is lost while the number of its live replicas is below the takeover quorum.  No primary may then
+serve the partition, because a committed record may exist only on the missing replicas.  When enough of them
+return, the partition is served again without an operator's order.
 """
 
 from __future__ import annotations
@@ -13,16 +16,16 @@
 from hollowusher.protocol.control_status import PartitionStatus
 from hollowusher.protocol.placement import PartitionPlacement, Placement
 
-NOT_SERVED = -1  # the margin of a partition that cannot be served now
+NOT_SERVED = -1  # the margin of a partition that currently cannot be served
 
 
 def live_store_ids(stores: Mapping[str, StoreCondition]) -> set[str]:
-    """Return the ids of the stores whose process is alive, with the disk that it has."""
+    """Return the store ids ("name/disk id") of the stores whose process is alive, with their current disk."""
     return {condition.store_id for condition in stores.values() if condition.is_alive}
 
 
 def is_lost(entry: PartitionPlacement, live: Collection[str], tolerance: int) -> bool:
-    """Return whether no primary can serve a partition as long as no replica returns."""
+    """Return whether too few replicas are live for any primary to serve the partition."""
     present = sum(replica in live for replica in entry.replicas)
     return present < takeover_quorum(len(entry.replicas), tolerance)
 
@@ -30,7 +33,7 @@
 def lost_partitions(
     placement: Placement, live: Collection[str], tolerance: int
 ) -> dict[int, PartitionPlacement]:
-    """Return the lost partitions by number."""
+    """Return the entries of the lost partitions, by partition number."""
     return {entry.partition: entry for entry in placement.partitions if is_lost(entry, live, tolerance)}
 
 
@@ -54,9 +57,10 @@
 
 
 def store_losses_borne(statuses: Iterable[PartitionStatus], tolerance: int) -> int:
-    """Return how many further stores may be lost with every partition served and every record kept.
+    """Return how many more stores may be lost before some partition cannot be served.
 
-    That is -1 where some partition cannot be served now.
+    Until then every partition is served and no committed record is lost.  The result is -1 if some partition
+    currently cannot be served.
     """
     margins = [
         status.living - takeover_quorum(status.replicas, tolerance) if status.replicas else NOT_SERVED
--- a/hollowusher/coordination/placement/partition_operations.py
+++ b/hollowusher/coordination/placement/partition_operations.py
@@ -1,4 +1,8 @@
-"""The head's operations on lost partitions: log lines, statuses, and the operator's order to recover one."""
+"""Operations of the head of the control chain on lost partitions.
+
+The head logs lost and restored partitions, reports the status of each partition, and executes an operator's
+order to recover a lost partition.
+"""
 
 from __future__ import annotations
 
@@ -22,9 +26,9 @@
 
 
 class PartitionOperations:
-    """Shows which partitions are lost, and recovers one by an operator's order.
+    """Reports partition statuses, logs lost partitions and recovers them on an operator's order.
 
-    It owns the set of the partitions that were logged as lost.
+    It owns the set of partitions that it last logged as lost.
     """
 
     def __init__(self, context: PlacementContext) -> None:
@@ -32,7 +36,7 @@
         self._logged_lost: set[int] = set()
 
     def statuses(self) -> list[PartitionStatus]:
-        """Return the status of each partition as this controller knows it."""
+        """Return the status of each partition, based on the state and the members of this controller."""
         state = self._context.chain.state
         if state is None or state.placement is None:
             return []
@@ -40,7 +44,7 @@
         return partition_statuses(state.placement, stores, self._context.tolerance)
 
     def log_changes(self, placement: Placement) -> None:
-        """Log the partitions that are lost and those that are restored since the last call."""
+        """Log the partitions that were lost or restored since the last call."""
         live = live_store_ids(self._context.store_conditions(placement))
         lost = lost_partitions(placement, live, self._context.tolerance)
         for partition in sorted(lost.keys() - self._logged_lost):
@@ -52,7 +56,11 @@
         self._logged_lost = set(lost)
 
     async def recover(self, order: RecoverPartition) -> OperatorResponse:
-        """Have a lost partition served by its live replicas, as the operator has ordered."""
+        """Execute an operator's order to let the live replicas of a lost partition serve it.
+
+        Return status 200 once the new placement is committed, 404 or 409 if the order is rejected, and 503 if
+        this controller is not the head or could not confirm the commit.
+        """
         chain = self._context.chain
         if chain.state is None or chain.state.placement is None or not chain.is_head:
             return UNAVAILABLE
@@ -60,7 +68,7 @@
         recovered: list[Placement] = []
 
         def update(newest: ControlState) -> ControlState | None:
-            assert newest.placement is not None  # a placement is never removed
+            assert newest.placement is not None  # a placement is never removed once it exists
             try:
                 recovered.append(self._plan_recovery(newest.placement, order))
             except OrderRejectedError as error:
--- a/hollowusher/coordination/placement/partition_recovery.py
+++ b/hollowusher/coordination/placement/partition_recovery.py
@@ -1,8 +1,8 @@
-"""Recovery of a lost partition by an operator's order.  No I/O, no clock.
+"""Recovery of a lost partition on an operator's order.  The module performs no I/O and reads no clock.
 
-If the missing replicas of a lost partition never return, only an operator can know that.  The order names
-every replica that is abandoned; the others serve in a new epoch.  Records that only the abandoned replicas
-held are lost.
+Only an operator can decide that the missing replicas of a lost partition will never return.  The order names
+every replica to abandon, and the remaining replicas serve the partition in a new epoch.  Records that only
+the abandoned replicas held are lost.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
     tolerance: int,
     order: RecoverPartition,
 ) -> Placement:
-    """Return the placement in which the live replicas of a lost partition serve without the others.
+    """Return the placement in which only the live replicas of a lost partition serve it.
 
     Raises
     ------
     UnknownTargetError
-        If there is no such partition.
+        If the placement has no partition with the number in the order.
     OrderConflictError
-        If the partition is not lost, no replica of it is live, or the order does not name exactly the
-        replicas that are not live.
+        If the partition is not lost, if none of its replicas is live, or if the replicas that the order names
+        are not exactly those that are not live.
     """
     entry = next((each for each in placement.partitions if each.partition == order.partition), None)
     if entry is None:
@@ -47,7 +47,10 @@
 
 
 def _check_abandoned(entry: PartitionPlacement, live: Collection[str], abandoned: set[str]) -> None:
-    """Raise an `OrderConflictError` unless `abandoned` are exactly the replicas that are not live."""
+    """Raise an `OrderConflictError` unless `abandoned` holds exactly the replicas that are not live.
+
+    Also raise it if no replica is live.
+    """
     replicas = set(entry.replicas)
     remaining = replicas.intersection(live)
     if unknown := sorted(abandoned - replicas):
--- a/hollowusher/coordination/placement/partitioner.py
+++ b/hollowusher/coordination/placement/partitioner.py
@@ -1,9 +1,10 @@
-"""The choice of the partition for a service's messages.  No I/O, no clock.
+"""The choice of the partition for the messages of a service.  The module performs no I/O and reads no clock.
 
-The messages of a service with a rate limit or with ordered routes are all in its home partition, because its
-primary alone keeps order and rate.  Any other message may be in any partition.  It is put to a store of the
-sender's own zone, and workers ask there first, so that its body need not cross zones; jobs that nobody leases
-there are offered to all (`JobsWaiting`).
+All messages of a service with a rate limit or with ordered routes are stored in the home partition of the
+service, because only a single primary can enforce the order and the rate limit.  The messages of other
+services may be stored in any partition.  The intake prefers a partition whose primary is in its own zone, and
+the dispatchers lease jobs from the primaries of their own zone first, so that message bodies rarely cross
+zones.  A store that holds jobs which no dispatcher leases notifies all dispatchers (`JobsWaiting`).
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 
 
 def rank_partitions(service: str, partitions: Iterable[int]) -> list[int]:
-    """Return the partitions in the order of preference for a service; the first is its home partition."""
+    """Return the partitions by decreasing preference for a service; the first is its home partition."""
     key = f"home/{service}"
     return sorted(partitions, key=lambda partition: (weight(key, str(partition)), partition), reverse=True)
 
 
 def has_single_home(service: str, configuration: Configuration | None) -> bool:
-    """Return whether all messages of a service must be in its home partition.
+    """Return whether all messages of a service must be stored in its home partition.
 
-    That is so, too, while the service or the configuration is not known.
+    The result is also True if the configuration is None or does not contain the service.
     """
     found = configuration.service(service) if configuration is not None else None
     if configuration is None or found is None or found.rate_per_s > 0:
@@ -34,16 +35,17 @@
 
 
 class ZonePartitioner:
-    """Ranks partitions for the processes of one zone; all of them compute the same order."""
+    """Ranks partitions for the processes of one zone; all processes of a zone compute the same order."""
 
     def __init__(self, state: ClusterState, zone: str) -> None:
         self._state = state
         self._zone = zone
 
     def __call__(self, service: str, partitions: Iterable[int]) -> list[int]:
-        """Return the partitions in the order of preference for a service.
+        """Return the partitions by decreasing preference for a service.
 
-        For a service without a single home that is one partition of each store, those of the zone first.
+        For a service without a single home partition, the result has one partition for each store that is a
+        primary.  Partitions whose primary is in this zone come first.
         """
         ranking = rank_partitions(service, partitions)
         if has_single_home(service, self._state.configuration):
--- a/hollowusher/coordination/placement/placed_stores.py
+++ b/hollowusher/coordination/placement/placed_stores.py
@@ -1,4 +1,4 @@
-"""The stores that a placement names."""
+"""The stores that a placement assigns replicas or learners to."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def placed_store_names(placement: Placement) -> set[str]:
-    """Return the names of the machines that hold a replica or a learner."""
+    """Return the names of the stores that hold a replica or a learner in `placement`."""
     return {
         store_name(store_id)
         for entry in placement.partitions
@@ -16,5 +16,5 @@
 
 
 def is_store_placed(placement: Placement, name: str) -> bool:
-    """Return whether a machine holds a replica or a learner."""
+    """Return whether the store `name` holds a replica or a learner in `placement`."""
     return name in placed_store_names(placement)
--- a/hollowusher/coordination/placement/placement_context.py
+++ b/hollowusher/coordination/placement/placement_context.py
@@ -1,4 +1,4 @@
-"""What the tasks of placement at the head share."""
+"""The dependencies that the placement tasks of the head of the control chain share."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @attrs.frozen
 class PlacementContext:
-    """The dependencies of the placement tasks; none of them owns these.
+    """The shared dependencies of the placement tasks, none of which owns them.
 
-    `tolerance` is the number of losses that the deployment tolerates (f); `clock` returns seconds of a
-    monotonic clock.
+    `tolerance` is the number of simultaneous machine losses that the deployment tolerates (f); `clock`
+    returns seconds of a monotonic clock.
     """
 
     chain: ControlChain
@@ -29,6 +29,6 @@
     log: LogFunction
 
     def store_conditions(self, placement: Placement | None) -> Mapping[str, StoreCondition]:
-        """Return the conditions by name of all known stores and of those that a placement names."""
+        """Return the condition of each store in the directory or in `placement`, by store name."""
         placed = placed_store_names(placement) if placement is not None else set()
         return self.directory.store_conditions(placed, self.clock())
--- a/hollowusher/coordination/placement/placement_draft.py
+++ b/hollowusher/coordination/placement/placement_draft.py
@@ -1,4 +1,4 @@
-"""The placement that one run of the planner changes.  No I/O, no clock."""
+"""The placement draft that one planner run modifies.  The module performs no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class PlacementDraft:
-    """A placement under construction, with the load of the stores in it.
+    """A placement under construction, with the number of primaries and replicas on each store.
 
-    Invariant: a partition's epoch is greater than in the former placement if its primary, the primary's
-    incarnation or its replicas have changed, or a learner was removed; otherwise it is the same.
+    Invariant: the epoch of a partition is greater than in the original placement if its primary, the
+    incarnation of its primary or its replicas have changed, or if a learner was removed.  Otherwise the epoch
+    is unchanged.
     """
 
     def __init__(
@@ -33,18 +34,18 @@
         self.primary_load = Counter(entry.primary for entry in entries)
         self.replica_load = Counter(replica for entry in entries for replica in entry.replicas)
         learner_load = Counter(learner for entry in entries for learner in entry.learners)
-        self.copy_load = self.replica_load + learner_load  # learners removed in this run still count
+        self.copy_load = self.replica_load + learner_load  # still includes learners removed in this run
         self._former_epochs = {entry.partition: entry.epoch for entry in entries}
 
-    # ---- questions
+    # ---- queries
 
     @property
     def target_replica_count(self) -> int:
-        """How many replicas a partition should have."""
+        """The number of replicas that each partition should have."""
         return min(2 * self.tolerance + 1, len(self.states.usable))
 
     def missing_replica_count(self, entry: PartitionPlacement) -> int:
-        """Return how many replicas a partition lacks."""
+        """Return how many replicas a partition has below the target."""
         return max(0, self.target_replica_count - len(entry.replicas))
 
     def live_replica_count(self, entry: PartitionPlacement) -> int:
@@ -52,13 +53,14 @@
         return sum(replica in self.states.live for replica in entry.replicas)
 
     def has_all_replicas_live(self, entry: PartitionPlacement) -> bool:
-        """Return whether all replicas are live, so that a move costs no more than a hand-over."""
+        """Return whether all replicas are live: only then does a move cost no more than a handover."""
         return self.live_replica_count(entry) == len(entry.replicas)
 
     def home_replica_count(self, replicas: Sequence[str], primary: str) -> int:
-        """Return how many of these replicas are at home: in the zone of a primary, up to a commit quorum.
+        """Return how many of `replicas` are in the home zone, which is the zone of `primary`.
 
-        It is 0 where the replicas are to be spread.
+        The count is limited to the size of a commit quorum.  It is 0 under `ZonePolicy.SPREAD`, which has no
+        home zones.
         """
         if self.policy is ZonePolicy.SPREAD:
             return 0
@@ -68,7 +70,7 @@
     # ---- changes
 
     def set_primary(self, entry: PartitionPlacement, primary: str) -> None:
-        """Make a live replica the primary, in a new epoch."""
+        """Make a live replica the primary and start a new epoch."""
         self.primary_load[entry.primary] -= 1
         self.primary_load[primary] += 1
         self.entries[entry.partition] = evolve(
@@ -79,7 +81,10 @@
         )
 
     def promote(self, entry: PartitionPlacement, learner: str, replaced: str | None) -> None:
-        """Make a learner a replica in the place of another one, or an additional one, in a new epoch."""
+        """Make a learner a replica and start a new epoch.
+
+        The learner takes the place of the replica `replaced`, or is added if `replaced` is None.
+        """
         learners = [other for other in entry.learners if other != learner]
         self.replica_load[learner] += 1
         if replaced is not None:
@@ -92,7 +97,7 @@
         )
 
     def set_learners(self, entry: PartitionPlacement, learners: Sequence[str]) -> None:
-        """Set the learners; the removal of one starts a new epoch, which voids the reports about it."""
+        """Set the learners; removing a learner starts a new epoch, which invalidates the reports about it."""
         epoch = entry.epoch
         if set(entry.learners) - set(learners):
             epoch = max(epoch, self._former_epochs[entry.partition] + 1)
@@ -101,7 +106,7 @@
 
 
 def replicas_after(entry: PartitionPlacement, learner: str, replaced: str | None) -> list[str]:
-    """Return a partition's replicas with a learner in the place of another one, or as an additional one."""
+    """Return a partition's replicas after a learner replaces `replaced`, or is added if that is None."""
     if replaced is None:
         return [*entry.replicas, learner]
     return [learner if replica == replaced else replica for replica in entry.replicas]
--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -1,7 +1,7 @@
-"""The head's placement task: primaries, replicas and learners follow the stores.
+"""The placement task of the head: it adapts primaries, replicas and learners to the state of the stores.
 
-`PlacementManager` decides when a placement is planned and has it committed; `planner` decides what it is.
-Operators' orders are carried out by `StoreRetirement` and `PartitionOperations`.
+`PlacementManager` decides when to plan a placement, and commits the result to the control chain.  `planner`
+computes the placement.  `StoreRetirement` and `PartitionOperations` execute operators' orders.
 """
 
 from __future__ import annotations
@@ -33,25 +33,25 @@
 from hollowusher.protocol.placement import LearnerLost, LearnerReady, Placement
 
 POLL_INTERVAL_S = 0.1
-REPLAN_INTERVAL_S = 0.5  # a placement is planned this often even when nothing has changed
-BALANCING_MOVE_INTERVAL_S = 1.0  # one primary and one replica at most are moved for balance in this time ...
-RETIRING_MOVE_INTERVAL_S = 0.2  # ... and, while a store is retiring, in this time
-STORES_STABLE_AFTER_S = 1.0  # the first placement waits until no store has registered for this long ...
-FEW_STORES_WAIT_S = 5.0  # ... and, with fewer than 2f+1 stores, until the head has waited this long
+REPLAN_INTERVAL_S = 0.5  # interval between plans while nothing changes
+BALANCING_MOVE_INTERVAL_S = 1.0  # minimum time between balancing moves: one primary and one replica each ...
+RETIRING_MOVE_INTERVAL_S = 0.2  # ... and the same while a store is retiring
+STORES_STABLE_AFTER_S = 1.0  # the initial placement waits until no store has registered for this long ...
+FEW_STORES_WAIT_S = 5.0  # ... and, with fewer than 2f+1 stores, at least this long after the head took office
 
 
 @attrs.frozen
 class _Observation:
-    """What a placement was planned for: while it is the same, nothing is planned again."""
+    """The versions of the planner's input; an unchanged input is not planned again immediately."""
 
     directory_changes: int
     state_sequence: int
 
 
 class PlacementManager:
-    """Keeps the placement right while its process is the head of the control chain.
+    """Adapts the placement to the stores while its process is the head of the control chain.
 
-    It owns the reports about learners; the placement itself is a part of the control state.
+    It owns the reports about learners.  The placement itself is part of the control state.
     """
 
     MESSAGES: tuple[type, ...] = (RetireStore, LearnerReady, LearnerLost, RecoverPartition)
@@ -73,7 +73,7 @@
         self._retirement = StoreRetirement(self._context)
         self._partitions = PartitionOperations(self._context)
         self._reports = LearnerReports()
-        self._planned_for: _Observation | None = None  # None: plan at the next opportunity
+        self._planned_for: _Observation | None = None  # None: plan at the next poll
         self._planned_at = 0.0
         self._moved_at = 0.0
         self._head_since: float | None = None
@@ -86,7 +86,7 @@
     # ---- messages
 
     async def handle(self, message: object) -> object:
-        """Return the answer to one of `MESSAGES`."""
+        """Handle a message of one of the types in `MESSAGES` and return the response."""
         return await self._handlers.handle(message)
 
     async def _handle_learner_ready(self, message: LearnerReady) -> Acknowledgement:
@@ -102,13 +102,13 @@
         return Acknowledgement()
 
     def partition_statuses(self) -> list[PartitionStatus]:
-        """Return the status of each partition as this controller knows it."""
+        """Return the status of each partition, based on the state and the members of this controller."""
         return self._partitions.statuses()
 
-    # ---- the loop
+    # ---- the polling loop
 
     async def run(self) -> None:
-        """Update the placement whenever this process is the head; run until cancelled."""
+        """Update the placement while this process is the head; run until cancelled."""
         while True:
             if self._chain.is_head:
                 if self._head_since is None:
@@ -140,12 +140,12 @@
         await self._chain.change(lambda newest: self._next_state(newest, allow_moves=allow_moves))
 
     def _next_state(self, state: ControlState, *, allow_moves: bool) -> ControlState | None:
-        """Return the state with the placement and the retirements as they should be; None if they are."""
+        """Return the state with updated placement and retirements; None if neither has to change."""
         if state.placement is None:
             return self._with_initial_placement(state)
         planned = self._plan(state, state.placement, allow_moves=allow_moves)
         placement = planned or state.placement
-        retiring = self._retirement.progress(state, placement)
+        retiring = self._retirement.updated_orders(state, placement)
         if planned is None and retiring == state.retiring:
             return None
         return evolve(state, placement=placement, retiring=retiring)
@@ -162,7 +162,7 @@
         )
         return plan_placement(placement, planning_input)
 
-    # ---- the first placement
+    # ---- the initial placement
 
     def _with_initial_placement(self, state: ControlState) -> ControlState | None:
         stores = self._initial_stores()
@@ -172,7 +172,7 @@
         return evolve(state, placement=placement)
 
     def _initial_stores(self) -> list[Member]:
-        """Return the stores for the first placement, none while more may register."""
+        """Return the stores for the initial placement; empty while more stores are expected to register."""
         now = self._clock()
         stores = self._directory.live_members(MemberRole.STORE)
         if not stores or self._head_since is None:
--- a/hollowusher/coordination/placement/planner.py
+++ b/hollowusher/coordination/placement/planner.py
@@ -1,13 +1,16 @@
-"""The next placement, as the conditions of the stores require it.  No I/O, no clock.
+"""Computation of the next placement from the conditions of the stores.
 
-A partition has min(stores, 2f+1) replicas; one of them is its primary.  A record is committed on f+1
-replicas, the primary among them, and a new primary reads replicas - f of them, so the two always intersect.
+The module performs no I/O and reads no clock.
 
-Each change of a partition's primary or replicas starts a greater epoch, and so does the removal of a learner:
-what its primary reported about it no longer counts, whenever that report arrives.
+A partition has min(stores, 2f+1) replicas, and one of them is its primary.  A record is committed once f+1
+replicas, including the primary, have stored it.  A new primary reads from all but f of the replicas.  These
+two quorums always intersect, so the new primary finds every committed record.
 
-Sources: Lamport, Malkhi, Zhou, "Vertical Paxos and primary-backup replication" (2009): configurations that a
-separate service decides; docs/control-safety/stores.md has the argument and the tables.
+Each change of the primary or the replicas of a partition starts a new, greater epoch.  The removal of a
+learner does the same, so that a report of the primary about that learner is invalid even if it arrives later.
+
+Sources: Lamport, Malkhi, Zhou, "Vertical Paxos and primary-backup replication" (2009), in which a separate
+service decides on the configurations.  docs/control-safety/stores.md has the safety argument and the tables.
 """
 
 from __future__ import annotations
@@ -28,12 +31,13 @@
 
 @attrs.frozen
 class PlanningInput:
-    """What the next placement depends on besides the present one.
+    """The input of the planner besides the current placement.
 
-    `stores` has the condition by name of every store that is known or placed; `tolerance` is the number of
-    losses that the deployment tolerates (f); `retiring` has the names of the machines being retired.  Where
-    `allow_moves` is set, one primary may be moved for balance or away from a retiring machine, and one
-    replica may be moved for balance.  `policy` says where among the zones the replicas belong.
+    `stores` maps the name of each store in the member directory or in the placement to its condition.
+    `tolerance` is the number of simultaneous machine losses that the deployment tolerates (f).  `retiring`
+    holds the names of the stores being retired.  `ready_learners` and `lost_learners` are the valid reports
+    of primaries.  If `allow_moves` is set, the planner may move one primary for balance or off a retiring
+    store, and start one replica move for balance.  `policy` selects how replicas are distributed over zones.
     """
 
     stores: Mapping[str, StoreCondition]
@@ -46,7 +50,7 @@
 
 
 def plan_placement(placement: Placement, planning_input: PlanningInput) -> Placement | None:
-    """Return the next placement, None where the present one is right."""
+    """Return the next placement; None if the current one needs no change."""
     states = ReplicaStates(planning_input.stores, planning_input.retiring, placement)
     draft = PlacementDraft(placement, states, planning_input.tolerance, planning_input.policy)
     replicas = ReplicaPlanner(draft)
--- a/hollowusher/coordination/placement/primary_balance.py
+++ b/hollowusher/coordination/placement/primary_balance.py
@@ -1,7 +1,7 @@
-"""Balanced choice of primaries among given replicas.  No I/O, no clock.
+"""Balanced choice of primaries among given replicas.  The module performs no I/O and reads no clock.
 
-This is a bipartite matching of partitions with stores that may each take several, by augmenting paths: a
-store that is full passes one of its partitions on to another replica.
+The algorithm is a bipartite matching of partitions to stores by augmenting paths, in which a store may take
+several partitions.  If a store has reached its limit, one of its partitions is reassigned to another replica.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 def balance_primaries(replicas: Mapping[int, Sequence[str]], limit: int) -> dict[int, str]:
-    """Return a primary for each partition among its replicas.
+    """Return a primary for each partition, chosen among the replicas of the partition.
 
-    A store gets at most `limit` primaries where that is possible, and never two more than another replica of
-    one of its partitions.
+    Each store becomes the primary of at most `limit` partitions if such an assignment exists.  The primary of
+    a partition has at most one primary more than each other replica of that partition.
     """
     assignment = _PrimaryAssignment(replicas, limit)
     for partition in replicas:
@@ -36,12 +36,12 @@
         self._partitions_of: defaultdict[str, set[int]] = defaultdict(set)
 
     def assign(self, partition: int) -> None:
-        """Give a partition its primary, above the limit only where every other assignment is, too."""
+        """Assign a primary to a partition; exceed the limit only if no assignment within it exists."""
         if not self._assign_within_limit(partition, set()):
             self._set_primary(partition, min(self._replicas[partition], key=self._load))
 
     def _assign_within_limit(self, partition: int, visited: set[str]) -> bool:
-        """Find an augmenting path from a partition over stores that were not `visited`; apply it if found."""
+        """Search an augmenting path from a partition through stores not in `visited`; apply it if found."""
         candidates = [store for store in self._replicas[partition] if store not in visited]
         for store in sorted(candidates, key=self._load):
             if store in visited:
@@ -67,7 +67,7 @@
         return len(self._partitions_of[store])
 
     def rebalance(self) -> None:
-        """Move primaries to replicas that have at least two fewer, until there are none."""
+        """Move primaries to replicas with at least two fewer primaries until there are no such replicas."""
         load = Counter(self.primaries.values())
         has_moved = True
         while has_moved:
--- a/hollowusher/coordination/placement/primary_planner.py
+++ b/hollowusher/coordination/placement/primary_planner.py
@@ -1,7 +1,7 @@
-"""Changes of primaries.  No I/O, no clock.
+"""Planning of primary changes.  The module performs no I/O and reads no clock.
 
-An epoch belongs to one incarnation of one primary's process (`primary_incarnation`): a primary that has
-restarted gets a new epoch, and so does every other one.
+An epoch belongs to one incarnation of the primary's process (`primary_incarnation`).  A new epoch therefore
+starts when another replica becomes the primary, and also when the primary restarts and stays the primary.
 """
 
 from __future__ import annotations
@@ -12,20 +12,23 @@
 from hollowusher.coordination.rendezvous import weight
 from hollowusher.protocol.placement import PartitionPlacement
 
-MIN_BALANCE_GAIN = 2  # a move for balance has to bring two stores closer by so many primaries
-RETIRING_PRIORITY = 1_000_000  # a primary leaves a retiring machine before any move for balance
-ANY_INCARNATION = 0
+MIN_BALANCE_GAIN = 2  # minimum difference in primaries between two stores for a balancing move
+RETIRING_PRIORITY = 1_000_000  # primaries move off retiring stores before any balancing move
+ANY_INCARNATION = 0  # a `primary_incarnation` that matches every incarnation of the primary
 
 
 class PrimaryPlanner:
-    """Chooses the primaries in a draft."""
+    """Chooses the primaries in a placement draft."""
 
     def __init__(self, draft: PlacementDraft) -> None:
         self.draft = draft
         self.states = draft.states
 
     def replace_primary(self, partition: int) -> None:
-        """Replace a primary that is down by a live replica; give one that has restarted a new epoch."""
+        """Replace a primary that is down with a live replica; start a new epoch if it has restarted.
+
+        After a restart of the primary, a stable replica becomes the primary instead if there is one.
+        """
         entry = self.draft.entries[partition]
         if entry.primary not in self.states.live:
             candidates = [replica for replica in entry.replicas if replica in self.states.live]
@@ -51,7 +54,7 @@
         )
 
     def move_one_primary(self) -> None:
-        """Move one primary off a retiring machine, or else towards balance."""
+        """Move one primary off a retiring store; if there is none, move one primary for balance."""
         moves = [
             (gain, -entry.partition, replica)
             for entry in self.draft.entries.values()
@@ -63,7 +66,7 @@
             self.draft.set_primary(self.draft.entries[-negated_partition], replica)
 
     def _move_gain(self, entry: PartitionPlacement, replica: str) -> int:
-        """Return how much is gained by a move of the primary to `replica`; 0 if it must not be moved."""
+        """Return the gain of moving the primary to `replica`; 0 if the move is not allowed or useful."""
         load = self.draft.primary_load
         if replica == entry.primary or replica not in self.states.usable:
             return 0
@@ -78,8 +81,8 @@
         return difference if difference >= MIN_BALANCE_GAIN else 0
 
     def _can_hand_over(self, entry: PartitionPlacement) -> bool:
-        """Return whether enough replicas are live for another primary to take over.
+        """Return whether enough replicas are live for another replica to take over as the primary.
 
-        A retiring machine does not wait until the last one of the others has been replaced.
+        Up to f replicas may be down, so a primary can move off a retiring store before they are replaced.
         """
         return self.draft.live_replica_count(entry) >= len(entry.replicas) - self.draft.tolerance
--- a/hollowusher/coordination/placement/replica_planner.py
+++ b/hollowusher/coordination/placement/replica_planner.py
@@ -1,15 +1,15 @@
-"""Changes of replicas and learners.  No I/O, no clock.
+"""Planning of replica and learner changes.  The module performs no I/O and reads no clock.
 
-A replica is replaced in two steps: a learner copies everything first; when the primary has reported that it
-has caught up, it replaces the replica, provided that no more than f of the new replicas are missing.  One
-replica of a partition is replaced at a time.
+A replica is replaced in two steps.  First a learner copies all records of the partition.  When the primary
+has reported that the learner has caught up, the learner replaces the replica, provided that at most f of the
+new replicas are down.  Each partition replaces one replica at a time.
 
-Copies are made where they are needed (a replica is lost, missing, retiring, or lacking).  While the cluster
-is quiet they are made for balance, too, one at a time: a store that was added, or that has returned after
-its replicas were replaced, gets replicas of the store that has most.
+A copy is started when a replica is lost, missing or retiring, or when the partition has too few replicas.
+While the cluster is in a steady state, copies are also started for balance, one at a time: a store that was
+added, or that returned after its replicas were replaced, receives replicas from the store that has the most.
 
 Sources: Ongaro, "Consensus: bridging theory and practice" (2014), chapter 4: a server catches up before it
-counts, and servers are changed one at a time.
+becomes a voting member, and the membership changes by one server at a time.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from hollowusher.coordination.store_id import store_name
 from hollowusher.protocol.placement import PartitionPlacement
 
-MIN_BALANCE_GAIN = 2  # a move for balance has to bring two stores closer by so many replicas
+MIN_BALANCE_GAIN = 2  # minimum difference in replicas between two stores for a balancing move
 
 
 class ReplicaPlanner:
-    """Chooses the replicas and learners in a draft."""
+    """Chooses the replicas and learners in a placement draft."""
 
     def __init__(self, draft: PlacementDraft) -> None:
         self.draft = draft
@@ -36,9 +36,10 @@
     # ---- promotion
 
     def promote_learners(self, partition: int, ready: Collection[LearnerReport]) -> None:
-        """Promote a learner that has caught up.
+        """Promote at most one learner that has caught up.
 
-        That starts a new epoch, in which further learners are reported again: so it is one at most.
+        The promotion starts a new epoch, so the primary has to report the remaining learners again before the
+        next promotion.
         """
         entry = self.draft.entries[partition]
         for learner in entry.learners:
@@ -56,7 +57,10 @@
             self.draft.promote(entry, learner, replaced)
 
     def _replica_to_replace(self, entry: PartitionPlacement, learner: str) -> str | None:
-        """Return the replica that a learner replaces; None where it becomes an additional one, or none."""
+        """Return the replica that a learner replaces.
+
+        Return None if the learner becomes an additional replica or if it must not be promoted.
+        """
         candidates = [
             replica
             for replica in entry.replicas
@@ -69,10 +73,10 @@
         return self._replica_to_offload(entry, learner)
 
     def _replacement_rank(self, replica: str, learner: str) -> tuple[bool, bool, bool]:
-        """Return the rank in which replicas are replaced.
+        """Return a sort key: the replica with the smallest key is replaced first.
 
-        The lost disk of the learner's own machine goes first, then other lost disks, then stores that are
-        gone, then retiring ones.
+        The order is: the replica on the lost disk of the learner's own machine, replicas on other lost disks,
+        replicas that are not live, and replicas on live stores that are retiring.
         """
         return (
             store_name(replica) != store_name(learner),
@@ -83,9 +87,9 @@
     # ---- learners
 
     def update_learners(self, partition: int, lost: Collection[LearnerReport] = ()) -> None:
-        """Give a partition one learner for each replica that is to be replaced or that it lacks.
+        """Assign one learner for each replica that needs a copy and for each replica below the target count.
 
-        Learners that are no longer needed, or that their primary has lost, are removed.
+        Remove the learners that are no longer needed or that their primary has reported as lost.
         """
         entry = self.draft.entries[partition]
         retained = self._retained_learners(entry, lost)
@@ -102,14 +106,15 @@
             self.draft.set_learners(entry, learners)
 
     def needs_copy(self, replica: str) -> bool:
-        """Return whether a copy of a replica is to be made."""
+        """Return whether a replica has to be copied to a learner."""
         return self.states.is_retiring(replica) or self.states.is_missing(replica)
 
     def _retained_learners(self, entry: PartitionPlacement, lost: Collection[LearnerReport]) -> list[str]:
-        """Return the learners that stay.
+        """Return the current learners to keep.
 
-        Those are live and not lost, one for each replica that is down, retiring or lacking; or else the one
-        that is moved for balance.
+        These are usable learners not reported as lost: at most one for each replica that is not live or is
+        retiring, and one for each replica below the target count.  If none is needed for these reasons, keep
+        only the learner of a balancing move.
         """
         usable = [
             learner
@@ -132,10 +137,11 @@
         learners: Sequence[str],
         excluded: Collection[str],
     ) -> str | None:
-        """Return the store that is to learn a partition next, None where no store is free.
+        """Return the store that becomes the next learner; None if no usable store is free.
 
-        Best is a machine that has returned with another disk, then the home zone while it lacks replicas,
-        then the zone with the fewest replicas, then the store with the fewest copies.
+        The order of preference is: a machine that has returned with another disk; a store in the home zone
+        while that zone holds less than a commit quorum; a store in the zone with the fewest replicas of the
+        partition; the store with the fewest replicas and learners.
         """
         taken = {*entry.replicas, *learners}
         free = [store_id for store_id in self.states.usable if store_id not in {*taken, *excluded}]
@@ -158,7 +164,10 @@
     # ---- balance
 
     def start_balancing_move(self) -> None:
-        """While the cluster is quiet, have one store that holds few replicas learn one more partition."""
+        """In a steady state, add one learner on a store with few replicas.
+
+        The learner later replaces a replica on a store that has at least `MIN_BALANCE_GAIN` more replicas.
+        """
         if not self._is_steady():
             return
         load = self.draft.replica_load
@@ -174,7 +183,7 @@
             self.draft.set_learners(self.draft.entries[-negated_partition], [learner])
 
     def _is_steady(self) -> bool:
-        """Return whether nothing is being repaired, moved or retired, and every replica is stable."""
+        """Return whether no partition has learners, and every replica is stable and not retiring."""
         return all(
             not entry.learners and all(self._is_steady_replica(replica) for replica in entry.replicas)
             for entry in self.draft.entries.values()
@@ -184,10 +193,10 @@
         return self.states.is_stable(replica) and not self.states.is_retiring(replica)
 
     def _replica_to_offload(self, entry: PartitionPlacement, learner: str) -> str | None:
-        """Return the replica whose replacement by a learner brings the stores closer in load.
+        """Return the replica whose replacement by a learner best reduces the imbalance of replica load.
 
-        None where there is none that keeps the spread over zones and the quorum at home, or where not all
-        replicas are live.
+        The replacement must not reduce the number of zones or the number of replicas in the home zone.
+        Return None if no replica qualifies or if not all replicas are live.
         """
         if learner in entry.replicas or not self.draft.has_all_replicas_live(entry):
             return None
--- a/hollowusher/coordination/placement/replica_states.py
+++ b/hollowusher/coordination/placement/replica_states.py
@@ -1,15 +1,18 @@
-"""What the conditions of the stores mean for the replicas that a placement names.  No I/O, no clock.
+"""The states of the replicas in a placement, derived from the conditions of the stores.
 
-A replica is live while the newest incarnation of its machine has its disk and is alive.  Otherwise it is in
-one of these states, each of which includes those before it:
+The module performs no I/O and reads no clock.
 
-* down: it is known not to be live now, for whatever reason;
-* missing: it has been down for longer than an ordinary restart takes, so a copy is started;
-* gone: it has been down for so long that the copy may replace it.
+A replica is live while the newest incarnation of its machine is alive and has the disk of the replica.
+Otherwise the replica may be in one of the following states.  Each state implies the states listed before it:
 
-A lost disk never returns, so that replica is gone at once.  A machine that left in order is not awaited
-either: its copy may replace it as soon as it is complete.  That copy is started only where a replacement is
-more likely than a restart (a store with few replicas has come), or where the restart takes too long.
+* down: the replica is known not to be live, for any reason;
+* missing: the replica has been down for longer than a normal restart takes, so a copy is started;
+* gone: the replica has been down for so long that the copy may replace it.
+
+A lost disk never returns, so its replica is gone immediately.  If a machine shut down gracefully, its replica
+may be replaced as soon as the copy is complete, without further waiting.  The copy of such a replica is
+started only if a replacement of the machine is more likely than its restart (a store with few replicas has
+joined), or if the restart takes too long.
 """
 
 from __future__ import annotations
@@ -22,21 +25,24 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.placement import Placement
 
-STABLE_AFTER_S = 6.0  # a store that has been live for this long gets primaries back
-MISSING_AFTER_S = 1.5  # a dead store is awaited for this long before its replicas are copied ...
-MISSING_AFTER_LEAVING_S = 2.5  # ... and one that left in order for this long: its restart begins with its end
-GONE_AFTER_S = 2.5  # a store that has been down for this long is replaced
-UNKNOWN_DOWN_AFTER_S = 2.0  # a store that has never registered at this head is awaited before it is down ...
-UNKNOWN_GONE_AFTER_S = 8.0  # ... and before it is replaced: after a loss of power some machines start late
-UNDERLOADED_SHARE = 0.5  # a store with at most this part of its share of the replicas has come lately
+STABLE_AFTER_S = 6.0  # a store must be live for this long before primaries move back to it
+MISSING_AFTER_S = 1.5  # the replicas of a dead store are copied after it has been down for this long
+# A departing store announces its departure before it stops, so its restart takes longer than after a crash.
+MISSING_AFTER_LEAVING_S = 2.5
+GONE_AFTER_S = 2.5  # a store may be replaced after it has been down for this long
+# A store that has not registered since this controller started is down, and later gone, after these times.
+# The second one is long because some machines start late after a power loss.
+UNKNOWN_DOWN_AFTER_S = 2.0
+UNKNOWN_GONE_AFTER_S = 8.0
+UNDERLOADED_SHARE = 0.5  # fraction of the mean replica count up to which a store counts as underloaded
 
 
 class ReplicaStates:
-    """The states of all replicas at one moment.  It never changes.
+    """An immutable snapshot of the states of all replicas.
 
-    `live` has the members of the live replicas by store id; `usable` has the ids of those whose machine is
-    not being retired; `underloaded` those of `usable` that hold much less than their share: they were just
-    added, or replace one that is down.
+    `live` maps the store id of each live store to its member.  `usable` holds the ids of the live stores that
+    are not being retired.  `underloaded` holds the ids of the usable stores with at most `UNDERLOADED_SHARE`
+    of the mean number of replicas: they were recently added or replace a store that is down.
     """
 
     def __init__(
@@ -64,25 +70,28 @@
     # ---- states
 
     def is_retiring(self, store_id: str) -> bool:
-        """Return whether its machine is being retired."""
+        """Return whether the replica's machine is being retired."""
         return store_name(store_id) in self._retiring
 
     def is_stable(self, store_id: str) -> bool:
-        """Return whether the replica has been live for a while."""
+        """Return whether the replica has been live for at least `STABLE_AFTER_S`."""
         return self._live_for_s.get(store_id, 0.0) >= STABLE_AFTER_S
 
     def has_lost_disk(self, store_id: str) -> bool:
-        """Return whether its machine has registered with another disk: this one never returns."""
+        """Return whether the replica's machine has registered with another disk.
+
+        The replica's own disk then never returns.
+        """
         condition = self._stores.get(store_name(store_id))
         return condition is not None and condition.member is not None and condition.store_id != store_id
 
     def has_left(self, store_id: str) -> bool:
-        """Return whether its machine left in order and has not returned."""
+        """Return whether the replica's machine has shut down gracefully and has not returned."""
         member = self._member(store_id)
         return member is not None and member.leaving and store_id not in self.live
 
     def is_down(self, store_id: str) -> bool:
-        """Return whether the replica is known not to be live now."""
+        """Return whether the replica is known not to be live."""
         if store_id in self.live:
             return False
         condition = self._stores.get(store_name(store_id))
@@ -91,10 +100,10 @@
         return condition.member is not None or condition.state_age_s >= UNKNOWN_DOWN_AFTER_S
 
     def is_missing(self, store_id: str) -> bool:
-        """Return whether a copy of the replica is to be started.
+        """Return whether a copy of the replica has to be started.
 
-        While an underloaded store is live it counts as the replacement of one that is down: nothing is
-        awaited then.
+        An underloaded live store is assumed to be the replacement of a store that is down.  While there is
+        one, copies are started without waiting for a restart.
         """
         if store_id in self.live:
             return False
@@ -107,7 +116,7 @@
         return bool(self.underloaded) or condition.state_age_s >= awaited_s
 
     def is_gone(self, store_id: str) -> bool:
-        """Return whether the replica has been down for so long that it is replaced."""
+        """Return whether the replica has been down for so long that it may be replaced."""
         if store_id in self.live:
             return False
         condition = self._stores.get(store_name(store_id))
@@ -118,17 +127,17 @@
         return self.has_lost_disk(store_id) or condition.state_age_s >= GONE_AFTER_S
 
     def is_replaceable(self, store_id: str) -> bool:
-        """Return whether a learner that has caught up replaces the replica now."""
+        """Return whether a learner that has caught up may replace the replica."""
         return self.is_gone(store_id) or self.is_retiring(store_id) or self.has_left(store_id)
 
-    # ---- facts about a replica's machine
+    # ---- properties of a replica's machine
 
     def incarnation(self, store_id: str) -> int:
         """Return the incarnation of a live replica's process."""
         return self.live[store_id].incarnation
 
     def zone(self, store_id: str) -> str:
-        """Return the zone of its machine, empty where that is not known."""
+        """Return the zone of the replica's machine; empty if the zone is unknown."""
         member = self._member(store_id)
         return "" if member is None else member.zone
 
--- a/hollowusher/coordination/placement/store_retirement.py
+++ b/hollowusher/coordination/placement/store_retirement.py
@@ -1,7 +1,7 @@
-"""Retirement of stores by an operator's order: the order, its checks and its progress.
+"""Retirement of stores on an operator's order: acceptance, checks and progress.
 
-A retiring machine keeps its replicas as sources until others hold them.  It is retired (`completed`) once no
-placement in force has named it for `RETIRED_AFTER_S`.
+A retiring store keeps its replicas, from which learners copy, until other stores hold them.  The retirement
+is `completed` when the committed placement has not named the store for `RETIRED_AFTER_S` seconds.
 """
 
 from __future__ import annotations
@@ -27,16 +27,17 @@
 
 
 class RetirementState(StrEnum):
-    """The state of an order to retire a store; the values are those of `ControlState.retiring`."""
+    """The state of an order to retire a store, with the values used in `ControlState.retiring`."""
 
     RUNNING = "running"
     COMPLETED = "completed"
 
 
 class StoreRetirement:
-    """Accepts orders to retire a store, and notes when they are completed.
+    """Accepts orders to retire a store and detects their completion.
 
-    It owns the times since which no placement has named a retiring store.
+    For each retiring store that the placement no longer names, it owns the time at which it first observed
+    this.
     """
 
     def __init__(self, context: PlacementContext) -> None:
@@ -44,7 +45,11 @@
         self._unplaced_since: dict[str, float] = {}
 
     async def retire(self, order: RetireStore) -> OperatorResponse:
-        """Start to retire a store, or show the progress of an order that was accepted before."""
+        """Start to retire a store, or return the progress of an order that was accepted before.
+
+        An order with `duration_s` None only requests the progress.  Return status 404 or 409 if the order is
+        rejected, and 503 if this controller is not the head or the order was not committed.
+        """
         chain = self._context.chain
         state = chain.state
         if state is None or not chain.is_head:
@@ -62,7 +67,7 @@
         return progress_answer(newest, order.name)
 
     def _with_order(self, state: ControlState, name: str) -> ControlState | None:
-        """Return the state with the order, None where it has it or the order is no longer possible."""
+        """Return the state with the order added; None if it is already there or no longer possible."""
         if name in state.retiring:
             return None
         try:
@@ -72,15 +77,18 @@
         return evolve(state, retiring={**state.retiring, name: RetirementState.RUNNING.value})
 
     def _check_order(self, state: ControlState, name: str) -> None:
-        """Raise an `OrderRejectedError` if a store cannot be retired now."""
+        """Raise an `OrderRejectedError` if the store does not exist or cannot be retired now."""
         stores = self._context.store_conditions(None)
         if name not in stores:
             raise UnknownTargetError("no storage machine has this name")
         if not can_retire(name, stores, state.retiring, self._context.tolerance):
             raise OrderConflictError("too few storage machines would remain")
 
-    def progress(self, state: ControlState, planned: Placement) -> dict[str, str]:
-        """Return the orders by store name, with those completed that are; `planned` comes into force next."""
+    def updated_orders(self, state: ControlState, planned: Placement) -> dict[str, str]:
+        """Return the states of the orders by store name, after marking the completed orders.
+
+        `planned` is the next placement to commit; it is `state.placement` itself if nothing changes.
+        """
         now = self._context.clock()
         retiring = dict(state.retiring)
         for name, progress in state.retiring.items():
@@ -95,11 +103,11 @@
 def can_retire(
     name: str, stores: Mapping[str, StoreCondition], retiring: Collection[str], tolerance: int
 ) -> bool:
-    """Return whether a store may be retired: 2f+1 other live stores remain that are not retiring.
+    """Return whether at least 2f+1 live stores that are not retiring remain without the store `name`.
 
-    With f+1 stores every record would still be on f+1 disks, and none would be lost.  But a record is
-    committed on f+1 replicas: with fewer than 2f+1 stores, the f losses that the deployment tolerates would
-    stop every write, and the removal of the retired machine is not one of those.
+    With only f+1 remaining stores, every record would still be on f+1 disks and none would be lost.  But a
+    commit needs f+1 replicas, so with fewer than 2f+1 stores the loss of f stores, which the deployment has
+    to tolerate, would stop all writes.  The retired store does not count as one of these f losses.
     """
     remaining = [
         other
@@ -115,7 +123,7 @@
 
 
 def progress_answer(state: ControlState, name: str) -> OperatorResponse:
-    """Return the answer that shows the progress of an order, or that there is none."""
+    """Return the response with the progress of an order, or status 404 if there is no such order."""
     progress = state.retiring.get(name)
     if progress is None:
         return rejection_answer(UnknownTargetError("no order to empty this machine"))
