--- a/tests/coordination/membership/test_monitor_assignment.py
+++ b/tests/coordination/membership/test_monitor_assignment.py
@@ -29,11 +29,11 @@
 ) -> None:
     detector = FailureDetector("n0")
     present: dict[str, Member] = {"n0": edge_member("n0")}
-    for number, there, is_edge in changes:
+    for number, is_present, is_edge in changes:
         name = f"n{number}"
         if name == "n0":
             continue
-        if there:
+        if is_present:
             present[name] = edge_member(name) if is_edge else store_member(name)
         else:
             present.pop(name, None)
--- a/tests/coordination/placement/test_initial_placement.py
+++ b/tests/coordination/placement/test_initial_placement.py
@@ -1,4 +1,4 @@
-"""The first placement spreads replicas over zones and stores, whatever the order of the stores."""
+"""The initial placement spreads replicas over zones and stores, independent of the order of the stores."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
         assert entry.primary in entry.replicas
         assert (entry.epoch, entry.learners, entry.primary_incarnation) == (1, [], 1)
         used = {int(store_name(replica)[1:]) % 3 for replica in entry.replicas}
-        assert len(used) == min(size, 3, count)  # spread over the zones
+        assert len(used) == min(size, 3, count)  # replicas are spread over the zones
     assert max(primary_counts(placement).values()) <= -(-PARTITION_COUNT // count)
 
 
-def test_the_first_placement_does_not_depend_on_the_order_of_stores() -> None:
+def test_the_initial_placement_does_not_depend_on_the_order_of_stores() -> None:
     assert plan_initial_placement(stores(7), 1) == plan_initial_placement(stores(7)[::-1], 1)
 
 
-def test_replicas_are_bounded_where_zones_are_even() -> None:
+def test_replica_load_is_even_if_the_zones_have_equal_sizes() -> None:
     placement = plan_initial_placement(stores(6), 1)
     load = Counter(replica for entry in placement.partitions for replica in entry.replicas)
     assert max(load.values()) - min(load.values()) <= 1
--- a/tests/coordination/placement/test_learner_reports.py
+++ b/tests/coordination/placement/test_learner_reports.py
@@ -1,4 +1,4 @@
-"""Reports about learners are valid only while they are repeated, and the newest one counts."""
+"""A report about a learner expires unless it is repeated, and a newer report replaces an older one."""
 
 from __future__ import annotations
 
--- a/tests/coordination/placement/test_partition_epochs.py
+++ b/tests/coordination/placement/test_partition_epochs.py
@@ -1,4 +1,4 @@
-"""An epoch binds one incarnation of a partition's primary, once, and the reports about its learners."""
+"""Each incarnation of a primary needs its own epoch, and reports about learners count only in their epoch."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.placement import plan
 
 
-def test_a_restarted_primary_does_not_serve_in_the_epoch_of_its_former_incarnation() -> None:
+def test_a_restarted_primary_does_not_serve_in_the_epoch_of_its_previous_incarnation() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         first = attrs.evolve(cluster.entry(0, 2, 0), primary_incarnation=1)  # type: ignore[misc]
@@ -33,12 +33,13 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_two_messages_never_get_one_key_after_a_fast_restart_of_their_primary(seed: int) -> None:
-    """The restarted primary must not give the key of a record that it has forgotten to another message.
+def test_two_messages_never_get_the_same_key_after_a_fast_restart_of_their_primary(seed: int) -> None:
+    """A restarted primary must not reuse the key of a record that it lost in the restart.
 
-    The record is at a backup alone, under a key that the restarted primary would use again, since its wall
-    clock was set back: it asks another backup and gives the key to a second message.  If the primary is then
-    lost for good, that message was accepted and is not found, while the replicas compare as equal.
+    Only one backup holds the record of the first message.  The wall clock of the primary is constant, which
+    imitates a clock that was set back.  The restarted primary could therefore assign the same key to a second
+    message and replicate it to the other backup.  If the primary is then lost permanently, the accepted
+    second message is missing although the replicas compare as equal.
     """
 
     async def work(cluster: StoreCluster) -> None:
@@ -53,7 +54,7 @@
         put = asyncio.create_task(cluster.put(message("m1")))
         while not second.service._replicas[0].table.entries:
             await asyncio.sleep(0.0005)
-        primary.kill()  # its own disk has not taken the record
+        primary.kill()  # before its own disk has stored the record
         put.cancel()
         primary.cut(second)
         cluster.network.heal("10.0.0.1", "10.0.0.3")
@@ -70,7 +71,7 @@
     play(work, seed=seed)
 
 
-def test_a_report_about_a_removed_learner_never_counts_again() -> None:
+def test_a_report_about_a_removed_learner_stays_invalid() -> None:
     def member(number: int, status: int = 0) -> Member:
         return Member(f"s{number}", "store", f"s{number}:1", f"z{number}", "r", 1, "d", status=status)
 
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -1,4 +1,4 @@
-"""A partition that has lost its majority is shown, and recovered by an operator's explicit order alone."""
+"""A partition that lost its majority is reported as lost, and only an operator's order recovers it."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     }
 
 
-def test_lost_partitions_and_the_losses_that_are_borne() -> None:
+def test_lost_partitions_and_tolerated_store_losses() -> None:
     def loss_summary(dead: set[int]) -> tuple[list[bool], int]:
         statuses = partition_statuses(PLACEMENT, conditions(dead), 1)
         return [status.lost for status in statuses], store_losses_borne(statuses, 1)
@@ -59,15 +59,15 @@
 @pytest.mark.parametrize(
     ("dead", "named", "partition", "status"),
     [
-        ({0}, ["s0/d"], 0, 409),  # it is not lost
+        ({0}, ["s0/d"], 0, 409),  # the partition is not lost
         ({0, 1}, ["s0/d"], 0, 409),  # s1 is not live and is not named
         ({0, 1}, ["s0/d", "s1/d", "s2/d"], 0, 409),  # s2 is live
-        ({0, 1}, ["s0/d", "s1/d", "s3/d"], 0, 409),  # s3 is no replica
-        ({0, 1, 2}, ["s0/d", "s1/d", "s2/d"], 0, 409),  # nothing is left
+        ({0, 1}, ["s0/d", "s1/d", "s3/d"], 0, 409),  # s3 is not a replica
+        ({0, 1, 2}, ["s0/d", "s1/d", "s2/d"], 0, 409),  # no replica is left
         ({0, 1}, ["s0/d", "s1/d"], 9, 404),
     ],
 )
-def test_a_recovery_that_contradicts_the_cluster_is_rejected(
+def test_a_recovery_order_that_conflicts_with_the_cluster_state_is_rejected(
     dead: set[int], named: list[str], partition: int, status: int
 ) -> None:
     with pytest.raises(OrderRejectedError) as rejected:
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize(("dead", "new_disks"), [({0, 1}, set()), ({0}, {1}), (set(), {0, 1})])
 def test_the_live_replicas_serve_in_the_next_epoch(dead: set[int], new_disks: set[int]) -> None:
-    """A machine that has come back with another disk counts as lost, too."""
+    """A machine that has returned with another disk also counts as lost."""
     order = RecoverPartition(0, ["s1/d", "s0/d"])
     found = plan_recovery(PLACEMENT, conditions(dead, new_disks), 1, order)
     assert found.version == 8
@@ -87,7 +87,7 @@
     ]
 
 
-def test_a_partition_without_majority_is_not_served_until_the_order_and_is_complete_after_it() -> None:
+def test_a_partition_without_majority_is_served_again_only_after_a_recovery_order() -> None:
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         await asyncio.sleep(MAX_DEFERRAL_S + 0.5)
@@ -103,7 +103,7 @@
             for entry in system.placement.partitions
             if sum(replica in system.running_store_ids() for replica in entry.replicas) == 1
         ]
-        assert alone  # those whose primary was lost; a live primary fills new replicas by itself
+        assert alone  # their primary was lost; a live primary would copy to new replicas without an order
         for entry in alone:
             abandoned = [replica for replica in entry.replicas if not replica.startswith("store-3/")]
             refused = await system.call_head(RecoverPartition(entry.partition, abandoned[:1]))
@@ -116,6 +116,6 @@
             assert again.status == 409
         await system.wait_until(lambda: set(system.running_replica_counts()) == {3}, 10.0)
         assert await system.put()
-        assert await system.lost_messages() == []  # each was on all three replicas before
+        assert await system.lost_messages() == []  # every message was on all three replicas before
 
     run_scenario(work)
--- a/tests/coordination/placement/test_partitioner.py
+++ b/tests/coordination/placement/test_partitioner.py
@@ -1,4 +1,4 @@
-"""The partitions of a service in the order of preference, as seen from a zone."""
+"""Ranking of the partitions of a service for the processes of one zone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def state_of(configuration: Configuration | None, zones: dict[str, str] = ZONES) -> ClusterState:
-    """Return a cluster with a store in each of some zones and 16 partitions assigned in turn."""
+    """Return a cluster state with the given stores and zones and 16 partitions, assigned round-robin."""
     state = ClusterState()
     members = [Member(name, "store", f"{name}:1", zone, "r", 1, "d") for name, zone in zones.items()]
     stores = sorted(member.store_id for member in members)
@@ -43,7 +43,7 @@
     return found
 
 
-def test_one_partition_of_each_store_those_of_the_own_zone_first() -> None:
+def test_ranking_has_one_partition_per_store_and_starts_with_the_own_zone() -> None:
     state = state_of(configuration())
     ranking = ZonePartitioner(state, "b")("jobs", state.partition_numbers())
     assert len(ranking) == len(ZONES)
@@ -56,7 +56,7 @@
     assert first == ZonePartitioner(other, "a")("jobs", list(reversed(other.partition_numbers())))
 
 
-def test_services_with_order_or_a_rate_limit_have_the_same_home_everywhere() -> None:
+def test_services_with_ordered_routes_or_a_rate_limit_have_the_same_home_in_every_zone() -> None:
     for settings in (configuration(ordered=True), configuration(rate=2.0)):
         state = state_of(settings)
         for zone in "abc":
--- a/tests/coordination/placement/test_planner_invariants.py
+++ b/tests/coordination/placement/test_planner_invariants.py
@@ -1,4 +1,4 @@
-"""The rules that every step of the planner keeps, over any course of events."""
+"""Every step of the planner keeps the invariants of a placement, for any sequence of events."""
 
 from __future__ import annotations
 
@@ -21,11 +21,10 @@
 @settings(max_examples=120, deadline=None)
 @given(events)
 def test_invariants_over_any_sequence_of_events(event_sequence: list[tuple[int, str, bool]]) -> None:
-    """Epochs and replicas change by the rules at each step.
+    """Check the changes of epochs and replicas at each step.
 
-    Epochs only grow, and they change with the primary or the replicas, or when a learner is removed.  A
-    replica is only ever replaced by a learner of the former placement, and never while more than f of the
-    new replicas are down.
+    An epoch grows exactly when the primary or the replicas change or a learner is removed.  Only a learner of
+    the previous placement replaces a replica, and never while more than f of the new replicas are down.
     """
     tolerance = 1
     members = {f"s{number}": store(number) for number in range(5)}
--- a/tests/coordination/placement/test_planner_primaries.py
+++ b/tests/coordination/placement/test_planner_primaries.py
@@ -1,4 +1,4 @@
-"""How primaries follow deaths, returns, restarts and the load."""
+"""The planner changes primaries after deaths, restarts and returns of stores, and for balance."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("count", range(1, 14))
-def test_nothing_changes_while_all_is_well(count: int) -> None:
+def test_the_placement_does_not_change_while_all_stores_are_live(count: int) -> None:
     placement = plan_initial_placement(stores(count), 1)
     assert plan(placement, all_live(count), allow_moves=True) is None
 
@@ -47,7 +47,7 @@
     assert plan(placement, conditions) is None
 
 
-def test_a_store_that_never_registered_at_this_head_is_awaited_a_while() -> None:
+def test_a_store_that_has_not_registered_counts_as_down_after_a_timeout() -> None:
     placement = plan_initial_placement(stores(3), 1)
     conditions = {**all_live(3), "s0": StoreCondition(None, UNKNOWN_DOWN_AFTER_S - 0.1)}
     assert plan(placement, conditions) is None
--- a/tests/coordination/placement/test_planner_replicas.py
+++ b/tests/coordination/placement/test_planner_replicas.py
@@ -1,4 +1,4 @@
-"""How replicas and learners follow lost disks, stores that are gone, and stores that are retiring."""
+"""The planner replaces replicas on lost disks, on stores that are gone, and on stores that are retiring."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 def test_a_machine_with_a_lost_disk_is_preferred_to_other_free_stores() -> None:
     placement = Placement(1, [PartitionPlacement(0, 1, "s3/d", ["s0/d", "s1/d", "s3/d"], [], 1)])
     learning = plan_change(placement, with_store(all_live(4), store(0, incarnation=2, disk_id="new")))
-    assert learning.partitions[0].learners == ["s0/new"]  # though s2 would be in a zone of its own
+    assert learning.partitions[0].learners == ["s0/new"]  # although s2 would be the only replica in its zone
 
 
-def test_reports_of_an_older_epoch_or_about_other_stores_promote_nobody() -> None:
+def test_reports_of_an_older_epoch_or_about_other_stores_promote_no_learner() -> None:
     placement = plan_initial_placement(stores(3), 1)
     conditions = with_store(all_live(3), store(0, incarnation=2, disk_id="new"))
     learning = plan_change(placement, conditions)
@@ -80,7 +80,7 @@
     assert all(len(entry.replicas) == 3 for entry in after.partitions)
 
 
-def test_without_a_free_store_a_gone_one_stays_a_replica() -> None:
+def test_a_gone_store_stays_a_replica_if_no_store_is_free() -> None:
     placement = plan_initial_placement(stores(3), 1)
     after = plan_until_stable(placement, with_store(all_live(3), dead_store(0), LONG_S))
     assert all("s0/d" in entry.replicas and entry.learners == [] for entry in after.partitions)
@@ -96,7 +96,7 @@
     )
 
 
-def test_a_cluster_that_began_with_too_few_stores_gets_its_replicas() -> None:
+def test_a_cluster_that_started_with_too_few_stores_gets_its_missing_replicas() -> None:
     placement = plan_initial_placement(stores(2), 1)
     after = plan_until_stable(placement, all_live(3), allow_moves=True)
     assert all(len(entry.replicas) == 3 for entry in after.partitions)
--- a/tests/coordination/placement/test_primary_balance.py
+++ b/tests/coordination/placement/test_primary_balance.py
@@ -1,4 +1,4 @@
-"""Primaries are spread evenly over the replicas."""
+"""Primaries are distributed evenly over the stores that hold replicas."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.sets(st.sampled_from("abcd"), min_size=1).map(sorted), max_size=6), st.integers(1, 4))
 @example([["a"], ["a", "b"], ["b", "c"], ["a", "b"], ["a", "b"], ["b", "c"]], 2)
-def test_a_limit_that_can_be_kept_is_kept(options: list[list[str]], most: int) -> None:
-    """Compare with all possible assignments."""
+def test_the_limit_is_kept_if_some_assignment_keeps_it(options: list[list[str]], limit: int) -> None:
+    """Compare with a search over all possible assignments."""
     replicas = dict(enumerate(options))
-    possible = any(max(Counter(choice).values(), default=0) <= most for choice in product(*options))
-    assigned = balance_primaries(replicas, most)
+    possible = any(max(Counter(choice).values(), default=0) <= limit for choice in product(*options))
+    assigned = balance_primaries(replicas, limit)
     load = Counter(assigned.values())
     assert all(assigned[number] in replicas[number] for number in replicas)
-    assert not possible or max(load.values(), default=0) <= most
+    assert not possible or max(load.values(), default=0) <= limit
     assert all(load[assigned[number]] - load[other] < 2 for number in replicas for other in replicas[number])
--- a/tests/coordination/placement/test_replica_states.py
+++ b/tests/coordination/placement/test_replica_states.py
@@ -1,4 +1,4 @@
-"""The states of a replica follow from the condition of its machine, and include each other."""
+"""The states of a replica follow from the condition of its store; gone implies missing, and missing down."""
 
 from __future__ import annotations
 
--- a/tests/coordination/placement/test_store_replacement.py
+++ b/tests/coordination/placement/test_store_replacement.py
@@ -1,4 +1,8 @@
-"""A store is replaced, and another loses its disk at the first moment that the deployment allows."""
+"""A lost store is replaced before the next disk is lost.
+
+The deployment has to tolerate the loss of another disk from `CATCH_UP_S` after the start of the replacement.
+The tests lose the disk at that time.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +14,15 @@
 
 
 async def lose_second_disk(system: StoreScenario, victim: str) -> None:
-    """Lose the disk of another store; the machine returns empty."""
+    """Lose the disk of another store; its machine returns with an empty disk."""
     await system.lose_disk_and_return(victim)
 
 
 async def check_nothing_is_lost(system: StoreScenario, replicas: int) -> None:
-    """Check that accepted messages are found, new ones are accepted, and the next loss would be borne."""
+    """Check that no accepted message is lost, that new ones are accepted, and that replication is complete.
+
+    Each partition must again have the given number of running replicas, so that the next loss is tolerated.
+    """
     assert await system.lost_messages() == []
     assert await system.put()
     await system.wait_until(lambda: set(system.running_replica_counts()) == {replicas}, CATCH_UP_S)
@@ -42,7 +49,7 @@
 @pytest.mark.parametrize("victim", ["store-2", "store-3"])
 @pytest.mark.parametrize("stores", [3, 4])
 def test_a_planned_replacement_is_done_before_the_next_disk_is_lost(victim: str, stores: int) -> None:
-    """The successor starts first, then the old store gets SIGTERM and is gone for good."""
+    """The successor starts before the old store receives SIGTERM and is removed permanently."""
 
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
@@ -60,7 +67,7 @@
 
 
 def test_large_replicas_are_copied_in_time() -> None:
-    """20 MB of records at each store, and messages go on while they are copied."""
+    """Each store holds 20 MB of records, and new messages arrive while these records are copied."""
 
     async def work(system: StoreScenario) -> None:
         for _ in range(10):
@@ -79,7 +86,7 @@
     run_scenario(work)
 
 
-def test_a_restart_within_a_second_and_a_half_moves_nothing() -> None:
+def test_a_restart_within_1_5_seconds_moves_no_replicas() -> None:
     async def work(system: StoreScenario) -> None:
         await system.put_many(32)
         before = [(entry.partition, sorted(entry.replicas)) for entry in system.placement.partitions]
@@ -108,19 +115,19 @@
         for _ in range(450):
             await asyncio.sleep(0.1)
             fewest = min(fewest, *system.running_replica_counts())
-        assert fewest == 3  # a move never lessens the number of living replicas
+        assert fewest == 3  # a move never reduces the number of running replicas
         assert system.replicas_of("store-1") >= had - 2
         assert await system.lost_messages() == []
 
     run_scenario(work, stores=4)
 
 
-def test_an_added_store_gets_replicas_while_the_cluster_is_quiet() -> None:
+def test_an_added_store_gets_replicas_in_a_steady_state() -> None:
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         await system.start_after_delay(system.add_store("store-9", "10.0.1.1", "zone-a"))
         await asyncio.sleep(60.0)
-        assert 6 <= system.replicas_of("store-9") <= 8  # zone-a's replicas are shared with store-1
+        assert 6 <= system.replicas_of("store-9") <= 8  # store-9 and store-1 share the replicas in zone-a
         assert system.learners_of("store-9") == 0
         assert await system.lost_messages() == []
 
--- a/tests/coordination/placement/test_store_retirement.py
+++ b/tests/coordination/placement/test_store_retirement.py
@@ -1,4 +1,4 @@
-"""A store is retired by the operator's order, while other stores lose their disks."""
+"""A store is retired on an operator's order while other stores lose their disks."""
 
 from __future__ import annotations
 
@@ -24,19 +24,22 @@
 
 
 async def wait_until_retired(system: StoreScenario, name: str, within_s: float) -> float:
-    """Return the seconds until the machine is retired."""
+    """Wait until the store is retired and return the elapsed seconds; fail after `within_s` seconds."""
     started = system.loop.time()
     while True:
         answer = await system.retire(name, None)
         assert answer.status == 200
         if orjson.loads(answer.body)["state"] == "completed":
             return system.loop.time() - started
-        assert system.loop.time() - started < within_s, "the machine is not retired in time"
+        assert system.loop.time() - started < within_s, "the store was not retired in time"
         await asyncio.sleep(0.1)
 
 
 async def check_retired(system: StoreScenario, name: str) -> None:
-    """Check that nothing names it; switch it off for good; check that every message is found."""
+    """Check that the placement no longer names a store, remove the store permanently, and check the messages.
+
+    No accepted message may be lost, and every partition must still have three running replicas.
+    """
     await system.wait_until(lambda: not is_store_placed(system.placement, name), 1.0)
     system.lose_permanently(name)
     assert await system.lost_messages() == []
@@ -62,7 +65,7 @@
 
 
 def test_two_disks_are_lost_one_after_the_other_while_a_machine_is_retiring() -> None:
-    """The second one is lost as soon as the first machine has caught up."""
+    """The second disk is lost as soon as the machine that lost the first one has caught up."""
 
     async def work(system: StoreScenario) -> None:
         await system.put_many(160, size=2_500)
@@ -76,8 +79,8 @@
     run_scenario(work, stores=4)
 
 
-def test_a_retiring_machine_stays_a_source() -> None:
-    """The only other replica of what is committed is lost: the retiring machine has the last one."""
+def test_learners_still_copy_from_a_retiring_machine() -> None:
+    """The retiring store holds the last copy of some records after another store has lost its disk."""
 
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
@@ -96,7 +99,7 @@
         before = system.placement
         assert (await system.retire("store-9", DURATION_S)).status == 404
         assert (await system.retire("edge-1", DURATION_S)).status == 404
-        assert (await system.retire("store-1", DURATION_S)).status == 409  # three stores are needed
+        assert (await system.retire("store-1", DURATION_S)).status == 409  # three other stores are required
         await asyncio.sleep(1.0)
         assert system.placement == before
 
--- a/tests/coordination/placement/test_zone_policy.py
+++ b/tests/coordination/placement/test_zone_policy.py
@@ -1,4 +1,4 @@
-"""Where no zone has to be lost, a commit quorum stands in the primary's zone; else replicas are spread."""
+"""A commit quorum is in the primary's zone, unless zone losses must be tolerated and replicas are spread."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 def home_replica_count(entry: PartitionPlacement) -> int:
-    """Return how many replicas are in the primary's zone."""
+    """Return how many replicas are in the zone of the primary."""
     return sum(zone_of(replica) == zone_of(entry.primary) for replica in entry.replicas)
 
 
-def first_placement(count: int, tolerance: int, policy: ZonePolicy) -> Placement:
+def make_initial_placement(count: int, tolerance: int, policy: ZonePolicy) -> Placement:
     return plan_initial_placement(stores(count, ZONES), tolerance, policy=policy)
 
 
@@ -40,8 +40,8 @@
 
 
 @pytest.mark.parametrize(("count", "tolerance"), [(8, 1), (8, 2), (12, 2), (19, 2), (40, 2)])
-def test_quorum_is_at_home_as_far_as_the_zone_has_stores(count: int, tolerance: int) -> None:
-    placement = first_placement(count, tolerance, ZonePolicy.QUORUM_AT_HOME)
+def test_the_home_zone_holds_a_quorum_if_it_has_enough_stores(count: int, tolerance: int) -> None:
+    placement = make_initial_placement(count, tolerance, ZonePolicy.QUORUM_AT_HOME)
     in_zone = Counter(number % ZONES for number in range(count))
     for entry in placement.partitions:
         wanted = min(tolerance + 1, in_zone[zone_of(entry.primary)])
@@ -55,14 +55,14 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 4])
-def test_with_one_store_a_zone_nothing_changes(count: int) -> None:
-    spread = first_placement(count, 1, ZonePolicy.SPREAD)
-    assert first_placement(count, 1, ZonePolicy.QUORUM_AT_HOME) == spread
+def test_home_zones_change_nothing_with_one_store_per_zone(count: int) -> None:
+    spread = make_initial_placement(count, 1, ZonePolicy.SPREAD)
+    assert make_initial_placement(count, 1, ZonePolicy.QUORUM_AT_HOME) == spread
 
 
-def test_replicas_that_were_lost_are_replaced_at_home() -> None:
+def test_lost_replicas_are_replaced_in_the_home_zone() -> None:
     members = {store.name: store for store in stores(12, ZONES)}
-    placement = first_placement(12, 1, ZonePolicy.QUORUM_AT_HOME)
+    placement = make_initial_placement(12, 1, ZonePolicy.QUORUM_AT_HOME)
     lost = store_name(placement.partitions[0].primary)
     settled = placement_after_loss(placement, members, lost)
     for entry in settled.partitions:
@@ -71,7 +71,7 @@
 
 
 def placement_after_loss(placement: Placement, members: dict[str, Member], lost: str) -> Placement:
-    """Return the placement once a store is gone and all learners have caught up."""
+    """Return the stable placement after the store `lost` is gone and all learners have caught up."""
     conditions = {name: StoreCondition(member, LONG_S) for name, member in members.items() if name != lost}
     conditions[lost] = StoreCondition(None, LONG_S)
     for _ in range(200):
@@ -87,4 +87,4 @@
         if planned is None:
             return placement
         placement = planned
-    raise AssertionError("the placement never gets stable")
+    raise AssertionError("the placement is not stable after 200 plans")
--- a/tests/support/members.py
+++ b/tests/support/members.py
@@ -1,4 +1,4 @@
-"""Members for tests."""
+"""Factories for cluster members in tests."""
 
 from __future__ import annotations
 
--- a/tests/support/placement.py
+++ b/tests/support/placement.py
@@ -1,4 +1,4 @@
-"""Stores, conditions and plans for tests of placement."""
+"""Helpers for placement tests: stores, their conditions, and runs of the planner."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def all_live(count: int, state_age_s: float = LONG_S) -> Conditions:
-    """Return the conditions of a number of live stores."""
+    """Return the conditions of `count` live stores."""
     return {member.name: StoreCondition(member, state_age_s) for member in stores(count)}
 
 
@@ -49,7 +49,7 @@
     lost: Collection[LearnerReport] = (),
     allow_moves: bool = False,
 ) -> Placement | None:
-    """Return the next placement, None where the present one is right."""
+    """Return the next placement; None if the current one needs no change."""
     return plan_placement(placement, PlanningInput(conditions, tolerance, retiring, ready, lost, allow_moves))
 
 
@@ -60,7 +60,7 @@
     ready: Collection[LearnerReport] = (),
     allow_moves: bool = False,
 ) -> Placement:
-    """Return the next placement, which has to differ from the present one."""
+    """Return the next placement; fail if the current one needs no change."""
     planned = plan(placement, conditions, retiring=retiring, ready=ready, allow_moves=allow_moves)
     assert planned is not None
     assert planned.version == placement.version + 1
@@ -73,18 +73,18 @@
     retiring: Collection[str] = (),
     allow_moves: bool = False,
 ) -> Placement:
-    """Return the placement after as many plans as it takes, with all learners catching up at once."""
+    """Plan repeatedly until the placement is stable, and return it; all learners catch up immediately."""
     for _ in range(300):
         ready = reports_of_all_learners(placement)
         planned = plan(placement, conditions, retiring=retiring, ready=ready, allow_moves=allow_moves)
         if planned is None:
             return placement
         placement = planned
-    raise AssertionError("the placement never gets stable")
+    raise AssertionError("the placement is not stable after 300 plans")
 
 
 def reports_of_all_learners(placement: Placement) -> set[LearnerReport]:
-    """Return what the primaries report once all learners have caught up."""
+    """Return the reports of the primaries after all learners have caught up."""
     return {
         LearnerReport(entry.partition, entry.epoch, learner)
         for entry in placement.partitions
@@ -93,7 +93,7 @@
 
 
 def primary_counts(placement: Placement) -> Counter[str]:
-    """Return how many partitions each store is the primary of, by its name."""
+    """Return the number of partitions of which each store is the primary, by store name."""
     return Counter(store_name(entry.primary) for entry in placement.partitions)
 
 
--- a/tests/support/store_scenario.py
+++ b/tests/support/store_scenario.py
@@ -1,5 +1,7 @@
-"""The whole system in virtual time, with messages put straight to the primaries: for the tests that replace,
-add, empty and lose stores."""
+"""A simulated cluster in virtual time, for tests that replace, add, retire and lose stores.
+
+Messages are sent directly to the primaries.
+"""
 
 from __future__ import annotations
 
@@ -29,14 +31,14 @@
 from hollowusher.transport.interface import PeerError
 
 CLIENT_IP = "10.9.0.1"
-START_S = 1.0  # from the start of a process to its registration
-CATCH_UP_S = 4.2  # `catchUpS`: so long after a start the next loss has to be borne
+START_S = 1.0  # from the start of a process until it registers
+CATCH_UP_S = 4.2  # `catchUpS`: this long after a store starts, the next loss must be tolerated
 RETENTION_MS = 600_000
 INCARNATION_GAP = 1_000
 
 
 class LargeDisk(MachineDisk):
-    """A disk with room for 64 MB of records."""
+    """A simulated disk with room for 64 MB of records."""
 
     def log(self, name: str = "messages") -> MemoryLog:
         if name not in self._logs:
@@ -45,7 +47,7 @@
 
 
 class StoreScenario:
-    """The machines, a client of the stores, and the operator's orders about them."""
+    """A simulated cluster with a client of the stores and the operator's orders about stores."""
 
     def __init__(self, loop: VirtualTimeLoop, stores: int, seed: int) -> None:
         self.loop = loop
@@ -54,30 +56,32 @@
         )
         for machine in self.cluster.machines_with_role("store"):
             machine.disk = self._disk(machine.name, machine.ip)
-        self.accepted: dict[str, str] = {}  # message id -> reference
+        self.accepted: dict[str, str] = {}  # message id -> reference of the accepted message
         self._numbers = 0
         self._client = SimulatedProcess("client")
         self.cluster.network.power_on(CLIENT_IP)
         self.transport = self.cluster.network.transport(self._client, f"{CLIENT_IP}:7780")
 
-    # -- what is known
+    # -- cluster state
 
     @property
     def state(self) -> ClusterState:
-        """What an edge machine without faults knows."""
+        """The cluster state in an edge process on a machine without faults."""
         return self.cluster.machines["edge-4"].program._environment.role_process.state  # type: ignore[union-attr, no-any-return]
 
     @property
     def placement(self) -> Placement:
+        """The current placement."""
         found = self.state.placement
         assert found is not None
         return found
 
     def replicas_of(self, machine: str) -> int:
-        """How many partitions name a machine as a replica."""
+        """Return how many partitions have a replica on a machine."""
         return self._count(machine, lambda entry: entry.replicas)
 
     def learners_of(self, machine: str) -> int:
+        """Return how many partitions have a learner on a machine."""
         return self._count(machine, lambda entry: entry.learners)
 
     def _count(self, machine: str, listed: Callable[[PartitionPlacement], list[str]]) -> int:
@@ -86,7 +90,7 @@
     # -- machines
 
     async def start(self) -> None:
-        """Start all machines and wait for the first placement."""
+        """Start all machines and wait for the initial placement."""
         for machine in self.cluster.machines.values():
             self.cluster.start(machine)
         await asyncio.sleep(1.0)
@@ -94,11 +98,11 @@
         await asyncio.sleep(1.0)
 
     def add_store(self, name: str, ip: str, zone: str) -> SimulatedMachine:
-        """An empty machine, not yet started."""
+        """Add a store machine with an empty disk; it is not started."""
         machine = SimulatedMachine(name, "store", ip, zone, self._disk(name, ip), started_once=True)
         machine.incarnation = (
             len(self.cluster.machines) * INCARNATION_GAP
-        )  # an incarnation of its own: another disk id
+        )  # a unique incarnation, which gives the machine another disk id
         self.cluster.machines[name] = machine
         return machine
 
@@ -106,38 +110,39 @@
         return LargeDisk(self.cluster.random(f"disk {name} {ip}"), self.cluster.size.sync_s)
 
     async def start_after_delay(self, machine: SimulatedMachine) -> None:
-        """A process needs a while before it registers."""
+        """Start a machine after `START_S` seconds, the time that a process takes until it registers."""
         await asyncio.sleep(START_S)
         self.cluster.start(machine)
 
     def lose_permanently(self, name: str) -> SimulatedMachine:
-        """The machine and its disk never return."""
+        """Remove a machine and its disk permanently."""
         machine = self.cluster.machines.pop(name)
         self.cluster.lose_disk(machine)
         return machine
 
     async def lose_disk_and_return(self, name: str, after_s: float = 1.0) -> None:
+        """Lose the disk of a machine and restart the machine with an empty disk after `after_s` seconds."""
         machine = self.cluster.machines[name]
         self.cluster.lose_disk(machine)
         await asyncio.sleep(after_s)
         await self.start_after_delay(machine)
 
     async def wait_until(self, condition: Callable[[], bool], within_s: float) -> float:
-        """Seconds until a condition holds; fails after `within_s`."""
+        """Wait until a condition holds and return the elapsed seconds; fail after `within_s` seconds."""
         started = self.loop.time()
         while not condition():
-            assert self.loop.time() - started < within_s, "not in time"
+            assert self.loop.time() - started < within_s, "the condition did not hold in time"
             await asyncio.sleep(0.02)
         return self.loop.time() - started
 
     # -- messages
 
     async def put_many(self, count: int, size: int = 100) -> None:
-        """Have messages accepted, spread over all partitions."""
+        """Put `count` messages of `size` bytes, spread over all partitions."""
         await asyncio.gather(*(self.put(size) for _ in range(count)))
 
     async def put(self, size: int = 100) -> bool:
-        """Try to have one message accepted for a while; whether it was."""
+        """Put one message of `size` bytes, with retries for 6 seconds; return whether it was accepted."""
         self._numbers += 1
         message_id = f"m{self._numbers}"
         partition = self._numbers % len(self.placement.partitions)
@@ -163,7 +168,7 @@
         return False
 
     async def lost_messages(self) -> list[str]:
-        """The accepted messages that cannot be found any more."""
+        """Return the ids of the accepted messages that no store finds."""
         found = await asyncio.gather(*(self._is_stored(reference) for reference in self.accepted.values()))
         return [name for name, stands in zip(self.accepted, found, strict=True) if not stands]
 
@@ -195,7 +200,7 @@
     # -- orders
 
     async def call_head(self, message: Any) -> OperatorResponse:
-        """An operator's order, taken to the head."""
+        """Send an operator's order to the head, with retries, and return the response."""
         for _ in range(20):
             view = self.state.view
             assert view is not None
@@ -207,13 +212,14 @@
             if isinstance(answer, OperatorResponse) and answer.status != 503:
                 return answer
             await asyncio.sleep(0.1)
-        raise AssertionError("the head does not answer")
+        raise AssertionError("the head did not answer within 20 attempts")
 
     async def retire(self, name: str, duration_s: float | None) -> OperatorResponse:
+        """Order the retirement of a store, or request its progress if `duration_s` is None."""
         return await self.call_head(RetireStore(name, duration_s))
 
     def running_store_ids(self) -> set[str]:
-        """The store ids of the processes that run and are known to."""
+        """Return the store ids of the members that are alive and whose machine is running."""
         return {
             member.store_id
             for member in self.state.members.values()
@@ -223,7 +229,7 @@
         }
 
     def running_replica_counts(self) -> Counter[int]:
-        """How many replicas of each partition stand on machines that run: partitions by that number."""
+        """Return the number of partitions by the number of their replicas on running machines."""
         living = self.running_store_ids()
         return Counter(
             sum(replica in living for replica in entry.replicas) for entry in self.placement.partitions
@@ -233,7 +239,7 @@
 def run_scenario(
     work: Callable[[StoreScenario], Coroutine[Any, Any, None]], stores: int = 3, seed: int = 1
 ) -> None:
-    """Run a scenario; errors that nobody caught fail it."""
+    """Run a scenario with a given number of stores; uncaught errors in any process fail it."""
     loop = VirtualTimeLoop()
     try:
 
