--- a/hollowusher/coordination/placement/initial_placement.py
+++ b/hollowusher/coordination/placement/initial_placement.py
@@ -31,7 +31,7 @@
     """
     replica_count = min(len(stores), 2 * tolerance + 1)
     load: Counter[str] = Counter()
-    partitions_per_home_zone: Counter[str] = Counter()  # by zone
+    partitions_per_home_zone: Counter[str] = Counter()
     replicas = {}
     primary_candidates = {}  # replicas that may become the primary, by partition
     for partition in range(partitions):
--- a/hollowusher/coordination/placement/learner_reports.py
+++ b/hollowusher/coordination/placement/learner_reports.py
@@ -56,7 +56,7 @@
     def remove_expired(self, now: float) -> None:
         """Drop the reports that the primary did not repeat within `REPORT_VALIDITY_S`.
 
-        Such a primary has lost the learner or is no longer the primary of the partition.
+        A primary that stops repeating a report has lost the learner or the partition.
         """
         oldest = now - REPORT_VALIDITY_S
         self._ready = {report: received for report, received in self._ready.items() if received >= oldest}
--- a/hollowusher/coordination/placement/partition_health.py
+++ b/hollowusher/coordination/placement/partition_health.py
@@ -57,10 +57,10 @@
 
 
 def store_losses_borne(statuses: Iterable[PartitionStatus], tolerance: int) -> int:
-    """Return how many more stores may be lost before some partition cannot be served.
+    """Return the number of further store losses that all partitions tolerate.
 
-    Until then every partition is served and no committed record is lost.  The result is -1 if some partition
-    currently cannot be served.
+    After that many losses every partition is still served and no committed record is lost.  The result is -1
+    if some partition currently cannot be served.
     """
     margins = [
         status.living - takeover_quorum(status.replicas, tolerance) if status.replicas else NOT_SERVED
--- a/hollowusher/coordination/placement/placement_draft.py
+++ b/hollowusher/coordination/placement/placement_draft.py
@@ -35,7 +35,7 @@
         self.replica_load = Counter(replica for entry in entries for replica in entry.replicas)
         learner_load = Counter(learner for entry in entries for learner in entry.learners)
         self.copy_load = self.replica_load + learner_load  # still includes learners removed in this run
-        self._former_epochs = {entry.partition: entry.epoch for entry in entries}
+        self._original_epochs = {entry.partition: entry.epoch for entry in entries}
 
     # ---- queries
 
@@ -45,7 +45,7 @@
         return min(2 * self.tolerance + 1, len(self.states.usable))
 
     def missing_replica_count(self, entry: PartitionPlacement) -> int:
-        """Return how many replicas a partition has below the target."""
+        """Return how many replicas a partition needs to reach the target count."""
         return max(0, self.target_replica_count - len(entry.replicas))
 
     def live_replica_count(self, entry: PartitionPlacement) -> int:
@@ -53,7 +53,7 @@
         return sum(replica in self.states.live for replica in entry.replicas)
 
     def has_all_replicas_live(self, entry: PartitionPlacement) -> bool:
-        """Return whether all replicas are live: only then does a move cost no more than a handover."""
+        """Return whether all replicas are live; only then does a move cost no more than a handover."""
         return self.live_replica_count(entry) == len(entry.replicas)
 
     def home_replica_count(self, replicas: Sequence[str], primary: str) -> int:
@@ -100,7 +100,7 @@
         """Set the learners; removing a learner starts a new epoch, which invalidates the reports about it."""
         epoch = entry.epoch
         if set(entry.learners) - set(learners):
-            epoch = max(epoch, self._former_epochs[entry.partition] + 1)
+            epoch = max(epoch, self._original_epochs[entry.partition] + 1)
         self.copy_load.update(learner for learner in learners if learner not in entry.learners)
         self.entries[entry.partition] = evolve(entry, epoch=epoch, learners=list(learners))
 
--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -1,4 +1,6 @@
-"""The placement task of the head: it adapts primaries, replicas and learners to the state of the stores.
+"""The placement task of the head of the control chain.
+
+The task adapts the primaries, replicas and learners of all partitions to the state of the stores.
 
 `PlacementManager` decides when to plan a placement, and commits the result to the control chain.  `planner`
 computes the placement.  `StoreRetirement` and `PartitionOperations` execute operators' orders.
@@ -34,15 +36,21 @@
 
 POLL_INTERVAL_S = 0.1
 REPLAN_INTERVAL_S = 0.5  # interval between plans while nothing changes
-BALANCING_MOVE_INTERVAL_S = 1.0  # minimum time between balancing moves: one primary and one replica each ...
-RETIRING_MOVE_INTERVAL_S = 0.2  # ... and the same while a store is retiring
-STORES_STABLE_AFTER_S = 1.0  # the initial placement waits until no store has registered for this long ...
-FEW_STORES_WAIT_S = 5.0  # ... and, with fewer than 2f+1 stores, at least this long after the head took office
+# Minimum time between two rounds of moves; each round moves at most one primary and one replica.
+BALANCING_MOVE_INTERVAL_S = 1.0
+RETIRING_MOVE_INTERVAL_S = 0.2  # the same while a store is retiring
+# The initial placement is planned when no store has registered for this long.
+STORES_STABLE_AFTER_S = 1.0
+# With fewer than 2f+1 stores, this process must also have been the head for this long.
+FEW_STORES_WAIT_S = 5.0
 
 
 @attrs.frozen
 class _Observation:
-    """The versions of the planner's input; an unchanged input is not planned again immediately."""
+    """The versions of the member directory and of the control state that a plan was based on.
+
+    While both are unchanged, the manager plans again only after `REPLAN_INTERVAL_S`.
+    """
 
     directory_changes: int
     state_sequence: int
--- a/hollowusher/coordination/placement/primary_balance.py
+++ b/hollowusher/coordination/placement/primary_balance.py
@@ -26,7 +26,7 @@
 class _PrimaryAssignment:
     """An assignment of primaries under construction.
 
-    Invariant: `_partitions_of` is the inverse of `primaries` until `even_out` is called.
+    Invariant: `_partitions_of` is the inverse of `primaries` until `rebalance` is called.
     """
 
     def __init__(self, replicas: Mapping[int, Sequence[str]], limit: int) -> None:
@@ -41,7 +41,7 @@
             self._set_primary(partition, min(self._replicas[partition], key=self._load))
 
     def _assign_within_limit(self, partition: int, visited: set[str]) -> bool:
-        """Search an augmenting path from a partition through stores not in `visited`; apply it if found."""
+        """Search for an augmenting path from a partition through stores not in `visited`, and apply it."""
         candidates = [store for store in self._replicas[partition] if store not in visited]
         for store in sorted(candidates, key=self._load):
             if store in visited:
--- a/hollowusher/coordination/placement/primary_planner.py
+++ b/hollowusher/coordination/placement/primary_planner.py
@@ -25,9 +25,9 @@
         self.states = draft.states
 
     def replace_primary(self, partition: int) -> None:
-        """Replace a primary that is down with a live replica; start a new epoch if it has restarted.
+        """Replace a primary that is down with a live replica, or start a new epoch for a restarted primary.
 
-        After a restart of the primary, a stable replica becomes the primary instead if there is one.
+        If the primary has restarted and some replica is stable, that replica becomes the primary.
         """
         entry = self.draft.entries[partition]
         if entry.primary not in self.states.live:
@@ -54,7 +54,7 @@
         )
 
     def move_one_primary(self) -> None:
-        """Move one primary off a retiring store; if there is none, move one primary for balance."""
+        """Move one primary off a retiring store, or one primary for balance if no such move is possible."""
         moves = [
             (gain, -entry.partition, replica)
             for entry in self.draft.entries.values()
--- a/hollowusher/coordination/placement/replica_planner.py
+++ b/hollowusher/coordination/placement/replica_planner.py
@@ -94,11 +94,11 @@
         entry = self.draft.entries[partition]
         retained = self._retained_learners(entry, lost)
         removed = {learner for learner in entry.learners if learner not in retained}
-        copied = [replica for replica in entry.replicas if self.needs_copy(replica)]
-        wanted = len(copied) + self.draft.missing_replica_count(entry)
+        replicas_to_copy = [replica for replica in entry.replicas if self.needs_copy(replica)]
+        wanted = len(replicas_to_copy) + self.draft.missing_replica_count(entry)
         learners = list(retained)
         while len(learners) < wanted:
-            found = self._choose_learner(entry, copied, learners, removed)
+            found = self._choose_learner(entry, replicas_to_copy, learners, removed)
             if found is None:
                 break
             learners.append(found)
@@ -133,7 +133,7 @@
     def _choose_learner(
         self,
         entry: PartitionPlacement,
-        copied: Sequence[str],
+        replicas_to_copy: Sequence[str],
         learners: Sequence[str],
         excluded: Collection[str],
     ) -> str | None:
@@ -145,8 +145,8 @@
         """
         taken = {*entry.replicas, *learners}
         free = [store_id for store_id in self.states.usable if store_id not in {*taken, *excluded}]
-        returned = {store_name(replica) for replica in copied}
-        kept = [store_id for store_id in taken if store_id not in copied]
+        returned = {store_name(replica) for replica in replicas_to_copy}
+        kept = [store_id for store_id in taken if store_id not in replicas_to_copy]
         zones = Counter(self.states.zone(store_id) for store_id in kept)
         key = f"partition/{entry.partition}"
         return min(
--- a/hollowusher/coordination/placement/replica_states.py
+++ b/hollowusher/coordination/placement/replica_states.py
@@ -30,8 +30,8 @@
 # A departing store announces its departure before it stops, so its restart takes longer than after a crash.
 MISSING_AFTER_LEAVING_S = 2.5
 GONE_AFTER_S = 2.5  # a store may be replaced after it has been down for this long
-# A store that has not registered since this controller started is down, and later gone, after these times.
-# The second one is long because some machines start late after a power loss.
+# A store that has not registered since this controller started counts as down and later as gone after these
+# times.  The second one is long because some machines start late after a power loss.
 UNKNOWN_DOWN_AFTER_S = 2.0
 UNKNOWN_GONE_AFTER_S = 8.0
 UNDERLOADED_SHARE = 0.5  # fraction of the mean replica count up to which a store counts as underloaded
--- a/tests/coordination/membership/test_suspicion_table.py
+++ b/tests/coordination/membership/test_suspicion_table.py
@@ -24,9 +24,8 @@
     for now in (0.0, 1.0, 2.0):
         table.record(MemberSuspected("s", 1, "e0"), now)
     assert table.is_suspected_for("s", 2.0, 2.0)
-    table.record(
-        MemberSuspected("s", 1, "e0"), 2.1 + SUSPICION_VALIDITY_S
-    )  # all earlier reports have expired
+    # All earlier reports have expired.
+    table.record(MemberSuspected("s", 1, "e0"), 2.1 + SUSPICION_VALIDITY_S)
     assert not table.is_suspected_for("s", 0.1, 2.1 + SUSPICION_VALIDITY_S)
 
 
--- a/tests/coordination/placement/test_partition_epochs.py
+++ b/tests/coordination/placement/test_partition_epochs.py
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_two_messages_never_get_the_same_key_after_a_fast_restart_of_their_primary(seed: int) -> None:
-    """A restarted primary must not reuse the key of a record that it lost in the restart.
+    """A restarted primary must not reuse the key of a record that it had not stored before the restart.
 
     Only one backup holds the record of the first message.  The wall clock of the primary is constant, which
     imitates a clock that was set back.  The restarted primary could therefore assign the same key to a second
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -103,7 +103,7 @@
             for entry in system.placement.partitions
             if sum(replica in system.running_store_ids() for replica in entry.replicas) == 1
         ]
-        assert alone  # their primary was lost; a live primary would copy to new replicas without an order
+        assert alone  # the primary of each was lost; a live primary would add replicas without an order
         for entry in alone:
             abandoned = [replica for replica in entry.replicas if not replica.startswith("store-3/")]
             refused = await system.call_head(RecoverPartition(entry.partition, abandoned[:1]))
--- a/tests/coordination/placement/test_replica_states.py
+++ b/tests/coordination/placement/test_replica_states.py
@@ -1,4 +1,4 @@
-"""The states of a replica follow from the condition of its store; gone implies missing, and missing down."""
+"""Replica states follow from the condition of the store: gone implies missing, which implies down."""
 
 from __future__ import annotations
 
--- a/tests/support/store_scenario.py
+++ b/tests/support/store_scenario.py
@@ -100,9 +100,8 @@
     def add_store(self, name: str, ip: str, zone: str) -> SimulatedMachine:
         """Add a store machine with an empty disk; it is not started."""
         machine = SimulatedMachine(name, "store", ip, zone, self._disk(name, ip), started_once=True)
-        machine.incarnation = (
-            len(self.cluster.machines) * INCARNATION_GAP
-        )  # a unique incarnation, which gives the machine another disk id
+        # The unique incarnation gives the machine another disk id.
+        machine.incarnation = len(self.cluster.machines) * INCARNATION_GAP
         self.cluster.machines[name] = machine
         return machine
 
