--- a/hollowusher/coordination/membership/member_directory.py
+++ b/hollowusher/coordination/membership/member_directory.py
@@ -57,8 +57,8 @@
 
     def update(self, member: Member, now: float) -> bool:
         """Store the state of a member; return False if the stored state is as new or newer."""
-        known = self.members.get(member.name)
-        if known is not None and member_version(member) <= member_version(known):
+        stored = self.members.get(member.name)
+        if stored is not None and member_version(member) <= member_version(stored):
             return False
         self.members[member.name] = member
         self._changed_at[member.name] = now
--- a/hollowusher/coordination/placement/partition_health.py
+++ b/hollowusher/coordination/placement/partition_health.py
@@ -26,8 +26,8 @@
 
 def is_lost(entry: PartitionPlacement, live: Collection[str], tolerance: int) -> bool:
     """Return whether too few replicas are live for any primary to serve the partition."""
-    present = sum(replica in live for replica in entry.replicas)
-    return present < takeover_quorum(len(entry.replicas), tolerance)
+    live_count = sum(replica in live for replica in entry.replicas)
+    return live_count < takeover_quorum(len(entry.replicas), tolerance)
 
 
 def lost_partitions(
--- a/hollowusher/coordination/placement/partitioner.py
+++ b/hollowusher/coordination/placement/partitioner.py
@@ -28,8 +28,8 @@
 
     The result is also True if the configuration is None or does not contain the service.
     """
-    found = configuration.service(service) if configuration is not None else None
-    if configuration is None or found is None or found.rate_per_s > 0:
+    service_settings = configuration.service(service) if configuration is not None else None
+    if configuration is None or service_settings is None or service_settings.rate_per_s > 0:
         return True
     return any(route.ordered for route in configuration.routes if route.upstream == service)
 
--- a/hollowusher/coordination/placement/primary_planner.py
+++ b/hollowusher/coordination/placement/primary_planner.py
@@ -74,8 +74,8 @@
             return RETIRING_PRIORITY - load[replica] if self._can_hand_over(entry) else 0
         if not self.states.is_stable(replica) or not self.draft.has_all_replicas_live(entry):
             return 0
-        at_home = self.draft.home_replica_count(entry.replicas, entry.primary)
-        if self.draft.home_replica_count(entry.replicas, replica) < at_home:
+        home_count = self.draft.home_replica_count(entry.replicas, entry.primary)
+        if self.draft.home_replica_count(entry.replicas, replica) < home_count:
             return 0
         difference = load[entry.primary] - load[replica]
         return difference if difference >= MIN_BALANCE_GAIN else 0
--- a/hollowusher/coordination/placement/replica_planner.py
+++ b/hollowusher/coordination/placement/replica_planner.py
@@ -95,13 +95,13 @@
         retained = self._retained_learners(entry, lost)
         removed = {learner for learner in entry.learners if learner not in retained}
         replicas_to_copy = [replica for replica in entry.replicas if self.needs_copy(replica)]
-        wanted = len(replicas_to_copy) + self.draft.missing_replica_count(entry)
+        target_count = len(replicas_to_copy) + self.draft.missing_replica_count(entry)
         learners = list(retained)
-        while len(learners) < wanted:
-            found = self._choose_learner(entry, replicas_to_copy, learners, removed)
-            if found is None:
+        while len(learners) < target_count:
+            new_learner = self._choose_learner(entry, replicas_to_copy, learners, removed)
+            if new_learner is None:
                 break
-            learners.append(found)
+            learners.append(new_learner)
         if learners != entry.learners:
             self.draft.set_learners(entry, learners)
 
@@ -125,10 +125,10 @@
         needed = sum(
             replica not in self.states.live or self.states.is_retiring(replica) for replica in entry.replicas
         )
-        wanted = needed + self.draft.missing_replica_count(entry)
-        if wanted == 0:
+        target_count = needed + self.draft.missing_replica_count(entry)
+        if target_count == 0:
             return [learner for learner in usable if self._replica_to_offload(entry, learner) is not None][:1]
-        return usable[:wanted]
+        return usable[:target_count]
 
     def _choose_learner(
         self,
@@ -201,16 +201,16 @@
         if learner in entry.replicas or not self.draft.has_all_replicas_live(entry):
             return None
         load = self.draft.replica_load
-        spread = self._zone_count(entry.replicas)
-        at_home = self.draft.home_replica_count(entry.replicas, entry.primary)
+        zone_count = self._zone_count(entry.replicas)
+        home_count = self.draft.home_replica_count(entry.replicas, entry.primary)
         candidates = [
             replica
             for replica in entry.replicas
             if replica != entry.primary
             and load[replica] - load[learner] >= MIN_BALANCE_GAIN
-            and self._zone_count(replicas_after(entry, learner, replica)) >= spread
+            and self._zone_count(replicas_after(entry, learner, replica)) >= zone_count
             and self.draft.home_replica_count(replicas_after(entry, learner, replica), entry.primary)
-            >= at_home
+            >= home_count
         ]
         return max(candidates, key=lambda replica: (load[replica], replica), default=None)
 
--- a/hollowusher/coordination/placement/replica_states.py
+++ b/hollowusher/coordination/placement/replica_states.py
@@ -64,8 +64,8 @@
 
     def _underloaded(self, placement: Placement) -> set[str]:
         load = Counter(replica for entry in placement.partitions for replica in entry.replicas)
-        share = load.total() / max(1, len(self.usable | load.keys()))
-        return {store_id for store_id in self.usable if load[store_id] <= UNDERLOADED_SHARE * share}
+        mean_load = load.total() / max(1, len(self.usable | load.keys()))
+        return {store_id for store_id in self.usable if load[store_id] <= UNDERLOADED_SHARE * mean_load}
 
     # ---- states
 
@@ -112,8 +112,8 @@
         condition = self._stores.get(store_name(store_id))
         if condition is None or condition.member is None:
             return False
-        awaited_s = MISSING_AFTER_LEAVING_S if condition.member.leaving else MISSING_AFTER_S
-        return bool(self.underloaded) or condition.state_age_s >= awaited_s
+        timeout_s = MISSING_AFTER_LEAVING_S if condition.member.leaving else MISSING_AFTER_S
+        return bool(self.underloaded) or condition.state_age_s >= timeout_s
 
     def is_gone(self, store_id: str) -> bool:
         """Return whether the replica has been down for so long that it may be replaced."""
--- a/tests/coordination/placement/test_partition_epochs.py
+++ b/tests/coordination/placement/test_partition_epochs.py
@@ -65,8 +65,8 @@
         primary.kill()
         cluster.place([attrs.evolve(first, epoch=3, primary="store-2/d1", primary_incarnation=1)])  # type: ignore[misc]
         await asyncio.sleep(3.0)
-        held = {job.message.id for job in await cluster.lease(store=1, most=5)}
-        assert not accepted or "m2" in held
+        leased_ids = {job.message.id for job in await cluster.lease(store=1, most=5)}
+        assert not accepted or "m2" in leased_ids
 
     play(work, seed=seed)
 
@@ -85,12 +85,14 @@
     removed = plan(learning, conditions({0, 3}))
     assert removed is not None
     assert removed.partitions[0].learners == []
-    again = plan(removed, conditions({0}))
-    assert again is not None
-    assert again.partitions[0].learners == ["s3/d"]
+    relearning = plan(removed, conditions({0}))
+    assert relearning is not None
+    assert relearning.partitions[0].learners == ["s3/d"]
     gone = {name: attrs.evolve(each, state_age_s=9.0) for name, each in conditions({0}).items()}
-    assert plan(again, gone, ready={LearnerReport(0, 1, "s3/d")}) is None
-    assert plan(again, gone, ready={LearnerReport(0, again.partitions[0].epoch, "s3/d")}) is not None
+    assert plan(relearning, gone, ready={LearnerReport(0, 1, "s3/d")}) is None
+    assert (
+        plan(relearning, gone, ready={LearnerReport(0, relearning.partitions[0].epoch, "s3/d")}) is not None
+    )
 
 
 def test_a_learner_that_its_primary_cannot_reach_is_removed() -> None:
--- a/tests/coordination/placement/test_partition_recovery.py
+++ b/tests/coordination/placement/test_partition_recovery.py
@@ -98,13 +98,14 @@
                 system.add_store(machine.name, f"10.0.1.{number + 1}", machine.zone)
             )
         await asyncio.sleep(10.0)
-        alone = [
+        single_replica_partitions = [
             entry
             for entry in system.placement.partitions
             if sum(replica in system.running_store_ids() for replica in entry.replicas) == 1
         ]
-        assert alone  # the primary of each was lost; a live primary would add replicas without an order
-        for entry in alone:
+        # Their primaries were lost; a live primary would add replicas without an order.
+        assert single_replica_partitions
+        for entry in single_replica_partitions:
             abandoned = [replica for replica in entry.replicas if not replica.startswith("store-3/")]
             refused = await system.call_head(RecoverPartition(entry.partition, abandoned[:1]))
             assert refused.status == 409
@@ -112,8 +113,8 @@
             answer = await system.call_head(RecoverPartition(entry.partition, abandoned))
             assert answer.status == 200, answer.body
             assert orjson.loads(answer.body) == {"state": "recovered"}
-            again = await system.call_head(RecoverPartition(entry.partition, abandoned))
-            assert again.status == 409
+            repeated = await system.call_head(RecoverPartition(entry.partition, abandoned))
+            assert repeated.status == 409
         await system.wait_until(lambda: set(system.running_replica_counts()) == {3}, 10.0)
         assert await system.put()
         assert await system.lost_messages() == []  # every message was on all three replicas before
--- a/tests/coordination/placement/test_partitioner.py
+++ b/tests/coordination/placement/test_partitioner.py
@@ -35,12 +35,12 @@
 
 
 def zones_of(state: ClusterState, ranking: list[int]) -> list[str]:
-    found = []
+    primary_zones = []
     for number in ranking:
         entry = state.partition_placement(number)
         assert entry is not None
-        found.append(ZONES[entry.primary.partition("/")[0]])
-    return found
+        primary_zones.append(ZONES[entry.primary.partition("/")[0]])
+    return primary_zones
 
 
 def test_ranking_has_one_partition_per_store_and_starts_with_the_own_zone() -> None:
--- a/tests/coordination/placement/test_planner_primaries.py
+++ b/tests/coordination/placement/test_planner_primaries.py
@@ -74,13 +74,17 @@
 
 def test_primaries_move_back_one_by_one_once_the_store_is_stable() -> None:
     before = plan_change(plan_initial_placement(stores(3), 1), with_store(all_live(3), dead_store(0)))
-    back = store(0, incarnation=2)
-    assert plan(before, with_store(all_live(3), back, STABLE_AFTER_S - 0.1), allow_moves=True) is None
-    assert plan(before, with_store(all_live(3), back, STABLE_AFTER_S)) is None
-    placement, conditions, moves = before, with_store(all_live(3), back, STABLE_AFTER_S), 0
+    returned_store = store(0, incarnation=2)
+    assert (
+        plan(before, with_store(all_live(3), returned_store, STABLE_AFTER_S - 0.1), allow_moves=True) is None
+    )
+    assert plan(before, with_store(all_live(3), returned_store, STABLE_AFTER_S)) is None
+    placement, conditions, moves = before, with_store(all_live(3), returned_store, STABLE_AFTER_S), 0
     while (planned := plan(placement, conditions, allow_moves=True)) is not None:
-        grown = [number for number, epoch in epochs(planned).items() if epoch > epochs(placement)[number]]
-        assert len(grown) == 1
+        changed_partitions = [
+            number for number, epoch in epochs(planned).items() if epoch > epochs(placement)[number]
+        ]
+        assert len(changed_partitions) == 1
         placement, moves = planned, moves + 1
     assert moves == PARTITION_COUNT // 3
     assert max(primary_counts(placement).values()) <= -(-PARTITION_COUNT // 3)
--- a/tests/coordination/placement/test_store_replacement.py
+++ b/tests/coordination/placement/test_store_replacement.py
@@ -105,7 +105,7 @@
     async def work(system: StoreScenario) -> None:
         await system.put_many(64)
         machine = system.cluster.machines["store-1"]
-        had = system.replicas_of("store-1")
+        replica_count_before = system.replicas_of("store-1")
         system.cluster.kill(machine)
         await asyncio.sleep(10.0)
         assert system.replicas_of("store-1") == 0
@@ -116,7 +116,7 @@
             await asyncio.sleep(0.1)
             fewest = min(fewest, *system.running_replica_counts())
         assert fewest == 3  # a move never reduces the number of running replicas
-        assert system.replicas_of("store-1") >= had - 2
+        assert system.replicas_of("store-1") >= replica_count_before - 2
         assert await system.lost_messages() == []
 
     run_scenario(work, stores=4)
--- a/tests/coordination/placement/test_zone_policy.py
+++ b/tests/coordination/placement/test_zone_policy.py
@@ -64,8 +64,8 @@
     members = {store.name: store for store in stores(12, ZONES)}
     placement = make_initial_placement(12, 1, ZonePolicy.QUORUM_AT_HOME)
     lost = store_name(placement.partitions[0].primary)
-    settled = placement_after_loss(placement, members, lost)
-    for entry in settled.partitions:
+    stable_placement = placement_after_loss(placement, members, lost)
+    for entry in stable_placement.partitions:
         assert lost not in map(store_name, entry.replicas)
         assert home_replica_count(entry) >= 2
 
--- a/tests/support/store_scenario.py
+++ b/tests/support/store_scenario.py
@@ -120,7 +120,7 @@
         return machine
 
     async def lose_disk_and_return(self, name: str, after_s: float = 1.0) -> None:
-        """Lose the disk of a machine and restart the machine with an empty disk after `after_s` seconds."""
+        """Lose the disk of a machine and restart the machine with an empty disk `after_s + START_S` later."""
         machine = self.cluster.machines[name]
         self.cluster.lose_disk(machine)
         await asyncio.sleep(after_s)
