--- a/hollowusher/coordination/placement/placement_manager.py
+++ b/hollowusher/coordination/placement/placement_manager.py
@@ -1,7 +1,9 @@
-"""The head's placement task: primaries, replicas and learners follow the stores.
+"""The placement task of the head of the control chain.
 
-`PlacementManager` decides when a placement is planned and has it committed; `planner` decides what it is.
-Operators' orders are carried out by `StoreRetirement` and `PartitionOperations`.
+The task adapts the primaries, replicas and learners of all partitions to the state of the stores.
+
+`PlacementManager` decides when to plan a placement, and commits the result to the control chain.  `planner`
+computes the placement.  `StoreRetirement` and `PartitionOperations` execute operators' orders.
 """
 
 from __future__ import annotations
@@ -33,25 +35,31 @@
 from hollowusher.protocol.placement import LearnerLost, LearnerReady, Placement
 
 POLL_INTERVAL_S = 0.1
-REPLAN_INTERVAL_S = 0.5  # a placement is planned this often even when nothing has changed
-BALANCING_MOVE_INTERVAL_S = 1.0  # one primary and one replica at most are moved for balance in this time ...
-RETIRING_MOVE_INTERVAL_S = 0.2  # ... and, while a store is retiring, in this time
-STORES_STABLE_AFTER_S = 1.0  # the first placement waits until no store has registered for this long ...
-FEW_STORES_WAIT_S = 5.0  # ... and, with fewer than 2f+1 stores, until the head has waited this long
+REPLAN_INTERVAL_S = 0.5  # interval between plans while nothing changes
+# Minimum time between two rounds of moves; each round moves at most one primary and one replica.
+BALANCING_MOVE_INTERVAL_S = 1.0
+RETIRING_MOVE_INTERVAL_S = 0.2  # the same while a store is retiring
+# The initial placement is planned when no store has registered for this long.
+STORES_STABLE_AFTER_S = 1.0
+# With fewer than 2f+1 stores, this process must also have been the head for this long.
+FEW_STORES_WAIT_S = 5.0
 
 
 @attrs.frozen
 class _Observation:
-    """What a placement was planned for: while it is the same, nothing is planned again."""
+    """The versions of the member directory and of the control state that a plan was based on.
+
+    While both are unchanged, the manager plans again only after `REPLAN_INTERVAL_S`.
+    """
 
     directory_changes: int
     state_sequence: int
 
 
 class PlacementManager:
-    """Keeps the placement right while its process is the head of the control chain.
+    """Adapts the placement to the stores while its process is the head of the control chain.
 
-    It owns the reports about learners; the placement itself is a part of the control state.
+    It owns the reports about learners.  The placement itself is part of the control state.
     """
 
     MESSAGES: tuple[type, ...] = (RetireStore, LearnerReady, LearnerLost, RecoverPartition)
@@ -73,7 +81,7 @@
         self._retirement = StoreRetirement(self._context)
         self._partitions = PartitionOperations(self._context)
         self._reports = LearnerReports()
-        self._planned_for: _Observation | None = None  # None: plan at the next opportunity
+        self._planned_for: _Observation | None = None  # None: plan at the next poll
         self._planned_at = 0.0
         self._moved_at = 0.0
         self._head_since: float | None = None
@@ -86,7 +94,7 @@
     # ---- messages
 
     async def handle(self, message: object) -> object:
-        """Return the answer to one of `MESSAGES`."""
+        """Handle a message of one of the types in `MESSAGES` and return the response."""
         return await self._handlers.handle(message)
 
     async def _handle_learner_ready(self, message: LearnerReady) -> Acknowledgement:
@@ -102,13 +110,13 @@
         return Acknowledgement()
 
     def partition_statuses(self) -> list[PartitionStatus]:
-        """Return the status of each partition as this controller knows it."""
+        """Return the status of each partition, based on the state and the members of this controller."""
         return self._partitions.statuses()
 
-    # ---- the loop
+    # ---- the polling loop
 
     async def run(self) -> None:
-        """Update the placement whenever this process is the head; run until cancelled."""
+        """Update the placement while this process is the head; run until cancelled."""
         while True:
             if self._chain.is_head:
                 if self._head_since is None:
@@ -140,18 +148,18 @@
         await self._chain.change(lambda newest: self._next_state(newest, allow_moves=allow_moves))
 
     def _next_state(self, state: ControlState, *, allow_moves: bool) -> ControlState | None:
-        """Return the state with the placement and the retirements as they should be; None if they are."""
+        """Return the state with updated placement and retirements; None if neither has to change."""
         if state.placement is None:
             return self._with_initial_placement(state)
         planned = self._plan(state, state.placement, allow_moves=allow_moves)
         placement = planned or state.placement
-        retiring = self._retirement.progress(state, placement)
+        retiring = self._retirement.updated_orders(state, placement)
         if planned is None and retiring == state.retiring:
             return None
         return evolve(state, placement=placement, retiring=retiring)
 
     def _plan(self, state: ControlState, placement: Placement, *, allow_moves: bool) -> Placement | None:
-        given = PlanningInput(
+        planning_input = PlanningInput(
             stores=self._context.store_conditions(placement),
             tolerance=self._tolerance,
             retiring=state.retiring,
@@ -160,9 +168,9 @@
             allow_moves=allow_moves,
             policy=self._policy,
         )
-        return plan_placement(placement, given)
+        return plan_placement(placement, planning_input)
 
-    # ---- the first placement
+    # ---- the initial placement
 
     def _with_initial_placement(self, state: ControlState) -> ControlState | None:
         stores = self._initial_stores()
@@ -172,7 +180,7 @@
         return evolve(state, placement=placement)
 
     def _initial_stores(self) -> list[Member]:
-        """Return the stores for the first placement, none while more may register."""
+        """Return the stores for the initial placement; empty while more stores are expected to register."""
         now = self._clock()
         stores = self._directory.live_members(MemberRole.STORE)
         if not stores or self._head_since is None:
--- a/hollowusher/coordination/placement/primary_balance.py
+++ b/hollowusher/coordination/placement/primary_balance.py
@@ -1,7 +1,7 @@
-"""Balanced choice of primaries among given replicas.  No I/O, no clock.
+"""Balanced choice of primaries among given replicas.  The module performs no I/O and reads no clock.
 
-This is a bipartite matching of partitions with stores that may each take several, by augmenting paths: a
-store that is full passes one of its partitions on to another replica.
+The algorithm is a bipartite matching of partitions to stores by augmenting paths, in which a store may take
+several partitions.  If a store has reached its limit, one of its partitions is reassigned to another replica.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 
 def balance_primaries(replicas: Mapping[int, Sequence[str]], limit: int) -> dict[int, str]:
-    """Return a primary for each partition among its replicas.
+    """Return a primary for each partition, chosen among the replicas of the partition.
 
-    A store gets at most `limit` primaries where that is possible, and never two more than another replica of
-    one of its partitions.
+    Each store becomes the primary of at most `limit` partitions if such an assignment exists.  The primary of
+    a partition has at most one primary more than each other replica of that partition.
     """
     assignment = _PrimaryAssignment(replicas, limit)
     for partition in replicas:
         assignment.assign(partition)
-    assignment.even_out()
+    assignment.rebalance()
     return assignment.primaries
 
 
 class _PrimaryAssignment:
     """An assignment of primaries under construction.
 
-    Invariant: `_partitions_of` is the inverse of `primaries` until `even_out` is called.
+    Invariant: `_partitions_of` is the inverse of `primaries` until `rebalance` is called.
     """
 
     def __init__(self, replicas: Mapping[int, Sequence[str]], limit: int) -> None:
@@ -36,23 +36,23 @@
         self._partitions_of: defaultdict[str, set[int]] = defaultdict(set)
 
     def assign(self, partition: int) -> None:
-        """Give a partition its primary, above the limit only where every other assignment is, too."""
+        """Assign a primary to a partition; exceed the limit only if no assignment within it exists."""
         if not self._assign_within_limit(partition, set()):
             self._set_primary(partition, min(self._replicas[partition], key=self._load))
 
     def _assign_within_limit(self, partition: int, visited: set[str]) -> bool:
-        """Find an augmenting path from a partition over stores that were not `visited`; apply it if found."""
+        """Search for an augmenting path from a partition through stores not in `visited`, and apply it."""
         candidates = [store for store in self._replicas[partition] if store not in visited]
         for store in sorted(candidates, key=self._load):
             if store in visited:
                 continue
             visited.add(store)
-            if self._load(store) < self._limit or self._pass_one_on(store, visited):
+            if self._load(store) < self._limit or self._reassign_one(store, visited):
                 self._set_primary(partition, store)
                 return True
         return False
 
-    def _pass_one_on(self, store: str, visited: set[str]) -> bool:
+    def _reassign_one(self, store: str, visited: set[str]) -> bool:
         partitions = sorted(self._partitions_of[store])
         return any(self._assign_within_limit(partition, visited) for partition in partitions)
 
@@ -66,8 +66,8 @@
     def _load(self, store: str) -> int:
         return len(self._partitions_of[store])
 
-    def even_out(self) -> None:
-        """Move primaries to replicas that have at least two fewer, until there are none."""
+    def rebalance(self) -> None:
+        """Move primaries to replicas with at least two fewer primaries until there are no such replicas."""
         load = Counter(self.primaries.values())
         has_moved = True
         while has_moved:
--- a/tests/coordination/placement/test_planner_primaries.py
+++ b/tests/coordination/placement/test_planner_primaries.py
@@ -1,4 +1,4 @@
-"""How primaries follow deaths, returns, restarts and the load."""
+"""The planner changes primaries after deaths, restarts and returns of stores, and for balance."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("count", range(1, 14))
-def test_nothing_changes_while_all_is_well(count: int) -> None:
+def test_the_placement_does_not_change_while_all_stores_are_live(count: int) -> None:
     placement = plan_initial_placement(stores(count), 1)
     assert plan(placement, all_live(count), allow_moves=True) is None
 
@@ -47,7 +47,7 @@
     assert plan(placement, conditions) is None
 
 
-def test_a_store_that_never_registered_at_this_head_is_awaited_a_while() -> None:
+def test_a_store_that_has_not_registered_counts_as_down_after_a_timeout() -> None:
     placement = plan_initial_placement(stores(3), 1)
     conditions = {**all_live(3), "s0": StoreCondition(None, UNKNOWN_DOWN_AFTER_S - 0.1)}
     assert plan(placement, conditions) is None
@@ -74,14 +74,18 @@
 
 def test_primaries_move_back_one_by_one_once_the_store_is_stable() -> None:
     before = plan_change(plan_initial_placement(stores(3), 1), with_store(all_live(3), dead_store(0)))
-    back = store(0, incarnation=2)
-    assert plan(before, with_store(all_live(3), back, STABLE_AFTER_S - 0.1), allow_moves=True) is None
-    assert plan(before, with_store(all_live(3), back, STABLE_AFTER_S)) is None
-    placement, conditions, moves = before, with_store(all_live(3), back, STABLE_AFTER_S), 0
-    while (following := plan(placement, conditions, allow_moves=True)) is not None:
-        grown = [number for number, epoch in epochs(following).items() if epoch > epochs(placement)[number]]
-        assert len(grown) == 1
-        placement, moves = following, moves + 1
+    returned_store = store(0, incarnation=2)
+    assert (
+        plan(before, with_store(all_live(3), returned_store, STABLE_AFTER_S - 0.1), allow_moves=True) is None
+    )
+    assert plan(before, with_store(all_live(3), returned_store, STABLE_AFTER_S)) is None
+    placement, conditions, moves = before, with_store(all_live(3), returned_store, STABLE_AFTER_S), 0
+    while (planned := plan(placement, conditions, allow_moves=True)) is not None:
+        changed_partitions = [
+            number for number, epoch in epochs(planned).items() if epoch > epochs(placement)[number]
+        ]
+        assert len(changed_partitions) == 1
+        placement, moves = planned, moves + 1
     assert moves == PARTITION_COUNT // 3
     assert max(primary_counts(placement).values()) <= -(-PARTITION_COUNT // 3)
     assert all(entry.primary_incarnation == 2 for entry in placement.partitions if entry.primary == "s0/d")
