--- a/hollowusher/coordination/chain/chain_member.py
+++ b/hollowusher/coordination/chain/chain_member.py
@@ -79,19 +79,19 @@
         return self.is_head and self.complete and self.state_epoch <= self.epoch
 
     @property
-    def is_in_force(self) -> bool:
+    def has_committed_in_epoch(self) -> bool:
         """Whether it knows of a state committed in its view's own epoch."""
         return self.in_chain and self.committed_epoch == self.epoch
 
     @property
     def is_readable(self) -> bool:
         """Whether it is the tail and `committed` is the newest committed state of the chain."""
-        return self.is_tail and self.is_in_force
+        return self.is_tail and self.has_committed_in_epoch
 
     @property
     def is_committed(self) -> bool:
         """Whether the newest state it holds is known to be committed in this epoch."""
-        return self.is_in_force and self.committed is self.state
+        return self.has_committed_in_epoch and self.committed is self.state
 
     def successor(self) -> str | None:
         """Return the member after this one, None for the tail."""
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -177,7 +177,7 @@
     @property
     def is_head(self) -> bool:
         """Whether this is the chain's head, has brought its epoch into force and hears a quorum."""
-        return self._may_lead() and self._chain_member.is_in_force
+        return self._may_lead() and self._chain_member.has_committed_in_epoch
 
     @property
     def rejected_writes(self) -> Counter[str]:
--- a/hollowusher/coordination/controller/view_reconfigurator.py
+++ b/hollowusher/coordination/controller/view_reconfigurator.py
@@ -69,7 +69,7 @@
             self._loss_noticed_at = None
         elif await self._replace_lost(view):
             return
-        if member.is_head and member.is_in_force:
+        if member.is_head and member.has_committed_in_epoch:
             await self._extend_view(view)
 
     async def _finish_accepted_view(self) -> bool:
--- a/hollowusher/simulation/model_check/control_chain_model.py
+++ b/hollowusher/simulation/model_check/control_chain_model.py
@@ -412,7 +412,7 @@
             for present in _presences(names, complete, node.voter.name)
             if proposal_rank(base, present, node.voter.name) is not None
         ]
-        if node.member.is_head and node.member.is_in_force:
+        if node.member.is_head and node.member.has_committed_in_epoch:
             controllers = [self._nodes[number].voter for number in state.nodes]
             spares = [one for one in controllers if not is_voter(base, one.name, one.disk_id)]
             for spare in spares:
