--- a/hollowusher/coordination/consensus/first_view.py
+++ b/hollowusher/coordination/consensus/first_view.py
@@ -61,7 +61,9 @@
 
     def choose_value(self) -> bool:
         """Choose the view to propose from the promises; return whether there is one that may be proposed."""
-        value = self._choosable() or self._plan([self.candidates[name] for name in sorted(self._promises)])
+        value = self._possibly_decided_view() or self._plan(
+            [self.candidates[name] for name in sorted(self._promises)]
+        )
         if self.decided is not None or value is None:
             return False
         if any(voter_id(voter) not in self._promises for voter in value.voters):
@@ -84,7 +86,7 @@
         views = [promise.accepted for promise in self._promises.values() if promise.accepted is not None]
         return [voter for view in views for voter in view.voters]
 
-    def _choosable(self) -> View | None:
+    def _possibly_decided_view(self) -> View | None:
         """Return the accepted view of the highest ballot that may have been decided."""
         accepted = [
             (decode_ballot(promise.accepted_ballot or (0, "")), promise.accepted)
--- a/hollowusher/simulation/model_check/planted_control.py
+++ b/hollowusher/simulation/model_check/planted_control.py
@@ -88,7 +88,7 @@
 class TakesTheHighestBallotAlone(FirstViewProposer):
     """A proposer of the first view that forgets what its voters have accepted."""
 
-    def _choosable(self) -> View | None:
+    def _possibly_decided_view(self) -> View | None:
         return None
 
 
