--- a/hollowusher/coordination/chain/chain_member.py
+++ b/hollowusher/coordination/chain/chain_member.py
@@ -138,7 +138,7 @@
         same_version = self._version(write) == self._saved_version()
         return same_version and not self._is_damaged and self.state == write.state
 
-    def keep(self, write: ChainWrite) -> None:
+    def record_saved(self, write: ChainWrite) -> None:
         """Record that a state has been saved."""
         if self._is_damaged or self._version(write) > self._saved_version():
             self.state = write.state
--- a/hollowusher/coordination/chain/chain_replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -213,7 +213,7 @@
             await self._store.save(write.epoch, write.state)
         except StorageError:
             return False
-        self.member.keep(write)
+        self.member.record_saved(write)
         return True
 
 
--- a/hollowusher/simulation/model_check/control_chain_model.py
+++ b/hollowusher/simulation/model_check/control_chain_model.py
@@ -295,7 +295,7 @@
         assert write is not None
         node.state_disk = encode_write(write)
         node.saving = None
-        node.member.keep(write)
+        node.member.record_saved(write)
         if node.order is not None and node.order.generation == write.state.generation:
             node.order.change.on_saved(write)
         if node.member.epoch != write.epoch:
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -165,12 +165,12 @@
 
 @planted_fault(test="tests/coordination/chain/test_chain.py")
 def _state_of_an_older_epoch_installed(patches: Patches) -> None:
-    def keep(member: ChainMember, write: ChainWrite) -> None:
+    def record_saved(member: ChainMember, write: ChainWrite) -> None:
         member.state, member.state_epoch = write.state, member.epoch
 
     patches.replace(ChainReplicator, "_rejection_reason", lambda replicator, write: "")
     patches.replace(ChainMember, "accepts", lambda member, write: member.in_chain)
-    patches.replace(ChainMember, "keep", keep)
+    patches.replace(ChainMember, "record_saved", record_saved)
 
 
 @planted_fault(
--- a/tests/coordination/chain/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -63,10 +63,10 @@
 def test_a_state_goes_down_the_chain_and_is_committed_at_the_tail() -> None:
     _, members = chain_of("abc")
     write = members["a"].begin(written(members["a"].state, "x"))
-    members["a"].keep(write)
+    members["a"].record_saved(write)
     for name in "bc":
         assert members[name].accepts(write)
-        members[name].keep(write)
+        members[name].record_saved(write)
     assert not members["c"].is_readable
     assert members["c"].commit(write) is write.state
     assert members["c"].is_readable
@@ -79,7 +79,7 @@
 def test_writes_of_other_epochs_and_older_ones_are_refused() -> None:
     view, members = chain_of("abc")
     tail = members["c"]
-    tail.keep(ChainWrite(1, evolve(EMPTY_STATE, sequence=5)))
+    tail.record_saved(ChainWrite(1, evolve(EMPTY_STATE, sequence=5)))
     assert not tail.accepts(ChainWrite(1, evolve(EMPTY_STATE, sequence=4)))
     assert tail.accepts(ChainWrite(1, evolve(EMPTY_STATE, sequence=5)))
     assert not tail.accepts(ChainWrite(2, evolve(EMPTY_STATE, sequence=9)))
@@ -91,18 +91,18 @@
 
 def test_a_later_epoch_replaces_what_was_never_committed() -> None:
     view, members = chain_of("abc")
-    members["a"].keep(members["a"].begin(written(EMPTY_STATE, "lost")))
+    members["a"].record_saved(members["a"].begin(written(EMPTY_STATE, "lost")))
     second = View(2, view.voters, ["b", "c"], {"b": 1, "c": 1})
     third = View(3, view.voters, ["b", "c", "a"], {"b": 1, "c": 1, "a": 3})
     members["b"].install(second)
     write = members["b"].begin()
-    members["b"].keep(write)
+    members["b"].record_saved(write)
     members["b"].install(third)
     members["a"].install(third)
     write = members["b"].begin()
     assert write.state.sequence < members["a"].state.sequence
     assert members["a"].accepts(write)
-    members["a"].keep(write)
+    members["a"].record_saved(write)
     assert members["a"].state.history == []
 
 
@@ -113,7 +113,7 @@
         member.install(joined)
     assert members["b"].complete
     assert not members["c"].complete
-    members["c"].keep(ChainWrite(3, evolve(EMPTY_STATE, sequence=1)))
+    members["c"].record_saved(ChainWrite(3, evolve(EMPTY_STATE, sequence=1)))
     assert members["c"].complete
     members["c"].install(View(4, view.voters, ["c", "b"], {"b": 1, "c": 3}))
     assert members["c"].complete
@@ -153,12 +153,12 @@
     view, members = chain_of("ab")
     head = members["a"]
     write = head.begin()
-    head.keep(write)
+    head.record_saved(write)
     head.commit(write)
     assert head.is_committed
     head.install(View(2, view.voters, ["a", "b"], {"a": 1, "b": 1}))
     again = head.begin()
-    head.keep(again)
+    head.record_saved(again)
     assert not head.is_committed
     head.commit(again)
     assert head.is_committed
@@ -167,13 +167,13 @@
 def test_a_tail_answers_nothing_before_its_epoch_is_in_force() -> None:
     view, members = chain_of("abc")
     write = ChainWrite(1, evolve(EMPTY_STATE, sequence=1))
-    members["b"].keep(write)
+    members["b"].record_saved(write)
     members["b"].commit(write)
     second = View(2, view.voters, ["a", "b"], {"a": 1, "b": 1})
     members["b"].install(second)
     assert not members["b"].is_readable
     later = ChainWrite(2, evolve(EMPTY_STATE, sequence=3))
-    members["b"].keep(later)
+    members["b"].record_saved(later)
     assert not members["b"].is_readable
     members["b"].commit(later)
     assert members["b"].is_readable
@@ -352,7 +352,7 @@
             self.words += 1
             fresh = written(member.state, str(self.words))
         write = member.begin(fresh)
-        member.keep(write)
+        member.record_saved(write)
         self._forward_to_successor(member, write)
 
     def deliver(self) -> None:
@@ -363,7 +363,7 @@
         member = self.members[receiver]
         if self.chance.random() < 0.1 or not member.accepts(write):
             return
-        member.keep(write)
+        member.record_saved(write)
         self._forward_to_successor(member, write)
 
     def _forward_to_successor(self, member: ChainMember, write: ChainWrite) -> None:
--- a/tests/coordination/chain/test_state_store.py
+++ b/tests/coordination/chain/test_state_store.py
@@ -161,7 +161,7 @@
     write = ChainWrite(2, evolve(large, sequence=9))
     assert member.accepts(write)
     assert not member.has_saved(write)
-    member.keep(write)
+    member.record_saved(write)
     assert member.complete
     assert member.state == write.state
 
