--- a/hollowusher/coordination/chain/chain_member.py
+++ b/hollowusher/coordination/chain/chain_member.py
@@ -125,7 +125,7 @@
         follows = self.in_chain and not self.is_head
         return follows and write.epoch == self.epoch and self._version(write) >= self._saved_version()
 
-    def begin(self, state: ControlState | None = None) -> ChainWrite:
+    def make_write(self, state: ControlState | None = None) -> ChainWrite:
         """Head: a new state, or the present one in this epoch, to be saved, kept and passed on."""
         if not self.may_write:
             raise ValueError(f"{self.name} is not a head that holds all committed states")
--- a/hollowusher/coordination/chain/chain_replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -90,7 +90,7 @@
             outdated = new_state is not None and new_state.base is not self.member.state
             if outdated or not self.member.may_write:
                 return ChainWritten(ok=False, epoch=self.member.epoch)
-            write = self.member.begin(new_state.state if new_state is not None else None)
+            write = self.member.make_write(new_state.state if new_state is not None else None)
             if not await self._save(write):
                 return ChainWritten(ok=False, epoch=self.member.epoch, unreachable=self.member.name)
             if new_state is not None:
--- a/hollowusher/simulation/model_check/control_chain_model.py
+++ b/hollowusher/simulation/model_check/control_chain_model.py
@@ -315,14 +315,14 @@
                 self._send(StateWriteAck(asker.sender, asker.incarnation, asker.encoded))
 
     def _flush(self, node: ChainNode) -> None:
-        write = node.member.begin()
+        write = node.member.make_write()
         if encode(write) != node.passed_on:  # else it is under way, and may arrive at any time
             node.saving = write
 
     def _order(self, generation: int, node: ChainNode) -> None:
         state = node.member.state
         wanted = evolve(state, generation=generation, history=[*state.history, [generation, ""]])
-        node.saving = node.member.begin(wanted)
+        node.saving = node.member.make_write(wanted)
         node.order = PendingOrder(generation, state.generation, self._make_change())
 
     @staticmethod
--- a/tests/coordination/chain/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -62,7 +62,7 @@
 
 def test_a_state_goes_down_the_chain_and_is_committed_at_the_tail() -> None:
     _, members = chain_of("abc")
-    write = members["a"].begin(written(members["a"].state, "x"))
+    write = members["a"].make_write(written(members["a"].state, "x"))
     members["a"].record_saved(write)
     for name in "bc":
         assert members[name].accepts(write)
@@ -91,15 +91,15 @@
 
 def test_a_later_epoch_replaces_what_was_never_committed() -> None:
     view, members = chain_of("abc")
-    members["a"].record_saved(members["a"].begin(written(EMPTY_STATE, "lost")))
+    members["a"].record_saved(members["a"].make_write(written(EMPTY_STATE, "lost")))
     second = View(2, view.voters, ["b", "c"], {"b": 1, "c": 1})
     third = View(3, view.voters, ["b", "c", "a"], {"b": 1, "c": 1, "a": 3})
     members["b"].install(second)
-    write = members["b"].begin()
+    write = members["b"].make_write()
     members["b"].record_saved(write)
     members["b"].install(third)
     members["a"].install(third)
-    write = members["b"].begin()
+    write = members["b"].make_write()
     assert write.state.sequence < members["a"].state.sequence
     assert members["a"].accepts(write)
     members["a"].record_saved(write)
@@ -125,9 +125,9 @@
     view, members = chain_of("abc")
     members["c"].install(View(3, view.voters, ["c", "a"], {"a": 1, "c": 3}))
     with pytest.raises(ValueError, match="not a head"):
-        members["c"].begin()
+        members["c"].make_write()
     with pytest.raises(ValueError, match="not a head"):
-        members["b"].begin()
+        members["b"].make_write()
 
 
 def test_another_disk_is_no_member() -> None:
@@ -152,12 +152,12 @@
 def test_a_state_of_an_earlier_epoch_is_not_committed_before_the_chain_has_it_again() -> None:
     view, members = chain_of("ab")
     head = members["a"]
-    write = head.begin()
+    write = head.make_write()
     head.record_saved(write)
     head.commit(write)
     assert head.is_committed
     head.install(View(2, view.voters, ["a", "b"], {"a": 1, "b": 1}))
-    again = head.begin()
+    again = head.make_write()
     head.record_saved(again)
     assert not head.is_committed
     head.commit(again)
@@ -351,7 +351,7 @@
         if member.state_epoch == member.epoch:
             self.words += 1
             fresh = written(member.state, str(self.words))
-        write = member.begin(fresh)
+        write = member.make_write(fresh)
         member.record_saved(write)
         self._forward_to_successor(member, write)
 
--- a/tests/coordination/chain/test_state_store.py
+++ b/tests/coordination/chain/test_state_store.py
@@ -180,6 +180,6 @@
     assert member.is_head
     assert not member.may_write
     with pytest.raises(ValueError, match="not a head"):
-        member.begin()
+        member.make_write()
     member.install(View(3, view.voters, ["a", "b"], {"a": 1, "b": 1}))
     assert member.may_write
