--- a/hollowusher/coordination/chain/chain_member.py
+++ b/hollowusher/coordination/chain/chain_member.py
@@ -35,11 +35,11 @@
         if saved is not None:
             self.state_epoch, self.state = decode(saved)
 
-    def restore(self, epoch: int, state: ControlState, *, whole: bool = True) -> None:
-        """Take what was found on disk; not `whole`: a part of it is missing, so it counts for nothing."""
-        if whole:
+    def restore(self, epoch: int, state: ControlState, *, intact: bool = True) -> None:
+        """Take what was found on disk; not `intact`: a part of it is missing, so it counts for nothing."""
+        if intact:
             self.state_epoch, self.state = epoch, state
-        self._is_damaged = not whole
+        self._is_damaged = not intact
 
     @property
     def epoch(self) -> int:
--- a/hollowusher/coordination/chain/state_store.py
+++ b/hollowusher/coordination/chain/state_store.py
@@ -35,13 +35,13 @@
 class SavedState:
     """What was found on disk.
 
-    `whole` is False where the record that the state names is missing: then this disk must not be taken to
+    `intact` is False where the record that the state names is missing: then this disk must not be taken to
     hold what it once acknowledged.
     """
 
     epoch: int
     state: ControlState
-    whole: bool = True
+    intact: bool = True
 
 
 class StateStore:
@@ -77,7 +77,7 @@
         self._referenced_digest = named[0]
         record = self.record(self._referenced_digest)
         if record is None:
-            return SavedState(epoch, state, whole=False)
+            return SavedState(epoch, state, intact=False)
         self._current = record
         return SavedState(epoch, record.fill(state))
 
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -362,5 +362,5 @@
     member = ChainMember(me.name, me.disk_id)
     saved = state_store.load()
     if saved is not None:
-        member.restore(saved.epoch, saved.state, whole=saved.whole)
+        member.restore(saved.epoch, saved.state, intact=saved.intact)
     return member
--- a/tests/coordination/chain/test_state_store.py
+++ b/tests/coordination/chain/test_state_store.py
@@ -75,7 +75,7 @@
     saved = disk.store().load()
     if saved is None:
         return EMPTY_STATE
-    assert saved.whole
+    assert saved.intact
     return saved.state
 
 
@@ -119,7 +119,7 @@
     store = disk.store()
     saved = store.load()
     assert saved is not None
-    assert (saved.epoch, saved.state, saved.whole) == (3, large, True)
+    assert (saved.epoch, saved.state, saved.intact) == (3, large, True)
     assert store.record(make_record(large).digest) is not None  # the next member may ask for it
 
 
@@ -149,10 +149,10 @@
     disk.values["state"] = encode([3, strip_record(large), make_record(large).digest])
     saved = disk.store().load()
     assert saved is not None
-    assert not saved.whole
+    assert not saved.intact
     view = first_view([Voter(name, f"disk-{name}", name) for name in "abc"])
     member = ChainMember("a", "disk-a")
-    member.restore(saved.epoch, saved.state, whole=saved.whole)
+    member.restore(saved.epoch, saved.state, intact=saved.intact)
     member.install(view)
     assert member.is_head
     assert not member.complete
