--- a/hollowusher/coordination/chain/chain_replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -48,7 +48,7 @@
     """One controller's place in the chain.
 
     `on_state` is called with each newly committed state; `spawn` runs a coroutine for as long as the
-    controller lives; `refused` counts messages by why they were not accepted.
+    controller lives; `rejections` counts messages by why they were not accepted.
     """
 
     def __init__(
@@ -60,12 +60,12 @@
         spawn: Spawn,
     ) -> None:
         self.member = member
-        self.refused: Counter[str] = Counter()
+        self.rejections: Counter[str] = Counter()
         self._transport = transport
         self._store = store
         self._on_state = on_state
         self._lock = asyncio.Lock()
-        self._fetch = RecordFetcher(transport, store, spawn, self.refused)
+        self._fetch = RecordFetcher(transport, store, spawn, self.rejections)
         self._records_at_successor: dict[
             str, bytes
         ] = {}  # member after this one -> digest of the record it has saved
@@ -102,7 +102,7 @@
         async with self._lock:
             reason = self._rejection_reason(write)
             if reason:
-                self.refused[reason] += 1
+                self.rejections[reason] += 1
                 return ChainWritten(ok=False, epoch=0 if reason == FOREIGN_CLUSTER else self.member.epoch)
             whole = self._fill_record(write)
             if whole is None:
@@ -193,7 +193,7 @@
         """Return a chunk of a document and history that are held here."""
         view = self.member.view
         if view is None or _conflict(message.cluster, view.cluster):
-            self.refused["record: another cluster"] += 1
+            self.rejections["record: another cluster"] += 1
             return read_chunk(None, message.offset)
         if message.digest:
             return read_chunk(self._store.record(message.digest), message.offset)
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -182,7 +182,7 @@
     @property
     def rejected_writes(self) -> Counter[str]:
         """How many messages of the chain were rejected, by reason."""
-        return self._replicator.refused
+        return self._replicator.rejections
 
     def snapshot(self, controllers: Sequence[str]) -> ControllerSnapshot:
         """Return what this controller knows of the consensus and the chain.
