--- a/hollowusher/coordination/__init__.py
+++ b/hollowusher/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts that others could embed: membership, views, the control chain, placement, updates."""
+"""Cluster coordination: membership, views, the control chain, partition placement and update distribution."""
--- a/hollowusher/coordination/cluster_state.py
+++ b/hollowusher/coordination/cluster_state.py
@@ -1,7 +1,7 @@
-"""The state of the cluster as one process knows it, from the items that controllers distribute.  No I/O.
+"""One process's copy of the cluster state, built from the items that controllers distribute.  No I/O.
 
-Every value comes as a `DistributedItem` with a version, and an older value never replaces a newer one: within
-one incarnation of the process no value goes back.
+Every value arrives as a `DistributedItem` with a version.  An older version never replaces a newer one, so
+within one incarnation of the process the version of each item only increases.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 VIEW = "view"
 WORKERS = "workers"
 MEMBER_PREFIX = "member/"
-Listener = Callable[[str], None]  # called with the key that has changed
+Listener = Callable[[str], None]  # called with the key of the changed item
 
 
 class ClusterState:
-    """The newest known value of each item; it owns them, and readers must not change them.
+    """The newest known value of each item.  Readers must not modify the values.
 
-    Invariant: for each key `versions` holds the greatest version that was received.
+    Invariant: for each key `versions` holds the greatest version that this process has received.
     """
 
     def __init__(self) -> None:
-        self.version_vector: dict[str, int] = {}  # origin -> counter up to which its items were received
+        self.version_vector: dict[str, int] = {}  # origin -> the greatest counter received from it
         self.versions: dict[str, list[int]] = {}
         self._sources: dict[str, tuple[str, int]] = {}  # key -> origin and counter of the item
         self.configuration: Configuration | None = None
         self.placement: Placement | None = None
         self.view: View | None = None
-        self.foreign_views = 0  # rejected items with a view of another cluster
+        self.foreign_views = 0  # number of rejected views of other clusters
         self.members: dict[str, Member] = {}
         self.workers: PlatformWorkerList | None = None
         self._partition_placements: dict[int, PartitionPlacement] = {}
@@ -46,17 +46,17 @@
     # ---- updates
 
     def add_listener(self, listener: Listener) -> None:
-        """Have `listener` called after each change, with the key of the item."""
+        """Register `listener`, which is called with the key of each item that changes."""
         self._listeners.append(listener)
 
     def apply(self, items: Iterable[DistributedItem], version_vector: dict[str, int]) -> list[str]:
-        """Store the newer ones of the items and return their keys.
+        """Store each item that is newer than the known one and return the keys of the stored items.
 
-        `version_vector` is that of the controller that sent the items; it is empty for items that were
-        received in any other way.
+        `version_vector` is the version vector of the controller that sent the items.  It is empty for items
+        from any other source and then leaves the known version vector unchanged.
         """
         changed = [item.key for item in items if self._apply(item)]
-        if version_vector:  # origins that the controller has forgotten are forgotten here too
+        if version_vector:  # drop the origins that the controller has dropped
             self.version_vector = {
                 origin: max(counter, self.version_vector.get(origin, 0))
                 for origin, counter in version_vector.items()
@@ -82,7 +82,10 @@
         return True
 
     def _is_foreign(self, view: View) -> bool:
-        """Return whether a view is of another cluster than the known one; older processes name none."""
+        """Return whether a view belongs to another cluster than the known view.
+
+        A view from an older version of the software has no cluster name and is never foreign.
+        """
         known = self.view
         return known is not None and "" not in (known.cluster, view.cluster) and known.cluster != view.cluster
 
@@ -102,7 +105,7 @@
     # ---- members
 
     def items_missing_from(self, version_vector: dict[str, int]) -> list[DistributedItem]:
-        """Return the known items of members that a process with this version vector has not received."""
+        """Return the member items that a process with this version vector has not received."""
         missing = []
         for name, member in self.members.items():
             key = MEMBER_PREFIX + name
@@ -112,7 +115,7 @@
         return missing
 
     def live_members(self, role: str | None = None) -> list[Member]:
-        """Return the live members of one role or of all, sorted by name."""
+        """Return the live members of `role`, or of every role if it is None, sorted by name."""
         return [
             member
             for _, member in sorted(self.members.items())
@@ -122,7 +125,7 @@
     # ---- partitions
 
     def partition_placement(self, partition: int) -> PartitionPlacement | None:
-        """Return which stores hold a partition, None for a partition that is not known."""
+        """Return the placement of a partition, None if the partition is unknown."""
         return self._partition_placements.get(partition)
 
     def partition_numbers(self) -> list[int]:
@@ -130,11 +133,11 @@
         return sorted(self._partition_placements)
 
     def store_address(self, store_id: str) -> str | None:
-        """Return the internal address of a replica, None where that machine or disk is not known."""
+        """Return the internal address of a store, None if no known member has this name and disk."""
         member = self.members.get(store_name(store_id))
         return member.address if member is not None and member.store_id == store_id else None
 
     def primary_address(self, partition: int) -> str | None:
-        """Return the internal address of a partition's primary, None where it is not known."""
+        """Return the internal address of a partition's primary, None if it is unknown."""
         placement = self.partition_placement(partition)
         return None if placement is None else self.store_address(placement.primary)
--- a/hollowusher/coordination/member_role.py
+++ b/hollowusher/coordination/member_role.py
@@ -1,4 +1,4 @@
-"""The roles that a process of the cluster can have."""
+"""The roles of the processes in a cluster."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MemberRole(StrEnum):
-    """The role of a member; the values are those of `Member.role` on the wire."""
+    """The role of a member; the values appear in `Member.role` on the wire."""
 
     EDGE = "edge"
     STORE = "store"
--- a/hollowusher/coordination/rendezvous.py
+++ b/hollowusher/coordination/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous (highest random weight) hashing: every process computes the same choice from the same names.
+"""Rendezvous (highest random weight) hashing: every process makes the same choice from the same names.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998).
 """
@@ -16,10 +16,10 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Return the names by decreasing weight for `key`, the chosen one first."""
+    """Return the names by decreasing weight for `key`; the first is the one that `choose` returns."""
     return sorted(names, key=lambda name: (weight(key, name), name), reverse=True)
 
 
 def choose(key: str, names: Iterable[str]) -> str | None:
-    """Return the name with the greatest weight for `key`, None where there are no names."""
+    """Return the name with the greatest weight for `key`, None if there are no names."""
     return max(names, key=lambda name: (weight(key, name), name), default=None)
--- a/hollowusher/coordination/store_id.py
+++ b/hollowusher/coordination/store_id.py
@@ -1,6 +1,6 @@
-"""Store ids: the name of a machine and the id of its disk, "name/disk id".
+"""Store ids of the form "machine name/disk id".
 
-A machine that returns with another disk holds none of its former data, so it is another store.
+A machine that restarts with another disk holds none of its earlier data, so it counts as another store.
 """
 
 from __future__ import annotations
@@ -9,5 +9,5 @@
 
 
 def store_name(store_id: str) -> str:
-    """Return the machine's name in a store id."""
+    """Return the machine name that a store id contains."""
     return store_id.partition(SEPARATOR)[0]
