--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -364,7 +364,7 @@
     saved = keeper.load()
     for slot in slots:
         slot.close()
-    return None if saved is None else (saved.epoch, saved.state, saved.whole)
+    return None if saved is None else (saved.epoch, saved.state, saved.intact)
 
 
 def voted(name: str, disk: str, view: Any, prepare: Any, accept: Any) -> list[bytes]:
