--- a/hollowusher/coordination/chain/chain_head.py
+++ b/hollowusher/coordination/chain/chain_head.py
@@ -1,4 +1,4 @@
-"""The head's side of the control chain: changes one after the other, each brought to the tail."""
+"""The head of the control chain: serializes changes and replicates each of them down to the tail."""
 
 from __future__ import annotations
 
@@ -11,48 +11,47 @@
 from hollowusher.coordination.consensus.paxos import min_chain_length
 from hollowusher.protocol.control_chain import ControlState
 
-UPDATE_DEADLINE_S = 2.5
+UPDATE_TIMEOUT_S = 2.5
 UPDATE_RETRY_S = 0.1
-RECORD_FETCH_PATIENCE_S = 1.0  # a member that fetches a large document for longer does so outside the chain
+MAX_RECORD_FETCH_S = 1.0  # a member that needs longer for a record is removed from the chain
 
 StateTransition = Callable[[ControlState], ControlState | None]
 
 
 def _keep_state(_state: ControlState) -> None:
-    """Leave the state as it is."""
+    """Return None, which leaves the state unchanged."""
 
 
 class ChainHead:
-    """Commits changes while `leads` says that this controller is the head.
+    """Commits changes while `is_leader` returns True, that is while this controller is the head.
 
-    `on_unreachable` is called with the name of a chain member that gives no answer.
+    `ChainHead` calls `on_unreachable` with the name of a chain member that does not respond.
     """
 
     def __init__(
         self,
         member: ChainMember,
         replicator: ChainReplicator,
-        leads: Callable[[], bool],
+        is_leader: Callable[[], bool],
         on_unreachable: Callable[[str], None],
     ) -> None:
         self._member = member
         self._replicator = replicator
-        self._is_leader = leads
+        self._is_leader = is_leader
         self._on_unreachable = on_unreachable
         self._lock = asyncio.Lock()
         self._repropagating = False
-        self._fetching_member = (
-            ""  # the member that holds up the present state, because it fetches its document
-        )
+        # The member that delays the current state because it fetches the record; empty for none.
+        self._fetching_member = ""
         self._fetching_since = 0.0
 
     @property
     def needs_repropagation(self) -> bool:
-        """Whether the state held is still to be brought into force in this epoch."""
+        """Whether the head still has to commit its state in the current epoch."""
         return self._member.is_head and not self._member.is_committed and not self._repropagating
 
     async def repropagate(self) -> None:
-        """Bring the state held into force in this epoch."""
+        """Commit the current state again, in the current epoch."""
         self._repropagating = True
         try:
             await self.change(_keep_state)
@@ -60,12 +59,12 @@
             self._repropagating = False
 
     async def change(self, update: StateTransition) -> bool:
-        """Commit what `update` makes of the newest state; None from `update` leaves it.
+        """Commit the state that `update` returns for the newest state; None leaves the state unchanged.
 
-        Return True once the result is committed; False where that is not known in time, or this is not the
-        head.
+        Return whether the result is committed.  False means that this controller is not the head, or that
+        the outcome is unknown after `UPDATE_TIMEOUT_S`.
         """
-        deadline = asyncio.get_running_loop().time() + UPDATE_DEADLINE_S
+        deadline = asyncio.get_running_loop().time() + UPDATE_TIMEOUT_S
         try:
             async with asyncio.timeout_at(deadline):
                 await self._lock.acquire()
@@ -80,22 +79,22 @@
         if not self._is_leader() or not await self._commit_newest(deadline):
             return False
         if asyncio.get_running_loop().time() >= deadline:
-            return False  # this process has stood still: whoever asked has gone on since
+            return False  # this process was paused, and its caller has given up meanwhile
         if not self._member.may_write:
-            return False  # deposed meanwhile: what is held was committed by another head
+            return False  # deposed meanwhile: the current state may be a commit of another head
         before = self._member.state
-        wanted = update(before)
-        if wanted is None:
+        updated = update(before)
+        if updated is None:
             return True
         change = PendingChange()
-        await self._replicate(NewState(wanted, before, change))
+        await self._replicate(NewState(updated, before, change))
         change.on_answer(self._member)
         if change.is_in_progress(self._member):
             await self._commit_newest(deadline)
         return change.is_committed(self._member)
 
     async def _commit_newest(self, deadline: float) -> bool:
-        """Have the chain keep the newest state, trying again while this is the head."""
+        """Replicate the newest state until it is committed; retry while this is the head and time is left."""
         while not self._member.is_committed:
             if asyncio.get_running_loop().time() >= deadline or not self._is_leader():
                 return False
@@ -111,13 +110,16 @@
         return answer.ok
 
     def _watch_record_fetch(self, name: str) -> None:
-        """Go on without a member that takes long to fetch the document, as long as nobody else is out."""
+        """Report a member as unreachable if it fetches a record for too long.
+
+        Keep waiting for it if the chain already lacks a voter or has its minimum length.
+        """
         now = asyncio.get_running_loop().time()
         if name != self._fetching_member:
             self._fetching_member = name
             self._fetching_since = now
         view = self._member.view
-        if not name or view is None or now - self._fetching_since < RECORD_FETCH_PATIENCE_S:
+        if not name or view is None or now - self._fetching_since < MAX_RECORD_FETCH_S:
             return
         if len(view.chain) == len(view.voters) > min_chain_length(view):
             self._on_unreachable(name)
--- a/hollowusher/coordination/chain/chain_replicator.py
+++ b/hollowusher/coordination/chain/chain_replicator.py
@@ -1,7 +1,8 @@
-"""Runs the control chain over the network: saves each state, then passes it on to the next member.
+"""Runs the control chain over the network: saves each state, then forwards it to the next member.
 
-A document and history that the next member holds are not sent again.  Where they are small they travel inside
-the `ChainWrite`; otherwise the next member fetches them (`RecordFetcher`) and the head sends the write again.
+The document and the history that the next member already holds are not sent again.  If they are small, the
+`ChainWrite` contains them.  Otherwise the next member fetches them (`RecordFetcher`), and the head retries
+the write.
 """
 
 from __future__ import annotations
@@ -32,12 +33,13 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 HOP_TIMEOUT_S = 0.8
-FOREIGN_CLUSTER = "write: another cluster"  # its epochs mean nothing to the sender
+# The response to a write of another cluster has epoch 0, because epochs of two clusters are not comparable.
+FOREIGN_CLUSTER = "write: another cluster"
 
 
 @attrs.frozen(eq=False)
 class NewState:
-    """A state that a head wants to commit, the state that it was made from, and the change that it is for."""
+    """A state that the head wants to commit, the state that it is based on, and its pending change."""
 
     state: ControlState
     base: ControlState
@@ -45,10 +47,10 @@
 
 
 class ChainReplicator:
-    """One controller's place in the chain.
+    """Replicates the control state between one controller and its neighbours in the chain.
 
-    `on_state` is called with each newly committed state; `spawn` runs a coroutine for as long as the
-    controller lives; `rejections` counts messages by why they were not accepted.
+    The replicator calls `on_state` with each newly committed state.  `spawn` runs a coroutine until the
+    controller stops.  `rejections` counts the rejected messages by reason.
     """
 
     def __init__(
@@ -66,12 +68,10 @@
         self._on_state = on_state
         self._lock = asyncio.Lock()
         self._fetch = RecordFetcher(transport, store, spawn, self.rejections)
-        self._records_at_successor: dict[
-            str, bytes
-        ] = {}  # member after this one -> digest of the record it has saved
+        self._records_at_successor: dict[str, bytes] = {}  # successor -> digest of its saved record
 
     def install(self, view: View) -> None:
-        """Use a decided view from now on."""
+        """Install a decided view."""
         known = self.member.committed
         self.member.install(view)
         self._records_at_successor.clear()
@@ -82,9 +82,9 @@
     # -- states ----------------------------------------------------------------------------------------
 
     async def replicate(self, new_state: NewState | None = None) -> ChainWritten:
-        """Head: save a new state, or the present one, and have the whole chain save it.
+        """Save a new state, or the current one, and replicate it down the chain; only the head calls this.
 
-        A new state is rejected where its base is not the newest state any more.
+        A new state is rejected if its base is no longer the newest state.
         """
         async with self._lock:
             outdated = new_state is not None and new_state.base is not self.member.state
@@ -98,21 +98,21 @@
         return await self._forward_to_successor(write)
 
     async def receive(self, write: ChainWrite) -> ChainWritten:
-        """Receive a state from the member before."""
+        """Handle a write from the predecessor: save it, forward it and return the response."""
         async with self._lock:
             reason = self._rejection_reason(write)
             if reason:
                 self.rejections[reason] += 1
                 return ChainWritten(ok=False, epoch=0 if reason == FOREIGN_CLUSTER else self.member.epoch)
-            whole = self._fill_record(write)
-            if whole is None:
+            filled_write = self._fill_record(write)
+            if filled_write is None:
                 return ChainWritten(ok=False, epoch=self.member.epoch, lacking=self.member.name)
-            if not await self._save(whole):
+            if not await self._save(filled_write):
                 return ChainWritten(ok=False, epoch=self.member.epoch, unreachable=self.member.name)
-        return await self._forward_to_successor(whole)
+        return await self._forward_to_successor(filled_write)
 
     def _rejection_reason(self, write: ChainWrite) -> str:
-        """Return why a write is rejected, empty where it is accepted."""
+        """Return the reason to reject a write, empty if it is accepted."""
         view = self.member.view
         if view is None or _conflict(write.cluster, view.cluster):
             return FOREIGN_CLUSTER
@@ -120,29 +120,32 @@
             return "write: another disk"
         if write.epoch != self.member.epoch:
             return "write: another epoch"
-        before = self.member.predecessor()
-        if before is None or _conflict(write.sender, before):
+        predecessor_name = self.member.predecessor()
+        if predecessor_name is None or _conflict(write.sender, predecessor_name):
             return "write: not from the member before"
         return "" if self.member.accepts(write) else "write: older than the state held"
 
     def _fill_record(self, write: ChainWrite) -> ChainWrite | None:
-        """Return the write with document and history; None where they are not held: then they are fetched."""
+        """Return the write with document and history.
+
+        If they are not held here, start to fetch them from the predecessor and return None.
+        """
         if not write.record:
             return write
         record = self._store.record(write.record)
         if record is not None:
-            return evolve(write, state=record.fill(write.state), record=b"")
-        before = self._voter(self.member.predecessor())
-        if before is not None and self.member.view is not None:
-            self._fetch.fetch(write.record, before.address, self.member.view.cluster)
+            return evolve(write, state=record.attach_to(write.state), record=b"")
+        predecessor_voter = self._voter(self.member.predecessor())
+        if predecessor_voter is not None and self.member.view is not None:
+            self._fetch.fetch(write.record, predecessor_voter.address, self.member.view.cluster)
         return None
 
     async def _forward_to_successor(self, write: ChainWrite) -> ChainWritten:
         if self.member.epoch != write.epoch:
             return ChainWritten(ok=False, epoch=self.member.epoch)
-        following = self.member.successor()
-        if following is not None:
-            answer = await self._call(following, write)
+        successor_name = self.member.successor()
+        if successor_name is not None:
+            answer = await self._call(successor_name, write)
             if not answer.ok:
                 return answer
         committed = self.member.commit(write)
@@ -151,11 +154,11 @@
         return ChainWritten(ok=True, epoch=write.epoch)
 
     async def _call(self, name: str, write: ChainWrite) -> ChainWritten:
-        """Have the next member save a write."""
+        """Send a write to the next member and return its response."""
         view, voter = self.member.view, self._voter(name)
         if view is None or voter is None:
             return ChainWritten(ok=False, epoch=self.member.epoch)
-        message, digest = self._for_member(write, voter, view)
+        message, digest = self._make_message(write, voter, view)
         sent_bytes = len(message.state.document)
         hops = len(view.chain) - view.chain.index(name)
         timeout = hops * (HOP_TIMEOUT_S + sent_bytes / MIN_THROUGHPUT_BYTES_PER_S)
@@ -172,8 +175,8 @@
             self._records_at_successor[name] = digest
         return answer
 
-    def _for_member(self, write: ChainWrite, voter: Voter, view: View) -> tuple[ChainWrite, bytes]:
-        """Return the message to the next member, and the digest of the record that the state has."""
+    def _make_message(self, write: ChainWrite, voter: Voter, view: View) -> tuple[ChainWrite, bytes]:
+        """Return the message to the next member and the digest of the state's record."""
         record = self._store.record_of(write.state)
         addressed = evolve(write, cluster=view.cluster, sender=self.member.name, receiver_disk=voter.disk_id)
         if (
@@ -190,7 +193,7 @@
     # -- records ---------------------------------------------------------------------------------------
 
     def read_record(self, message: ReadStateRecord) -> StateRecordChunk:
-        """Return a chunk of a document and history that are held here."""
+        """Return a chunk of a record that is held here, of the newest one if the request has no digest."""
         view = self.member.view
         if view is None or _conflict(message.cluster, view.cluster):
             self.rejections["record: another cluster"] += 1
@@ -199,14 +202,14 @@
             return read_chunk(self._store.record(message.digest), message.offset)
         return read_chunk(self._store.record_of(self.member.state), message.offset)
 
-    # -- the own disk ----------------------------------------------------------------------------------
+    # -- local disk ------------------------------------------------------------------------------------
 
     def stalled(self, now: float) -> bool:
-        """Whether the disk has been busy with one state for too long, or has just failed to take one."""
+        """Return whether a save has taken too long or has failed recently."""
         return self._store.stalled(now)
 
     async def _save(self, write: ChainWrite) -> bool:
-        """Have a whole state on disk; it is not written again if it stands there already."""
+        """Save the state of a write unless it is on disk already; return whether it is on disk."""
         if self.member.has_saved(write):
             return True
         try:
@@ -217,6 +220,6 @@
         return True
 
 
-def _conflict(said: str, known: str) -> bool:
-    """Whether two marks contradict each other; an empty one says nothing."""
-    return bool(said) and bool(known) and said != known
+def _conflict(received: str, known: str) -> bool:
+    """Return whether two names or ids differ; an empty one matches everything."""
+    return bool(received) and bool(known) and received != known
--- a/hollowusher/coordination/chain/pending_change.py
+++ b/hollowusher/coordination/chain/pending_change.py
@@ -1,8 +1,8 @@
-"""One change that a head has begun, until it is known whether it is committed.  No I/O, no clock.
+"""One change that a head has started and whose outcome is still unknown.  No I/O, no clock.
 
-A change is known by the state that was saved for it, never by what the member holds later: a head may be
-deposed while its write is on the way, rejoin the chain and hold a state of another head, which is committed
-as well.  Whoever asked for the change must not be told of that one.
+A change is identified by the state that the head saved for it, not by the state that the member holds later.
+A head may be deposed while its write is in progress, rejoin the chain and hold a committed state of another
+head.  The caller that requested the change must not mistake that commit for its own.
 
 Source: van Renesse and Schneider, "Chain replication for supporting high throughput and availability" (2004):
 the reply to an update is generated for that update, by its position in the chain's history.
@@ -15,26 +15,26 @@
 
 
 class PendingChange:
-    """The change of one caller.
+    """The change that one caller requested.
 
     Invariant: once set, `saved_state` never changes.
     """
 
     def __init__(self) -> None:
-        self.saved_state: ControlState | None = None  # None: the head's own disk has not taken the change
+        self.saved_state: ControlState | None = None  # None: the head has not saved the change
 
     def on_saved(self, write: ChainWrite) -> None:
-        """Note that the head has saved the state of this change."""
+        """Record that the head has saved the state of this change."""
         self.saved_state = write.state
 
     def on_answer(self, member: ChainMember) -> None:
-        """Note that the chain has answered the write, or has not answered in time.
+        """Handle the response of the chain to the write, or its timeout; neither has any effect.
 
-        Neither decides anything: `is_committed` goes by the state that was saved.
+        `is_committed` depends only on the saved state.
         """
 
     def is_in_progress(self, member: ChainMember) -> bool:
-        """Return whether the member's newest state is that of this change: it may yet be committed."""
+        """Return whether the member still holds the state of this change, so that it can be committed."""
         return self.saved_state is not None and member.state == self.saved_state
 
     def is_committed(self, member: ChainMember) -> bool:
--- a/hollowusher/coordination/chain/record_fetcher.py
+++ b/hollowusher/coordination/chain/record_fetcher.py
@@ -1,9 +1,9 @@
-"""Fetches the document and history that a member of the control chain lacks, chunk by chunk.
+"""Fetches the record (document and history) that a member of the control chain lacks, in chunks.
 
-A record is known by the digest over the whole of it, so it does not matter from whom which part comes, and
-what is there already is not asked for again.  A record counts only once all of it is there, its digest is
-right and it is on disk.  It is a record alone: no state names it before a `ChainWrite` of the present epoch
-does, so an old one undoes nothing.
+A record is identified by the digest of its complete content.  Therefore its chunks may come from different
+sources, and a fetch resumes after the chunks that have already arrived.  A record is usable only once it is
+complete, its digest is verified and it is on disk.  Fetching an outdated record is harmless: no state refers
+to a record until a `ChainWrite` of the current epoch does.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 CHUNK_TIMEOUT_S = 0.4 + CHUNK_BYTES / MIN_THROUGHPUT_BYTES_PER_S
 SAVE_RETRY_S = 1.0
-MAX_CONSECUTIVE_FAILURES = 3  # in a row; then the fetch ends until it is wanted again
+MAX_CONSECUTIVE_FAILURES = 3  # then the fetch ends until `fetch` is called again
 
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
 class RecordBuffer:
-    """The parts of one record that have come so far.  No I/O, no clock."""
+    """The chunks of one record that have arrived so far.  No I/O, no clock."""
 
     def __init__(self, digest: bytes) -> None:
         self.digest = digest
@@ -42,16 +42,16 @@
 
     @property
     def offset(self) -> int:
-        """Where the next chunk begins."""
+        """The offset of the next chunk."""
         return len(self._data)
 
     @property
     def is_complete(self) -> bool:
-        """Whether as many bytes are there as the record has."""
+        """Whether all bytes of the record have arrived."""
         return self._size is not None and len(self._data) == self._size
 
-    def take(self, chunk: StateRecordChunk) -> str:
-        """Add the next chunk; return why it is rejected, empty where it is not."""
+    def add_chunk(self, chunk: StateRecordChunk) -> str:
+        """Add the next chunk; return the reason if it is rejected, empty if it is accepted."""
         if chunk.digest != self.digest:
             return "not held"
         if not 0 < chunk.size <= MAX_RECORD_BYTES or self._size not in (None, chunk.size):
@@ -63,7 +63,7 @@
         return ""
 
     def finish(self) -> StateRecord | None:
-        """Return the complete record; None, and drop all of it, where its digest is another one."""
+        """Decode the complete record; if its digest does not match, drop all chunks and return None."""
         encoded = bytes(self._data)
         try:
             record = decode_record(encoded)
@@ -77,7 +77,7 @@
 
 
 class RecordFetcher:
-    """Brings one record at a time to this controller's disk.  `counts` tells what was refused, and why."""
+    """Fetches one record at a time to this controller's disk; `counts` counts the failures by reason."""
 
     def __init__(self, transport: Transport, store: StateStore, spawn: Spawn, counts: Counter[str]) -> None:
         self._transport = transport
@@ -91,16 +91,16 @@
         self._save_failed_at: float | None = None
 
     def fetch(self, digest: bytes, source: str, cluster: str) -> None:
-        """Fetch this record from the controller at `source`, in place of any other one."""
+        """Fetch the record from the controller at the address `source`, instead of any other record."""
         if self._buffer is None or self._buffer.digest != digest:
             self._buffer = RecordBuffer(digest)
         self._source = source
         self._cluster = cluster
-        if not self._running and not self._just_failed():
+        if not self._running and not self._has_recent_save_failure():
             self._running = True
             self._spawn(self._run())
 
-    def _just_failed(self) -> bool:
+    def _has_recent_save_failure(self) -> bool:
         now = asyncio.get_running_loop().time()
         return self._save_failed_at is not None and now - self._save_failed_at < SAVE_RETRY_S
 
@@ -118,19 +118,19 @@
             self._running = False
 
     async def _fetch_chunk(self, buffer: RecordBuffer) -> bool:
-        """Request the next chunk; return whether it came."""
-        question = ReadStateRecord(buffer.digest, buffer.offset, self._cluster)
+        """Request the next chunk; return whether it arrived and was accepted."""
+        request = ReadStateRecord(buffer.digest, buffer.offset, self._cluster)
         try:
-            answer = await self._transport.call(self._source, question, CHUNK_TIMEOUT_S)
+            answer = await self._transport.call(self._source, request, CHUNK_TIMEOUT_S)
         except PeerError:
             return self._count_failure("no answer")
         if not isinstance(answer, StateRecordChunk):
             return self._count_failure("no chunk")
-        refused = buffer.take(answer)
-        return self._count_failure(refused) if refused else True
+        rejection = buffer.add_chunk(answer)
+        return self._count_failure(rejection) if rejection else True
 
     async def _finish(self, buffer: RecordBuffer) -> bool:
-        """Check and save the complete record; return whether that is done."""
+        """Verify and save the complete record; return whether both succeeded."""
         record = buffer.finish()
         if record is None:
             return self._count_failure("wrong digest")
@@ -150,7 +150,7 @@
 
 
 def read_chunk(record: StateRecord | None, offset: int) -> StateRecordChunk:
-    """Return the answer to `ReadStateRecord`."""
+    """Return the chunk at an offset, an empty chunk if there is no record or the offset is outside it."""
     if record is None or not 0 <= offset < len(record.encoded):
         return StateRecordChunk(b"", 0, offset, b"")
     return StateRecordChunk(
--- a/hollowusher/coordination/chain/state_record.py
+++ b/hollowusher/coordination/chain/state_record.py
@@ -1,7 +1,7 @@
-"""The large part of the control state as one record that is known by its digest.
+"""The large part of the control state as one record, identified by its digest.
 
-A change of the placement leaves the document and the history of orders as they are.  They form one record,
-which is sent and saved only where it is not held yet; the rest of the state is a few kilobytes.
+The record contains the configuration document and the history of orders, which a change of the placement does
+not modify.  It is sent and saved only where it is missing; the rest of the state is a few kilobytes.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 
 DIGEST_BYTES = 16
 MAX_EMBEDDED_BYTES = 16 * 1024  # a record up to this size is saved together with the state
-MAX_INLINE_BYTES = 256 * 1024  # a record up to this size travels inside a `ChainWrite`
-CHUNK_BYTES = 256 * 1024  # the most that one `StateRecordChunk` carries
-MAX_RECORD_BYTES = 16 * 1024 * 1024  # a document of 8 MB and the longest history, with room to spare
+MAX_INLINE_BYTES = 256 * 1024  # a record up to this size is sent inside a `ChainWrite`
+CHUNK_BYTES = 256 * 1024  # the largest payload of one `StateRecordChunk`
+MAX_RECORD_BYTES = 16 * 1024 * 1024  # enough for a document of 8 MB and the longest history
 
 
 @attrs.frozen(eq=False)
 class StateRecord:
-    """Document and history, their encoded form, and its digest."""
+    """Document and history, their encoding, and the digest of the encoding."""
 
     digest: bytes
     encoded: bytes
     document: bytes
     history: list[list[Any]]
 
-    def of(self, state: ControlState) -> bool:
-        """Whether this is the record of a state; told by identity, so that it costs nothing."""
+    def belongs_to(self, state: ControlState) -> bool:
+        """Return whether this is the record of a state; compares by identity, which is cheap."""
         return state.document is self.document and state.history is self.history
 
-    def fill(self, state: ControlState) -> ControlState:
+    def attach_to(self, state: ControlState) -> ControlState:
         """Return the state with this document and history."""
         return evolve(state, document=self.document, history=self.history)
 
@@ -46,13 +46,13 @@
 
 
 def decode_record(encoded: bytes) -> StateRecord:
-    """Decode a record; `DecodeError` for other bytes."""
+    """Decode a record; raise `DecodeError` for invalid bytes."""
     document, history = decode(encoded)
     return StateRecord(compute_digest(encoded), encoded, document, history)
 
 
 def compute_digest(encoded: bytes) -> bytes:
-    """Return the digest by which a record is known."""
+    """Return the digest that identifies an encoded record."""
     return hashlib.blake2b(encoded, digest_size=DIGEST_BYTES).digest()
 
 
--- a/tests/coordination/chain/large_document_figures.py
+++ b/tests/coordination/chain/large_document_figures.py
@@ -1,4 +1,4 @@
-"""Prints the cost of large documents in virtual time.
+"""Prints the times and bytes that large configuration documents cost, in virtual time.
 
 Usage: `python -m tests.coordination.chain.large_document_figures`.
 """
@@ -22,12 +22,12 @@
 
 
 def all_hold(cluster: ControllerCluster) -> bool:
-    """Whether every member holds what the head holds."""
+    """Return whether every member has saved the state of the head."""
     return all(caught_up(cluster, name) for name in cluster.nodes)
 
 
-async def order(slow: str, size: int) -> str:
-    """One order while these machines have slow disks."""
+async def order_cost(slow: str, size: int) -> str:
+    """Measure one configuration order while the machines in `slow` have slow disks."""
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1, size), 0)
     cluster.network.disk_slowness = dict.fromkeys(slow, SLOW_DISK)
@@ -36,8 +36,8 @@
     return f"acknowledged after {acknowledged:.2f} s, held by all after {held:.2f} s"
 
 
-async def placement(size: int) -> str:
-    """One change of the placement."""
+async def placement_cost(size: int) -> str:
+    """Measure one change of the placement next to a document of `size` bytes."""
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1, size), 0)
     cluster.network.sent_bytes.clear()
@@ -47,8 +47,11 @@
     return f"{sent} bytes on two links, {saved} bytes on the busiest disk"
 
 
-async def back(loss: str, slowness: float, size: int) -> str:
-    """The last member is killed or wiped, misses an order, and comes back while the placement changes."""
+async def recovery_cost(loss: str, slowness: float, size: int) -> str:
+    """Measure the recovery of a member that was killed or wiped, missed an order and restarts during changes.
+
+    `slowness` is the factor by which its disk is slower.
+    """
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1, size), 0)
     await cluster["c"].kill()
@@ -59,14 +62,14 @@
     cluster.network.sent_bytes.clear()
     await cluster["c"].start()
     changes = asyncio.ensure_future(change_until_cancelled(cluster))
-    took = await cluster.until(lambda: caught_up(cluster, "c"), LIMIT_S)
+    elapsed_s = await cluster.until(lambda: caught_up(cluster, "c"), LIMIT_S)
     changes.cancel()
     await asyncio.wait({changes})
-    return f"caught up after {took:.2f} s and {sum(cluster.network.sent_bytes.values())} bytes"
+    return f"caught up after {elapsed_s:.2f} s and {sum(cluster.network.sent_bytes.values())} bytes"
 
 
 async def change_until_cancelled(cluster: ControllerCluster) -> None:
-    """Change the placement again and again."""
+    """Change the placement repeatedly."""
     version = 0
     while True:
         version += 1
@@ -76,16 +79,18 @@
 
 
 def main() -> None:
-    """Print all figures."""
+    """Print all measurements."""
     for size in SIZES:
-        print(f"placement beside {size} bytes: {run_virtual(placement(size))}")
+        print(f"placement beside {size} bytes: {run_virtual(placement_cost(size))}")
     for slow in ("", "a", "b", "c", "abc"):
         for size in SIZES:
-            print(f"order of {size} bytes, slow disks {slow or 'none'}: {run_virtual(order(slow, size))}")
+            print(
+                f"order of {size} bytes, slow disks {slow or 'none'}: {run_virtual(order_cost(slow, size))}"
+            )
     for loss in ("kill", "wipe"):
         for slowness in (1.0, SLOW_DISK):
             for size in SIZES:
-                text = run_virtual(back(loss, slowness, size))
+                text = run_virtual(recovery_cost(loss, slowness, size))
                 print(f"{loss}, document of {size} bytes, disk x{slowness:.0f}: {text}")
 
 
--- a/tests/coordination/chain/test_catch_up_random.py
+++ b/tests/coordination/chain/test_catch_up_random.py
@@ -1,4 +1,4 @@
-"""Large documents, links and disks that take time, troubles, and changes that never rest."""
+"""Random runs: members catch up with large documents despite faults, slow links and steady changes."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 CAUGHT_UP_S = 15.0
 
 
-class SizedTroubles(RandomFaults):
-    """Each trouble is followed by the time in which every member has to catch up while changes go on."""
+class CatchUpFaults(RandomFaults):
+    """After each fault every member has to catch up in time, while changes continue."""
 
     def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
         super().__init__(cluster, chance)
-        self.slowest_s = 0.0
+        self.max_catch_up_s = 0.0
 
     async def calm(self) -> None:
-        """Wait until every member holds what the head holds; then a second more."""
+        """Wait until every member has saved the state of the head, then one second longer."""
         took = await self.cluster.until(self._all_caught_up, CAUGHT_UP_S)
-        self.slowest_s = max(self.slowest_s, took)
+        self.max_catch_up_s = max(self.max_catch_up_s, took)
         await asyncio.sleep(1.0)
 
     def _all_caught_up(self) -> bool:
@@ -43,7 +43,10 @@
 
 
 async def play(seed: int, names: str, count: int = 5) -> tuple[RandomOperators, float]:
-    """One run; the operators, and the longest time from a trouble's end until all members had caught up."""
+    """Play one run; return the operators and the longest catch-up time in seconds.
+
+    The catch-up time is the time from the end of a fault until all members have caught up.
+    """
     chance = random.Random(f"snapshots {seed}")
     cluster = ControllerCluster(names, seed)
     cluster.network.bytes_per_s = LINK_BYTES_PER_S
@@ -52,18 +55,18 @@
     cluster.network.slowest_s = JITTERS_S[seed % len(JITTERS_S)]
     operators = RandomOperators(cluster, chance, SIZES)
     working = [asyncio.ensure_future(operators.run()) for _ in range(2)]
-    placing = asyncio.ensure_future(place_on(cluster))
-    troubles = SizedTroubles(cluster, chance)
-    await troubles.play(count)
+    placing = asyncio.ensure_future(change_until_cancelled(cluster))
+    faults = CatchUpFaults(cluster, chance)
+    await faults.play(count)
     operators.is_running = False
     await asyncio.gather(*working)
     placing.cancel()
     await finish(operators)
-    return operators, troubles.slowest_s
+    return operators, faults.max_catch_up_s
 
 
-async def place_on(cluster: ControllerCluster) -> None:
-    """Change the placement again and again."""
+async def change_until_cancelled(cluster: ControllerCluster) -> None:
+    """Change the placement repeatedly."""
     version = 0
     while True:
         version += 1
@@ -72,6 +75,6 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_every_member_catches_up_while_changes_go_on(seed: int) -> None:
+def test_every_member_catches_up_during_changes(seed: int) -> None:
     operators, _ = run_virtual(play(seed, "abc" if seed % 3 else "abcd"))
     assert sum(order.acknowledged_at is not None for order in operators.orders) > 5
--- a/tests/coordination/chain/test_chain.py
+++ b/tests/coordination/chain/test_chain.py
@@ -1,4 +1,4 @@
-"""The control chain, and the views that change it: cases, and random runs against a plain set of commits."""
+"""Control chain and its view changes: single cases, and random runs checked against the set of commits."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
     return {word for _, word in state.history}
 
 
-def everyone(view: View, alive: str) -> LivenessSnapshot:
-    """All these voters hear each other and are complete."""
+def connected_snapshot(view: View, alive: str) -> LivenessSnapshot:
+    """Return a snapshot in which these voters reach each other and the chain members are complete."""
     names = frozenset(alive)
     return LivenessSnapshot(names, names & frozenset(view.chain), dict.fromkeys(alive, names))
 
@@ -72,11 +72,11 @@
     assert members["c"].is_readable
     assert members["a"].commit(write) is write.state
     assert members["a"].is_committed
-    assert members["a"].commit(write) is None  # known already
+    assert members["a"].commit(write) is None  # the commit is known already
     assert members["b"].committed is None
 
 
-def test_writes_of_other_epochs_and_older_ones_are_refused() -> None:
+def test_writes_of_other_epochs_and_older_writes_are_rejected() -> None:
     view, members = chain_of("abc")
     tail = members["c"]
     tail.record_saved(ChainWrite(1, evolve(EMPTY_STATE, sequence=5)))
@@ -85,11 +85,11 @@
     assert not tail.accepts(ChainWrite(2, evolve(EMPTY_STATE, sequence=9)))
     tail.install(View(2, view.voters, ["b", "c"], {"b": 1, "c": 1}))
     assert not tail.accepts(ChainWrite(1, evolve(EMPTY_STATE, sequence=9)))
-    assert tail.accepts(ChainWrite(2, evolve(EMPTY_STATE, sequence=4)))  # of a later epoch: it counts
-    assert not members["a"].accepts(ChainWrite(1, evolve(EMPTY_STATE, sequence=9)))  # the head
+    assert tail.accepts(ChainWrite(2, evolve(EMPTY_STATE, sequence=4)))  # a later epoch counts as newer
+    assert not members["a"].accepts(ChainWrite(1, evolve(EMPTY_STATE, sequence=9)))  # as the head
 
 
-def test_a_later_epoch_replaces_what_was_never_committed() -> None:
+def test_a_later_epoch_replaces_uncommitted_states() -> None:
     view, members = chain_of("abc")
     members["a"].record_saved(members["a"].make_write(written(EMPTY_STATE, "lost")))
     second = View(2, view.voters, ["b", "c"], {"b": 1, "c": 1})
@@ -118,7 +118,7 @@
     members["c"].install(View(4, view.voters, ["c", "b"], {"b": 1, "c": 3}))
     assert members["c"].complete
     members["c"].install(View(9, view.voters, ["b", "c"], {"b": 1, "c": 8}))
-    assert not members["c"].complete  # it has been out of the chain in between
+    assert not members["c"].complete  # it was outside the chain in the meantime
 
 
 def test_a_head_that_may_lack_commits_writes_nothing() -> None:
@@ -130,7 +130,7 @@
         members["b"].make_write()
 
 
-def test_another_disk_is_no_member() -> None:
+def test_a_controller_with_another_disk_is_no_member() -> None:
     view, _ = chain_of("abc")
     wiped = ChainMember("a", "another-disk")
     wiped.install(view)
@@ -139,17 +139,17 @@
     assert not wiped.complete
 
 
-def test_a_member_is_the_same_after_a_crash() -> None:
+def test_a_member_restores_its_state_after_a_crash() -> None:
     view, _ = chain_of("abc")
     write = ChainWrite(1, evolve(EMPTY_STATE, sequence=5, generation=7, document=b"{}"))
     again = ChainMember("c", "disk-c", encode_write(write))
     assert (again.state_epoch, again.state) == (1, write.state)
     again.install(view)
-    assert again.committed == write.state  # what the tail saved is committed
+    assert again.committed == write.state  # a state that the tail has saved is committed
     assert again.is_readable
 
 
-def test_a_state_of_an_earlier_epoch_is_not_committed_before_the_chain_has_it_again() -> None:
+def test_a_state_of_an_earlier_epoch_must_be_committed_again() -> None:
     view, members = chain_of("ab")
     head = members["a"]
     write = head.make_write()
@@ -164,7 +164,7 @@
     assert head.is_committed
 
 
-def test_a_tail_answers_nothing_before_its_epoch_is_in_force() -> None:
+def test_a_tail_is_not_readable_before_a_commit_in_its_epoch() -> None:
     view, members = chain_of("abc")
     write = ChainWrite(1, evolve(EMPTY_STATE, sequence=1))
     members["b"].record_saved(write)
@@ -183,74 +183,73 @@
 # -- the next view -----------------------------------------------------------------------------------------
 
 
-def test_the_chain_keeps_its_order_and_others_join_behind() -> None:
+def test_the_chain_keeps_its_order_and_new_members_join_at_the_tail() -> None:
     view = View(4, voters("abcde"), ["c", "a", "e"], {"c": 1, "a": 1, "e": 2})
-    planned = plan_chain(view, everyone(view, "abde"))
+    planned = plan_chain(view, connected_snapshot(view, "abde"))
     assert planned is not None
     assert planned.chain == ["a", "e", "b", "d"]
     assert planned.since == {"a": 1, "e": 2, "b": 5, "d": 5}
     assert planned.epoch == 5
 
 
-def test_members_that_may_lack_commits_come_after_those_that_hold_all() -> None:
+def test_incomplete_members_follow_the_complete_ones() -> None:
     view = View(4, voters("abc"), ["a", "b", "c"], {"a": 4, "b": 1, "c": 1})
-    present = attrs.evolve(everyone(view, "abc"), complete=frozenset("b"))
-    planned = plan_chain(view, present)
+    snapshot = attrs.evolve(connected_snapshot(view, "abc"), complete=frozenset("b"))
+    planned = plan_chain(view, snapshot)
     assert planned is not None
     assert planned.chain == ["b", "a", "c"]
-    nobody = attrs.evolve(present, complete=frozenset())
-    assert plan_chain(view, nobody) is None
+    no_complete_member = attrs.evolve(snapshot, complete=frozenset())
+    assert plan_chain(view, no_complete_member) is None
 
 
-def test_no_chain_shorter_than_allowed_and_none_without_need() -> None:
+def test_no_chain_is_planned_below_the_minimum_length_or_without_a_change() -> None:
     view = first_view(voters("abc"))
-    assert plan_chain(view, everyone(view, "abc")) is None
-    assert plan_chain(view, everyone(view, "a")) is None
-    planned = plan_chain(view, everyone(view, "ab"))
+    assert plan_chain(view, connected_snapshot(view, "abc")) is None
+    assert plan_chain(view, connected_snapshot(view, "a")) is None
+    planned = plan_chain(view, connected_snapshot(view, "ab"))
     assert planned is not None
     assert planned.chain == ["a", "b"]
-    leaving = plan_chain(view, everyone(view, "abc"), departing="a")
+    leaving = plan_chain(view, connected_snapshot(view, "abc"), departing="a")
     assert leaving is not None
     assert leaving.chain == ["b", "c"]
 
 
-def test_who_cannot_reach_the_tail_does_not_join() -> None:
+def test_a_voter_that_cannot_reach_the_tail_does_not_join() -> None:
     view = View(2, voters("abc"), ["a", "b"], {"a": 1, "b": 1})
-    heard = {"a": frozenset("bc"), "b": frozenset("a"), "c": frozenset("a")}
-    assert plan_chain(view, LivenessSnapshot(frozenset("abc"), frozenset("ab"), heard)) is None
+    reachable = {"a": frozenset("bc"), "b": frozenset("a"), "c": frozenset("a")}
+    assert plan_chain(view, LivenessSnapshot(frozenset("abc"), frozenset("ab"), reachable)) is None
 
 
-def test_a_new_disk_takes_the_place_of_the_old_one_at_the_tail() -> None:
+def test_a_new_disk_replaces_the_old_one_and_joins_at_the_tail() -> None:
     view = first_view(voters("abc"))
     planned = plan_voters(view, Voter("b", "new", "10.0.0.98:1"), "b")
     assert planned is not None
     assert planned.chain == ["a", "c", "b"]
     assert planned.since == {"a": 1, "c": 1, "b": 2}
     assert {voter.disk_id for voter in planned.voters} == {"disk-a", "disk-c", "new"}
-    assert plan_voters(view, Voter("a", "new", ""), "a") is None  # the head would be lost
-    assert plan_voters(view, view.voters[1], "b") is None  # nothing new
+    assert plan_voters(view, Voter("a", "new", ""), "a") is None  # would remove the head
+    assert plan_voters(view, view.voters[1], "b") is None  # unchanged voter
 
 
-def test_who_is_made_a_voter() -> None:
+def test_which_spares_become_voters() -> None:
     view = first_view(voters("abc"))
     health = VoterHealth("a", 0.0)
     health.track("abc", 0.0)
     new, wiped = Voter("n", "disk-n", ""), Voter("b", "new", view.voters[1].address)
     pong(health, "b", 10.0)
     pong(health, "c", 10.0)
-    assert (
-        plan_voter_set_change(view, [view.voters[0], new], health, 3, 10.0) is None
-    )  # as many as wanted: it is a spare
+    # The set has the target size already, so the controller stays a spare.
+    assert plan_voter_set_change(view, [view.voters[0], new], health, 3, 10.0) is None
     assert plan_voter_set_change(view, [new], health, 5, 10.0) == VoterSetChange(new)
     assert plan_voter_set_change(view, [wiped], health, 3, 10.0) == VoterSetChange(wiped, "b")
     pong(health, "b", 14.0)
     assert plan_voter_set_change(view, [new], health, 3, 14.0) == VoterSetChange(new, "c")
-    assert plan_voter_set_change(view, [], health, 3, 14.0) is None  # nobody could take its place
+    assert plan_voter_set_change(view, [], health, 3, 14.0) is None  # there is no spare to replace it
     full = first_view(voters("abcde"))
     assert plan_voter_set_change(full, [new], VoterHealth("a", 14.0), 5, 14.0) is None
 
 
-# -- who is there ------------------------------------------------------------------------------------------
+# -- voter health ------------------------------------------------------------------------------------------
 
 
 def pong(health: VoterHealth, name: str, now: float, stalled: bool = False, leaving: bool = False) -> None:
@@ -261,7 +260,7 @@
     health = VoterHealth("a", 0.0)
     health.track("abc", 0.0)
     assert not health.is_dead("b", 1.1)
-    assert not health.is_reachable("b", 1.1)  # it may yet be starting
+    assert not health.is_reachable("b", 1.1)  # it may still be starting
     assert health.is_dead("b", 1.3)
     pong(health, "b", 2.0)
     assert health.is_reachable("b", 3.1)
@@ -277,7 +276,7 @@
     assert health.is_dead("b", 4.6)
 
 
-def test_refusals_mean_little_right_after_the_start() -> None:
+def test_refusals_right_after_the_start_do_not_count() -> None:
     health = VoterHealth("a", 0.0)
     health.track("ab", 0.0)
     health.on_refused("b")
@@ -286,7 +285,7 @@
     assert health.is_dead("b", 1.3)
 
 
-def test_a_member_out_of_reach_of_its_neighbour_is_avoided_for_a_while() -> None:
+def test_a_member_that_its_neighbour_cannot_reach_is_avoided_for_some_time() -> None:
     health = VoterHealth("a", 0.0)
     health.track("ab", 0.0)
     pong(health, "b", 1.0)
@@ -295,49 +294,50 @@
     assert health.is_avoided("b", 1.5)
     assert has_lost_chain_member(view, health, 1.5)
     assert take_liveness_snapshot(health, view, is_complete=True, now_s=1.5).alive == {"a"}
-    assert health.is_reachable("b", 1.5)  # it votes all the same
+    assert health.is_reachable("b", 1.5)  # it still votes
     pong(health, "b", 2.1)
     assert health.is_reachable("b", 2.1)
     assert not health.is_avoided("b", 2.1)
     assert take_liveness_snapshot(health, view, is_complete=True, now_s=2.1).alive == {"a", "b"}
 
 
-def test_presence_leaves_out_the_leaving_and_ranks_the_rest() -> None:
+def test_the_snapshot_excludes_departing_voters_and_ranks_the_others() -> None:
     view = first_view(voters("abc"))
     health = VoterHealth("b", 0.0)
     health.track("abc", 0.0)
     pong(health, "c", 5.0)
     assert health.has_quorum(view, 5.0)
     assert has_lost_chain_member(view, health, 5.0)
-    present = take_liveness_snapshot(health, view, is_complete=True, now_s=5.0)
-    assert present.alive == {"b", "c"}
-    assert present.complete == {"b", "c"}
-    assert proposal_rank(view, present, "b") == 0
-    assert proposal_rank(view, present, "c") == 1
+    snapshot = take_liveness_snapshot(health, view, is_complete=True, now_s=5.0)
+    assert snapshot.alive == {"b", "c"}
+    assert snapshot.complete == {"b", "c"}
+    assert proposal_rank(view, snapshot, "b") == 0
+    assert proposal_rank(view, snapshot, "c") == 1
     pong(health, "a", 5.0, leaving=True)
     assert take_liveness_snapshot(health, view, is_complete=True, now_s=5.0).alive == {"b", "c"}
-    assert proposal_rank(View(2, view.voters, ["a", "c"]), present, "b") is None
+    assert proposal_rank(View(2, view.voters, ["a", "c"]), snapshot, "b") is None
 
 
 # -- random runs -------------------------------------------------------------------------------------------
 
 
 class ChainModel:
-    """Members, writes on their way in any order, views decided by majorities and learned late; next to it
-    the plain set of all that was committed."""
+    """Chain members with writes in flight, delivered in any order, and with views that members learn late.
 
-    def __init__(self, names: str, chance: random.Random) -> None:
-        self.chance = chance
+    `committed` is the reference: the set of all committed words."""
+
+    def __init__(self, names: str, random_source: random.Random) -> None:
+        self.random_source = random_source
         view, self.members = chain_of(names)
         self.views = [view]
-        self.under_way: list[tuple[str, ChainWrite]] = []  # receiver, write
+        self.in_flight: list[tuple[str, ChainWrite]] = []  # receiver, write
         self.committed: set[str] = set()
         self.words = 0
-        self.accepted: dict[str, int] = dict.fromkeys(names, 1)  # the newest epoch each has accepted
+        self.accepted: dict[str, int] = dict.fromkeys(names, 1)  # the newest accepted epoch of each member
         self.reads = 0
 
     def step(self) -> None:
-        action = self.chance.choices(
+        action = self.random_source.choices(
             (self.write, self.deliver, self.learn, self.change_view, self.crash, self.read),
             weights=(4, 20, 8, 1, 1, 3),
         )[0]
@@ -356,48 +356,48 @@
         self._forward_to_successor(member, write)
 
     def deliver(self) -> None:
-        if not self.under_way:
+        if not self.in_flight:
             return
-        place = self.chance.randrange(len(self.under_way))
-        receiver, write = self.under_way.pop(place)
+        place = self.random_source.randrange(len(self.in_flight))
+        receiver, write = self.in_flight.pop(place)
         member = self.members[receiver]
-        if self.chance.random() < 0.1 or not member.accepts(write):
+        if self.random_source.random() < 0.1 or not member.accepts(write):
             return
         member.record_saved(write)
         self._forward_to_successor(member, write)
 
     def _forward_to_successor(self, member: ChainMember, write: ChainWrite) -> None:
-        following = member.successor()
-        if following is not None:
-            self.under_way.append((following, write))
+        successor_name = member.successor()
+        if successor_name is not None:
+            self.in_flight.append((successor_name, write))
             return
         member.commit(write)
         self.committed |= words(write.state)
 
     def learn(self) -> None:
-        newest = self.chance.random() < 0.7
-        self._any_member().install(self.views[-1] if newest else self.chance.choice(self.views))
+        newest = self.random_source.random() < 0.7
+        self._any_member().install(self.views[-1] if newest else self.random_source.choice(self.views))
 
     def change_view(self) -> None:
         view = self.views[-1]
-        count = self.chance.randint(quorum_size(view), len(self.members))
-        alive = self.chance.sample(sorted(self.members), count)
-        informed = [name for name in alive if self.members[name].epoch == view.epoch]
-        proposers = [name for name in informed if name in view.chain]
+        count = self.random_source.randint(quorum_size(view), len(self.members))
+        alive = self.random_source.sample(sorted(self.members), count)
+        up_to_date = [name for name in alive if self.members[name].epoch == view.epoch]
+        proposers = [name for name in up_to_date if name in view.chain]
         if not proposers:
             return
-        complete = frozenset(name for name in informed if self.members[name].complete)
-        heard = dict.fromkeys(alive, frozenset(alive))
-        planned = plan_chain(view, LivenessSnapshot(frozenset(alive), complete, heard))
+        complete = frozenset(name for name in up_to_date if self.members[name].complete)
+        reachable = dict.fromkeys(alive, frozenset(alive))
+        planned = plan_chain(view, LivenessSnapshot(frozenset(alive), complete, reachable))
         if planned is None:
             return
         self.views.append(planned)
         for name in alive:
             self.accepted[name] = planned.epoch
-        self.members[self.chance.choice(proposers)].install(planned)
+        self.members[self.random_source.choice(proposers)].install(planned)
 
     def crash(self) -> None:
-        name = self.chance.choice(sorted(self.members))
+        name = self.random_source.choice(sorted(self.members))
         old = self.members[name]
         saved = encode_write(ChainWrite(old.state_epoch, old.state))
         self.members[name] = ChainMember(name, old.disk_id, saved)
@@ -405,7 +405,7 @@
             self.members[name].install(old.view)
 
     def read(self) -> None:
-        """A tail that a majority confirms knows every commit."""
+        """Check that a tail whose epoch a majority confirms knows every commit."""
         member = self._any_member()
         confirming = [name for name, epoch in self.accepted.items() if epoch <= member.epoch]
         if member.is_readable and len(confirming) >= quorum_size(self.views[0]):
@@ -421,7 +421,7 @@
                 assert self.committed <= words(member.state), "a commit is lost"
 
     def _any_member(self) -> ChainMember:
-        return self.members[self.chance.choice(sorted(self.members))]
+        return self.members[self.random_source.choice(sorted(self.members))]
 
 
 @pytest.mark.parametrize(("names", "least_reads"), [("abc", 400), ("abcd", 200), ("abcde", 100)])
@@ -435,6 +435,6 @@
         commits += len(model.committed)
         views += len(model.views)
         reads += model.reads
-    assert commits > 300  # else little was tried
+    assert commits > 300  # otherwise the runs covered too little
     assert views > 700
     assert reads > least_reads
--- a/tests/coordination/chain/test_large_documents.py
+++ b/tests/coordination/chain/test_large_documents.py
@@ -1,4 +1,4 @@
-"""The control state with large documents: what a change costs, catching up, and what is never undone."""
+"""Control state with large documents: cost of a change, catch-up, and durability of acknowledged orders."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def virtual(test: Test) -> Callable[..., None]:
-    """Run a test under a virtual clock."""
+    """Run an asynchronous test under a virtual clock."""
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
@@ -38,14 +38,14 @@
 
 
 def large_body(generation: int, size: int = LARGE_BYTES) -> bytes:
-    """A valid configuration of about `size` bytes."""
+    """Return a valid configuration of about `size` bytes."""
     content = document(generation)
     content["comment"] = f"{generation} " + "x" * size
     return orjson.dumps(content)
 
 
 async def send(node: ControllerNode, body: bytes, if_match: int) -> int:
-    """Send an order; its status, 503 where the answer does not come in time.  The order goes on then."""
+    """Send an order; return its status, or 503 if no response arrives in time; the order then continues."""
     task = node.ask(ChangeConfiguration("PUT", if_match, body))
     await asyncio.wait({task}, timeout=ANSWER_TIMEOUT_S)
     if not task.done() or task.cancelled():
@@ -58,7 +58,7 @@
 async def send_until_taken(
     cluster: ControllerCluster, body: bytes, if_match: int, seconds: float = 30.0
 ) -> float:
-    """Send an order again, to one machine after the other, until it is acknowledged; how long that took."""
+    """Retry an order on one machine after another until it is acknowledged; return the seconds taken."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     while True:
@@ -74,7 +74,7 @@
 
 
 async def sized_cluster(names: str = "abc", seed: int = 0) -> ControllerCluster:
-    """A started cluster whose links and disks take time by bytes."""
+    """Return a started cluster whose links and disks have limited throughput."""
     cluster = ControllerCluster(names, seed)
     cluster.network.bytes_per_s = LINK_BYTES_PER_S
     cluster.network.disk_bytes_per_s = DISK_BYTES_PER_S
@@ -83,7 +83,7 @@
 
 
 def place(version: int) -> Callable[[ControlState], ControlState]:
-    """A change of the placement alone."""
+    """Return a transition that changes only the placement."""
     return lambda state: evolve(state, placement=Placement(version, []))
 
 
@@ -92,7 +92,7 @@
 
 
 async def change_placement(cluster: ControllerCluster, version: int) -> bool:
-    """Have whoever is the head change the placement; False where nobody is, or it was not committed."""
+    """Change the placement on the head; return False if there is no head or the change is not committed."""
     for node in cluster.nodes.values():
         if node.controller is not None and node.controller.is_head:
             change = node.run(node.controller.change(place(version)))
@@ -106,7 +106,7 @@
 
 
 def caught_up(cluster: ControllerCluster, name: str) -> bool:
-    """Whether a machine is in the chain and has saved the head's state."""
+    """Return whether a machine is in the chain and has saved the state of the head."""
     node = cluster[name]
     heads = [each for each in cluster.nodes.values() if each.controller and each.controller.is_head]
     if node.controller is None or not heads:
@@ -116,11 +116,11 @@
     return bool(in_chain and member(node).complete and member(node).state == member(heads[0]).state)
 
 
-# -- what a change costs -----------------------------------------------------------------------------------
+# -- cost of a change -----------------------------------------------------------------------------------
 
 
 @virtual
-async def test_a_change_of_the_placement_costs_a_few_kilobytes_beside_a_large_document() -> None:
+async def test_a_placement_change_costs_a_few_kilobytes_next_to_a_large_document() -> None:
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1), 0)
     cluster.network.sent_bytes.clear()
@@ -143,12 +143,12 @@
     assert max(cluster.network.saved_bytes.values()) < 2_000
 
 
-# -- catching up -------------------------------------------------------------------------------------------
+# -- catch-up -------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("loss", ["kill", "wipe"])
 @virtual
-async def test_a_member_catches_up_with_a_large_document_while_changes_go_on(loss: str) -> None:
+async def test_a_member_catches_up_with_a_large_document_during_changes(loss: str) -> None:
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1), 0)
     await cluster["c"].kill()
@@ -158,14 +158,14 @@
     cluster.network.disk_slowness["c"] = SLOW_DISK
     cluster.network.sent_bytes.clear()
     await cluster["c"].start()
-    going = True
+    is_running = True
     slowest = 0.0
 
-    async def change_on() -> None:
+    async def change_repeatedly() -> None:
         nonlocal slowest
         loop = asyncio.get_running_loop()
         version = 0
-        while going:
+        while is_running:
             started = loop.time()
             version += 1
             while not await change_placement(cluster, version):
@@ -173,9 +173,9 @@
             slowest = max(slowest, loop.time() - started)
             await asyncio.sleep(0.05)
 
-    changes = asyncio.ensure_future(change_on())
+    changes = asyncio.ensure_future(change_repeatedly())
     await cluster.until(lambda: caught_up(cluster, "c"), CATCH_UP_S)
-    going = False
+    is_running = False
     await changes
     assert slowest < 2.5
     assert sum(cluster.network.sent_bytes.values()) < 2 * LARGE_BYTES
@@ -200,21 +200,24 @@
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1), 0)
     cluster.network.disk_slowness = dict.fromkeys("abc", SLOW_DISK)
-    took = await send_until_taken(cluster, large_body(2), 1)
-    assert took < 20.0
+    elapsed_s = await send_until_taken(cluster, large_body(2), 1)
+    assert elapsed_s < 20.0
     cluster.network.disk_slowness = {"b": SLOW_DISK}
-    took = await send_until_taken(cluster, large_body(3), 2)
-    assert took < 5.0  # the others do not wait for the one that is slow
+    elapsed_s = await send_until_taken(cluster, large_body(3), 2)
+    assert elapsed_s < 5.0  # the other members do not wait for the slow one
 
 
 @virtual
-async def test_a_large_state_outlasts_the_loss_of_all_processes_at_any_moment() -> None:
+async def test_a_large_state_survives_the_loss_of_all_processes_at_any_moment() -> None:
     for moment in range(20):
         await kill_all_after(0.02 * moment)
 
 
 async def kill_all_after(seconds: float) -> None:
-    """All controllers are killed so long after a large order was sent; it is whole or not there."""
+    """Kill all controllers `seconds` after a large order was sent, then restart them.
+
+    The order must then be applied completely or not at all, and completely if it was acknowledged.
+    """
     cluster = await sized_cluster(seed=round(1000 * seconds))
     await send_until_taken(cluster, large_body(1, MEDIUM_BYTES), 0)
     cluster.network.disk_slowness = dict.fromkeys("abc", 3.0)
--- a/tests/coordination/chain/test_rejected_messages.py
+++ b/tests/coordination/chain/test_rejected_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the control chain that do not belong here: refused, counted, and nothing is changed."""
+"""A chain member rejects and counts stray, damaged or foreign chain messages, and keeps its state."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def next_write(cluster: ControllerCluster) -> ChainWrite:
-    """A write that the second member would take from the head."""
+    """Return a write that the second member would accept from the head."""
     head = member(cluster["a"])
     state = evolve(head.state, sequence=head.state.sequence + 1)
     return ChainWrite(head.epoch, state, cluster=head.view.cluster, sender="a", receiver_disk="disk-b")
@@ -67,14 +67,12 @@
     ],
 )
 @virtual
-async def test_a_write_that_does_not_belong_here_is_refused_and_counted(
-    fields: dict[str, Any], reason: str
-) -> None:
+async def test_a_stray_write_is_rejected_and_counted(fields: dict[str, Any], reason: str) -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
-    named = evolve(member(cluster["b"]).view, cluster="this one")
-    member(cluster["b"]).view = named  # views name their system once it has been drawn
+    cluster_view = evolve(member(cluster["b"]).view, cluster="this one")
+    member(cluster["b"]).view = cluster_view  # replaces the random name by a known one
     files, state = dict(cluster["b"].files), member(cluster["b"]).state
     write = evolve(next_write(cluster), **{"cluster": "this one", **fields})
     answer = await cluster["b"].running.handle(write)
@@ -100,12 +98,13 @@
     assert cluster["b"].files == files
     assert cluster["b"].running.rejected_writes["write: older than the state held"] == 1
     again = evolve(early, state=member(cluster["a"]).state)
-    assert (await cluster["b"].receive_write(again)).ok  # the newest again: acknowledged, not saved again
+    # The repeated newest write is acknowledged but not saved again.
+    assert (await cluster["b"].receive_write(again)).ok
     assert cluster["b"].files == files
 
 
 @virtual
-async def test_a_write_whose_document_is_not_held_says_so_and_changes_nothing() -> None:
+async def test_a_write_with_an_unknown_record_is_rejected_as_lacking() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
@@ -133,48 +132,48 @@
     buffer = RecordBuffer(record.digest)
     for chunk in chunks(record):
         assert not buffer.is_complete
-        assert buffer.take(chunk) == ""
+        assert buffer.add_chunk(chunk) == ""
     assert buffer.is_complete
     found = buffer.finish()
     assert found is not None
     assert found.encoded == record.encoded
 
 
-def test_chunks_that_do_not_fit_are_not_taken() -> None:
+def test_chunks_that_do_not_fit_are_rejected() -> None:
     record, other = record_of(LARGE), record_of(LARGE, "y")
     first, second, *_ = chunks(record)
     buffer = RecordBuffer(record.digest)
-    assert buffer.take(StateRecordChunk(b"", 0, 0, b"")) == "not held"
-    assert buffer.take(chunks(other)[0]) == "not held"
-    assert buffer.take(second) == "cut short"
-    assert buffer.take(evolve(first, data=b"")) == "cut short"
-    assert buffer.take(evolve(first, size=0)) == "wrong size"
-    assert buffer.take(evolve(first, size=MAX_RECORD_BYTES + 1)) == "wrong size"
-    assert buffer.take(evolve(first, size=10)) == "cut short"
+    assert buffer.add_chunk(StateRecordChunk(b"", 0, 0, b"")) == "not held"
+    assert buffer.add_chunk(chunks(other)[0]) == "not held"
+    assert buffer.add_chunk(second) == "cut short"
+    assert buffer.add_chunk(evolve(first, data=b"")) == "cut short"
+    assert buffer.add_chunk(evolve(first, size=0)) == "wrong size"
+    assert buffer.add_chunk(evolve(first, size=MAX_RECORD_BYTES + 1)) == "wrong size"
+    assert buffer.add_chunk(evolve(first, size=10)) == "cut short"
     assert buffer.offset == 0
-    assert buffer.take(first) == ""
-    assert buffer.take(first) == "cut short"  # the same one again
-    assert buffer.take(evolve(second, size=second.size + 1)) == "wrong size"
-    assert buffer.take(second) == ""
+    assert buffer.add_chunk(first) == ""
+    assert buffer.add_chunk(first) == "cut short"  # a duplicate chunk
+    assert buffer.add_chunk(evolve(second, size=second.size + 1)) == "wrong size"
+    assert buffer.add_chunk(second) == ""
     assert buffer.offset == 2 * CHUNK_BYTES
 
 
-def test_a_record_with_another_digest_is_dropped_and_begun_anew() -> None:
+def test_a_record_with_a_wrong_digest_is_dropped_and_fetched_again() -> None:
     record = record_of(LARGE)
-    spoilt = [evolve(chunk, data=bytes([chunk.data[0] ^ 1]) + chunk.data[1:]) for chunk in chunks(record)]
+    corrupt = [evolve(chunk, data=bytes([chunk.data[0] ^ 1]) + chunk.data[1:]) for chunk in chunks(record)]
     buffer = RecordBuffer(record.digest)
-    for chunk in [*spoilt[:1], *chunks(record)[1:]]:
-        assert buffer.take(chunk) == ""
+    for chunk in [*corrupt[:1], *chunks(record)[1:]]:
+        assert buffer.add_chunk(chunk) == ""
     assert buffer.is_complete
     assert buffer.finish() is None
     assert buffer.offset == 0
     assert not buffer.is_complete
     for chunk in chunks(record):
-        assert buffer.take(chunk) == ""
+        assert buffer.add_chunk(chunk) == ""
     assert buffer.finish() is not None
 
 
-def test_questions_beyond_a_record_or_for_one_not_held_are_answered_truthfully() -> None:
+def test_reading_beyond_a_record_or_an_unknown_record_returns_an_empty_chunk() -> None:
     record = record_of(100)
     for offset in (-1, len(record.encoded), 10**9):
         assert read_chunk(record, offset) == StateRecordChunk(b"", 0, offset, b"")
@@ -182,7 +181,7 @@
 
 
 @virtual
-async def test_a_record_of_another_cluster_is_not_granted() -> None:
+async def test_a_record_request_of_another_cluster_is_rejected() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
@@ -197,31 +196,31 @@
 
 
 @virtual
-async def test_a_record_cut_short_is_fetched_from_where_it_broke_off() -> None:
+async def test_an_interrupted_fetch_resumes_at_the_missing_chunk() -> None:
     cluster = await sized_cluster()
     await cluster["c"].kill()
     await send_until_taken(cluster, large_body(1), 0)
     source = cluster["a"]
     record = make_record(member(source).state)
     disk = store()
-    asked: list[int] = []
+    offsets: list[int] = []
 
-    class Breaking:
-        """A network that breaks off in the middle."""
+    class InterruptedTransport:
+        """A transport that delivers an empty chunk in the middle of the fetch."""
 
         async def call(self, address: str, message: ReadStateRecord, timeout: float) -> Any:
-            asked.append(message.offset)
-            if len(asked) == 5:
+            offsets.append(message.offset)
+            if len(offsets) == 5:
                 return evolve(await source.running.handle(message), data=b"")
             return await source.running.handle(message)
 
     counts: Counter[str] = Counter()
     work: list[Any] = []
-    fetch = RecordFetcher(Breaking(), disk, work.append, counts)  # type: ignore[arg-type]
+    fetch = RecordFetcher(InterruptedTransport(), disk, work.append, counts)  # type: ignore[arg-type]
     fetch.fetch(record.digest, source.address, "")
     assert not disk.is_durable(record.digest)
     await work.pop()
     assert disk.is_durable(record.digest)
     assert counts == {"record: cut short": 1}
-    assert asked == [0, *(CHUNK_BYTES * n for n in (1, 2, 3, 4, 4)), *asked[6:]]
-    assert sorted(set(asked)) == list(range(0, len(record.encoded), CHUNK_BYTES))
+    assert offsets == [0, *(CHUNK_BYTES * n for n in (1, 2, 3, 4, 4)), *offsets[6:]]
+    assert sorted(set(offsets)) == list(range(0, len(record.encoded), CHUNK_BYTES))
--- a/tests/coordination/chain/test_state_store.py
+++ b/tests/coordination/chain/test_state_store.py
@@ -1,4 +1,4 @@
-"""The control state on disk: after a crash or a failed save at any point a whole state is found."""
+"""Control state on disk: after a crash or a failed save at any point a complete state can be loaded."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 
 
 class Crash(BaseException):
-    """The machine has lost power."""
+    """The machine loses power."""
 
 
-class RiskyDisk:
-    """Values of slots; each save may fail or be the last one, and then the old or the new value stands."""
+class FaultyDisk:
+    """The values of some slots.  A save may fail or crash; the slot then has the old or the new value."""
 
-    def __init__(self, chance: random.Random, failing: float = 0.0, crashing: float = 0.0) -> None:
-        self.chance = chance
+    def __init__(self, random_source: random.Random, failing: float = 0.0, crashing: float = 0.0) -> None:
+        self.random_source = random_source
         self.failing = failing
         self.crashing = crashing
         self.values: dict[str, bytes] = {}
 
     def store(self) -> StateStore:
-        slots = [RiskySlot(self, name) for name in ("state", "record-a", "record-b")]
+        slots = [FaultySlot(self, name) for name in ("state", "record-a", "record-b")]
         return StateStore(slots[0], slots[1:])
 
 
-class RiskySlot:
-    """One slot of such a disk."""
+class FaultySlot:
+    """One slot of a `FaultyDisk`."""
 
-    def __init__(self, disk: RiskyDisk, name: str) -> None:
+    def __init__(self, disk: FaultyDisk, name: str) -> None:
         self._disk = disk
         self._name = name
 
@@ -56,13 +56,13 @@
     async def save(self, value: bytes) -> None:
         disk = self._disk
         await asyncio.sleep(0)
-        fate = disk.chance.random()
-        troubled = fate < disk.failing + disk.crashing
-        if not troubled or disk.chance.random() < 0.5:
+        outcome = disk.random_source.random()
+        has_fault = outcome < disk.failing + disk.crashing
+        if not has_fault or disk.random_source.random() < 0.5:
             disk.values[self._name] = value
-        if fate < disk.failing:
+        if outcome < disk.failing:
             raise StorageError("save", self._name, "no space left")
-        if troubled:
+        if has_fault:
             raise Crash
 
 
@@ -71,7 +71,7 @@
     return ControlState(sequence, sequence, text + b"x" * size, [[sequence, b"digest"]])
 
 
-def loaded(disk: RiskyDisk) -> ControlState:
+def loaded(disk: FaultyDisk) -> ControlState:
     saved = disk.store().load()
     if saved is None:
         return EMPTY_STATE
@@ -82,21 +82,21 @@
 @pytest.mark.parametrize("failing", [0.0, 0.3])
 def test_a_crash_at_any_point_leaves_the_old_state_or_the_new_one_complete(failing: float) -> None:
     for seed in range(SEEDS):
-        chance = random.Random(f"{failing} {seed}")
-        asyncio.run(_save_until_the_end(RiskyDisk(chance, failing, 0.05), chance))
+        random_source = random.Random(f"{failing} {seed}")
+        asyncio.run(_save_until_the_end(FaultyDisk(random_source, failing, 0.05), random_source))
 
 
-async def _save_until_the_end(disk: RiskyDisk, chance: random.Random) -> None:
+async def _save_until_the_end(disk: FaultyDisk, random_source: random.Random) -> None:
     store = disk.store()
     store.load()
-    possible = [EMPTY_STATE]  # the newest acknowledged one, and those tried since
+    possible = [EMPTY_STATE]  # the last acknowledged state and those tried since
     for sequence in range(1, STEPS):
-        size = chance.choice((10, 10, MAX_EMBEDDED_BYTES, 3 * MAX_EMBEDDED_BYTES))
+        size = random_source.choice((10, 10, MAX_EMBEDDED_BYTES, 3 * MAX_EMBEDDED_BYTES))
         state = state_of(sequence, size)
-        if chance.random() < 0.3:  # the placement alone has changed
+        if random_source.random() < 0.3:  # only the placement has changed
             state = evolve(possible[0], sequence=sequence)
         try:
-            if chance.random() < 0.3:
+            if random_source.random() < 0.3:
                 await store.save_record(make_record(state_of(100 + sequence, 2 * MAX_EMBEDDED_BYTES)))
             possible.append(state)
             await store.save(1, state)
@@ -114,17 +114,17 @@
 
 def test_a_state_saved_by_an_earlier_version_is_read() -> None:
     large = state_of(7, 5 * MAX_EMBEDDED_BYTES)
-    disk = RiskyDisk(random.Random(0))
+    disk = FaultyDisk(random.Random(0))
     disk.values["state"] = encode_write(ChainWrite(3, large))
     store = disk.store()
     saved = store.load()
     assert saved is not None
     assert (saved.epoch, saved.state, saved.intact) == (3, large, True)
-    assert store.record(make_record(large).digest) is not None  # the next member may ask for it
+    assert store.record(make_record(large).digest) is not None  # the next member may request it
 
 
 def test_a_small_state_is_saved_as_before_in_one_write() -> None:
-    disk = RiskyDisk(random.Random(0))
+    disk = FaultyDisk(random.Random(0))
     small = state_of(7, 100)
     asyncio.run(disk.store().save(3, small))
     assert disk.values == {"state": encode_write(ChainWrite(3, small))}
@@ -132,7 +132,7 @@
 
 
 def test_a_large_document_is_written_once() -> None:
-    disk = RiskyDisk(random.Random(0))
+    disk = FaultyDisk(random.Random(0))
     store = disk.store()
     large = state_of(7, 5 * MAX_EMBEDDED_BYTES)
     asyncio.run(store.save(3, large))
@@ -143,9 +143,9 @@
     assert len(disk.values["state"]) < 1_000
 
 
-def test_a_member_whose_document_is_missing_holds_nothing() -> None:
+def test_a_member_with_a_missing_record_counts_as_empty() -> None:
     large = state_of(7, 5 * MAX_EMBEDDED_BYTES)
-    disk = RiskyDisk(random.Random(0))
+    disk = FaultyDisk(random.Random(0))
     disk.values["state"] = encode([3, strip_record(large), make_record(large).digest])
     saved = disk.store().load()
     assert saved is not None
@@ -166,14 +166,14 @@
     assert member.state == write.state
 
 
-def test_the_record_is_the_same_after_its_way_over_the_wire() -> None:
+def test_a_record_survives_encoding_and_decoding() -> None:
     record = make_record(state_of(7, 100))
     again = decode_record(record.encoded)
     assert (again.digest, again.document, again.history) == (record.digest, record.document, record.history)
 
 
-def test_a_head_whose_disk_remembers_a_later_epoch_than_its_view_writes_nothing() -> None:
-    """The save of a view may fail while that of a state succeeds: after a restart the state is the newer."""
+def test_a_head_with_a_state_newer_than_its_view_writes_nothing() -> None:
+    """The save of a view may fail and that of a state succeed: after a restart the state is newer."""
     view = first_view([Voter(name, f"disk-{name}", name) for name in "abc"])
     member = ChainMember("a", "disk-a", encode_write(ChainWrite(2, state_of(7, 10))))
     member.install(view)
--- a/tests/coordination/chain/test_stuck_disks.py
+++ b/tests/coordination/chain/test_stuck_disks.py
@@ -1,4 +1,4 @@
-"""Orders go on, and members come back, while one disk is stuck or full, with small and large documents."""
+"""Orders are acknowledged and members catch up although one disk is stuck or full, for any document size."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.support.controller_cluster import DISK_FULL, STALLED
 
 FAULT_S = 10.0
-SLOWEST_ORDER_S = 3.5  # the first machine asked may be the stuck head, which answers after 3 s
+SLOWEST_ORDER_S = 3.5  # the first call may go to the stuck head, which responds after 3 s
 BACK_S = 4.0
 
 
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("victim", ["a", "b", "c"])
 @pytest.mark.parametrize("kind", [STALLED, DISK_FULL])
 @virtual
-async def test_orders_go_on_beside_a_disk_with_faults(kind: str, victim: str, size: int) -> None:
+async def test_orders_are_acknowledged_while_one_disk_has_a_fault(kind: str, victim: str, size: int) -> None:
     cluster = await sized_cluster()
     await send_until_taken(cluster, large_body(1, size), 0)
     loop = asyncio.get_running_loop()
