--- a/hollowusher/coordination/consensus/join_client.py
+++ b/hollowusher/coordination/consensus/join_client.py
@@ -1,4 +1,4 @@
-"""How a controller without a vote joins the cluster: it looks for a view, then asks to become a voter."""
+"""Client of a controller without a vote: it queries for a decided view, then asks to become a voter."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 VIEW_QUERY_INTERVAL_S = 0.3
 ANNOUNCE_INTERVAL_S = 1.0
-COMPLETE_FIRST_VIEW_AFTER_S = 0.5  # a first view accepted for this long without a decision is completed here
+COMPLETE_FIRST_VIEW_AFTER_S = 0.5  # a controller waits this long for the decision on an accepted first view
 CALL_TIMEOUT_S = 0.6
 
 
 class JoinClient:
-    """The queries of one controller to the seeds and the known voters.
+    """Sends one controller's queries to the seeds and the known voters.
 
-    `seeds` returns the seeds' present addresses.  `bootstrap_seed` is this process's own seed service on the
-    first start of the cluster, None on every other start.
+    `seeds` returns the current addresses of the seeds.  `bootstrap_seed` is the seed service of this process
+    on the first start of the cluster and None on every later start.
     """
 
     def __init__(
@@ -41,7 +41,10 @@
         self._first_view_accepted_s: float | None = None
 
     async def acquire_view(self) -> None:
-        """Ask for a decided view, if it is time; on the first start, ask to be in the first view."""
+        """Query for a decided view, unless the last query was less than `VIEW_QUERY_INTERVAL_S` ago.
+
+        On the first start of the cluster the query also announces this controller for the first view.
+        """
         if not self._is_due(VIEW_QUERY_INTERVAL_S):
             return
         accepted = self._consensus.acceptor.accepted
@@ -54,12 +57,15 @@
         await self._query(message, accepted.voters if accepted is not None else ())
 
     async def request_voter_role(self, view: View) -> None:
-        """Ask the voters, if it is time, to make this controller, or its new disk, one of them."""
+        """Ask the voters to add this controller, or to replace its lost disk by its current one.
+
+        Do nothing if the last request was less than `ANNOUNCE_INTERVAL_S` ago.
+        """
         if self._is_due(ANNOUNCE_INTERVAL_S):
             await self._query(AnnounceController(self._me, cluster=view.cluster), view.voters)
 
     async def _complete_first_view(self, accepted: View) -> bool:
-        """Complete a first view whose proposer has gone silent; return whether it is decided."""
+        """Complete an accepted first view whose proposer has stopped; return whether a view is decided."""
         if self._first_view_accepted_s is None:
             self._first_view_accepted_s = _now_s()
         if _now_s() - self._first_view_accepted_s < COMPLETE_FIRST_VIEW_AFTER_S:
--- a/hollowusher/coordination/consensus/liveness_snapshot.py
+++ b/hollowusher/coordination/consensus/liveness_snapshot.py
@@ -1,4 +1,4 @@
-"""What the proposer of a view knows of the voters at one moment.  No I/O, no clock."""
+"""Snapshot of the voters' liveness and reachability as one proposer sees them.  No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
 
 @attrs.frozen
 class LivenessSnapshot:
-    """The live voters, the proposer included, and whom they reach."""
+    """The live voters, including the proposer, and the voters that each of them reaches."""
 
     alive: frozenset[str]
     complete: frozenset[str]  # chain members that hold every committed state
     reachable: Mapping[str, frozenset[str]]  # voter -> the voters that it reaches
-    avoided_members: frozenset[str] = frozenset()  # alive, but to be left out if the others are enough
+    avoided_members: frozenset[str] = frozenset()  # alive, but excluded if the chain is long enough
 
     def are_connected(self, one: str, other: str) -> bool:
-        """Return whether two voters reach each other."""
+        """Return whether the two voters reach each other."""
         return other in self.reachable.get(one, ()) and one in self.reachable.get(other, ())
 
 
 def take_liveness_snapshot(
     health: VoterHealth, view: View, *, is_complete: bool, now_s: float
 ) -> LivenessSnapshot:
-    """Return what one voter knows now; `is_complete`: it holds every committed state itself."""
+    """Return the snapshot of the voter that owns `health`.
+
+    `is_complete` is whether this voter itself holds every committed state.
+    """
     alive = {health.name}
     complete = {health.name} if is_complete else set()
     reachable = {health.name: frozenset(health.reachable_voters(now_s))}
--- a/hollowusher/coordination/consensus/monitored_slot.py
+++ b/hollowusher/coordination/consensus/monitored_slot.py
@@ -1,4 +1,4 @@
-"""A slot that reports a stalled disk: a voter whose votes do not reach the disk counts as dead."""
+"""A slot that detects a stalled disk.  A voter that cannot save its votes counts as dead."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class MonitoredSlot:
-    """A `Slot` around another one that knows how long its save has been in progress."""
+    """Wraps a `Slot` and measures how long the save in progress has taken."""
 
     def __init__(self, slot: Slot) -> None:
         self._slot = slot
-        self._saving_since_s: float | None = None  # of the event loop's clock
+        self._saving_since_s: float | None = None  # event loop time
 
     def load(self) -> bytes | None:
-        """Return the value saved last, None if there is none."""
+        """Return the last saved value, None if there is none."""
         return self._slot.load()
 
     async def save(self, value: bytes) -> None:
-        """Replace the value durably."""
+        """Replace the value; the new value is durable on return."""
         if self._saving_since_s is None:
             self._saving_since_s = asyncio.get_running_loop().time()
         try:
@@ -30,5 +30,5 @@
             self._saving_since_s = None
 
     def is_stalled(self, now_s: float) -> bool:
-        """Return whether a save has been in progress for too long."""
+        """Return whether a save has been in progress for more than `STALLED_AFTER_S`."""
         return self._saving_since_s is not None and now_s - self._saving_since_s > STALLED_AFTER_S
--- a/hollowusher/coordination/consensus/paxos.py
+++ b/hollowusher/coordination/consensus/paxos.py
@@ -1,9 +1,9 @@
-"""Single-decree Paxos for each epoch, among the voters of the view before.  No I/O, no clock.
+"""Single-decree Paxos for each epoch, among the voters of the previous view.  No I/O, no clock.
 
-The view of epoch e + 1 is decided once a quorum of the voters of view e has accepted it under one ballot; for
-the first view, which has none before it, see `first_view`.
-`Acceptor` owns what one voter must remember; `Proposer` owns one ballot.  `VoterStateMachine` determines what
-has to be on disk before which answer or request is sent.
+The view of epoch e + 1 is decided once a quorum of the voters of view e has accepted it under one ballot.
+`first_view` decides the first view, which has no previous view.
+`Acceptor` owns the durable state of one voter; `Proposer` owns one ballot.  `VoterStateMachine` determines
+which state must be on disk before a response or request is sent.
 
 Source: Lamport, "Paxos made simple" (2001).
 """
@@ -22,45 +22,51 @@
 
 
 def quorum_size(view: View) -> int:
-    """Return how many voters a decision takes."""
+    """Return how many voters must accept a view before it is decided."""
     return len(view.voters) // 2 + 1
 
 
 def min_chain_length(view: View) -> int:
-    """Return the least length at which every quorum of the voters contains a chain member."""
+    """Return the smallest chain length with which every quorum of the voters contains a chain member."""
     return len(view.voters) - quorum_size(view) + 1
 
 
 def find_voter(view: View, name: str) -> Voter | None:
-    """Return the voter of this name."""
+    """Return the voter with this name, None if the view has none."""
     return next((voter for voter in view.voters if voter.name == name), None)
 
 
 def is_voter(view: View, name: str, disk_id: str) -> bool:
-    """Return whether this name *with this disk* is a voter of the view."""
+    """Return whether the controller is a voter of the view *with this disk*."""
     voter = find_voter(view, name)
     return voter is not None and voter.disk_id == disk_id
 
 
 def first_view(voters: Iterable[Voter], cluster: str = "") -> View:
-    """Return view 1: all given controllers vote and form the chain, in the order of their names."""
+    """Return view 1, in which all given controllers vote and form the chain, sorted by name."""
     ordered = sorted(voters, key=lambda voter: voter.name)
     names = [voter.name for voter in ordered]
     return View(FIRST_EPOCH, ordered, names, dict.fromkeys(names, FIRST_EPOCH), cluster)
 
 
 def is_same_cluster(one: str, other: str) -> bool:
-    """Return whether two cluster names may be those of one system; older processes send none."""
+    """Return whether two cluster names may belong to the same cluster.
+
+    Processes with an older version of the software send an empty name, which matches every name.
+    """
     return one == other or not one or not other
 
 
 def voter_id(voter: Voter) -> str:
-    """Return name and disk, by which a message names its addressee: an address may be reused."""
+    """Return the id of a voter, "name/disk id".
+
+    A message identifies its addressee by this id because an address may be reused by another process.
+    """
     return f"{voter.name}/{voter.disk_id}"
 
 
 class Acceptor:
-    """One voter's promises, its accepted view and the newest decided view.  All of it is durable.
+    """One voter's promised ballot, its accepted view and the newest decided view, all of them durable.
 
     Invariant: `promised`, `accepted_ballot` and `accepted` refer to the epoch after `decided`.
     """
@@ -72,7 +78,7 @@
         self.promised = NO_BALLOT
         self.accepted_ballot = NO_BALLOT
         self.accepted: View | None = None
-        self.foreign_rejections = 0  # messages of another cluster or for another voter
+        self.foreign_rejections = 0  # rejected messages of another cluster or for another voter
         if saved is not None:
             self._load(saved)
 
@@ -82,23 +88,23 @@
         self.accepted_ballot = decode_ballot(accepted_ballot)
 
     def dump(self) -> bytes:
-        """Encode the acceptor for its slot on disk."""
+        """Return the encoded state of the acceptor, as its slot on disk stores it."""
         return encode([self.decided, list(self.promised), list(self.accepted_ballot), self.accepted])
 
     @property
     def epoch(self) -> int:
-        """The epoch of the newest decided view known, 0 for none."""
+        """The epoch of the newest known decided view, 0 if there is none."""
         return self.decided.epoch if self.decided is not None else 0
 
     @property
     def vote(self) -> tuple[Ballot, Ballot, View | None]:
-        """What this voter has promised and accepted."""
+        """The promised ballot, the ballot of the accepted view, and the accepted view."""
         return self.promised, self.accepted_ballot, self.accepted
 
     def may_vote(self, epoch: int) -> bool:
         """Return whether this voter may vote on the view of this epoch.
 
-        Before any view is decided every controller may promise for the first one, see `first_view`.
+        Until this controller knows a decided view, it may vote on the first view (see `first_view`).
         """
         decided = self.decided
         if decided is None:
@@ -106,17 +112,17 @@
         return epoch == decided.epoch + 1 and is_voter(decided, self.name, self.disk_id)
 
     def confirms(self, epoch: int) -> bool:
-        """Return whether this voter votes in view `epoch` and has accepted no later view."""
+        """Return whether this voter has a vote in view `epoch` and knows or has accepted no later view."""
         return self.epoch == epoch and self.accepted is None and self.may_vote(epoch + 1)
 
     def confirm(self, message: ConfirmEpoch) -> bool:
-        """Return whether the view that another voter asks about is still the newest."""
+        """Return whether a request is meant for this voter and this voter confirms its epoch."""
         if not self._is_addressee(message.voter) or not self._is_of_own_cluster(message.cluster):
             return False
         return self.confirms(message.epoch)
 
     def learn(self, view: View) -> bool:
-        """Learn a decided view; return whether it is newer than the known one."""
+        """Adopt a decided view if it is newer than the known one; return whether it is."""
         if not self._is_compatible(view) or view.epoch <= self.epoch:
             return False
         self.decided = view
@@ -126,7 +132,7 @@
         return True
 
     def prepare(self, message: Prepare) -> Promise:
-        """Vote in phase 1; the base view of the message has been learned before."""
+        """Vote in phase 1; the caller has already passed the base view of the message to `learn`."""
         if not self._is_addressee(message.voter) or not self._is_compatible(message.base):
             return Promise(granted=False, ballot=list(self.promised))
         ballot = decode_ballot(message.ballot)
@@ -158,7 +164,11 @@
         return Accepted(granted=True, ballot=list(ballot))
 
     def _is_addressee(self, addressee: str) -> bool:
-        """Return whether a message was sent to this voter; older processes do not name the addressee."""
+        """Return whether a message is meant for this voter.
+
+        Processes with an older version of the software leave the addressee empty; every voter takes such a
+        message.
+        """
         if addressee in ("", f"{self.name}/{self.disk_id}"):
             return True
         self.foreign_rejections += 1
@@ -171,7 +181,10 @@
         return False
 
     def _is_compatible(self, view: View | None) -> bool:
-        """Return whether a view is of the own cluster, which never decides two views of one epoch."""
+        """Return whether a view may belong to this voter's cluster.
+
+        A cluster never decides two views of one epoch, so a different view of the known epoch is foreign.
+        """
         if view is None or self.decided is None:
             return True
         if not self._is_of_own_cluster(view.cluster):
@@ -186,17 +199,17 @@
 
 
 class Proposer:
-    """One ballot for the view after `base`.
+    """One ballot for the view that follows `base`.
 
-    Invariant: once a quorum has promised, `value` never changes.
+    Invariant: `value` never changes after a quorum has promised.
     """
 
-    def __init__(self, base: View, wanted: View, ballot: Ballot) -> None:
+    def __init__(self, base: View, planned: View, ballot: Ballot) -> None:
         self.base = base
         self.ballot = ballot
-        self.value = evolve(wanted, cluster=base.cluster)
+        self.value = evolve(planned, cluster=base.cluster)
         self.decided: View | None = None
-        self.highest_round = ballot[0]  # for the next attempt
+        self.highest_round = ballot[0]  # highest round seen; the next ballot uses a higher one
         self._promises: dict[str, Promise] = {}
         self._acceptances: set[str] = set()
 
@@ -206,17 +219,17 @@
         return len(self._promises) >= quorum_size(self.base)
 
     def prepare(self, voter: Voter | None = None) -> Prepare:
-        """Return the request of phase 1 to a voter; without one, to the proposer's own acceptor."""
+        """Return the phase 1 request to a voter, or to the proposer's own acceptor if `voter` is None."""
         addressee = voter_id(voter) if voter is not None else ""
         return Prepare(self.base.epoch + 1, list(self.ballot), self.base, addressee)
 
     def accept(self, voter: Voter | None = None) -> Accept:
-        """Return the request of phase 2, valid once `on_promise` has returned True."""
+        """Return the phase 2 request; the caller sends it only after `on_promise` has returned True."""
         addressee = voter_id(voter) if voter is not None else ""
         return Accept(self.base.epoch + 1, list(self.ballot), self.value, addressee)
 
     def on_promise(self, voter: str, answer: Promise) -> bool:
-        """Count an answer of phase 1; return True once, when a quorum has promised."""
+        """Count a phase 1 response; return True exactly once, when it completes a quorum of promises."""
         self._observe(answer.ballot, answer.decided)
         if not answer.granted or decode_ballot(answer.ballot) != self.ballot or self.has_promise_quorum:
             return False
@@ -227,7 +240,7 @@
         return True
 
     def on_accepted(self, voter: str, answer: Accepted) -> bool:
-        """Count an answer of phase 2; return True once the value is decided."""
+        """Count a phase 2 response; return whether the value is decided."""
         self._observe(answer.ballot, answer.decided)
         if not answer.granted or decode_ballot(answer.ballot) != self.ballot:
             return False
@@ -238,7 +251,7 @@
         return True
 
     def _adopt_accepted(self) -> None:
-        """Adopt the accepted value of the highest ballot: it may have been decided already."""
+        """Adopt the accepted value with the highest ballot, because it may be decided already."""
         best = NO_BALLOT
         for promise in self._promises.values():
             ballot = decode_ballot(promise.accepted_ballot or NO_BALLOT)
@@ -253,6 +266,6 @@
 
 
 def decode_ballot(value: Iterable[object]) -> Ballot:
-    """Return a ballot from its form on the wire."""
+    """Decode a ballot from its wire format, a list of round and proposer name."""
     round_number, name = value
     return int(str(round_number)), str(name)
--- a/hollowusher/coordination/consensus/reconfiguration.py
+++ b/hollowusher/coordination/consensus/reconfiguration.py
@@ -1,7 +1,7 @@
-"""The next view: the chain or the voter set that follows from the live voters.  No I/O, no clock.
+"""Planning of the next view: the next chain or voter set, derived from the live voters.  No I/O, no clock.
 
-Invariants: every planned view is of the next epoch, its head holds every committed state, and its chain has
-at least `min_chain_length` members.
+Invariants: every planned view has the next epoch, its head holds every committed state, and its chain has at
+least `min_chain_length` members.
 
 Source: Lamport, Malkhi, Zhou, "Vertical Paxos and primary-backup replication" (2009).
 """
@@ -20,26 +20,26 @@
 
 
 def has_lost_chain_member(view: View, health: VoterHealth, now_s: float) -> bool:
-    """Return whether a member of the chain is dead, or to be avoided."""
+    """Return whether another chain member is dead or avoided."""
     others = [name for name in view.chain if name != health.name]
     return any(health.is_dead(name, now_s) or health.is_avoided(name, now_s) for name in others)
 
 
 def proposal_rank(view: View, snapshot: LivenessSnapshot, name: str) -> int | None:
-    """Return how many live chain members propose before this one; None for a voter outside the chain."""
+    """Return how many live members precede this one in the chain; None if it is not a live chain member."""
     members = [member for member in view.chain if member in snapshot.alive]
     return members.index(name) if name in members else None
 
 
 def plan_chain(view: View, snapshot: LivenessSnapshot, departing: str = "") -> View | None:
-    """Return the next view with the same voters and the chain of the live ones.
+    """Return the next view, with the same voters and a chain of the live voters.
 
-    First come the members that hold every committed state, in their order, last those that join.  None if
-    that is the present chain, or if no chain would be safe.
+    The members that hold every committed state come first, in their current order, and joining voters come
+    last.  Return None if this is the current chain or if no chain is safe.
 
-    A live member is left out, because it departs or its neighbour does not reach it, only while enough of the
-    others hold every committed state: otherwise the next loss might take the last replica, although the
-    member that was left out still has one.
+    A live member is excluded, because it departs or its neighbour cannot reach it, only if at least
+    `min_chain_length` of the others hold every committed state.  Otherwise the next loss could destroy the
+    last replica in the chain although the excluded member still holds one.
     """
     planned = _plan_chain_of(view, snapshot, snapshot.alive - {departing})
     if planned is not None and _count_complete_members(planned, snapshot) >= min_chain_length(view):
@@ -51,12 +51,12 @@
 
 
 def _count_complete_members(view: View, snapshot: LivenessSnapshot) -> int:
-    """Return how many members of a chain hold every committed state."""
+    """Return how many chain members of the view hold every committed state."""
     return sum(name in snapshot.complete for name in view.chain)
 
 
 def _plan_chain_of(view: View, snapshot: LivenessSnapshot, members: Collection[str]) -> View | None:
-    """Return the next view with the chain of these voters, None if it is the present one or not safe."""
+    """Return the next view with a chain of `members`, None if the chain is unchanged or not safe."""
     kept = [name for name in view.chain if name in members]
     chain = [name for name in kept if name in snapshot.complete]
     chain += [name for name in kept if name not in snapshot.complete]
@@ -74,10 +74,10 @@
 
 
 def plan_voters(view: View, add: Voter | None, remove: str | None) -> View | None:
-    """Return the next view with at most one voter added, at the chain's tail, and at most one removed.
+    """Return the next view with at most one voter added and at most one removed.
 
-    The kept members of the chain stay in their order.  None if the head would be lost, the chain would be too
-    short, or nothing would change.
+    The added voter becomes the tail of the chain; the remaining members keep their order.  Return None if the
+    head would be removed, the chain would be too short, or nothing would change.
     """
     if add is not None and find_voter(view, add.name) == add:
         return None
@@ -97,7 +97,7 @@
 
 
 def _membership_epochs(view: View, kept: list[str], joining: list[str]) -> dict[str, int]:
-    """Return the epoch since which each member of the next chain is in every chain."""
+    """Return, for each member of the next chain, the epoch since which it has been in every chain."""
     since = {name: view.since.get(name, view.epoch) for name in kept}
     since.update(dict.fromkeys(joining, view.epoch + 1))
     return since
--- a/hollowusher/coordination/consensus/spare_controllers.py
+++ b/hollowusher/coordination/consensus/spare_controllers.py
@@ -1,4 +1,4 @@
-"""The spare controllers: those without a vote that have announced themselves lately.  No I/O, no clock."""
+"""Registry of spare controllers, which have no vote and announce themselves.  No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from hollowusher.protocol.view import Voter
 
-ANNOUNCEMENT_TTL_S = 2.5  # spares announce themselves every second
+ANNOUNCEMENT_TTL_S = 2.5  # a spare announces itself every second
 
 
 @attrs.frozen
@@ -14,11 +14,14 @@
     """A spare controller and when it last announced itself."""
 
     controller: Voter
-    at_s: float
+    announced_at_s: float
 
 
 class SpareControllers:
-    """The controllers that a voter may propose as voters; times are of the owner's monotonic clock."""
+    """The controllers that a voter may propose as new voters.
+
+    Times are seconds of the owner's monotonic clock.
+    """
 
     def __init__(self) -> None:
         self._announcements: dict[str, _Announcement] = {}
@@ -28,14 +31,14 @@
         self._announcements[controller.name] = _Announcement(controller, now_s)
 
     def discard(self, name: str) -> None:
-        """Forget a controller that did not answer or departs, until it announces itself again."""
+        """Remove a controller that is unreachable or departing, until it announces itself again."""
         self._announcements.pop(name, None)
 
     def recent(self, now_s: float) -> list[Voter]:
-        """Return those that announced themselves lately, by name; the others are forgotten."""
+        """Return the controllers with an unexpired announcement, sorted by name; drop the expired ones."""
         self._announcements = {
             name: announcement
             for name, announcement in self._announcements.items()
-            if now_s - announcement.at_s < ANNOUNCEMENT_TTL_S
+            if now_s - announcement.announced_at_s < ANNOUNCEMENT_TTL_S
         }
         return [self._announcements[name].controller for name in sorted(self._announcements)]
--- a/hollowusher/coordination/consensus/view_cache.py
+++ b/hollowusher/coordination/consensus/view_cache.py
@@ -1,6 +1,7 @@
-"""The newest view on the disk of a process that is no controller.
+"""Cache of the newest view on the disk of a process that is not a controller.
 
-With it the process finds the voters even if no seed answers.  The view may be lost: it only says whom to ask.
+With the cached view a restarted process finds the voters even if no seed responds.  Losing the cache is
+harmless: the view only provides addresses to query.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from hollowusher.protocol.view import View
 from hollowusher.storage.interface import Slot, StorageError
 
-SAVE_DELAY_S = 0.1  # views that follow each other within this time are saved as one
+SAVE_DELAY_S = 0.1  # of several views within this time only the newest is saved
 
 
 class ViewCache:
-    """Loads the stored view into the cluster state, and saves each newer view."""
+    """Loads the cached view into the cluster state and saves each newer view."""
 
     def __init__(self, slot: Slot, state: ClusterState) -> None:
         self._slot = slot
@@ -27,7 +28,7 @@
         self._view_changed = asyncio.Event()
 
     def load(self) -> None:
-        """Apply the stored view, if there is a readable one, and watch for newer views."""
+        """Apply the cached view if it is readable, and subscribe to newer views."""
         view = None
         with suppress(StorageError, DecodeError):
             saved = self._slot.load()
@@ -37,7 +38,7 @@
         self._state.add_listener(self._on_change)
 
     async def run(self) -> None:
-        """Save each newer view; runs until cancelled.  A failed save is left to the next view."""
+        """Save each newer view until cancelled.  After a failed save, the next view starts the next save."""
         while True:
             await self._view_changed.wait()
             await asyncio.sleep(SAVE_DELAY_S)
--- a/hollowusher/coordination/consensus/view_consensus.py
+++ b/hollowusher/coordination/consensus/view_consensus.py
@@ -1,7 +1,7 @@
-"""Consensus on the view over the network: carries out the instructions of `VoterStateMachine` in order.
+"""Consensus on the view over the network: executes the instructions of `VoterStateMachine` in order.
 
-`ViewConsensus` owns the state machine, the slot on disk that holds the acceptor, and the tasks that save it
-and send its requests.
+`ViewConsensus` owns the state machine, the slot on disk with the state of the acceptor, and the tasks that
+save this state and send requests.
 """
 
 from __future__ import annotations
@@ -48,7 +48,10 @@
 
 
 class ViewConsensus:
-    """One controller's part in deciding views; `on_view` is called with each newer decided view."""
+    """The consensus participant of one controller.
+
+    It calls `on_view` with each newer decided view.
+    """
 
     def __init__(
         self,
@@ -66,12 +69,12 @@
         self._on_view = on_view
         self._machine = VoterStateMachine(me.name, me.disk_id, slot.load())
         self._request_ids = itertools.count()
-        self._responses: dict[int, asyncio.Future[Response]] = {}  # of the requests not answered yet
-        self._installed_epoch = self.acceptor.epoch  # of the newest view that `on_view` has been called with
-        self._waiting_for_view: list[tuple[int, asyncio.Future[None]]] = []  # epoch, its caller of `learn`
+        self._responses: dict[int, asyncio.Future[Response]] = {}  # by id of the pending request
+        self._installed_epoch = self.acceptor.epoch  # epoch of the view last passed to `on_view`
+        self._waiting_for_view: list[tuple[int, asyncio.Future[None]]] = []  # epoch, its waiter
         self._proposal_result: asyncio.Future[bool] | None = None
         self._tasks: set[asyncio.Task[object]] = set()
-        self._save_failure = ""  # why the disk refused the acceptor last
+        self._save_failure = ""  # reason of the last failed save of the acceptor
 
     @property
     def acceptor(self) -> Acceptor:
@@ -80,11 +83,14 @@
 
     @property
     def view(self) -> View | None:
-        """The newest decided view known."""
+        """The newest known decided view."""
         return self.acceptor.decided
 
     async def learn(self, view: View) -> bool:
-        """Learn a decided view and return whether it was newer; it is installed when this returns."""
+        """Adopt a decided view if it is newer than the known one; return whether it is.
+
+        If the view is adopted, `on_view` has been called with it or with a later one on return.
+        """
         is_newer = self._machine.learn(view)
         self._execute_instructions()
         if self._installed_epoch < view.epoch <= self.acceptor.epoch:
@@ -94,9 +100,9 @@
         return is_newer
 
     async def stop(self) -> None:
-        """End the requests and saves in progress: a stopped voter sends nothing.
+        """Cancel the requests and saves in progress: a stopped voter sends nothing.
 
-        A save that is cut short leaves the slot as it was, and nobody has heard of what it would have held.
+        A cancelled save leaves the slot unchanged, and no response has been sent that depends on it.
         """
         for task in list(self._tasks):
             task.cancel()
@@ -105,7 +111,7 @@
     # -- requests of other voters --------------------------------------------------------------------------
 
     async def prepare(self, message: Prepare) -> Promise:
-        """Vote in phase 1; `StorageError` if the disk does not store the vote."""
+        """Vote in phase 1; raise `StorageError` if the vote cannot be saved."""
         request_id, response = self._new_request()
         self._machine.prepare(request_id, message)
         answer = await self._answer(response)
@@ -113,7 +119,7 @@
         return answer
 
     async def accept(self, message: Accept) -> Accepted:
-        """Vote in phase 2; `StorageError` if the disk does not store the vote."""
+        """Vote in phase 2; raise `StorageError` if the vote cannot be saved."""
         request_id, response = self._new_request()
         self._machine.accept(request_id, message)
         answer = await self._answer(response)
@@ -121,7 +127,7 @@
         return answer
 
     def confirm(self, message: ConfirmEpoch) -> EpochConfirmed:
-        """Answer whether this voter knows of no later view."""
+        """Return the response to a request to confirm that this voter knows no later view."""
         confirmed = self.acceptor.confirm(message)
         own = self.view
         is_foreign = own is not None and not is_same_cluster(own.cluster, message.cluster)
@@ -140,9 +146,10 @@
     # -- proposals and confirmations -----------------------------------------------------------------------
 
     async def propose(self, plan: PlanView) -> bool:
-        """Propose once the view that `plan` makes of the newest one.
+        """Propose the view that `plan` returns for the newest known view, in one ballot.
 
-        Return whether a newer view is known afterwards; it may be the proposal of another voter.
+        Return whether a newer view is known afterwards; it may be the proposal of another voter.  After a
+        failed proposal this waits for a random backoff, or until a newer view is installed.
         """
         loop = asyncio.get_running_loop()
         if not self._machine.propose(loop.time(), plan):
@@ -165,11 +172,11 @@
         return result.result()
 
     async def complete_first_view(self, accepted: View) -> View | None:
-        """Run a ballot for a first view that this voter has accepted; return the decided view, if any."""
+        """Run a ballot for a first view that this voter has accepted; return the decided view or None."""
         return await self._first_view_ballots.propose(accepted.voters, lambda _promised: accepted)
 
     async def _wait_for_view(self, epoch: int, longest_s: float) -> None:
-        """Wait until a view of this epoch or a later one is in use, or the time is up."""
+        """Wait until a view of this epoch or a later one is installed, at most `longest_s` seconds."""
         installed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         waiting = (epoch, installed)
         self._waiting_for_view.append(waiting)
@@ -184,7 +191,11 @@
         return max(0.0, deadline_s - now_s) if deadline_s is not None else 0.0
 
     async def quorum_confirms(self, epoch: int) -> bool:
-        """Return whether a quorum of the voters of view `epoch` has accepted no later view."""
+        """Return whether a quorum of the voters of view `epoch` confirms that it has accepted no later view.
+
+        Return False if `epoch` is not the newest view known here, or after `CONFIRM_TIMEOUT_S` without a
+        quorum.
+        """
         view = self.view
         if view is None or view.epoch != epoch:
             return False
@@ -200,7 +211,7 @@
         return len(confirmed) >= quorum_size(view)
 
     async def _ask_to_confirm(self, voter: Voter, view: View) -> str | None:
-        """Return the voter's name if it confirms the epoch of the view."""
+        """Return the voter's name if the voter confirms the epoch of the view, None otherwise."""
         if voter.name == self._me.name:
             return None
         message = ConfirmEpoch(view.epoch, view.cluster, voter_id(voter))
@@ -211,7 +222,7 @@
         return voter.name if isinstance(answer, EpochConfirmed) and answer.ok else None
 
     def broadcast_decision(self, view: View, others: Iterable[Voter] = ()) -> None:
-        """Notify the voters of a decided view, and some others."""
+        """Send a decided view to its voters and to the `others`, without waiting for responses."""
         addresses = {voter.address for voter in [*view.voters, *others]} - {self._me.address}
         for address in sorted(addresses):
             self._transport.send(address, ViewDecided(view))
@@ -243,7 +254,7 @@
 
     def _send_response(self, instruction: SendResponse) -> None:
         response = self._responses.pop(instruction.request_id)
-        if not response.done():  # done: its caller was cancelled
+        if not response.done():  # a done future belongs to a cancelled caller
             response.set_result(instruction.message)
 
     def _fail_request(self, instruction: FailRequest) -> None:
--- a/hollowusher/coordination/consensus/view_discovery.py
+++ b/hollowusher/coordination/consensus/view_discovery.py
@@ -1,4 +1,4 @@
-"""How any process finds the newest view: it asks the seeds, the known voters and some other members."""
+"""Discovery of the newest view by queries to the seeds, the known voters and some other members."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 from hollowusher.transport.interface import PeerError, Transport
 
 QUERY_TIMEOUT_S = 0.6
-INITIAL_BACKOFF_S = 0.03  # of a starting process: all wait for the same controllers
-MAX_PEERS_PER_ROLE = 3  # live members of each role that are asked besides the seeds and the voters
-SOLICITED_ORIGIN = ""  # the origin of items that were asked for and not pulled
+INITIAL_BACKOFF_S = 0.03  # short, because starting processes all wait for the same controllers
+MAX_PEERS_PER_ROLE = 3  # live members of each role to query in addition to the seeds and the voters
+SOLICITED_ORIGIN = ""  # origin of items from a query response, as opposed to a pull
 ROLES = ("edge", "store")
 
 
 class ViewDiscovery:
-    """One process's search for views; `seeds` returns the addresses that the settings name at present."""
+    """Queries other processes for the newest view.
+
+    `seeds` returns the current seed addresses from the settings.
+    """
 
     def __init__(
         self,
@@ -32,7 +35,7 @@
         controller_selector: ControllerSelector,
         random_source: random.Random,
     ) -> None:
-        self.foreign_rejections = 0  # rejected views of another cluster
+        self.foreign_rejections = 0  # number of rejected views of other clusters
         self._transport = transport
         self._state = state
         self._seeds = seeds
@@ -40,7 +43,7 @@
         self._random_source = random_source
 
     async def discover(self) -> None:
-        """Ask for a newer view than the known one; repeat until a view is known."""
+        """Query for a view, at least once, until a view is known."""
         backoff = Backoff(self._random_source, INITIAL_BACKOFF_S)
         while True:
             await self.query()
@@ -49,11 +52,11 @@
             await backoff.wait()
 
     async def query(self) -> None:
-        """Ask once for a newer view."""
+        """Query all addresses once and apply each newer view from the responses."""
         await asyncio.gather(*(self._query_address(address) for address in self._addresses_to_query()))
 
     def learn(self, view: View) -> None:
-        """Apply a decided view, unless a newer one is known or it is of another cluster."""
+        """Apply a decided view unless a newer one is known or the view belongs to another cluster."""
         known = self._state.view
         if known is not None and not is_same_cluster(known.cluster, view.cluster):
             self.foreign_rejections += 1
--- a/hollowusher/coordination/consensus/view_publisher.py
+++ b/hollowusher/coordination/consensus/view_publisher.py
@@ -1,9 +1,9 @@
-"""Offers the view that a process knows to the seeds of its settings.
+"""Publishes a process's view to the seeds in its settings.
 
-Seeds need no disk: after a loss of power of the whole cluster they know nothing, and whoever looks for the
-cluster asks them.  So every process that keeps a view over such a loss (a controller, a store) calls each
-seed until it answers with a view as new as the own one, and again from time to time, because a restarted seed
-has forgotten it.  The settings may name other seeds at any time.
+Seeds need no disk, so after a power loss of the whole cluster they know no view, although starting processes
+query them for one.  Therefore every process that stores its view on disk (a controller or a store) offers the
+view to each seed until the seed responds with a view that is at least as new.  It repeats the offer regularly
+because a restarted seed has lost the view.  The seeds in the settings may change at any time.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 INITIAL_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 2.0
 BACKOFF_GROWTH = 1.5
-REFRESH_INTERVAL_S = 2.0  # a seed that has answered is called again after this long
+REFRESH_INTERVAL_S = 2.0  # pause before the next call to a seed that has responded
 TICK_S = 0.1
 MIN_JITTER = 0.7
 MAX_JITTER = 1.3
@@ -29,24 +29,27 @@
 
 @attrs.define
 class _Seed:
-    """When one seed is called next, and the epoch of the view that it answered with last."""
+    """The time of the next call to one seed, and the epoch of the last view that the seed returned."""
 
-    epoch: int = 0  # 0: it has not answered with a view
+    epoch: int = 0  # 0: the last call failed or returned no current view
     next_call_s: float = 0.0
-    backoff_s: float = 0.0  # 0: its last call was answered
+    backoff_s: float = 0.0  # 0: no call has failed since the last success
 
 
 class SeedSchedule:
-    """Which seeds are to be called when.  No I/O, no clock: times are of the owner's monotonic clock."""
+    """Schedule of the calls to the seeds.  No I/O, no clock.
+
+    Times are seconds of the owner's monotonic clock.
+    """
 
     def __init__(self, refresh_interval_s: float) -> None:
         self._refresh_interval_s = refresh_interval_s
         self._seeds: dict[str, _Seed] = {}
 
     def due(self, seeds: Iterable[str], epoch: int, now_s: float) -> list[str]:
-        """Return the seeds to be called now; those that are no longer among `seeds` are forgotten.
+        """Return the seeds to call now, and forget all seeds that are not in `seeds`.
 
-        A seed that has answered with an older view than that of `epoch` is called at once.
+        A seed whose last response contained a view older than `epoch` is due at once.
         """
         self._seeds = {address: self._seeds.get(address, _Seed()) for address in seeds}
         return [
@@ -56,13 +59,13 @@
         ]
 
     def on_call_started(self, address: str, now_s: float) -> None:
-        """Start no other call to this seed until this one has ended, or for `MAX_BACKOFF_S`."""
+        """Schedule no other call to this seed until the call has ended, or for `MAX_BACKOFF_S`."""
         seed = self._seeds.get(address)
         if seed is not None:
             seed.next_call_s = now_s + MAX_BACKOFF_S
 
     def on_answer(self, address: str, epoch: int, now_s: float) -> None:
-        """Record that a seed has answered with the view of this epoch."""
+        """Record that a seed has responded with a current view, whose epoch is `epoch`."""
         seed = self._seeds.get(address)
         if seed is not None:
             seed.epoch = epoch
@@ -70,7 +73,7 @@
             seed.next_call_s = now_s + self._refresh_interval_s
 
     def on_no_answer(self, address: str, now_s: float) -> None:
-        """Record that a seed has not answered, or not with a view as new as the own one."""
+        """Record that a seed has not responded, or has responded without a current view."""
         seed = self._seeds.get(address)
         if seed is not None:
             seed.epoch = 0
@@ -80,14 +83,17 @@
 
 @attrs.frozen
 class ViewAccess:
-    """The view of the process that publishes it."""
+    """Access to the view of the publishing process."""
 
     current: Callable[[], View | None]
-    learn: Callable[[View], Awaitable[object]]  # called with a newer view that a seed knows
+    learn: Callable[[View], Awaitable[object]]  # called with a newer view from a seed
 
 
 class ViewPublisher:
-    """One process's calls to the seeds; `seeds` returns their present addresses."""
+    """Offers one process's view to the seeds.
+
+    `seeds` returns the current addresses of the seeds.
+    """
 
     def __init__(
         self,
@@ -102,10 +108,10 @@
         self._view = view
         self._random_source = random_source
         self._schedule = SeedSchedule(refresh_interval_s)
-        self._calls: set[asyncio.Task[None]] = set()  # `run` ends those that it leaves
+        self._calls: set[asyncio.Task[None]] = set()  # `run` cancels the remaining ones when it ends
 
     async def run(self) -> None:
-        """Call the seeds when they are due; runs until cancelled, and no call outlasts it."""
+        """Call each seed when it is due, until cancelled; then cancel the calls in progress, too."""
         try:
             while True:
                 view = self._view.current()
--- a/hollowusher/coordination/consensus/voter_instructions.py
+++ b/hollowusher/coordination/consensus/voter_instructions.py
@@ -1,4 +1,4 @@
-"""Instructions of `VoterStateMachine` to its owner: what to save, to send and to install, in order."""
+"""Instructions of `VoterStateMachine` to its owner, which executes them in order."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class SendResponse:
-    """Answer the request with this number; all that the answer tells of is on disk."""
+    """Send the response to a request; the acceptor state that it depends on is already on disk."""
 
     request_id: int
     message: Promise | Accepted
@@ -26,14 +26,14 @@
 
 @attrs.frozen
 class FailRequest:
-    """Leave the request with this number without an answer: the disk has not stored the vote."""
+    """Fail a request without sending a response, because the vote could not be saved."""
 
     request_id: int
 
 
 @attrs.frozen
 class SendRequest:
-    """Send a request to another voter, then call `VoterStateMachine.on_response` with its answer."""
+    """Send a request to another voter, then call `VoterStateMachine.on_response` with the response."""
 
     voter: Voter
     message: Prepare | Accept
@@ -42,14 +42,14 @@
 
 @attrs.frozen
 class InstallView:
-    """Use a newer decided view from now on."""
+    """Replace the installed view by this newer decided view."""
 
     view: View
 
 
 @attrs.frozen
 class BroadcastDecision:
-    """Notify the voters of a decided view, and those of the view before it."""
+    """Send a decided view to its voters and to the voters of the previous view, `base`."""
 
     view: View
     base: View
@@ -57,9 +57,9 @@
 
 @attrs.frozen
 class EndProposal:
-    """Report the end of the proposal in progress to the caller of `propose`."""
+    """Return the result of the proposal in progress to the caller of `propose`."""
 
-    newer_view_known: bool  # newer than the view that the proposal was based on
+    newer_view_known: bool  # whether a view newer than the base of the proposal is known
 
 
 Instruction = (
--- a/hollowusher/coordination/consensus/voter_set.py
+++ b/hollowusher/coordination/consensus/voter_set.py
@@ -1,12 +1,12 @@
-"""The next change of the voter set: one voter added, removed or replaced.  No I/O, no clock.
+"""Planning of the next voter set change, which adds, removes or replaces one voter.  No I/O, no clock.
 
-The set is to have 2f + 1 voters, f being the losses that the deployment tolerates, spread over zones; all
-other controllers are spares, which announce themselves and store nothing.  A lost voter stays in the set
-until a spare can replace it: a smaller set would tolerate no further loss either, and the lost one may come
-back.  Each change is one view, decided by a quorum of the voters before it.
+The target is 2f + 1 voters spread over the zones, where f is the number of losses that the deployment
+tolerates.  All other controllers are spares, which announce themselves and store nothing.  A lost voter stays
+in the set until a spare can replace it: a smaller set would not tolerate a further loss either, and the lost
+voter may return.  Each change is one view, decided by a quorum of the previous voters.
 
 Sources: Lamport, Malkhi, Zhou, "Vertical Paxos and primary-backup replication" (2009); Ongaro, "Consensus:
-bridging theory and practice" (2014), chapter 4, for changes by single steps.
+bridging theory and practice" (2014), chapter 4, for changes of one member at a time.
 """
 
 from __future__ import annotations
@@ -19,41 +19,45 @@
 from hollowusher.coordination.consensus.voter_health import VoterHealth
 from hollowusher.protocol.view import View, Voter
 
-REPLACE_AFTER_S = 1.6  # a voter without a healthy answer for this long is replaced if there is a spare
+REPLACE_AFTER_S = 1.6  # a voter without a healthy pong for this long is replaced if there is a spare
 
 
 @attrs.frozen
 class VoterSetChange:
-    """One change of the voter set: a voter to add, the name of one to remove, or both (a replacement)."""
+    """A change of the voter set: a voter to add, the name of a voter to remove, or both (a replacement)."""
 
     add: Voter | None = None
     remove: str | None = None
 
 
 def required_voters(tolerated_losses: int) -> int:
-    """Return how many voters outlast `tolerated_losses` at one time; never fewer than outlast one."""
+    """Return the number of voters that tolerates this many simultaneous losses, and at least one loss."""
     return 2 * max(1, tolerated_losses) + 1
 
 
-def choose_voters(controllers: Iterable[Voter], wanted: int) -> list[Voter]:
-    """Return the voters of the first view, spread over zones; the same for any order of the controllers."""
+def choose_voters(controllers: Iterable[Voter], target_size: int) -> list[Voter]:
+    """Return up to `target_size` voters for the first view, spread over zones.
+
+    The result does not depend on the order of the controllers.
+    """
     candidates = sorted(controllers, key=lambda voter: voter.name)
     chosen: list[Voter] = []
-    while candidates and len(chosen) < wanted:
+    while candidates and len(chosen) < target_size:
         chosen.append(min(candidates, key=lambda voter: _zone_occupancy(voter, chosen)))
         candidates.remove(chosen[-1])
     return chosen
 
 
 def plan_voter_set_change(
-    view: View, spares: Collection[Voter], health: VoterHealth, wanted: int, now_s: float
+    view: View, spares: Collection[Voter], health: VoterHealth, target_size: int, now_s: float
 ) -> VoterSetChange | None:
-    """Return the next change as the head sees it.
+    """Return the next change, planned by the head from its own `health`.
 
-    None if the set is as wanted, or if no change is safe now.
+    `target_size` is the wanted number of voters.  Return None if the set needs no change, or if no change is
+    safe or possible now.
     """
     to_replace = _voters_to_replace(view, health, now_s)
-    if len(view.voters) > wanted:
+    if len(view.voters) > target_size:
         return _plan_removal(view, to_replace, health, now_s)
     candidates = [spare for spare in spares if not _is_current_voter(view, spare)]
     disk_replacement = _plan_disk_replacement(view, candidates, to_replace)
@@ -61,7 +65,7 @@
         return disk_replacement
     candidates = [spare for spare in candidates if find_voter(view, spare.name) is None]
     replaced = to_replace[0] if to_replace else None
-    if not candidates or (replaced is None and len(view.voters) >= wanted):
+    if not candidates or (replaced is None and len(view.voters) >= target_size):
         return None
     kept = [voter for voter in view.voters if voter.name != replaced]
     best = min(candidates, key=lambda spare: (_zone_occupancy(spare, kept), spare.name))
@@ -69,10 +73,10 @@
 
 
 def _voters_to_replace(view: View, health: VoterHealth, now_s: float) -> list[str]:
-    """Return the voters to be replaced, the surest first; the head, which judges, is never among them.
+    """Return the voters to replace, the most certain cases first; the head never replaces itself.
 
-    First those whose disk is lost, then those that announced their departure, then those that have been
-    without a healthy answer for long.
+    Voters with a lost disk come first, then departing voters, then voters that have not sent a healthy pong
+    for `REPLACE_AFTER_S`.
     """
     names = [voter.name for voter in view.voters if voter.name not in (view.head, health.name)]
     lost = [name for name in names if health.has_lost_disk(name)]
@@ -82,14 +86,14 @@
 
 
 def _is_removable(view: View, name: str) -> bool:
-    """Return whether enough members of the chain, which all hold the state, are left without this one."""
+    """Return whether enough chain members, which hold the control state, remain without this one."""
     return len([member for member in view.chain if member != name]) >= min_chain_length(view)
 
 
 def _plan_disk_replacement(
     view: View, candidates: Collection[Voter], to_replace: Collection[str]
 ) -> VoterSetChange | None:
-    """Return the replacement of a voter by the spare of the same name: its machine has another disk now."""
+    """Return the replacement of a voter by a spare of the same name, whose machine now has another disk."""
     for spare in sorted(candidates, key=lambda voter: voter.name):
         voter = find_voter(view, spare.name)
         if voter is None or voter.name == view.head:
@@ -102,9 +106,10 @@
 def _plan_removal(
     view: View, to_replace: list[str], health: VoterHealth, now_s: float
 ) -> VoterSetChange | None:
-    """Return the removal of one surplus voter; None unless the reachable ones are a quorum of the rest.
+    """Return the removal of one surplus voter.
 
-    Voters to be replaced go first, then the last of the chain in the most crowded zone.
+    Return None unless the reachable voters are a majority of the remaining set.  Voters to replace are
+    removed first, then voters outside the chain, then the last chain member in the zone with most voters.
     """
     removable = [voter for voter in view.voters if voter.name not in (view.head, health.name)]
     live = [voter for voter in removable if voter.name not in to_replace]
@@ -121,13 +126,13 @@
 
 
 def _removal_priority(view: View, voter: Voter) -> tuple[bool, int, int, str]:
-    """Return the sort key of a live voter: the greater, the sooner it is removed."""
+    """Return the sort key of a live voter; voters with greater keys are removed first."""
     position = view.chain.index(voter.name) if voter.name in view.chain else len(view.chain)
     return voter.name not in view.chain, _zone_occupancy(voter, view.voters), position, voter.name
 
 
 def _is_current_voter(view: View, controller: Voter) -> bool:
-    """Return whether a controller votes with this disk, at this address."""
+    """Return whether the view has this controller as a voter with the same disk and address."""
     voter = find_voter(view, controller.name)
     return voter is not None and (voter.disk_id, voter.address) == (controller.disk_id, controller.address)
 
--- a/hollowusher/coordination/consensus/voter_state_machine.py
+++ b/hollowusher/coordination/consensus/voter_state_machine.py
@@ -1,19 +1,20 @@
-"""One voter as a state machine: the order of saves, answers and requests.  No I/O, no clock.
+"""State machine of one voter, which orders its saves, responses and requests.  No I/O, no clock.
 
-`VoterStateMachine` owns the acceptor of one controller and its proposal in progress.  Its owner passes in
-messages, the time, and the outcome of each save, and carries out the instructions in their order.
+`VoterStateMachine` owns the acceptor of one controller and its proposal in progress.  The owner of the state
+machine passes in messages, the time and the outcome of each save, and executes the instructions in order.
 
-Three rules keep the consensus of `paxos` safe through any loss of power:
+Three rules keep the consensus of `paxos` safe across power losses:
 
-- An answer is sent only after all that it tells of the acceptor is on disk.
-- A ballot is used once: the proposer's own promise for it is on disk before another voter hears of it.  A
-  proposer whose promise did not reach the disk uses, after a restart, a higher round, or the same round, of
-  which nobody has heard.
-- One save is in progress at a time, and each contains the complete acceptor.  What a failed save contained
-  stays in memory and is part of the next one; the requests that waited for it fail.
+- A response is sent only after the acceptor state that it depends on is on disk.
+- A ballot is used only once: the proposer's own promise for it is on disk before the proposer sends the
+  ballot to another voter.  If the promise did not reach the disk, no other voter has received the ballot; so
+  after a restart the proposer may use this round again, or a higher one.
+- One save is in progress at a time, and each save contains the complete acceptor.  After a failed save the
+  unsaved state stays in memory and becomes part of the next save; the requests that waited for the failed
+  save fail.
 
-Source: Lamport, "Paxos made simple" (2001), section 2.2 (an acceptor must remember what it promised and
-accepted, also after a failure and restart).
+Source: Lamport, "Paxos made simple" (2001), section 2.2 (an acceptor must remember its promise and its
+accepted proposal across a failure and restart).
 """
 
 from __future__ import annotations
@@ -41,7 +42,8 @@
 )
 from hollowusher.protocol.view import View, Voter
 
-PHASE_TIMEOUT_S = 1.1  # for each of: the own promise on disk, a quorum of promises, a quorum of acceptances
+# Timeout of each phase: saving the proposer's own promise, collecting promises, collecting acceptances.
+PHASE_TIMEOUT_S = 1.1
 
 PlanView = Callable[[View], View | None]
 
@@ -54,7 +56,7 @@
     message: Promise | Accepted
 
 
-_Deferred = SendResponse | InstallView | _OwnVote  # takes effect once the acceptor is on disk
+_Deferred = SendResponse | InstallView | _OwnVote  # an effect that waits until the acceptor is on disk
 
 
 @attrs.define
@@ -63,13 +65,13 @@
 
     proposer: Proposer
     deadline_s: float
-    phase: type[Prepare] | type[Accept] = Prepare  # of the requests to the other voters
-    unanswered: set[str] = attrs.Factory(set)  # voters that were sent a request in this phase
-    own_vote_is_unsaved: bool = True  # the own vote of this phase waits for the disk
+    phase: type[Prepare] | type[Accept] = Prepare  # request type of the current phase
+    unanswered: set[str] = attrs.Factory(set)  # voters whose response is outstanding in this phase
+    own_vote_is_unsaved: bool = True  # whether the proposer's own vote of this phase waits for a save
 
 
 class VoterStateMachine:
-    """The acceptor of one controller, the order of its saves, and its proposals.
+    """The acceptor of one controller, with the order of its saves and with its proposals.
 
     Times are seconds of the owner's monotonic clock.
     """
@@ -77,8 +79,9 @@
     def __init__(self, name: str, disk_id: str, saved: bytes | None = None) -> None:
         self.acceptor = Acceptor(name, disk_id, saved)
         self._name = name
-        self._is_dirty = False  # the acceptor has changed since the last save began, or that save has failed
-        self._after_save: list[_Deferred] | None = None  # waits for the save in progress; None: there is none
+        self._is_dirty = False  # the acceptor changed after the last save started, or that save failed
+        # Effects that wait for the save in progress; None if no save is in progress.
+        self._after_save: list[_Deferred] | None = None
         self._after_next_save: list[_Deferred] = []
         self._instructions: list[Instruction] = []
         self._now_s = 0.0
@@ -92,27 +95,27 @@
 
     @property
     def has_unsaved_own_vote(self) -> bool:
-        """Whether an own promise or acceptance waits for the disk."""
+        """Whether one of the proposer's own votes waits for a save."""
         deferred = [*(self._after_save or ()), *self._after_next_save]
         return any(isinstance(effect, _OwnVote) for effect in deferred)
 
     @property
     def deadline_s(self) -> float | None:
-        """When the current phase of the proposal in progress ends without success."""
+        """The deadline of the current phase of the proposal in progress, None without a proposal."""
         return self._proposal.deadline_s if self._proposal is not None else None
 
     def pop_instructions(self) -> list[Instruction]:
-        """Return what is to be done now, in this order, and forget it."""
+        """Return and clear the pending instructions; the owner must execute them in this order."""
         instructions, self._instructions = self._instructions, []
         return instructions
 
     # -- the acceptor --------------------------------------------------------------------------------------
 
     def learn(self, view: View) -> bool:
-        """Learn a decided view; return whether it is newer than the known one.
+        """Adopt a decided view if it is newer than the known one; return whether it is.
 
-        It is installed as soon as the disk has answered, also with a failure: a decided view can be learned
-        again, only votes must not be forgotten.
+        The view is installed when the save ends, even if the save fails: the voter can learn a decided view
+        again, whereas it must never lose a vote.
         """
         if not self.acceptor.learn(view):
             return False
@@ -121,11 +124,11 @@
         return True
 
     def prepare(self, request_id: int, message: Prepare) -> None:
-        """Vote in phase 1."""
+        """Vote in phase 1; the response follows as an instruction."""
         self._respond(request_id, self._handle_prepare(message))
 
     def accept(self, request_id: int, message: Accept) -> None:
-        """Vote in phase 2."""
+        """Vote in phase 2; the response follows as an instruction."""
         self._respond(request_id, self._handle_accept(message))
 
     def _handle_prepare(self, message: Prepare) -> Promise:
@@ -143,16 +146,16 @@
         return accepted
 
     def _respond(self, request_id: int, message: Promise | Accepted) -> None:
-        """Answer a request.  A refusal holds nothing that must not be forgotten: it does not wait."""
+        """Respond to a request; a rejection commits this voter to nothing, so it does not wait for a save."""
         if message.granted:
             self._run_when_durable(SendResponse(request_id, message))
         else:
             self._instructions.append(SendResponse(request_id, message))
 
-    # -- the disk ------------------------------------------------------------------------------------------
+    # -- saves ---------------------------------------------------------------------------------------------
 
     def on_saved(self, now_s: float, *, durable: bool) -> None:
-        """Handle the end of the save in progress; `durable` is False if the disk failed."""
+        """Handle the end of the save in progress; `durable` is False if the save failed."""
         assert self._after_save is not None
         self._now_s = now_s
         deferred, self._after_save = self._after_save, None
@@ -164,7 +167,7 @@
             self._start_save()
 
     def _run_when_durable(self, effect: _Deferred) -> None:
-        """Let this take effect once the acceptor, as it is now, is on disk."""
+        """Run the effect once the current state of the acceptor is on disk; start a save if necessary."""
         if self._is_dirty:
             self._after_next_save.append(effect)
             if self._after_save is None:
@@ -190,18 +193,18 @@
     # -- proposals -----------------------------------------------------------------------------------------
 
     def propose(self, now_s: float, plan: PlanView) -> bool:
-        """Start to propose the view that `plan` makes of the newest one.
+        """Start a proposal of the view that `plan` returns for the newest known view.
 
-        Return False if no proposal starts; otherwise `EndProposal` follows.
+        Return whether a proposal has started; each started proposal ends with an `EndProposal` instruction.
         """
         base = self.acceptor.decided
-        wanted = plan(base) if base is not None and not self.is_proposing else None
-        if base is None or wanted is None:
+        planned = plan(base) if base is not None and not self.is_proposing else None
+        if base is None or planned is None:
             return False
         self._highest_round = max(self._highest_round, self.acceptor.promised[0]) + 1
-        proposer = Proposer(base, wanted, (self._highest_round, self._name))
+        proposer = Proposer(base, planned, (self._highest_round, self._name))
         own_promise = self.acceptor.prepare(proposer.prepare())
-        if not own_promise.granted:  # no voter of this view, or not with this disk
+        if not own_promise.granted:  # this controller is no voter of the view, or has another disk
             return False
         self._now_s = now_s
         self._proposal = _Proposal(proposer, now_s + PHASE_TIMEOUT_S)
@@ -210,7 +213,7 @@
         return True
 
     def on_response(self, request: SendRequest, response: object, now_s: float) -> None:
-        """Handle the answer to a request; anything but a vote, also None, counts as no answer."""
+        """Handle the response to a request; anything but a vote counts as no response."""
         proposal = self._proposal
         if proposal is None or proposal.proposer.ballot != request.ballot:
             return
@@ -220,17 +223,20 @@
         self._count_vote(proposal, request.voter.name, response)
 
     def tick(self, now_s: float) -> None:
-        """Give up a proposal that has found no quorum in time."""
+        """End the proposal in progress if its current phase has reached its deadline without a quorum."""
         if self._proposal is not None and now_s >= self._proposal.deadline_s:
             self._end_proposal(newer_view_known=False)
 
     def abandon(self) -> None:
-        """Give up the proposal in progress."""
+        """End the proposal in progress without a result."""
         if self._proposal is not None:
             self._end_proposal(newer_view_known=False)
 
     def _on_own_vote_saved(self, vote: _OwnVote, *, durable: bool) -> None:
-        """Continue the proposal: others hear of a ballot only once the own promise for it is durable."""
+        """Continue the proposal after the save of the proposer's own vote.
+
+        Other voters receive the ballot only after the proposer's own promise for it is durable.
+        """
         proposal = self._proposal
         if proposal is None or proposal.proposer.ballot != vote.ballot:
             return
@@ -258,7 +264,7 @@
             self._end_proposal(newer_view_known=False)
 
     def _start_accept_phase(self, proposal: _Proposal) -> None:
-        """Start phase 2: the value is fixed, this ballot never proposes another one."""
+        """Start phase 2 with the value, which is fixed for this ballot from now on."""
         proposer = proposal.proposer
         proposal.deadline_s = self._now_s + PHASE_TIMEOUT_S
         proposal.phase = Accept
--- a/hollowusher/coordination/controller_selector.py
+++ b/hollowusher/coordination/controller_selector.py
@@ -29,7 +29,7 @@
     """Recent results of this process's calls to one controller."""
 
     avoid_until: float = -math.inf  # end of the backoff after a call without a response
-    lagging_until: float = -math.inf  # end of the backoff after a response without contact to a majority
+    lagging_until: float = -math.inf  # end of the backoff after a response without contact with a majority
     failures: int = 0  # calls without a response since the last successful pull
 
     def record_failure(self, now: float) -> None:
@@ -71,7 +71,7 @@
     def __init__(self, name: str, zone: str) -> None:
         self._name = name
         self._zone = zone
-        self._health: dict[str, ControllerHealth] = {}  # by address
+        self._health: dict[str, ControllerHealth] = {}  # address -> health
 
     def health(self, address: str) -> ControllerHealth:
         """Return the health of the controller at an address."""
--- a/tests/coordination/__init__.py
+++ b/tests/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of coordination."""
+"""Tests of the coordination package."""
--- a/tests/coordination/consensus/__init__.py
+++ b/tests/coordination/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of consensus."""
+"""Tests of the consensus package."""
--- a/tests/coordination/consensus/test_calls_reused_voter.py
+++ b/tests/coordination/consensus/test_calls_reused_voter.py
@@ -1,4 +1,8 @@
-"""A spare controller at the address of a lost voter: it has to be reached to take the voter's place."""
+"""A spare controller at the address of a lost voter can be called, so that it can replace the voter.
+
+The view still maps the address to the lost voter.  If a call named that voter as its addressee, the spare
+would reject the call.
+"""
 
 from __future__ import annotations
 
@@ -22,19 +26,19 @@
     return Member(name, "edge", ADDRESS, "z", "r", incarnation, f"disk of {name}", True, True, status=status)
 
 
-def test_a_ping_at_a_used_address_means_the_process_that_lives_there() -> None:
+def test_a_ping_to_a_reused_address_names_the_current_process() -> None:
     peers = caller()
     peers.learn_member(controller("edge-7", 5))
     assert peers.meant(ADDRESS, Ping("edge-2", 4)).name == "edge-7"
 
 
-def test_a_voter_is_meant_where_the_other_process_is_gone() -> None:
+def test_a_ping_names_the_voter_if_the_other_process_is_dead() -> None:
     peers = caller()
     peers.learn_member(controller("edge-7", 5, status=1))
     assert peers.meant(ADDRESS, Ping("edge-2", 4)).name == "edge-1"
 
 
-def test_a_wiped_voter_is_still_called_by_the_disk_that_votes() -> None:
+def test_a_ping_to_a_wiped_voter_names_the_disk_with_the_vote() -> None:
     peers = caller()
     peers.learn_member(controller("edge-1", 5))
     assert peers.meant(ADDRESS, Ping("edge-2", 4)).disk_id == "d1"
--- a/tests/coordination/consensus/test_first_view.py
+++ b/tests/coordination/consensus/test_first_view.py
@@ -1,4 +1,4 @@
-"""The first view: seeds that gathered different controllers and hear nothing of one another."""
+"""The first view: partitioned seeds that have discovered different controllers start only one cluster."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     assert proposer.value == ABC
 
 
-def test_a_view_that_one_voter_has_not_accepted_is_left() -> None:
+def test_a_view_that_one_voter_has_not_accepted_is_discarded() -> None:
     proposer = FirstViewProposer((2, "q"), VOTERS.values(), lambda promised: BCD)
     for name in "ab":
         proposer.on_promise(VOTERS[name], promise([2, "q"], ABC, 1))
@@ -60,12 +60,12 @@
     assert proposer.value == BCD
 
 
-def test_a_view_whose_last_voter_is_silent_is_waited_for() -> None:
+def test_no_view_is_proposed_while_an_accepted_one_may_be_decided() -> None:
     proposer = FirstViewProposer((2, "q"), VOTERS.values(), lambda promised: BCD)
     for name in "ab":
         proposer.on_promise(VOTERS[name], promise([2, "q"], ABC, 1))
     proposer.on_promise(VOTERS["d"], promise([2, "q"]))
-    assert not proposer.choose_value()  # c may have accepted it
+    assert not proposer.choose_value()  # the silent voter c may have accepted the view
     assert {voter_id(voter) for voter in proposer.accepted_voters()} == {f"{n}/disk-{n}" for n in "abc"}
 
 
@@ -88,7 +88,7 @@
 
 
 async def start_with_a_cut_seed(names: str, order: tuple[str, ...], cut: str, gap_s: float) -> set[str]:
-    """Start the controllers in this order, seed b cut off; return the clusters that began."""
+    """Start the controllers in this order with seed b partitioned; return the names of the new clusters."""
     cluster = ControllerCluster(names, seeds=["10.0.0.1:8064", "10.0.0.2:8064"])
     cluster.network.cut(cluster["a"].address, cluster["b"].address)
     if cut == "all":
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("cut", ["each other", "some", "all"])
 @pytest.mark.parametrize("names", ["abc", "abcd"])
-def test_one_cluster_begins_in_every_order_of_starts(names: str, cut: str) -> None:
+def test_one_cluster_starts_for_every_start_order(names: str, cut: str) -> None:
     for order in permutations(names):
         for gap_s in (0.0, 0.7):
             assert len(run_virtual(start_with_a_cut_seed(names, order, cut, gap_s))) == 1, (order, gap_s)
--- a/tests/coordination/consensus/test_foreign_messages.py
+++ b/tests/coordination/consensus/test_foreign_messages.py
@@ -1,4 +1,4 @@
-"""Messages of another cluster, and messages meant for another voter: refused, counted, nothing changed."""
+"""An acceptor rejects and counts messages of another cluster or for another voter, and keeps its state."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return evolve(base, epoch=epoch, chain=["b", "c"], since={"b": 1, "c": 1})
 
 
-def test_names_of_clusters() -> None:
+def test_an_empty_cluster_name_matches_every_name() -> None:
     assert is_same_cluster("x", "x")
     assert is_same_cluster("", "x")
     assert is_same_cluster("x", "")
@@ -64,7 +64,7 @@
     assert acceptor.dump() == saved
 
 
-def test_a_question_of_another_cluster_is_not_confirmed() -> None:
+def test_a_confirm_request_of_another_cluster_is_rejected() -> None:
     acceptor = voter_of()
     assert acceptor.confirm(ConfirmEpoch(1))
     assert acceptor.confirm(ConfirmEpoch(1, "cluster-1"))
@@ -72,7 +72,7 @@
     assert acceptor.foreign_rejections == 1
 
 
-def test_views_of_older_processes_have_no_cluster_and_are_taken() -> None:
+def test_views_of_older_processes_without_a_cluster_name_are_accepted() -> None:
     older = evolve(BASE, cluster="")
     acceptor = voter_of(older)
     assert acceptor.prepare(Prepare(2, [1, "b"], older)).granted
@@ -81,8 +81,8 @@
     assert acceptor.foreign_rejections == 0
 
 
-def test_a_message_to_another_voter_is_not_answered_with_a_vote() -> None:
-    """The address of a voter that has gone may by now be another voter's: one vote would count as two."""
+def test_a_message_to_another_voter_gets_no_vote() -> None:
+    """The address of a removed voter may belong to another voter now, whose vote would then count twice."""
     acceptor = voter_of()
     saved = acceptor.dump()
     proposer = Proposer(BASE, next_view(BASE), (1, "b"))
@@ -97,6 +97,6 @@
     assert acceptor.accept(proposer.accept(VOTERS[0])).granted
 
 
-def test_each_later_view_carries_the_name_of_the_cluster_on() -> None:
+def test_each_later_view_keeps_the_cluster_name() -> None:
     planned = evolve(next_view(BASE), cluster="")
     assert Proposer(BASE, planned, (1, "b")).accept().view.cluster == "cluster-1"
--- a/tests/coordination/consensus/test_paxos.py
+++ b/tests/coordination/consensus/test_paxos.py
@@ -1,4 +1,4 @@
-"""Agreement on views: every interleaving of two proposers, and who may vote."""
+"""Single-decree Paxos on views: all interleavings of two proposers, and the right to vote."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
     return made
 
 
-def test_sizes() -> None:
+def test_quorum_size_and_min_chain_length() -> None:
     sizes = {}
     for count in range(1, 8):
         view = first_view([Voter(str(number), "d", "") for number in range(count)])
         sizes[count] = (quorum_size(view), min_chain_length(view))
-        assert quorum_size(view) + min_chain_length(view) > count  # any majority meets any chain
+        assert quorum_size(view) + min_chain_length(view) > count  # every majority intersects every chain
     assert sizes[3] == (2, 2)
     assert sizes[4] == (3, 2)
     assert sizes[5] == (3, 3)
@@ -57,7 +57,7 @@
     assert proposer.decided == next_view("ab")
 
 
-def test_the_same_answer_twice_is_no_majority() -> None:
+def test_a_repeated_response_counts_once() -> None:
     group = acceptors()
     proposer = Proposer(BASE, next_view("ab"), (1, "a"))
     promise_answer = group["a"].prepare(proposer.prepare())
@@ -68,7 +68,7 @@
     assert not proposer.on_accepted("a", accepted)
 
 
-def test_a_later_proposer_takes_over_what_was_accepted() -> None:
+def test_a_later_proposer_adopts_the_accepted_value() -> None:
     group = acceptors()
     early = Proposer(BASE, next_view("ab"), (1, "a"))
     for name in "ab":
@@ -80,7 +80,7 @@
     assert late.value == next_view("ab")
 
 
-def test_an_old_ballot_is_refused_and_the_proposer_learns_the_round() -> None:
+def test_an_old_ballot_is_rejected_with_the_promised_round() -> None:
     group = acceptors()
     group["a"].prepare(Prepare(2, [7, "c"]))
     proposer = Proposer(BASE, next_view("ab"), (1, "a"))
@@ -102,15 +102,15 @@
     assert not wiped.accept(Accept(1, [1, "b"], BASE)).granted
 
 
-def test_a_controller_outside_the_group_does_not_vote() -> None:
+def test_a_controller_outside_the_voter_set_does_not_vote() -> None:
     stranger = Acceptor("z", "disk-z")
     stranger.learn(BASE)
     assert not stranger.prepare(Prepare(2, [1, "a"])).granted
     fresh = Acceptor("a", "disk-a")
-    assert not fresh.prepare(Prepare(2, [1, "b"])).granted  # it does not know the view before
+    assert not fresh.prepare(Prepare(2, [1, "b"])).granted  # it does not know the previous view
 
 
-def test_who_has_accepted_a_later_view_does_not_confirm_the_epoch() -> None:
+def test_a_voter_that_accepted_a_later_view_does_not_confirm_the_epoch() -> None:
     acceptor = acceptors()["a"]
     assert acceptor.confirms(1)
     acceptor.prepare(Prepare(2, [1, "b"]))
@@ -122,7 +122,7 @@
     assert acceptor.confirms(2)
 
 
-def test_an_old_proposal_gets_the_decided_view() -> None:
+def test_a_late_proposer_receives_the_decided_view() -> None:
     acceptor = acceptors()["a"]
     acceptor.learn(next_view("ab"))
     answer = acceptor.prepare(Prepare(2, [5, "c"]))
@@ -133,7 +133,7 @@
     assert proposer.decided == next_view("ab")
 
 
-def test_the_acceptor_is_the_same_after_a_crash() -> None:
+def test_the_acceptor_restores_its_state_after_a_crash() -> None:
     acceptor = acceptors()["a"]
     acceptor.prepare(Prepare(2, [3, "b"]))
     acceptor.accept(Accept(2, [3, "b"], next_view("bc")))
@@ -156,28 +156,28 @@
     promise = again.prepare(Prepare(1, [2, "q"]))
     assert (promise.granted, promise.accepted_ballot, promise.accepted) == (True, [1, "p"], smaller)
     assert not again.accept(Accept(1, [1, "p"], smaller)).granted
-    assert not again.accept(Accept(1, [3, "q"], first_view(VOTERS[1:]))).granted  # does not name it
+    assert not again.accept(Accept(1, [3, "q"], first_view(VOTERS[1:]))).granted  # does not name this voter
     again.learn(smaller)
     assert again.prepare(Prepare(1, [4, "q"])).decided == smaller
     assert not again.accept(Accept(1, [4, "q"], BASE)).granted
 
 
-# -- the model check: two proposers, three voters, any order of delivery, any loss ----------------------
+# -- model check: two proposers, three voters, any order of delivery, any message loss ------------------
 
 
 @attrs.define
-class Run:
-    """A proposer's ballot under way."""
+class BallotRun:
+    """The ballot of one proposer, in progress."""
 
     proposer: Proposer
-    phase: int = 0  # 0: promises are gathered, 1: acceptances
-    reached: frozenset[tuple[int, str]] = frozenset()  # (phase, voter) that has taken the request
+    phase: int = 0  # 0: collecting promises, 1: collecting acceptances
+    reached: frozenset[tuple[int, str]] = frozenset()  # (phase, voter) pairs whose request was delivered
 
-    def copy(self) -> Run:
+    def copy(self) -> BallotRun:
         proposer = copy(self.proposer)
         proposer._promises = dict(proposer._promises)
         proposer._acceptances = set(proposer._acceptances)
-        return Run(proposer, self.phase, self.reached)
+        return BallotRun(proposer, self.phase, self.reached)
 
     def key(self) -> tuple[object, ...]:
         promises = tuple(
@@ -196,14 +196,14 @@
 
 
 @attrs.define
-class World:
+class SearchState:
     acceptors: dict[str, Acceptor]
-    runs: list[Run]
+    runs: list[BallotRun]
 
-    def copy(self, number: int, name: str) -> World:
-        """A copy in which this run and this voter may change."""
+    def copy(self, number: int, name: str) -> SearchState:
+        """Return a copy in which the given run and voter may be modified."""
         acceptors = {**self.acceptors, name: copy(self.acceptors[name])}
-        return World(
+        return SearchState(
             acceptors, [run.copy() if place == number else run for place, run in enumerate(self.runs)]
         )
 
@@ -212,22 +212,22 @@
         return votes, tuple(run.key() for run in self.runs)
 
 
-def deliveries(world: World) -> Iterator[tuple[int, str, bool]]:
-    """What can happen next: a request reaches a voter, and its answer reaches the proposer or is lost.
+def deliveries(state: SearchState) -> Iterator[tuple[int, str, bool]]:
+    """Yield the possible steps: a request reaches a voter, and the response reaches the proposer or is lost.
 
-    A lost request needs no step: every state is checked, with whatever has not been delivered.  A late answer
-    needs none either: the proposer uses it later, and all that it does then may also be delivered later.  The
-    loss of an acceptance only keeps a proposer from knowing what the acceptors have decided."""
-    for number, run in enumerate(world.runs):
-        for name in world.acceptors:
+    A lost request needs no step of its own, because every state is checked with its undelivered requests.  A
+    late response needs none either: the effects of its delivery may themselves be delivered later.  The loss
+    of an acceptance is omitted, because it only keeps the proposer from learning the decision."""
+    for number, run in enumerate(state.runs):
+        for name in state.acceptors:
             if (run.phase, name) not in run.reached:
                 yield number, name, True
                 if run.phase == 0:
                     yield number, name, False
 
 
-def deliver(world: World, number: int, name: str, answered: bool) -> World:
-    after = world.copy(number, name)
+def deliver(state: SearchState, number: int, name: str, answered: bool) -> SearchState:
+    after = state.copy(number, name)
     run = after.runs[number]
     run.reached |= {(run.phase, name)}
     acceptor, proposer = after.acceptors[name], run.proposer
@@ -242,15 +242,15 @@
     return after
 
 
-def explore(start: World, check: Callable[[World], None]) -> int:
-    """Visit every state that can be reached; how many."""
+def explore(start: SearchState, check: Callable[[SearchState], None]) -> int:
+    """Visit and check every reachable state; return their number."""
     visited = {start.key()}
     open_states = [start]
     while open_states:
-        world = open_states.pop()
-        check(world)
-        for step in deliveries(world):
-            after = deliver(world, *step)
+        state = open_states.pop()
+        check(state)
+        for step in deliveries(state):
+            after = deliver(state, *step)
             key = after.key()
             if key not in visited:
                 visited.add(key)
@@ -261,15 +261,18 @@
 def test_two_proposers_never_decide_two_views() -> None:
     outcomes: set[tuple[bool, bool]] = set()
 
-    def check(world: World) -> None:
-        decided = [run.proposer.decided for run in world.runs]
+    def check(state: SearchState) -> None:
+        decided = [run.proposer.decided for run in state.runs]
         chosen = [view for view in decided if view is not None]
-        assert all(view == chosen[0] for view in chosen), "two views were decided"
+        assert all(view == chosen[0] for view in chosen), "two different views were decided"
         outcomes.add((decided[0] is not None, decided[1] is not None))
 
-    start = World(
+    start = SearchState(
         acceptors(),
-        [Run(Proposer(BASE, next_view("ab"), (1, "a"))), Run(Proposer(BASE, next_view("bc"), (1, "b")))],
+        [
+            BallotRun(Proposer(BASE, next_view("ab"), (1, "a"))),
+            BallotRun(Proposer(BASE, next_view("bc"), (1, "b"))),
+        ],
     )
     assert explore(start, check) > 1_000
     assert outcomes == {(False, False), (True, False), (False, True), (True, True)}
--- a/tests/coordination/consensus/test_proposal_backoff.py
+++ b/tests/coordination/consensus/test_proposal_backoff.py
@@ -1,4 +1,4 @@
-"""The pauses between proposals that decide nothing."""
+"""The random pauses after proposals that decided no view."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from tests.support.controller_cluster import ControllerCluster, run_virtual
 
 
-class Longest(random.Random):
-    """Draws the upper bound."""
+class MaxRandom(random.Random):
+    """Always returns the upper bound."""
 
     def uniform(self, a: float, b: float) -> float:
         return b
 
 
 def test_the_longest_pause_doubles_up_to_a_bound() -> None:
-    backoff = ProposalBackoff(Longest())
+    backoff = ProposalBackoff(MaxRandom())
     pauses = [backoff.next_pause_s(2) for _ in range(7)]
     assert pauses == [0.2, 0.4, 0.8, 1.6, 3.2, 3.2, 3.2]
     assert pauses[-1] == MAX_PAUSE_S
 
 
 def test_a_new_epoch_begins_with_the_shortest_bound() -> None:
-    backoff = ProposalBackoff(Longest())
+    backoff = ProposalBackoff(MaxRandom())
     for _ in range(4):
         backoff.next_pause_s(2)
     assert backoff.next_pause_s(3) == MAX_FIRST_PAUSE_S
 
 
-def test_pauses_are_drawn_from_zero_on() -> None:
+def test_pauses_are_random_from_zero_to_the_bound() -> None:
     backoff = ProposalBackoff(random.Random(1))
     pauses = [backoff.next_pause_s(2) for _ in range(200)]
     assert min(pauses) < 0.1 * MAX_PAUSE_S
--- a/tests/coordination/consensus/test_view_consensus.py
+++ b/tests/coordination/consensus/test_view_consensus.py
@@ -1,4 +1,7 @@
-"""The agreement over the network: what is on disk before what is sent, and what a lost disk may undo."""
+"""View consensus over a network: votes are on disk before they are sent, across power losses and disk faults.
+
+A vote that is sent before it is durable can be lost in a power loss, and then two views may be decided.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +42,7 @@
 
 
 class Disk:
-    """A slot whose saves wait while it is stuck, and fail while it is full."""
+    """A slot whose saves block while `stuck` is set and fail while `full` is set."""
 
     def __init__(self) -> None:
         self.value: bytes | None = None
@@ -61,25 +64,29 @@
 
 
 @attrs.define
-class Post:
-    """All messages on their way.  `holds` tells which requests are kept back until they are released."""
+class VirtualNetwork:
+    """The network between the voters.
+
+    It holds back the requests that `should_hold` selects until `release` is called.  It drops the responses
+    that `should_drop` selects.
+    """
 
     voters: dict[str, Node] = attrs.Factory(dict)
     sent: list[tuple[str, str, Any]] = attrs.Factory(list)  # sender, address, message
     held: list[tuple[str, Any]] = attrs.Factory(list)
-    holds: Callable[[str, Any], bool] = lambda address, message: False
-    loses: Callable[[str, Any], bool] = lambda address, answer: False
+    should_hold: Callable[[str, Any], bool] = lambda address, message: False
+    should_drop: Callable[[str, Any], bool] = lambda address, answer: False
 
     async def deliver(self, address: str, message: Any) -> Any:
         voter = self.voters[address]
-        if voter.agreement is None:
+        if voter.voter_consensus is None:
             raise PeerError("call", address, "no connection: refused", sent=False)
-        work = asyncio.get_running_loop().create_task(voter.handle(decode(encode(message))))
-        voter.tasks.add(work)
-        return await work
+        pending = asyncio.get_running_loop().create_task(voter.handle(decode(encode(message))))
+        voter.tasks.add(pending)
+        return await pending
 
     async def release(self) -> None:
-        """Deliver all that was held back; whoever asked is long gone."""
+        """Deliver all requests held back; their callers have timed out already."""
         held, self.held = self.held, []
         for address, message in held:
             await self.deliver(address, message)
@@ -88,11 +95,11 @@
         return [message for name, _, message in self.sent if name == sender and isinstance(message, kind)]
 
 
-class Line:
+class Endpoint:
     """The `Transport` of one voter."""
 
-    def __init__(self, post: Post, name: str) -> None:
-        self.post = post
+    def __init__(self, network: VirtualNetwork, name: str) -> None:
+        self.network = network
         self.name = name
         self.address = f"{name}:1"
 
@@ -103,77 +110,77 @@
         raise NotImplementedError
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        self.post.sent.append((self.name, address, message))
-        if self.post.holds(address, message):
-            self.post.held.append((address, message))
+        self.network.sent.append((self.name, address, message))
+        if self.network.should_hold(address, message):
+            self.network.held.append((address, message))
             await asyncio.sleep(timeout)
             raise PeerError("call", address, "no answer in time")
         try:
             async with asyncio.timeout(timeout):
-                answer = await self.post.deliver(address, message)
+                answer = await self.network.deliver(address, message)
         except (TimeoutError, StorageError):
             raise PeerError("call", address, "no answer in time") from None
-        if self.post.loses(address, answer):
+        if self.network.should_drop(address, answer):
             await asyncio.sleep(timeout)
             raise PeerError("call", address, "no answer in time")
         return answer
 
     def send(self, address: str, message: Any) -> None:
-        self.post.sent.append((self.name, address, message))
-        if not self.post.holds(address, message):
-            task = asyncio.get_running_loop().create_task(self.post.deliver(address, message))
-            self.post.voters[address].tasks.add(task)
+        self.network.sent.append((self.name, address, message))
+        if not self.network.should_hold(address, message):
+            task = asyncio.get_running_loop().create_task(self.network.deliver(address, message))
+            self.network.voters[address].tasks.add(task)
 
 
 class Node:
-    """One voter with its disk; it can lose power and start again."""
+    """One voter with its disk, which can lose power and restart."""
 
-    def __init__(self, post: Post, voter: Voter) -> None:
-        self.post = post
+    def __init__(self, network: VirtualNetwork, voter: Voter) -> None:
+        self.network = network
         self.voter = voter
         self.disk = Disk()
         self.views: list[View] = []
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.agreement: ViewConsensus | None = None
-        post.voters[voter.address] = self
+        self.voter_consensus: ViewConsensus | None = None
+        network.voters[voter.address] = self
         acceptor = Acceptor(voter.name, voter.disk_id)
         acceptor.learn(BASE)
         self.disk.value = acceptor.dump()
 
     @property
     def running(self) -> ViewConsensus:
-        assert self.agreement is not None
-        return self.agreement
+        assert self.voter_consensus is not None
+        return self.voter_consensus
 
     def start(self) -> None:
-        self.agreement = ViewConsensus(self.voter, Line(self.post, self.voter.name), self.disk,
+        self.voter_consensus = ViewConsensus(self.voter, Endpoint(self.network, self.voter.name), self.disk,
                                    random.Random(self.voter.name), self.views.append)  # fmt: skip
 
     def lose_power(self) -> None:
         for task in self.running._tasks | self.tasks:
             task.cancel()
         self.tasks.clear()
-        self.agreement = None
+        self.voter_consensus = None
 
     async def handle(self, message: Any) -> Any:
-        agreement = self.running
+        voter_consensus = self.running
         if isinstance(message, Prepare):
-            return await agreement.prepare(message)
+            return await voter_consensus.prepare(message)
         if isinstance(message, Accept):
-            return await agreement.accept(message)
+            return await voter_consensus.accept(message)
         if isinstance(message, ConfirmEpoch):
-            return agreement.confirm(message)
+            return voter_consensus.confirm(message)
         if isinstance(message, ViewDecided):
-            await agreement.learn(message.view)
+            await voter_consensus.learn(message.view)
         return None
 
 
-def group() -> tuple[Post, dict[str, Node]]:
-    post = Post()
-    nodes = {voter.name: Node(post, voter) for voter in VOTERS}
+def group() -> tuple[VirtualNetwork, dict[str, Node]]:
+    network = VirtualNetwork()
+    nodes = {voter.name: Node(network, voter) for voter in VOTERS}
     for node in nodes.values():
         node.start()
-    return post, nodes
+    return network, nodes
 
 
 async def propose(node: Node, view: View) -> bool:
@@ -182,13 +189,13 @@
 
 def test_nothing_is_sent_before_the_own_promise_is_on_disk() -> None:
     async def check() -> None:
-        post, nodes = group()
+        network, nodes = group()
         nodes["a"].disk.stuck = True
-        work = asyncio.create_task(propose(nodes["a"], X))
+        pending = asyncio.create_task(propose(nodes["a"], X))
         await asyncio.sleep(2.0)
-        assert post.requests("a", Prepare) == []
+        assert network.requests("a", Prepare) == []
         nodes["a"].disk.stuck = False
-        await work
+        await pending
         assert await propose(nodes["a"], X)
         assert nodes["b"].running.view == X or nodes["c"].running.view == X
 
@@ -197,22 +204,22 @@
 
 def test_a_ballot_is_not_used_again_after_a_loss_of_power() -> None:
     async def check() -> None:
-        post, nodes = group()
+        network, nodes = group()
         nodes["a"].disk.stuck = True
-        post.holds = lambda address, message: isinstance(message, Accept) and address == "c:1"
-        post.loses = lambda address, answer: isinstance(answer, Accepted)
+        network.should_hold = lambda address, message: isinstance(message, Accept) and address == "c:1"
+        network.should_drop = lambda address, answer: isinstance(answer, Accepted)
         first = asyncio.create_task(propose(nodes["a"], X))
-        await asyncio.sleep(0.1)  # where Prepare went out, b has accepted X and its answer is lost
+        await asyncio.sleep(0.1)  # if Prepare was sent, b has accepted X and its response is lost
         nodes["a"].lose_power()
         first.cancel()
-        used = {tuple(message.ballot) for message in post.requests("a", Prepare)}
+        used = {tuple(message.ballot) for message in network.requests("a", Prepare)}
 
         nodes["a"].disk.stuck = False
         nodes["a"].start()
-        post.loses = lambda address, answer: False
-        post.holds = lambda address, message: address == "b:1"
+        network.should_drop = lambda address, answer: False
+        network.should_hold = lambda address, message: address == "b:1"
         assert await propose(nodes["a"], Y)  # decided by a and c
-        again = {tuple(message.ballot) for message in post.requests("a", Prepare)[len(used) * 2 :]}
+        again = {tuple(message.ballot) for message in network.requests("a", Prepare)[len(used) * 2 :]}
         assert not used & again
         assert nodes["a"].running.view == Y
 
@@ -221,26 +228,26 @@
 
 def test_a_late_accept_of_a_lost_proposal_does_not_decide_a_second_view() -> None:
     async def check() -> None:
-        post, nodes = group()
+        network, nodes = group()
         nodes["a"].disk.stuck = True
-        post.holds = lambda address, message: isinstance(message, Accept) and address == "c:1"
-        post.loses = lambda address, answer: isinstance(answer, Accepted)
+        network.should_hold = lambda address, message: isinstance(message, Accept) and address == "c:1"
+        network.should_drop = lambda address, answer: isinstance(answer, Accepted)
         first = asyncio.create_task(propose(nodes["a"], X))
         await asyncio.sleep(0.1)
         nodes["a"].lose_power()
         first.cancel()
-        late = list(post.held)
+        late = list(network.held)
 
         nodes["a"].disk.stuck = False
         nodes["a"].start()
-        post.held = []
-        post.loses = lambda address, answer: False
-        post.holds = lambda address, message: address == "b:1" or isinstance(message, ViewDecided)
+        network.held = []
+        network.should_drop = lambda address, answer: False
+        network.should_hold = lambda address, message: address == "b:1" or isinstance(message, ViewDecided)
         assert await propose(nodes["a"], Y)
 
-        post.held = late
-        post.holds = lambda address, message: address == "a:1"  # a is cut off: b and c go on
-        await post.release()
+        network.held = late
+        network.should_hold = lambda address, message: address == "a:1"  # a is partitioned; b and c continue
+        await network.release()
         for _ in range(5):
             await propose(nodes["b"], next_view("bc"))
             await propose(nodes["c"], next_view("bc"))
@@ -249,32 +256,32 @@
     run_virtual(check())
 
 
-def test_a_proposal_whose_own_disk_refuses_is_not_made() -> None:
+def test_a_proposal_is_not_sent_if_the_own_promise_cannot_be_saved() -> None:
     async def check() -> None:
-        post, nodes = group()
+        network, nodes = group()
         nodes["a"].disk.full = True
         assert not await propose(nodes["a"], X)
-        assert post.requests("a", Prepare) == []
+        assert network.requests("a", Prepare) == []
         nodes["a"].disk.full = False
         assert await propose(nodes["a"], X)
 
     run_virtual(check())
 
 
-def test_a_first_view_is_on_disk_before_it_is_answered() -> None:
+def test_a_vote_on_a_first_view_is_on_disk_before_the_response() -> None:
     async def check() -> None:
-        post = Post()
-        node = Node(post, VOTERS[0])
+        network = VirtualNetwork()
+        node = Node(network, VOTERS[0])
         node.disk.value = None
         node.start()
         node.disk.full = True
-        for _ in range(3):  # the second one finds the view in memory already
+        for _ in range(3):  # from the second round on the view is in memory already
             for message in (Prepare(1, [1, "p"], None), Accept(1, [1, "p"], BASE)):
                 try:
                     answer = await node.handle(message)
                 except StorageError:
                     continue
-                raise AssertionError(f"answered though it is not on disk: {answer}")
+                raise AssertionError(f"response sent before the vote was on disk: {answer}")
         node.disk.full = False
         assert (await node.handle(Accept(1, [1, "p"], BASE))).granted
         node.lose_power()
@@ -282,12 +289,12 @@
         promise = await node.handle(Prepare(1, [2, "q"], None))
         assert (promise.granted, promise.accepted_ballot, promise.accepted) == (True, [1, "p"], BASE)
         other = first_view(VOTERS[:2], "cluster-2")
-        assert not (await node.handle(Accept(1, [1, "r"], other))).granted  # below the promise
+        assert not (await node.handle(Accept(1, [1, "r"], other))).granted  # its ballot is below the promise
 
     run_virtual(check())
 
 
-def test_what_the_disk_did_not_take_is_not_answered() -> None:
+def test_a_vote_that_cannot_be_saved_gets_no_response() -> None:
     async def check() -> None:
         _, nodes = group()
         disk = nodes["b"].disk
@@ -297,8 +304,9 @@
                 answer = await nodes["b"].handle(message)
             except StorageError:
                 continue
-            raise AssertionError(f"answered {answer}")
-        assert not nodes["b"].running.confirm(ConfirmEpoch(1)).ok  # it may have voted: it does not say no
+            raise AssertionError(f"response sent although the save failed: {answer}")
+        # The voter may have accepted a later view, so it must not confirm this one.
+        assert not nodes["b"].running.confirm(ConfirmEpoch(1)).ok
         disk.full = False
         promise_answer = await nodes["b"].handle(Prepare(2, [2, "c"], BASE))
         assert isinstance(promise_answer, Promise)
@@ -312,7 +320,7 @@
     run_virtual(check())
 
 
-def test_a_decided_view_is_used_although_the_disk_is_full() -> None:
+def test_a_decided_view_is_installed_although_the_disk_is_full() -> None:
     async def check() -> None:
         _, nodes = group()
         nodes["b"].disk.full = True
@@ -320,7 +328,7 @@
         assert nodes["b"].views == [X]
         nodes["b"].lose_power()
         nodes["b"].start()
-        assert nodes["b"].running.view == BASE  # it can be learned again
+        assert nodes["b"].running.view == BASE  # the view can be learned again
         nodes["b"].disk.full = False
         assert await nodes["b"].running.learn(X)
 
--- a/tests/coordination/consensus/test_view_discovery.py
+++ b/tests/coordination/consensus/test_view_discovery.py
@@ -1,4 +1,4 @@
-"""Whoever holds a view brings it to the seeds and to those that look for one."""
+"""Processes that hold a view publish it to the seeds, where starting processes find it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Process:
-    """A plain edge process or a store: a client, and a seed's part where it is an edge."""
+    """A process with a cluster client; an edge also has a seed service, and a store has a view cache."""
 
     def __init__(
         self, cluster: ControllerCluster, ip: str, seeds: list[str], files: dict[str, bytes] | None = None
@@ -35,15 +35,15 @@
         self.state = ClusterState()
         self.transport = VirtualTransport(cluster.network, f"{ip}:7780")
         member = Member(ip, "edge" if files is None else "store", self.transport.address, "z", "r", 1)
-        chance = random.Random(ip)
+        random_source = random.Random(ip)
         self.client = ClusterClient(
-            member, settings, ClientResources(self.transport, self.state, None, chance), self.addresses
+            member, settings, ClientResources(self.transport, self.state, None, random_source), self.addresses
         )
-        self.keeper: ViewCache | None = None
+        self.cache: ViewCache | None = None
         self.seed: SeedService | None = None
         if files is not None:
-            self.keeper = ViewCache(VirtualSlot(cluster.network, files, "view"), self.state)
-            self.keeper.load()
+            self.cache = ViewCache(VirtualSlot(cluster.network, files, "view"), self.state)
+            self.cache.load()
         else:
             self.seed = SeedService(
                 settings, self.transport, random.Random(settings.node_name), self.client.learn_view
@@ -58,8 +58,8 @@
         await self.transport.start(self.handle)
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.client.run())]
-        if self.keeper is not None:
-            self.tasks += [loop.create_task(self.client.publish_view()), loop.create_task(self.keeper.run())]
+        if self.cache is not None:
+            self.tasks += [loop.create_task(self.client.publish_view()), loop.create_task(self.cache.run())]
 
     async def kill(self) -> None:
         await self.transport.close()
@@ -101,11 +101,11 @@
         cluster.seeds = [f"{ip}:8064" for ip in SEEDS]
         seeds = [Process(cluster, ip, list(SEEDS)) for ip in SEEDS]
         store = Process(cluster, "10.0.9.9", list(SEEDS), {})
-        for part in order:
-            if part == "controllers":
+        for group in order:
+            if group == "controllers":
                 for node in cluster.nodes.values():
                     await node.start()
-            for process in {"seeds": seeds, "store": [store], "controllers": []}[part]:
+            for process in {"seeds": seeds, "store": [store], "controllers": []}[group]:
                 await process.start()
             await asyncio.sleep(pause_s)
         await cluster.until(lambda: all(process.epoch > 0 for process in [*seeds, store]), FOUND_WITHIN_S)
@@ -117,7 +117,7 @@
     run_virtual(play())
 
 
-def test_a_wiped_controller_finds_the_view_by_new_seeds() -> None:
+def test_a_wiped_controller_finds_the_view_through_new_seeds() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
@@ -138,7 +138,7 @@
     run_virtual(play())
 
 
-def test_seeds_that_forget_again_are_reported_again() -> None:
+def test_restarted_seeds_receive_the_view_again() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc", seeds=[f"{SEEDS[0]}:8064"])
         seed = Process(cluster, SEEDS[0], [])
@@ -158,14 +158,14 @@
     run_virtual(play())
 
 
-def test_seeds_that_the_settings_name_later_are_reported() -> None:
+def test_seeds_added_to_the_settings_later_receive_the_view() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
         late = Process(cluster, SEEDS[1], [])
         await late.start()
         await asyncio.sleep(5.0)
-        assert late.epoch == 0  # nobody knows of it
+        assert late.epoch == 0  # no controller has it as a seed
         for node in cluster.nodes.values():
             node.use_seeds([f"{SEEDS[1]}:8064"])
         await cluster.until(lambda: late.epoch > 0, FOUND_WITHIN_S)
@@ -174,7 +174,7 @@
     run_virtual(play())
 
 
-def test_seeds_hear_of_each_newer_view() -> None:
+def test_seeds_receive_each_newer_view() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
@@ -201,7 +201,7 @@
     return max(view.epoch for view in views if view is not None)
 
 
-def test_a_store_finds_the_voters_by_the_view_on_its_disk_though_no_seed_answers() -> None:
+def test_a_store_finds_the_voters_by_its_cached_view_if_no_seed_responds() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
@@ -216,7 +216,7 @@
         await asyncio.sleep(2.5)
         await again.start()
         await cluster.until(lambda: again.epoch == 2, 10.0)
-        edge = Process(cluster, SEEDS[0], ["10.0.9.9"])  # its only seed is that store
+        edge = Process(cluster, SEEDS[0], ["10.0.9.9"])  # that store is its only seed
         await edge.start()
         await cluster.until(lambda: edge.epoch == 2, 1.0)
         await edge.kill()
@@ -225,7 +225,7 @@
     run_virtual(play())
 
 
-def test_a_controller_from_long_ago_finds_the_newest_view_by_the_seeds() -> None:
+def test_a_controller_with_an_old_view_finds_the_newest_one_through_the_seeds() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc", seeds=[f"{SEEDS[0]}:8064"], tolerated=1)
         seed = Process(cluster, SEEDS[0], [])
@@ -281,8 +281,10 @@
         assert seed.seed.foreign_rejections == 2
         assert seed.client.foreign_views == 1
         assert cluster["a"].running.foreign_rejections == 2
-        ghost = AnnounceController(Voter("b", "other-disk", cluster["b"].address), cluster="other")
-        assert await cluster["a"].running.handle(ghost) == ViewResponse(known)
+        foreign_controller = AnnounceController(
+            Voter("b", "other-disk", cluster["b"].address), cluster="other"
+        )
+        assert await cluster["a"].running.handle(foreign_controller) == ViewResponse(known)
         assert cluster["a"].running.foreign_rejections == 3
         await asyncio.sleep(3.0)
         assert cluster["a"].running.view == known
@@ -291,34 +293,34 @@
     run_virtual(play())
 
 
-def test_a_kept_view_that_cannot_be_read_is_as_none() -> None:
+def test_an_unreadable_cached_view_is_ignored() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
-        for spoilt in (b"", b"\xc1", b"\x93\x01"):
-            assert Process(cluster, "10.0.9.9", [], {"view": spoilt}).epoch == 0
+        for corrupt in (b"", b"\xc1", b"\x93\x01"):
+            assert Process(cluster, "10.0.9.9", [], {"view": corrupt}).epoch == 0
 
     run_virtual(play())
 
 
-def test_seeds_are_called_with_growing_pauses_until_they_answer_and_seldom_afterwards() -> None:
-    contacts = SeedSchedule(2.0)
-    assert contacts.due(["s"], 3, 10.0) == ["s"]
-    contacts.on_call_started("s", 10.0)
-    assert contacts.due(["s"], 3, 10.5) == []
+def test_calls_to_seeds_back_off_until_they_respond_and_then_repeat_slowly() -> None:
+    schedule = SeedSchedule(2.0)
+    assert schedule.due(["s"], 3, 10.0) == ["s"]
+    schedule.on_call_started("s", 10.0)
+    assert schedule.due(["s"], 3, 10.5) == []
     now, pauses = 10.0, []
     for _ in range(8):
-        contacts.on_no_answer("s", now)
+        schedule.on_no_answer("s", now)
         before = now
-        while not contacts.due(["s"], 3, now):
+        while not schedule.due(["s"], 3, now):
             now = round(now + 0.05, 2)
         pauses.append(round(now - before, 2))
     assert pauses[0] == 0.2
     assert pauses == sorted(pauses)
     assert pauses[-1] == 2.0
-    contacts.on_answer("s", 3, now)
-    assert contacts.due(["s"], 3, now + 1.9) == []
-    assert contacts.due(["s"], 3, now + 2.0) == ["s"]
-    contacts.on_answer("s", 3, now)
-    assert contacts.due(["s"], 4, now + 0.1) == ["s"]  # a newer view goes at once
-    assert contacts.due(["t"], 4, now + 0.1) == ["t"]  # as it does to a new seed
-    assert contacts.due(["s"], 4, now + 0.2) == ["s"]
+    schedule.on_answer("s", 3, now)
+    assert schedule.due(["s"], 3, now + 1.9) == []
+    assert schedule.due(["s"], 3, now + 2.0) == ["s"]
+    schedule.on_answer("s", 3, now)
+    assert schedule.due(["s"], 4, now + 0.1) == ["s"]  # a newer view is offered at once
+    assert schedule.due(["t"], 4, now + 0.1) == ["t"]  # a new seed is called at once, too
+    assert schedule.due(["s"], 4, now + 0.2) == ["s"]
--- a/tests/coordination/consensus/test_view_publisher.py
+++ b/tests/coordination/consensus/test_view_publisher.py
@@ -1,4 +1,4 @@
-"""Calls to the seeds end with the process that makes them."""
+"""A stopped process cancels its calls to the seeds and leaves no task running."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SlowTransport:
-    """Each call is answered with a newer view a while later."""
+    """A transport on which each call returns a newer view after a delay."""
 
     address = "10.0.0.9:1"
 
@@ -28,7 +28,7 @@
         return ViewResponse(View(2, VIEW.voters, VIEW.chain, VIEW.since, VIEW.cluster))
 
 
-def test_a_stopped_publisher_learns_nothing_from_a_call_under_way() -> None:
+def test_a_stopped_publisher_learns_nothing_from_a_call_in_progress() -> None:
     async def play() -> tuple[int, list[View]]:
         learned: list[View] = []
 
--- a/tests/coordination/consensus/test_voter_set.py
+++ b/tests/coordination/consensus/test_voter_set.py
@@ -1,4 +1,4 @@
-"""Which step the voter set takes next, and which voters the first view has."""
+"""Planning of voter set changes, and the choice of the voters of the first view."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def health_of(names: str, silent: str = "", leaving: str = "", stalled: str = "") -> VoterHealth:
-    """Of the first of these names, at `NOW`."""
+    """Return the health that the first of these voters has recorded at `NOW`."""
     health = VoterHealth(names[0], 0.0)
     health.track(names, 0.0)
     for name in names[1:]:
@@ -36,7 +36,7 @@
     return health
 
 
-def test_as_many_voters_as_outlast_the_tolerated_losses() -> None:
+def test_the_number_of_voters_follows_from_the_tolerated_losses() -> None:
     assert [required_voters(tolerated) for tolerated in (0, 1, 2, 3)] == [3, 3, 5, 7]
 
 
@@ -48,7 +48,7 @@
     assert [chosen.name for chosen in choose_voters(there[:2], 3)] == ["a", "b"]
 
 
-def test_a_lost_disk_goes_before_one_that_leaves_before_one_that_is_silent() -> None:
+def test_lost_disks_are_replaced_before_departing_and_silent_voters() -> None:
     view = first_view(map(voter, "abcde"))
     spare = voter("n")
     health = health_of("abcde", silent="b", leaving="c")
@@ -63,7 +63,7 @@
     )
 
 
-def test_a_spare_of_the_zone_that_lacks_a_voter_is_taken() -> None:
+def test_a_spare_of_the_zone_without_a_voter_is_chosen() -> None:
     view = first_view([voter("a", "x"), voter("b", "y"), voter("c", "z")])
     spares = [voter("m", "x"), voter("n", "y"), voter("o", "z")]
     assert plan_voter_set_change(view, spares, health_of("abc", silent="b"), 3, NOW) == VoterSetChange(
@@ -71,7 +71,7 @@
     )
 
 
-def test_a_machine_with_a_new_disk_gets_its_own_place_back() -> None:
+def test_a_machine_with_a_new_disk_replaces_its_old_voter() -> None:
     view = first_view(map(voter, "abc"))
     wiped = Voter("b", "new", view.voters[1].address)
     assert plan_voter_set_change(view, [voter("n"), wiped], health_of("abc"), 3, NOW) == VoterSetChange(
@@ -79,7 +79,7 @@
     )
 
 
-def test_another_machine_of_the_same_name_waits_until_the_voter_is_gone() -> None:
+def test_another_machine_of_the_same_name_replaces_the_voter_only_after_its_loss() -> None:
     view = first_view(map(voter, "abc"))
     namesake = Voter("b", "new", "10.0.0.200:1")
     assert plan_voter_set_change(view, [namesake], health_of("abc"), 3, NOW) is None
@@ -88,18 +88,18 @@
     )
 
 
-def test_without_a_spare_nobody_loses_its_vote() -> None:
+def test_without_a_spare_no_voter_is_removed() -> None:
     view = first_view(map(voter, "abc"))
     assert plan_voter_set_change(view, [], health_of("abc", silent="bc", leaving="b"), 3, NOW) is None
 
 
-def test_few_voters_become_more_by_one_at_a_time() -> None:
+def test_a_small_voter_set_grows_by_one_voter_at_a_time() -> None:
     view = first_view(map(voter, "a"))
     step = plan_voter_set_change(view, [voter("n"), voter("o")], health_of("a"), 3, NOW)
     assert step == VoterSetChange(voter("n"))
 
 
-def test_a_set_too_large_shrinks_the_dead_first_and_only_while_the_living_keep_a_majority() -> None:
+def test_a_large_voter_set_shrinks_dead_voters_first_and_keeps_a_live_majority() -> None:
     view = first_view(map(voter, "abcd"))
     assert plan_voter_set_change(view, [], health_of("abcd", silent="b"), 3, NOW) == VoterSetChange(None, "b")
     assert plan_voter_set_change(view, [], health_of("abcd"), 3, NOW) == VoterSetChange(None, "d")
@@ -110,7 +110,7 @@
     assert plan_voter_set_change(five, [voter("n")], health_of("abcde", silent="bcde"), 3, NOW) is None
 
 
-def test_each_step_is_one_view_that_keeps_the_head_and_the_order() -> None:
+def test_each_change_is_one_view_that_keeps_the_head_and_the_order() -> None:
     view = first_view(map(voter, "abc"), "cluster")
     swapped = plan_voters(view, voter("n"), "b")
     assert swapped is not None
@@ -126,15 +126,15 @@
     assert shrunk is not None
     assert shrunk.chain == ["a", "c", "n"]
     assert len(shrunk.voters) == 3
-    assert plan_voters(view, None, "a") is None  # the head
+    assert plan_voters(view, None, "a") is None  # would remove the head
     assert plan_voters(view, voter("n"), "a") is None
     assert plan_voters(view, None, None) is None
     assert plan_voters(view, None, "x") is None
 
 
-def test_the_last_but_one_copy_is_not_left_out_of_the_chain_while_it_is_there() -> None:
-    """A member that joins holds nothing yet: with the one that is avoided left out, a single copy would be
-    in the chain, and the loss of that one would end it all."""
+def test_an_avoided_member_stays_while_only_one_other_replica_exists() -> None:
+    """A joining member holds no state yet.  Without the avoided member the chain would have one replica only,
+    and the loss of that replica would destroy the control state."""
     view = View(5, [voter("a"), voter("b"), voter("c")], ["a", "c", "b"], {"a": 1, "c": 1, "b": 5})
     heard = dict.fromkeys("abc", frozenset("abc"))
     joining = LivenessSnapshot(frozenset("ab"), frozenset("ac"), heard, avoided_members=frozenset("c"))
@@ -144,7 +144,7 @@
     assert planned is not None
     assert planned.chain == ["a", "b"]
     dead = LivenessSnapshot(frozenset("ab"), frozenset("a"), heard)
-    planned = plan_chain(view, dead)  # what is dead cannot be waited for
+    planned = plan_chain(view, dead)  # a dead member cannot be waited for
     assert planned is not None
     assert planned.chain == ["a", "b"]
     head_lost = LivenessSnapshot(frozenset("b"), frozenset("c"), heard, avoided_members=frozenset("c"))
@@ -153,7 +153,7 @@
     assert planned.chain == ["c", "b"]
 
 
-def test_nobody_leaves_while_too_few_of_the_others_hold_the_state() -> None:
+def test_no_member_departs_while_too_few_others_hold_the_state() -> None:
     view = View(5, [voter("a"), voter("b"), voter("c")], ["a", "c", "b"], {"a": 1, "c": 1, "b": 5})
     heard = dict.fromkeys("abc", frozenset("abc"))
     joining = LivenessSnapshot(frozenset("abc"), frozenset("ac"), heard)
--- a/tests/coordination/consensus/test_voter_set_model.py
+++ b/tests/coordination/consensus/test_voter_set_model.py
@@ -1,4 +1,7 @@
-"""The model check of who votes: after each repair the next loss is borne; the older planner is found out."""
+"""Model check of the voter set: after each repair the set tolerates the next loss.
+
+The check must also find the fault of an older planner, which never removed a voter.
+"""
 
 from __future__ import annotations
 
@@ -16,15 +19,15 @@
 
 
 @pytest.mark.parametrize("name", SIZES)
-def test_after_each_repair_the_next_loss_is_borne(name: str) -> None:
-    controllers, losses, newcomers, voters = SIZES[name]
-    outcome = explore(VotersModel(controllers, losses, newcomers, voters=voters), SearchBounds(100))
+def test_after_each_repair_the_next_loss_is_tolerated(name: str) -> None:
+    controllers, losses, new_machines, voters = SIZES[name]
+    outcome = explore(VotersModel(controllers, losses, new_machines, voters=voters), SearchBounds(100))
     assert outcome.violation == "", outcome.trace
     assert outcome.exhausted
     assert outcome.states > 30
 
 
-def test_the_older_planner_never_removes_a_voter_and_is_found_out() -> None:
-    outcome = explore(VotersModel(3, losses=2, newcomers=1, planner=older_planner), SearchBounds(100))
+def test_the_model_check_finds_the_fault_of_the_older_planner() -> None:
+    outcome = explore(VotersModel(3, losses=2, new_machines=1, planner=older_planner), SearchBounds(100))
     assert "voters" in outcome.violation
-    assert any("comes" in line for line in outcome.trace)
+    assert any("starts" in line for line in outcome.trace)
--- a/tests/coordination/consensus/voter_set_model.py
+++ b/tests/coordination/consensus/voter_set_model.py
@@ -1,8 +1,8 @@
-"""A model of who votes: losses, newcomers and lost disks in any order, with the planner of the voter set.
+"""Model of the voter set: lost machines, lost disks and new machines in any order, with the real planner.
 
-A step of the planner is decided as soon as a majority of the voters lives.  A machine is lost only in quiet,
-when the planner has nothing left to do and every earlier loss is known, and only while three are there.
-What is lost is known some time later; newcomers may come before the loss, before it is known, or after.
+A planned change is decided as soon as a majority of the voters is alive.  A machine is lost only when the
+planner has nothing left to do, every earlier loss is detected, and at least three machines are alive.  A loss
+is detected some time after it happens.  New machines may start at any time, also between loss and detection.
 """
 
 from __future__ import annotations
@@ -24,62 +24,62 @@
 from hollowusher.protocol.view import View, Voter
 
 NAMES = "abcdefgh"
-NOW = 100.0  # far behind every time-out since the last sign of a lost voter
+NOW = 100.0  # s; later than every timeout since the last pong of a lost voter
 Planner = Callable[[View, list[Voter], VoterHealth], VoterSetChange | None]
 
 
-def present_planner(view: View, spares: list[Voter], health: VoterHealth) -> VoterSetChange | None:
-    """The planner of `coordination.voter_plan`, for one loss at a time."""
+def current_planner(view: View, spares: list[Voter], health: VoterHealth) -> VoterSetChange | None:
+    """The planner of `coordination.consensus.voter_set`, for one tolerated loss."""
     return plan_voter_set_change(view, spares, health, required_voters(1), NOW)
 
 
 def older_planner(view: View, spares: list[Voter], health: VoterHealth) -> VoterSetChange | None:
-    """Who came was added up to five voters; one that was gone went only where another took its place."""
+    """An older planner: it adds spares up to five voters and removes a dead voter only by replacing it."""
     for candidate in spares:
         held = find_voter(view, candidate.name)
         if held == candidate:
             continue
         if held is not None:
             return VoterSetChange(candidate, held.name)
-        gone = [voter.name for voter in view.voters if health.is_dead(voter.name, NOW)]
-        if gone:
-            return VoterSetChange(candidate, gone[0])
+        dead = [voter.name for voter in view.voters if health.is_dead(voter.name, NOW)]
+        if dead:
+            return VoterSetChange(candidate, dead[0])
         if len(view.voters) < 5:
             return VoterSetChange(candidate, None)
     return None
 
 
 class State(NamedTuple):
-    """The view, the machines that live (name, disk), the losses not known yet, and how much has happened."""
+    """The encoded view, the live machines (name, disk), the undetected losses and the event counts."""
 
     view: bytes
-    living: frozenset[tuple[str, str]]
-    unknown: frozenset[str] = frozenset()
+    alive: frozenset[tuple[str, str]]
+    undetected: frozenset[str] = frozenset()
     losses: int = 0
-    newcomers: int = 0
+    new_machines: int = 0
 
 
 class VotersModel:
-    """See `hollowusher.simulation.model_check.explorer.Model`."""
+    """A `Model` of `hollowusher.simulation.model_check.explorer` with bounded numbers of events."""
 
     def __init__(
         self,
         controllers: int,
         losses: int,
-        newcomers: int,
-        planner: Planner = present_planner,
+        new_machines: int,
+        planner: Planner = current_planner,
         voters: int = 3,
     ) -> None:
         self._controllers = controllers
         self._voters = voters
         self._losses = losses
-        self._newcomers = newcomers
+        self._new_machines = new_machines
         self._planner = planner
 
     def initial(self) -> State:
         voters = [_voter(name, f"disk-{name}") for name in NAMES[: self._voters]]
-        living = frozenset((name, f"disk-{name}") for name in NAMES[: self._controllers])
-        return State(encode(first_view(voters, "cluster")), living)
+        alive = frozenset((name, f"disk-{name}") for name in NAMES[: self._controllers])
+        return State(encode(first_view(voters, "cluster")), alive)
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
         planned = self._planned(state)
@@ -87,29 +87,29 @@
             names = "".join(voter.name for voter in planned.voters)
             label = f"view {planned.epoch}: voters {names}, chain {''.join(planned.chain)}"
             yield label, state._replace(view=encode(planned))
-        for name in sorted(state.unknown):
-            yield f"the loss of {name} is known", state._replace(unknown=state.unknown - {name})
-        if state.newcomers < self._newcomers:
-            name = NAMES[self._controllers + state.newcomers]
-            living = state.living | {(name, f"disk-{name}")}
-            yield f"{name} comes", state._replace(living=living, newcomers=state.newcomers + 1)
-        if state.losses < self._losses and planned is None and not state.unknown and len(state.living) >= 3:
+        for name in sorted(state.undetected):
+            yield f"the loss of {name} is detected", state._replace(undetected=state.undetected - {name})
+        if state.new_machines < self._new_machines:
+            name = NAMES[self._controllers + state.new_machines]
+            alive = state.alive | {(name, f"disk-{name}")}
+            yield f"{name} starts", state._replace(alive=alive, new_machines=state.new_machines + 1)
+        if state.losses < self._losses and planned is None and not state.undetected and len(state.alive) >= 3:
             yield from self._losses_of(state)
 
     def _losses_of(self, state: State) -> Iterator[tuple[str, State]]:
-        for name, disk in sorted(state.living):
-            unknown, losses = state.unknown | {name}, state.losses + 1
-            rest = state.living - {(name, disk)}
-            lost = state._replace(living=rest, unknown=unknown, losses=losses)
+        for name, disk in sorted(state.alive):
+            undetected, losses = state.undetected | {name}, state.losses + 1
+            rest = state.alive - {(name, disk)}
+            lost = state._replace(alive=rest, undetected=undetected, losses=losses)
             yield f"{name} is lost", lost
-            yield f"{name} loses its disk", lost._replace(living=rest | {(name, disk + "'")})
+            yield f"{name} loses its disk", lost._replace(alive=rest | {(name, disk + "'")})
 
     def _planned(self, state: State) -> View | None:
-        """The next view that the voters would decide."""
+        """Return the next view that the voters would decide, None if there is none."""
         view: View = decode(state.view)
-        living = [voter for voter in view.voters if (voter.name, voter.disk_id) in state.living]
-        heads = [name for name in view.chain if any(voter.name == name for voter in living)]
-        if len(living) < quorum_size(view) or not heads:
+        alive = [voter for voter in view.voters if (voter.name, voter.disk_id) in state.alive]
+        heads = [name for name in view.chain if any(voter.name == name for voter in alive)]
+        if len(alive) < quorum_size(view) or not heads:
             return None
         health = self._health(state, view, heads[0])
         if not health.has_quorum(view, NOW):
@@ -118,20 +118,20 @@
         if planned is not None or heads[0] != view.head:
             return planned
         votes = {(voter.name, voter.disk_id) for voter in view.voters}
-        spares = [_voter(name, disk) for name, disk in sorted(state.living - votes)]
+        spares = [_voter(name, disk) for name, disk in sorted(state.alive - votes)]
         step = self._planner(view, spares, health)
         return plan_voters(view, step.add, step.remove) if step is not None else None
 
     @staticmethod
     def _health(state: State, view: View, head: str) -> VoterHealth:
-        """What the first living member of the chain has heard: all that live are caught up."""
+        """Return the health seen by the first live chain member; every live voter has caught up."""
         health = VoterHealth(head, 0.0)
         health.track([voter.name for voter in view.voters], 0.0)
-        lives = {name for name, _ in state.living}
+        lives = {name for name, _ in state.alive}
         heard = [
             voter
             for voter in view.voters
-            if (voter.name, voter.disk_id) in state.living or voter.name in state.unknown
+            if (voter.name, voter.disk_id) in state.alive or voter.name in state.undetected
         ]
         names = [voter.name for voter in heard]
         for voter in view.voters:
@@ -143,12 +143,14 @@
 
     def violation(self, state: State) -> str:
         view: View = decode(state.view)
-        living = [voter for voter in view.voters if (voter.name, voter.disk_id) in state.living]
-        if len(living) < quorum_size(view):
-            return f"{len(living)} of {len(view.voters)} voters live: no majority"
-        quiet = not state.unknown and self._planned(state) is None
-        if quiet and len(state.living) >= 3 and len(living) - 1 < quorum_size(view):
-            return f"quiet with {len(living)} of {len(view.voters)} voters living: no further loss is borne"
+        alive = [voter for voter in view.voters if (voter.name, voter.disk_id) in state.alive]
+        if len(alive) < quorum_size(view):
+            return f"{len(alive)} of {len(view.voters)} voters are alive: no majority"
+        is_stable = not state.undetected and self._planned(state) is None
+        if is_stable and len(state.alive) >= 3 and len(alive) - 1 < quorum_size(view):
+            return (
+                f"stable with {len(alive)} of {len(view.voters)} voters alive: no further loss is tolerated"
+            )
         return ""
 
     def describe_step(self, label: str) -> str:
--- a/tests/coordination/test_backoff.py
+++ b/tests/coordination/test_backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts grow to a maximum, and start again after a success."""
+"""Backoff delays grow up to a maximum and return to the initial delay after a success."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def slept(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Return the list of the delays, which are not slept."""
+    """Replace `asyncio.sleep` and return the list that collects the requested delays."""
     delays: list[float] = []
 
     async def sleep(delay_s: float) -> None:
--- a/tests/coordination/test_cluster_state.py
+++ b/tests/coordination/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""The state that a process knows never goes back, in whatever order items are received."""
+"""A process never replaces a known value by an older version, in whatever order it receives the items."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert state.view == View(1, [], ["n"])
 
 
-def test_nothing_goes_back_and_the_same_again_is_no_change() -> None:
+def test_older_and_repeated_versions_change_nothing() -> None:
     state = ClusterState()
     state.apply([item("configuration", 7, DOCUMENT % 7)], {})
     assert state.apply([item("configuration", 6, DOCUMENT % 6)], {}) == []
@@ -58,21 +58,20 @@
 
 def test_listeners_are_called_after_each_change() -> None:
     state = ClusterState()
-    heard: list[tuple[str, int]] = []
-    state.add_listener(lambda key: heard.append((key, len(state.members))))
+    changes: list[tuple[str, int]] = []
+    state.add_listener(lambda key: changes.append((key, len(state.members))))
     state.apply([item("member/s1", 1, store("s1", "d")), item("member/s2", 1, store("s2", "d"))], {})
     state.apply([item("member/s1", 1, store("s1", "d"))], {})
-    assert heard == [("member/s1", 2), ("member/s2", 2)]
+    assert changes == [("member/s1", 2), ("member/s2", 2)]
 
 
-def test_the_vector_grows_and_forgets_what_the_controller_has_forgotten() -> None:
+def test_the_version_vector_grows_and_drops_origins_that_the_controller_dropped() -> None:
     state = ClusterState()
     state.apply([], {"a/1": 5, "b/1": 2})
     state.apply([], {"a/1": 3, "c/1": 1})
     assert state.version_vector == {"a/1": 5, "c/1": 1}
-    state.apply(
-        [item("workers", 1, PlatformWorkerList([]))], {}
-    )  # items asked for otherwise say nothing of it
+    # An empty version vector, as with items from a query, leaves the known vector unchanged.
+    state.apply([item("workers", 1, PlatformWorkerList([]))], {})
     assert state.version_vector == {"a/1": 5, "c/1": 1}
 
 
@@ -111,7 +110,7 @@
 
 
 @given(st.lists(versions, max_size=30))
-def test_whatever_the_order_the_greatest_version_stands(course: list[tuple[str, int]]) -> None:
+def test_the_greatest_version_is_kept_for_any_order_of_items(updates: list[tuple[str, int]]) -> None:
     state = ClusterState()
     makers: dict[str, Any] = {
         "view": lambda version: View(version, [], ["n"]),
@@ -119,7 +118,7 @@
         "workers": lambda version: PlatformWorkerList([]),
     }
     greatest: dict[str, int] = {}
-    for key, version in course:
+    for key, version in updates:
         state.apply([item(key, version, makers[key](version))], {})
         greatest[key] = max(version, greatest.get(key, 0))
         assert state.versions == {known: [newest] for known, newest in greatest.items()}
--- a/tests/coordination/test_controller_selector.py
+++ b/tests/coordination/test_controller_selector.py
@@ -1,4 +1,4 @@
-"""The order in which a process tries the controllers."""
+"""`ControllerSelector` ranks controllers by health, membership and zone."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     return selector.rank_controllers(VOTERS, members, now)[0].name
 
 
-def test_controllers_of_the_own_zone_go_first_where_all_are_healthy() -> None:
+def test_healthy_controllers_of_the_own_zone_rank_first() -> None:
     assert [first(ControllerSelector("x", f"z{number}")) for number in range(3)] == ["c0", "c1", "c2"]
     spread = {first(ControllerSelector(f"x{number}", "far")) for number in range(30)}
     assert spread == {"c0", "c1", "c2"}
     assert first(ControllerSelector("x", "z1"), members={}) == first(ControllerSelector("x", "far"))
 
 
-def test_dead_controllers_and_those_without_a_majority_go_last() -> None:
+def test_dead_controllers_and_those_without_a_majority_rank_last() -> None:
     dead = {**MEMBERS, "c0": evolve(MEMBERS["c0"], status=1)}
     assert first(ControllerSelector("x", "z0"), members=dead) != "c0"
     selector = ControllerSelector("x", "z0")
@@ -38,7 +38,7 @@
     assert first(selector, 1.0 + FAILURE_BACKOFF_S) == "c0"
 
 
-def test_a_failed_controller_is_avoided_for_growing_times_until_it_answers() -> None:
+def test_the_backoff_of_a_failed_controller_grows_until_it_responds() -> None:
     selector, now, times = ControllerSelector("x", "z0"), 0.0, []
     health = selector.health("c0:1")
     for _ in range(5):
@@ -59,7 +59,7 @@
     assert first(selector, now) == "c0"
 
 
-def test_where_all_have_failed_each_gets_its_turn() -> None:
+def test_after_failures_of_all_controllers_each_is_tried_in_turn() -> None:
     selector, tried = ControllerSelector("x", "z0"), []
     for step in range(6):
         name = first(selector, step * 0.5)
--- a/tests/coordination/test_quorum.py
+++ b/tests/coordination/test_quorum.py
@@ -1,4 +1,4 @@
-"""A new primary always compares a replica that has stored each committed record."""
+"""Commit quorums and takeover quorums intersect, so a new primary finds every committed record."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("tolerance", range(4))
-def test_a_full_set_of_replicas_serves_without_as_many_as_are_tolerated(tolerance: int) -> None:
+def test_a_full_set_of_replicas_serves_after_the_tolerated_number_of_losses(tolerance: int) -> None:
     replicas = 2 * tolerance + 1
     assert commit_quorum(replicas, tolerance) == tolerance + 1
     assert takeover_quorum(replicas, tolerance) == replicas - tolerance
--- a/tests/coordination/test_rendezvous.py
+++ b/tests/coordination/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing depends on the names alone, and a removed name moves only what it was chosen for."""
+"""Rendezvous hashing ignores the order of the names; removing a name moves only the keys assigned to it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @given(st.text(), NAMES)
-def test_without_the_chosen_name_the_next_in_rank_is_chosen(key: str, names: list[str]) -> None:
+def test_without_the_chosen_name_the_next_ranked_name_is_chosen(key: str, names: list[str]) -> None:
     ranking = rank(key, names)
     for number, name in enumerate(ranking):
         remaining = [other for other in names if other != name]
