--- a/tests/coordination/chain/large_document_figures.py
+++ b/tests/coordination/chain/large_document_figures.py
@@ -12,7 +12,7 @@
     caught_up,
     change_placement,
     large_body,
-    send_until_taken,
+    send_until_acknowledged,
     sized_cluster,
 )
 from tests.support.controller_cluster import ControllerCluster, run_virtual
@@ -29,9 +29,9 @@
 async def order_cost(slow: str, size: int) -> str:
     """Measure one configuration order while the machines in `slow` have slow disks."""
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1, size), 0)
+    await send_until_acknowledged(cluster, large_body(1, size), 0)
     cluster.network.disk_slowness = dict.fromkeys(slow, SLOW_DISK)
-    acknowledged = await send_until_taken(cluster, large_body(2, size), 1, LIMIT_S)
+    acknowledged = await send_until_acknowledged(cluster, large_body(2, size), 1, LIMIT_S)
     held = acknowledged + await cluster.until(lambda: all_hold(cluster), LIMIT_S)
     return f"acknowledged after {acknowledged:.2f} s, held by all after {held:.2f} s"
 
@@ -39,7 +39,7 @@
 async def placement_cost(size: int) -> str:
     """Measure one change of the placement next to a document of `size` bytes."""
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1, size), 0)
+    await send_until_acknowledged(cluster, large_body(1, size), 0)
     cluster.network.sent_bytes.clear()
     cluster.network.saved_bytes.clear()
     assert await change_placement(cluster, 1)
@@ -53,11 +53,11 @@
     `slowness` is the factor by which its disk is slower.
     """
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1, size), 0)
+    await send_until_acknowledged(cluster, large_body(1, size), 0)
     await cluster["c"].kill()
     if loss == "wipe":
         cluster["c"].wipe()
-    await send_until_taken(cluster, large_body(2, size), 1)
+    await send_until_acknowledged(cluster, large_body(2, size), 1)
     cluster.network.disk_slowness["c"] = slowness
     cluster.network.sent_bytes.clear()
     await cluster["c"].start()
--- a/tests/coordination/chain/test_large_documents.py
+++ b/tests/coordination/chain/test_large_documents.py
@@ -55,7 +55,7 @@
     return answer.status
 
 
-async def send_until_taken(
+async def send_until_acknowledged(
     cluster: ControllerCluster, body: bytes, if_match: int, seconds: float = 30.0
 ) -> float:
     """Retry an order on one machine after another until it is acknowledged; return the seconds taken."""
@@ -82,7 +82,7 @@
     return cluster
 
 
-def place(version: int) -> Callable[[ControlState], ControlState]:
+def place_version(version: int) -> Callable[[ControlState], ControlState]:
     """Return a transition that changes only the placement."""
     return lambda state: evolve(state, placement=Placement(version, []))
 
@@ -95,7 +95,7 @@
     """Change the placement on the head; return False if there is no head or the change is not committed."""
     for node in cluster.nodes.values():
         if node.controller is not None and node.controller.is_head:
-            change = node.run(node.controller.change(place(version)))
+            change = node.run(node.controller.change(place_version(version)))
             await asyncio.wait({change})
             return not change.cancelled() and change.result()
     return False
@@ -122,11 +122,11 @@
 @virtual
 async def test_a_placement_change_costs_a_few_kilobytes_next_to_a_large_document() -> None:
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1), 0)
+    await send_until_acknowledged(cluster, large_body(1), 0)
     cluster.network.sent_bytes.clear()
     cluster.network.saved_bytes.clear()
     for version in range(1, 11):
-        assert await head_of(cluster).running.change(place(version))
+        assert await head_of(cluster).running.change(place_version(version))
     assert cluster.network.sent_bytes["ChainWrite"] < 10 * 2 * 2_000
     assert max(cluster.network.saved_bytes.values()) < 10 * 2_000
 
@@ -138,7 +138,7 @@
         assert await cluster["a"].put(generation, generation - 1) == 200
     cluster.network.sent_bytes.clear()
     cluster.network.saved_bytes.clear()
-    assert await head_of(cluster).running.change(place(1))
+    assert await head_of(cluster).running.change(place_version(1))
     assert cluster.network.sent_bytes["ChainWrite"] < 4_000
     assert max(cluster.network.saved_bytes.values()) < 2_000
 
@@ -150,11 +150,11 @@
 @virtual
 async def test_a_member_catches_up_with_a_large_document_during_changes(loss: str) -> None:
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1), 0)
+    await send_until_acknowledged(cluster, large_body(1), 0)
     await cluster["c"].kill()
     if loss == "wipe":
         cluster["c"].wipe()
-    await send_until_taken(cluster, large_body(2), 1)
+    await send_until_acknowledged(cluster, large_body(2), 1)
     cluster.network.disk_slowness["c"] = SLOW_DISK
     cluster.network.sent_bytes.clear()
     await cluster["c"].start()
@@ -184,10 +184,10 @@
 @virtual
 async def test_a_member_catches_up_after_thousands_of_orders_in_seconds_and_few_bytes() -> None:
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1, 0), 0)
+    await send_until_acknowledged(cluster, large_body(1, 0), 0)
     await cluster["c"].kill()
     for generation in range(2, 2_001):
-        await send_until_taken(cluster, large_body(generation, 0), generation - 1)
+        await send_until_acknowledged(cluster, large_body(generation, 0), generation - 1)
     cluster.network.sent_bytes.clear()
     await cluster["c"].start()
     await cluster.until(lambda: caught_up(cluster, "c"), 3.0)
@@ -198,12 +198,12 @@
 @virtual
 async def test_a_large_order_is_acknowledged_on_slow_disks() -> None:
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1), 0)
+    await send_until_acknowledged(cluster, large_body(1), 0)
     cluster.network.disk_slowness = dict.fromkeys("abc", SLOW_DISK)
-    elapsed_s = await send_until_taken(cluster, large_body(2), 1)
+    elapsed_s = await send_until_acknowledged(cluster, large_body(2), 1)
     assert elapsed_s < 20.0
     cluster.network.disk_slowness = {"b": SLOW_DISK}
-    elapsed_s = await send_until_taken(cluster, large_body(3), 2)
+    elapsed_s = await send_until_acknowledged(cluster, large_body(3), 2)
     assert elapsed_s < 5.0  # the other members do not wait for the slow one
 
 
@@ -219,7 +219,7 @@
     The order must then be applied completely or not at all, and completely if it was acknowledged.
     """
     cluster = await sized_cluster(seed=round(1000 * seconds))
-    await send_until_taken(cluster, large_body(1, MEDIUM_BYTES), 0)
+    await send_until_acknowledged(cluster, large_body(1, MEDIUM_BYTES), 0)
     cluster.network.disk_slowness = dict.fromkeys("abc", 3.0)
     order = asyncio.ensure_future(send(cluster["b"], large_body(2, MEDIUM_BYTES), 1))
     await asyncio.sleep(seconds)
@@ -231,5 +231,5 @@
     await cluster.until(lambda: all(caught_up(cluster, name) for name in "abc"), 10.0)
     found = member(cluster["a"]).state.generation
     assert found == 2 if acknowledged else found in (1, 2)
-    await send_until_taken(cluster, large_body(2, MEDIUM_BYTES), 1)
-    await send_until_taken(cluster, large_body(3, MEDIUM_BYTES), 2)
+    await send_until_acknowledged(cluster, large_body(2, MEDIUM_BYTES), 1)
+    await send_until_acknowledged(cluster, large_body(3, MEDIUM_BYTES), 2)
--- a/tests/coordination/chain/test_rejected_messages.py
+++ b/tests/coordination/chain/test_rejected_messages.py
@@ -28,7 +28,7 @@
 from tests.coordination.chain.test_large_documents import (
     large_body,
     member,
-    send_until_taken,
+    send_until_acknowledged,
     sized_cluster,
     virtual,
 )
@@ -199,7 +199,7 @@
 async def test_an_interrupted_fetch_resumes_at_the_missing_chunk() -> None:
     cluster = await sized_cluster()
     await cluster["c"].kill()
-    await send_until_taken(cluster, large_body(1), 0)
+    await send_until_acknowledged(cluster, large_body(1), 0)
     source = cluster["a"]
     record = make_record(member(source).state)
     disk = store()
--- a/tests/coordination/chain/test_stuck_disks.py
+++ b/tests/coordination/chain/test_stuck_disks.py
@@ -9,7 +9,7 @@
 from tests.coordination.chain.test_large_documents import (
     caught_up,
     large_body,
-    send_until_taken,
+    send_until_acknowledged,
     sized_cluster,
     virtual,
 )
@@ -26,13 +26,13 @@
 @virtual
 async def test_orders_are_acknowledged_while_one_disk_has_a_fault(kind: str, victim: str, size: int) -> None:
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1, size), 0)
+    await send_until_acknowledged(cluster, large_body(1, size), 0)
     loop = asyncio.get_running_loop()
     cluster[victim].files[kind] = b"yes"
     ends_at = loop.time() + FAULT_S
     generation, slowest = 1, 0.0
     while loop.time() < ends_at:
-        took = await send_until_taken(cluster, large_body(generation + 1, size), generation)
+        took = await send_until_acknowledged(cluster, large_body(generation + 1, size), generation)
         slowest = max(slowest, took)
         generation += 1
         await asyncio.sleep(0.05)
--- a/tests/coordination/consensus/test_first_view.py
+++ b/tests/coordination/consensus/test_first_view.py
@@ -87,7 +87,7 @@
     assert not proposer.choose_value()
 
 
-async def start_with_a_cut_seed(names: str, order: tuple[str, ...], cut: str, gap_s: float) -> set[str]:
+async def start_with_partitioned_seed(names: str, order: tuple[str, ...], cut: str, gap_s: float) -> set[str]:
     """Start the controllers in this order with seed b partitioned; return the names of the new clusters."""
     cluster = ControllerCluster(names, seeds=["10.0.0.1:8064", "10.0.0.2:8064"])
     cluster.network.cut(cluster["a"].address, cluster["b"].address)
@@ -113,4 +113,7 @@
 def test_one_cluster_starts_for_every_start_order(names: str, cut: str) -> None:
     for order in permutations(names):
         for gap_s in (0.0, 0.7):
-            assert len(run_virtual(start_with_a_cut_seed(names, order, cut, gap_s))) == 1, (order, gap_s)
+            assert len(run_virtual(start_with_partitioned_seed(names, order, cut, gap_s))) == 1, (
+                order,
+                gap_s,
+            )
--- a/tests/coordination/consensus/test_view_discovery.py
+++ b/tests/coordination/consensus/test_view_discovery.py
@@ -81,7 +81,7 @@
         return self.state.view.epoch if self.state.view is not None else 0
 
 
-def epoch_of(cluster: ControllerCluster) -> int:
+def newest_known_epoch(cluster: ControllerCluster) -> int:
     return max(node.running.view.epoch for node in cluster.nodes.values() if node.running.view is not None)
 
 
@@ -184,19 +184,19 @@
             node.use_seeds([f"{SEEDS[0]}:8064"])
         for victim in "ab":
             await cluster[victim].kill()
-            await cluster.put_at_any_node(epoch_of_living(cluster), 0) if victim == "a" else None
+            await cluster.put_at_any_node(newest_live_epoch(cluster), 0) if victim == "a" else None
             await asyncio.sleep(2.0)
-            await cluster.until(lambda: seed.epoch == epoch_of_living(cluster), FOUND_WITHIN_S)
+            await cluster.until(lambda: seed.epoch == newest_live_epoch(cluster), FOUND_WITHIN_S)
             await cluster[victim].start()
             await asyncio.sleep(4.0)
-            await cluster.until(lambda: seed.epoch == epoch_of_living(cluster), FOUND_WITHIN_S)
+            await cluster.until(lambda: seed.epoch == newest_live_epoch(cluster), FOUND_WITHIN_S)
         assert seed.epoch > 2
         await seed.kill()
 
     run_virtual(play())
 
 
-def epoch_of_living(cluster: ControllerCluster) -> int:
+def newest_live_epoch(cluster: ControllerCluster) -> int:
     views = [node.running.view for node in cluster.nodes.values() if node.controller is not None]
     return max(view.epoch for view in views if view is not None)
 
--- a/tests/coordination/consensus/test_voter_set.py
+++ b/tests/coordination/consensus/test_voter_set.py
@@ -41,11 +41,11 @@
 
 
 def test_the_first_voters_are_spread_over_zones_and_the_same_for_any_order() -> None:
-    there = [voter("a", "x"), voter("b", "x"), voter("c", "y"), voter("d", "z"), voter("e", "z")]
-    for order in itertools.permutations(there):
+    controllers = [voter("a", "x"), voter("b", "x"), voter("c", "y"), voter("d", "z"), voter("e", "z")]
+    for order in itertools.permutations(controllers):
         assert [chosen.name for chosen in choose_voters(order, 3)] == ["a", "c", "d"]
-    assert [chosen.name for chosen in choose_voters(there, 5)] == ["a", "c", "d", "b", "e"]
-    assert [chosen.name for chosen in choose_voters(there[:2], 3)] == ["a", "b"]
+    assert [chosen.name for chosen in choose_voters(controllers, 5)] == ["a", "c", "d", "b", "e"]
+    assert [chosen.name for chosen in choose_voters(controllers[:2], 3)] == ["a", "b"]
 
 
 def test_lost_disks_are_replaced_before_departing_and_silent_voters() -> None:
@@ -95,8 +95,8 @@
 
 def test_a_small_voter_set_grows_by_one_voter_at_a_time() -> None:
     view = first_view(map(voter, "a"))
-    step = plan_voter_set_change(view, [voter("n"), voter("o")], health_of("a"), 3, NOW)
-    assert step == VoterSetChange(voter("n"))
+    change = plan_voter_set_change(view, [voter("n"), voter("o")], health_of("a"), 3, NOW)
+    assert change == VoterSetChange(voter("n"))
 
 
 def test_a_large_voter_set_shrinks_dead_voters_first_and_keeps_a_live_majority() -> None:
@@ -136,18 +136,18 @@
     """A joining member holds no state yet.  Without the avoided member the chain would have one replica only,
     and the loss of that replica would destroy the control state."""
     view = View(5, [voter("a"), voter("b"), voter("c")], ["a", "c", "b"], {"a": 1, "c": 1, "b": 5})
-    heard = dict.fromkeys("abc", frozenset("abc"))
-    joining = LivenessSnapshot(frozenset("ab"), frozenset("ac"), heard, avoided_members=frozenset("c"))
+    reachable = dict.fromkeys("abc", frozenset("abc"))
+    joining = LivenessSnapshot(frozenset("ab"), frozenset("ac"), reachable, avoided_members=frozenset("c"))
     assert plan_chain(view, joining) is None
-    joined = LivenessSnapshot(frozenset("ab"), frozenset("abc"), heard, avoided_members=frozenset("c"))
+    joined = LivenessSnapshot(frozenset("ab"), frozenset("abc"), reachable, avoided_members=frozenset("c"))
     planned = plan_chain(view, joined)
     assert planned is not None
     assert planned.chain == ["a", "b"]
-    dead = LivenessSnapshot(frozenset("ab"), frozenset("a"), heard)
+    dead = LivenessSnapshot(frozenset("ab"), frozenset("a"), reachable)
     planned = plan_chain(view, dead)  # a dead member cannot be waited for
     assert planned is not None
     assert planned.chain == ["a", "b"]
-    head_lost = LivenessSnapshot(frozenset("b"), frozenset("c"), heard, avoided_members=frozenset("c"))
+    head_lost = LivenessSnapshot(frozenset("b"), frozenset("c"), reachable, avoided_members=frozenset("c"))
     planned = plan_chain(view, head_lost)
     assert planned is not None
     assert planned.chain == ["c", "b"]
@@ -155,10 +155,10 @@
 
 def test_no_member_departs_while_too_few_others_hold_the_state() -> None:
     view = View(5, [voter("a"), voter("b"), voter("c")], ["a", "c", "b"], {"a": 1, "c": 1, "b": 5})
-    heard = dict.fromkeys("abc", frozenset("abc"))
-    joining = LivenessSnapshot(frozenset("abc"), frozenset("ac"), heard)
+    reachable = dict.fromkeys("abc", frozenset("abc"))
+    joining = LivenessSnapshot(frozenset("abc"), frozenset("ac"), reachable)
     assert plan_chain(view, joining, departing="a") is None
-    joined = LivenessSnapshot(frozenset("abc"), frozenset("abc"), heard)
+    joined = LivenessSnapshot(frozenset("abc"), frozenset("abc"), reachable)
     planned = plan_chain(view, joined, departing="a")
     assert planned is not None
     assert planned.chain == ["c", "b"]
--- a/tests/coordination/consensus/voter_set_model.py
+++ b/tests/coordination/consensus/voter_set_model.py
@@ -119,25 +119,25 @@
             return planned
         votes = {(voter.name, voter.disk_id) for voter in view.voters}
         spares = [_voter(name, disk) for name, disk in sorted(state.alive - votes)]
-        step = self._planner(view, spares, health)
-        return plan_voters(view, step.add, step.remove) if step is not None else None
+        change = self._planner(view, spares, health)
+        return plan_voters(view, change.add, change.remove) if change is not None else None
 
     @staticmethod
     def _health(state: State, view: View, head: str) -> VoterHealth:
         """Return the health seen by the first live chain member; every live voter has caught up."""
         health = VoterHealth(head, 0.0)
         health.track([voter.name for voter in view.voters], 0.0)
-        lives = {name for name, _ in state.alive}
-        heard = [
+        live_names = {name for name, _ in state.alive}
+        responding = [
             voter
             for voter in view.voters
             if (voter.name, voter.disk_id) in state.alive or voter.name in state.undetected
         ]
-        names = [voter.name for voter in heard]
+        names = [voter.name for voter in responding]
         for voter in view.voters:
-            if voter in heard and voter.name != head:
+            if voter in responding and voter.name != head:
                 health.on_pong(Pong(voter.name, voter.disk_id, view.epoch, True, names), NOW)
-            elif voter.name in lives:
+            elif voter.name in live_names:
                 health.on_disk_replaced(voter.name)
         return health
 
