--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -177,12 +177,12 @@
     @property
     def is_head(self) -> bool:
         """Whether this is the chain's head, has brought its epoch into force and hears a quorum."""
-        return self._may_lead() and self._chain_member.is_in_force
+        return self._may_lead() and self._chain_member.has_committed_in_epoch
 
     @property
     def rejected_writes(self) -> Counter[str]:
         """How many messages of the chain were rejected, by reason."""
-        return self._replicator.refused
+        return self._replicator.rejections
 
     def snapshot(self, controllers: Sequence[str]) -> ControllerSnapshot:
         """Return what this controller knows of the consensus and the chain.
@@ -362,5 +362,5 @@
     member = ChainMember(me.name, me.disk_id)
     saved = state_store.load()
     if saved is not None:
-        member.restore(saved.epoch, saved.state, whole=saved.whole)
+        member.restore(saved.epoch, saved.state, intact=saved.intact)
     return member
--- a/hollowusher/simulation/model_check/control_chain_model.py
+++ b/hollowusher/simulation/model_check/control_chain_model.py
@@ -295,7 +295,7 @@
         assert write is not None
         node.state_disk = encode_write(write)
         node.saving = None
-        node.member.keep(write)
+        node.member.record_saved(write)
         if node.order is not None and node.order.generation == write.state.generation:
             node.order.change.on_saved(write)
         if node.member.epoch != write.epoch:
@@ -315,14 +315,14 @@
                 self._send(StateWriteAck(asker.sender, asker.incarnation, asker.encoded))
 
     def _flush(self, node: ChainNode) -> None:
-        write = node.member.begin()
+        write = node.member.make_write()
         if encode(write) != node.passed_on:  # else it is under way, and may arrive at any time
             node.saving = write
 
     def _order(self, generation: int, node: ChainNode) -> None:
         state = node.member.state
         wanted = evolve(state, generation=generation, history=[*state.history, [generation, ""]])
-        node.saving = node.member.begin(wanted)
+        node.saving = node.member.make_write(wanted)
         node.order = PendingOrder(generation, state.generation, self._make_change())
 
     @staticmethod
@@ -412,7 +412,7 @@
             for present in _presences(names, complete, node.voter.name)
             if proposal_rank(base, present, node.voter.name) is not None
         ]
-        if node.member.is_head and node.member.is_in_force:
+        if node.member.is_head and node.member.has_committed_in_epoch:
             controllers = [self._nodes[number].voter for number in state.nodes]
             spares = [one for one in controllers if not is_voter(base, one.name, one.disk_id)]
             for spare in spares:
--- a/tests/coordination/chain/test_stuck_disks.py
+++ b/tests/coordination/chain/test_stuck_disks.py
@@ -1,4 +1,4 @@
-"""Orders go on, and members come back, while one disk is stuck or full, with small and large documents."""
+"""Orders are acknowledged and members catch up although one disk is stuck or full, for any document size."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tests.coordination.chain.test_large_documents import (
     caught_up,
     large_body,
-    send_until_taken,
+    send_until_acknowledged,
     sized_cluster,
     virtual,
 )
 from tests.support.controller_cluster import DISK_FULL, STALLED
 
 FAULT_S = 10.0
-SLOWEST_ORDER_S = 3.5  # the first machine asked may be the stuck head, which answers after 3 s
+SLOWEST_ORDER_S = 3.5  # the first call may go to the stuck head, which responds after 3 s
 BACK_S = 4.0
 
 
@@ -24,15 +24,15 @@
 @pytest.mark.parametrize("victim", ["a", "b", "c"])
 @pytest.mark.parametrize("kind", [STALLED, DISK_FULL])
 @virtual
-async def test_orders_go_on_beside_a_disk_with_faults(kind: str, victim: str, size: int) -> None:
+async def test_orders_are_acknowledged_while_one_disk_has_a_fault(kind: str, victim: str, size: int) -> None:
     cluster = await sized_cluster()
-    await send_until_taken(cluster, large_body(1, size), 0)
+    await send_until_acknowledged(cluster, large_body(1, size), 0)
     loop = asyncio.get_running_loop()
     cluster[victim].files[kind] = b"yes"
     ends_at = loop.time() + FAULT_S
     generation, slowest = 1, 0.0
     while loop.time() < ends_at:
-        took = await send_until_taken(cluster, large_body(generation + 1, size), generation)
+        took = await send_until_acknowledged(cluster, large_body(generation + 1, size), generation)
         slowest = max(slowest, took)
         generation += 1
         await asyncio.sleep(0.05)
