--- a/hollowusher/dispatch/__init__.py
+++ b/hollowusher/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Which jobs go where and when: ownership of workers, bundles sized by the integral controller."""
+"""Dispatch of jobs to pushed workers: ownership of workers, and flow control for each worker."""
--- a/hollowusher/dispatch/dispatcher.py
+++ b/hollowusher/dispatch/dispatcher.py
@@ -1,4 +1,5 @@
-"""The dispatcher of an edge process: which destinations it owns now, and the dispatch of each service."""
+"""The dispatcher of an edge process: determines the destinations that the process owns, and runs one
+`ServiceDispatcher` for each service."""
 
 from __future__ import annotations
 
@@ -37,14 +38,14 @@
 from hollowusher.transport.interface import Transport
 
 READY_STATE = "ready"
-STOP_MARGIN_S = 0.3  # of the grace, kept for the reports of the last ends
+STOP_MARGIN_S = 0.3  # the last part of the grace period, reserved for the final lease end reports
 EDGE_ROLE = "edge"
 
 
 class Dispatcher:
-    """Delivers the jobs of pushed workers and call-backs that this process owns.
+    """Delivers jobs to the pushed workers, and callbacks to the receivers, that this process owns.
 
-    `pull_dispatcher` leases the jobs of the pull workers that call here.
+    `pull_dispatcher` leases jobs for the pull workers that call this process.
     """
 
     def __init__(
@@ -65,30 +66,33 @@
         self._state = state
         self._client = worker_client
         self._reporter = LeaseEndReporter(store_client, self.metrics)
-        self._network = LeasingContext(me, transport, state, rank_partitions, self.metrics)
+        self._leasing_context = LeasingContext(me, transport, state, rank_partitions, self.metrics)
         self._context = DispatchContext(
-            self._network, worker_client, self._reporter, self.metrics, chance, self._route
+            self._leasing_context, worker_client, self._reporter, self.metrics, chance, self._route
         )
-        self._callbacks = CallbackDelivery(self._network, self._reporter, self._owns_receiver)
+        self._callbacks = CallbackDelivery(self._leasing_context, self._reporter, self._owns_receiver)
         self.pull_dispatcher = LeasingPullDispatcher(
-            self._network, self._reporter, settings.bounds.visibility_ms
+            self._leasing_context, self._reporter, settings.bounds.visibility_ms
         )
         self._services: dict[str, ServiceDispatcher] = {}
         self._routes: dict[str, Route] = {}
         self._configuration: Configuration | None = None
         self._refresh_due = False
-        self._listed_at = 0.0  # when the list of workers was received, in the loop's time
+        self._listed_at = 0.0  # event loop time at which the latest worker list arrived
         self._started = self._stopping = False
 
     def start(self) -> None:
-        """Begin to lease and deliver; changes of the cluster's state are followed from now on."""
+        """Start leasing and delivering jobs, and subscribe to changes of the cluster state."""
         self._started = True
         self._listed_at = asyncio.get_running_loop().time()
-        self._state.add_listener(self._changed)
+        self._state.add_listener(self._on_state_change)
         self._refresh()
 
     async def stop(self, grace_s: float) -> None:
-        """Planned stop: lease nothing more, give back what has not begun, wait for what is under way."""
+        """Stop leasing, release the jobs that have not started, and wait for the deliveries in progress.
+
+        Deliveries and lease requests that still run `STOP_MARGIN_S` before the end of `grace_s` (seconds) are
+        cancelled."""
         loop = asyncio.get_running_loop()
         self._stopping = True
         deadline = loop.time() + grace_s
@@ -105,7 +109,7 @@
         await self._client.close()
 
     def handle(self, waiting: JobsWaiting) -> None:
-        """A store says that jobs of a service wait there and nobody asks for them."""
+        """Handle a store's notice that it holds jobs of a service for which it has no lease request."""
         if not self._started or self._stopping:
             return
         if waiting.service.startswith(CALLBACK_PREFIX):
@@ -117,8 +121,8 @@
             dispatch.leases.add_store(waiting.store)
 
     def owned(self) -> dict[str, list[str]]:
-        """The destinations owned now, by service."""
-        return {name: [spec.key for spec in specs] for name, specs in self._owned_specs().items()}
+        """Return the keys of the destinations that this process owns, by service name."""
+        return {name: [spec.key for spec in specs] for name, specs in self._owned_destinations().items()}
 
     def _route(self, name: str) -> Route | None:
         return self._routes.get(name)
@@ -126,7 +130,7 @@
     def _owns_receiver(self, service: str) -> bool:
         return preferred_owner(Destination(service), self._state.live_members(EDGE_ROLE)) == self._me.name
 
-    def _changed(self, key: str) -> None:
+    def _on_state_change(self, key: str) -> None:
         if key == WORKERS:
             self._listed_at = asyncio.get_running_loop().time()
         relevant = key in (CONFIGURATION, WORKERS, PLACEMENT) or key.startswith(MEMBER_PREFIX)
@@ -135,7 +139,7 @@
             asyncio.get_running_loop().call_soon(self._refresh)
 
     def _refresh(self) -> None:
-        """Bring the services and their destinations up to date."""
+        """Recompute the owned destinations and update the dispatcher of each service."""
         self._refresh_due = False
         if self._stopping:
             return
@@ -145,12 +149,12 @@
         if configuration is not self._configuration:
             self._configuration = configuration
             self._routes = {route.name: route for route in configuration.routes}
-        owned = self._owned_specs()
+        owned = self._owned_destinations()
         services = {service.name: service for service in configuration.upstreams}
         for name in set(self._services) | set(owned):
-            self._update(name, services.get(name), owned.get(name, []))
+            self._update_service(name, services.get(name), owned.get(name, []))
 
-    def _update(self, name: str, service: Service | None, specs: list[OwnedDestination]) -> None:
+    def _update_service(self, name: str, service: Service | None, specs: list[OwnedDestination]) -> None:
         dispatch = self._services.get(name)
         if dispatch is None:
             if service is None or not specs:
@@ -160,34 +164,34 @@
         if not specs and dispatch.is_idle:
             del self._services[name]
 
-    def _owned_specs(self) -> dict[str, list[OwnedDestination]]:
+    def _owned_destinations(self) -> dict[str, list[OwnedDestination]]:
         configuration = self._state.configuration
         if configuration is None:
             return {}
         pushed = {service.name: service for service in configuration.upstreams if not service.pull}
-        workers = self._listed(pushed)
+        workers = self._listed_workers(pushed)
         members = self._state.live_members(EDGE_ROLE)
-        owners = assign_owners(_destinations(pushed.values(), workers), members)
+        owners = assign_owners(_all_destinations(pushed.values(), workers), members)
         owned: dict[str, list[OwnedDestination]] = {}
         for service in pushed.values():
             if service.fixed is not None:
                 key = fixed_destination(service.name, service.fixed).key
                 if owners.get(key) == self._me.name:
-                    owned[service.name] = [_fixed_spec(service, service.fixed, key)]
+                    owned[service.name] = [_endpoint_spec(service, service.fixed, key)]
         for worker in workers:
             key = _destination(worker).key
             if worker.state == READY_STATE and owners.get(key) == self._me.name:
-                owned.setdefault(worker.service, []).append(self._listed_spec(pushed[worker.service], worker))
+                owned.setdefault(worker.service, []).append(self._worker_spec(pushed[worker.service], worker))
         return owned
 
-    def _listed(self, pushed: dict[str, Service]) -> Sequence[PlatformWorker]:
+    def _listed_workers(self, pushed: dict[str, Service]) -> Sequence[PlatformWorker]:
         workers = self._state.workers
         listed = workers.workers if workers is not None else []
         return [
             worker for worker in listed if worker.service in pushed and pushed[worker.service].fixed is None
         ]
 
-    def _listed_spec(self, service: Service, worker: PlatformWorker) -> OwnedDestination:
+    def _worker_spec(self, service: Service, worker: PlatformWorker) -> OwnedDestination:
         endpoint = Endpoint(worker.address, worker.id, service.max_connections, service.idempotent)
         slow_start_until = self._listed_at + worker.warm_in_ms / 1000 if worker.warm_in_ms > 0 else 0.0
         return OwnedDestination(_destination(worker).key, endpoint, worker.capacity, slow_start_until)
@@ -197,13 +201,16 @@
     return worker_destination(worker.service, worker.id, worker.zone)
 
 
-def _destinations(services: Iterable[Service], workers: Iterable[PlatformWorker]) -> list[Destination]:
-    """All destinations: every process counts the same ones, draining workers too, so that they agree."""
+def _all_destinations(services: Iterable[Service], workers: Iterable[PlatformWorker]) -> list[Destination]:
+    """Return all fixed endpoints and all listed workers as destinations.
+
+    Draining workers are included: every process then assigns owners from the same list of destinations and
+    gets the same owners."""
     fixed = [
         fixed_destination(service.name, service.fixed) for service in services if service.fixed is not None
     ]
     return fixed + [_destination(worker) for worker in workers]
 
 
-def _fixed_spec(service: Service, address: str, key: str) -> OwnedDestination:
+def _endpoint_spec(service: Service, address: str, key: str) -> OwnedDestination:
     return OwnedDestination(key, Endpoint(address, "", service.max_connections, service.idempotent))
--- a/hollowusher/dispatch/service_dispatcher.py
+++ b/hollowusher/dispatch/service_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch of one service's jobs to the destinations that this process owns."""
+"""Dispatch of one service's jobs to the destinations that the edge process owns."""
 
 from __future__ import annotations
 
@@ -18,34 +18,37 @@
 from hollowusher.dispatch.worker_flow_control import WorkerFlowControl
 from hollowusher.protocol.leases import FinishLease, LeasedJob
 
-IDLE_SOURCE_TTL_S = 3.0  # a store that is not the home is asked for so long after its last job
-FREEZE_THRESHOLD_S = 1.0  # a timer this late means that the process stood still
-MAX_RECHECK_S = 0.5  # at most between two looks at the queue or at demand
+IDLE_SOURCE_TTL_S = 3.0  # polling of a store other than the home store ends this long after its last job
+FREEZE_THRESHOLD_S = 1.0  # a timer that fires this late shows that the process was frozen
+MAX_RECHECK_S = 0.5  # maximum interval between two checks of the queue, or of the demand
 MIN_RECHECK_S = 0.02
-MAX_WORKERS_PER_LEASE = 3  # hand-overs of one lease to different workers that refuse it
-MIN_TIME_TO_START_S = (
-    0.03  # a refused job is offered to another worker if so much of its time to begin is left
-)
+MAX_WORKERS_PER_LEASE = 3  # maximum number of delivery attempts for one leased job
+# A rejected job goes to another worker only if at least this much time is left until its start deadline.
+MIN_TIME_TO_START_S = 0.03
+# Feedback after which the dispatcher may offer the job to another worker.
 RETRIABLE_FEEDBACK = (
     WorkerFeedback.FULL,
     WorkerFeedback.UNREACHABLE,
     WorkerFeedback.GONE,
-)  # after which another worker may take the job
+)
 
 
 @attrs.frozen
 class OwnedDestination:
-    """A destination that is owned now, as the list or the configuration describes it."""
+    """A destination that this process owns, as described by the worker list or the configuration."""
 
     key: str
     endpoint: Endpoint
-    capacity: int = 0  # 0: not told
-    slow_start_until: float = 0.0  # until when it is slow, in the loop's time
+    capacity: int = 0  # slots of the worker; 0 if unknown
+    slow_start_until: float = 0.0  # end of the worker's warm-up, in event loop time
 
 
 @attrs.define(eq=False)
 class OwnedWorker:
-    """A destination and its controller.  One that is not owned or listed any more gets nothing new."""
+    """A destination and its flow control.
+
+    `is_draining` is set when this process no longer owns the destination; a draining worker gets no new
+    jobs."""
 
     key: str
     endpoint: Endpoint
@@ -55,27 +58,27 @@
 
 @attrs.define(eq=False)
 class PendingJob:
-    """A leased job that has not been begun."""
+    """A leased job that no worker has started.  `start_deadline` is in event loop time."""
 
     job: LeasedJob
     start_deadline: float
-    attempted_workers: list[str] = attrs.Factory(list)  # the workers that it was handed to, by key
+    attempted_workers: list[str] = attrs.Factory(list)  # keys of the workers to which it was sent
 
 
 @attrs.frozen
 class DispatchContext:
-    """What every service's dispatch shares."""
+    """Dependencies that the dispatchers of all services share."""
 
     network: LeasingContext
     client: WorkerClient
     reporter: LeaseEndReporter
     metrics: DeliveryMetrics
     chance: random.Random
-    route: Callable[[str], Route | None]  # the route of a name in the configuration of now
+    route: Callable[[str], Route | None]  # looks up a route by name in the current configuration
 
 
 class ServiceDispatcher:
-    """Leases jobs of a service, as many as its workers may take, and hands them over."""
+    """Leases as many jobs of a service as its workers can take, and delivers them."""
 
     def __init__(self, service: Service, context: DispatchContext) -> None:
         self.service = service
@@ -87,22 +90,24 @@
         self._timer_at = 0.0
         self._deliveries: set[asyncio.Task[None]] = set()
         self._stopping = False
-        self._rotation = 0  # so that equally busy workers take turns
+        self._rotation = 0  # rotates the order of the workers, so that equally busy workers take turns
         demand = JobDemand(self.wanted_jobs, self.accept_jobs, self._release_jobs, self._recheck_s)
         self.leases = LeasePoller(service.name, context.network, demand, idle_source_ttl_s=IDLE_SOURCE_TTL_S)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is left here: no worker, no job, no request."""
+        """Whether the dispatcher has no workers, queued jobs, deliveries or lease requests."""
         return not (self._workers or self._queue or self._deliveries or self.leases.is_active)
 
     @property
     def deliveries(self) -> set[asyncio.Task[None]]:
-        """The deliveries under way."""
+        """The tasks of the deliveries in progress."""
         return self._deliveries
 
     def update(self, service: Service, destinations: list[OwnedDestination]) -> None:
-        """Follow the configuration and the list: these destinations are owned now."""
+        """Replace the service's settings and the set of owned destinations.
+
+        Workers that are not in `destinations` are drained."""
         self.service = service
         now = self._loop.time()
         named = {destination.key for destination in destinations}
@@ -121,23 +126,27 @@
             self._release_all()
 
     def wanted_jobs(self) -> int:
-        """How many more jobs are worth leasing now."""
+        """Return how many more jobs to lease: the jobs that the workers can take soon, less the queued jobs.
+
+        The result may be negative."""
         now = self._loop.time()
-        isolates_suspects = self._isolates_suspects()
+        isolates_suspects = self._should_isolate_suspects()
         free_slots = sum(
             worker.control.jobs_allowed_soon(now, isolates_suspects) for worker in self._active_workers()
         )
         return free_slots - len(self._queue)
 
     def _recheck_s(self) -> float:
-        """How long demand cannot grow but by an event: until a worker's pause or wait for a trial is over."""
+        """Return the seconds until the demand may grow without an event.
+
+        The demand grows by time alone when a worker's pause ends or its next trial is due."""
         now = self._loop.time()
-        isolates_suspects = self._isolates_suspects()
+        isolates_suspects = self._should_isolate_suspects()
         resumes = [worker.control.resumes_at(now, isolates_suspects) for worker in self._active_workers()]
         return max(MIN_RECHECK_S, min([now + MAX_RECHECK_S, *resumes]) - now)
 
     def accept_jobs(self, jobs: list[LeasedJob]) -> None:
-        """Leased jobs join the queue."""
+        """Queue leased jobs and dispatch them; release them all if there is no active worker."""
         if not self._active_workers():
             self._release_jobs(jobs)
             return
@@ -146,20 +155,20 @@
         self.dispatch_pending()
 
     def dispatch_pending(self) -> None:
-        """Hand queued jobs over as the controllers allow, and look again when they may allow more."""
+        """Send queued jobs to workers as far as flow control allows, and schedule the next check."""
         now = self._loop.time()
         self._check_freeze(now)
         self._release_expired(now)
-        isolates_suspects, active = self._isolates_suspects(), self._active_workers()
+        isolates_suspects, active = self._should_isolate_suspects(), self._active_workers()
         while self._queue:
-            worker = self._choose(self._queue[0], active, now, isolates_suspects)
+            worker = self._choose_worker(self._queue[0], active, now, isolates_suspects)
             if worker is None:
                 break
-            self._send(worker, self._queue.popleft(), now)
+            self._start_delivery(worker, self._queue.popleft(), now)
         self._schedule_check(now)
 
     def stop(self) -> list[asyncio.Task[None]]:
-        """Lease and begin nothing more; the lease requests still out."""
+        """Stop leasing and release the queued jobs; return the tasks of the lease requests in progress."""
         self._stopping = True
         requests = self.leases.stop()
         self._release_all()
@@ -178,7 +187,7 @@
         worker.control.limit_slots(destination.endpoint.max_connections)
 
     def _drain_worker(self, worker: OwnedWorker) -> None:
-        """Nothing new goes to it; what is under way there goes on."""
+        """Send no new jobs to the worker; its deliveries in progress continue."""
         worker.is_draining = True
         self._context.client.retire(worker.endpoint)
         if worker.control.in_flight == 0:
@@ -187,17 +196,21 @@
     def _active_workers(self) -> list[OwnedWorker]:
         return [worker for worker in self._workers.values() if not worker.is_draining]
 
-    def _isolates_suspects(self) -> bool:
-        """Whether suspect workers only get trials: not where most look bad, as the cause is likely not
-        theirs."""
+    def _should_isolate_suspects(self) -> bool:
+        """Whether suspect workers get only trial jobs.
+
+        False if more than half of the active workers are suspect: the cause is then probably not in the
+        workers."""
         active = self._active_workers()
         return 2 * sum(worker.control.is_suspect for worker in active) <= len(active)
 
-    def _choose(
+    def _choose_worker(
         self, pending: PendingJob, active: list[OwnedWorker], now: float, isolates_suspects: bool
     ) -> OwnedWorker | None:
-        """The least busy worker that may have a job now; one due for a trial goes first, one that has refused
-        this job last."""
+        """Return the least busy worker that may take a job now, or None.
+
+        A suspect worker with a trial due is preferred; a worker to which this job was already sent comes
+        last."""
         ready = [worker for worker in active if worker.control.jobs_allowed(now, isolates_suspects) > 0]
         if not ready:
             return None
@@ -214,7 +227,7 @@
             ),
         )
 
-    def _send(self, worker: OwnedWorker, pending: PendingJob, now: float) -> None:
+    def _start_delivery(self, worker: OwnedWorker, pending: PendingJob, now: float) -> None:
         message = pending.job.message
         route = self._context.route(message.route)
         if route is None:
@@ -229,30 +242,29 @@
     async def _deliver(self, worker: OwnedWorker, pending: PendingJob, timeout_s: float) -> None:
         context, job = self._context, pending.job
         context.metrics.in_flight += 1
-        outcome = DeliveryOutcome("unknown", WorkerFeedback.LOST)  # where the delivery is broken off
+        outcome = DeliveryOutcome("unknown", WorkerFeedback.LOST)  # applies if this task is cancelled
         try:
-            if (
-                self._loop.time() > pending.start_deadline
-            ):  # this process stood still since the job was handed over
+            # The process may have been frozen since it chose the worker.
+            if self._loop.time() > pending.start_deadline:
                 outcome = DeliveryOutcome("not_run", WorkerFeedback.NEUTRAL)
             else:
                 outcome = await context.client.deliver(worker.endpoint, job, timeout_s)
         finally:
             context.metrics.in_flight -= 1
             context.metrics.count(outcome.result)
-            self._ended(worker, job, outcome)
+            self._record_outcome(worker, job, outcome)
         if self._requeue(pending, outcome):
             return
         await context.reporter.report(
             FinishLease(job.lease, outcome.result, outcome.signature, outcome.retry_ms)
         )
 
-    def _ended(self, worker: OwnedWorker, job: LeasedJob, outcome: DeliveryOutcome) -> None:
+    def _record_outcome(self, worker: OwnedWorker, job: LeasedJob, outcome: DeliveryOutcome) -> None:
         now = self._loop.time()
         jitter = self._context.chance.uniform(0.8, 1.2)
         feedback = outcome.feedback
         if feedback is WorkerFeedback.GONE and not worker.endpoint.instance_id:
-            feedback = WorkerFeedback.FULL  # a fixed endpoint has no id that could be another's
+            feedback = WorkerFeedback.FULL  # a fixed endpoint has no instance id that could mismatch
         if worker.control.record_feedback(now, job.lease, feedback, jitter):
             self._context.metrics.suspected += 1
         if worker.is_draining and worker.control.in_flight == 0:
@@ -262,8 +274,10 @@
             self._loop.call_soon(self.dispatch_pending)
 
     def _requeue(self, pending: PendingJob, outcome: DeliveryOutcome) -> bool:
-        """Whether a refused job stays here for another worker.  Under a rate ceiling it goes back: the store
-        counts what is sent."""
+        """Queue a rejected job again for another worker; return whether it was queued.
+
+        If the service has a rate ceiling, the job goes back to the store instead, because the store counts
+        every job that it leases against the ceiling."""
         if outcome.result != "not_run" or outcome.feedback not in RETRIABLE_FEEDBACK or self._stopping:
             return False
         in_time = self._loop.time() < pending.start_deadline - MIN_TIME_TO_START_S
@@ -279,7 +293,10 @@
         return True
 
     def _check_freeze(self, now: float) -> None:
-        """A job in hand always has a timer: one that is this late means that its lease may be old."""
+        """Release all queued jobs if the timer is overdue by more than `FREEZE_THRESHOLD_S`.
+
+        A timer always runs while jobs are queued.  If it is this late, the process was frozen and the leases
+        of the queued jobs may have expired."""
         if self._timer is not None and now - self._timer_at > FREEZE_THRESHOLD_S:
             self._context.metrics.frozen += 1
             self._release_all()
@@ -299,13 +316,16 @@
             self._context.reporter.release(job.lease)
 
     def _schedule_check(self, now: float) -> None:
-        """While jobs wait, look again at the next t_d timer or when the first must be given back."""
+        """While jobs are queued, schedule the next dispatch.
+
+        It runs at the next control period of a worker, at the earliest start deadline of a queued job, or
+        after `MAX_RECHECK_S`, whichever comes first."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if not self._queue:
             return
-        isolates_suspects = self._isolates_suspects()
+        isolates_suspects = self._should_isolate_suspects()
         check_times = [
             worker.control.next_check_at(now, isolates_suspects) for worker in self._active_workers()
         ]
