--- a/hollowusher/delivery/__init__.py
+++ b/hollowusher/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""The workers' side of an edge process: pushed deliveries, pull calls, call-backs."""
+"""Job delivery from an edge process: pushes to workers, pull calls of workers, and callbacks to receivers."""
--- a/hollowusher/delivery/callback_delivery.py
+++ b/hollowusher/delivery/callback_delivery.py
@@ -1,4 +1,4 @@
-"""Call-backs: POSTs that tell a receiver how its message ended, over few connections."""
+"""Callback delivery: POST requests that report the final state of a message to its receiver."""
 
 from __future__ import annotations
 
@@ -18,50 +18,50 @@
 from hollowusher.delivery.metrics import DeliveryMetrics
 from hollowusher.protocol.leases import FinishLease, JobsWaiting, LeasedJob
 
-MAX_CONNECTIONS = 4  # of one receiver: they accept few
+MAX_CONNECTIONS = 4  # per receiver; receivers accept only a few connections
 RESPONSE_TIMEOUT_S = 3.0
 IDLE_SOURCE_TTL_S = 10.0
 DEFAULT_PORT = 80
-FIRST_BACKOFF_S = 0.1  # after a failure the receiver rests, doubled with each further one
+FIRST_BACKOFF_S = 0.1  # pause of a receiver after a failure; doubles with each consecutive failure
 MAX_BACKOFF_S = 1.0
 RECHECK_S = 0.25
-START_WITHIN_S = 5.0  # a leased call-back is begun by then, well before its lease runs out, or given back
+START_WITHIN_S = 5.0  # a callback not started this long after its lease is released, well before expiry
 
 
 class CallbackClient(Protocol):
-    """Sends call-backs to one receiver."""
+    """Sends callbacks to one receiver."""
 
     async def post(self, job: LeasedJob) -> str:
-        """Tell the end; the result for `FinishLease`."""
+        """Send the callback and return the result for `FinishLease`."""
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
 
 
 class HttpCallbackClient:
-    """Call-backs over real connections."""
+    """A `CallbackClient` over HTTP/1.1, with at most `MAX_CONNECTIONS` connections."""
 
     def __init__(self, address: str) -> None:
         self._pool = ConnectionPool(address, MAX_CONNECTIONS)
 
     async def post(self, job: LeasedJob) -> str:
-        """Tell the end; only a 200 means that it was heard."""
+        """Send the callback; return "success" only if the receiver responds with status 200."""
         deadline = asyncio.get_running_loop().time() + RESPONSE_TIMEOUT_S
         try:
-            answer = await self._pool.exchange(
-                encode_callback_request(job), lambda answer: True, deadline, True
+            response = await self._pool.exchange(
+                encode_callback_request(job), lambda response: True, deadline, True
             )
         except ExchangeError:
             return "unknown"
-        return "success" if answer.status == 200 else "failed"
+        return "success" if response.status == 200 else "failed"
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         self._pool.close()
 
 
 def encode_callback_request(job: LeasedJob) -> bytes:
-    """Head and body of a call-back."""
+    """Return the head and the body of a callback's HTTP request."""
     parts = urlsplit(job.message.callback_url)
     path = parts.path or "/"
     if parts.query:
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class _PendingCallback:
-    """A leased call-back that has not been begun; `start_deadline` in the loop's time."""
+    """A leased callback that has not been sent.  `start_deadline` is in event loop time."""
 
     job: LeasedJob
     start_deadline: float
@@ -85,7 +85,7 @@
 
 @attrs.define(eq=False)
 class _Receiver:
-    """One receiver: its lease requests, the jobs in hand and the posts under way."""
+    """One receiver: its lease requests, its queued callbacks and its POST requests in progress."""
 
     leases: LeasePoller
     client: CallbackClient
@@ -96,7 +96,10 @@
 
 
 class CallbackDelivery:
-    """Leases the call-backs owed to receivers that this process owns, and sends them."""
+    """Leases and sends the callbacks for the receivers that this process owns.
+
+    `owns` returns whether the process owns a receiver, given by its service name.  `client_of` creates the
+    client for a receiver's address."""
 
     def __init__(
         self,
@@ -113,7 +116,7 @@
         self._stopping = False
 
     def handle(self, waiting: JobsWaiting) -> None:
-        """Call-backs wait at a store."""
+        """Start leasing from a store that has callbacks waiting, if this process owns the receiver."""
         if self._stopping or not self._owns(waiting.service):
             return
         receiver = self._receivers.get(waiting.service)
@@ -122,18 +125,18 @@
         receiver.leases.add_store(waiting.store)
 
     def stop(self) -> list[asyncio.Task[None]]:
-        """Lease nothing more; what is still under way."""
+        """Stop leasing and release the queued callbacks; return the tasks that are still running."""
         self._stopping = True
-        waiting: list[asyncio.Task[None]] = []
+        tasks: list[asyncio.Task[None]] = []
         for receiver in self._receivers.values():
-            waiting += receiver.leases.stop()
-            waiting += receiver.posts
-            self._release_jobs([waiting.job for waiting in receiver.queue])
+            tasks += receiver.leases.stop()
+            tasks += receiver.posts
+            self._release_jobs([pending.job for pending in receiver.queue])
             receiver.queue.clear()
-        return waiting
+        return tasks
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for receiver in self._receivers.values():
             receiver.client.close()
 
@@ -162,7 +165,9 @@
         return MAX_CONNECTIONS - len(receiver.posts) - len(receiver.queue)
 
     def _forget_idle(self, service: str) -> None:
-        """Receivers that nothing has been asked for lately are forgotten with their connections."""
+        """Remove and close the idle receivers other than `service`.
+
+        A receiver is idle if no store is polled for it and it has no POST in progress or queued callback."""
         for name, receiver in list(self._receivers.items()):
             if name != service and not (receiver.leases.is_active or receiver.posts or receiver.queue):
                 receiver.client.close()
@@ -180,23 +185,23 @@
     def _send_pending(self, receiver: _Receiver) -> None:
         loop = asyncio.get_running_loop()
         while receiver.queue and len(receiver.posts) < MAX_CONNECTIONS and not self._stopping:
-            waiting = receiver.queue.popleft()
-            if waiting.start_deadline < loop.time():
-                self._release_jobs([waiting.job])
+            pending = receiver.queue.popleft()
+            if pending.start_deadline < loop.time():
+                self._release_jobs([pending.job])
                 continue
-            task = loop.create_task(self._post(receiver, waiting))
+            task = loop.create_task(self._post(receiver, pending))
             receiver.posts.add(task)
-            task.add_done_callback(lambda done: self._posted(receiver, done))
+            task.add_done_callback(lambda done: self._on_posted(receiver, done))
 
-    def _posted(self, receiver: _Receiver, task: asyncio.Task[None]) -> None:
+    def _on_posted(self, receiver: _Receiver, task: asyncio.Task[None]) -> None:
         receiver.posts.discard(task)
         self._send_pending(receiver)
         receiver.leases.wake()
 
-    async def _post(self, receiver: _Receiver, waiting: _PendingCallback) -> None:
+    async def _post(self, receiver: _Receiver, pending: _PendingCallback) -> None:
         metrics: DeliveryMetrics = self._context.metrics
-        job = waiting.job
-        if waiting.start_deadline < asyncio.get_running_loop().time():  # this process stood still meanwhile
+        job = pending.job
+        if pending.start_deadline < asyncio.get_running_loop().time():  # the process was frozen meanwhile
             self._release_jobs([job])
             return
         result = await receiver.client.post(job)
--- a/hollowusher/delivery/connection_pool.py
+++ b/hollowusher/delivery/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one address: kept and reused, since a new one has a price, and never too many."""
+"""A bounded pool of connections to one address, which are reused because opening a connection is costly."""
 
 from __future__ import annotations
 
@@ -20,30 +20,32 @@
 
 
 class NoFreeConnectionError(ExchangeError):
-    """All the connections that the peer accepts are in use."""
+    """Raised if all the connections that the peer accepts are in use."""
 
 
 class ConnectionPool:
-    """At most `limit` connections to `address`; the one used last is used first, so that spare ones lapse."""
+    """At most `limit` connections to `address`.
+
+    The pool reuses the most recently used connection first, so that surplus connections idle out."""
 
     def __init__(self, address: str, limit: int) -> None:
         self.address = address
         self.limit = max(1, limit)
         self.opened_count = 0  # connections opened since the start
         self.last_used = 0.0
-        self.is_retired = False  # not to be used any more: connections end with their request
+        self.is_retired = False  # if true, a connection is closed after its current request
         self._idle: list[HttpConnection] = []
         self._open: set[HttpConnection] = set()
         self._connecting = 0
 
     @property
     def open_count(self) -> int:
-        """Connections that stand or are being opened."""
+        """The number of connections that are open or being opened."""
         return len(self._open) + self._connecting
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is under way."""
+        """Whether a request is in progress."""
         return self.open_count > len(self._idle)
 
     async def exchange(
@@ -55,38 +57,43 @@
         start_deadline: float = math.inf,
         message_id: str = "",
     ) -> DeliveryResponse:
-        """The answer to one request; `ExchangeError` where none came.
+        """Send a request and return its response, or raise `ExchangeError` if there is none by `deadline`.
+
+        The pool sends nothing after `start_deadline`: if the process was frozen while it opened the
+        connection, the lease of the request may have expired.
 
-        Nothing is sent after `start_deadline`: a process that stood still while a connection was opened has
-        no right to the request any more.
+        `is_idempotent` means that the request may run twice.  The pool then sends it again on a new
+        connection if a reused connection is lost before any byte of a response.  In that case the peer has
+        most likely closed the idle connection while the request was on its way.
 
-        `is_idempotent`: the request may run twice.  Then it is sent once more, on a new connection, when a
-        kept connection ended without a byte of an answer: most likely its end and the request crossed.
+        `message_id` is the id that responses repeat.  A message that failed is not sent again on the same
+        connection, where a duplicate response to the first attempt would match the second one.
 
-        `message_id`: answers repeat it.  A message that failed is not sent again on the same connection,
-        where a second answer to the first time would be taken for one to the next."""
+        Both deadlines are in event loop time."""
         self.last_used = asyncio.get_running_loop().time()
         connection = self._pop_idle(message_id) or await self._connect(deadline)
         self._check_start_deadline(connection, start_deadline)
         try:
             return await self._exchange_on(connection, request, matches, deadline, message_id)
         except ExchangeError as error:
-            crossed = error.reused and not error.answered and error.reason.startswith("connection lost")
-            if error.sent and not (crossed and is_idempotent):
+            was_idle_closed = (
+                error.reused and not error.answered and error.reason.startswith("connection lost")
+            )
+            if error.sent and not (was_idle_closed and is_idempotent):
                 raise
             sent_before = error.sent
         connection = await self._connect(deadline, may_have_run=sent_before)
         self._check_start_deadline(connection, start_deadline, may_have_run=sent_before)
-        answer = await self._exchange_on(connection, request, matches, deadline, message_id)
-        return attrs.evolve(answer, is_resend=sent_before)
+        response = await self._exchange_on(connection, request, matches, deadline, message_id)
+        return attrs.evolve(response, is_resend=sent_before)
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for connection in list(self._open):
             connection.close()
 
     def retire(self) -> None:
-        """End the connections without a request, and the others after it."""
+        """Close the idle connections now, and each other connection after its current request."""
         self.is_retired = True
         for connection in list(self._idle):
             connection.close()
@@ -96,7 +103,7 @@
     ) -> None:
         if asyncio.get_running_loop().time() > start_deadline:
             self._return_connection(connection)
-            raise ExchangeError("send", self.address, "too late to begin", sent=may_have_run)
+            raise ExchangeError("send", self.address, "start deadline has passed", sent=may_have_run)
 
     async def _exchange_on(
         self,
@@ -106,11 +113,11 @@
         deadline: float,
         message_id: str,
     ) -> DeliveryResponse:
-        answer = await connection.exchange(request, matches, deadline)
-        if answer.status == FAILED_STATUS and message_id:
+        response = await connection.exchange(request, matches, deadline)
+        if response.status == FAILED_STATUS and message_id:
             connection.failed_message_ids.add(message_id)
         self._return_connection(connection)
-        return answer
+        return response
 
     def _return_connection(self, connection: HttpConnection) -> None:
         if connection.is_usable and not self.is_retired:
@@ -119,7 +126,9 @@
             connection.close()
 
     def _pop_idle(self, message_id: str) -> HttpConnection | None:
-        """The usable connection used last on which this message has not failed."""
+        """Remove and return the most recently used connection on which this message has not failed, or None.
+
+        Unusable connections found on the way are closed."""
         for place in range(len(self._idle) - 1, -1, -1):
             connection = self._idle[place]
             if not connection.is_usable:
@@ -131,7 +140,7 @@
         return None
 
     async def _connect(self, deadline: float, may_have_run: bool = False) -> HttpConnection:
-        if self.open_count >= self.limit and self._idle:  # those that are left are not for this message
+        if self.open_count >= self.limit and self._idle:  # this message has failed on every idle one
             spare = self._idle[0]
             self._remove(spare)
             spare.close()
@@ -154,7 +163,7 @@
         finally:
             self._connecting -= 1
         self.opened_count += 1
-        if not connection.is_usable:  # ended before this task went on
+        if not connection.is_usable:  # the connection was lost before this task resumed
             raise ExchangeError("connect", self.address, "connection lost", sent=may_have_run)
         self._open.add(connection)
         return connection
--- a/hollowusher/delivery/http_connection.py
+++ b/hollowusher/delivery/http_connection.py
@@ -1,8 +1,8 @@
-"""One HTTP/1.1 connection to a worker or receiver, one request at a time.
+"""An HTTP/1.1 connection to a worker or receiver that carries one request at a time.
 
-The answers are parsed by aiohttp's response parser.  aiohttp's client session is not used: it takes bytes
-that came while a connection was idle for the answer to the next request, it cannot read on past an answer
-that belongs to another message, and it does not tell whether anything was sent.
+aiohttp's response parser parses the responses.  aiohttp's client session is unsuitable for three reasons.  It
+takes bytes that arrive on an idle connection as the response to the next request, it cannot skip a response
+that belongs to another message, and it does not report whether it has sent any bytes of a request.
 """
 
 from __future__ import annotations
@@ -18,17 +18,20 @@
 from aiohttp.http import HttpResponseParser
 
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-READ_LIMIT_BYTES = 2 * MAX_RESPONSE_BYTES  # of the parser: it is never to pause, the bound above closes first
+# The parser pauses reading above this limit.  It never does so here, because a response that is longer than
+# MAX_RESPONSE_BYTES closes the connection first.
+READ_LIMIT_BYTES = 2 * MAX_RESPONSE_BYTES
 MAX_HEADER_BYTES = 16_384
-KEEP_ALIVE_MARGIN_S = 0.4  # an idle connection is not used within this time of its announced end
+KEEP_ALIVE_MARGIN_S = 0.4  # an idle connection is not reused this close to its announced end
 USER_TIMEOUT_MS = 5_000
 
 
 class ExchangeError(Exception):
-    """No answer to a request: the step, the address and the reason.
+    """Raised if a request got no valid response.
 
-    `sent`: bytes may have reached the peer.  `answered`: bytes of an answer had come back.
-    `reused`: the connection had carried a request before."""
+    `step` is the failed operation: "connect", "send" or "answer".  `sent` means that bytes of the request may
+    have reached the peer.  `answered` means that bytes of a response arrived.  `reused` means that the
+    connection had carried an earlier request."""
 
     def __init__(
         self,
@@ -51,42 +54,41 @@
 
 @attrs.frozen
 class DeliveryResponse:
-    """A whole answer.  The body is dropped: workers' answers to messages are not passed on."""
+    """A complete response, without its body: workers' response bodies are discarded."""
 
     status: int
     headers: Mapping[str, str]
-    is_resend: bool = False  # the request had been sent once already, and that was not answered
+    is_resend: bool = False  # the request was sent twice, and the first attempt got no response
 
 
-ResponseMatcher = Callable[[DeliveryResponse], bool]  # whether an answer belongs to the request that waits
+ResponseMatcher = Callable[[DeliveryResponse], bool]  # whether a response belongs to the pending request
 
 
 class HttpConnection(asyncio.Protocol):
-    """A connection; `on_lost` is called once with it when it has ended."""
+    """A client connection.  It calls `on_lost` with itself as argument once the connection has ended."""
 
     def __init__(self, address: str, on_lost: Callable[[HttpConnection], None]) -> None:
         self.address = address
         self.requests = 0
-        self.failed_message_ids: set[str] = (
-            set()
-        )  # messages answered with a failure here: it may be answered again
-        self.idle_deadline: float | None = None  # None: no end was announced
-        self._keep_alive: str | None = None  # the header's value in the last answer, and what it allows
-        self._idle_s: float | None = None
+        # Ids of messages whose delivery failed on this connection; the peer may repeat these responses.
+        self.failed_message_ids: set[str] = set()
+        self.idle_deadline: float | None = None  # event loop time; None if the peer announced no timeout
+        self._keep_alive: str | None = None  # the Keep-Alive header of the last response
+        self._idle_s: float | None = None  # the idle time that this header allows, less the margin
         self._on_lost = on_lost
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser: Any = None
-        self._payload: Any = None  # body of the answer that is being read
-        self._reading: DeliveryResponse | None = None  # the answer whose body is being read
-        self._closes_after_response = False  # the peer has said that it closes after this answer
+        self._payload: Any = None  # body of the response that is being read
+        self._reading: DeliveryResponse | None = None  # the response whose body is being read
+        self._closes_after_response = False  # the connection must not carry another request
         self._bytes_in = 0
         self._response: asyncio.Future[DeliveryResponse] | None = None
         self._matches: ResponseMatcher | None = None
 
     @property
     def is_usable(self) -> bool:
-        """Whether a request may be sent on it."""
+        """Whether a request can be sent on this connection now."""
         transport = self._transport
         if (
             transport is None
@@ -98,8 +100,10 @@
         return self.idle_deadline is None or self._loop.time() < self.idle_deadline
 
     async def exchange(self, request: bytes, matches: ResponseMatcher, deadline: float) -> DeliveryResponse:
-        """Send a request and wait for its answer until `deadline`.  `ExchangeError` where none came; the
-        connection is closed then."""
+        """Send a request and return its response.
+
+        Raises `ExchangeError` and closes the connection if no response arrives by `deadline` (event loop
+        time)."""
         transport = self._transport
         if transport is None or not self.is_usable:
             raise ExchangeError("send", self.address, "connection lost", sent=False)
@@ -113,51 +117,51 @@
             return await future
         finally:
             timer.cancel()
-            if self._response is not None:  # cancelled: an answer that comes now would be nobody's
+            if self._response is not None:  # cancelled: no request is left for a response that arrives now
                 self._response = None
                 self.close()
 
     def close(self) -> None:
-        """End the connection."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        _tune(transport.get_extra_info("socket"))
+        """Store the transport and set the socket options."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
+        _set_socket_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came.  Bytes on an idle connection answer nothing: they end it."""
+        """Parse received bytes.  Bytes on an idle connection belong to no request, so they close it."""
         if self._response is None:
             self.close()
             return
         self._bytes_in += len(data)
         if self._bytes_in > MAX_RESPONSE_BYTES:
-            self._fail("answer too long")
+            self._fail("response too large")
             return
         if self._parser is None:
             self._parser = _new_parser(self._loop)
         try:
             messages, _, _ = self._parser.feed_data(data)
-        except Exception as error:  # the parser's own errors, all of which mean the same
-            self._fail(f"answer cannot be read: {type(error).__name__}")
+        except Exception as error:  # each parser error means an invalid response
+            self._fail(f"invalid response: {type(error).__name__}")
             return
         for message, payload in messages:
             self._complete_response()
             if self._reading is not None:
-                self._fail("answer cut short by another")
+                self._fail("response interrupted by another response")
                 return
             self._reading, self._payload = DeliveryResponse(message.code, message.headers), payload
             self._closes_after_response = self._closes_after_response or message.should_close
         self._complete_response()
         if self._response is None and self._reading is not None:
-            self.close()  # the start of a second answer
+            self.close()  # the received bytes include the start of a second response
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The peer or the network ended it."""
+        """Handle the end of the connection: complete or fail the pending request, and call `on_lost`."""
         if self._parser is not None:
-            with suppress(Exception):  # an answer without a length is whole when the connection ends
+            with suppress(Exception):  # the end of the connection completes a response without a length
                 self._parser.feed_eof()
             if error is None:
                 self._complete_response()
@@ -166,40 +170,41 @@
         self._on_lost(self)
 
     def _complete_response(self) -> None:
-        """If the answer that is being read is whole, hand it over."""
-        answer, payload = self._reading, self._payload
-        if answer is None or not payload.is_eof():
+        """If the response that is being read is complete, pass it to the pending request."""
+        response, payload = self._reading, self._payload
+        if response is None or not payload.is_eof():
             return
         self._reading = self._payload = None
         if payload.exception() is not None:
-            self._fail("answer cut short")
+            self._fail("response truncated")
             return
-        if 100 <= answer.status < 200:
+        if 100 <= response.status < 200:
             return
-        waiting, matches = self._response, self._matches
-        if waiting is None or matches is None:
-            self._closes_after_response = True  # two answers for one request
+        pending, matches = self._response, self._matches
+        if pending is None or matches is None:
+            self._closes_after_response = True  # a second response to one request
             self.close()
             return
-        if not matches(answer):
-            self._closes_after_response = True  # out of step: read on, but never use the connection again
+        if not matches(response):
+            # The responses are out of step with the requests: keep reading, but do not reuse the connection.
+            self._closes_after_response = True
             return
         self._response = self._matches = None
-        self._update_idle_deadline(answer)
-        if not waiting.done():
-            waiting.set_result(answer)
+        self._update_idle_deadline(response)
+        if not pending.done():
+            pending.set_result(response)
 
-    def _update_idle_deadline(self, answer: DeliveryResponse) -> None:
-        """When the peer will close the connection if it stays idle: `Keep-Alive: timeout=SECONDS`."""
-        header = answer.headers.get("Keep-Alive")
+    def _update_idle_deadline(self, response: DeliveryResponse) -> None:
+        """Set the end of the idle time from the response's `Keep-Alive: timeout=SECONDS` header."""
+        header = response.headers.get("Keep-Alive")
         if header != self._keep_alive:
             self._keep_alive, self._idle_s = header, _idle_seconds(header or "")
         self.idle_deadline = None if self._idle_s is None else self._loop.time() + self._idle_s
 
     def _fail(self, reason: str) -> None:
-        waiting, self._response = self._response, None
-        if waiting is not None and not waiting.done():
-            waiting.set_exception(
+        pending, self._response = self._response, None
+        if pending is not None and not pending.done():
+            pending.set_exception(
                 ExchangeError(
                     "answer",
                     self.address,
@@ -225,7 +230,9 @@
 
 
 def _idle_seconds(header: str) -> float | None:
-    """How long a connection may be used after an answer with this `Keep-Alive` header."""
+    """Return the seconds for which an idle connection is usable, or None if the header sets no timeout.
+
+    `header` is the value of a `Keep-Alive` header; the margin is already deducted."""
     for part in header.split(","):
         name, _, value = part.partition("=")
         if name.strip().lower() == "timeout":
@@ -234,8 +241,8 @@
     return None
 
 
-def _tune(sock: socket.socket | None) -> None:
-    """No delay, and an end for connections whose peer has gone silent with bytes unacknowledged."""
+def _set_socket_options(sock: socket.socket | None) -> None:
+    """Disable Nagle's algorithm, and abort the connection if sent bytes stay unacknowledged too long."""
     if sock is None:
         return
     with suppress(OSError):
--- a/hollowusher/delivery/lease_poller.py
+++ b/hollowusher/delivery/lease_poller.py
@@ -1,4 +1,4 @@
-"""Lease requests for one service: one outstanding at each store that has jobs of it."""
+"""Long polling of stores for leases of one service's jobs, with one request in flight per store."""
 
 from __future__ import annotations
 
@@ -17,44 +17,38 @@
 from hollowusher.protocol.placement import Placement
 from hollowusher.transport.interface import PeerError, Transport
 
-LONG_POLL_S = 1.0  # how long a store may wait for jobs to come
-ANSWER_MARGIN_S = 1.0  # beyond it, until the call is given up
-LOST_NOTICE_TIMEOUT_S = 0.5  # of the word that an answer never came
+LONG_POLL_S = 1.0  # how long a store may hold a request until jobs arrive
+ANSWER_MARGIN_S = 1.0  # time added to the long poll for the call's timeout
+LOST_NOTICE_TIMEOUT_S = 0.5  # timeout of a request that reports a lost response
 MAX_JOBS_PER_REQUEST = 64
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
-MIN_LONG_POLL_S = 0.1  # an answer without jobs that came sooner was no long poll: pause, as after a failure
-MIN_REQUEST_INTERVAL_S = (
-    0.01  # at least between two requests to a store, so that a few jobs come with each answer
-)
-MAX_LEASE_AGE_S = (
-    0.8  # jobs leased longer ago than this have lain somewhere that stood still: they are given back
-)
+MIN_LONG_POLL_S = 0.1  # an empty response earlier than this was no long poll: back off as after a failure
+MIN_REQUEST_INTERVAL_S = 0.01  # minimum interval of requests to a store, so that responses batch jobs
+MAX_LEASE_AGE_S = 0.8  # an older lease was delayed by a frozen process, so its job is released
 
-PartitionRanking = Callable[
-    [str, Iterable[int]], list[int]
-]  # a service's partitions, in the order of preference
+PartitionRanking = Callable[[str, Iterable[int]], list[int]]  # service, partitions -> partitions, best first
 
 
 @attrs.frozen
 class LeasingContext:
-    """What all lease requests of a process need."""
+    """Dependencies that all lease requests of a process share."""
 
     me: Member
     transport: Transport
     state: ClusterState
     rank_partitions: PartitionRanking
     metrics: DeliveryMetrics
-    numbers: Iterator[int] = attrs.Factory(lambda: itertools.count(1))  # of lease requests
+    numbers: Iterator[int] = attrs.Factory(lambda: itertools.count(1))  # sequence numbers of lease requests
 
     def home_store(self, service: str) -> str | None:
-        """The store that is the primary of the service's home partition."""
+        """Return the id of the primary store of the service's home partition, or None if it is unknown."""
         ranking = self.rank_partitions(service, self.state.partition_numbers())
         entry = self.state.partition_placement(ranking[0]) if ranking else None
         return entry.primary if entry is not None else None
 
     def address(self, store: str) -> str | None:
-        """The address of a store, given by its store id or its name."""
+        """Return the address of a store, given by its store id or its name, or None if it is unknown."""
         if "/" in store:
             return self.state.store_address(store)
         member = self.state.members.get(store)
@@ -63,16 +57,20 @@
 
 @attrs.frozen
 class JobDemand:
-    """How many jobs a consumer wants, and what becomes of those that arrive."""
+    """The callbacks of a consumer of jobs: its demand, and the handlers of leased jobs."""
 
     wanted_jobs: Callable[[], int]  # jobs that the consumer can use now
     accept: Callable[[list[LeasedJob]], None]
     release: Callable[[list[LeasedJob]], None]  # called instead of `accept` for jobs whose leases are too old
-    recheck_s: Callable[[], float | None]  # until `wanted_jobs` may grow by time alone; None: never
+    recheck_s: Callable[[], float | None]  # seconds until `wanted_jobs` may grow by time alone; None: never
 
 
 class LeasePoller:
-    """The sources of one service's jobs: its home store, and stores that said that jobs wait there."""
+    """Leases one service's jobs from its home store and from the stores that reported waiting jobs.
+
+    A store that is not the home store is polled until it has granted no jobs for `idle_source_ttl_s` seconds.
+    With `has_home` false, there is no home store.  A `visibility_ms` above 0 requests leases for pull
+    workers, which last this long after the worker's last call."""
 
     def __init__(
         self,
@@ -87,25 +85,26 @@
         self.service = service
         self._context = context
         self._demand = demand
-        self._keep_empty_s = idle_source_ttl_s
+        self._idle_source_ttl_s = idle_source_ttl_s
         self._has_home = has_home
-        self._visibility_ms = visibility_ms  # above 0: leases for pull workers
+        self._visibility_ms = visibility_ms
         self._home: str | None = None
+        # The placement and the configuration from which `_home` was computed.
         self._home_inputs: tuple[Placement | None, Configuration | None] = (
             None,
             None,
-        )  # what it follows from
+        )
         self._sources: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
         self._woken = asyncio.Event()
 
     @property
     def is_active(self) -> bool:
-        """Whether any store is being asked."""
+        """Whether any store is being polled."""
         return bool(self._sources)
 
     def refresh(self) -> None:
-        """Follow the placement: ask the home store of now."""
+        """Recompute the home store if the placement or the configuration changed, and poll it."""
         if not self._has_home or self._stopping:
             return
         state = self._context.state
@@ -119,20 +118,20 @@
         self.wake()
 
     def drop_home(self) -> None:
-        """Ask the home store no more once the requests under way have ended, until the next `refresh`."""
+        """Treat the home store like any other store until the next `refresh`: its polling ends when idle."""
         self._home = None
 
     def add_store(self, store: str) -> None:
-        """Jobs wait at this store."""
+        """Poll a store that reported waiting jobs."""
         if not self._stopping:
             self._start_polling(store)
 
     def wake(self) -> None:
-        """Demand may have grown."""
+        """Check the demand again, because it may have grown."""
         self._woken.set()
 
     def stop(self) -> list[asyncio.Task[None]]:
-        """Ask for nothing more; the tasks that still await an answer."""
+        """Stop polling; return the tasks that still wait for a response."""
         self._stopping = True
         self.wake()
         return list(self._sources.values())
@@ -141,9 +140,9 @@
         if store not in self._sources:
             task = asyncio.get_running_loop().create_task(self._poll_repeatedly(store))
             self._sources[store] = task
-            task.add_done_callback(lambda done: self._polling_ended(store, done))
+            task.add_done_callback(lambda done: self._on_polling_ended(store, done))
 
-    def _polling_ended(self, store: str, task: asyncio.Task[None]) -> None:
+    def _on_polling_ended(self, store: str, task: asyncio.Task[None]) -> None:
         if self._sources.get(store) is task:
             del self._sources[store]
 
@@ -151,23 +150,23 @@
         loop = asyncio.get_running_loop()
         last_jobs = loop.time()
         pause = FIRST_BACKOFF_S
-        lost = 0  # the number of a request whose answer never came
+        lost = 0  # number of the request whose response was lost; 0 if there is none to report
         while not self._stopping:
-            if store != self._home and loop.time() - last_jobs > self._keep_empty_s:
+            if store != self._home and loop.time() - last_jobs > self._idle_source_ttl_s:
                 return
             wanted = 0 if lost else min(MAX_JOBS_PER_REQUEST, self._demand.wanted_jobs())
             if wanted <= 0 and not lost:
                 await self._wait_for_demand()
                 continue
-            asked = loop.time()
+            requested_at = loop.time()
             request = self._request(wanted, lost)
-            leased, is_unclear = await self._send_request(store, request)
-            elapsed_s = loop.time() - asked
-            if lost:  # first the store is told that nothing of that answer was begun
+            leased, may_have_granted = await self._send_request(store, request)
+            elapsed_s = loop.time() - requested_at
+            if lost:  # report first that no job of the lost response was started, then request new jobs
                 lost = lost if leased is None else 0
                 if leased is not None:
                     continue
-            elif is_unclear:
+            elif may_have_granted:
                 lost = request.number
             if leased is not None and leased.jobs:
                 last_jobs = loop.time()
@@ -181,8 +180,10 @@
                 await asyncio.sleep(MIN_REQUEST_INTERVAL_S - elapsed_s)
 
     def _receive(self, jobs: list[LeasedJob], age_s: float) -> None:
-        """Take jobs whose leases are `age_s` old at most: the time since the request less the time that the
-        store waited before it leased them, each by the steady clock of the one who measured it."""
+        """Accept jobs whose leases are at most `age_s` seconds old, or release them if that is too old.
+
+        `age_s` is the time since the request, less the time that the store waited before the grant.  Each of
+        the two is measured by one process on its own monotonic clock."""
         self._context.metrics.leased += len(jobs)
         if self._stopping or age_s > MAX_LEASE_AGE_S:
             self._demand.release(jobs)
@@ -196,7 +197,9 @@
                 await self._woken.wait()
 
     def _request(self, most: int, lost: int) -> LeaseRequest:
-        """A request for jobs; with `lost` only the word that the answer to an earlier one never came."""
+        """Return a request for up to `most` jobs.
+
+        With `lost`, the request only reports that the response to request number `lost` did not arrive."""
         me = self._context.me
         return LeaseRequest(
             me.name,
@@ -211,14 +214,14 @@
         )
 
     async def _send_request(self, store: str, request: LeaseRequest) -> tuple[LeaseResponse | None, bool]:
-        """The answer of a store, None where there is none; and whether it may have granted something."""
+        """Send a request; return the response or None, and whether a lost response may have granted jobs."""
         address = self._context.address(store)
         if address is None:
             return None, False
         timeout_s = LOST_NOTICE_TIMEOUT_S if request.lost else LONG_POLL_S + ANSWER_MARGIN_S
         try:
-            answer = await self._context.transport.call(address, request, timeout_s)
+            response = await self._context.transport.call(address, request, timeout_s)
         except PeerError as error:
             self._context.metrics.lease_failures += 1
             return None, error.sent
-        return (answer, False) if isinstance(answer, LeaseResponse) else (None, True)
+        return (response, False) if isinstance(response, LeaseResponse) else (None, True)
--- a/hollowusher/delivery/metrics.py
+++ b/hollowusher/delivery/metrics.py
@@ -1,4 +1,4 @@
-"""What an edge process counts of its deliveries."""
+"""Delivery metrics of an edge process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class DeliveryMetrics:
-    """Counters since the start, and what is under way."""
+    """Counters since the start of the process, and the number of deliveries in flight."""
 
     success: int = 0
     failed: int = 0
@@ -16,18 +16,18 @@
     unknown: int = 0
     in_flight: int = 0
     leased: int = 0  # jobs received from stores
-    returned: int = 0  # leases given back unrun
-    requeued: int = 0  # refused by one worker and offered to another
-    frozen: int = 0  # times that this process stood still with jobs in hand
-    suspected: int = 0  # times that a worker became suspect
+    returned: int = 0  # leases released without a run
+    requeued: int = 0  # jobs rejected by one worker and queued for another
+    frozen: int = 0  # freezes of this process detected while jobs were queued
+    suspected: int = 0  # transitions of a worker to suspect
     callbacks_accepted: int = 0
     callbacks_failed: int = 0
-    pulled: int = 0  # jobs handed to pull workers' calls
+    pulled: int = 0  # jobs given to pull workers
     ends_reported: int = 0
-    ends_gone: int = 0  # ends whose lease was no longer valid
-    ends_dropped: int = 0  # ends that no store took in time
-    lease_failures: int = 0  # lease requests without an answer
+    ends_gone: int = 0  # reported lease ends whose lease was no longer valid
+    ends_dropped: int = 0  # lease ends that no store acknowledged in time
+    lease_failures: int = 0  # lease requests without a response
 
     def count(self, result: str) -> None:
-        """Count a delivery by its result."""
+        """Increment the counter named `result`, the result of a delivery."""
         setattr(self, result, getattr(self, result) + 1)
--- a/hollowusher/delivery/outcome.py
+++ b/hollowusher/delivery/outcome.py
@@ -1,4 +1,4 @@
-"""What a delivery came to: for the store that keeps the message, and for the worker's controller."""
+"""The outcome of a delivery, for the store that holds the message and for the worker's flow control."""
 
 from __future__ import annotations
 
@@ -8,23 +8,27 @@
 
 
 class WorkerFeedback(enum.Enum):
-    """How a hand-over ended, as a worker's controller tells them apart."""
-
-    DONE = "done"  # answered: success, or the job itself is at fault
-    FAILED = "failed"  # answered, but neither with success nor with a refusal
-    FULL = "full"  # refused as not run: no slot and no place in its queue
-    RATE = "rate"  # refused for the service's rate ceiling: says nothing about slots
-    NEUTRAL = "neutral"  # says nothing about the worker: the message runs elsewhere, or is at fault
+    """The outcome of a delivery as far as it concerns the worker's flow control."""
+
+    DONE = "done"  # the worker responded with success, or with an error caused by the job itself
+    FAILED = "failed"  # the worker responded with an error that is not a rejection
+    FULL = "full"  # the worker rejected the job unrun: no free slot and no room in its queue
+    RATE = "rate"  # the worker rejected the job because of the service's rate ceiling, not for lack of slots
+    NEUTRAL = (
+        "neutral"  # no information on the worker: the message is malformed or runs elsewhere, for example
+    )
     UNREACHABLE = "unreachable"  # no connection
-    LOST = "lost"  # reset, silence or an answer that is none
-    GONE = "gone"  # another worker stands at the address
+    LOST = "lost"  # connection reset, timeout or invalid response
+    GONE = "gone"  # another worker now uses the address
 
 
 @attrs.frozen
 class DeliveryOutcome:
-    """`result` and `signature` are those of `FinishLease`; `retry_ms` is the wait wanted before the next
-    lease.
-    `started` is when the first byte was sent (None: nothing was), `elapsed_s` how long the delivery took."""
+    """The outcome of one delivery.
+
+    `result` and `signature` are the fields of `FinishLease`.  `retry_ms` is the requested delay in
+    milliseconds before the next lease of the job.  `started` is the event loop time at which the delivery
+    began, or None if nothing was sent; `elapsed_s` is the duration of the delivery in seconds."""
 
     result: str  # "success" | "failed" | "refused" | "not_run" | "unknown"
     feedback: WorkerFeedback
--- a/hollowusher/delivery/pull_dispatcher.py
+++ b/hollowusher/delivery/pull_dispatcher.py
@@ -1,4 +1,4 @@
-"""Jobs for the calls of pull workers that wait at this process."""
+"""Leasing of jobs for the pull calls of workers that wait at this process."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 
 IDLE_SOURCE_TTL_S = 3.0
-UNCLAIMED_JOB_TTL_S = 0.15  # a job whose call has ended is offered to the next call for so long
+UNCLAIMED_JOB_TTL_S = 0.15  # how long a job without a waiting call is kept for the next call
 
 
 @attrs.define(eq=False)
 class _UnclaimedJob:
-    """A leased job that no call waits for."""
+    """A leased job for which no call waits; it is kept until `until` (event loop time)."""
 
     job: LeasedJob
     until: float
@@ -28,7 +28,7 @@
 
 @attrs.define(eq=False)
 class _ServiceCalls:
-    """The calls of one service that wait, in order of arrival, and the jobs nobody waits for."""
+    """The waiting pull calls of one service, in order of arrival, and its unclaimed jobs."""
 
     leases: LeasePoller
     calls: deque[asyncio.Future[LeasedJob | None]] = attrs.Factory(deque)
@@ -36,19 +36,21 @@
 
 
 class LeasingPullDispatcher:
-    """A `PullDesk` that leases as many jobs as calls wait."""
+    """A `PullDispatcher` that leases as many jobs as pull calls wait.
+
+    `visibility_ms` is the duration of the leases after a worker's last call, in milliseconds."""
 
     def __init__(self, context: LeasingContext, reporter: LeaseEndReporter, visibility_ms: int) -> None:
         self._context = context
         self._reporter = reporter
         self._visibility_ms = visibility_ms
         self._services: dict[str, _ServiceCalls] = {}
-        self._assigned: dict[str, float] = {}  # lease of a job given to a call -> until when it may go out
+        self._assigned: dict[str, float] = {}  # lease of an assigned job -> deadline for returning it
         self._stopping = False
-        context.state.add_listener(self._changed)
+        context.state.add_listener(self._on_state_change)
 
     async def pull(self, service: str, instance: str, wait_s: float) -> LeasedJob | None:
-        """A leased job for one free slot of a worker, None where none came within `wait_s` seconds."""
+        """Return a leased job for one free slot of a worker, or None if none arrives in `wait_s` seconds."""
         if self._stopping:
             return None
         service_calls = self._service_calls(service)
@@ -71,7 +73,9 @@
                 service_calls.calls.remove(call)
 
     def _accept(self, job: LeasedJob | None) -> LeasedJob | None:
-        """The job that a call was given, unless this process stood still meanwhile: then its lease is old."""
+        """Return the job assigned to a call, or release it and return None if the process was frozen.
+
+        After a freeze, the lease of the job may have expired."""
         if job is None:
             return None
         until = self._assigned.pop(job.lease, math.inf)
@@ -82,13 +86,15 @@
         return None
 
     def handle(self, waiting: JobsWaiting) -> None:
-        """A store says that jobs of a service wait there; only calls of this process can use them."""
+        """Start leasing from a store that has jobs of a service waiting, if pull calls wait for them here."""
         service_calls = self._services.get(waiting.service)
         if service_calls is not None and service_calls.calls and not self._stopping:
             service_calls.leases.add_store(waiting.store)
 
     def stop(self) -> list[asyncio.Task[None]]:
-        """End all calls without a job and give back what nobody waits for; the lease requests still out."""
+        """End all calls without a job and release the unclaimed jobs.
+
+        Returns the tasks of the lease requests in progress."""
         self._stopping = True
         requests: list[asyncio.Task[None]] = []
         for service_calls in self._services.values():
@@ -128,7 +134,7 @@
             self._offer(service_calls, job)
 
     def _offer(self, service_calls: _ServiceCalls, job: LeasedJob) -> None:
-        """Give a job to the call that has waited longest; with none, keep it for a moment."""
+        """Assign a job to the call that has waited longest; without a waiting call, keep it unclaimed."""
         loop = asyncio.get_running_loop()
         until = loop.time() + UNCLAIMED_JOB_TTL_S
         while service_calls.calls:
@@ -157,7 +163,7 @@
         return unclaimed.job
 
     def _return_job(self, service_calls: _ServiceCalls, call: asyncio.Future[LeasedJob | None]) -> None:
-        """The call was cancelled; a job that it had just got goes to the next one."""
+        """Offer the job of a cancelled call, if it was already assigned one, to the next call."""
         if call.done() and not call.cancelled():
             job = call.result()
             if job is not None:
@@ -166,7 +172,7 @@
                 self._offer(service_calls, job)
 
     def _expire_unclaimed(self, service_calls: _ServiceCalls) -> None:
-        """The oldest spare job has been kept long enough: spare jobs lapse in the order they came."""
+        """Release the oldest unclaimed job: unclaimed jobs expire in order of arrival."""
         unclaimed = service_calls.unclaimed.popleft()
         unclaimed.timer.cancel()
         self._release_jobs([unclaimed.job])
@@ -175,7 +181,7 @@
         for job in jobs:
             self._reporter.release(job.lease)
 
-    def _changed(self, key: str) -> None:
+    def _on_state_change(self, key: str) -> None:
         if key == PLACEMENT or key.startswith(MEMBER_PREFIX):
             for service_calls in self._services.values():
                 if service_calls.calls:
--- a/hollowusher/delivery/worker_client.py
+++ b/hollowusher/delivery/worker_client.py
@@ -1,4 +1,4 @@
-"""Delivery of a job to a pushed worker over HTTP/1.1: the request unchanged, and what its answer means."""
+"""Delivery of jobs to pushed workers over HTTP/1.1: the encoding of requests and the meaning of responses."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from hollowusher.protocol.leases import LeasedJob
 from hollowusher.protocol.messages import NewMessage
 
-LATE_RESPONSE_S = 0.4  # a worker's answer may be under way when the time of its message is over
-RUNNING_RETRY_MS = 300  # the message is being run elsewhere
+LATE_RESPONSE_S = 0.4  # grace after the message's timeout for a response that is still in transit
+RUNNING_RETRY_MS = 300  # retry delay of a message that is running elsewhere
 FULL_RETRY_MS = 50
 RATE_RETRY_MS = 100
 MALFORMED_RETRY_MS = 1_000
-POOL_IDLE_TIMEOUT_S = 60.0  # pools without a request for so long are closed
-DELIVERIES_PER_SWEEP = 500  # deliveries between two looks for such pools
+POOL_IDLE_TIMEOUT_S = 60.0  # a pool without a request for this long is closed
+DELIVERIES_PER_SWEEP = 500  # number of deliveries between two searches for idle pools
+# Headers that `encode_request` sets itself and does not copy from the message.
 OWN_HEADERS = frozenset(
     (
         "host",
@@ -36,7 +37,10 @@
 
 @attrs.frozen
 class Endpoint:
-    """Where a job is delivered.  `instance_id` is the id of a listed worker, empty for a fixed endpoint."""
+    """The address and the properties of a delivery target.
+
+    `instance_id` is the id of a listed worker, or empty for a fixed endpoint.  `idempotent` means that the
+    endpoint may get the same request twice."""
 
     address: str
     instance_id: str = ""
@@ -48,41 +52,41 @@
     """Delivers jobs to workers."""
 
     async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
-        """Hand a job over and wait for its end; never raises but for cancellation."""
+        """Deliver a job and return its outcome.  Raises nothing except `CancelledError`."""
 
     def retire(self, endpoint: Endpoint) -> None:
-        """The worker is not to be used any more: its idle connections end."""
+        """Close a worker's connections after their current requests, because the worker gets no new jobs."""
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
 
 
 class MalformedRequestError(ValueError):
-    """A message that cannot be written as a request without changing it."""
+    """Raised for a message that cannot be encoded as an HTTP request without a change."""
 
 
 class HttpWorkerClient:
-    """The client over real connections, a pool for each worker."""
+    """A `WorkerClient` over HTTP/1.1, with one connection pool for each worker."""
 
     def __init__(self) -> None:
         self._pools: dict[tuple[str, str], ConnectionPool] = {}
         self._deliveries = 0
-        self._opened_before = 0  # connections of pools that are gone
+        self._opened_before = 0  # connections opened by pools that have since been removed
 
     @property
     def connections_opened(self) -> int:
-        """Connections opened since the start."""
+        """The number of connections opened since the start."""
         return self._opened_before + sum(pool.opened_count for pool in self._pools.values())
 
     @property
     def connections_open(self) -> int:
-        """Connections that stand or are being opened."""
+        """The number of connections that are open or being opened."""
         return sum(pool.open_count for pool in self._pools.values())
 
     async def deliver(self, endpoint: Endpoint, job: LeasedJob, timeout_s: float) -> DeliveryOutcome:
-        """Hand a job over and wait for its end."""
+        """Deliver a job and return its outcome; `timeout_s` is the worker's time limit for the message."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         try:
             request = encode_request(job.message, endpoint, timeout_s)
         except MalformedRequestError as error:
@@ -92,19 +96,19 @@
         identifier = job.message.id
         pool = self._pool(endpoint)
         try:
-            answer = await pool.exchange(
+            response = await pool.exchange(
                 request,
-                lambda answer: matches_message(answer, identifier),
-                began + timeout_s + LATE_RESPONSE_S,
+                lambda response: matches_message(response, identifier),
+                started_at + timeout_s + LATE_RESPONSE_S,
                 endpoint.idempotent,
-                start_deadline=began + job.start_within_ms / 1000,
+                start_deadline=started_at + job.start_within_ms / 1000,
                 message_id=identifier,
             )
         except ExchangeError as error:
-            elapsed_s = loop.time() - began
+            elapsed_s = loop.time() - started_at
             if error.sent:
                 return DeliveryOutcome(
-                    "unknown", WorkerFeedback.LOST, started=began, elapsed_s=elapsed_s, reason=str(error)
+                    "unknown", WorkerFeedback.LOST, started=started_at, elapsed_s=elapsed_s, reason=str(error)
                 )
             feedback = (
                 WorkerFeedback.NEUTRAL
@@ -114,26 +118,27 @@
             return DeliveryOutcome(
                 "not_run", feedback, retry_ms=FULL_RETRY_MS, elapsed_s=elapsed_s, reason=str(error)
             )
-        verdict = interpret_response(answer)
-        unclear = answer.is_resend and verdict.result == "not_run"  # this time: the first may have run
+        outcome = interpret_response(response)
+        # A rejection of the resent request says nothing about the first attempt, which may have run.
+        may_have_run = response.is_resend and outcome.result == "not_run"
         return DeliveryOutcome(
-            "unknown" if unclear else verdict.result,
-            verdict.feedback,
-            verdict.signature,
-            verdict.retry_ms,
-            began,
-            loop.time() - began,
-            verdict.reason,
+            "unknown" if may_have_run else outcome.result,
+            outcome.feedback,
+            outcome.signature,
+            outcome.retry_ms,
+            started_at,
+            loop.time() - started_at,
+            outcome.reason,
         )
 
     def retire(self, endpoint: Endpoint) -> None:
-        """End the connections of a worker that is not to be used any more: now, or after their answer."""
+        """Close a worker's idle connections now, and its other connections after their current request."""
         pool = self._pools.get((endpoint.address, endpoint.instance_id))
         if pool is not None:
             pool.retire()
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for pool in self._pools.values():
             pool.close()
 
@@ -149,16 +154,18 @@
         return pool
 
     def _sweep(self) -> None:
-        before = asyncio.get_running_loop().time() - POOL_IDLE_TIMEOUT_S
+        idle_since = asyncio.get_running_loop().time() - POOL_IDLE_TIMEOUT_S
         for key, pool in list(self._pools.items()):
-            if pool.last_used < before and not pool.is_busy:
+            if pool.last_used < idle_since and not pool.is_busy:
                 pool.close()
                 self._opened_before += pool.opened_count
                 del self._pools[key]
 
 
 def encode_request(message: NewMessage, endpoint: Endpoint, timeout_s: float) -> bytes:
-    """Head and body of a delivery."""
+    """Return the HTTP request of a delivery: its head and its body.
+
+    Raises `MalformedRequestError` if a field of the message would break the request line or a header line."""
     lines = [
         f"{message.method} {message.path} HTTP/1.1",
         f"Host: {message.host}",
@@ -176,20 +183,22 @@
         lines.append(f"Content-Length: {len(message.body)}")
     head = "\r\n".join(lines)
     if head.count("\n") != len(lines) - 1 or head.count("\r") != len(lines) - 1 or lines[0].count(" ") != 2:
-        raise MalformedRequestError("a line of the request holds a line end or a space")
+        raise MalformedRequestError("the request line or a header contains a line break or an extra space")
     return (head + "\r\n\r\n").encode("utf-8", "surrogateescape") + message.body
 
 
-def matches_message(answer: DeliveryResponse, identifier: str) -> bool:
-    """Whether an answer is to the message with this id.  One without any id can only be a refusal of a
-    request that the worker could not read; it is taken, and never as a success."""
-    told = answer.headers.get("X-Attempt-Id")
-    return told == identifier or (told is None and answer.status >= 400)
+def matches_message(response: DeliveryResponse, identifier: str) -> bool:
+    """Return whether a response belongs to the message with this id.
+
+    A response without an id matches only if it is an error: a worker that could not parse a request rejects
+    it without repeating the id.  Such a response never counts as a success."""
+    attempt_id = response.headers.get("X-Attempt-Id")
+    return attempt_id == identifier or (attempt_id is None and response.status >= 400)
 
 
-def interpret_response(answer: DeliveryResponse) -> DeliveryOutcome:
-    """What an answer says about its message."""
-    status, headers = answer.status, answer.headers
+def interpret_response(response: DeliveryResponse) -> DeliveryOutcome:
+    """Return the outcome of a delivery from the worker's response."""
+    status, headers = response.status, response.headers
     if status == 421:
         return DeliveryOutcome("not_run", WorkerFeedback.GONE)
     if "X-Not-Executed" in headers or status == 409:
@@ -198,9 +207,9 @@
         signature = headers.get("X-Server-Signature", "")
         if signature:
             return DeliveryOutcome("success", WorkerFeedback.DONE, signature)
-        return DeliveryOutcome("unknown", WorkerFeedback.LOST, reason="success without a signature")
+        return DeliveryOutcome("unknown", WorkerFeedback.LOST, reason="success response without a signature")
     if "X-Attempt-Id" not in headers:
-        return DeliveryOutcome("unknown", WorkerFeedback.LOST, reason="answer without an id")
+        return DeliveryOutcome("unknown", WorkerFeedback.LOST, reason="response without an attempt id")
     if status == 500:
         return DeliveryOutcome("failed", WorkerFeedback.FAILED)
     if status == 422:
