--- a/hollowusher/intake/__init__.py
+++ b/hollowusher/intake/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side of an edge process: HTTP routes, admission and answers."""
+"""The intake of an edge process: the HTTP server, admission of messages, and calls of pull workers."""
--- a/hollowusher/intake/admission.py
+++ b/hollowusher/intake/admission.py
@@ -1,4 +1,7 @@
-"""Whether a client's request is a message that may be kept, by the configuration in force (pure)."""
+"""Admission control: decides, by the current configuration, whether a client's request is a valid message.
+
+This module does no I/O and keeps no state.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 class RejectionReason(enum.Enum):
-    """Why a request is not taken as a message."""
+    """The reason for the rejection of a request."""
 
     NO_ROUTE = "no route"
     MALFORMED = "malformed"
@@ -42,7 +45,7 @@
 
 @attrs.frozen
 class Rejection:
-    """The answer to a request that is not taken."""
+    """The status, reason and response text for a rejected request."""
 
     status: int
     reason: RejectionReason
@@ -51,26 +54,26 @@
 
 @attrs.frozen
 class ClientRequest:
-    """A whole HTTP request.  `headers` is a mapping that ignores the case of names."""
+    """A complete HTTP request.  `headers` is a mapping with case-insensitive names."""
 
     method: str
-    target: str  # path and query as sent
+    target: str  # path and query as sent by the client
     headers: Mapping[str, str]
     body: bytes = b""
-    waited_s: float = 0.0  # since its head arrived
+    waited_s: float = 0.0  # time since the request head arrived
 
 
 @attrs.frozen
 class Admission:
-    """A message that may be stored."""
+    """A valid message that is ready to be stored."""
 
     message: NewMessage
-    requires_home: bool  # no other partition than its service's home may keep it
-    remaining_client_wait_s: float  # how much longer the client waits for its response
+    requires_home: bool  # only the home partition of the service may store the message
+    remaining_client_wait_s: float  # seconds until the client's deadline
 
 
 class RouteIndex:
-    """One configuration, arranged for looking up a request's route and service."""
+    """An index of one configuration for looking up the route and the service of a request."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -88,7 +91,7 @@
         }
 
     def find_route(self, host: str, target: str) -> Route | None:
-        """The route of this host with the longest prefix that the target starts with."""
+        """Return the route of this host with the longest matching path prefix, or None."""
         for route in self._routes.get(host, ()):
             if target.startswith(route.path_prefix):
                 return route
@@ -96,12 +99,12 @@
 
 
 def host_name(header: str) -> str:
-    """The name in a Host header, in lower case and without the port."""
+    """Return the host name of a Host header, in lower case and without the port."""
     return header.partition(":")[0].strip().lower()
 
 
 def parse_milliseconds(text: str) -> float | None:
-    """The number of a header that gives milliseconds, None where it is none."""
+    """Return the milliseconds that a header value gives, or None if it is invalid."""
     text = text.strip()
     if len(text) <= MAX_FAST_PATH_DIGITS and text.isascii() and text.isdigit():
         return float(text)
@@ -112,23 +115,23 @@
 
 
 def remaining_client_wait_s(request: ClientRequest) -> float | None:
-    """How much longer the client waits for its answer, None where its header cannot be read."""
+    """Return the seconds until the client's deadline, or None if its deadline header is invalid."""
     text = request.headers.get(DEADLINE)
     wait_ms = DEFAULT_DEADLINE_MS if text is None else parse_milliseconds(text)
     return None if wait_ms is None else max(0.0, wait_ms / 1000 - request.waited_s)
 
 
 def is_valid_callback_url(url: str) -> bool:
-    """Whether a call-back URL is of the form http://IP:PORT/path."""
-    found = _CALLBACK.fullmatch(url)
-    if found is None:
+    """Return whether a callback URL has the form http://IP:PORT/path."""
+    match = _CALLBACK.fullmatch(url)
+    if match is None:
         return False
-    *octets, port = (int(part) for part in found.groups())
+    *octets, port = (int(part) for part in match.groups())
     return max(octets) <= 255 and 0 < port < 65_536
 
 
 def admit(request: ClientRequest, index: RouteIndex) -> Admission | Rejection:
-    """The message that a request is, or why it is none."""
+    """Return the message that a request contains, or the reason for its rejection."""
     headers = request.headers
     host = host_name(headers.get("Host", ""))
     if not host or not request.target.isascii() or not request.target.startswith("/"):
@@ -184,18 +187,20 @@
 
 
 def reject_head(request: ClientRequest, index: RouteIndex, declared_length: int | None) -> Rejection | None:
-    """Why a request can be refused before its body has come, None where it must be read."""
-    found = admit(request, index)
-    if isinstance(found, Rejection):
-        return found
+    """Return the rejection of a request by its head alone, or None if the body must be read.
+
+    `declared_length` is the value of Content-Length, or None if the request has none."""
+    admission = admit(request, index)
+    if isinstance(admission, Rejection):
+        return admission
     if declared_length is not None and declared_length > index.configuration.limits.max_body_bytes:
         return Rejection(413, RejectionReason.TOO_LARGE, "body too large")
     return None
 
 
 def _is_text(value: str) -> bool:
-    """Whether a header's value can be sent on (bytes that are no UTF-8 come as lone surrogates)."""
-    return value.isascii() or not any("\ud800" <= letter <= "\udfff" for letter in value)
+    """Return whether a header value is valid UTF-8; invalid bytes are decoded to lone surrogates."""
+    return value.isascii() or not any("\ud800" <= character <= "\udfff" for character in value)
 
 
 def _malformed(header: str) -> Rejection:
--- a/hollowusher/intake/intake_service.py
+++ b/hollowusher/intake/intake_service.py
@@ -1,10 +1,11 @@
-"""The answers of an edge process to clients and pull workers, apart from sockets.
+"""The request handling of an edge process for clients and pull workers, without sockets.
 
-`IntakeService.handle` takes a complete request and returns its response; `hollowusher.intake.server` is the
-HTTP around it.  A 503 is given only where the message is certainly not stored; 504 where it may have been.
+`IntakeService.handle` takes a complete request and returns its response; `hollowusher.intake.server` provides
+the HTTP server.  The response to a message is 503 only if no store has stored the message, and 504 if a store
+may have stored it.
 
-Retry-After, in whole seconds: 1, or 0 where the client's own deadline leaves less than `SHORT_WAIT_S`, since
-a pause of a second would then end its last chance.
+Retry-After is in whole seconds.  It is 1, or 0 if less than `SHORT_WAIT_S` is left until the client's
+deadline, because a pause of one second would then leave no time for a retry.
 """
 
 from __future__ import annotations
@@ -50,8 +51,8 @@
 from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.placement import Placement
 
-RESPONSE_MARGIN_S = 0.05  # an answer leaves this long before its client gives up
-REJECT_AFTER_SHARE = 0.4  # of the client's time: then a message that was sent nowhere is refused
+RESPONSE_MARGIN_S = 0.05  # the response is sent at least this long before the client's deadline
+REJECT_AFTER_SHARE = 0.4  # share of the client's time after which an unsent message is rejected
 STATUS_TIMEOUT_S = 1.8
 LEASE_CALL_TIMEOUT_S = 1.8
 MAX_PULL_WAIT_S = 30.0
@@ -75,16 +76,16 @@
 
 @attrs.frozen
 class IntakeLimits:
-    """How much may be under way at one time."""
+    """Limits on the concurrent work of an intake."""
 
     max_puts: int = 512
-    max_bytes: int = 16 * 1024 * 1024  # of messages being received or kept
+    max_bytes: int = 16 * 1024 * 1024  # total size of the messages being received or stored
     max_pulls: int = 2048
 
 
 @attrs.frozen
 class ClientResponse:
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes = b""
@@ -105,8 +106,10 @@
 
 
 class IntakeService:
-    """The clients' side of one process.  `clock` is the event loop's time; `is_current` tells whether the
-    configuration known here is so young that what it lacks is not there."""
+    """Handles the requests of clients and pull workers in one edge process.
+
+    `clock` returns the event loop time.  `is_current` returns whether the configuration is recent enough to
+    respond with 404 for a route or service that it does not contain."""
 
     def __init__(
         self,
@@ -138,12 +141,14 @@
 
     @property
     def request_limits(self) -> RequestLimits:
-        """What clients may send, by the configuration in force."""
+        """The request limits of the current configuration."""
         configuration = self._state.configuration
         return RequestLimits() if configuration is None else configuration.limits
 
     def reject_head(self, request: ClientRequest, declared_length: int | None) -> ClientResponse | None:
-        """The answer to a request that need not be read further, None where its body is wanted."""
+        """Return the response to a request that is rejected by its head, or None if the body is needed.
+
+        `declared_length` is the value of Content-Length, or None if the request has none."""
         if request.method == "GET" and request.target.startswith((STATE_PREFIX, BODY_PREFIX)):
             return None
         index = self._route_index()
@@ -153,8 +158,10 @@
         return None if rejection is None else self._rejection_response(rejection)
 
     def _absence_response(self, text: str) -> ClientResponse:
-        """The answer where the configuration known here has no such route or service: one who has lost the
-        controllers, or stood still, cannot know that there is none."""
+        """Return the response if the configuration does not contain the route or service.
+
+        A process that has lost contact with the controllers, or was frozen, may have an outdated
+        configuration.  It responds with 503 instead of 404."""
         if not self._is_current():
             self.metrics.refused_unready += 1
             return UNAVAILABLE
@@ -164,7 +171,9 @@
     async def handle(
         self, request: ClientRequest, is_disconnected: Callable[[], bool] = _never_disconnected
     ) -> ClientResponse:
-        """The response to a complete request; `is_disconnected` is asked whether the caller has gone."""
+        """Return the response to a complete request.
+
+        `is_disconnected` returns whether the client's connection is closed."""
         target = request.target
         if request.method == "GET":
             if target.startswith(STATE_PREFIX):
@@ -183,16 +192,16 @@
         return await self._store_message(admission)
 
     def reject_overload(self, client_wait_s: float = 1.0) -> ClientResponse:
-        """The answer when too much is under way."""
+        """Return the response if a load limit is reached."""
         self.metrics.refused_load += 1
         return _retry_later(client_wait_s)
 
     def drain(self) -> None:
-        """The process is about to stop: from now on pull calls are not kept waiting."""
+        """Prepare for a stop: from now on a pull call waits at most `DRAINING_PULL_WAIT_S`."""
         self._draining = True
 
     async def wait_for_background_calls(self) -> None:
-        """Wait for the calls that go on after their answers (jobs given back)."""
+        """Wait for the background calls that release jobs."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
@@ -206,7 +215,7 @@
         try:
             now = self._clock()
             candidates = self._candidates_for(admission)
-            answer = await self._store.put(
+            put_response = await self._store.put(
                 admission.message,
                 candidates,
                 deadline=now + max(wait_s - RESPONSE_MARGIN_S, wait_s / 2),
@@ -214,10 +223,10 @@
             )
         finally:
             self.load_limiter.release(size)
-        if answer.status == "stored":
+        if put_response.status == "stored":
             self.metrics.accepted += 1
-            return ClientResponse(202, headers=(("X-Message-Ref", answer.reference),))
-        if answer.status == "unavailable":
+            return ClientResponse(202, headers=(("X-Message-Ref", put_response.reference),))
+        if put_response.status == "unavailable":
             self.metrics.refused_unavailable += 1
             return _retry_later(wait_s * (1 - REJECT_AFTER_SHARE))
         self.metrics.unknown += 1
@@ -257,17 +266,17 @@
             index = self._index = RouteIndex(configuration)
         return index
 
-    # ---- questions about messages
+    # ---- message status and bodies
 
     async def _state_response(self, reference: str) -> ClientResponse:
         answer = await self._store.status(reference, False, self._clock() + STATUS_TIMEOUT_S)
         if answer.state not in KNOWN_STATES:
             return self._no_state_response(answer.state)
         self.metrics.states_told += 1
-        told = {"state": answer.state}
+        document = {"state": answer.state}
         if answer.state == "completed":
-            told["signature"] = answer.signature
-        return ClientResponse(200, orjson.dumps(told), JSON)
+            document["signature"] = answer.signature
+        return ClientResponse(200, orjson.dumps(document), JSON)
 
     async def _body_response(self, reference: str) -> ClientResponse:
         answer = await self._store.status(reference, True, self._clock() + STATUS_TIMEOUT_S)
@@ -288,7 +297,9 @@
     # ---- pull workers
 
     def _is_worker_call(self, request: ClientRequest, index: RouteIndex) -> bool:
-        """Whether it is a pull worker's call: of its paths, unless a route of its host takes that path."""
+        """Return whether a request is a pull worker's call.
+
+        It is one if its path has a prefix of the worker calls and no route of its host matches the path."""
         if request.method != "POST" or not request.target.startswith(WORKER_PREFIXES):
             return False
         return index.find_route(host_name(request.headers.get("Host", "")), request.target) is None
@@ -333,7 +344,7 @@
         return _job_response(job)
 
     def release(self, job: LeasedJob) -> None:
-        """Return a leased job that its worker will not get, unrun."""
+        """Release, in the background, a leased job whose worker has disconnected."""
         self.metrics.jobs_given_back += 1
         request = FinishLease(job.lease, "not_run")
         self._run_in_background(self._store.finish(request, self._clock() + LEASE_CALL_TIMEOUT_S))
--- a/hollowusher/intake/peer_health.py
+++ b/hollowusher/intake/peer_health.py
@@ -1,8 +1,8 @@
-"""What the calls to one store tell of it: whether it should be avoided for now.  No clock, no I/O.
+"""Passive failure detection for one store, based on the outcomes of the calls to it.  No clock, no I/O.
 
-A store is suspected after a failed call until it answers again, and while a call has been waiting longer
-than `SUSPECT_AFTER_S` without any answer having come since.  A suspected store is probed, at most once in
-`HEALTH_CHECK_INTERVAL_S`.
+A store is suspect after a failed call until it responds again.  It is also suspect while a call has waited
+longer than `SUSPECT_AFTER_S` and the store has responded to no other call in that time.  The caller probes a
+suspect store at most once per `HEALTH_CHECK_INTERVAL_S`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,9 @@
 
 
 class PeerHealth:
-    """The calls under way to one address and the last outcome.  Times are those of one steady clock."""
+    """The calls in progress to one address and the latest outcome.
+
+    All times are seconds of one monotonic clock."""
 
     __slots__ = ("_failed", "_last_answer", "_next_health_check", "_next_number", "_started")
 
@@ -24,36 +26,36 @@
         self._next_health_check = float("-inf")
 
     def call_started(self, now: float) -> int:
-        """A call starts; its number."""
+        """Record the start of a call and return the call's number."""
         number = self._next_number
         self._next_number = number + 1
         self._started[number] = now
         return number
 
     def call_answered(self, number: int, now: float) -> None:
-        """The call was answered: the store is well."""
+        """Record a response to the call: the store is no longer suspect."""
         self._started.pop(number, None)
         self._last_answer = now
         self._failed = False
 
     def call_failed(self, number: int, now: float) -> None:
-        """The call got no answer."""
+        """Record that the call failed without a response."""
         self._started.pop(number, None)
         if not self._failed:
             self._failed = True
             self._next_health_check = now + HEALTH_CHECK_INTERVAL_S
 
     def call_abandoned(self, number: int) -> None:
-        """The caller stopped waiting; nothing was learned."""
+        """Record that the caller stopped waiting, which says nothing about the store's health."""
         self._started.pop(number, None)
 
     def reset(self) -> None:
-        """News from elsewhere (a new placement, a restart) make earlier failures meaningless."""
+        """Discard earlier failures, which are irrelevant after a new placement or a restart of the store."""
         self._failed = False
         self._started.clear()
 
     def is_suspect(self, now: float) -> bool:
-        """Whether the store should be avoided at present."""
+        """Return whether callers should avoid the store now."""
         if self._failed:
             return True
         if not self._started:
@@ -62,7 +64,7 @@
         return now - max(oldest, self._last_answer) > SUSPECT_AFTER_S
 
     def is_health_check_due(self, now: float) -> bool:
-        """Whether to probe a suspected store now; True at most once in `HEALTH_CHECK_INTERVAL_S`."""
+        """Return whether to probe a suspect store now: True at most once per `HEALTH_CHECK_INTERVAL_S`."""
         if now < self._next_health_check:
             return False
         self._next_health_check = now + HEALTH_CHECK_INTERVAL_S
--- a/hollowusher/intake/pull_dispatcher.py
+++ b/hollowusher/intake/pull_dispatcher.py
@@ -1,4 +1,4 @@
-"""The interface between the clients' side, which hears the calls of pull workers, and the leasing of jobs."""
+"""The interface between the intake, which receives the calls of pull workers, and the leasing of jobs."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
     """Leases jobs for the pull calls that wait at this process."""
 
     async def pull(self, service: str, instance: str, wait_s: float) -> LeasedJob | None:
-        """A leased job for one free slot of a worker, None where none came within `wait_s` seconds."""
+        """Return a leased job for one free slot of a worker, or None if none arrives in `wait_s` seconds."""
--- a/hollowusher/intake/pull_worker_headers.py
+++ b/hollowusher/intake/pull_worker_headers.py
@@ -1,4 +1,4 @@
-"""The meaning of the headers that pull workers send, and of the lease ids given to them.  No I/O."""
+"""Headers of the pull workers' calls, and the encoding of lease ids for pull workers.  No I/O."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 
 
 def worker_lease_id(lease: str, message_id: str) -> str:
-    """The lease id given to a worker: the store's, with a digest of the message's id."""
+    """Return the lease id to give to a worker: the store's lease id with a digest of the message id."""
     digest = xxhash.xxh64_hexdigest(message_id.encode(errors="replace"))
     return f"{lease}.{digest}"
 
 
 def store_lease_id(worker_lease: str, message_id: str) -> str | None:
-    """The store's lease id of what a worker sent, None if it does not belong to this message."""
+    """Return the store's lease id for a worker's lease id, or None if it belongs to another message."""
     lease = worker_lease.partition(".")[0]
     return lease if lease and worker_lease == worker_lease_id(lease, message_id) else None
 
 
 def finish_result(status: str, signature: str) -> str:
-    """The `Finish.result` of a worker's X-Job-Result.
+    """Return the `FinishLease.result` for the value of a worker's X-Job-Result header.
 
-    Only a 500 is a failed attempt and only a 422 a refusal for good; any other end leaves open whether the
-    job ran, and does not count as an attempt."""
+    Only a 2xx status with a signature is a success, only a 500 is a failed attempt, and only a 422 is a final
+    rejection.  With 503, 429 and 400 the job did not run.  With any other value it is unknown whether the job
+    ran, and the attempt does not count."""
     status = status.strip()
     if len(status) == 3 and status.startswith("2") and status.isdigit() and signature:
         return "success"
--- a/hollowusher/intake/server.py
+++ b/hollowusher/intake/server.py
@@ -1,7 +1,7 @@
-"""The HTTP server on the frontend address, and the readiness server: aiohttp around `IntakeService`.
+"""The HTTP server for clients and pull workers, and the readiness server, based on aiohttp.
 
-The low-level server is used, since the routes come from the operator's configuration.  Handlers go on when
-their client has gone: a message whose put was sent is followed to its end.
+The module uses aiohttp's low-level server, because the routes come from the operator's configuration.  A
+handler continues after its client has disconnected: it completes a put that was already sent to a store.
 """
 
 from __future__ import annotations
@@ -20,17 +20,16 @@
 from hollowusher.transport.tcp import split_address
 
 BACKLOG = 1024
-LINGERING_TIME_S = 1.0  # how long the rest of a refused body is read and thrown away
+LINGERING_TIME_S = 1.0  # how long the rest of a rejected body is read and discarded
 SWEEP_INTERVAL_S = 0.5
 STOP_POLL_S = 0.01
-LOOP_TURNS_TO_HANDLER = 3  # of the event loop, from a request's last byte to its handler
-LAST_WRITES_S = 0.2  # for connections to end by themselves after their last answers
+LOOP_TURNS_TO_HANDLER = 3  # event loop iterations between a request's last byte and its handler
+LAST_WRITES_S = 0.2  # time for connections to close themselves after their last response
 READ_BUFFER_BYTES = 64 * 1024
 MAX_HEADERS = 128
 READY_PATH = "/readyz"
-_silenced_logger = logging.getLogger(
-    "hollowusher.intake.http"
-)  # bad requests are counted by their answers only
+# Metrics count bad requests by their responses, so aiohttp's log lines for them are disabled.
+_silenced_logger = logging.getLogger("hollowusher.intake.http")
 _silenced_logger.disabled = True
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -42,7 +41,7 @@
 
 
 class _BodyError(Exception):
-    """A body that could not be read whole, and the answer to its request."""
+    """Raised if a request body cannot be read completely; `answer` is the response to the request."""
 
     def __init__(self, answer: ClientResponse) -> None:
         super().__init__(answer.status)
@@ -50,7 +49,9 @@
 
 
 class FrontendServer:
-    """Clients and pull workers on one address ("ip:port").  `report` is told of errors in this program."""
+    """The HTTP server for clients and pull workers on one address ("ip:port").
+
+    It calls `report` with each unexpected exception of a handler."""
 
     def __init__(
         self, intake: IntakeService, address: str, report: Callable[[Exception], None] | None = None
@@ -66,19 +67,19 @@
         self._draining = False
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         host, port = split_address(self._address)
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(self._new_connection, host, port, backlog=BACKLOG)
         self._sweep()
 
     def drain(self) -> None:
-        """Go on serving, but close each connection after its next answer."""
+        """Continue serving, but close each connection after its next response."""
         self._draining = True
         self._intake.drain()
 
     async def stop(self, grace_s: float) -> None:
-        """Listen no more, wait up to `grace_s` for the requests under way, then close all connections."""
+        """Stop listening, wait up to `grace_s` seconds for requests, then close all connections."""
         self.drain()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_s
@@ -99,9 +100,10 @@
         return [connection for server in self._servers.values() for connection in server.connections]
 
     async def _close_idle(self) -> None:
-        """Close the connections on which no request is under way.
+        """Close the connections that have no request in progress, without dropping a complete request.
 
-        None reads on meanwhile, and what was read before gets to its handler: no whole request is dropped."""
+        It first pauses reading and lets the event loop pass the requests that were already read to their
+        handlers."""
         idle = [
             connection.transport for connection in self._connections() if connection not in self._handling
         ]
@@ -116,12 +118,12 @@
 
     @property
     def address(self) -> str:
-        """The address that clients reach, with the port that was given for port 0."""
+        """The address on which the server listens, with the actual port if port 0 was configured."""
         return _bound_address(self._listener, self._address)
 
     @property
     def requests_in_flight(self) -> int:
-        """Requests that have been received and not yet answered."""
+        """The number of requests that were received but have no response yet."""
         return len(self._handling)
 
     def _new_connection(self) -> web.RequestHandler:
@@ -148,7 +150,7 @@
         )
 
     def _sweep(self) -> None:
-        """Close the connections whose first request does not come."""
+        """Close the connections whose first request has not arrived within the header timeout."""
         loop = asyncio.get_running_loop()
         self._sweep_handle = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         oldest = loop.time() - self._intake.request_limits.header_timeout_ms / 1000
@@ -202,10 +204,10 @@
         return await intake.handle(whole, lambda: _is_disconnected(request))
 
     async def _read_body(self, request: web.BaseRequest, longest_s: float) -> bytes:
-        """The body of a request that comes in parts; it is counted as it grows.
+        """Read the body of a request that arrives in parts, for at most `longest_s` seconds.
 
-        A chunk that cannot be parsed is not reported by the library while a body is read: it ends here as a
-        body that does not come in time."""
+        The load limiter counts the bytes as they arrive.  aiohttp does not report an invalid chunk to the
+        reader of the body, so the read of such a body ends by timeout."""
         intake = self._intake
         limits = intake.request_limits
         if not intake.load_limiter.try_acquire(0):
@@ -236,7 +238,7 @@
 
 
 class ReadinessServer:
-    """Answers GET /readyz on one address with 200 or 503, as `ready` says."""
+    """Responds to GET /readyz on one address with 200 if `ready` returns true, and with 503 otherwise."""
 
     def __init__(self, address: str, ready: Callable[[], bool]) -> None:
         self._address = address
@@ -245,7 +247,7 @@
         self._listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         host, port = split_address(self._address)
         self._server = web.Server(self._handle, access_log=None, logger=_silenced_logger)
         self._listener = await asyncio.get_running_loop().create_server(self._server, host, port)
@@ -259,7 +261,7 @@
 
     @property
     def address(self) -> str:
-        """The address that the platform reaches, with the port that was given for port 0."""
+        """The address for the platform's probes, with the actual port if port 0 was configured."""
         return _bound_address(self._listener, self._address)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -269,7 +271,7 @@
 
 
 class EdgeFrontend:
-    """Both servers of an edge process, drained and stopped together."""
+    """The frontend server and the readiness server of an edge process, drained and stopped together."""
 
     def __init__(
         self,
@@ -284,17 +286,17 @@
         self._draining = False
 
     async def start(self) -> None:
-        """Listen on both addresses."""
+        """Start listening on both addresses."""
         await self.readiness.start()
         await self.frontend.start()
 
     def drain(self) -> None:
-        """Be unready from now on; go on serving what comes."""
+        """Report the process as not ready from now on, and continue serving requests."""
         self._draining = True
         self.frontend.drain()
 
     async def stop(self, grace_s: float) -> None:
-        """Stop within `grace_s`, after the requests under way."""
+        """Drain, wait up to `grace_s` seconds for requests in progress, and stop both servers."""
         self.drain()
         await self.frontend.stop(grace_s)
         await self.readiness.stop()
@@ -316,6 +318,6 @@
 
 
 def _is_disconnected(request: web.BaseRequest) -> bool:
-    """Whether the connection of a request has ended."""
+    """Return whether the connection of a request is closed or closing."""
     transport = request.transport
     return transport is None or transport.is_closing()
--- a/hollowusher/intake/store_client.py
+++ b/hollowusher/intake/store_client.py
@@ -1,7 +1,7 @@
-"""Calls from an edge process to the primaries of partitions, repeated until a deadline.
+"""Calls from an edge process to the primaries of partitions, retried until a deadline.
 
-A put whose outcome is uncertain is repeated at the same partition only, so that a message never stands in
-two partitions; before that, another candidate partition may be chosen.
+After a put with an unknown outcome, the client retries only at the same partition, so that no message is
+stored in two partitions.  Before that, it may choose another candidate partition.
 """
 
 from __future__ import annotations
@@ -27,59 +27,61 @@
 from hollowusher.protocol.placement import PartitionPlacement
 from hollowusher.transport.interface import PeerError, Transport
 
-CALL_TIMEOUT_S = 0.5  # a single call; a silent connection is dropped then and the call repeated on a new one
+CALL_TIMEOUT_S = 0.5  # per call; after a timeout the transport drops the connection and the call is retried
 HEALTH_CHECK_TIMEOUT_S = 0.3
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 0.2
-RETRIABLE = ("not_primary", "unavailable")  # the answers after which another try may succeed
+RETRIABLE = ("not_primary", "unavailable")  # response states after which a retry may succeed
 AnswerType = TypeVar("AnswerType", LeaseUpdateResponse, MessageStatusResponse)
 
 
 class MessageStore(Protocol):
-    """What the clients' side needs of the stores; `StoreClient` is the one over the network."""
+    """The interface to the stores that the intake uses; `StoreClient` implements it over the network.
+
+    All deadlines are in event loop time."""
 
     async def put(
         self, message: NewMessage, candidates: Sequence[int], deadline: float, reject_at: float | None = None
     ) -> PutResponse:
-        """Keep a message."""
+        """Store a message in one of the candidate partitions."""
 
     async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
         """End a lease."""
 
     async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
-        """Prolong a lease."""
+        """Extend a lease."""
 
     async def status(self, reference: str, includes_body: bool, deadline: float) -> MessageStatusResponse:
-        """Read the state of a message."""
+        """Read the state of a message, and its body if `includes_body` is true."""
 
 
 @attrs.frozen
 class _PrimaryTarget:
-    """A partition and its primary's address, as known when a call was made."""
+    """A partition and the address of its primary at the start of a call."""
 
     partition: int
     address: str
 
 
 class PrimaryMovedError(Exception):
-    """The partition got another primary while a call waited; the call may have been carried out."""
+    """Raised if the partition's primary changes during a call, which the old primary may have executed."""
 
 
 class _Backoff:
-    """Growing pauses between the tries of one request."""
+    """Exponential backoff between the attempts of one request."""
 
     def __init__(self) -> None:
         self._next = FIRST_BACKOFF_S
 
     def next(self) -> float:
-        """The length of the next pause."""
+        """Return the next pause in seconds."""
         pause = self._next
         self._next = min(pause * 2, MAX_BACKOFF_S)
         return pause
 
 
 def partition_of(identifier: str) -> int | None:
-    """The partition that a message reference or lease id names, None where it names none."""
+    """Return the partition in a message reference or lease id, or None if the identifier is invalid."""
     number, dash, _ = identifier.partition("-")
     if not dash or not number.isascii() or not number.isdigit() or len(number) > 9:
         return None
@@ -87,7 +89,9 @@
 
 
 class StoreClient:
-    """The stores as one edge process sees them.  `clock` is the event loop's time; so are all deadlines."""
+    """The store client of one edge process.
+
+    `clock` returns event loop time; all deadlines use this clock."""
 
     def __init__(self, transport: Transport, state: ClusterState, clock: Callable[[], float]) -> None:
         self._transport = transport
@@ -104,23 +108,24 @@
     async def put(
         self, message: NewMessage, candidates: Sequence[int], deadline: float, reject_at: float | None = None
     ) -> PutResponse:
-        """Keep a message in the first usable candidate partition.
+        """Store a message in the first usable candidate partition.
 
-        "stored"; "unavailable" where it is certain that it is not kept (given at `reject_at` if that comes
-        before the deadline); "unknown" where a put was sent and nothing more was learned by the deadline."""
+        The response status is "stored", "unavailable" or "unknown".  "unavailable" means that no store has
+        stored the message; the client returns it at `reject_at` if that is before `deadline`.  "unknown"
+        means that a put was sent and its outcome is unknown at `deadline`."""
         started = self._clock()
-        patience = deadline if reject_at is None else min(reject_at, deadline)
-        refused: set[int] = set()
+        reject_deadline = deadline if reject_at is None else min(reject_at, deadline)
+        rejected: set[int] = set()
         backoff = _Backoff()
-        bound: int | None = None  # the partition that may have kept it
+        bound: int | None = None  # the partition that may have stored the message
         while True:
             now = self._clock()
-            if now >= (patience if bound is None else deadline):
+            if now >= (reject_deadline if bound is None else deadline):
                 return PutResponse("unavailable" if bound is None else "unknown")
-            target = self._choose(candidates, refused, now) if bound is None else self._primary(bound)
+            target = self._choose_target(candidates, rejected, now) if bound is None else self._primary(bound)
             if target is None:
-                refused.clear()
-                await self._pause(backoff, patience if bound is None else deadline)
+                rejected.clear()
+                await self._pause(backoff, reject_deadline if bound is None else deadline)
                 continue
             try:
                 request = PutRequest(target.partition, _with_delay_left(message, now - started))
@@ -135,12 +140,14 @@
             if answer.status not in RETRIABLE:
                 bound = target.partition
             if bound is None:
-                refused.add(target.partition)
+                rejected.add(target.partition)
             else:
                 await self._pause(backoff, deadline)
 
     async def finish(self, request: FinishLease, deadline: float) -> LeaseUpdateResponse:
-        """End a lease; "unavailable" where the deadline came first (it may have been ended)."""
+        """End a lease; the status is "unavailable" if the deadline passes first.
+
+        In that case the lease may still have been ended."""
         return await self._request_until_final(
             request.lease,
             request,
@@ -151,7 +158,7 @@
         )
 
     async def extend(self, request: ExtendLease, deadline: float) -> LeaseUpdateResponse:
-        """Prolong a lease; "unavailable" where the deadline came first."""
+        """Extend a lease; the status is "unavailable" if the deadline passes first."""
         return await self._request_until_final(
             request.lease,
             request,
@@ -162,7 +169,7 @@
         )
 
     async def status(self, reference: str, includes_body: bool, deadline: float) -> MessageStatusResponse:
-        """The state of a message; "unavailable" where the deadline came first."""
+        """Return the state of a message; the state is "unavailable" if the deadline passes first."""
         return await self._request_until_final(
             reference,
             MessageStatusRequest(reference, includes_body),
@@ -173,7 +180,7 @@
         )
 
     def is_suspect(self, address: str) -> bool:
-        """Whether the store at this address is to be avoided at present."""
+        """Return whether new puts should avoid the store at this address now."""
         health = self._health.get(address)
         return health is not None and health.is_suspect(self._clock())
 
@@ -186,7 +193,9 @@
         unavailable: AnswerType,
         is_final: Callable[[AnswerType], bool],
     ) -> AnswerType:
-        """Ask the primary of the partition that the identifier names until an answer settles it."""
+        """Send a request to the primary of the identifier's partition until a response is final.
+
+        Returns `absent` if the partition does not exist, and `unavailable` if the deadline passes."""
         partition = partition_of(identifier)
         if partition is None:
             return absent
@@ -211,10 +220,14 @@
         address = self._state.primary_address(partition)
         return None if address is None else _PrimaryTarget(partition, address)
 
-    def _choose(self, candidates: Sequence[int], refused: set[int], now: float) -> _PrimaryTarget | None:
-        """The first candidate whose primary is known and not suspect."""
+    def _choose_target(
+        self, candidates: Sequence[int], rejected: set[int], now: float
+    ) -> _PrimaryTarget | None:
+        """Return the first candidate whose primary is known and not suspect, or None.
+
+        It skips the partitions in `rejected`, and starts health checks of suspect primaries that are due."""
         for partition in candidates:
-            if partition in refused:
+            if partition in rejected:
                 continue
             target = self._primary(partition)
             if target is None:
@@ -227,11 +240,11 @@
         return None
 
     async def _call(self, target: _PrimaryTarget, request: Any, deadline: float) -> Any:
-        """One call; `PrimaryMovedError` when the partition gets another primary meanwhile."""
+        """Make one call; raise `PrimaryMovedError` if the partition's primary changes in the meantime."""
         health = self._health.setdefault(target.address, PeerHealth())
         now = self._clock()
         number = health.call_started(now)
-        scope = asyncio.timeout(None)  # brought forward to now when the partition's primary changes
+        scope = asyncio.timeout(None)  # `_on_change` lets it expire if the partition's primary changes
         self._pending_calls[scope] = target
         try:
             async with scope:
@@ -250,7 +263,7 @@
             del self._pending_calls[scope]
 
     async def _pause(self, backoff: _Backoff, until: float) -> None:
-        """Wait a while, less if the cluster changes or a suspected store answers."""
+        """Wait for the next backoff, or until the cluster changes or a suspect store responds."""
         seconds = min(backoff.next(), until - self._clock())
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
@@ -262,7 +275,7 @@
         task.add_done_callback(self._health_checks.discard)
 
     async def _check_health(self, target: _PrimaryTarget) -> None:
-        """See whether a suspected store answers, without risking a message."""
+        """Probe a suspect store with a status request, which has no side effects."""
         request = MessageStatusRequest(f"{target.partition}-0-0")
         with suppress(PeerError, PrimaryMovedError):
             await self._call(target, request, self._clock() + HEALTH_CHECK_TIMEOUT_S)
@@ -305,7 +318,7 @@
 
 
 def _with_delay_left(message: NewMessage, waited_s: float) -> NewMessage:
-    """The message with the delay that is left after waiting here."""
+    """Return the message with its delay reduced by the time that it has waited in this process."""
     waited_ms = int(waited_s * 1000)
     if not message.delay_ms or not waited_ms:
         return message
