--- a/tests/delivery/test_callbacks.py
+++ b/tests/delivery/test_callbacks.py
@@ -1,4 +1,4 @@
-"""Call-backs: who sends them, over how many connections, and what answers mean."""
+"""Tests of callback delivery: ownership of receivers, the connection limit, and the meaning of responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.leases import JobsWaiting, LeasedJob
 from hollowusher.simulation.event_loop import VirtualTimeLoop
-from tests.delivery.test_delivery import Exchange, real, serving
+from tests.delivery.test_delivery import Exchange, run_on_uvloop, running_server
 from tests.support.dispatch import (
     SETTINGS,
     STORE_1,
@@ -33,18 +33,20 @@
 RECEIVER = "callback:10.20.0.4:8080"
 
 
-def owed(number: int, state: str = "completed", signature: str = "sig", service: str = RECEIVER) -> LeasedJob:
+def callback_job(
+    number: int, state: str = "completed", signature: str = "sig", service: str = RECEIVER
+) -> LeasedJob:
     url = f"http://{service.partition(':')[2]}/done?a=1"
     return evolve(job(number, service=service, callback_url=url), state=state, signature=signature)
 
 
 class ModelReceiver:
-    """A receiver that takes a while and answers from a script."""
+    """A receiver that takes `run_s` seconds per callback and returns its results from a script."""
 
     def __init__(self, run_s: float = 0.1, script: list[str] | None = None) -> None:
         self.run_s = run_s
         self.script = script or []
-        self.heard: list[str] = []
+        self.received: list[str] = []
         self.in_flight = self.max_in_flight = 0
         self.addresses: list[str] = []
         self.closed = 0
@@ -58,14 +60,14 @@
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await asyncio.sleep(self.run_s)
         self.in_flight -= 1
-        self.heard.append(job.message.id)
+        self.received.append(job.message.id)
         return self.script.pop(0) if self.script else "success"
 
     def close(self) -> None:
         self.closed += 1
 
 
-def made(
+def make_delivery(
     receiver: ModelReceiver, owns: bool = True
 ) -> tuple[LeasingStores, CallbackDelivery, DeliveryMetrics]:
     cluster, stores, metrics = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryMetrics()
@@ -75,28 +77,28 @@
 
 
 class TestCallbackDelivery:
-    def test_owed_call_backs_are_sent_and_their_ends_reported(self) -> None:
+    def test_leased_callbacks_are_sent_and_their_results_reported(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver()
-            stores, subject, metrics = made(receiver)
-            stores.add(STORE_1, [owed(n) for n in range(10)])
-            stores.add(STORE_2, [owed(n) for n in range(10, 15)])
+            stores, subject, metrics = make_delivery(receiver)
+            stores.add(STORE_1, [callback_job(n) for n in range(10)])
+            stores.add(STORE_2, [callback_job(n) for n in range(10, 15)])
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             subject.handle(JobsWaiting(RECEIVER, STORE_2))
             await asyncio.sleep(3)
-            assert sorted(receiver.heard) == sorted(f"m{n}" for n in range(15))
+            assert sorted(receiver.received) == sorted(f"m{n}" for n in range(15))
             assert stores.results() == {"success": 15}
             assert receiver.addresses == ["10.20.0.4:8080"]
             assert metrics.callbacks_accepted == 15
 
         play(work)
 
-    def test_at_most_four_at_a_time(self) -> None:
+    def test_at_most_four_callbacks_are_in_flight(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver(run_s=0.5)
-            stores, subject, _ = made(receiver)
-            stores.add(STORE_1, [owed(n) for n in range(20)])
-            stores.add(STORE_2, [owed(n) for n in range(20, 40)])
+            stores, subject, _ = make_delivery(receiver)
+            stores.add(STORE_1, [callback_job(n) for n in range(20)])
+            stores.add(STORE_2, [callback_job(n) for n in range(20, 40)])
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             subject.handle(JobsWaiting(RECEIVER, STORE_2))
             await asyncio.sleep(8)
@@ -105,29 +107,29 @@
 
         play(work)
 
-    def test_a_failing_receiver_rests_and_its_failures_are_reported(self) -> None:
+    def test_a_failing_receiver_is_paused_and_its_failures_are_reported(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver(run_s=0.01, script=["failed", "unknown"] * 4)
-            stores, subject, metrics = made(receiver)
-            stores.add(STORE_1, [owed(n) for n in range(20)])
+            stores, subject, metrics = make_delivery(receiver)
+            stores.add(STORE_1, [callback_job(n) for n in range(20)])
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             await asyncio.sleep(0.3)
-            assert len(receiver.heard) <= 8
+            assert len(receiver.received) <= 8
             await asyncio.sleep(6)
             assert stores.results() == {"failed": 4, "unknown": 4, "success": 12}
             assert metrics.callbacks_failed == 8
 
         play(work)
 
-    def test_a_source_is_asked_until_it_has_been_empty_for_ten_seconds(self) -> None:
+    def test_a_store_is_polled_until_it_has_been_empty_for_ten_seconds(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver()
-            stores, subject, _ = made(receiver)
+            stores, subject, _ = make_delivery(receiver)
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             await asyncio.sleep(8)
-            stores.add(STORE_1, [owed(1)])
+            stores.add(STORE_1, [callback_job(1)])
             await asyncio.sleep(0.2)
-            assert receiver.heard == ["m1"]
+            assert receiver.received == ["m1"]
             await asyncio.sleep(30)
             last = max(at for at, _, _ in stores.requests)
             assert 16 < last < 20
@@ -137,9 +139,9 @@
 
         play(work)
 
-    def test_only_the_owner_asks(self) -> None:
+    def test_only_the_owner_requests_leases(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            stores, subject, _ = made(ModelReceiver(), owns=False)
+            stores, subject, _ = make_delivery(ModelReceiver(), owns=False)
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             await asyncio.sleep(1)
             assert stores.requests == []
@@ -175,15 +177,15 @@
 
         play(work)
 
-    def test_a_stop_waits_for_posts_and_gives_back_the_rest(self) -> None:
+    def test_a_stop_waits_for_posts_and_releases_the_rest(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             receiver = ModelReceiver(run_s=0.5)
-            stores, subject, _ = made(receiver)
+            stores, subject, _ = make_delivery(receiver)
             subject.handle(JobsWaiting(RECEIVER, STORE_1))
             subject.handle(JobsWaiting(RECEIVER, STORE_2))
             await asyncio.sleep(0.1)
-            stores.add(STORE_1, [owed(n) for n in range(4)])
-            stores.add(STORE_2, [owed(n) for n in range(4, 8)])
+            stores.add(STORE_1, [callback_job(n) for n in range(4)])
+            stores.add(STORE_2, [callback_job(n) for n in range(4, 8)])
             await asyncio.sleep(0.1)
             await asyncio.wait(subject.stop(), timeout=3)
             await asyncio.sleep(0.1)
@@ -198,14 +200,14 @@
     )
     def test_only_200_accepts(self, status: int, result: str) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 exchange.send(f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode())
 
-            async with serving(behave) as (server, _, endpoint):
+            async with running_server(respond) as (server, _, endpoint):
                 client = HttpCallbackClient(endpoint.address)
                 for number in range(2):
-                    told = owed(number, service=f"callback:{endpoint.address}")
-                    assert await client.post(told) == result
+                    callback = callback_job(number, service=f"callback:{endpoint.address}")
+                    assert await client.post(callback) == result
                 assert server.connections == 1
                 assert server.exchanges[0].head.split("\r\n")[:3] == [
                     "POST /done?a=1 HTTP/1.1",
@@ -219,16 +221,16 @@
                 }
                 client.close()
 
-        real(work)
+        run_on_uvloop(work)
 
     def test_a_dead_letter_has_no_signature(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 exchange.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-            async with serving(behave) as (server, _, endpoint):
+            async with running_server(respond) as (server, _, endpoint):
                 client = HttpCallbackClient(endpoint.address)
-                await client.post(owed(1, "dead_letter", "", f"callback:{endpoint.address}"))
+                await client.post(callback_job(1, "dead_letter", "", f"callback:{endpoint.address}"))
                 assert json.loads(server.exchanges[0].body) == {
                     "id": "m1",
                     "state": "dead_letter",
@@ -236,15 +238,15 @@
                 }
                 client.close()
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_no_answer_is_unknown(self) -> None:
+    def test_a_lost_response_is_unknown(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 exchange.writer.close()
 
-            async with serving(behave) as (_, _client, endpoint):
+            async with running_server(respond) as (_, _client, endpoint):
                 client = HttpCallbackClient(endpoint.address)
-                assert await client.post(owed(1, service=f"callback:{endpoint.address}")) == "unknown"
+                assert await client.post(callback_job(1, service=f"callback:{endpoint.address}")) == "unknown"
 
-        real(work)
+        run_on_uvloop(work)
--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -1,4 +1,4 @@
-"""Answers to lease requests that are lost on the way: their jobs go back at once, and only those."""
+"""If the response to a lease request is lost, its jobs are released at once, and no other jobs are."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from tests.support.calls import message
 from tests.support.message_store import EDGE_ADDRESS, StoreCluster, play
 
-SOON_S = 0.5
+SETTLE_S = 0.5
 
 
-def asked(number: int, lost: int = 0, most: int = 1, **changes: Any) -> LeaseRequest:
+def lease_request(number: int, lost: int = 0, most: int = 1, **changes: Any) -> LeaseRequest:
     return evolve(LeaseRequest("edge-1", 1, "s", most, 0, number=number, lost=lost), **changes)
 
 
@@ -29,48 +29,48 @@
     return [LeasedJob(lease, message("m"), 0, 500) for lease in leases]
 
 
-class TestOpenGrants:
-    def test_what_a_lost_answer_granted_is_given_once(self) -> None:
+class TestUnacknowledgedGrants:
+    def test_the_leases_of_a_lost_response_are_returned_once(self) -> None:
         grants = UnacknowledgedGrants()
-        grants.record(asked(4), jobs("a", "b"))
-        assert grants.take_lost(asked(5, lost=4)) == ["a", "b"]
-        assert grants.take_lost(asked(6, lost=4)) == []
+        grants.record(lease_request(4), jobs("a", "b"))
+        assert grants.take_lost(lease_request(5, lost=4)) == ["a", "b"]
+        assert grants.take_lost(lease_request(6, lost=4)) == []
 
-    def test_the_jobs_of_an_answer_that_came_stay_where_they_are(self) -> None:
-        """Request 5 never reached the store: what 4 granted may be running."""
+    def test_the_leases_of_a_received_response_are_kept(self) -> None:
+        """Request 5 never reached the store, so the jobs granted to request 4 may be running."""
         grants = UnacknowledgedGrants()
-        grants.record(asked(4), jobs("a"))
-        assert grants.take_lost(asked(6, lost=5)) == []
+        grants.record(lease_request(4), jobs("a"))
+        assert grants.take_lost(lease_request(6, lost=5)) == []
 
     @pytest.mark.parametrize(
         "other", [{"dispatcher": "x"}, {"incarnation": 2}, {"service": "t"}, {"pull": True}]
     )
-    def test_each_asker_speaks_for_itself(self, other: dict[str, Any]) -> None:
+    def test_requesters_are_independent_of_each_other(self, other: dict[str, Any]) -> None:
         grants = UnacknowledgedGrants()
-        grants.record(asked(4), jobs("a"))
-        assert grants.take_lost(asked(5, lost=4, **other)) == []
-        assert not grants.is_abandoned(asked(4))
+        grants.record(lease_request(4), jobs("a"))
+        assert grants.take_lost(lease_request(5, lost=4, **other)) == []
+        assert not grants.is_abandoned(lease_request(4))
 
-    def test_a_request_that_was_declared_lost_grants_nothing_when_it_comes(self) -> None:
+    def test_a_request_reported_lost_is_abandoned(self) -> None:
         grants = UnacknowledgedGrants()
-        assert grants.take_lost(asked(5, lost=4)) == []
+        assert grants.take_lost(lease_request(5, lost=4)) == []
         assert (
-            grants.is_abandoned(asked(4))
-            and grants.is_abandoned(asked(3))
-            and not grants.is_abandoned(asked(5))
+            grants.is_abandoned(lease_request(4))
+            and grants.is_abandoned(lease_request(3))
+            and not grants.is_abandoned(lease_request(5))
         )
-        assert not grants.is_abandoned(asked(0)), "an asker that does not number its requests"
+        assert not grants.is_abandoned(lease_request(0)), "requests without a number are never abandoned"
 
-    def test_only_so_many_askers_are_remembered(self) -> None:
+    def test_the_number_of_remembered_requesters_is_bounded(self) -> None:
         grants = UnacknowledgedGrants()
         for number in range(MAX_REQUESTERS + 10):
-            grants.record(asked(4, dispatcher=f"edge-{number}"), jobs("a"))
-            grants.take_lost(asked(5, lost=3, dispatcher=f"edge-{number}"))
+            grants.record(lease_request(4, dispatcher=f"edge-{number}"), jobs("a"))
+            grants.take_lost(lease_request(5, lost=3, dispatcher=f"edge-{number}"))
         assert len(grants._granted) == len(grants._lost) == MAX_REQUESTERS
 
 
-def group(cluster: StoreCluster, taken: list[LeasedJob], wanted: int = 1) -> LeasePoller:
-    """The lease requests of edge-1 for service s, which takes so many jobs."""
+def make_poller(cluster: StoreCluster, taken: list[LeasedJob], wanted: int = 1) -> LeasePoller:
+    """Return the lease poller of edge-1 for service s; it leases up to `wanted` jobs into `taken`."""
     state = ClusterState()
     cluster.tell(state)
     network = LeasingContext(
@@ -84,8 +84,8 @@
     return LeasePoller("s", network, demand, idle_source_ttl_s=3.0)
 
 
-def lose_answers(cluster: StoreCluster, count: int) -> list[LeaseResponse]:
-    """Have the next answers that hold jobs meet a reset of their connection; those answers."""
+def lose_responses(cluster: StoreCluster, count: int) -> list[LeaseResponse]:
+    """Reset the connection under the next `count` responses with jobs; return the list of these responses."""
     transport = cluster.network.listeners[cluster.stores[0].address]
     handler = transport.handler
     assert handler is not None
@@ -103,15 +103,15 @@
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_jobs_whose_answer_met_a_reset_are_granted_again_at_once(times: int) -> None:
+def test_jobs_of_a_response_lost_by_a_reset_are_granted_again_at_once(times: int) -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
-        lost = lose_answers(cluster, times)
+        lost = lose_responses(cluster, times)
         taken: list[LeasedJob] = []
-        leases = group(cluster, taken)
+        leases = make_poller(cluster, taken)
         leases.refresh()
         await cluster.stored(message("m", ordering_key="k"))
-        await asyncio.sleep(times * SOON_S)
+        await asyncio.sleep(times * SETTLE_S)
         assert len(lost) == times
         assert [job.message.id for job in taken] == ["m"]
         assert await cluster.finish(taken[0].lease, "success", signature="sig") == "taken"
@@ -123,20 +123,20 @@
     play(work)
 
 
-def test_jobs_that_came_are_not_given_back_when_a_later_request_is_lost() -> None:
+def test_received_jobs_stay_leased_when_a_later_request_is_lost() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         taken: list[LeasedJob] = []
-        leases = group(cluster, taken, wanted=2)
+        leases = make_poller(cluster, taken, wanted=2)
         leases.refresh()
         await cluster.stored(message("m1"))
         await asyncio.sleep(0.1)
         assert len(taken) == 1
-        cluster.network.reset_connections(host_of(EDGE_ADDRESS))  # the next request waits there
-        await asyncio.sleep(SOON_S)
-        assert await cluster.lease() == [], "the first job is still held"
+        cluster.network.reset_connections(host_of(EDGE_ADDRESS))  # drops the request in its long poll
+        await asyncio.sleep(SETTLE_S)
+        assert await cluster.lease() == [], "the first job is still leased"
         await cluster.stored(message("m2"))
-        await asyncio.sleep(SOON_S)
+        await asyncio.sleep(SETTLE_S)
         assert [job.message.id for job in taken] == ["m1", "m2"]
         assert await cluster.finish(taken[0].lease, "success", signature="sig") == "taken"
         for task in leases.stop():
@@ -145,27 +145,27 @@
     play(work)
 
 
-def test_a_request_that_comes_after_it_was_declared_lost_grants_nothing() -> None:
+def test_a_request_that_arrives_after_it_was_reported_lost_grants_nothing() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         await cluster.stored(message("m"))
-        assert await cluster.call(0, asked(8, lost=7, most=0)) == LeaseResponse([])
-        assert await cluster.call(0, asked(7)) == LeaseResponse([])
-        answer = await cluster.call(0, asked(9))
+        assert await cluster.call(0, lease_request(8, lost=7, most=0)) == LeaseResponse([])
+        assert await cluster.call(0, lease_request(7)) == LeaseResponse([])
+        answer = await cluster.call(0, lease_request(9))
         assert [job.message.id for job in answer.jobs] == ["m"]
 
     play(work)
 
 
-def test_a_request_that_waits_at_the_store_ends_when_it_is_declared_lost() -> None:
+def test_a_long_poll_ends_when_its_request_is_reported_lost() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
-        waiting = asyncio.ensure_future(cluster.call(0, asked(7, wait_ms=1_000)))
+        waiting = asyncio.ensure_future(cluster.call(0, lease_request(7, wait_ms=1_000)))
         await asyncio.sleep(0.1)
-        assert await cluster.call(0, asked(8, lost=7, most=0)) == LeaseResponse([])
+        assert await cluster.call(0, lease_request(8, lost=7, most=0)) == LeaseResponse([])
         await cluster.stored(message("m"))
         assert await waiting == LeaseResponse([])
-        answer = await cluster.call(0, asked(9))
+        answer = await cluster.call(0, lease_request(9))
         assert len(answer.jobs) == 1
 
     play(work)
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -1,4 +1,4 @@
-"""The HTTP client for workers against small servers on loopback that misbehave, and the reporter of ends."""
+"""Tests of the HTTP worker client against misbehaving loopback servers, and of the lease end reporter."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @attrs.define
 class Exchange:
-    """One request as a server read it, and the connection that it came on."""
+    """One request as read by a server, with its connection."""
 
     head: str
     body: bytes
@@ -44,11 +44,11 @@
 
     @property
     def id(self) -> str:
-        """The message's id."""
+        """The message id of the request."""
         return self.header("X-Attempt-Id")
 
     def header(self, name: str) -> str:
-        """The value of a header, empty where it is missing."""
+        """Return the value of a header, or an empty string if it is missing."""
         for line in self.head.split("\r\n")[1:]:
             key, _, value = line.partition(": ")
             if key.lower() == name.lower():
@@ -60,10 +60,10 @@
         self.writer.write(data)
 
 
-Behaviour = Callable[[Exchange], Awaitable[None]]
+Responder = Callable[[Exchange], Awaitable[None]]
 
 
-def answer(
+def http_response(
     identifier: str, status: int = 200, signature: str = "sig", body: bytes = b"done", extra: str = ""
 ) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
@@ -74,14 +74,14 @@
 
 
 class Server:
-    """A worker on loopback whose every answer is written by a `Behaviour`."""
+    """A worker on loopback whose responses are written by a `Responder`."""
 
-    def __init__(self, behaviour: Behaviour) -> None:
-        self.behaviour = behaviour
+    def __init__(self, responder: Responder) -> None:
+        self.responder = responder
         self.exchanges: list[Exchange] = []
         self.connections = 0
         self.address = ""
-        self.closed = asyncio.Event()  # a connection has ended
+        self.closed = asyncio.Event()  # set when a connection has ended
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -92,7 +92,7 @@
                 exchange = Exchange(head, b"", number, request, reader, writer)
                 exchange.body = await reader.readexactly(int(exchange.header("Content-Length") or 0))
                 self.exchanges.append(exchange)
-                await self.behaviour(exchange)
+                await self.responder(exchange)
                 if writer.is_closing():
                     break
         writer.close()
@@ -100,9 +100,9 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(behaviour: Behaviour) -> AsyncIterator[tuple[Server, HttpWorkerClient, Endpoint]]:
-    """A server, a client, and the endpoint that stands for the server as a listed worker."""
-    server = Server(behaviour)
+async def running_server(responder: Responder) -> AsyncIterator[tuple[Server, HttpWorkerClient, Endpoint]]:
+    """Start a server; yield it with a client and its endpoint as a listed worker."""
+    server = Server(responder)
     listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
     host, port = listener.sockets[0].getsockname()
     server.address = f"{host}:{port}"
@@ -114,14 +114,14 @@
         listener.close()
 
 
-def real(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a coroutine on the loop that the program uses, as sockets need."""
+def run_on_uvloop(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run a coroutine on uvloop, which production uses, with a limit of 10 seconds."""
     uvloop.run(asyncio.wait_for(work(), 10))
 
 
-async def well(exchange: Exchange) -> None:
-    """A worker that does what it should."""
-    exchange.send(answer(exchange.id))
+async def respond_success(exchange: Exchange) -> None:
+    """Respond like a correct worker: with success and the id of the message."""
+    exchange.send(http_response(exchange.id))
 
 
 def reset(exchange: Exchange) -> None:
@@ -132,7 +132,7 @@
 class TestRequest:
     def test_the_request_is_unchanged(self) -> None:
         async def work() -> None:
-            async with serving(well) as (server, client, endpoint):
+            async with running_server(respond_success) as (server, client, endpoint):
                 message = job(
                     1,
                     body=b"\x00\xffbytes",
@@ -157,26 +157,26 @@
                 ]
                 assert exchange.body == b"\x00\xffbytes"
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_fixed_endpoint_is_reported_no_instance_and_an_empty_body_its_length(self) -> None:
+    def test_a_fixed_endpoint_gets_no_instance_header_and_an_empty_body_gets_a_length(self) -> None:
         async def work() -> None:
-            async with serving(well) as (server, client, endpoint):
+            async with running_server(respond_success) as (server, client, endpoint):
                 await client.deliver(Endpoint(endpoint.address), job(1, body=b""), TIMEOUT_S)
                 assert "X-Target-Instance" not in server.exchanges[0].head
                 assert server.exchanges[0].header("Content-Length") == "0"
 
-        real(work)
+        run_on_uvloop(work)
 
     @pytest.mark.parametrize("field", [{"ordering_key": "a\r\nX-Evil: 1"}, {"content_type": "a\nb"}])
-    def test_a_request_that_would_hold_another_header_is_never_sent(self, field: dict[str, Any]) -> None:
+    def test_a_field_with_a_line_break_prevents_the_request(self, field: dict[str, Any]) -> None:
         async def work() -> None:
-            async with serving(well) as (server, client, endpoint):
+            async with running_server(respond_success) as (server, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1, **field), TIMEOUT_S)
                 assert (outcome.result, outcome.feedback) == ("not_run", WorkerFeedback.NEUTRAL)
                 assert server.exchanges == []
 
-        real(work)
+        run_on_uvloop(work)
 
 
 class TestAnswers:
@@ -197,35 +197,35 @@
             (503, "", "unknown", WorkerFeedback.FULL),
         ],
     )
-    def test_what_a_status_means(
+    def test_the_outcome_follows_from_the_status_and_the_header(
         self, status: int, extra: str, result: str, feedback: WorkerFeedback
     ) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer(exchange.id, status, extra=extra))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response(exchange.id, status, extra=extra))
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), TIMEOUT_S)
                 assert (outcome.result, outcome.feedback) == (result, feedback)
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_running_elsewhere_is_leased_again_a_little_later(self) -> None:
+    def test_a_message_that_runs_elsewhere_has_a_retry_delay(self) -> None:
         assert interpret_response(DeliveryResponse(409, {"X-Attempt-Id": "m1"})).retry_ms == 300
 
-    def test_success_without_a_signature_is_none(self) -> None:
+    def test_a_success_without_a_signature_is_unknown(self) -> None:
         outcome = interpret_response(DeliveryResponse(200, {"X-Attempt-Id": "m1"}))
         assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
-    def test_an_answer_without_an_id_is_never_a_success_or_an_end(self) -> None:
+    def test_a_response_without_an_id_is_neither_a_success_nor_a_failure(self) -> None:
         assert not matches_message(DeliveryResponse(200, {"X-Server-Signature": "s"}), "m1")
         for status in (422, 500):
             assert interpret_response(DeliveryResponse(status, {})).result == "unknown"
         assert interpret_response(DeliveryResponse(503, {"X-Not-Executed": "1"})).result == "not_run"
 
-    def test_a_chunked_answer_must_be_complete(self) -> None:
+    def test_a_chunked_response_must_be_complete(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 head = [
                     "HTTP/1.1 200 OK",
                     "Transfer-Encoding: chunked",
@@ -242,31 +242,31 @@
                 else:
                     exchange.send(b"0\r\n\r\n")
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
                 assert (await client.deliver(endpoint, job(2), TIMEOUT_S)).result == "unknown"
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_compressed_answer_is_not_unpacked(self) -> None:
+    def test_a_compressed_response_is_not_decompressed(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer(exchange.id, body=b"no gzip", extra="Content-Encoding: gzip"))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response(exchange.id, body=b"no gzip", extra="Content-Encoding: gzip"))
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_an_interim_answer_is_passed_over(self) -> None:
+    def test_an_interim_response_is_ignored(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(b"HTTP/1.1 102 Processing\r\n\r\n" + answer(exchange.id))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(b"HTTP/1.1 102 Processing\r\n\r\n" + http_response(exchange.id))
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
 
-        real(work)
+        run_on_uvloop(work)
 
     @pytest.mark.parametrize(
         "sent",
@@ -278,47 +278,47 @@
             b"",
         ],
     )
-    def test_an_answer_cut_short_or_garbled_is_unknown(self, sent: bytes) -> None:
+    def test_a_truncated_or_invalid_response_is_unknown(self, sent: bytes) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 exchange.send(sent)
                 exchange.writer.close()
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), TIMEOUT_S)
                 assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
-        real(work)
+        run_on_uvloop(work)
 
     def test_a_reset_after_the_request_is_unknown(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 reset(exchange)
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), TIMEOUT_S)
                 assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_no_answer_is_unknown_and_its_connection_is_closed(self) -> None:
+    def test_a_response_timeout_is_unknown_and_closes_the_connection(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 if exchange.id != "m1":
-                    exchange.send(answer(exchange.id))
+                    exchange.send(http_response(exchange.id))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), VERY_SHORT_S)
                 assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
                 await server.closed.wait()
                 assert (await client.deliver(endpoint, job(2), TIMEOUT_S)).result == "success"
                 assert server.connections == 2
 
-        real(work)
+        run_on_uvloop(work)
 
     def test_no_connection_means_not_run(self) -> None:
         async def work() -> None:
-            async with serving(well) as (_, client, _unused):
+            async with running_server(respond_success) as (_, client, _unused):
                 listener = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
                 host, port = listener.sockets[0].getsockname()
                 listener.close()
@@ -327,28 +327,28 @@
                 assert (outcome.result, outcome.feedback) == ("not_run", WorkerFeedback.UNREACHABLE)
                 assert outcome.started is None
 
-        real(work)
+        run_on_uvloop(work)
 
 
 class TestConnections:
     def test_a_connection_is_reused(self) -> None:
         async def work() -> None:
-            async with serving(well) as (server, client, endpoint):
+            async with running_server(respond_success) as (server, client, endpoint):
                 for number in range(5):
                     assert (await client.deliver(endpoint, job(number), TIMEOUT_S)).result == "success"
                 assert server.connections == client.connections_opened == 1
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_one_request_at_a_time_on_each(self) -> None:
+    def test_a_connection_carries_one_request_at_a_time(self) -> None:
         async def work() -> None:
             gate = asyncio.Event()
 
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 await gate.wait()
-                exchange.send(answer(exchange.id))
+                exchange.send(http_response(exchange.id))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 tasks = [asyncio.create_task(client.deliver(endpoint, job(n), TIMEOUT_S)) for n in range(3)]
                 while len(server.exchanges) < 3:
                     await asyncio.sleep(0)
@@ -356,17 +356,17 @@
                 gate.set()
                 assert [outcome.result for outcome in await asyncio.gather(*tasks)] == ["success"] * 3
 
-        real(work)
+        run_on_uvloop(work)
 
     def test_never_more_connections_than_the_worker_accepts(self) -> None:
         async def work() -> None:
             gate = asyncio.Event()
 
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 await gate.wait()
-                exchange.send(answer(exchange.id))
+                exchange.send(http_response(exchange.id))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 narrow = attrs.evolve(endpoint, max_connections=2)
                 tasks = [asyncio.create_task(client.deliver(narrow, job(n), TIMEOUT_S)) for n in range(2)]
                 while len(server.exchanges) < 2:
@@ -377,161 +377,162 @@
                 await asyncio.gather(*tasks)
                 assert server.connections == 2
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_another_messages_answer_is_read_past(self) -> None:
-        """A worker in trouble sends an earlier answer again: the right one is still heard, then the
-        connection goes."""
+    def test_the_response_to_another_message_is_skipped(self) -> None:
+        """A faulty worker repeats an earlier response before the right one.
+
+        The client skips the repeated response, uses the right one and then closes the connection."""
 
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 if exchange.id == "m2":
-                    exchange.send(answer("m1", signature="old"))
-                exchange.send(answer(exchange.id, signature=f"for-{exchange.id}"))
+                    exchange.send(http_response("m1", signature="old"))
+                exchange.send(http_response(exchange.id, signature=f"for-{exchange.id}"))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 for number in (1, 2, 3):
                     outcome = await client.deliver(endpoint, job(number), TIMEOUT_S)
                     assert (outcome.result, outcome.signature) == ("success", f"for-m{number}")
                 assert [exchange.connection for exchange in server.exchanges] == [1, 1, 2]
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_another_messages_answer_alone_is_no_answer(self) -> None:
+    def test_a_response_to_another_message_does_not_complete_the_request(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer("other"))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response("other"))
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 outcome = await client.deliver(endpoint, job(1), VERY_SHORT_S)
                 assert (outcome.result, outcome.feedback) == ("unknown", WorkerFeedback.LOST)
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_second_answer_on_an_idle_connection_is_nobodys(self) -> None:
+    def test_a_duplicate_response_on_an_idle_connection_is_discarded(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer(exchange.id))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response(exchange.id))
                 if exchange.id == "m1":
-                    exchange.send(answer(exchange.id, 500))
+                    exchange.send(http_response(exchange.id, 500))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
                 await server.closed.wait()
                 outcome = await client.deliver(endpoint, job(2), TIMEOUT_S)
                 assert outcome.result == "success"
                 assert server.connections == 2
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_late_second_answer_ends_the_idle_connection(self) -> None:
+    def test_a_late_duplicate_response_closes_the_idle_connection(self) -> None:
         async def work() -> None:
             late = asyncio.Event()
 
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer(exchange.id))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response(exchange.id))
                 if exchange.id == "m1":
                     await late.wait()
-                    exchange.send(answer(exchange.id, 500))
+                    exchange.send(http_response(exchange.id, 500))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
                 late.set()
                 await server.closed.wait()
                 assert (await client.deliver(endpoint, job(2), TIMEOUT_S)).result == "success"
                 assert server.connections == 2
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_the_start_of_a_second_answer_is_not_the_start_of_the_next(self) -> None:
+    def test_the_start_of_a_duplicate_response_is_not_parsed_as_the_next_response(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                second = answer(exchange.id, 500)
-                exchange.send(answer(exchange.id) + (second[:-2] if exchange.id == "m1" else b""))
+            async def respond(exchange: Exchange) -> None:
+                second = http_response(exchange.id, 500)
+                exchange.send(http_response(exchange.id) + (second[:-2] if exchange.id == "m1" else b""))
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
                 assert (await client.deliver(endpoint, job(2), TIMEOUT_S)).result == "success"
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_connection_that_the_worker_closes_after_an_answer_is_not_reused(self) -> None:
+    def test_a_connection_with_connection_close_is_not_reused(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer(exchange.id, extra="Connection: close"))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response(exchange.id, extra="Connection: close"))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 for number in range(2):
                     assert (await client.deliver(endpoint, job(number), TIMEOUT_S)).result == "success"
                 assert server.connections == 2
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_an_idle_connection_is_left_before_its_announced_end(self) -> None:
+    def test_an_idle_connection_is_not_reused_close_to_its_keep_alive_timeout(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer(exchange.id, extra="Keep-Alive: timeout=0, max=9"))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response(exchange.id, extra="Keep-Alive: timeout=0, max=9"))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 for number in range(2):
                     assert (await client.deliver(endpoint, job(number), TIMEOUT_S)).result == "success"
                 assert server.connections == 2
 
-        real(work)
+        run_on_uvloop(work)
 
     def test_an_idle_connection_that_the_worker_has_closed_is_not_used(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
-                exchange.send(answer(exchange.id))
+            async def respond(exchange: Exchange) -> None:
+                exchange.send(http_response(exchange.id))
                 exchange.writer.close()
 
-            async with serving(behave) as (_, client, endpoint):
+            async with running_server(respond) as (_, client, endpoint):
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
                 while client.connections_open:
                     await asyncio.sleep(0)
                 assert (await client.deliver(endpoint, job(2), TIMEOUT_S)).result == "success"
 
-        real(work)
+        run_on_uvloop(work)
 
     @pytest.mark.parametrize("idempotent", [True, False])
-    def test_a_request_that_crossed_the_end_is_repeated_only_where_it_may_run_twice(
+    def test_a_request_on_a_just_closed_connection_is_resent_only_if_idempotent(
         self, idempotent: bool
     ) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 if exchange.connection == 1 and exchange.request == 2:
                     reset(exchange)
                 else:
-                    exchange.send(answer(exchange.id))
+                    exchange.send(http_response(exchange.id))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 endpoint = attrs.evolve(endpoint, idempotent=idempotent)
                 assert (await client.deliver(endpoint, job(1), TIMEOUT_S)).result == "success"
                 outcome = await client.deliver(endpoint, job(2), TIMEOUT_S)
                 assert outcome.result == ("success" if idempotent else "unknown")
                 assert server.connections == (2 if idempotent else 1)
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_new_connection_that_dies_is_not_tried_again(self) -> None:
+    def test_a_request_on_a_lost_new_connection_is_not_resent(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 reset(exchange)
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 outcome = await client.deliver(attrs.evolve(endpoint, idempotent=True), job(1), TIMEOUT_S)
                 assert outcome.result == "unknown"
                 assert server.connections == 1
 
-        real(work)
+        run_on_uvloop(work)
 
     def test_a_cancelled_delivery_leaves_no_connection_behind(self) -> None:
         async def work() -> None:
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 if exchange.id != "m1":
-                    exchange.send(answer(exchange.id))
+                    exchange.send(http_response(exchange.id))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 task = asyncio.create_task(client.deliver(endpoint, job(1), 5))
                 while not server.exchanges:
                     await asyncio.sleep(0)
@@ -540,26 +541,26 @@
                 await server.closed.wait()
                 assert (await client.deliver(endpoint, job(2), TIMEOUT_S)).result == "success"
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_forgotten_workers_idle_connections_end(self) -> None:
+    def test_retiring_a_worker_closes_its_idle_connections(self) -> None:
         async def work() -> None:
-            async with serving(well) as (server, client, endpoint):
+            async with running_server(respond_success) as (server, client, endpoint):
                 await client.deliver(endpoint, job(1), TIMEOUT_S)
                 client.retire(endpoint)
                 await server.closed.wait()
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_a_forgotten_workers_connection_in_use_ends_with_its_answer(self) -> None:
+    def test_a_retired_workers_busy_connection_closes_after_its_response(self) -> None:
         async def work() -> None:
             gate = asyncio.Event()
 
-            async def behave(exchange: Exchange) -> None:
+            async def respond(exchange: Exchange) -> None:
                 await gate.wait()
-                exchange.send(answer(exchange.id))
+                exchange.send(http_response(exchange.id))
 
-            async with serving(behave) as (server, client, endpoint):
+            async with running_server(respond) as (server, client, endpoint):
                 task = asyncio.create_task(client.deliver(endpoint, job(1), TIMEOUT_S))
                 while not server.exchanges:
                     await asyncio.sleep(0)
@@ -568,20 +569,20 @@
                 assert (await task).result == "success"
                 await server.closed.wait()
 
-        real(work)
+        run_on_uvloop(work)
 
-    def test_another_worker_at_the_address_gets_connections_of_its_own(self) -> None:
+    def test_another_worker_at_the_same_address_gets_its_own_connections(self) -> None:
         async def work() -> None:
-            async with serving(well) as (server, client, endpoint):
+            async with running_server(respond_success) as (server, client, endpoint):
                 await client.deliver(endpoint, job(1), TIMEOUT_S)
                 await client.deliver(attrs.evolve(endpoint, instance_id="i-2"), job(2), TIMEOUT_S)
                 assert server.connections == 2
 
-        real(work)
+        run_on_uvloop(work)
 
 
 class FinishStub:
-    """A store client that answers ends from a script, then with "taken"."""
+    """A store client that responds to `finish` from a script, and then with "taken"."""
 
     def __init__(self, script: list[str]) -> None:
         self.script = script
@@ -596,8 +597,8 @@
         return LeaseUpdateResponse(word)
 
 
-class TestEndReporter:
-    def test_repeated_until_taken_or_gone(self) -> None:
+class TestLeaseEndReporter:
+    def test_a_report_is_retried_until_taken_or_gone(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             for last in ("taken", "gone"):
                 stub = FinishStub(["unavailable", "error", "not_primary", last, "never"])
@@ -608,7 +609,7 @@
 
         play(work)
 
-    def test_given_up_after_minutes(self) -> None:
+    def test_a_report_is_dropped_after_its_timeout(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             stub, metrics = FinishStub(["unavailable"] * 10_000), DeliveryMetrics()
             began = loop.time()
@@ -618,7 +619,7 @@
 
         play(work)
 
-    def test_settling_waits_for_reports_but_not_beyond_the_deadline(self) -> None:
+    def test_flush_waits_for_reports_but_not_beyond_the_deadline(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             stub, metrics = FinishStub(["unavailable"] * 10_000), DeliveryMetrics()
             reporter = LeaseEndReporter(stub, metrics)
@@ -633,7 +634,7 @@
 
         play(work)
 
-    def test_a_bounded_number_of_given_back_jobs_waits(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_the_number_of_open_release_reports_is_bounded(self, monkeypatch: pytest.MonkeyPatch) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             stub, metrics = FinishStub(["unavailable"] * 10_000), DeliveryMetrics()
             reporter = LeaseEndReporter(stub, metrics)
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Ownership, the control of one worker, and the dispatcher over stand-ins in virtual time."""
+"""Tests of ownership, of worker flow control, and of the dispatcher with fake stores and workers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     dispatcher,
     edge,
     job,
-    listed,
+    listed_worker,
     play,
     route,
 )
@@ -59,11 +59,11 @@
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(200)]
         assert max(Counter(assign_owners(wanted, self.MEMBERS).values()).values()) <= 25
 
-    def test_the_bound_of_a_few_destinations_is_one_or_two(self) -> None:
+    def test_no_process_owns_two_of_a_few_destinations(self) -> None:
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(8)]
         assert max(Counter(assign_owners(wanted, self.MEMBERS).values()).values()) == 1
 
-    def test_a_member_that_goes_moves_little_else(self) -> None:
+    def test_removing_a_member_moves_few_other_destinations(self) -> None:
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(200)]
         before, after = assign_owners(wanted, self.MEMBERS), assign_owners(wanted, self.MEMBERS[1:])
         moved = [key for key in before if before[key] != after[key] and before[key] != "e0"]
@@ -84,7 +84,7 @@
         assert assign_owners([Destination("svc/i-1")], []) == {}
         assert preferred_owner(Destination("svc/i-1"), []) is None
 
-    def test_beyond_the_bound_of_rankings_each_takes_its_first_choice(
+    def test_above_max_rankings_each_destination_gets_its_preferred_owner(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(ownership, "MAX_RANKINGS", 10)
@@ -94,7 +94,7 @@
 
 
 def fill(control: WorkerFlowControl, now: float, most: int = 100) -> list[str]:
-    """Hand over jobs while it allows; their leases."""
+    """Send up to `most` jobs while the flow control allows it; return their leases."""
     leases = list[str]()
     while control.jobs_allowed(now) > 0 and len(leases) < most:
         lease = f"{now}-{len(leases)}"
@@ -103,8 +103,8 @@
     return leases
 
 
-class TestWorkerControl:
-    def test_first_jobs_go_at_once(self) -> None:
+class TestWorkerFlowControl:
+    def test_the_first_jobs_are_allowed_at_once(self) -> None:
         control = WorkerFlowControl(100.0, 8)
         assert control.bundle == 0.0
         assert control.jobs_allowed(100.0) == 3
@@ -120,14 +120,14 @@
         assert 16 <= control.in_flight <= 32
         assert control.bundle > 0
 
-    def test_never_much_more_out_than_its_slots(self) -> None:
+    def test_jobs_in_flight_stay_close_to_the_slots(self) -> None:
         control = WorkerFlowControl(0.0, 4)
         for tick in range(200):
             fill(control, tick * CONTROL_PERIOD_S)
         assert 4 <= control.in_flight <= 6
 
     def test_a_busy_worker_keeps_up_its_rate_and_its_bundle_stays_bounded(self) -> None:
-        """Jobs of 0.2 s on 8 slots are 40 a second; the controller is to allow about that many."""
+        """Eight slots run 40 jobs of 0.2 s per second; the flow control must allow at least 90 % of them."""
         control, due, done = WorkerFlowControl(0.0, 8), list[tuple[float, str]](), 0
         for step in range(4_000):
             now = step * 0.005
@@ -138,7 +138,7 @@
         assert done >= 0.9 * 40 * 20 * 8 / 8
         assert control.bundle <= 2.0 * CONTROL_PERIOD_S * 40 * 1.3
 
-    def test_a_quiet_spell_does_not_wind_the_bundle_up(self) -> None:
+    def test_an_idle_period_does_not_grow_the_bundle(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         control.record_sent(0.0, "a")
         control.record_feedback(0.2, "a", WorkerFeedback.DONE)
@@ -148,14 +148,14 @@
         assert control.bundle <= per_timer + 1e-6
         assert control.jobs_allowed(100.0) <= 8 + 4
 
-    def test_refused_as_full_it_rests(self) -> None:
+    def test_a_full_rejection_pauses_the_worker(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         control.record_sent(0.0, "a")
         control.record_feedback(0.01, "a", WorkerFeedback.FULL)
         assert control.jobs_allowed(0.02) == 0
         assert control.jobs_allowed(0.2) > 0
 
-    def test_slots_that_refusals_took_come_back_as_jobs_end_well_up_to_what_the_list_tells(self) -> None:
+    def test_slots_lost_by_rejections_grow_back_up_to_the_listed_capacity(self) -> None:
         control, due = WorkerFlowControl(0.0, 4), list[tuple[float, str]]()
         control.record_sent(0.0, "a")
         control.record_feedback(0.01, "a", WorkerFeedback.FULL)
@@ -167,14 +167,14 @@
             due += [(now + 0.1, lease) for lease in fill(control, now)]
         assert control.slots == 4
 
-    def test_each_refusal_in_a_row_doubles_the_pause(self) -> None:
+    def test_each_consecutive_rejection_doubles_the_pause(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         for number, pause in enumerate([0.05, 0.1, 0.2, 0.4, 0.8, 0.8]):
             control.record_sent(0.0, str(number))
             control.record_feedback(0.0, str(number), WorkerFeedback.FULL)
             assert control.resumes_at(0.0) == pytest.approx(pause)
 
-    def test_an_endpoint_without_reported_capacity_learns_it_from_refusals(self) -> None:
+    def test_the_slots_of_an_endpoint_without_capacity_shrink_on_rejections(self) -> None:
         control = WorkerFlowControl(0.0)
         for lease in ("a", "b", "c"):
             control.record_sent(0.0, lease)
@@ -193,7 +193,7 @@
             due += [(now + 0.1, lease) for lease in fill(control, now)]
         assert control.slots > 20
 
-    def test_a_rate_refusal_does_not_change_the_slots(self) -> None:
+    def test_a_rate_rejection_does_not_change_the_slots(self) -> None:
         control = WorkerFlowControl(0.0)
         control.record_sent(0.0, "a")
         control.record_feedback(0.01, "a", WorkerFeedback.RATE)
@@ -201,7 +201,7 @@
         assert control.free_slots(0.02) == 0
         assert control.free_slots(0.5) > 0
 
-    def test_a_lost_answer_makes_it_suspect_until_trials_succeed(self) -> None:
+    def test_a_lost_response_makes_a_worker_suspect_until_trials_succeed(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         control.record_sent(0.0, "a")
         assert control.record_feedback(0.3, "a", WorkerFeedback.LOST)
@@ -211,7 +211,7 @@
         for trial in range(GOOD_TRIALS):
             assert control.jobs_allowed(now) == 1
             control.record_sent(now, f"t{trial}")
-            assert control.jobs_allowed(now) == 0  # one at a time
+            assert control.jobs_allowed(now) == 0  # at most one trial job in flight
             control.record_feedback(now + 0.1, f"t{trial}", WorkerFeedback.DONE)
             now += 0.1
         assert not control.is_suspect
@@ -226,7 +226,7 @@
             now = control.resumes_at(now)
         assert waits == pytest.approx([0.5, 1.0, 2.0, 4.0])
 
-    def test_where_most_look_bad_a_suspect_worker_counts_as_well(self) -> None:
+    def test_a_suspect_worker_gets_jobs_if_suspects_are_not_isolated(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         control.record_sent(0.0, "a")
         control.record_feedback(0.3, "a", WorkerFeedback.LOST)
@@ -237,15 +237,15 @@
             < control.next_check_at(0.4)
         )
 
-    def test_failures_in_a_row_make_it_suspect_but_not_a_few(self) -> None:
+    def test_only_five_consecutive_failures_make_a_worker_suspect(self) -> None:
         control = WorkerFlowControl(0.0, 8)
-        told = []
+        suspicions = []
         for number in range(5):
             control.record_sent(0.0, str(number))
-            told.append(control.record_feedback(0.1, str(number), WorkerFeedback.FAILED))
-        assert told == [False] * 4 + [True]
+            suspicions.append(control.record_feedback(0.1, str(number), WorkerFeedback.FAILED))
+        assert suspicions == [False] * 4 + [True]
 
-    def test_a_job_out_far_beyond_the_usual_makes_it_suspect(self) -> None:
+    def test_a_job_in_flight_beyond_the_response_timeout_makes_a_worker_suspect(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         control.record_sent(0.0, "a")
         control.record_feedback(0.1, "a", WorkerFeedback.DONE)
@@ -254,14 +254,14 @@
         assert control.free_slots(2.2) == 0
         assert control.is_suspect
 
-    def test_no_connection_pauses_it_longer_each_time(self) -> None:
+    def test_each_connection_failure_lengthens_the_pause(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         for number, pause in enumerate([0.1, 0.2, 0.4, 0.8, 1.0, 1.0]):
             control.record_sent(0.0, str(number))
             control.record_feedback(0.0, str(number), WorkerFeedback.UNREACHABLE)
             assert control.resumes_at(0.0) == pytest.approx(pause)
 
-    def test_a_cold_worker_gets_less_until_it_is_warm(self) -> None:
+    def test_a_worker_in_its_warm_up_gets_fewer_jobs(self) -> None:
         control = WorkerFlowControl(0.0, 10)
         control.update_listing(10, 5.0)
         for tick in range(120):
@@ -270,20 +270,20 @@
         fill(control, 5.1)
         assert control.in_flight > 4
 
-    def test_another_worker_at_the_address_ends_it(self) -> None:
+    def test_another_worker_at_the_address_ends_dispatch(self) -> None:
         control = WorkerFlowControl(0.0, 8)
         control.record_sent(0.0, "a")
         control.record_feedback(0.1, "a", WorkerFeedback.GONE)
         assert control.jobs_allowed(100.0) == 0
 
-    def test_never_more_out_than_its_connections(self) -> None:
+    def test_jobs_in_flight_never_exceed_the_connections(self) -> None:
         control = WorkerFlowControl(0.0, 50)
         control.limit_slots(5)
         for tick in range(100):
             fill(control, tick * CONTROL_PERIOD_S)
         assert control.in_flight == 5
 
-    def test_the_step_is_divided_among_balancers(self) -> None:
+    def test_the_controller_gain_is_divided_among_balancers(self) -> None:
         alone, shared = WorkerFlowControl(0.0, 8), WorkerFlowControl(0.0, 8, balancers=4)
         alone.jobs_allowed(CONTROL_PERIOD_S)
         shared.jobs_allowed(CONTROL_PERIOD_S)
@@ -292,16 +292,18 @@
 
 def simple_cluster(workers: int = 2, members: int = 1, capacity: int = 4) -> Cluster:
     names = [edge(f"e{number}") for number in range(1, members + 1)]
-    return Cluster(names, [SVC], [route()], [listed(n, capacity=capacity) for n in range(1, workers + 1)])
+    return Cluster(
+        names, [SVC], [route()], [listed_worker(n, capacity=capacity) for n in range(1, workers + 1)]
+    )
 
 
-def model(cluster: Cluster, run_s: float = 0.2, places: int = 2) -> ModelWorkers:
+def model(cluster: Cluster, run_s: float = 0.2, queue_size: int = 2) -> ModelWorkers:
     assert cluster.state.workers is not None
-    return ModelWorkers({w.address: w.capacity for w in cluster.state.workers.workers}, run_s, places)
+    return ModelWorkers({w.address: w.capacity for w in cluster.state.workers.workers}, run_s, queue_size)
 
 
 class TestDispatcher:
-    def test_jobs_run_in_time_and_their_ends_are_reported(self) -> None:
+    def test_jobs_run_in_time_and_their_lease_ends_are_reported(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
@@ -311,7 +313,7 @@
             await asyncio.sleep(3)
             assert stores.results() == {"success": 40}
             assert stores.finished["0-1-7-1"].signature == "s-m7"
-            # 40 jobs of 0.2 s on 8 slots take 1 s at best
+            # 40 jobs of 0.2 s on 8 slots take at least 1 s
             assert max(stores.finish_times.values()) < 1.6
             assert subject.metrics.success == 40 and subject.metrics.in_flight == 0
             assert workers.begun[0][0] < 0.02
@@ -334,7 +336,7 @@
 
         play(work)
 
-    def test_an_idle_service_is_asked_for_about_once_a_second(self) -> None:
+    def test_an_idle_service_is_polled_about_once_a_second(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
@@ -345,7 +347,7 @@
 
         play(work)
 
-    def test_owners_share_the_workers_and_each_hands_over_only_to_its_own(self) -> None:
+    def test_owners_share_the_workers_and_each_delivers_only_to_its_own(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=8, members=3), LeasingStores()
             clients = [model(cluster) for _ in range(3)]
@@ -363,7 +365,7 @@
 
         play(work)
 
-    def test_a_member_that_dies_leaves_its_workers_to_the_others(self) -> None:
+    def test_the_workers_of_a_dead_member_go_to_the_others(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=8, members=2), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
@@ -393,7 +395,7 @@
 
         play(work)
 
-    def test_a_store_where_jobs_wait_is_asked_until_it_has_been_empty_for_a_while(self) -> None:
+    def test_a_store_with_waiting_jobs_is_polled_until_it_is_idle(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
@@ -409,7 +411,7 @@
 
         play(work)
 
-    def test_a_store_that_fails_is_asked_again_with_growing_pauses(self) -> None:
+    def test_a_failing_store_is_polled_with_exponential_backoff(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             stores.down.add(ADDRESSES[STORE_1])
@@ -428,7 +430,7 @@
 
         play(work)
 
-    def test_nothing_new_goes_to_a_draining_worker_and_its_jobs_in_hand_end(self) -> None:
+    def test_a_draining_worker_gets_no_new_jobs_and_completes_its_jobs_in_flight(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
@@ -436,19 +438,27 @@
             subject.start()
             stores.add(STORE_1, [job(n) for n in range(60)])
             await asyncio.sleep(0.5)
-            cluster.list_workers([listed(1, state="draining"), listed(2)])
+            cluster.list_workers([listed_worker(1, state="draining"), listed_worker(2)])
             await asyncio.sleep(0)
-            told = clock()
+            drained_at = clock()
             await asyncio.sleep(4)
-            assert [1 for at, address, _ in workers.begun if at < told and address == listed(1).address]
-            assert not [1 for at, address, _ in workers.begun if at > told and address == listed(1).address]
+            assert [
+                1
+                for at, address, _ in workers.begun
+                if at < drained_at and address == listed_worker(1).address
+            ]
+            assert not [
+                1
+                for at, address, _ in workers.begun
+                if at > drained_at and address == listed_worker(1).address
+            ]
             assert [endpoint.instance_id for endpoint in workers.retired] == ["i-1"]
             assert stores.results() == {"success": 60}
             await subject.stop(3)
 
         play(work)
 
-    def test_a_worker_no_longer_listed_gets_nothing_new(self) -> None:
+    def test_a_worker_that_is_no_longer_listed_gets_no_new_jobs(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1), LeasingStores()
             workers = model(cluster)
@@ -459,10 +469,10 @@
             stores.add(STORE_1, [job(n) for n in range(3)])
             await asyncio.sleep(4)
             assert workers.begun == []
-            # what the request that was out has leased goes back at once; then nobody asks
+            # Jobs leased by the request in flight are released at once; then no request follows.
             assert set(stores.results()) <= {"not_run"}
             assert not [1 for at, _, _ in stores.requests if at > 2]
-            cluster.list_workers([listed(1)])
+            cluster.list_workers([listed_worker(1)])
             stores.add(STORE_1, [job(9)])
             await asyncio.sleep(1)
             assert stores.finished["0-1-9-1"].result == "success"
@@ -470,19 +480,19 @@
 
         play(work)
 
-    def test_a_worker_listed_anew_at_an_address_is_another_one(self) -> None:
+    def test_a_worker_listed_at_a_reused_address_is_a_new_worker(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1), LeasingStores()
             workers = model(cluster)
-            workers.answers[listed(1).address] = DeliveryOutcome("not_run", WorkerFeedback.GONE)
+            workers.answers[listed_worker(1).address] = DeliveryOutcome("not_run", WorkerFeedback.GONE)
             subject = dispatcher(cluster, stores, workers)
             subject.start()
             stores.add(STORE_1, [job(1)])
             await asyncio.sleep(2)
             tries = len(workers.begun)
-            assert tries == 1  # 421: it is gone
+            assert tries == 1  # GONE (status 421): another worker has the address
             workers.answers.clear()
-            cluster.list_workers([evolve(listed(2), address=listed(1).address)])
+            cluster.list_workers([evolve(listed_worker(2), address=listed_worker(1).address)])
             stores.add(STORE_1, [job(2)])
             await asyncio.sleep(1)
             assert workers.endpoints[-1].instance_id == "i-2"
@@ -495,7 +505,7 @@
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
-            workers.answers[listed(1).address] = DeliveryOutcome("not_run", WorkerFeedback.FULL)
+            workers.answers[listed_worker(1).address] = DeliveryOutcome("not_run", WorkerFeedback.FULL)
             subject = dispatcher(cluster, stores, workers)
             subject.start()
             stores.add(STORE_1, [job(n) for n in range(6)])
@@ -512,7 +522,7 @@
             cluster.configure([Service("svc", rate_per_s=20.0)], [route()])
             workers = model(cluster)
             workers.answers = {
-                listed(n).address: DeliveryOutcome("not_run", WorkerFeedback.RATE, retry_ms=100)
+                listed_worker(n).address: DeliveryOutcome("not_run", WorkerFeedback.RATE, retry_ms=100)
                 for n in (1, 2)
             }
             subject = dispatcher(cluster, stores, workers)
@@ -526,7 +536,7 @@
 
         play(work)
 
-    def test_a_job_that_no_worker_takes_in_its_time_is_given_back(self) -> None:
+    def test_a_job_that_no_worker_takes_in_time_is_released(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=1), LeasingStores()
             workers = model(cluster, run_s=3.0)
@@ -548,10 +558,10 @@
 
         play(work)
 
-    def test_workers_are_not_flooded_when_the_list_tells_too_many_slots(self) -> None:
+    def test_workers_are_not_flooded_if_their_listed_capacity_is_too_high(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=20), LeasingStores()
-            workers = ModelWorkers({listed(1).address: 3}, places=1)
+            workers = ModelWorkers({listed_worker(1).address: 3}, queue_size=1)
             subject = dispatcher(cluster, stores, workers)
             subject.start()
             stores.add(STORE_1, [job(n, start_within_ms=5_000) for n in range(40)])
@@ -563,7 +573,7 @@
 
         play(work)
 
-    def test_a_dropped_route_gives_its_jobs_back_unrun(self) -> None:
+    def test_jobs_of_a_removed_route_are_released(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
@@ -578,7 +588,7 @@
 
         play(work)
 
-    def test_a_service_that_is_gone_gets_nothing(self) -> None:
+    def test_no_job_of_a_removed_service_is_delivered(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
@@ -593,7 +603,7 @@
 
         play(work)
 
-    def test_the_timeout_is_that_of_the_configuration_in_force(self) -> None:
+    def test_the_timeout_comes_from_the_current_configuration(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
@@ -607,7 +617,7 @@
 
         play(work)
 
-    def test_a_fixed_endpoint_is_delivered_to_without_an_instance(self) -> None:
+    def test_a_delivery_to_a_fixed_endpoint_has_no_instance_id(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             address = "10.3.0.1:9000"
             cluster = Cluster([edge("e1")], [Service("svc", fixed=address, max_connections=7)], [route()], [])
@@ -635,7 +645,7 @@
 
         play(work)
 
-    def test_an_end_is_reported_until_a_store_takes_it_and_never_rerun(self) -> None:
+    def test_a_lease_end_is_reported_until_acknowledged_and_the_job_runs_once(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster)
@@ -651,7 +661,7 @@
 
         play(work)
 
-    def test_a_job_whose_time_is_over_is_given_back_from_anywhere_in_the_queue(self) -> None:
+    def test_an_expired_job_is_released_from_any_position_in_the_queue(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=1), LeasingStores()
             workers = model(cluster, run_s=2.0)
@@ -670,7 +680,7 @@
 
         play(work)
 
-    def test_a_planned_stop_gives_back_what_has_not_begun_and_waits_for_the_rest(self) -> None:
+    def test_a_planned_stop_releases_queued_jobs_and_waits_for_running_ones(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster, run_s=1.0)
@@ -693,7 +703,7 @@
 
         play(work)
 
-    def test_after_a_freeze_nothing_that_was_leased_before_is_begun(self) -> None:
+    def test_no_job_leased_before_a_freeze_is_started_after_it(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(workers=1, capacity=1), LeasingStores()
             workers = model(cluster, run_s=0.3)
@@ -724,7 +734,7 @@
 
         play(work)
 
-    def test_a_stop_ends_within_its_grace(self) -> None:
+    def test_a_stop_ends_within_its_grace_period(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             workers = model(cluster, run_s=100.0)
@@ -739,14 +749,16 @@
         play(work)
 
 
-def test_a_sole_worker_that_was_down_at_first_is_tried_until_it_is_back() -> None:
-    """Seed 403 of the simulation, m000510: an endpoint that is down when its owner begins."""
+def test_a_sole_worker_that_is_down_at_first_gets_trials_until_it_recovers() -> None:
+    """Regression test for simulation seed 403, message m000510.
+
+    An endpoint that was down when its owner started never got a trial job again."""
     control = WorkerFlowControl(0.0)
     now = 0.0
     assert control.jobs_allowed(now, isolates_suspects=False) >= 1
     control.record_sent(now, "first")
     control.record_feedback(now, "first", WorkerFeedback.UNREACHABLE)
-    for number in range(40):  # more failures than any credit that it began with
+    for number in range(40):  # more failures than the initial credit allows jobs
         now += 1.0
         if control.jobs_allowed(now, isolates_suspects=False):
             control.record_sent(now, f"down-{number}")
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -1,4 +1,7 @@
-"""An edge process that was frozen begins nothing, hands out nothing and tells nothing on old leases."""
+"""After a freeze, an edge process must not use leases that may have expired.
+
+It must not start deliveries, return jobs to pull workers or send callbacks for such leases.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
     dispatcher,
     edge,
     job,
-    listed,
+    listed_worker,
     play,
     route,
 )
@@ -40,8 +43,8 @@
 RECEIVER = "callback:10.20.0.4:8080"
 
 
-def pushing() -> tuple[Cluster, LeasingStores, ModelWorkers]:
-    cluster = Cluster([edge("e1")], [Service("svc")], [route()], [listed(1)])
+def make_push_cluster() -> tuple[Cluster, LeasingStores, ModelWorkers]:
+    cluster = Cluster([edge("e1")], [Service("svc")], [route()], [listed_worker(1)])
     return cluster, LeasingStores(), ModelWorkers({"10.2.0.1:8080": 4})
 
 
@@ -64,24 +67,24 @@
 
 class TestLeases:
     @pytest.mark.parametrize("frozen_s", [0.9, 1.5, 5.0, 20.0])
-    def test_jobs_of_an_answer_that_was_read_late_are_given_back(self, frozen_s: float) -> None:
+    def test_jobs_of_a_response_that_was_read_after_a_freeze_are_released(self, frozen_s: float) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            cluster, stores, workers = pushing()
+            cluster, stores, workers = make_push_cluster()
             process = SimulatedProcess("e1")
             await start(process, cluster, stores, workers)
             stores.add(STORE_1, [job(1)])
-            await asyncio.sleep(0.001)  # the request is on its way
+            await asyncio.sleep(0.001)  # the lease request is in transit
             assert stores.requests and not workers.begun
             await freeze_for(loop, process, frozen_s)
             await asyncio.sleep(1.0)
             assert workers.begun == []
-            assert stores.results() in ({}, {"not_run": 1})  # lost with its call, or given back
+            assert stores.results() in ({}, {"not_run": 1})  # lost with the call, or released
 
         play(work)
 
-    def test_jobs_that_were_leased_late_in_a_long_poll_are_begun(self) -> None:
+    def test_jobs_leased_late_in_a_long_poll_are_started(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
-            cluster, stores, workers = pushing()
+            cluster, stores, workers = make_push_cluster()
             await start(SimulatedProcess("e1"), cluster, stores, workers)
             await asyncio.sleep(0.95)
             stores.add(STORE_1, [job(1)])
@@ -90,11 +93,11 @@
 
         play(work)
 
-    def test_a_job_whose_hand_over_was_frozen_is_not_begun(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """The process stands still after it has chosen the worker and before the delivery's first step."""
+    def test_a_job_whose_delivery_was_frozen_is_not_started(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """The process freezes after it has chosen the worker and before the delivery task starts."""
 
         async def work(loop: VirtualTimeLoop) -> None:
-            cluster, stores, workers = pushing()
+            cluster, stores, workers = make_push_cluster()
             process = SimulatedProcess("e1")
             real = WorkerFlowControl.record_sent
 
@@ -117,7 +120,7 @@
 
 
 class _SilentConnection:
-    """A connection that was opened while its process stood still."""
+    """A connection that opens while its process is frozen; it must not get a request."""
 
     is_usable = True
 
@@ -126,11 +129,11 @@
 
     async def exchange(self, request: bytes, accepts: Any, deadline: float) -> DeliveryResponse:
         self.requests.append(request)
-        raise AssertionError("sent on an old lease")
+        raise AssertionError("request sent after the start deadline")
 
 
 class TestWorkerClient:
-    def test_nothing_is_sent_on_a_connection_that_stood_only_after_a_freeze(
+    def test_nothing_is_sent_on_a_connection_that_opened_only_after_a_freeze(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
@@ -151,7 +154,7 @@
 
 class TestPullWorkers:
     @pytest.mark.parametrize("frozen_s", [0.5, 5.0, 20.0])
-    def test_a_spare_job_is_not_granted_after_a_freeze(self, frozen_s: float) -> None:
+    def test_an_unclaimed_job_is_released_after_a_freeze(self, frozen_s: float) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster = Cluster([edge("e1")], [Service("svc", pull=True)], [route()], [])
             stores, process = LeasingStores(), SimulatedProcess("e1")
@@ -163,7 +166,7 @@
             stores.add(STORE_1, [job(1)])
             await asyncio.sleep(0.05)
             loop.freeze(process)
-            call = process.run(desk.pull("svc", "i-2", 0.0))  # lies in the socket, read first after the wake
+            call = process.run(desk.pull("svc", "i-2", 0.0))  # read only after the thaw
             await asyncio.sleep(frozen_s)
             loop.thaw(process)
             assert await call is None
@@ -173,7 +176,7 @@
         play(work)
 
     @pytest.mark.parametrize("frozen_s", [0.5, 5.0, 20.0])
-    def test_a_job_that_was_given_to_a_call_before_a_freeze_is_given_back(
+    def test_a_job_assigned_to_a_call_before_a_freeze_is_released(
         self, frozen_s: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
@@ -199,7 +202,7 @@
         play(work)
 
 
-def owed(number: int) -> LeasedJob:
+def callback_job(number: int) -> LeasedJob:
     return evolve(
         job(number, service=RECEIVER, callback_url="http://10.20.0.4:8080/done"),
         state="completed",
@@ -208,30 +211,30 @@
 
 
 class _SlowReceiver:
-    """A receiver of call-backs that takes a second for each."""
+    """A callback receiver that takes one second for each callback."""
 
     def __init__(self) -> None:
-        self.heard: list[str] = []
+        self.received: list[str] = []
 
-    async def post(self, told: LeasedJob) -> str:
-        self.heard.append(told.message.id)
+    async def post(self, job_to_report: LeasedJob) -> str:
+        self.received.append(job_to_report.message.id)
         await asyncio.sleep(1.0)
         return "success"
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there are no connections."""
 
 
-class TestCallBacks:
-    def test_call_backs_leased_before_a_long_freeze_are_given_back(self) -> None:
+class TestCallbacks:
+    def test_callbacks_leased_before_a_long_freeze_are_released(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores, metrics = Cluster([edge("e1")], [], [], []), LeasingStores(), DeliveryMetrics()
             network = LeasingContext(
                 cluster.state.members["e1"], stores, cluster.state, rank_partitions, metrics
             )
             receiver, process = _SlowReceiver(), SimulatedProcess("e1")
-            stores.add(STORE_1, [owed(n) for n in range(4)])
-            stores.add(STORE_2, [owed(n) for n in range(4, 8)])
+            stores.add(STORE_1, [callback_job(n) for n in range(4)])
+            stores.add(STORE_2, [callback_job(n) for n in range(4, 8)])
 
             async def begin() -> CallbackDelivery:
                 subject = CallbackDelivery(
@@ -243,7 +246,7 @@
 
             await process.run(begin())
             await asyncio.sleep(0.5)
-            begun = list(receiver.heard)
+            begun = list(receiver.received)
             assert len(begun) == MAX_CONNECTIONS
             waiting = 8 - sum(len(queue) for queue in stores.queues.values()) - len(begun)
             assert waiting > 0
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -1,4 +1,4 @@
-"""The clients' side of an edge process without sockets: admission, answers, worker calls, load."""
+"""Tests of the intake without sockets: admission, responses, calls of pull workers, load limits."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 def request(
     target: str = "/a/1?q=2", method: str = "POST", body: bytes = b"body", host: str = HOST, **headers: str
 ) -> ClientRequest:
-    """A request; header names are given with underscores.  An empty value leaves the header out."""
+    """Return a request; underscores in header names become hyphens, and an empty value omits the header."""
     values = {"Host": host, "X-Attempt-Id": "id1"}
     values.update({name.replace("_", "-"): value for name, value in headers.items()})
     return ClientRequest(method, target, CIMultiDict({k: v for k, v in values.items() if v}), body)
@@ -98,7 +98,7 @@
 
 
 class TestAdmission:
-    def test_a_message_carries_the_request_and_its_routes_terms(self) -> None:
+    def test_a_message_contains_the_request_and_its_routes_settings(self) -> None:
         found = admitted(request(Content_Type="text/csv", X_Deadline_Ms="1500", X_Delay_Ms="20.2"))
         assert found.remaining_client_wait_s == 1.5
         assert found.message == NewMessage(
@@ -168,14 +168,14 @@
         assert isinstance(found, Rejection)
         assert (found.status, found.reason) == (status, reason)
 
-    def test_a_body_of_the_greatest_length_is_taken(self) -> None:
+    def test_a_body_of_the_maximum_length_is_accepted(self) -> None:
         assert len(admitted(request(body=b"x" * 100)).message.body) == 100
 
-    def test_ordering_keys_count_on_ordered_routes_only(self) -> None:
+    def test_only_ordered_routes_use_the_ordering_key(self) -> None:
         assert admitted(request("/o/", X_Ordering_Key="kéy")).message.ordering_key == "kéy"
         assert admitted(request("/a/", X_Ordering_Key="key")).message.ordering_key == ""
 
-    def test_call_back_urls_count_on_their_routes_only(self) -> None:
+    def test_only_callback_routes_use_the_callback_url(self) -> None:
         url = "http://10.0.0.4:8080/done"
         assert admitted(request("/t/", X_Callback_Url=url)).message.callback_url == url
         assert admitted(request("/t/")).message.callback_url == ""
@@ -190,17 +190,17 @@
             ("/c/", True),
         ],
     )
-    def test_services_with_order_or_ceiling_keep_all_messages_at_home(
+    def test_ordered_and_rate_limited_services_require_the_home_partition(
         self, target: str, requires_home: bool
     ) -> None:
         assert admitted(request(target)).requires_home is requires_home
 
-    def test_the_wait_counts_from_the_head(self) -> None:
+    def test_the_client_wait_starts_when_the_head_arrives(self) -> None:
         assert admitted(request()).remaining_client_wait_s == 1.0
         assert admitted(attrs.evolve(request(), waited_s=0.3)).remaining_client_wait_s == pytest.approx(0.7)
         assert admitted(attrs.evolve(request(), waited_s=3.0)).remaining_client_wait_s == 0.0
 
-    def test_the_head_alone_shows_a_declared_length_over_the_bound(self) -> None:
+    def test_a_declared_length_above_the_limit_is_rejected_by_the_head(self) -> None:
         assert reject_head(request(body=b""), INDEX, 100) is None
         assert reject_head(request(body=b""), INDEX, None) is None
         found = reject_head(request(body=b""), INDEX, 101)
@@ -222,7 +222,7 @@
             ("http://u@10.0.0.4:80/", False),
         ],
     )
-    def test_call_back_urls(self, url: str, valid: bool) -> None:
+    def test_callback_urls(self, url: str, valid: bool) -> None:
         assert is_valid_callback_url(url) is valid
 
     def test_numbers_and_hosts(self) -> None:
@@ -237,7 +237,7 @@
         assert host_name(" A.Example:80 ") == "a.example"
 
 
-class TestWorkerCalls:
+class TestPullWorkerHeaders:
     @pytest.mark.parametrize(
         "status, signature, result",
         [
@@ -282,7 +282,7 @@
 
 
 class FakeStore:
-    """Answers as told; `hold` makes it wait for `release`."""
+    """A message store with configurable responses; if `hold` is set, puts wait for `release`."""
 
     def __init__(self) -> None:
         self.put_answer = PutResponse("stored", "3-1-17")
@@ -318,7 +318,7 @@
 
 
 class FakePullDispatcher:
-    """Has one job or none."""
+    """A pull dispatcher that returns one fixed job or None."""
 
     def __init__(self, job: LeasedJob | None) -> None:
         self.job = job
@@ -333,7 +333,7 @@
 
 
 class World:
-    """An intake over fakes."""
+    """An intake service with a fake store and a fake pull dispatcher."""
 
     def __init__(
         self, loop: VirtualTimeLoop, job: LeasedJob | None = None, limits: IntakeLimits | None = None
@@ -342,13 +342,13 @@
         self.state = ClusterState()
         self.store = FakeStore()
         self.dispatcher = FakePullDispatcher(job)
-        self.homes_asked = 0
+        self.ranking_count = 0
         self.intake = IntakeService(self.state, self.store, self.dispatcher, self.homes, loop.time, limits)
         self.place(1, [0, 1, 2])
         self.configure(1, DOCUMENT)
 
     def homes(self, service: str, partitions: Sequence[int]) -> list[int]:
-        self.homes_asked += 1
+        self.ranking_count += 1
         return sorted(partitions, reverse=True)
 
     def place(self, version: int, partitions: list[int]) -> None:
@@ -384,89 +384,91 @@
 
 class TestMessages:
     def test_a_stored_message_is_answered_with_its_reference(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.handle(request(X_Deadline_Ms="2000"))
+        async def work(harness: World) -> None:
+            answer = await harness.handle(request(X_Deadline_Ms="2000"))
             assert (answer.status, header(answer, "X-Message-Ref")) == (202, "3-1-17")
-            assert world.store.candidates == [2, 1, 0]
-            deadline, reject_at = world.store.times
+            assert harness.store.candidates == [2, 1, 0]
+            deadline, reject_at = harness.store.times
             assert deadline == pytest.approx(1002 - RESPONSE_MARGIN_S)
             assert reject_at == pytest.approx(1000.8)
-            assert world.intake.metrics.accepted == 1
+            assert harness.intake.metrics.accepted == 1
 
         play(work)
 
-    def test_home_only_messages_have_one_candidate(self) -> None:
-        async def work(world: World) -> None:
-            await world.handle(request("/o/"))
-            assert world.store.candidates == [2]
+    def test_messages_that_require_home_have_one_candidate(self) -> None:
+        async def work(harness: World) -> None:
+            await harness.handle(request("/o/"))
+            assert harness.store.candidates == [2]
 
         play(work)
 
     def test_candidates_are_ranked_once_for_each_placement(self) -> None:
-        async def work(world: World) -> None:
-            await world.handle(request())
-            await world.handle(request())
-            assert world.homes_asked == 1
-            world.place(2, [0, 1, 2, 3])
-            await world.handle(request())
-            assert world.store.candidates == [3, 2, 1, 0]
+        async def work(harness: World) -> None:
+            await harness.handle(request())
+            await harness.handle(request())
+            assert harness.ranking_count == 1
+            harness.place(2, [0, 1, 2, 3])
+            await harness.handle(request())
+            assert harness.store.candidates == [3, 2, 1, 0]
 
         play(work)
 
     @pytest.mark.parametrize("deadline, seconds", [("1000", "0"), ("5000", "1")])
-    def test_a_message_kept_nowhere_may_be_sent_again(self, deadline: str, seconds: str) -> None:
-        async def work(world: World) -> None:
-            world.store.put_answer = PutResponse("unavailable")
-            answer = await world.handle(request(X_Deadline_Ms=deadline))
+    def test_a_message_that_no_store_accepted_gets_503_with_retry_after(
+        self, deadline: str, seconds: str
+    ) -> None:
+        async def work(harness: World) -> None:
+            harness.store.put_answer = PutResponse("unavailable")
+            answer = await harness.handle(request(X_Deadline_Ms=deadline))
             assert (answer.status, header(answer, "Retry-After")) == (503, seconds)
-            assert world.intake.metrics.refused_unavailable == 1
+            assert harness.intake.metrics.refused_unavailable == 1
 
         play(work)
 
-    def test_an_uncertain_message_gets_no_acknowledgement(self) -> None:
-        async def work(world: World) -> None:
-            world.store.put_answer = PutResponse("unknown")
-            answer = await world.handle(request())
+    def test_a_message_with_an_unknown_outcome_gets_504(self) -> None:
+        async def work(harness: World) -> None:
+            harness.store.put_answer = PutResponse("unknown")
+            answer = await harness.handle(request())
             assert (answer.status, header(answer, "Retry-After")) == (504, None)
-            assert world.intake.metrics.unknown == 1
+            assert harness.intake.metrics.unknown == 1
 
         play(work)
 
     @pytest.mark.parametrize(
         "limits", [IntakeLimits(max_puts=2), IntakeLimits(max_bytes=8)], ids=["requests", "bytes"]
     )
-    def test_too_much_under_way_is_refused_at_once(self, limits: IntakeLimits) -> None:
-        async def work(world: World) -> None:
-            world.store.hold = True
-            under_way = [asyncio.create_task(world.handle(request())) for _ in range(2)]
+    def test_a_message_above_the_load_limit_is_rejected_at_once(self, limits: IntakeLimits) -> None:
+        async def work(harness: World) -> None:
+            harness.store.hold = True
+            under_way = [asyncio.create_task(harness.handle(request())) for _ in range(2)]
             await asyncio.sleep(0)
-            answer = await world.handle(request())
+            answer = await harness.handle(request())
             assert answer.status == 503
             assert header(answer, "Retry-After") is not None
-            assert world.intake.metrics.refused_load == 1
-            assert len(world.store.calls) == 2
-            world.store.release.set()
+            assert harness.intake.metrics.refused_load == 1
+            assert len(harness.store.calls) == 2
+            harness.store.release.set()
             assert [done.status for done in await asyncio.gather(*under_way)] == [202, 202]
-            assert (await world.handle(request())).status == 202
+            assert (await harness.handle(request())).status == 202
 
         play(work, limits=limits)
 
-    def test_an_error_in_the_store_client_frees_the_place(self) -> None:
-        async def work(world: World) -> None:
-            world.store.hold = True
-            waiting = asyncio.create_task(world.handle(request()))
+    def test_a_cancelled_put_releases_the_load_limiter(self) -> None:
+        async def work(harness: World) -> None:
+            harness.store.hold = True
+            waiting = asyncio.create_task(harness.handle(request()))
             await asyncio.sleep(0)
             waiting.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await waiting
-            assert (world.intake.load_limiter.requests, world.intake.load_limiter.bytes) == (0, 0)
+            assert (harness.intake.load_limiter.requests, harness.intake.load_limiter.bytes) == (0, 0)
 
         play(work)
 
-    def test_refusals_are_counted_by_reason(self) -> None:
-        async def work(world: World) -> None:
+    def test_rejections_are_counted_by_reason(self) -> None:
+        async def work(harness: World) -> None:
             statuses = [
-                (await world.handle(wanted)).status
+                (await harness.handle(wanted)).status
                 for wanted in (
                     request("/none"),
                     request(X_Attempt_Id=""),
@@ -475,38 +477,38 @@
                 )
             ]
             assert statuses == [404, 400, 413, 503]
-            metrics = world.intake.metrics
+            metrics = harness.intake.metrics
             assert (metrics.no_route, metrics.malformed, metrics.too_large, metrics.refused_unready) == (
                 1,
                 1,
                 1,
                 1,
             )
-            assert world.store.calls == []
+            assert harness.store.calls == []
 
         play(work)
 
-    def test_without_a_configuration_nothing_is_known_to_be_absent(self) -> None:
-        async def work(world: World) -> None:
+    def test_without_a_configuration_the_status_is_503_and_not_404(self) -> None:
+        async def work(harness: World) -> None:
             intake = IntakeService(
-                ClusterState(), world.store, world.dispatcher, world.homes, world.loop.time
+                ClusterState(), harness.store, harness.dispatcher, harness.homes, harness.loop.time
             )
             for wanted in (request(), request("/pull/pulled"), request("/none")):
                 assert (await intake.handle(wanted)).status == 503
 
         play(work)
 
-    def test_a_new_configuration_counts_at_once(self) -> None:
-        async def work(world: World) -> None:
-            assert (await world.handle(request("/new/"))).status == 404
-            world.configure(2, {**DOCUMENT, "routes": [route("new", "/new/")]})
-            assert (await world.handle(request("/new/"))).status == 202
-            assert (await world.handle(request("/a/"))).status == 404
+    def test_a_new_configuration_applies_at_once(self) -> None:
+        async def work(harness: World) -> None:
+            assert (await harness.handle(request("/new/"))).status == 404
+            harness.configure(2, {**DOCUMENT, "routes": [route("new", "/new/")]})
+            assert (await harness.handle(request("/new/"))).status == 202
+            assert (await harness.handle(request("/a/"))).status == 404
 
         play(work)
 
 
-class TestStates:
+class TestMessageStatus:
     @pytest.mark.parametrize(
         "state, body",
         [
@@ -516,12 +518,12 @@
         ],
     )
     def test_a_state_is_reported(self, state: MessageStatusResponse, body: dict[str, str]) -> None:
-        async def work(world: World) -> None:
-            world.store.status_answer = state
-            answer = await world.handle(request("/message/3-1-17", "GET"))
+        async def work(harness: World) -> None:
+            harness.store.status_answer = state
+            answer = await harness.handle(request("/message/3-1-17", "GET"))
             assert (answer.status, answer.content_type) == (200, "application/json")
             assert orjson.loads(answer.body) == body
-            assert world.store.calls == [("3-1-17", False)]
+            assert harness.store.calls == [("3-1-17", False)]
 
         play(work)
 
@@ -536,35 +538,35 @@
             (MessageStatusResponse("unavailable"), 503),
         ],
     )
-    def test_a_body_is_given_back(self, answer: MessageStatusResponse, status: int) -> None:
-        async def work(world: World) -> None:
-            world.store.status_answer = answer
-            found = await world.handle(request("/message-body/3-1-17", "GET"))
+    def test_the_body_of_a_message_is_returned(self, answer: MessageStatusResponse, status: int) -> None:
+        async def work(harness: World) -> None:
+            harness.store.status_answer = answer
+            found = await harness.handle(request("/message-body/3-1-17", "GET"))
             assert found.status == status
             assert status != 200 or found.body == b"\x00b"
-            assert world.store.calls == [("3-1-17", True)]
+            assert harness.store.calls == [("3-1-17", True)]
 
         play(work)
 
     @pytest.mark.parametrize("state, status", [("unknown", 404), ("unavailable", 503), ("not_primary", 503)])
-    def test_only_what_is_certain_is_404(self, state: str, status: int) -> None:
-        async def work(world: World) -> None:
-            world.store.status_answer = MessageStatusResponse(state)
-            assert (await world.handle(request("/message/3-1-17", "GET"))).status == status
+    def test_only_an_unknown_message_gets_404(self, state: str, status: int) -> None:
+        async def work(harness: World) -> None:
+            harness.store.status_answer = MessageStatusResponse(state)
+            assert (await harness.handle(request("/message/3-1-17", "GET"))).status == status
 
         play(work)
 
-    def test_it_needs_no_configuration_and_no_head_check(self) -> None:
-        async def work(world: World) -> None:
-            intake = IntakeService(ClusterState(), world.store, None, world.homes, world.loop.time)
+    def test_a_status_request_needs_no_configuration_and_no_head_check(self) -> None:
+        async def work(harness: World) -> None:
+            intake = IntakeService(ClusterState(), harness.store, None, harness.homes, harness.loop.time)
             assert (await intake.handle(request("/message/3-1-17", "GET"))).status == 200
             assert intake.reject_head(request("/message/3-1-17", "GET"), None) is None
 
         play(work)
 
     def test_other_methods_on_these_paths_are_messages(self) -> None:
-        async def work(world: World) -> None:
-            assert (await world.handle(request("/message/3-1-17"))).status == 404
+        async def work(harness: World) -> None:
+            assert (await harness.handle(request("/message/3-1-17"))).status == 404
 
         play(work)
 
@@ -575,8 +577,10 @@
 
 class TestPulls:
     def test_a_job_is_delivered(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000"))
+        async def work(harness: World) -> None:
+            answer = await harness.handle(
+                worker_request("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000")
+            )
             assert (answer.status, answer.body) == (200, b"job")
             assert dict(answer.headers) == {
                 "X-Attempt-Id": "id1",
@@ -584,36 +588,36 @@
                 "X-Job-Path": "/a/1?q",
                 "X-Lease-Id": worker_lease_id("3-1-17-2", "id1"),
             }
-            assert world.dispatcher.calls == [("pulled", "i-1", 1.0)]
-            assert world.intake.metrics.pulls_served == 1
+            assert harness.dispatcher.calls == [("pulled", "i-1", 1.0)]
+            assert harness.intake.metrics.pulls_served == 1
 
         play(work, JOB)
 
-    def test_an_ordering_key_goes_along(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
+    def test_a_pulled_job_includes_its_ordering_key(self) -> None:
+        async def work(harness: World) -> None:
+            answer = await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
             assert header(answer, "X-Ordering-Key") == "k"
 
         message: Any = JOB.message
         play(work, LeasedJob("3-1-17-2", attrs.evolve(message, ordering_key="k"), 0, 500))
 
     def test_no_job(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="10"))
+        async def work(harness: World) -> None:
+            answer = await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="10"))
             assert answer.status == 204
-            assert world.intake.metrics.pulls_empty == 1
+            assert harness.intake.metrics.pulls_empty == 1
 
         play(work)
 
-    def test_a_job_for_a_worker_that_has_gone_is_given_back(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.handle(
+    def test_a_job_for_a_disconnected_worker_is_released(self) -> None:
+        async def work(harness: World) -> None:
+            answer = await harness.handle(
                 worker_request("/pull/pulled", X_Instance_Id="i"), is_disconnected=True
             )
             assert answer.status == 204
-            await world.intake.wait_for_background_calls()
-            assert world.store.calls == [FinishLease("3-1-17-2", "not_run")]
-            assert world.intake.metrics.jobs_given_back == 1
+            await harness.intake.wait_for_background_calls()
+            assert harness.store.calls == [FinishLease("3-1-17-2", "not_run")]
+            assert harness.intake.metrics.jobs_given_back == 1
 
         play(work, JOB)
 
@@ -627,31 +631,31 @@
         ],
     )
     def test_refusals(self, wanted: ClientRequest, status: int) -> None:
-        async def work(world: World) -> None:
-            assert (await world.handle(wanted)).status == status
-            assert world.dispatcher.calls == []
+        async def work(harness: World) -> None:
+            assert (await harness.handle(wanted)).status == status
+            assert harness.dispatcher.calls == []
 
         play(work, JOB)
 
-    def test_a_process_that_drains_does_not_keep_workers_waiting(self) -> None:
-        async def work(world: World) -> None:
-            world.intake.drain()
-            await world.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="20000"))
-            assert world.dispatcher.calls == [("pulled", "i", DRAINING_PULL_WAIT_S)]
+    def test_a_draining_process_shortens_the_wait_of_pull_calls(self) -> None:
+        async def work(harness: World) -> None:
+            harness.intake.drain()
+            await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="20000"))
+            assert harness.dispatcher.calls == [("pulled", "i", DRAINING_PULL_WAIT_S)]
 
         play(work)
 
-    def test_pulls_are_bounded(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
+    def test_the_number_of_pull_calls_is_limited(self) -> None:
+        async def work(harness: World) -> None:
+            answer = await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
             assert answer.status == 503
-            assert world.dispatcher.calls == []
+            assert harness.dispatcher.calls == []
 
         play(work, JOB, IntakeLimits(max_pulls=0))
 
-    def test_a_route_of_the_host_that_takes_the_path_goes_first(self) -> None:
-        async def work(world: World) -> None:
-            assert (await world.handle(request("/pull/taken/1"))).status == 202
+    def test_a_route_takes_precedence_over_a_worker_path(self) -> None:
+        async def work(harness: World) -> None:
+            assert (await harness.handle(request("/pull/taken/1"))).status == 202
 
         play(work, JOB)
 
@@ -673,10 +677,12 @@
             ("not_primary", 503),
         ],
     )
-    def test_the_stores_answer_decides(self, path: str, expected: Any, answer: str, status: int) -> None:
-        async def work(world: World) -> None:
-            world.store.lease_answer = LeaseUpdateResponse(answer)
-            found = await world.handle(
+    def test_the_status_follows_from_the_stores_response(
+        self, path: str, expected: Any, answer: str, status: int
+    ) -> None:
+        async def work(harness: World) -> None:
+            harness.store.lease_answer = LeaseUpdateResponse(answer)
+            found = await harness.handle(
                 worker_request(
                     path,
                     X_Lease_Id=worker_lease_id("3-1-17-2", "id1"),
@@ -685,24 +691,24 @@
                 )
             )
             assert found.status == status
-            assert world.store.calls == [expected]
+            assert harness.store.calls == [expected]
 
         play(work)
 
     @pytest.mark.parametrize("path", ["/job-end/id2", "/job-extend/id2"])
     def test_the_lease_of_another_message_is_gone(self, path: str) -> None:
-        async def work(world: World) -> None:
-            found = await world.handle(
+        async def work(harness: World) -> None:
+            found = await harness.handle(
                 worker_request(path, X_Lease_Id=worker_lease_id("3-1-17-2", "id1"), X_Job_Result="500")
             )
             assert found.status == 409
-            assert world.store.calls == []
+            assert harness.store.calls == []
 
         play(work)
 
     def test_a_failure_carries_no_signature(self) -> None:
-        async def work(world: World) -> None:
-            await world.handle(
+        async def work(harness: World) -> None:
+            await harness.handle(
                 worker_request(
                     "/job-end/id1",
                     X_Lease_Id=worker_lease_id("3-1-17-2", "id1"),
@@ -710,15 +716,15 @@
                     X_Server_Signature="sig",
                 )
             )
-            assert world.store.calls == [FinishLease("3-1-17-2", "failed")]
+            assert harness.store.calls == [FinishLease("3-1-17-2", "failed")]
 
         play(work)
 
 
-class TestHeads:
-    def test_a_request_that_cannot_be_kept_is_refused_before_its_body(self) -> None:
-        async def work(world: World) -> None:
-            refuse = world.intake.reject_head
+class TestRequestHeads:
+    def test_an_invalid_request_is_rejected_before_its_body_is_read(self) -> None:
+        async def work(harness: World) -> None:
+            refuse = harness.intake.reject_head
             found = [refuse(request("/none", body=b""), 5), refuse(request(body=b""), 101)]
             assert [answer.status for answer in found if answer is not None] == [404, 413]
             assert refuse(request(body=b""), 100) is None
--- a/tests/intake/test_intake_http.py
+++ b/tests/intake/test_intake_http.py
@@ -1,4 +1,4 @@
-"""The HTTP of an edge process on loopback sockets: good and bad requests, pull workers, drain and stop."""
+"""Tests of the HTTP servers over loopback sockets: valid and bad requests, pull workers, drain and stop."""
 
 from __future__ import annotations
 
@@ -32,7 +32,9 @@
 
 
 class FakeStore:
-    """Answers as told and keeps what it was given; while `held`, puts wait."""
+    """A message store with configurable responses that records its calls.
+
+    Puts wait until `may_answer` is set, and raise `failure` if it is set."""
 
     def __init__(self) -> None:
         self.put_answer = PutResponse("stored", "3-1-17")
@@ -68,7 +70,7 @@
 
 
 class FakePullDispatcher:
-    """Gives its job once it may."""
+    """A pull dispatcher that returns `job` once `may_answer` is set."""
 
     def __init__(self) -> None:
         self.job: LeasedJob | None = None
@@ -83,7 +85,7 @@
 
 
 class Answer:
-    """A parsed HTTP answer."""
+    """A parsed HTTP response."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         first, *lines = head.decode().split("\r\n")
@@ -93,7 +95,7 @@
 
 
 class Client:
-    """One connection, spoken to in bytes."""
+    """A client connection on which a test sends raw bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -113,15 +115,15 @@
         return await self.answer()
 
     async def closed(self) -> bool:
-        """Whether the server ends the connection without another byte."""
+        """Return whether the server closes the connection without sending another byte."""
         try:
             return await self.reader.read(1) == b""
         except ConnectionError:
             return True
 
 
-class World:
-    """An edge process's HTTP over a fake store."""
+class FrontendHarness:
+    """The HTTP servers of an edge process with a fake store and a fake pull dispatcher."""
 
     def __init__(self, limits: IntakeLimits | None = None) -> None:
         self.state = ClusterState()
@@ -158,15 +160,15 @@
         await self.edge.stop(0.2)
 
 
-def play(work: Callable[[World], Awaitable[None]], limits: IntakeLimits | None = None) -> None:
+def play(work: Callable[[FrontendHarness], Awaitable[None]], limits: IntakeLimits | None = None) -> None:
     async def run() -> None:
-        world = World(limits)
-        await world.edge.start()
+        harness = FrontendHarness(limits)
+        await harness.edge.start()
         try:
             async with asyncio.timeout(5):
-                await work(world)
+                await work(harness)
         finally:
-            await world.end()
+            await harness.end()
 
     uvloop.run(run())
 
@@ -193,69 +195,69 @@
 
 class TestMessages:
     def test_a_body_with_a_length(self) -> None:
-        async def work(world: World) -> None:
-            answer = await (await world.client()).ask(post(extra="Content-Type: text/csv\r\n"))
+        async def work(harness: FrontendHarness) -> None:
+            answer = await (await harness.client()).ask(post(extra="Content-Type: text/csv\r\n"))
             assert (answer.status, answer.headers["x-message-ref"]) == (202, "3-1-17")
-            (message,) = world.store.messages
+            (message,) = harness.store.messages
             assert (message.method, message.path, message.host) == ("POST", "/a/1?q=2", HOST)
             assert (message.body, message.id, message.content_type) == (b"body", "id1", "text/csv")
 
         play(work)
 
     def test_a_body_in_chunks(self) -> None:
-        async def work(world: World) -> None:
-            answer = await (await world.client()).ask(chunked([b"one", b"x" * 70_000, b"three"]))
+        async def work(harness: FrontendHarness) -> None:
+            answer = await (await harness.client()).ask(chunked([b"one", b"x" * 70_000, b"three"]))
             assert answer.status == 202
-            assert world.store.messages[0].body == b"one" + b"x" * 70_000 + b"three"
+            assert harness.store.messages[0].body == b"one" + b"x" * 70_000 + b"three"
 
         play(work)
 
     def test_a_body_in_many_segments(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             data = chunked([b"abc", b"def"])
             for start in range(0, len(data), 7):
                 client.send(data[start : start + 7])
                 await asyncio.sleep(0)
             assert (await client.answer()).status == 202
-            assert world.store.messages[0].body == b"abcdef"
-            assert world.intake.load_limiter.bytes == 0
+            assert harness.store.messages[0].body == b"abcdef"
+            assert harness.intake.load_limiter.bytes == 0
 
         play(work)
 
     def test_a_compressed_body_stays_as_it_is(self) -> None:
-        async def work(world: World) -> None:
-            answer = await (await world.client()).ask(post(b"not gzip", extra="Content-Encoding: gzip\r\n"))
+        async def work(harness: FrontendHarness) -> None:
+            answer = await (await harness.client()).ask(post(b"not gzip", extra="Content-Encoding: gzip\r\n"))
             assert answer.status == 202
-            assert world.store.messages[0].body == b"not gzip"
+            assert harness.store.messages[0].body == b"not gzip"
 
         play(work)
 
     @pytest.mark.parametrize("path", ["/a/%2e%2E/%2F?b=%20&c=+", "/a//b/../c;x=1?d#", "/a/?"])
     def test_the_path_stays_as_it_is(self, path: str) -> None:
-        async def work(world: World) -> None:
-            assert (await (await world.client()).ask(post(path=path))).status == 202
-            assert world.store.messages[0].path == path
+        async def work(harness: FrontendHarness) -> None:
+            assert (await (await harness.client()).ask(post(path=path))).status == 202
+            assert harness.store.messages[0].path == path
 
         play(work)
 
     def test_no_body_and_other_methods(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             request = f"GET /a/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: id7\r\n\r\n".encode()
             assert (await client.ask(request)).status == 202
-            assert (world.store.messages[0].method, world.store.messages[0].body) == ("GET", b"")
+            assert (harness.store.messages[0].method, harness.store.messages[0].body) == ("GET", b"")
 
         play(work)
 
-    def test_a_connection_serves_many_and_ids_may_repeat(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_a_connection_serves_many_requests_and_ids_may_repeat(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             for _ in range(3):
                 assert (await client.ask(post())).status == 202
             client.send(post(b"one") + post(b"two"))
             assert [(await client.answer()).status for _ in range(2)] == [202, 202]
-            assert [message.body for message in world.store.messages[3:]] == [b"one", b"two"]
+            assert [message.body for message in harness.store.messages[3:]] == [b"one", b"two"]
 
         play(work)
 
@@ -266,50 +268,52 @@
             (PutResponse("unknown"), 504, None),
         ],
     )
-    def test_what_the_store_says(self, answer: PutResponse, status: int, retry: str | None) -> None:
-        async def work(world: World) -> None:
-            world.store.put_answer = answer
-            found = await (await world.client()).ask(post())
+    def test_the_status_follows_from_the_put_response(
+        self, answer: PutResponse, status: int, retry: str | None
+    ) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.store.put_answer = answer
+            found = await (await harness.client()).ask(post())
             assert (found.status, found.headers.get("retry-after")) == (status, retry)
 
         play(work)
 
-    def test_an_error_of_the_program_promises_nothing(self) -> None:
-        async def work(world: World) -> None:
-            world.store.failure = RuntimeError("a fault")
-            client = await world.client()
+    def test_an_unexpected_exception_gets_504(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.store.failure = RuntimeError("a fault")
+            client = await harness.client()
             assert (await client.ask(post())).status == 504
-            assert [str(error) for error in world.errors] == ["a fault"]
-            world.store.failure = None
+            assert [str(error) for error in harness.errors] == ["a fault"]
+            harness.store.failure = None
             assert (await client.ask(post())).status == 202
 
         play(work)
 
-    def test_too_much_under_way(self) -> None:
-        async def work(world: World) -> None:
-            world.store.may_answer.clear()
-            first, second = await world.client(), await world.client()
+    def test_a_message_above_the_load_limit_gets_503(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.store.may_answer.clear()
+            first, second = await harness.client(), await harness.client()
             first.send(post())
-            await world.store.put_seen.wait()
+            await harness.store.put_seen.wait()
             answer = await second.ask(post())
             assert (answer.status, "retry-after" in answer.headers) == (503, True)
-            world.store.may_answer.set()
+            harness.store.may_answer.set()
             assert (await first.answer()).status == 202
 
         play(work, IntakeLimits(max_puts=1))
 
-    def test_a_message_is_followed_to_its_end_when_its_client_has_gone(self) -> None:
-        async def work(world: World) -> None:
-            world.store.may_answer.clear()
-            client = await world.client()
+    def test_a_put_is_completed_after_its_client_has_disconnected(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.store.may_answer.clear()
+            client = await harness.client()
             client.send(post())
-            await world.store.put_seen.wait()
+            await harness.store.put_seen.wait()
             client.writer.transport.abort()
             await asyncio.sleep(0.01)
-            world.store.may_answer.set()
-            while world.intake.load_limiter.requests:
+            harness.store.may_answer.set()
+            while harness.intake.load_limiter.requests:
                 await asyncio.sleep(0)
-            assert world.intake.metrics.accepted == 1
+            assert harness.intake.metrics.accepted == 1
 
         play(work)
 
@@ -354,140 +358,142 @@
             "absolute form",
         ],
     )
-    def test_each_is_refused_and_never_kept(self, data: bytes, status: int) -> None:
-        async def work(world: World) -> None:
-            answer = await (await world.client()).ask(data)
+    def test_a_bad_request_is_rejected_and_never_stored(self, data: bytes, status: int) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            answer = await (await harness.client()).ask(data)
             assert answer.status == status
-            assert world.store.messages == []
-            assert (world.intake.load_limiter.requests, world.intake.load_limiter.bytes) == (0, 0)
-            assert world.errors == []
+            assert harness.store.messages == []
+            assert (harness.intake.load_limiter.requests, harness.intake.load_limiter.bytes) == (0, 0)
+            assert harness.errors == []
 
         play(work)
 
-    def test_a_chunk_that_goes_bad_after_others(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_an_invalid_chunk_after_valid_ones_times_out(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             client.send(
                 post(b"3\r\nabc\r\n", length=-1, extra="Transfer-Encoding: chunked\r\nX-Deadline-Ms: 60\r\n")
             )
             await asyncio.sleep(0.01)
             answer = await client.ask(b"zz\r\n")
-            assert answer.status == 408  # the library does not tell of it: the body counts as not come
+            assert answer.status == 408  # aiohttp does not report the invalid chunk, so the body times out
             assert await client.closed()
-            assert world.store.messages == []
+            assert harness.store.messages == []
 
         play(work)
 
-    def test_a_length_that_promises_more_times_out(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_a_body_shorter_than_its_declared_length_times_out(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             answer = await client.ask(post(b"short", length=50))
             assert answer.status == 408
-            assert world.store.messages == []
-            assert world.intake.metrics.body_timeouts == 1
+            assert harness.store.messages == []
+            assert harness.intake.metrics.body_timeouts == 1
 
         play(work)
 
-    def test_a_body_broken_off_is_not_kept(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_an_incomplete_body_is_not_stored(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             client.send(post(b"short", length=50))
             await asyncio.sleep(0.01)
             client.writer.close()
-            while not world.intake.metrics.broken_off:
+            while not harness.intake.metrics.broken_off:
                 await asyncio.sleep(0.001)
-            assert world.store.messages == []
-            assert world.intake.load_limiter.requests == 0
+            assert harness.store.messages == []
+            assert harness.intake.load_limiter.requests == 0
 
         play(work)
 
-    def test_bytes_after_the_declared_length_in_one_segment_spoil_the_request(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_extra_bytes_in_the_same_segment_make_the_request_invalid(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             client.send(post(b"body and more\r\n\r\n", length=4))
             assert (await client.answer()).status == 400
             assert await client.closed()
-            assert world.store.messages == []
+            assert harness.store.messages == []
 
         play(work)
 
-    def test_bytes_after_the_declared_length_that_come_later_are_no_part_of_the_message(self) -> None:
-        async def work(world: World) -> None:
-            world.store.may_answer.clear()
-            client = await world.client()
+    def test_extra_bytes_that_arrive_later_are_not_part_of_the_message(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.store.may_answer.clear()
+            client = await harness.client()
             client.send(post(b"body"))
-            await world.store.put_seen.wait()
+            await harness.store.put_seen.wait()
             client.send(b" and more\r\n\r\n")
             await asyncio.sleep(0.01)
-            world.store.may_answer.set()
+            harness.store.may_answer.set()
             assert (await client.answer()).status == 202
             assert (await client.answer()).status == 400
             assert await client.closed()
-            assert [message.body for message in world.store.messages] == [b"body"]
+            assert [message.body for message in harness.store.messages] == [b"body"]
 
         play(work)
 
-    def test_a_large_body_refused_early_does_not_destroy_the_answer(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_the_early_rejection_of_a_large_body_reaches_the_client(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             client.send(post(b"x" * 1_000_000))
             assert (await client.answer()).status == 413
 
         play(work)
 
-    def test_a_body_that_was_not_read_ends_the_connection(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_an_unread_body_closes_the_connection(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             answer = await client.ask(post(b"", path="/b/", length=50_000))
             assert (answer.status, answer.headers["connection"]) == (404, "close")
 
         play(work)
 
-    def test_new_limits_count_for_new_connections(self) -> None:
-        async def work(world: World) -> None:
+    def test_new_limits_apply_to_new_connections(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
             large = post(extra="X-Big: " + "x" * 5000 + "\r\n")
-            assert (await (await world.client()).ask(large)).status == 400
-            world.configure(2, {**DOCUMENT, "limits": {**LIMITS, "maxHeaderBytes": 8000}})
-            assert (await (await world.client()).ask(large)).status == 202
+            assert (await (await harness.client()).ask(large)).status == 400
+            harness.configure(2, {**DOCUMENT, "limits": {**LIMITS, "maxHeaderBytes": 8000}})
+            assert (await (await harness.client()).ask(large)).status == 202
 
         play(work)
 
-    def test_bytes_under_way_are_bounded_while_bodies_come(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_bytes_are_limited_while_bodies_arrive(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             answer = await client.ask(post(b"x" * 40_000, length=50_000))
             assert answer.status == 503
-            assert (world.intake.load_limiter.requests, world.intake.load_limiter.bytes) == (0, 0)
+            assert (harness.intake.load_limiter.requests, harness.intake.load_limiter.bytes) == (0, 0)
 
         play(work, IntakeLimits(max_bytes=30_000))
 
-    def test_expect_continue_is_answered(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_expect_continue_gets_an_interim_response(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             client.send(post(b"", length=4, extra="Expect: 100-continue\r\n"))
             assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             assert (await client.ask(b"body")).status == 202
-            assert world.store.messages[0].body == b"body"
+            assert harness.store.messages[0].body == b"body"
 
         play(work)
 
     @pytest.mark.parametrize(
         "sent", [b"", f"POST /a/ HTTP/1.1\r\nHost: {HOST}\r\n".encode()], ids=["nothing", "half a head"]
     )
-    def test_a_first_request_that_does_not_come(self, sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_a_connection_without_a_first_request_is_closed(
+        self, sent: bytes, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         monkeypatch.setattr("hollowusher.intake.server.SWEEP_INTERVAL_S", 0.05)
 
-        async def work(world: World) -> None:
-            client = await world.client()
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             client.send(sent)
             assert await client.closed()
-            assert world.intake.metrics.header_timeouts == 1
+            assert harness.intake.metrics.header_timeouts == 1
 
         play(work)
 
     def test_an_idle_connection_is_closed(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             assert (await client.ask(post())).status == 202
             started = asyncio.get_running_loop().time()
             assert await client.closed()
@@ -496,10 +502,10 @@
         play(work)
 
 
-class TestStates:
+class TestMessageStatus:
     def test_state_and_body(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             state = await client.ask(f"GET /message/3-1-17 HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode())
             assert (state.status, orjson.loads(state.body)) == (200, {"state": "queued"})
             body = await client.ask(f"GET /message-body/3-1-17 HTTP/1.1\r\nHost: {HOST}\r\n\r\n".encode())
@@ -516,10 +522,10 @@
 
 
 class TestPullWorkers:
-    def test_a_job_and_its_end(self) -> None:
-        async def work(world: World) -> None:
-            world.dispatcher.job = JOB
-            client = await world.client()
+    def test_a_job_is_pulled_extended_and_ended(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.dispatcher.job = JOB
+            client = await harness.client()
             job = await client.ask(worker_call("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000"))
             assert (job.status, job.body) == (200, b"job")
             assert {name: job.headers[name] for name in ("x-attempt-id", "x-job-method", "x-job-path")} == {
@@ -533,13 +539,13 @@
                 worker_call("/job-end/id1", X_Lease_Id=lease, X_Job_Result="200", X_Server_Signature="sig")
             )
             assert (extended.status, ended.status) == (200, 200)
-            assert world.store.finished == [FinishLease("3-1-17-2", "success", "sig")]
+            assert harness.store.finished == [FinishLease("3-1-17-2", "success", "sig")]
 
         play(work)
 
     def test_no_job(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             for _ in range(2):
                 answer = await client.ask(worker_call("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="5"))
                 assert (answer.status, answer.body) == (204, b"")
@@ -547,28 +553,28 @@
         play(work)
 
     @pytest.mark.parametrize("answer, status", [("gone", 409), ("unavailable", 503)])
-    def test_an_end_that_is_not_taken(self, answer: str, status: int) -> None:
-        async def work(world: World) -> None:
-            world.store.lease_answer = LeaseUpdateResponse(answer)
-            found = await (await world.client()).ask(
+    def test_a_job_end_that_the_store_does_not_take(self, answer: str, status: int) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.store.lease_answer = LeaseUpdateResponse(answer)
+            found = await (await harness.client()).ask(
                 worker_call("/job-end/id1", X_Lease_Id=worker_lease_id("3-1-17-2", "id1"), X_Job_Result="500")
             )
             assert found.status == status
 
         play(work)
 
-    def test_a_job_for_a_closed_connection_is_given_back(self) -> None:
-        async def work(world: World) -> None:
-            world.dispatcher.job = JOB
-            world.dispatcher.may_answer.clear()
-            client = await world.client()
+    def test_a_job_for_a_closed_connection_is_released(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.dispatcher.job = JOB
+            harness.dispatcher.may_answer.clear()
+            client = await harness.client()
             client.send(worker_call("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="1000"))
-            await world.dispatcher.asked.wait()
+            await harness.dispatcher.asked.wait()
             client.writer.transport.abort()
             await asyncio.sleep(0.01)
-            world.dispatcher.may_answer.set()
-            await world.store.finish_seen.wait()
-            assert world.store.finished == [FinishLease("3-1-17-2", "not_run")]
+            harness.dispatcher.may_answer.set()
+            await harness.store.finish_seen.wait()
+            assert harness.store.finished == [FinishLease("3-1-17-2", "not_run")]
 
         play(work)
 
@@ -576,76 +582,76 @@
 READY = b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class TestEnds:
+class TestReadinessAndShutdown:
     def test_readiness(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client(world.edge.readiness.address)
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client(harness.edge.readiness.address)
             assert (await client.ask(READY)).status == 200
-            world.ready = False
+            harness.ready = False
             assert (await client.ask(READY)).status == 503
             assert (await client.ask(READY.replace(b"readyz", b"other"))).status == 404
 
         play(work)
 
-    def test_a_draining_process_is_unready_and_closes_after_answers(self) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_a_draining_process_is_not_ready_and_closes_connections_after_responses(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             assert "connection" not in (await client.ask(post())).headers
-            world.edge.drain()
-            probe = await world.client(world.edge.readiness.address)
+            harness.edge.drain()
+            probe = await harness.client(harness.edge.readiness.address)
             assert (await probe.ask(READY)).status == 503
             answer = await client.ask(post())
             assert (answer.status, answer.headers["connection"]) == (202, "close")
             assert await client.closed()
-            assert (await (await world.client()).ask(post())).status == 202
+            assert (await (await harness.client()).ask(post())).status == 202
 
         play(work)
 
     @pytest.mark.parametrize("turns", range(8))
-    def test_a_request_that_comes_at_a_stop_is_answered_if_it_was_kept(self, turns: int) -> None:
-        async def work(world: World) -> None:
-            client = await world.client()
+    def test_a_request_that_arrives_during_a_stop_gets_a_response_if_stored(self, turns: int) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            client = await harness.client()
             assert (await client.ask(post())).status == 202
             client.send(post(b"at the stop"))
             for _ in range(turns):
                 await asyncio.sleep(0)
-            await world.edge.stop(1)
-            if len(world.store.messages) == 2:
+            await harness.edge.stop(1)
+            if len(harness.store.messages) == 2:
                 assert (await client.answer()).status == 202
             assert await client.closed()
 
         play(work)
 
-    def test_stop_waits_for_requests_under_way(self) -> None:
-        async def work(world: World) -> None:
-            world.configure(2, {**DOCUMENT, "limits": {**LIMITS, "idleTimeoutMs": 60_000}})
-            idle, busy = await world.client(), await world.client()
+    def test_stop_waits_for_requests_in_progress(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.configure(2, {**DOCUMENT, "limits": {**LIMITS, "idleTimeoutMs": 60_000}})
+            idle, busy = await harness.client(), await harness.client()
             assert (await idle.ask(post())).status == 202
-            world.store.put_seen.clear()
-            world.store.may_answer.clear()
+            harness.store.put_seen.clear()
+            harness.store.may_answer.clear()
             busy.send(post())
-            await world.store.put_seen.wait()
-            stopping = asyncio.create_task(world.edge.stop(3))
+            await harness.store.put_seen.wait()
+            stopping = asyncio.create_task(harness.edge.stop(3))
             assert await idle.closed()
             await asyncio.sleep(0.02)
             assert not stopping.done()
-            world.store.may_answer.set()
+            harness.store.may_answer.set()
             assert (await busy.answer()).status == 202
             await stopping
             assert await busy.closed()
             with pytest.raises(OSError):
-                await world.client()
+                await harness.client()
 
         play(work)
 
-    def test_stop_ends_with_its_grace(self) -> None:
-        async def work(world: World) -> None:
-            world.store.may_answer.clear()
-            client = await world.client()
+    def test_stop_ends_after_its_grace_period(self) -> None:
+        async def work(harness: FrontendHarness) -> None:
+            harness.store.may_answer.clear()
+            client = await harness.client()
             client.send(post())
-            await world.store.put_seen.wait()
+            await harness.store.put_seen.wait()
             started = asyncio.get_running_loop().time()
-            await world.edge.stop(0.1)
+            await harness.edge.stop(0.1)
             assert asyncio.get_running_loop().time() - started < 1
             assert await client.closed()
 
--- a/tests/intake/test_store_client.py
+++ b/tests/intake/test_store_client.py
@@ -1,4 +1,4 @@
-"""The calls from an edge process to the stores: choice of partition, repeats, suspicion.  In virtual time."""
+"""Tests of the store client in virtual time: choice of partition, retries and failure detection."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 
 class SilentStore:
-    """As an answer: the call waits until its timeout."""
+    """A script entry: the call gets no response and times out."""
 
 
 @attrs.define
 class SlowAnswer:
-    """An answer that comes after some seconds."""
+    """A script entry: the response arrives after a delay in seconds."""
 
     seconds: float
     answer: Any
 
 
 class ScriptedTransport:
-    """Gives each address its scripted answers in turn, the last one for ever."""
+    """A transport with a script of responses for each address; the last response repeats forever."""
 
     def __init__(self, scripts: dict[str, list[Any]]) -> None:
         self.address = "10.0.0.9:7780"
@@ -67,16 +67,16 @@
         return answer
 
     def send(self, address: str, message: Any) -> None:
-        raise AssertionError("nothing is sent without an answer")
+        raise AssertionError("unexpected one-way message")
 
     async def start(self, handler: Handler) -> None:
-        raise AssertionError("not to be started here")
+        raise AssertionError("the store client must not start the transport")
 
     async def close(self) -> None:
-        raise AssertionError("not to be closed here")
+        raise AssertionError("the store client must not close the transport")
 
     def puts(self) -> list[tuple[str, int]]:
-        """Address and partition of every put."""
+        """Return the address and the partition of each put."""
         return [
             (address, message.partition)
             for _, address, message in self.calls
@@ -96,7 +96,7 @@
 
 
 def place(state: ClusterState, version: int, primaries: dict[int, str], epoch: int = 1) -> None:
-    """Publish a placement: partition -> store name."""
+    """Apply a placement; `primaries` maps partitions to store names."""
     entries = [
         PartitionPlacement(number, epoch, f"{name}/d", [f"{name}/d"]) for number, name in primaries.items()
     ]
@@ -109,7 +109,7 @@
 
 
 def cluster() -> ClusterState:
-    """Partition 0 at store one, 1 at two, 2 at three."""
+    """Return a cluster state in which the primaries of partitions 0, 1, 2 are the stores one, two, three."""
     state = ClusterState()
     for name, address in (("one", ONE), ("two", TWO), ("three", THREE)):
         announce(state, name, address)
@@ -117,8 +117,8 @@
     return state
 
 
-class World:
-    """A client over a scripted transport in virtual time; deadlines count from the start."""
+class StoreClientHarness:
+    """A store client over a scripted transport; its times are seconds since the start of the test."""
 
     def __init__(self, loop: VirtualTimeLoop, scripts: dict[str, list[Any]]) -> None:
         self.loop = loop
@@ -140,19 +140,21 @@
         )
 
 
-def play(scripts: dict[str, list[Any]], work: Callable[[World], Coroutine[Any, Any, Any]]) -> None:
+def play(
+    scripts: dict[str, list[Any]], work: Callable[[StoreClientHarness], Coroutine[Any, Any, Any]]
+) -> None:
     loop = VirtualTimeLoop()
     try:
-        loop.play(work(World(loop, scripts)))
+        loop.play(work(StoreClientHarness(loop, scripts)))
     finally:
         loop.shut()
 
 
 class TestPut:
-    def test_the_first_candidate_takes_it(self) -> None:
-        async def work(world: World) -> None:
-            assert await world.put([1, 0]) == STORED
-            assert world.transport.puts() == [(TWO, 1)]
+    def test_the_first_candidate_stores_the_message(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            assert await harness.put([1, 0]) == STORED
+            assert harness.transport.puts() == [(TWO, 1)]
 
         play({TWO: [STORED]}, work)
 
@@ -165,28 +167,28 @@
         ],
         ids=["not_primary", "unavailable", "refused"],
     )
-    def test_a_certain_refusal_lets_another_candidate_take_it(self, answer: Any) -> None:
-        async def work(world: World) -> None:
-            assert await world.put([0, 1]) == STORED
-            assert world.transport.puts() == [(ONE, 0), (TWO, 1)]
+    def test_after_a_certain_rejection_another_candidate_stores_the_message(self, answer: Any) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            assert await harness.put([0, 1]) == STORED
+            assert harness.transport.puts() == [(ONE, 0), (TWO, 1)]
 
         play({ONE: [answer], TWO: [STORED]}, work)
 
     @pytest.mark.parametrize(
         "answer", [PutResponse("unknown"), lost(ONE), SilentStore()], ids=["unknown", "lost", "silent"]
     )
-    def test_an_uncertain_put_is_repeated_at_the_same_partition_only(self, answer: Any) -> None:
-        async def work(world: World) -> None:
-            assert await world.put([0, 1]) == STORED
-            assert world.transport.puts() == [(ONE, 0), (ONE, 0)]
+    def test_an_uncertain_put_is_retried_only_at_the_same_partition(self, answer: Any) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            assert await harness.put([0, 1]) == STORED
+            assert harness.transport.puts() == [(ONE, 0), (ONE, 0)]
 
         play({ONE: [answer, STORED], TWO: [STORED]}, work)
 
-    def test_certain_refusals_after_an_uncertain_put_leave_it_unknown(self) -> None:
-        async def work(world: World) -> None:
-            assert (await world.put([0, 1])).status == "unknown"
-            assert world.now() == pytest.approx(1.0, abs=0.01)
-            assert {address for address, _ in world.transport.puts()} == {ONE}
+    def test_certain_rejections_after_an_uncertain_put_leave_its_outcome_unknown(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            assert (await harness.put([0, 1])).status == "unknown"
+            assert harness.now() == pytest.approx(1.0, abs=0.01)
+            assert {address for address, _ in harness.transport.puts()} == {ONE}
 
         play(
             {
@@ -196,86 +198,86 @@
             work,
         )
 
-    def test_nothing_sent_by_the_deadline_is_unavailable(self) -> None:
-        async def work(world: World) -> None:
-            assert (await world.put([0])).status == "unavailable"
-            assert world.now() == pytest.approx(1.0, abs=0.01)
+    def test_a_put_that_was_never_sent_is_unavailable_at_the_deadline(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            assert (await harness.put([0])).status == "unavailable"
+            assert harness.now() == pytest.approx(1.0, abs=0.01)
 
         play({ONE: [refused(ONE)]}, work)
 
-    def test_patience_ends_before_the_deadline_only_while_nothing_was_sent(self) -> None:
-        async def certain(world: World) -> None:
-            assert (await world.put([0], reject_at=0.4)).status == "unavailable"
-            assert world.now() == pytest.approx(0.4, abs=0.01)
+    def test_reject_at_applies_only_while_no_put_was_sent(self) -> None:
+        async def certain(harness: StoreClientHarness) -> None:
+            assert (await harness.put([0], reject_at=0.4)).status == "unavailable"
+            assert harness.now() == pytest.approx(0.4, abs=0.01)
 
-        async def uncertain(world: World) -> None:
-            assert (await world.put([0], reject_at=0.4)).status == "unknown"
-            assert world.now() == pytest.approx(1.0, abs=0.01)
+        async def uncertain(harness: StoreClientHarness) -> None:
+            assert (await harness.put([0], reject_at=0.4)).status == "unknown"
+            assert harness.now() == pytest.approx(1.0, abs=0.01)
 
         play({ONE: [refused(ONE)]}, certain)
         play({ONE: [lost(ONE)]}, uncertain)
 
-    def test_an_unknown_primary_is_passed_over(self) -> None:
-        async def work(world: World) -> None:
-            place(world.state, 2, {0: "nobody", 1: "two"})
-            assert await world.put([0, 1]) == STORED
-            assert world.transport.puts() == [(TWO, 1)]
+    def test_a_partition_without_a_known_primary_is_skipped(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            place(harness.state, 2, {0: "nobody", 1: "two"})
+            assert await harness.put([0, 1]) == STORED
+            assert harness.transport.puts() == [(TWO, 1)]
 
         play({TWO: [STORED]}, work)
 
-    def test_it_waits_for_a_placement_and_goes_on_at_once(self) -> None:
-        async def work(world: World) -> None:
-            place(world.state, 2, {0: "nobody"})
-            waiting = asyncio.create_task(world.put([0]))
+    def test_a_put_waits_for_a_placement_and_then_continues_at_once(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            place(harness.state, 2, {0: "nobody"})
+            waiting = asyncio.create_task(harness.put([0]))
             await asyncio.sleep(0.5)
-            place(world.state, 3, {0: "three"}, epoch=2)
+            place(harness.state, 3, {0: "three"}, epoch=2)
             assert await waiting == STORED
-            assert world.now() == pytest.approx(0.501)
+            assert harness.now() == pytest.approx(0.501)
 
         play({THREE: [STORED]}, work)
 
-    def test_a_put_under_way_follows_its_partition_to_the_next_primary(self) -> None:
-        async def work(world: World) -> None:
-            waiting = asyncio.create_task(world.put([0, 1]))
+    def test_a_put_in_progress_follows_its_partition_to_the_next_primary(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            waiting = asyncio.create_task(harness.put([0, 1]))
             await asyncio.sleep(0.1)
-            place(world.state, 2, {0: "three", 1: "two"}, epoch=2)
+            place(harness.state, 2, {0: "three", 1: "two"}, epoch=2)
             assert await waiting == STORED
-            assert world.now() == pytest.approx(0.101)
-            assert world.transport.puts() == [(ONE, 0), (THREE, 0)]
+            assert harness.now() == pytest.approx(0.101)
+            assert harness.transport.puts() == [(ONE, 0), (THREE, 0)]
 
         play({ONE: [SilentStore()], TWO: [STORED], THREE: [STORED]}, work)
 
-    def test_two_changes_at_one_moment_are_followed(self) -> None:
-        async def work(world: World) -> None:
-            waiting = asyncio.create_task(world.put([0]))
+    def test_two_placement_changes_at_the_same_time_are_followed(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            waiting = asyncio.create_task(harness.put([0]))
             await asyncio.sleep(0.1)
-            place(world.state, 2, {0: "three"}, epoch=2)
-            place(world.state, 3, {0: "two"}, epoch=3)
+            place(harness.state, 2, {0: "three"}, epoch=2)
+            place(harness.state, 3, {0: "two"}, epoch=3)
             await asyncio.sleep(0)
-            place(world.state, 4, {0: "three"}, epoch=4)
+            place(harness.state, 4, {0: "three"}, epoch=4)
             assert await waiting == STORED
-            assert world.transport.puts()[0] == (ONE, 0)
+            assert harness.transport.puts()[0] == (ONE, 0)
 
         play({ONE: [SilentStore()], TWO: [STORED], THREE: [STORED]}, work)
 
-    def test_a_put_that_moved_stays_uncertain(self) -> None:
-        async def work(world: World) -> None:
-            waiting = asyncio.create_task(world.put([0, 1]))
+    def test_a_put_whose_primary_moved_stays_uncertain(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            waiting = asyncio.create_task(harness.put([0, 1]))
             await asyncio.sleep(0.1)
-            place(world.state, 2, {0: "three", 1: "two"}, epoch=2)
+            place(harness.state, 2, {0: "three", 1: "two"}, epoch=2)
             assert (await waiting).status == "unknown"
 
         play({ONE: [SilentStore()], TWO: [STORED], THREE: [PutResponse("unavailable")]}, work)
 
-    def test_the_delay_left_shrinks_with_the_wait(self) -> None:
-        async def work(world: World) -> None:
+    def test_the_delay_is_reduced_by_the_time_waited(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
             message = attrs.evolve(MESSAGE, delay_ms=600)  # type: ignore[misc, unused-ignore]
-            place(world.state, 2, {0: "nobody"})
-            waiting = asyncio.create_task(world.client.put(message, [0], world.at(5)))
+            place(harness.state, 2, {0: "nobody"})
+            waiting = asyncio.create_task(harness.client.put(message, [0], harness.at(5)))
             await asyncio.sleep(0.25)
-            place(world.state, 3, {0: "one"}, epoch=2)
+            place(harness.state, 3, {0: "one"}, epoch=2)
             assert await waiting == STORED
-            sent = [put.message.delay_ms for _, _, put in world.transport.calls]
+            sent = [put.message.delay_ms for _, _, put in harness.transport.calls]
             assert sent[0] == pytest.approx(350, abs=1)
             assert sent[1] < sent[0] - 20
 
@@ -283,67 +285,67 @@
 
 
 class TestSuspicion:
-    def test_after_a_refused_connection_others_choose_elsewhere_until_a_probe_is_answered(self) -> None:
-        async def work(world: World) -> None:
-            await world.put([0, 1])
-            await world.put([0, 1])
-            assert world.transport.puts() == [(ONE, 0), (TWO, 1), (TWO, 1)]
-            assert world.transport.probes() == []
+    def test_after_a_refused_connection_other_puts_avoid_the_store_until_a_probe_succeeds(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            await harness.put([0, 1])
+            await harness.put([0, 1])
+            assert harness.transport.puts() == [(ONE, 0), (TWO, 1), (TWO, 1)]
+            assert harness.transport.probes() == []
             await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
-            await world.put([0, 1])
+            await harness.put([0, 1])
             await asyncio.sleep(0.01)
-            assert world.transport.probes() == [ONE]
-            await world.put([0, 1])
-            assert world.transport.puts()[3:] == [(TWO, 1), (ONE, 0)]
+            assert harness.transport.probes() == [ONE]
+            await harness.put([0, 1])
+            assert harness.transport.puts()[3:] == [(TWO, 1), (ONE, 0)]
 
         play({ONE: [refused(ONE), MessageStatusResponse("unknown"), STORED], TWO: [STORED]}, work)
 
     def test_an_ordered_message_waits_for_the_probe(self) -> None:
-        async def work(world: World) -> None:
-            assert await world.put([0]) == STORED
-            assert world.transport.puts() == [(ONE, 0), (ONE, 0)]
-            assert HEALTH_CHECK_INTERVAL_S < world.now() < HEALTH_CHECK_INTERVAL_S + 0.25
+        async def work(harness: StoreClientHarness) -> None:
+            assert await harness.put([0]) == STORED
+            assert harness.transport.puts() == [(ONE, 0), (ONE, 0)]
+            assert HEALTH_CHECK_INTERVAL_S < harness.now() < HEALTH_CHECK_INTERVAL_S + 0.25
 
         play({ONE: [refused(ONE), MessageStatusResponse("unknown"), STORED]}, work)
 
-    def test_a_new_placement_ends_it(self) -> None:
-        async def work(world: World) -> None:
-            await world.put([0, 1])
-            assert world.client.is_suspect(ONE)
-            place(world.state, 2, {0: "one", 1: "two"}, epoch=2)
-            assert not world.client.is_suspect(ONE)
-            await world.put([0, 1])
-            assert world.transport.puts()[-1] == (ONE, 0)
+    def test_a_new_epoch_in_the_placement_ends_the_suspicion(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            await harness.put([0, 1])
+            assert harness.client.is_suspect(ONE)
+            place(harness.state, 2, {0: "one", 1: "two"}, epoch=2)
+            assert not harness.client.is_suspect(ONE)
+            await harness.put([0, 1])
+            assert harness.transport.puts()[-1] == (ONE, 0)
 
         play({ONE: [refused(ONE), STORED], TWO: [STORED]}, work)
 
-    def test_a_placement_without_a_new_epoch_does_not_end_it(self) -> None:
-        async def work(world: World) -> None:
-            await world.put([0, 1])
-            place(world.state, 2, {0: "one", 1: "two"})
-            assert world.client.is_suspect(ONE)
+    def test_a_placement_without_a_new_epoch_does_not_end_the_suspicion(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            await harness.put([0, 1])
+            place(harness.state, 2, {0: "one", 1: "two"})
+            assert harness.client.is_suspect(ONE)
 
         play({ONE: [refused(ONE)], TWO: [STORED]}, work)
 
-    def test_a_restart_ends_it(self) -> None:
-        async def work(world: World) -> None:
-            await world.put([0, 1])
-            announce(world.state, "one", ONE, incarnation=2)
-            assert not world.client.is_suspect(ONE)
+    def test_a_restart_ends_the_suspicion(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            await harness.put([0, 1])
+            announce(harness.state, "one", ONE, incarnation=2)
+            assert not harness.client.is_suspect(ONE)
 
         play({ONE: [refused(ONE)], TWO: [STORED]}, work)
 
-    def test_a_silent_call_makes_later_messages_choose_elsewhere(self) -> None:
-        async def work(world: World) -> None:
-            first = asyncio.create_task(world.put([0, 1]))
+    def test_a_call_without_a_response_makes_later_puts_avoid_the_store(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            first = asyncio.create_task(harness.put([0, 1]))
             await asyncio.sleep(SUSPECT_AFTER_S / 2)
-            assert not world.client.is_suspect(ONE)
+            assert not harness.client.is_suspect(ONE)
             await asyncio.sleep(SUSPECT_AFTER_S / 2 + 0.01)
-            assert world.client.is_suspect(ONE)
-            assert await world.put([0, 1]) == STORED
-            assert world.transport.puts() == [(ONE, 0), (TWO, 1)]
+            assert harness.client.is_suspect(ONE)
+            assert await harness.put([0, 1]) == STORED
+            assert harness.transport.puts() == [(ONE, 0), (TWO, 1)]
             assert await first == STORED
-            assert not world.client.is_suspect(ONE)
+            assert not harness.client.is_suspect(ONE)
 
         play(
             {
@@ -353,30 +355,30 @@
             work,
         )
 
-    def test_another_answer_from_the_same_store_shows_that_it_lives(self) -> None:
-        async def work(world: World) -> None:
-            slow = asyncio.create_task(world.put([0]))
+    def test_a_response_to_another_call_prevents_the_suspicion(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            slow = asyncio.create_task(harness.put([0]))
             await asyncio.sleep(0.2)
-            await world.client.status("0-1-1", False, world.at(1))
+            await harness.client.status("0-1-1", False, harness.at(1))
             await asyncio.sleep(0.1)
-            assert not world.client.is_suspect(ONE)
+            assert not harness.client.is_suspect(ONE)
             await slow
 
         play({ONE: [SlowAnswer(0.4, STORED), MessageStatusResponse("queued")]}, work)
 
-    def test_probes_are_spaced(self) -> None:
-        async def work(world: World) -> None:
+    def test_probes_are_rate_limited(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
             for _ in range(100):
-                await world.put([0, 1])
+                await harness.put([0, 1])
                 await asyncio.sleep(0.01)
-            assert 2 <= len(world.transport.probes()) <= 4
-            assert world.transport.puts().count((ONE, 0)) == 1
+            assert 2 <= len(harness.transport.probes()) <= 4
+            assert harness.transport.puts().count((ONE, 0)) == 1
 
         play({ONE: [refused(ONE)], TWO: [STORED]}, work)
 
 
 class TestPeerHealth:
-    def test_no_answer_counts_from_the_later_of_the_oldest_call_and_the_last_answer(self) -> None:
+    def test_the_timeout_starts_at_the_later_of_the_oldest_call_and_the_last_response(self) -> None:
         health = PeerHealth()
         first = health.call_started(10.0)
         second = health.call_started(10.1)
@@ -388,7 +390,7 @@
         health.call_abandoned(first)
         assert not health.is_suspect(11.0)
 
-    def test_a_failure_lasts_until_an_answer(self) -> None:
+    def test_a_failure_lasts_until_a_response(self) -> None:
         health = PeerHealth()
         health.call_failed(health.call_started(1.0), 1.0)
         assert health.is_suspect(100.0)
@@ -396,12 +398,12 @@
         assert not health.is_suspect(100.0)
 
 
-class TestLeasesAndStates:
-    def test_an_end_is_repeated_until_it_is_taken(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.client.finish(FinishLease("0-1-1-1", "success", "s"), world.at(1))
+class TestLeasesAndStatus:
+    def test_a_lease_end_is_retried_until_it_is_taken(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            answer = await harness.client.finish(FinishLease("0-1-1-1", "success", "s"), harness.at(1))
             assert answer == LeaseUpdateResponse("taken")
-            assert len(world.transport.calls) == 5
+            assert len(harness.transport.calls) == 5
 
         play(
             {
@@ -416,57 +418,57 @@
             work,
         )
 
-    def test_gone_is_an_answer(self) -> None:
-        async def work(world: World) -> None:
-            assert await world.client.extend(ExtendLease("0-1-1-1"), world.at(1)) == LeaseUpdateResponse(
+    def test_gone_is_a_final_response(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            assert await harness.client.extend(ExtendLease("0-1-1-1"), harness.at(1)) == LeaseUpdateResponse(
                 "gone"
             )
-            assert len(world.transport.calls) == 1
+            assert len(harness.transport.calls) == 1
 
         play({ONE: [LeaseUpdateResponse("gone")]}, work)
 
-    def test_the_deadline_ends_the_repeats(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.client.finish(FinishLease("0-1-1-1", "success"), world.at(0.7))
+    def test_the_deadline_ends_the_retries(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            answer = await harness.client.finish(FinishLease("0-1-1-1", "success"), harness.at(0.7))
             assert answer == LeaseUpdateResponse("unavailable")
-            assert world.now() == pytest.approx(0.7, abs=0.01)
-            assert len(world.transport.calls) < 12
+            assert harness.now() == pytest.approx(0.7, abs=0.01)
+            assert len(harness.transport.calls) < 12
 
         play({ONE: [LeaseUpdateResponse("not_primary")]}, work)
 
-    def test_a_status_follows_its_partition(self) -> None:
-        async def work(world: World) -> None:
-            waiting = asyncio.create_task(world.client.status("0-1-1", True, world.at(1)))
+    def test_a_status_request_follows_its_partition(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            waiting = asyncio.create_task(harness.client.status("0-1-1", True, harness.at(1)))
             await asyncio.sleep(0.1)
-            place(world.state, 2, {0: "three"}, epoch=2)
+            place(harness.state, 2, {0: "three"}, epoch=2)
             assert await waiting == MessageStatusResponse("queued", body=b"x")
-            assert world.now() == pytest.approx(0.101)
+            assert harness.now() == pytest.approx(0.101)
 
         play({ONE: [SilentStore()], THREE: [MessageStatusResponse("queued", body=b"x")]}, work)
 
-    def test_a_silent_call_is_repeated_before_the_deadline(self) -> None:
-        async def work(world: World) -> None:
-            answer = await world.client.status("0-1-1", False, world.at(1.8))
+    def test_a_call_without_a_response_is_retried_before_the_deadline(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            answer = await harness.client.status("0-1-1", False, harness.at(1.8))
             assert answer.state == "completed"
-            assert world.now() < CALL_TIMEOUT_S + 0.1
+            assert harness.now() < CALL_TIMEOUT_S + 0.1
 
         play({ONE: [SilentStore(), MessageStatusResponse("completed", "s")]}, work)
 
-    def test_names_that_no_partition_can_have_are_known_not_to_exist(self) -> None:
-        async def work(world: World) -> None:
+    def test_invalid_references_do_not_exist(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
             for reference in ("", "abc", "7", "x-1-1", "-1-1", "77-1-1", "9999999999-1-1", "٣-1-1"):
-                assert (await world.client.status(reference, False, world.at(1))).state == "unknown"
+                assert (await harness.client.status(reference, False, harness.at(1))).state == "unknown"
                 assert (
-                    await world.client.finish(FinishLease(reference, "failed"), world.at(1))
+                    await harness.client.finish(FinishLease(reference, "failed"), harness.at(1))
                 ).status == "gone"
-            assert world.transport.calls == []
+            assert harness.transport.calls == []
 
         play({}, work)
 
-    def test_without_a_placement_nothing_is_certain(self) -> None:
-        async def work(world: World) -> None:
-            client = StoreClient(world.transport, ClusterState(), world.loop.time)
-            assert (await client.status("0-1-1", False, world.at(0.3))).state == "unavailable"
+    def test_without_a_placement_the_status_is_unavailable(self) -> None:
+        async def work(harness: StoreClientHarness) -> None:
+            client = StoreClient(harness.transport, ClusterState(), harness.loop.time)
+            assert (await client.status("0-1-1", False, harness.at(0.3))).state == "unavailable"
 
         play({}, work)
 
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -1,4 +1,7 @@
-"""Calls of pull workers at any edge: a taken end is taken again; 409 only where the lease is gone."""
+"""Calls of pull workers at any edge process.
+
+A repeated job end is acknowledged again, and the status is 409 only if the lease is gone.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +24,8 @@
 SIGNATURE = "3e1b.07"
 
 
-class Edge:
-    """One edge process, as pull workers see it."""
+class EdgeProcess:
+    """An edge process without sockets, with the interface that pull workers use."""
 
     def __init__(self, cluster: StoreCluster, number: int) -> None:
         address = f"10.1.0.{number}:7780"
@@ -36,7 +39,7 @@
         )
 
     async def call(self, path: str, job: LeasedJob, result: str = "") -> int:
-        """A worker's word about a job; the status of the answer."""
+        """Make a worker's call about a job; return the status of the response."""
         self.cluster.tell(self.state)
         headers = {"Host": "10.0.0.1", "X-Lease-Id": worker_lease_id(job.lease, job.message.id)}
         if result:
@@ -54,19 +57,19 @@
         return await self.call("job-extend", job)
 
 
-async def pulled(cluster: StoreCluster) -> tuple[Edge, Edge, LeasedJob]:
-    """Two edges, and a job that a pull worker holds."""
+async def lease_pull_job(cluster: StoreCluster) -> tuple[EdgeProcess, EdgeProcess, LeasedJob]:
+    """Start the cluster; return two edge processes and a job that a pull worker has leased."""
     await cluster.start()
-    edges = Edge(cluster, 11), Edge(cluster, 12)
+    edges = EdgeProcess(cluster, 11), EdgeProcess(cluster, 12)
     await cluster.stored(message("m", ordering_key="k"))
     (job,) = await cluster.lease(pull=True, visibility_ms=3_000)
     return *edges, job
 
 
 @pytest.mark.parametrize("result", RESULTS)
-def test_an_end_is_taken_again_at_another_edge(result: str) -> None:
+def test_a_repeated_end_is_acknowledged_at_another_edge(result: str) -> None:
     async def work(cluster: StoreCluster) -> None:
-        one, other, job = await pulled(cluster)
+        one, other, job = await lease_pull_job(cluster)
         assert await one.end(job, result) == 200
         assert await other.end(job, result) == 200
         assert await one.end(job, result) == 200
@@ -75,9 +78,9 @@
 
 
 @pytest.mark.parametrize("result", RESULTS)
-def test_an_end_is_taken_again_after_the_primary_was_lost(result: str) -> None:
+def test_a_repeated_end_is_acknowledged_after_the_primary_is_lost(result: str) -> None:
     async def work(cluster: StoreCluster) -> None:
-        one, other, job = await pulled(cluster)
+        one, other, job = await lease_pull_job(cluster)
         assert await one.end(job, result) == 200
         cluster.stores[0].kill()
         cluster.place([cluster.entry(0, 2, 1)])
@@ -87,9 +90,9 @@
 
 
 @pytest.mark.parametrize("result", RESULTS)
-def test_an_end_is_taken_again_after_the_primary_was_restarted(result: str) -> None:
+def test_a_repeated_end_is_acknowledged_after_the_primary_restarts(result: str) -> None:
     async def work(cluster: StoreCluster) -> None:
-        one, other, job = await pulled(cluster)
+        one, other, job = await lease_pull_job(cluster)
         assert await one.end(job, result) == 200
         cluster.stores[0].kill(power=False)
         await cluster.stores[0].start()
@@ -101,11 +104,11 @@
 
 
 @pytest.mark.parametrize("result", RESULTS)
-def test_an_end_whose_answer_was_lost_with_the_primary_is_taken(result: str) -> None:
-    """The worker repeats its end at another edge; whether the first was taken is not known there."""
+def test_an_end_whose_response_was_lost_with_the_primary_is_acknowledged(result: str) -> None:
+    """The worker repeats the job end at another edge, which cannot know whether the first was taken."""
 
     async def work(cluster: StoreCluster) -> None:
-        one, other, job = await pulled(cluster)
+        one, other, job = await lease_pull_job(cluster)
         first = asyncio.ensure_future(one.end(job, result))
         await asyncio.sleep(0.004)
         cluster.stores[0].kill()
@@ -116,9 +119,9 @@
     play(work)
 
 
-def test_without_a_primary_an_edge_says_503_and_not_that_the_lease_is_gone() -> None:
+def test_without_a_primary_the_status_is_503_and_not_409() -> None:
     async def work(cluster: StoreCluster) -> None:
-        one, other, job = await pulled(cluster)
+        one, other, job = await lease_pull_job(cluster)
         for store in cluster.stores:
             store.kill()
         assert await one.end(job, "200") == 503
@@ -127,9 +130,9 @@
     play(work)
 
 
-def test_a_lease_is_extended_at_any_edge_and_after_a_takeover() -> None:
+def test_a_lease_can_be_extended_at_any_edge_and_after_a_takeover() -> None:
     async def work(cluster: StoreCluster) -> None:
-        one, other, job = await pulled(cluster)
+        one, other, job = await lease_pull_job(cluster)
         for edge in (one, other, one, other):
             await asyncio.sleep(2.0)
             assert await edge.extend(job) == 200
@@ -144,16 +147,16 @@
     play(work)
 
 
-def test_a_job_is_not_granted_again_before_the_visibility_after_the_last_word() -> None:
+def test_a_job_is_not_granted_again_before_its_visibility_timeout() -> None:
     async def work(cluster: StoreCluster) -> None:
-        one, _, job = await pulled(cluster)
+        one, _, job = await lease_pull_job(cluster)
         await asyncio.sleep(2.0)
         assert await one.extend(job) == 200
-        last_word = cluster.loop.time()
+        last_extension = cluster.loop.time()
         cluster.stores[0].kill()
         cluster.place([cluster.entry(0, 2, 1)])
         (again,) = await cluster.lease(store=1, wait_ms=8_000, pull=True, visibility_ms=3_000)
-        assert cluster.loop.time() - last_word >= 3.0
+        assert cluster.loop.time() - last_extension >= 3.0
         assert again.message.ordering_key == "k"
         assert await one.end(job, "200") == 409
         assert await one.end(again, "200") == 200
--- a/tests/support/calls.py
+++ b/tests/support/calls.py
@@ -1,4 +1,4 @@
-"""What the tests of calls share."""
+"""Messages and members for tests of calls between processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def message(identifier: str, **changes: Any) -> NewMessage:
-    """A message with plain fields."""
+    """Return a message with default fields, changed by `changes`."""
     plain = NewMessage(
         id=identifier,
         route="r",
@@ -27,5 +27,5 @@
 
 
 def store_member(name: str, address: str, incarnation: int, status: int = 0) -> Member:
-    """A store's registration."""
+    """Return a store as a member of the cluster."""
     return Member(name, "store", address, "z", "r", incarnation, "d", status=status)
