--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -178,7 +178,7 @@
             world.state,
             world.store,
             world.dispatcher,
-            world.homes,
+            world.rank_partitions,
             world.loop.time,
             is_current=lambda: current,
         )
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -343,11 +343,13 @@
         self.store = FakeStore()
         self.dispatcher = FakePullDispatcher(job)
         self.ranking_count = 0
-        self.intake = IntakeService(self.state, self.store, self.dispatcher, self.homes, loop.time, limits)
+        self.intake = IntakeService(
+            self.state, self.store, self.dispatcher, self.rank_partitions, loop.time, limits
+        )
         self.place(1, [0, 1, 2])
         self.configure(1, DOCUMENT)
 
-    def homes(self, service: str, partitions: Sequence[int]) -> list[int]:
+    def rank_partitions(self, service: str, partitions: Sequence[int]) -> list[int]:
         self.ranking_count += 1
         return sorted(partitions, reverse=True)
 
@@ -491,7 +493,7 @@
     def test_without_a_configuration_the_status_is_503_and_not_404(self) -> None:
         async def work(harness: World) -> None:
             intake = IntakeService(
-                ClusterState(), harness.store, harness.dispatcher, harness.homes, harness.loop.time
+                ClusterState(), harness.store, harness.dispatcher, harness.rank_partitions, harness.loop.time
             )
             for wanted in (request(), request("/pull/pulled"), request("/none")):
                 assert (await intake.handle(wanted)).status == 503
@@ -558,7 +560,9 @@
 
     def test_a_status_request_needs_no_configuration_and_no_head_check(self) -> None:
         async def work(harness: World) -> None:
-            intake = IntakeService(ClusterState(), harness.store, None, harness.homes, harness.loop.time)
+            intake = IntakeService(
+                ClusterState(), harness.store, None, harness.rank_partitions, harness.loop.time
+            )
             assert (await intake.handle(request("/message/3-1-17", "GET"))).status == 200
             assert intake.reject_head(request("/message/3-1-17", "GET"), None) is None
 
