--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -16,7 +16,7 @@
 from hollowusher.protocol.control_chain import ReadControlState
 from hollowusher.protocol.distribution import PullUpdates, UpdatesResponse
 from tests.coordination.distribution.test_cluster_client import DOCUMENT, Cluster, play
-from tests.intake.test_intake import World, request
+from tests.intake.test_intake import IntakeHarness, request
 from tests.intake.test_intake import play as play_intake
 
 CORES = ("10.0.0.1", "10.1.0.1", "10.2.0.1")
@@ -173,7 +173,7 @@
 class TestIntake:
     """404 only if it is certain that there is no such route or service."""
 
-    def intake(self, world: World, current: bool) -> IntakeService:
+    def intake(self, world: IntakeHarness, current: bool) -> IntakeService:
         return IntakeService(
             world.state,
             world.store,
@@ -188,7 +188,7 @@
     def test_what_is_not_known_is_not_denied_without_contact(
         self, path: str, current: bool, status: int
     ) -> None:
-        async def work(world: World) -> None:
+        async def work(world: IntakeHarness) -> None:
             answer = await self.intake(world, current).handle(request(path))
             assert answer.status == status
             assert ("Retry-After" in dict(answer.headers)) == (status == 503)
@@ -196,7 +196,7 @@
         play_intake(work)
 
     def test_a_body_that_is_still_to_come_does_not_change_that(self) -> None:
-        async def work(world: World) -> None:
+        async def work(world: IntakeHarness) -> None:
             early = self.intake(world, False).reject_head(request("/none/"), 100_000)
             assert early is not None
             assert early.status == 503
@@ -206,7 +206,7 @@
     def test_messages_on_known_routes_are_taken_without_contact(self) -> None:
         """The store that keeps one has a quorum, and its own configuration decides what becomes of it."""
 
-        async def work(world: World) -> None:
+        async def work(world: IntakeHarness) -> None:
             assert (await self.intake(world, False).handle(request("/a/"))).status == 202
 
         play_intake(work)
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -332,7 +332,7 @@
 JOB = LeasedJob("3-1-17-2", NewMessage("id1", "r", "pulled", "PUT", "/a/1?q", HOST, b"job"), 0, 500)
 
 
-class World:
+class IntakeHarness:
     """An intake service with a fake store and a fake pull dispatcher."""
 
     def __init__(
@@ -369,13 +369,13 @@
 
 
 def play(
-    work: Callable[[World], Coroutine[Any, Any, Any]],
+    work: Callable[[IntakeHarness], Coroutine[Any, Any, Any]],
     job: LeasedJob | None = None,
     limits: IntakeLimits | None = None,
 ) -> None:
     loop = VirtualTimeLoop()
     try:
-        loop.play(work(World(loop, job, limits)))
+        loop.play(work(IntakeHarness(loop, job, limits)))
     finally:
         loop.shut()
 
@@ -386,7 +386,7 @@
 
 class TestMessages:
     def test_a_stored_message_is_answered_with_its_reference(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             answer = await harness.handle(request(X_Deadline_Ms="2000"))
             assert (answer.status, header(answer, "X-Message-Ref")) == (202, "3-1-17")
             assert harness.store.candidates == [2, 1, 0]
@@ -398,14 +398,14 @@
         play(work)
 
     def test_messages_that_require_home_have_one_candidate(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             await harness.handle(request("/o/"))
             assert harness.store.candidates == [2]
 
         play(work)
 
     def test_candidates_are_ranked_once_for_each_placement(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             await harness.handle(request())
             await harness.handle(request())
             assert harness.ranking_count == 1
@@ -419,7 +419,7 @@
     def test_a_message_that_no_store_accepted_gets_503_with_retry_after(
         self, deadline: str, seconds: str
     ) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.put_answer = PutResponse("unavailable")
             answer = await harness.handle(request(X_Deadline_Ms=deadline))
             assert (answer.status, header(answer, "Retry-After")) == (503, seconds)
@@ -428,7 +428,7 @@
         play(work)
 
     def test_a_message_with_an_unknown_outcome_gets_504(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.put_answer = PutResponse("unknown")
             answer = await harness.handle(request())
             assert (answer.status, header(answer, "Retry-After")) == (504, None)
@@ -440,7 +440,7 @@
         "limits", [IntakeLimits(max_puts=2), IntakeLimits(max_bytes=8)], ids=["requests", "bytes"]
     )
     def test_a_message_above_the_load_limit_is_rejected_at_once(self, limits: IntakeLimits) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.hold = True
             under_way = [asyncio.create_task(harness.handle(request())) for _ in range(2)]
             await asyncio.sleep(0)
@@ -456,7 +456,7 @@
         play(work, limits=limits)
 
     def test_a_cancelled_put_releases_the_load_limiter(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.hold = True
             waiting = asyncio.create_task(harness.handle(request()))
             await asyncio.sleep(0)
@@ -468,7 +468,7 @@
         play(work)
 
     def test_rejections_are_counted_by_reason(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             statuses = [
                 (await harness.handle(wanted)).status
                 for wanted in (
@@ -491,7 +491,7 @@
         play(work)
 
     def test_without_a_configuration_the_status_is_503_and_not_404(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             intake = IntakeService(
                 ClusterState(), harness.store, harness.dispatcher, harness.rank_partitions, harness.loop.time
             )
@@ -501,7 +501,7 @@
         play(work)
 
     def test_a_new_configuration_applies_at_once(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             assert (await harness.handle(request("/new/"))).status == 404
             harness.configure(2, {**DOCUMENT, "routes": [route("new", "/new/")]})
             assert (await harness.handle(request("/new/"))).status == 202
@@ -520,7 +520,7 @@
         ],
     )
     def test_a_state_is_reported(self, state: MessageStatusResponse, body: dict[str, str]) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.status_answer = state
             answer = await harness.handle(request("/message/3-1-17", "GET"))
             assert (answer.status, answer.content_type) == (200, "application/json")
@@ -541,7 +541,7 @@
         ],
     )
     def test_the_body_of_a_message_is_returned(self, answer: MessageStatusResponse, status: int) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.status_answer = answer
             found = await harness.handle(request("/message-body/3-1-17", "GET"))
             assert found.status == status
@@ -552,14 +552,14 @@
 
     @pytest.mark.parametrize("state, status", [("unknown", 404), ("unavailable", 503), ("not_primary", 503)])
     def test_only_an_unknown_message_gets_404(self, state: str, status: int) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.status_answer = MessageStatusResponse(state)
             assert (await harness.handle(request("/message/3-1-17", "GET"))).status == status
 
         play(work)
 
     def test_a_status_request_needs_no_configuration_and_no_head_check(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             intake = IntakeService(
                 ClusterState(), harness.store, None, harness.rank_partitions, harness.loop.time
             )
@@ -569,7 +569,7 @@
         play(work)
 
     def test_other_methods_on_these_paths_are_messages(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             assert (await harness.handle(request("/message/3-1-17"))).status == 404
 
         play(work)
@@ -581,7 +581,7 @@
 
 class TestPulls:
     def test_a_job_is_delivered(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             answer = await harness.handle(
                 worker_request("/pull/pulled", X_Instance_Id="i-1", X_Wait_Ms="1000")
             )
@@ -598,7 +598,7 @@
         play(work, JOB)
 
     def test_a_pulled_job_includes_its_ordering_key(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             answer = await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
             assert header(answer, "X-Ordering-Key") == "k"
 
@@ -606,7 +606,7 @@
         play(work, LeasedJob("3-1-17-2", attrs.evolve(message, ordering_key="k"), 0, 500))
 
     def test_no_job(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             answer = await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="10"))
             assert answer.status == 204
             assert harness.intake.metrics.pulls_empty == 1
@@ -614,7 +614,7 @@
         play(work)
 
     def test_a_job_for_a_disconnected_worker_is_released(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             answer = await harness.handle(
                 worker_request("/pull/pulled", X_Instance_Id="i"), is_disconnected=True
             )
@@ -635,14 +635,14 @@
         ],
     )
     def test_refusals(self, wanted: ClientRequest, status: int) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             assert (await harness.handle(wanted)).status == status
             assert harness.dispatcher.calls == []
 
         play(work, JOB)
 
     def test_a_draining_process_shortens_the_wait_of_pull_calls(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.intake.drain()
             await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="20000"))
             assert harness.dispatcher.calls == [("pulled", "i", DRAINING_PULL_WAIT_S)]
@@ -650,7 +650,7 @@
         play(work)
 
     def test_the_number_of_pull_calls_is_limited(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             answer = await harness.handle(worker_request("/pull/pulled", X_Instance_Id="i"))
             assert answer.status == 503
             assert harness.dispatcher.calls == []
@@ -658,7 +658,7 @@
         play(work, JOB, IntakeLimits(max_pulls=0))
 
     def test_a_route_takes_precedence_over_a_worker_path(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             assert (await harness.handle(request("/pull/taken/1"))).status == 202
 
         play(work, JOB)
@@ -684,7 +684,7 @@
     def test_the_status_follows_from_the_stores_response(
         self, path: str, expected: Any, answer: str, status: int
     ) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             harness.store.lease_answer = LeaseUpdateResponse(answer)
             found = await harness.handle(
                 worker_request(
@@ -701,7 +701,7 @@
 
     @pytest.mark.parametrize("path", ["/job-end/id2", "/job-extend/id2"])
     def test_the_lease_of_another_message_is_gone(self, path: str) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             found = await harness.handle(
                 worker_request(path, X_Lease_Id=worker_lease_id("3-1-17-2", "id1"), X_Job_Result="500")
             )
@@ -711,7 +711,7 @@
         play(work)
 
     def test_a_failure_carries_no_signature(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             await harness.handle(
                 worker_request(
                     "/job-end/id1",
@@ -727,7 +727,7 @@
 
 class TestRequestHeads:
     def test_an_invalid_request_is_rejected_before_its_body_is_read(self) -> None:
-        async def work(harness: World) -> None:
+        async def work(harness: IntakeHarness) -> None:
             refuse = harness.intake.reject_head
             found = [refuse(request("/none", body=b""), 5), refuse(request(body=b""), 101)]
             assert [answer.status for answer in found if answer is not None] == [404, 413]
