--- a/hollowusher/delivery/connection_pool.py
+++ b/hollowusher/delivery/connection_pool.py
@@ -140,7 +140,8 @@
         return None
 
     async def _connect(self, deadline: float, may_have_run: bool = False) -> HttpConnection:
-        if self.open_count >= self.limit and self._idle:  # this message has failed on every idle one
+        # The idle connections that are left cannot carry this request: close one to make room for a new one.
+        if self.open_count >= self.limit and self._idle:
             spare = self._idle[0]
             self._remove(spare)
             spare.close()
--- a/hollowusher/delivery/http_connection.py
+++ b/hollowusher/delivery/http_connection.py
@@ -112,7 +112,7 @@
         self._bytes_in = 0
         self.requests += 1
         transport.write(request)
-        timer = self._loop.call_at(deadline, self._fail, "no answer in time")
+        timer = self._loop.call_at(deadline, self._fail, "no response in time")
         try:
             return await future
         finally:
--- a/hollowusher/delivery/outcome.py
+++ b/hollowusher/delivery/outcome.py
@@ -14,9 +14,7 @@
     FAILED = "failed"  # the worker responded with an error that is not a rejection
     FULL = "full"  # the worker rejected the job unrun: no free slot and no room in its queue
     RATE = "rate"  # the worker rejected the job because of the service's rate ceiling, not for lack of slots
-    NEUTRAL = (
-        "neutral"  # no information on the worker: the message is malformed or runs elsewhere, for example
-    )
+    NEUTRAL = "neutral"  # no information about the worker, e.g. because the message runs elsewhere
     UNREACHABLE = "unreachable"  # no connection
     LOST = "lost"  # connection reset, timeout or invalid response
     GONE = "gone"  # another worker now uses the address
--- a/hollowusher/dispatch/service_dispatcher.py
+++ b/hollowusher/dispatch/service_dispatcher.py
@@ -209,8 +209,8 @@
     ) -> OwnedWorker | None:
         """Return the least busy worker that may take a job now, or None.
 
-        A suspect worker with a trial due is preferred; a worker to which this job was already sent comes
-        last."""
+        A suspect worker goes before other workers, so that it gets its trial job.  A worker to which this job
+        was already sent goes last."""
         ready = [worker for worker in active if worker.control.jobs_allowed(now, isolates_suspects) > 0]
         if not ready:
             return None
--- a/hollowusher/dispatch/worker_flow_control.py
+++ b/hollowusher/dispatch/worker_flow_control.py
@@ -47,8 +47,9 @@
 class WorkerFlowControl:
     """The flow control state of one worker, kept by the process that owns the worker.
 
-    `balancers` is the number of dispatchers that send jobs to the worker.  `phase`, from 0 to 1, is the part
-    of t_d until the first control period starts."""
+    `now` is the time of creation.  `capacity` is the worker's number of slots, if known.  `balancers` is the
+    number of dispatchers that send jobs to the worker.  `phase`, from 0 to 1, is the delay of the first
+    reading as a fraction of t_d."""
 
     def __init__(
         self, now: float, capacity: int | None = None, balancers: int = 1, phase: float = 0.0
@@ -67,7 +68,7 @@
         self._last_reading_at = now
         self._paused_until = 0.0
         self._full_until = 0.0  # pause after a FULL rejection; a response ends it, since a slot is free then
-        self._bound_seen = False  # whether a rejection or a lost response has ever limited `slots`
+        self._has_seen_limit = False  # whether a rejection or a lost response has ever limited `slots`
         self._growth_allowed_at = 0.0
         self._trial_at = 0.0
         self._strikes = 0
@@ -100,9 +101,9 @@
             self.capacity = capacity
         self.slow_start_until = slow_start_until
 
-    def limit_slots(self, most: float) -> None:
-        """Limit the jobs in flight to `most`, the number of connections that the worker accepts."""
-        self.max_slots = max(MIN_SLOTS, most)
+    def limit_slots(self, max_in_flight: float) -> None:
+        """Limit the jobs in flight to `max_in_flight`, the number of connections that the worker accepts."""
+        self.max_slots = max(MIN_SLOTS, max_in_flight)
 
     def set_dispatcher_count(self, balancers: int) -> None:
         """Set the number of dispatchers that send jobs to this worker: B in the controller's gain."""
@@ -220,7 +221,7 @@
         elif feedback is WorkerFeedback.GONE:
             self.is_gone = True
         elif feedback is WorkerFeedback.LOST:
-            self._bound_seen = True
+            self._has_seen_limit = True
             if not self.capacity:
                 self.slots = max(MIN_SLOTS, self.slots * SHRINK_ON_TIMEOUT)
             return self._mark_suspect(now, jitter)
@@ -256,7 +257,7 @@
         if was_full and is_fast and now >= self._growth_allowed_at:
             limit = min(self.max_slots, self.capacity or math.inf)
             # Until a first limit is seen, the slots double in each running time; then growth is linear.
-            step = 1.0 / self.slots if self._bound_seen else 1.0
+            step = 1.0 / self.slots if self._has_seen_limit else 1.0
             self.slots = max(self.slots, min(limit, self.slots + step))
 
     def _record_success(self) -> None:
@@ -275,7 +276,7 @@
         The jobs in flight have filled the worker, whatever jobs it runs for other dispatchers."""
         self.slots = max(MIN_SLOTS, min(self.slots, self.in_flight - self._overlap()))
         self._growth_allowed_at = now + GROWTH_PAUSE_S
-        self._bound_seen = True
+        self._has_seen_limit = True
         self._controller.credit = min(self._controller.credit, 1.0)
         self._full_until = now + min(MAX_REFUSAL_PAUSE_S, REFUSAL_PAUSE_S * 2 ** min(self._refusals, 8))
         self._refusals += 1
--- a/hollowusher/intake/pull_worker_headers.py
+++ b/hollowusher/intake/pull_worker_headers.py
@@ -32,7 +32,7 @@
 
     Only a 2xx status with a signature is a success, only a 500 is a failed attempt, and only a 422 is a final
     rejection.  With 503, 429 and 400 the job did not run.  With any other value it is unknown whether the job
-    ran, and the attempt does not count."""
+    ran.  Neither of the last two results counts as an attempt."""
     status = status.strip()
     if len(status) == 3 and status.startswith("2") and status.isdigit() and signature:
         return "success"
--- a/hollowusher/intake/store_client.py
+++ b/hollowusher/intake/store_client.py
@@ -117,29 +117,33 @@
         reject_deadline = deadline if reject_at is None else min(reject_at, deadline)
         rejected: set[int] = set()
         backoff = _Backoff()
-        bound: int | None = None  # the partition that may have stored the message
+        pinned_partition: int | None = None  # the partition that may have stored the message
         while True:
             now = self._clock()
-            if now >= (reject_deadline if bound is None else deadline):
-                return PutResponse("unavailable" if bound is None else "unknown")
-            target = self._choose_target(candidates, rejected, now) if bound is None else self._primary(bound)
+            if now >= (reject_deadline if pinned_partition is None else deadline):
+                return PutResponse("unavailable" if pinned_partition is None else "unknown")
+            target = (
+                self._choose_target(candidates, rejected, now)
+                if pinned_partition is None
+                else self._primary(pinned_partition)
+            )
             if target is None:
                 rejected.clear()
-                await self._pause(backoff, reject_deadline if bound is None else deadline)
+                await self._pause(backoff, reject_deadline if pinned_partition is None else deadline)
                 continue
             try:
                 request = PutRequest(target.partition, _with_delay_left(message, now - started))
                 answer = await self._call(target, request, deadline)
             except PrimaryMovedError:
-                bound = target.partition
+                pinned_partition = target.partition
                 continue
             except PeerError as error:
                 answer = PutResponse("unknown" if error.sent else "unavailable")
             if answer.status == "stored":
                 return PutResponse("stored", answer.reference)
             if answer.status not in RETRIABLE:
-                bound = target.partition
-            if bound is None:
+                pinned_partition = target.partition
+            if pinned_partition is None:
                 rejected.add(target.partition)
             else:
                 await self._pause(backoff, deadline)
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -49,7 +49,7 @@
 class TestOwnership:
     MEMBERS: ClassVar[list[Member]] = [edge(f"e{number}") for number in range(10)]
 
-    def test_every_destination_has_one_owner_whatever_the_order(self) -> None:
+    def test_every_destination_has_one_owner_in_any_order_of_the_inputs(self) -> None:
         wanted = [worker_destination("svc", f"i-{n}", "z1") for n in range(40)]
         owners = assign_owners(wanted, self.MEMBERS)
         assert set(owners) == {each.key for each in wanted}
@@ -321,7 +321,7 @@
 
         play(work)
 
-    def test_one_request_is_outstanding_at_each_source(self) -> None:
+    def test_each_store_has_at_most_one_request_in_flight(self) -> None:
         async def work(loop: VirtualTimeLoop) -> None:
             cluster, stores = simple_cluster(), LeasingStores()
             subject = dispatcher(cluster, stores, model(cluster))
@@ -668,7 +668,7 @@
             subject = dispatcher(cluster, stores, workers)
             subject.start()
             subject.handle(JobsWaiting("svc", STORE_2))
-            await asyncio.sleep(0.01)  # both are asked, each for all that the worker may take
+            await asyncio.sleep(0.01)  # both stores have a request for all the jobs that the worker may take
             stores.add(STORE_1, [job(n, start_within_ms=9_000) for n in range(3)])
             await asyncio.sleep(0.01)
             stores.add(STORE_2, [job(n, start_within_ms=200) for n in range(3, 9)])
@@ -716,7 +716,7 @@
 
             subject = await process.run(begin())
             process.context.copy().run(subject.handle, JobsWaiting("svc", STORE_2))
-            await asyncio.sleep(0.01)  # both are asked, each for all that the worker may take
+            await asyncio.sleep(0.01)  # both stores have a request for all the jobs that the worker may take
             stores.add(STORE_1, [job(n, start_within_ms=60_000) for n in range(8)])
             stores.add(STORE_2, [job(n, start_within_ms=60_000) for n in range(8, 16)])
             await asyncio.sleep(0.1)
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -163,7 +163,7 @@
             (request("/s/"), 503, RejectionReason.NOT_READY),
         ],
     )
-    def test_refusals(self, wanted: ClientRequest, status: int, reason: RejectionReason) -> None:
+    def test_rejections(self, wanted: ClientRequest, status: int, reason: RejectionReason) -> None:
         found = admit(wanted, INDEX)
         assert isinstance(found, Rejection)
         assert (found.status, found.reason) == (status, reason)
@@ -225,7 +225,7 @@
     def test_callback_urls(self, url: str, valid: bool) -> None:
         assert is_valid_callback_url(url) is valid
 
-    def test_numbers_and_hosts(self) -> None:
+    def test_milliseconds_and_host_names(self) -> None:
         assert [parse_milliseconds(text) for text in ("0", " 1500 ", "1.5", "", "1_0", "0x1")] == [
             0,
             1500,
@@ -256,7 +256,7 @@
             ("2000", "s", "unknown"),
         ],
     )
-    def test_results(self, status: str, signature: str, result: str) -> None:
+    def test_finish_results(self, status: str, signature: str, result: str) -> None:
         assert finish_result(status, signature) == result
 
     def test_a_lease_belongs_to_its_message(self) -> None:
@@ -268,7 +268,7 @@
         assert store_lease_id("", "id1") is None
 
 
-def test_load_limiter() -> None:
+def test_the_load_limiter_counts_requests_and_bytes() -> None:
     limiter = LoadLimiter(2, 100)
     assert limiter.try_acquire(60)
     assert not limiter.try_acquire(41)
@@ -634,7 +634,7 @@
             (worker_request("/pull/pulled", X_Instance_Id="i", X_Wait_Ms="long"), 400),
         ],
     )
-    def test_refusals(self, wanted: ClientRequest, status: int) -> None:
+    def test_rejections(self, wanted: ClientRequest, status: int) -> None:
         async def work(harness: IntakeHarness) -> None:
             assert (await harness.handle(wanted)).status == status
             assert harness.dispatcher.calls == []
--- a/tests/intake/test_intake_http.py
+++ b/tests/intake/test_intake_http.py
@@ -225,7 +225,7 @@
 
         play(work)
 
-    def test_a_compressed_body_stays_as_it_is(self) -> None:
+    def test_a_compressed_body_is_unchanged(self) -> None:
         async def work(harness: FrontendHarness) -> None:
             answer = await (await harness.client()).ask(post(b"not gzip", extra="Content-Encoding: gzip\r\n"))
             assert answer.status == 202
@@ -234,14 +234,14 @@
         play(work)
 
     @pytest.mark.parametrize("path", ["/a/%2e%2E/%2F?b=%20&c=+", "/a//b/../c;x=1?d#", "/a/?"])
-    def test_the_path_stays_as_it_is(self, path: str) -> None:
+    def test_the_path_is_unchanged(self, path: str) -> None:
         async def work(harness: FrontendHarness) -> None:
             assert (await (await harness.client()).ask(post(path=path))).status == 202
             assert harness.store.messages[0].path == path
 
         play(work)
 
-    def test_no_body_and_other_methods(self) -> None:
+    def test_a_request_with_another_method_and_no_body_is_stored(self) -> None:
         async def work(harness: FrontendHarness) -> None:
             client = await harness.client()
             request = f"GET /a/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: id7\r\n\r\n".encode()
