--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -21,7 +21,7 @@
 _FAULTS = (KeyError, TypeError, ValueError, AttributeError, OverflowError, OSError)
 
 
-def one_front(name: str, kind: str) -> str:
+def default_front(name: str, kind: str) -> str:
     """All nodes speak the platform's HTTP, unless the settings say otherwise."""
     return "platform"
 
@@ -105,7 +105,7 @@
     registry: WorkerRegistry,
     now_ns: int,
     wall_ms: float,
-    front: Callable[[str, str], str] = one_front,
+    front: Callable[[str, str], str] = default_front,
 ) -> ListRead:
     """Read one list object; ValueError where nothing of it can be read.  `front` tells by name and machine
     kind how a node is reached.
