--- a/hollowusher/scheduler/app.py
+++ b/hollowusher/scheduler/app.py
@@ -30,7 +30,7 @@
 from hollowusher.scheduler.operations import NODE_SHARE, SPARE_SOCKETS, Operations
 from hollowusher.scheduler.reload import Reloads
 from hollowusher.scheduler.retune import Retuning
-from hollowusher.scheduler.rules.node_list import AskAgain
+from hollowusher.scheduler.rules.node_list import NodeListBackoff
 from hollowusher.scheduler.settings.model import ConfigError
 
 _READ = partial(load, again=True)
@@ -98,7 +98,7 @@
         executor.changed,
         log,
         lambda name, kind: "http2" if config.http2.speaks(name, kind) else "platform",
-        AskAgain(config.settings.rules.drain_grace_ns, random.Random(config.seed).random)
+        NodeListBackoff(config.settings.rules.drain_grace_ns, random.Random(config.seed).random)
         if config.settings.discovery is Discovery.PUSH
         else None,
         config.known,
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -17,7 +17,13 @@
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
-from hollowusher.scheduler.rules.node_list import AskAgain, ListLines, ListRead, default_front, read_list
+from hollowusher.scheduler.rules.node_list import (
+    ListLines,
+    ListRead,
+    NodeListBackoff,
+    default_front,
+    read_list,
+)
 
 CONNECT_TIMEOUT_S = 1.0
 SILENT_S = 3.5  # an empty line comes every 2 s: after this the watch is broken, whatever the socket says
@@ -39,7 +45,7 @@
         changed: Callable[[RouteNode], None],
         log: LogWriter,
         front: Callable[[str, str], str] = default_front,
-        again: AskAgain | None = None,
+        again: NodeListBackoff | None = None,
         known: Mapping[str, Any] | None = None,
         calls: ListCalls = CALLS,
         chance: Callable[[], float] = random.random,
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -26,7 +26,7 @@
     return "platform"
 
 
-class AskAgain:
+class NodeListBackoff:
     """When a pushed list is asked for again.  What its agent has counts as told whether we hear it or not, so
     that the longest wait (seconds) is a part of the grace that a drain leaves; the agent is our own
     machine's and answers at no cost, and is not hammered all the same while it is down."""
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -21,7 +21,7 @@
 from hollowusher.scheduler.fronts.common import read_load
 from hollowusher.scheduler.fronts.platform.clients import read_job
 from hollowusher.scheduler.fronts.platform.http import RequestReader
-from hollowusher.scheduler.rules.node_list import AskAgain
+from hollowusher.scheduler.rules.node_list import NodeListBackoff
 from hollowusher.scheduler.settings.model import ConfigError
 from tests.support.balancer import MS, SAFE, Node, S, only, sends, site, workers
 from tests.support.standins import CLASSES, SETTINGS, HttpNode, SocketCase, post
@@ -53,7 +53,7 @@
     def test_waits_grow_to_a_part_of_the_grace_and_start_anew(self) -> None:
         for grace_ms, longest_s in ((500, 0.125), (250, 0.0625), (0, 0.01)):
             for chance, share in ((0.0, 0.5), (1.0, 1.0)):
-                again = AskAgain(grace_ms * MS, partial(float, chance))
+                again = NodeListBackoff(grace_ms * MS, partial(float, chance))
                 waits = [again.wait_s() for _ in range(20)]
                 self.assertAlmostEqual(waits[0], 0.01 * share)
                 self.assertAlmostEqual(waits[-1], longest_s * share)
