--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -18,8 +18,8 @@
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
 from hollowusher.scheduler.rules.node_list import (
-    ListLines,
     ListRead,
+    NodeListAssembler,
     NodeListBackoff,
     default_front,
     read_list,
@@ -137,7 +137,7 @@
         # A call that is refused, reset or answered with an error met no service that could tell; one that is
         # given up, or whose answer cannot be read, shows nothing.
         why, kind = "the watch ended", ListKind.SILENT
-        lines = ListLines(MOST_LINE)
+        lines = NodeListAssembler(MOST_LINE)
         try:
             reader = AnswerReader(MOST_LINE)
             path = f"/api/targets?watch=1&from={version}"
@@ -202,7 +202,7 @@
             self._timer = asyncio.get_running_loop().call_later(self._again.wait_s(), self.ask)
         self._post(NodeListReceived(kind))
 
-    def _line(self, lines: ListLines, line: bytes, address: tuple[str, int]) -> None:
+    def _line(self, lines: NodeListAssembler, line: bytes, address: tuple[str, int]) -> None:
         reported = lines.feed(line)
         if not line.strip():
             if address == self._address:  # nothing has changed: what is held is good until now
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -48,7 +48,7 @@
         return wait_s * (0.5 + 0.5 * self._chance())
 
 
-class ListLines:
+class NodeListAssembler:
     """Puts the objects of a watch together.  One mostly stands on a line; indented, it goes over many."""
 
     def __init__(self, most: int) -> None:
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -55,7 +55,7 @@
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import LINGER_PACE_S, Link, connect, listen
 from hollowusher.scheduler.net.pool import Pool
-from hollowusher.scheduler.rules.node_list import ListLines
+from hollowusher.scheduler.rules.node_list import NodeListAssembler
 from tests.scheduler.test_platform_sockets import SlowPool
 from tests.scheduler.test_reload import Process
 from tests.support.balancer import MS, Node, S, only, sends, workers
@@ -624,7 +624,7 @@
 
 class ListLinesAreRead(unittest.TestCase):
     def read(self, text: str, most: int = 1 << 20) -> list[object]:
-        lines, reported = ListLines(most), list[object]()
+        lines, reported = NodeListAssembler(most), list[object]()
         for line in text.split("\n"):
             reported += lines.feed(line.encode())
         return reported
