--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -18,9 +18,9 @@
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
 from hollowusher.scheduler.rules.node_list import (
-    ListRead,
     NodeListAssembler,
     NodeListBackoff,
+    ParsedNodeList,
     default_front,
     read_list,
 )
@@ -87,11 +87,11 @@
             read = self._read(dict(self._known) or {"servers": []})
         except ValueError as wrong:
             self._log.warning("list-unreadable", str(wrong))
-            read = ListRead(0, True)
+            read = ParsedNodeList(0, True)
         self._version = read.version
         self._post(self._registry.reported(ListKind.CACHED, read.nodes))
 
-    def _read(self, reported: object) -> ListRead:
+    def _read(self, reported: object) -> ParsedNodeList:
         read = read_list(reported, self._registry, time.monotonic_ns(), time.time() * 1000, self._front)
         if read.faults:
             self._log.warning("list-odd", "; ".join(read.faults[:3]), faults=len(read.faults))
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class ListRead:
+class ParsedNodeList:
     """One list object: its version, whether it is the whole list, its nodes, and what was wrong with it."""
 
     version: int
@@ -106,7 +106,7 @@
     now_ns: int,
     wall_ms: float,
     front: Callable[[str, str], str] = default_front,
-) -> ListRead:
+) -> ParsedNodeList:
     """Read one list object; ValueError where nothing of it can be read.  `front` tells by name and machine
     kind how a node is reached.
 
@@ -118,7 +118,7 @@
     if not isinstance(reported, dict) or not isinstance(reported.get("servers"), list):
         raise ValueError("not a node list")
     try:
-        read = ListRead(int(reported.get("version") or 0), bool(reported.get("full")))
+        read = ParsedNodeList(int(reported.get("version") or 0), bool(reported.get("full")))
     except _FAULTS as wrong:
         raise ValueError(f"a node list's version: {wrong!r}") from None
     nodes: dict[int, RouteNode] = {}
