--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -188,7 +188,7 @@
                 self._standing.cancel()
             self._standing = task
         if self._again is not None:
-            self._again.good()
+            self._again.reset()
 
     def _ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
         """A watch broke, or a call failed: the desk asks again."""
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -37,7 +37,7 @@
         self._longest_s = max(self.FIRST_S, grace_ns / 1e9 / self.GRACE_PARTS)
         self._chance, self._failures = chance, 0
 
-    def good(self) -> None:
+    def reset(self) -> None:
         """It has told something."""
         self._failures = 0
 
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -58,7 +58,7 @@
                 self.assertAlmostEqual(waits[0], 0.01 * share)
                 self.assertAlmostEqual(waits[-1], longest_s * share)
                 self.assertEqual(waits, sorted(waits))
-                again.good()
+                again.reset()
                 self.assertAlmostEqual(again.wait_s(), 0.01 * share)
 
 
