--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -367,7 +367,7 @@
                 return
         held_up = round(self._config.body_wait_s * 1e9)
         for exchange in [e for e in self._bodies.values() if now - e.begun_ns >= held_up]:
-            self._reset(exchange, ErrorCodes.CANCEL, Cause.HELD_UP)
+            self._reset(exchange, ErrorCodes.CANCEL, Cause.BODY_BLOCKED)
         for exchange in list(self._streams.values()):
             if exchange.ended and not exchange.ended_ns:
                 exchange.ended_ns = now
--- a/hollowusher/scheduler/rules/stream_ends.py
+++ b/hollowusher/scheduler/rules/stream_ends.py
@@ -19,7 +19,7 @@
     ABOVE_LAST = "above-last"  # its id is above the last one of a GOAWAY
     RESET = "reset"  # RST_STREAM with any other code, or an answer that ended too soon
     LOST = "lost"  # the connection broke, or was closed for what the node did on it
-    HELD_UP = "held-up"  # the node's window kept the body back for too long
+    BODY_BLOCKED = "held-up"  # the node's window kept the body back for too long
     WITHDRAWN = "withdrawn"  # the desk withdrew the attempt
     TIMED_OUT = "timed-out"  # its time was over
 
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -190,7 +190,7 @@
             Cause.ABOVE_LAST: (Outcome.NOT_SENT, Outcome.NOT_SENT, Outcome.RESET),
             Cause.RESET: (Outcome.UNREACHABLE, Outcome.RESET, Outcome.RESET),
             Cause.LOST: (Outcome.UNREACHABLE, Outcome.RESET, Outcome.RESET),
-            Cause.HELD_UP: (Outcome.UNREACHABLE, Outcome.RESET, Outcome.RESET),
+            Cause.BODY_BLOCKED: (Outcome.UNREACHABLE, Outcome.RESET, Outcome.RESET),
             Cause.WITHDRAWN: (Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.CANCELLED),
             Cause.TIMED_OUT: (Outcome.UNREACHABLE, Outcome.TIMEOUT, Outcome.TIMEOUT),
         }
