--- a/hollowusher/scheduler/net/http2/settings.py
+++ b/hollowusher/scheduler/net/http2/settings.py
@@ -24,7 +24,7 @@
     settings_wait_s: float = 0.5
     ping_after_s: float = 1.0
     ping_wait_s: float = 2.0
-    used_most: int = 1_000_000
+    max_lifetime_streams: int = 1_000_000
     held_bytes: int = 2 * 1024 * 1024
     control_frames: int = 500
     fall_back: bool = False
@@ -92,7 +92,7 @@
         Directive(
             "used-most",
             count(10, 1_000_000_000),
-            _BASE.used_most,
+            _BASE.max_lifetime_streams,
             "streams after which a connection makes room for a new one",
         ),
         Directive(
--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -58,7 +58,7 @@
                 config.waiting,
                 round(config.stream_wait_s * 1e9),
                 round(pool.idle_s * 1e9),
-                config.used_most,
+                config.max_lifetime_streams,
             )
         )
         self.counts = StreamCounts()
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -43,7 +43,7 @@
     waiting: int = 512
     wait_ns: int = 1_000 * _NS_PER_MS
     idle_ns: int = 21_000 * _NS_PER_MS
-    used_most: int = 1_000_000
+    max_lifetime_streams: int = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -302,7 +302,9 @@
         self.figures.given += 1
         self.figures.longest_wait_ns = max(self.figures.longest_wait_ns, now - since)
         self._barren = self._open_after = 0
-        if account.used >= self._limits.used_most:  # its stream ids run out one day: better in a calm moment
+        if (
+            account.used >= self._limits.max_lifetime_streams
+        ):  # its stream ids run out one day: better in a calm moment
             account.stage = ConnectionStage.RETIRING
             self.figures.retired += 1
         return AssignStream(job, number)
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -37,8 +37,8 @@
 )
 from tests.support.balancer import MS, S
 
-CONFIG = Http2Config(True, ("*",), control_frames=1000, used_most=10)
-LIMITS = StreamLimits(connections=2, streams=3, waiting=8, wait_ns=S, idle_ns=5 * S, used_most=10)
+CONFIG = Http2Config(True, ("*",), control_frames=1000, max_lifetime_streams=10)
+LIMITS = StreamLimits(connections=2, streams=3, waiting=8, wait_ns=S, idle_ns=5 * S, max_lifetime_streams=10)
 NEVER_RAN = (Outcome.FULL, Outcome.NOT_SENT, Outcome.UNREACHABLE, *RejectReason)
 
 
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -19,7 +19,7 @@
 )
 from tests.support.balancer import MS, S
 
-LIMITS = StreamLimits(connections=2, streams=3, waiting=4, wait_ns=S, idle_ns=5 * S, used_most=100)
+LIMITS = StreamLimits(connections=2, streams=3, waiting=4, wait_ns=S, idle_ns=5 * S, max_lifetime_streams=100)
 
 
 def stream_table(announced: int | None = 3, limits: StreamLimits = LIMITS) -> StreamTable:
@@ -165,7 +165,7 @@
         self.assertEqual(b.ended(0, 1, 1), [CloseConnection(1), OpenConnection(4)])
 
     def test_one_is_replaced_before_its_ids_run_out(self) -> None:
-        b = stream_table(limits=StreamLimits(used_most=2))
+        b = stream_table(limits=StreamLimits(max_lifetime_streams=2))
         b.ask(0, "a", S)
         self.assertEqual(b.ended(0, 1, "a"), [CloseConnection(1)])
 
