--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -84,7 +84,11 @@
                 over.set_result(exchange.result)  # type: ignore[arg-type]
 
         exchange.tell = tell
-        self._do(self.stream_table.ask(time.monotonic_ns(), exchange, exchange.until_ns, exchange.urgent))
+        self._do(
+            self.stream_table.request_stream(
+                time.monotonic_ns(), exchange, exchange.until_ns, exchange.urgent
+            )
+        )
         self._arm()
         return await over
 
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -120,7 +120,9 @@
 
     # --- what is told of jobs
 
-    def ask(self, now: int, job: Hashable, until: int, urgent: bool = False) -> list[StreamInstruction]:
+    def request_stream(
+        self, now: int, job: Hashable, until: int, urgent: bool = False
+    ) -> list[StreamInstruction]:
         """A job wants a stream, at the latest at `until`.  An `urgent` one (a probe) goes before the others:
         behind a queue it would say of a busy node that it is dead."""
         if len(self._waiting) >= self._limits.waiting and not urgent:
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -209,7 +209,7 @@
             self.reported[name] = self.reported.get(name, 0) + 1
 
         exchange.tell = tell
-        self.do(self.stream_table.ask(self.now, exchange, exchange.until_ns, urgent))
+        self.do(self.stream_table.request_stream(self.now, exchange, exchange.until_ns, urgent))
 
     @rule()
     def refuse_next(self) -> None:
