--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -96,7 +96,7 @@
         """Give a request up, wherever it stands; how it ended."""
         if exchange.ended:
             return exchange.result  # type: ignore[return-value]  # it ended in the same moment
-        if self.stream_table.leave(time.monotonic_ns(), exchange):
+        if self.stream_table.cancel_wait(time.monotonic_ns(), exchange):
             # Behind streams that are in use the node is not to blame; without a connection it may be.
             how = outcome(cause, False, False) if self.stream_table.open_streams == 0 else Outcome.NOT_SENT
         elif (wire := self._wires.get(exchange.connection)) is not None:
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -133,7 +133,7 @@
             self.figures.waited += 1
         return acts
 
-    def leave(self, now: int, job: Hashable) -> bool:
+    def cancel_wait(self, now: int, job: Hashable) -> bool:
         """A job no longer wants a stream; whether it was waiting for one."""
         return self._waiting.pop(job, None) is not None
 
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -304,7 +304,7 @@
             self.give_up(open_jobs[pick % len(open_jobs)], cause)
 
     def give_up(self, exchange: StreamExchange[str], cause: Cause) -> None:
-        if self.stream_table.leave(self.now, exchange):
+        if self.stream_table.cancel_wait(self.now, exchange):
             exchange.finish(Outcome.NOT_SENT)
         else:
             exchange.finish(self.sessions[exchange.connection].withdraw(exchange, cause))
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -28,7 +28,7 @@
     if announced is not None:
         new.request_stream(0, "first", S)
         new.opened(0, 1, announced)
-        new.ended(0, 1, "first") if announced else new.leave(0, "first")
+        new.ended(0, 1, "first") if announced else new.cancel_wait(0, "first")
     return new
 
 
