--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -201,7 +201,7 @@
             self._do(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
         else:
             now = time.monotonic_ns()
-            self._do(self.stream_table.unbegun(now, session.number, exchange, exchange.until_ns))
+            self._do(self.stream_table.requeue(now, session.number, exchange, exchange.until_ns))
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         """See `Owner`."""
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -142,7 +142,7 @@
         self._off(now, connection, job)
         return self._move(now)
 
-    def unbegun(self, now: int, connection: int, job: Hashable, until: int) -> list[StreamInstruction]:
+    def requeue(self, now: int, connection: int, job: Hashable, until: int) -> list[StreamInstruction]:
         """A job that was given comes back without a byte written, and wants another stream: the connection
         retired, or the node lowered its limit, before its turn came.  It goes before those that came
         later."""
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -127,7 +127,7 @@
     def unbegun(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
         assert not exchange.ended
         exchange.connection = 0
-        self.do(self.stream_table.unbegun(self.now, session.number, exchange, exchange.until_ns))
+        self.do(self.stream_table.requeue(self.now, session.number, exchange, exchange.until_ns))
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         self.sessions.pop(session.number, None)
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -120,7 +120,7 @@
         b.request_stream(0, "a", S)
         b.request_stream(0, "b", S)
         b.limited(0, 1, 0)
-        self.assertEqual(b.unbegun(0, 1, "a", S), [])
+        self.assertEqual(b.requeue(0, 1, "a", S), [])
         self.assertEqual(given(b.limited(0, 1, 2)), [("a", 1), ("b", 1)])
 
     def test_a_drain_ends_it_at_once_and_opens_nothing(self) -> None:
