--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -169,7 +169,7 @@
 
     def limited(self, session: Http2Session, announced: int) -> None:
         """See `Owner`."""
-        self._do(self.stream_table.limited(time.monotonic_ns(), session.number, announced))
+        self._do(self.stream_table.set_stream_limit(time.monotonic_ns(), session.number, announced))
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
         """See `Owner`."""
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -173,7 +173,7 @@
             return self._move(now)
         return self._turn_back_all(why)
 
-    def limited(self, now: int, connection: int, announced: int) -> list[StreamInstruction]:
+    def set_stream_limit(self, now: int, connection: int, announced: int) -> list[StreamInstruction]:
         """The node allows so many streams from now on; those above it that are open may end in peace."""
         if (account := self._connections.get(connection)) is not None:
             account.announced = announced
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -113,7 +113,7 @@
         self.do(self.stream_table.opened(self.now, session.number, announced))
 
     def limited(self, session: Http2Session, announced: int) -> None:
-        self.do(self.stream_table.limited(self.now, session.number, announced))
+        self.do(self.stream_table.set_stream_limit(self.now, session.number, announced))
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
         self.do(self.stream_table.quiet(self.now, session.number, silent))
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -86,7 +86,7 @@
         b = stream_table(limits=StreamLimits(connections=1, streams=9, wait_ns=S))
         for name in "abc":
             b.request_stream(0, name, S)
-        self.assertEqual(b.limited(0, 1, 1), [])  # what is open ends in peace
+        self.assertEqual(b.set_stream_limit(0, 1, 1), [])  # what is open ends in peace
         self.assertEqual(b.request_stream(0, "d", S), [])
         self.assertEqual([b.ended(0, 1, "a"), b.ended(0, 1, "b")], [[], []])
         self.assertEqual(b.ended(0, 1, "c"), [AssignStream("d", 1)])
@@ -94,7 +94,7 @@
     def test_zero_then_raised(self) -> None:
         b = stream_table(announced=0, limits=StreamLimits(connections=1, wait_ns=S))
         self.assertEqual(b.request_stream(0, "a", S), [])
-        self.assertEqual(b.limited(MS, 1, 2), [AssignStream("a", 1)])
+        self.assertEqual(b.set_stream_limit(MS, 1, 2), [AssignStream("a", 1)])
 
 
 class Waiting(unittest.TestCase):
@@ -113,15 +113,15 @@
             self.assertEqual(back(b.request_stream(0, name, S)), [])
         self.assertEqual(back(b.request_stream(0, "e", S)), [("e", RejectReason.FULL)])
         self.assertEqual(back(b.request_stream(0, "probe", S, urgent=True)), [])
-        self.assertEqual(given(b.limited(0, 1, 1)), [("probe", 1)])  # before those that wait longer
+        self.assertEqual(given(b.set_stream_limit(0, 1, 1)), [("probe", 1)])  # before those that wait longer
 
     def test_a_job_that_lost_its_turn_is_first_in_line(self) -> None:
         b = stream_table(announced=1, limits=StreamLimits(connections=1, wait_ns=S))
         b.request_stream(0, "a", S)
         b.request_stream(0, "b", S)
-        b.limited(0, 1, 0)
+        b.set_stream_limit(0, 1, 0)
         self.assertEqual(b.requeue(0, 1, "a", S), [])
-        self.assertEqual(given(b.limited(0, 1, 2)), [("a", 1), ("b", 1)])
+        self.assertEqual(given(b.set_stream_limit(0, 1, 2)), [("a", 1), ("b", 1)])
 
     def test_a_drain_ends_it_at_once_and_opens_nothing(self) -> None:
         b = stream_table(announced=1)
