--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -173,7 +173,7 @@
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
         """See `Owner`."""
-        self._do(self.stream_table.quiet(time.monotonic_ns(), session.number, silent))
+        self._do(self.stream_table.set_unresponsive(time.monotonic_ns(), session.number, silent))
 
     def retired(self, session: Http2Session, code: int | None, above: int) -> None:
         """See `Owner`."""
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -179,7 +179,7 @@
             account.announced = announced
         return self._move(now)
 
-    def quiet(self, now: int, connection: int, silent: bool) -> list[StreamInstruction]:
+    def set_unresponsive(self, now: int, connection: int, silent: bool) -> list[StreamInstruction]:
         """Whether the node owes a sign of life on this connection: nothing new goes on it meanwhile."""
         if (account := self._connections.get(connection)) is not None:
             account.quiet = silent
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -116,7 +116,7 @@
         self.do(self.stream_table.set_stream_limit(self.now, session.number, announced))
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
-        self.do(self.stream_table.quiet(self.now, session.number, silent))
+        self.do(self.stream_table.set_unresponsive(self.now, session.number, silent))
 
     def retired(self, session: Http2Session, code: int | None, above: int) -> None:
         self.do(self.stream_table.retired(self.now, session.number))
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -76,9 +76,9 @@
 
     def test_nothing_new_goes_on_one_that_owes_a_liveness_answer(self) -> None:
         b = stream_table()
-        self.assertEqual(b.quiet(0, 1, True), [])
+        self.assertEqual(b.set_unresponsive(0, 1, True), [])
         self.assertEqual(b.request_stream(0, "a", S), [OpenConnection(2)])
-        self.assertEqual(b.quiet(0, 1, False), [AssignStream("a", 1)])
+        self.assertEqual(b.set_unresponsive(0, 1, False), [AssignStream("a", 1)])
 
 
 class LimitsThatChange(unittest.TestCase):
