--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -108,7 +108,7 @@
 
     def leaving(self) -> None:
         """The node drains, is gone, or is another process from now on."""
-        self._do(self.stream_table.leaving(time.monotonic_ns()))
+        self._do(self.stream_table.node_leaving(time.monotonic_ns()))
 
     async def close(self) -> None:
         """End all connections, with a GOAWAY on each."""
@@ -116,7 +116,7 @@
             self._timer.cancel()
         for task in self._opening:
             task.cancel()
-        self._do(self.stream_table.leaving(time.monotonic_ns()))
+        self._do(self.stream_table.node_leaving(time.monotonic_ns()))
         wires, self._wires = list(self._wires.values()), {}
         await asyncio.gather(
             *(wire.part() for wire in wires), *self._opening, *self._parting, return_exceptions=True
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -204,7 +204,7 @@
 
     # --- what is told of the node and of time
 
-    def leaving(self, now: int) -> list[StreamInstruction]:
+    def node_leaving(self, now: int) -> list[StreamInstruction]:
         """The node drains, is gone, or is another process now: who waits goes back at once, what is open may
         end, and nothing new goes out on these connections."""
         acts = self._turn_back_all(RejectReason.LEAVING)
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -313,7 +313,7 @@
     def drain(self, share: float) -> None:
         """The node drains, is heard of for a while, and comes back."""
         self.serving = False
-        self.do(self.stream_table.leaving(self.now))
+        self.do(self.stream_table.node_leaving(self.now))
         assert self.stream_table.waiting == 0
         begun = {s.number: s.open_streams for s in self.sessions.values()}
         self.exchange_bytes([share, share])
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -127,7 +127,7 @@
         b = stream_table(announced=1)
         b.request_stream(0, "a", S)
         b.request_stream(0, "b", S)
-        self.assertEqual(b.leaving(0), [RejectJob("b", RejectReason.LEAVING), CloseConnection(2)])
+        self.assertEqual(b.node_leaving(0), [RejectJob("b", RejectReason.LEAVING), CloseConnection(2)])
         self.assertEqual(b.ended(0, 1, "a"), [CloseConnection(1)])
         self.assertEqual(b.request_stream(0, "c", S), [OpenConnection(3)])  # the node is back
 
