--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -237,7 +237,7 @@
         now = time.monotonic_ns()
         busy = self.stream_table.waiting or self.stream_table.open_streams or self._opening
         due = now + round((HEARTBEAT_S if busy else REST_S) * 1e9)
-        if (soonest := self.stream_table.soonest_ns) is not None:
+        if (soonest := self.stream_table.earliest_expiry_ns) is not None:
             due = min(due, max(now, soonest))
         if self._timer is None or due < self._due_ns:
             if self._timer is not None:
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -218,7 +218,7 @@
         return self._move(now)
 
     @property
-    def soonest_ns(self) -> int | None:
+    def earliest_expiry_ns(self) -> int | None:
         """No job's wait ends before this; None: none waits."""
         return self._soonest if self._waiting else None
 
