--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -223,7 +223,7 @@
         return self._soonest if self._waiting else None
 
     @property
-    def next_ns(self) -> int | None:
+    def next_tick_ns(self) -> int | None:
         """When `tick` is due, if nothing is told before; None: never."""
         due = [until for _, until in self._waiting.values()]
         due += [
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -102,7 +102,7 @@
         b = stream_table(announced=0)
         b.request_stream(0, "short", 10 * MS)
         b.request_stream(0, "long", 60 * S)
-        self.assertEqual(b.next_ns, 10 * MS)
+        self.assertEqual(b.next_tick_ns, 10 * MS)
         self.assertEqual(back(b.tick(10 * MS)), [("short", RejectReason.WAITED)])
         self.assertEqual(back(b.tick(S - 1)), [])
         self.assertEqual(back(b.tick(S)), [("long", RejectReason.WAITED)])
