--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -153,7 +153,7 @@
             raise
         exchange.stream, exchange.begun_ns = stream, self._clock()
         if not self._streams:
-            self._pulse.began(exchange.begun_ns)
+            self._pulse.expect_answer(exchange.begun_ns)
         self._streams[stream] = exchange
         self._budget.earned()
         if exchange.body:
--- a/hollowusher/scheduler/rules/liveness.py
+++ b/hollowusher/scheduler/rules/liveness.py
@@ -25,7 +25,7 @@
         self._heard = now
         self._asked: int | None = None
 
-    def began(self, now: int) -> None:
+    def expect_answer(self, now: int) -> None:
         """The first answer is due from now on: the silence before it was nobody's."""
         self._heard = now
 
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -207,7 +207,7 @@
     def test_no_answer_is_asked_about_and_then_ends(self) -> None:
         pulse = LivenessCheck(0, after_ns=S, wait_ns=2 * S)
         self.assertEqual(pulse.check(10 * S, busy=False), LivenessStep.NOTHING)  # idle: it may be silent
-        pulse.began(10 * S)
+        pulse.expect_answer(10 * S)
         self.assertEqual(pulse.check(11 * S - 1, busy=True), LivenessStep.NOTHING)
         self.assertEqual(pulse.check(11 * S, busy=True), LivenessStep.ASK)
         self.assertEqual(pulse.check(12 * S, busy=True), LivenessStep.NOTHING)
