--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -220,7 +220,7 @@
         """Take bytes; ProtocolError where the connection cannot go on (`parting` says so to the node)."""
         for event in self._h2.receive_data(data):
             self._reported(event)
-        if self._pulse.heard(self._clock()):
+        if self._pulse.frame_received(self._clock()):
             self._owner.quiet(self, False)
         self._drain()
 
--- a/hollowusher/scheduler/rules/liveness.py
+++ b/hollowusher/scheduler/rules/liveness.py
@@ -29,7 +29,7 @@
         """The first answer is due from now on: the silence before it was nobody's."""
         self._heard = now
 
-    def heard(self, now: int) -> bool:
+    def frame_received(self, now: int) -> bool:
         """Something came; whether it had been asked for."""
         self._heard, asked = now, self._asked
         self._asked = None
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -211,8 +211,8 @@
         self.assertEqual(pulse.check(11 * S - 1, busy=True), LivenessStep.NOTHING)
         self.assertEqual(pulse.check(11 * S, busy=True), LivenessStep.ASK)
         self.assertEqual(pulse.check(12 * S, busy=True), LivenessStep.NOTHING)
-        self.assertTrue(pulse.heard(12 * S))
-        self.assertFalse(pulse.heard(12 * S))
+        self.assertTrue(pulse.frame_received(12 * S))
+        self.assertFalse(pulse.frame_received(12 * S))
         self.assertEqual(pulse.check(13 * S, busy=True), LivenessStep.ASK)
         self.assertEqual(pulse.check(15 * S, busy=False), LivenessStep.BROKEN)
 
