--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -155,7 +155,7 @@
         if not self._streams:
             self._pulse.expect_answer(exchange.begun_ns)
         self._streams[stream] = exchange
-        self._budget.earned()
+        self._budget.stream_opened()
         if exchange.body:
             self._bodies[stream] = exchange
             self._push(exchange)
--- a/hollowusher/scheduler/rules/liveness.py
+++ b/hollowusher/scheduler/rules/liveness.py
@@ -55,7 +55,7 @@
     def __init__(self, now: int, most: int) -> None:
         self._most, self._left, self._at = float(most), float(most), now
 
-    def earned(self) -> None:
+    def stream_opened(self) -> None:
         """A stream was begun."""
         self._left = min(self._most, self._left + EARNED_BY_STREAM)
 
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -219,7 +219,7 @@
     def test_frames_without_work_are_paid_for_by_work_and_time(self) -> None:
         budget = FrameBudget(0, most=10)
         self.assertEqual([budget.spend(0) for _ in range(11)], [True] * 10 + [False])
-        budget.earned()
+        budget.stream_opened()
         self.assertTrue(budget.spend(0))
         budget = FrameBudget(0, most=10)
         self.assertTrue(all(budget.spend(n * S // 50) for n in range(1000)))  # a trickle may go on
