--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -358,7 +358,7 @@
     def heartbeat(self, now: int) -> None:
         """Time has passed: ask for a sign of life, take back what is held up, let go of what does not end."""
         match self._pulse.check(now, bool(self._streams)):
-            case LivenessStep.ASK:
+            case LivenessStep.SEND_PING:
                 self._h2.ping(b"hollowus")
                 self._drain()
                 self._owner.quiet(self, True)
--- a/hollowusher/scheduler/rules/liveness.py
+++ b/hollowusher/scheduler/rules/liveness.py
@@ -13,7 +13,7 @@
     """What to do about a connection just now."""
 
     NOTHING = "nothing"
-    ASK = "ask"  # send a PING; nothing new goes on it until something comes
+    SEND_PING = "ask"  # send a PING; nothing new goes on it until something comes
     BROKEN = "broken"  # nothing came for too long
 
 
@@ -43,7 +43,7 @@
             return LivenessStep.BROKEN if now - self._asked >= self._wait else LivenessStep.NOTHING
         if now - self._heard >= self._after:
             self._asked = now
-            return LivenessStep.ASK
+            return LivenessStep.SEND_PING
         return LivenessStep.NOTHING
 
 
--- a/tests/scheduler/test_stream_rules.py
+++ b/tests/scheduler/test_stream_rules.py
@@ -209,11 +209,11 @@
         self.assertEqual(pulse.check(10 * S, busy=False), LivenessStep.NOTHING)  # idle: it may be silent
         pulse.expect_answer(10 * S)
         self.assertEqual(pulse.check(11 * S - 1, busy=True), LivenessStep.NOTHING)
-        self.assertEqual(pulse.check(11 * S, busy=True), LivenessStep.ASK)
+        self.assertEqual(pulse.check(11 * S, busy=True), LivenessStep.SEND_PING)
         self.assertEqual(pulse.check(12 * S, busy=True), LivenessStep.NOTHING)
         self.assertTrue(pulse.frame_received(12 * S))
         self.assertFalse(pulse.frame_received(12 * S))
-        self.assertEqual(pulse.check(13 * S, busy=True), LivenessStep.ASK)
+        self.assertEqual(pulse.check(13 * S, busy=True), LivenessStep.SEND_PING)
         self.assertEqual(pulse.check(15 * S, busy=False), LivenessStep.BROKEN)
 
     def test_frames_without_work_are_paid_for_by_work_and_time(self) -> None:
