--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -53,9 +53,9 @@
     NewSettings,
     NodeListReceived,
     NodeProbed,
+    OperatorNotice,
     Order,
     ProbeNode,
-    Remark,
     ReplyToClient,
     TimeCame,
     Verdict,
@@ -195,7 +195,7 @@
             case Wake(in_ns):
                 self._orders.append(WakeDispatcher(in_ns))
             case Log(text):
-                self._orders.append(Remark(text))
+                self._orders.append(OperatorNotice(text))
 
     def _finish(self, event: AttemptEnded) -> None:
         """An attempt is over: its job is answered by it, or waits for others, or for the module's word."""
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -214,10 +214,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remark:
+class OperatorNotice:
     """Order: a line for the people on call."""
 
     text: str
 
 
-Order = Dispatch | Withdraw | ReplyToClient | ProbeNode | WatchNodeList | WakeDispatcher | Remark
+Order = Dispatch | Withdraw | ReplyToClient | ProbeNode | WatchNodeList | WakeDispatcher | OperatorNotice
--- a/hollowusher/scheduler/effects.py
+++ b/hollowusher/scheduler/effects.py
@@ -14,9 +14,9 @@
     DispatchEvent,
     JobAttempt,
     NodeProbed,
+    OperatorNotice,
     Order,
     ProbeNode,
-    Remark,
     ReplyToClient,
     WatchNodeList,
     Withdraw,
@@ -87,7 +87,7 @@
                 self._spawn(self.nodes[node.front].probe(node))
             case WatchNodeList():
                 self.watch()
-            case Remark(text):
+            case OperatorNotice(text):
                 self._log.notice("desk-remark", text)
 
     def _begin(self, order: Dispatch, node: RouteNode) -> None:
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -26,9 +26,9 @@
     JobTaken,
     NodeListReceived,
     NodeProbed,
+    OperatorNotice,
     Order,
     ProbeNode,
-    Remark,
     ReplyToClient,
     TimeCame,
     Verdict,
@@ -199,7 +199,7 @@
                 self.hear(NodeListReceived(ListKind.CHANGES))
             case WakeDispatcher(span):
                 self.heap.after(-(-span // MS) * MS, lambda: self.post(TimeCame()))
-            case Remark(text):
+            case OperatorNotice(text):
                 self.remarks.append((self.heap.now, text))
 
     def _dispatch(self, attempt: JobAttempt, job: ClientJob, timeout: int) -> None:
--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -24,8 +24,8 @@
     JobAnswerBody,
     JobTaken,
     NodeListReceived,
+    OperatorNotice,
     Order,
-    Remark,
     ReplyToClient,
     TimeCame,
     Verdict,
@@ -125,10 +125,13 @@
 class Owner(unittest.IsolatedAsyncioTestCase):
     async def test_faults_do_not_end_the_one_task_that_owns_the_dispatcher(self) -> None:
         dispatcher, done = mock.Mock(), asyncio.Event()
-        dispatcher.work.side_effect = [ValueError("a bad step"), [Remark("bad"), Remark("good")]]
+        dispatcher.work.side_effect = [
+            ValueError("a bad step"),
+            [OperatorNotice("bad"), OperatorNotice("good")],
+        ]
 
         def carry_out(order: Order) -> None:
-            if order == Remark("bad"):
+            if order == OperatorNotice("bad"):
                 raise ValueError("a bad order")
             done.set()
 
