--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -42,6 +42,7 @@
     AttemptProgress,
     AttemptStarted,
     BudgetShared,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
@@ -61,7 +62,6 @@
     Verdict,
     WakeDispatcher,
     WatchNodeList,
-    Withdraw,
 )
 
 
@@ -180,7 +180,7 @@
                 self._orders.append(Dispatch(attempt, held.job, timeout, self._now + within if within else 0))
             case Cancel(ticket, number) if (ticket, number) in self._open:
                 if not (ticket in self._jobs and self._jobs[ticket].kept):
-                    self._orders.append(Withdraw(self._open[ticket, number]))
+                    self._orders.append(CancelAttempt(self._open[ticket, number]))
             case Refuse(ticket, wait):
                 # The module says when a job is given up and mostly no wait; a client told nothing would come
                 # straight back into the crowd that it was refused for.
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -180,7 +180,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class CancelAttempt:
     """Order: stop waiting for an attempt."""
 
     attempt: JobAttempt
@@ -220,4 +220,4 @@
     text: str
 
 
-Order = Dispatch | Withdraw | ReplyToClient | ProbeNode | WatchNodeList | WakeDispatcher | OperatorNotice
+Order = Dispatch | CancelAttempt | ReplyToClient | ProbeNode | WatchNodeList | WakeDispatcher | OperatorNotice
--- a/hollowusher/scheduler/effects.py
+++ b/hollowusher/scheduler/effects.py
@@ -10,6 +10,7 @@
 from hollowusher.balancing.interface import Outcome, State
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
+    CancelAttempt,
     Dispatch,
     DispatchEvent,
     JobAttempt,
@@ -19,7 +20,6 @@
     ProbeNode,
     ReplyToClient,
     WatchNodeList,
-    Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.log import LogWriter
@@ -75,7 +75,7 @@
                     self.post(AttemptEnded(attempt, Outcome.NOT_SENT))
                     return
                 self._begin(order, node)
-            case Withdraw(attempt):
+            case CancelAttempt(attempt):
                 self._withdraw(attempt)
             case ReplyToClient(job, answer):
                 job.answer_to(answer)
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -17,6 +17,7 @@
     AttemptEnded,
     AttemptProgress,
     AttemptStarted,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
@@ -34,7 +35,6 @@
     Verdict,
     WakeDispatcher,
     WatchNodeList,
-    Withdraw,
 )
 from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.emulator.model import NodeEvent, NodeEventKind, NodeKind, NodeModel
@@ -188,7 +188,7 @@
         match order:
             case Dispatch(attempt, job, timeout):
                 self._dispatch(attempt, job, timeout)
-            case Withdraw(attempt):
+            case CancelAttempt(attempt):
                 if (out := self._out.get(attempt)) is not None:
                     self._give_up(out, Outcome.CANCELLED)
             case ReplyToClient(job, answer):
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -8,6 +8,7 @@
 from hollowusher.balancing.interface import Outcome
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
@@ -18,7 +19,6 @@
     Order,
     ReplyToClient,
     Verdict,
-    Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.net.log_replication.node import CopiesNode
@@ -94,7 +94,7 @@
                 self._number += 1
                 self._waiting[attempt] = self._number
                 self.node.intent(job.job_id, self._number, name, cell, order)
-            case Withdraw(attempt) if attempt in self._waiting:
+            case CancelAttempt(attempt) if attempt in self._waiting:
                 # Nothing of it is out, and nothing will be: the desk must hear so, else it waits for good and
                 # takes the node for one that is silent.
                 self._withdrawn[attempt] = self._waiting.pop(attempt)
--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -17,6 +17,7 @@
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
     AttemptStarted,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
@@ -31,7 +32,6 @@
     Verdict,
     WakeDispatcher,
     WatchNodeList,
-    Withdraw,
 )
 from hollowusher.scheduler.emulator.outside import platform_settings
 from hollowusher.scheduler.fronts.stomp.job_table import JobTable, ResendState, fingerprint
@@ -87,7 +87,7 @@
 
     def test_client_left_withdraws_and_gets_no_answer(self) -> None:
         job, sent = self.take()
-        self.assertIn(Withdraw(sent.attempt), self.step(ClientLeft(job), ClientLeft(job)))
+        self.assertIn(CancelAttempt(sent.attempt), self.step(ClientLeft(job), ClientLeft(job)))
         self.step(AttemptEnded(sent.attempt, Outcome.OK))
         self.assertEqual(self.replies(), [])
 
@@ -101,7 +101,7 @@
         reply = self.wait(ReplyToClient)
         self.assertEqual(reply.answer, JobAnswerBody(Verdict.FAILED))
         self.assertLess(self.now, job.deadline_ns)
-        self.assertIn(Withdraw(sent.attempt), self.orders)
+        self.assertIn(CancelAttempt(sent.attempt), self.orders)
 
     def test_it_asks_for_the_list_and_for_its_time(self) -> None:
         self.step(JobTaken(ClientJob("j", "eta-quote", "/x", b"", self.now, 3 * S, lambda a: None)))
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -33,6 +33,7 @@
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
@@ -43,7 +44,6 @@
     Order,
     ReplyToClient,
     Verdict,
-    Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.effects import EffectExecutor
@@ -467,7 +467,7 @@
         executor.nodes["platform"], executor.post = Nodes(), reported.append
         order = Dispatch(JobAttempt("j", 0, 1), ClientJob("j", "c", "/", b"", 0, S, lambda a: None), 0)
         executor.carry_out(order)
-        executor.carry_out(Withdraw(order.attempt))
+        executor.carry_out(CancelAttempt(order.attempt))
         await asyncio.sleep(0.01)
         self.assertEqual(reported, [AttemptEnded(order.attempt, Outcome.NOT_SENT)])
         self.assertEqual((ran, executor._attempts, executor._others), ([], {}, set()))
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -18,12 +18,12 @@
 from hollowusher.balancing import Outcome
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
+    CancelAttempt,
     ClientJob,
     Dispatch,
     DispatchEvent,
     JobAttempt,
     Order,
-    Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.emulator import log_replication_check as copies_check
@@ -548,7 +548,7 @@
             self.setUp()
             self.admission.carry_out(self.order)
             number = self.node.intent.call_args.args[1]
-            self.admission.carry_out(Withdraw(self.order.attempt))
+            self.admission.carry_out(CancelAttempt(self.order.attempt))
             self.assertEqual(self.posted, [AttemptEnded(self.order.attempt, Outcome.NOT_SENT)])
             self.admission.act(ReplicationInstruction(late, self.order))
             self.assertEqual((self.carried, len(self.posted)), ([], 1))
