--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -22,7 +22,7 @@
 from benchmarks.false_suspicion import USUAL, settings_for
 from benchmarks.rig import S
 from hollowusher.balancing import State
-from hollowusher.scheduler.dispatch.model import Dispatch, Order, ProbeNode, WatchNodeList
+from hollowusher.scheduler.dispatch.model import Dispatch, DispatchCommand, ProbeNode, WatchNodeList
 from hollowusher.scheduler.emulator.model import NodeKind
 from hollowusher.scheduler.emulator.outside import free_port, node_rows, platform_settings
 from hollowusher.scheduler.emulator.traffic import Spell, draw
@@ -42,7 +42,7 @@
         self.most_out, self.most_cold = 0, 0.0
         self._cold: dict[int, list[tuple[int, float]]] = {}
 
-    def see(self, scheduler: VirtualScheduler, order: Order) -> None:
+    def see(self, scheduler: VirtualScheduler, order: DispatchCommand) -> None:
         """One order of one scheduler."""
         match order:
             case Dispatch(attempt, job, _):
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -46,6 +46,7 @@
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
@@ -55,7 +56,6 @@
     NodeListReceived,
     NodeProbed,
     OperatorNotice,
-    Order,
     ProbeNode,
     ReplyToClient,
     TimeCame,
@@ -85,7 +85,7 @@
         self._jobs: dict[str, _OpenJob] = {}
         self._open: dict[tuple[str, int], JobAttempt] = {}
         self._count = 0
-        self._orders: list[Order] = []
+        self._orders: list[DispatchCommand] = []
 
     @property
     def open_jobs(self) -> int:
@@ -106,7 +106,7 @@
             w.id for w in self._module.workers.values() if w.suspect and w.entry.state is not State.GONE
         )
 
-    def work(self, now: int, events: Iterable[DispatchEvent]) -> list[Order]:
+    def work(self, now: int, events: Iterable[DispatchEvent]) -> list[DispatchCommand]:
         """Take a batch of events in one step of the module; the orders that follow."""
         self._orders, self._now = [], now
         reported: list[Event] = []
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -220,4 +220,6 @@
     text: str
 
 
-Order = Dispatch | CancelAttempt | ReplyToClient | ProbeNode | WatchNodeList | WakeDispatcher | OperatorNotice
+DispatchCommand = (
+    Dispatch | CancelAttempt | ReplyToClient | ProbeNode | WatchNodeList | WakeDispatcher | OperatorNotice
+)
--- a/hollowusher/scheduler/effects.py
+++ b/hollowusher/scheduler/effects.py
@@ -12,11 +12,11 @@
     AttemptEnded,
     CancelAttempt,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAttempt,
     NodeProbed,
     OperatorNotice,
-    Order,
     ProbeNode,
     ReplyToClient,
     WatchNodeList,
@@ -65,7 +65,7 @@
         self._attempts: dict[JobAttempt, _UnderWay] = {}
         self._others: set[asyncio.Task[None]] = set()
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: DispatchCommand) -> None:
         """Carry out one order; returns at once."""
         match order:
             case Dispatch(attempt):
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -21,6 +21,7 @@
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
@@ -28,7 +29,6 @@
     NodeListReceived,
     NodeProbed,
     OperatorNotice,
-    Order,
     ProbeNode,
     ReplyToClient,
     TimeCame,
@@ -182,7 +182,7 @@
         for order in self._dispatcher.work(self.heap.now, events):
             self._carry_out(order)
 
-    def _carry_out(self, order: Order) -> None:
+    def _carry_out(self, order: DispatchCommand) -> None:
         if self.rehearsal.watcher is not None:
             self.rehearsal.watcher(self, order)
         match order:
@@ -286,7 +286,9 @@
         self.unsafe = {c.name for c in settings.classes if c.effect is Effect.UNSAFE}
         self.results: list[JobResult] = []
         self._work: dict[str, float] = {}
-        self.watcher: Callable[[VirtualScheduler, Order], None] | None = None  # sees all orders of all
+        self.watcher: Callable[[VirtualScheduler, DispatchCommand], None] | None = (
+            None  # sees all orders of all
+        )
         self.schedulers = [
             VirtualScheduler(self, n, replace(settings, me=n % settings.balancers), int(seed))
             for n, seed in enumerate(self._chance["modules"].integers(2**31, size=schedulers))
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -12,11 +12,11 @@
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
     JobTaken,
-    Order,
     ReplyToClient,
     Verdict,
 )
@@ -34,7 +34,7 @@
         classes: frozenset[str],
         registry: WorkerRegistry,
         post: Callable[[DispatchEvent], None],
-        carry_out: Callable[[Order], None],
+        carry_out: Callable[[DispatchCommand], None],
         wait_ns: int,
         seed: int,
     ) -> None:
@@ -84,7 +84,7 @@
 
     # --- from the desk ------------------------------------------------------------------------------------
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, order: DispatchCommand) -> None:
         """What the desk orders."""
         assert self.node is not None
         match order:
--- a/hollowusher/scheduler/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -9,7 +9,7 @@
 
 from hollowusher.balancing.learned_state import Memory
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
-from hollowusher.scheduler.dispatch.model import DispatchEvent, Order, TimeCame, WakeDispatcher
+from hollowusher.scheduler.dispatch.model import DispatchCommand, DispatchEvent, TimeCame, WakeDispatcher
 from hollowusher.scheduler.log import LogWriter
 
 _NS_PER_MS = 1_000_000
@@ -18,7 +18,9 @@
 class DispatcherOwner:
     """Drains the queue in batches, steps the desk once for each, and has its orders carried out."""
 
-    def __init__(self, dispatcher: JobDispatcher, carry_out: Callable[[Order], None], log: LogWriter) -> None:
+    def __init__(
+        self, dispatcher: JobDispatcher, carry_out: Callable[[DispatchCommand], None], log: LogWriter
+    ) -> None:
         self._dispatcher, self._carry_out, self._log = dispatcher, carry_out, log
         self._queue: asyncio.Queue[DispatchEvent] = asyncio.Queue()
         self.taps: list[Callable[[DispatchEvent], None]] = []  # who else is told of each event
--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -21,12 +21,12 @@
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobTaken,
     NodeListReceived,
     OperatorNotice,
-    Order,
     ReplyToClient,
     TimeCame,
     Verdict,
@@ -46,10 +46,10 @@
     def setUp(self) -> None:
         self.now = 10 * S
         self.dispatcher = JobDispatcher(SETTINGS, 1, self.now)
-        self.orders: list[Order] = []
+        self.orders: list[DispatchCommand] = []
         self.step(NodeListReceived(ListKind.FULL, (Listed(1), Listed(2))))
 
-    def step(self, *events: DispatchEvent) -> list[Order]:
+    def step(self, *events: DispatchEvent) -> list[DispatchCommand]:
         orders = self.dispatcher.work(self.now, events)
         self.orders += orders
         return orders
@@ -130,7 +130,7 @@
             [OperatorNotice("bad"), OperatorNotice("good")],
         ]
 
-        def carry_out(order: Order) -> None:
+        def carry_out(order: DispatchCommand) -> None:
             if order == OperatorNotice("bad"):
                 raise ValueError("a bad order")
             done.set()
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -37,11 +37,11 @@
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
     JobTaken,
-    Order,
     ReplyToClient,
     Verdict,
 )
@@ -486,7 +486,7 @@
             self.dispatcher = JobDispatcher(SETTINGS, 1, 0)
         self.job = ClientJob("j", "settle-shift", "/", b"", 0, S, lambda a: None)
 
-    def work(self, event: DispatchEvent, *actions: Any) -> list[Order]:
+    def work(self, event: DispatchEvent, *actions: Any) -> list[DispatchCommand]:
         self.module.step.return_value = list(actions)
         return self.dispatcher.work(0, [event])
 
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -21,9 +21,9 @@
     CancelAttempt,
     ClientJob,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAttempt,
-    Order,
 )
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.emulator import log_replication_check as copies_check
@@ -524,7 +524,7 @@
 class BeforeTheExecutor(unittest.TestCase):
     def setUp(self) -> None:
         self.posted: list[DispatchEvent] = []
-        self.carried: list[Order] = []
+        self.carried: list[DispatchCommand] = []
         self.node = mock.Mock()
         self.admission = ReplicationAdmission(
             frozenset({"settle"}), WorkerRegistry(), self.posted.append, self.carried.append, 0, 1
