--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -58,7 +58,7 @@
     OperatorNotice,
     ProbeNode,
     ReplyToClient,
-    TimeCame,
+    TimerExpired,
     Verdict,
     WakeDispatcher,
     WatchNodeList,
@@ -157,7 +157,7 @@
                 return WorkerList(kind, entries)
             case NodeProbed(node, ok, reading):
                 return Probed(node, ok, reading)
-            case TimeCame():
+            case TimerExpired():
                 return Woken()
             case BudgetShared():
                 return BudgetSpent()
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimeCame:
+class TimerExpired:
     """Event: a time that the desk asked for has come."""
 
 
@@ -157,7 +157,7 @@
     | AttemptEnded
     | NodeListReceived
     | NodeProbed
-    | TimeCame
+    | TimerExpired
     | BudgetShared
     | NewSettings
     | LearnedStateReceived
@@ -208,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeDispatcher:
-    """Order: tell the desk `TimeCame` after this span."""
+    """Order: tell the desk `TimerExpired` after this span."""
 
     in_ns: int
 
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -31,7 +31,7 @@
     OperatorNotice,
     ProbeNode,
     ReplyToClient,
-    TimeCame,
+    TimerExpired,
     Verdict,
     WakeDispatcher,
     WatchNodeList,
@@ -198,7 +198,7 @@
             case WatchNodeList():
                 self.hear(NodeListReceived(ListKind.CHANGES))
             case WakeDispatcher(span):
-                self.heap.after(-(-span // MS) * MS, lambda: self.post(TimeCame()))
+                self.heap.after(-(-span // MS) * MS, lambda: self.post(TimerExpired()))
             case OperatorNotice(text):
                 self.remarks.append((self.heap.now, text))
 
--- a/hollowusher/scheduler/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -9,7 +9,7 @@
 
 from hollowusher.balancing.learned_state import Memory
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
-from hollowusher.scheduler.dispatch.model import DispatchCommand, DispatchEvent, TimeCame, WakeDispatcher
+from hollowusher.scheduler.dispatch.model import DispatchCommand, DispatchEvent, TimerExpired, WakeDispatcher
 from hollowusher.scheduler.log import LogWriter
 
 _NS_PER_MS = 1_000_000
@@ -62,7 +62,7 @@
                     order, WakeDispatcher
                 ):  # rounded up: the loop's timers count whole milliseconds
                     delay = math.ceil(order.in_ns / _NS_PER_MS) / 1000
-                    loop.call_later(delay, self.post, TimeCame())
+                    loop.call_later(delay, self.post, TimerExpired())
                     continue
                 try:
                     self._carry_out(order)
--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -28,7 +28,7 @@
     NodeListReceived,
     OperatorNotice,
     ReplyToClient,
-    TimeCame,
+    TimerExpired,
     Verdict,
     WakeDispatcher,
     WatchNodeList,
@@ -66,7 +66,7 @@
                     self.orders.remove(order)
                     return order
             self.now += 2 * MS
-            self.step(TimeCame())
+            self.step(TimerExpired())
         raise AssertionError(f"no {kind.__name__}")
 
     def replies(self) -> list[Verdict]:
@@ -118,7 +118,7 @@
             dispatcher = JobDispatcher(replace(SETTINGS, limits=limits), 1, 0)
             job = ClientJob("j", "settle-shift", "/x", b"", 0, S, lambda a: None)
             dispatcher.work(0, [NodeListReceived(ListKind.CACHED), JobTaken(job)])
-            (reply,) = [o for o in dispatcher.work(S, [TimeCame()]) if isinstance(o, ReplyToClient)]
+            (reply,) = [o for o in dispatcher.work(S, [TimerExpired()]) if isinstance(o, ReplyToClient)]
             self.assertEqual(reply.answer, JobAnswerBody(Verdict.REFUSED, wait_ns=wait))
 
 
@@ -137,10 +137,10 @@
 
         owner = DispatcherOwner(dispatcher, carry_out, LogWriter("test", per_s=0, burst=0))
         task = asyncio.create_task(owner.run())
-        owner.post(TimeCame())
-        owner.post(TimeCame())  # these two are one batch
+        owner.post(TimerExpired())
+        owner.post(TimerExpired())  # these two are one batch
         await asyncio.sleep(0)
-        owner.post(TimeCame())
+        owner.post(TimerExpired())
         await asyncio.wait_for(done.wait(), 5)
         self.assertEqual([len(call.args[1]) for call in dispatcher.work.call_args_list], [2, 1])
         task.cancel()
