--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -41,10 +41,10 @@
     AttemptEnded,
     AttemptProgress,
     AttemptStarted,
-    BudgetShared,
     CancelAttempt,
     ClientJob,
     ClientLeft,
+    ColdBudgetInUse,
     Dispatch,
     DispatchCommand,
     DispatchEvent,
@@ -159,7 +159,7 @@
                 return Probed(node, ok, reading)
             case TimerExpired():
                 return Woken()
-            case BudgetShared():
+            case ColdBudgetInUse():
                 return BudgetSpent()
             case NewSettings(settings):
                 self._follow(settings, now)
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetShared:
+class ColdBudgetInUse:
     """Event: another process of this scheduler may be sending to cold workers just now."""
 
 
@@ -158,7 +158,7 @@
     | NodeListReceived
     | NodeProbed
     | TimerExpired
-    | BudgetShared
+    | ColdBudgetInUse
     | NewSettings
     | LearnedStateReceived
 )
--- a/hollowusher/scheduler/replacement/process.py
+++ b/hollowusher/scheduler/replacement/process.py
@@ -7,7 +7,7 @@
 
 from hollowusher.balancing.learned_state import Memory
 from hollowusher.scheduler.component import Plain
-from hollowusher.scheduler.dispatch.model import BudgetShared, DispatchEvent
+from hollowusher.scheduler.dispatch.model import ColdBudgetInUse, DispatchEvent
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.fronts.common import JobIds
 from hollowusher.scheduler.log import LogWriter
@@ -131,7 +131,7 @@
         else:
             self.replaced.clear()
         if self._others and not self._spends_cold_budget():
-            self._post(BudgetShared())
+            self._post(ColdBudgetInUse())
         if bool(self._others) is not self._beside:
             self._beside = bool(self._others)
             self._count_together()
