--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -100,7 +100,7 @@
         """Begin with what another module has learnt, once the list is known."""
         restore(self._module, memory, now)
 
-    def avoided(self) -> frozenset[int]:
+    def suspect_workers(self) -> frozenset[int]:
         """The workers that the module sends nothing to but trials, as far as they are in the list."""
         return frozenset(
             w.id for w in self._module.workers.values() if w.suspect and w.entry.state is not State.GONE
--- a/hollowusher/scheduler/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -38,7 +38,7 @@
     @property
     def avoided(self) -> frozenset[int]:
         """The workers in the list that the decision module avoids."""
-        return self._dispatcher.avoided()
+        return self._dispatcher.suspect_workers()
 
     @property
     def busy(self) -> bool:
