--- a/hollowusher/scheduler/dispatch/metrics.py
+++ b/hollowusher/scheduler/dispatch/metrics.py
@@ -25,9 +25,9 @@
         self.classes: dict[str, JobClassMetrics] = {}
         self.in_flight = 0  # jobs taken and not yet ended
         self.reloads_ok = self.reloads_failed = 0
-        self.follow(classes)
+        self.add_classes(classes)
 
-    def follow(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Show these classes as well; those that are dropped keep their counts."""
         for name in classes:
             self.classes.setdefault(name, JobClassMetrics())
--- a/hollowusher/scheduler/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -402,7 +402,7 @@
     def follow(self, classes: Mapping[str, JobClass]) -> None:
         """These classes are taken from now on; jobs that are open keep theirs."""
         self.classes, self.drain_times = classes, DrainTimes.of(classes.values())
-        self.figures.follow(classes)
+        self.figures.add_classes(classes)
 
     def limit(self, most: int) -> None:
         """Hold no more connections than so many from now on, as far as some can be spared."""
