--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -34,7 +34,7 @@
         self._fixed: set[int] = set()
         self.detached: frozenset[str] = frozenset()  # the names of those that are out by hand
 
-    def fix(self, node: RouteNode) -> None:
+    def add_static(self, node: RouteNode) -> None:
         """A node that our own file lists: no list from outside tells of it, nor of its end."""
         self._nodes[node.entry.worker] = node
         self._fixed.add(node.entry.worker)
--- a/hollowusher/scheduler/fronts/stomp/front.py
+++ b/hollowusher/scheduler/fronts/stomp/front.py
@@ -36,7 +36,7 @@
         for n in stomp.nodes:
             entry = Listed(registry.number(n.name), n.zone, n.kind, n.cell, size=n.size)
             self._listed.append(RouteNode(n.name, n.address, entry, front="stomp"))
-            registry.fix(self._listed[-1])
+            registry.add_static(self._listed[-1])
         self.nodes = StompNodes(
             registry, config.meanings, post, log, config.name, stomp.heart_beat_ms, config.connect_timeout_s
         )
--- a/tests/scheduler/test_parsers.py
+++ b/tests/scheduler/test_parsers.py
@@ -240,7 +240,7 @@
     def test_registry_keeps_fixed_nodes_and_bounds_the_rest(self) -> None:
         registry = WorkerRegistry()
         fixed, other = read_list({"servers": [ROW, {**ROW, "id": "x"}]}, registry, 0, 0.0).nodes
-        registry.fix(fixed)
+        registry.add_static(fixed)
         reported = registry.reported(ListKind.FULL, [other])
         self.assertEqual({e.worker for e in reported.entries}, {fixed.entry.worker, other.entry.worker})
         registry.reported(ListKind.FULL, [])
--- a/tests/scheduler/test_stomp_sockets.py
+++ b/tests/scheduler/test_stomp_sockets.py
@@ -154,7 +154,7 @@
         reported: list[object] = []
         registry = WorkerRegistry()
         listed = RouteNode("n", ("127.0.0.1", node.port), Listed(1), "stomp")
-        registry.fix(listed)
+        registry.add_static(listed)
         nodes = StompNodes(registry, MEANINGS, reported.append, self.log, "s", 0, 0.25)
         job = ClientJob("j", "settle-shift", "/x", body, time.monotonic_ns(), 5 * S, lambda a: None)
         job.gone = lambda: gone
