--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -50,7 +50,7 @@
             self._numbers[name] = number
         return self._numbers[name]
 
-    def named(self, name: object) -> RouteNode | None:
+    def by_name(self, name: object) -> RouteNode | None:
         """The node of this name, if any list has told of it."""
         return self._nodes.get(self._numbers.get(str(name), -1))
 
--- a/hollowusher/scheduler/operators/detached.py
+++ b/hollowusher/scheduler/operators/detached.py
@@ -58,7 +58,7 @@
                 self._log.error("shared-directory", str(wrong))
 
     def _known(self, name: str) -> bool:
-        return name in self.names or self._registry.named(name) is not None
+        return name in self.names or self._registry.by_name(name) is not None
 
     def _take(self, names: frozenset[str]) -> None:
         out, back = names - self.names, self.names - names
@@ -67,7 +67,7 @@
         self._registry.detached = names
         for name in sorted(out):
             self._log.notice("worker-detached", "out by hand: nothing new goes there", worker=name)
-            if (worker := self._registry.named(name)) is not None:
+            if (worker := self._registry.by_name(name)) is not None:
                 self._leaving(worker.entry.worker)
         for name in sorted(back):
             self._log.notice("worker-attached", "it may serve again", worker=name)
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -130,7 +130,7 @@
             node = _read_row(row, registry, now_ns, wall_ms, front)
         except _FAULTS as wrong:
             read.faults.append(f"a row: {wrong!r}")
-            known = registry.named(row["id"]) if isinstance(row, dict) and "id" in row else None
+            known = registry.by_name(row["id"]) if isinstance(row, dict) and "id" in row else None
             if known is None:
                 continue
             node = replace(known, entry=replace(known.entry, state=State.GONE))
