--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -86,7 +86,7 @@
             if number not in named
         ]
 
-    def reported(self, kind: ListKind, nodes: Iterable[RouteNode]) -> NodeListReceived:
+    def apply_list(self, kind: ListKind, nodes: Iterable[RouteNode]) -> NodeListReceived:
         """Take what a list tells; the event for the desk, with the fixed nodes in every whole list."""
         nodes = list(nodes)
         if kind in (ListKind.FULL, ListKind.CACHED):
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -67,7 +67,7 @@
         """Begin with the list as it was last held; it may be old."""
         if self._delivered is not None:
             self._version, nodes = self._delivered
-            self._post(self._registry.reported(ListKind.CACHED, nodes))
+            self._post(self._registry.apply_list(ListKind.CACHED, nodes))
         else:
             self._begin_with_known()
         if self._again is not None:
@@ -89,7 +89,7 @@
             self._log.warning("list-unreadable", str(wrong))
             read = ParsedNodeList(0, True)
         self._version = read.version
-        self._post(self._registry.reported(ListKind.CACHED, read.nodes))
+        self._post(self._registry.apply_list(ListKind.CACHED, read.nodes))
 
     def _read(self, reported: object) -> ParsedNodeList:
         read = read_list(reported, self._registry, time.monotonic_ns(), time.time() * 1000, self._front)
@@ -227,6 +227,6 @@
             self._log.warning("list-odd", "the whole list names no node")
         for node in [*read.nodes, *(self._registry.missing(read.nodes) if read.full else ())]:
             self._changed(node)
-        news = self._registry.reported(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
+        news = self._registry.apply_list(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
         # What the old address still tells is heeded, but is no watch on the new one: that is asked for on.
         self._post(news if address == self._address else self._registry.held())
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -298,7 +298,7 @@
         self.reported: list[object] = []
         self.registry, self.pool = WorkerRegistry(), pool or Pool(0.25, 30.0, 8)
         self.node = RouteNode("s-1", ("127.0.0.1", port), Listed(1))
-        self.registry.reported(ListKind.FULL, [self.node])
+        self.registry.apply_list(ListKind.FULL, [self.node])
         return PlatformNodes(self.registry, self.pool, MEANINGS, self.reported.append, QUIET)
 
     def order(self, name: str = "j1", write_by_ns: int = 0, body: bytes = b"x") -> Dispatch:
@@ -453,7 +453,7 @@
     async def test_an_attempt_withdrawn_before_its_first_turn_is_reported_and_nothing_is_left(self) -> None:
         # The desk's task may order a send and its withdrawal without a turn for any other task in between.
         registry, reported, ran = WorkerRegistry(), list[DispatchEvent](), list[JobAttempt]()
-        registry.reported(ListKind.FULL, [RouteNode("s-1", ("127.0.0.1", 9), Listed(1))])
+        registry.apply_list(ListKind.FULL, [RouteNode("s-1", ("127.0.0.1", 9), Listed(1))])
 
         class Nodes:
             async def attempt(self, order: Dispatch, node: RouteNode) -> None:
--- a/tests/scheduler/test_http2_sockets.py
+++ b/tests/scheduler/test_http2_sockets.py
@@ -78,7 +78,7 @@
         self.reported: list[Any] = []
         registry, self.pool = WorkerRegistry(), Pool(1.0, 30.0, 10)
         self.entry = RouteNode("s-1", ("127.0.0.1", port), Listed(1), "http2")
-        registry.reported(ListKind.FULL, [self.entry])
+        registry.apply_list(ListKind.FULL, [self.entry])
         self.carrier = Http2Carrier(settings, self.pool, log)
         http1 = PlatformNodes(registry, self.pool, MEANINGS, self.reported.append, log)
         self.nodes = Http2Nodes(registry, self.carrier, http1, MEANINGS, self.reported.append, log)
--- a/tests/scheduler/test_parsers.py
+++ b/tests/scheduler/test_parsers.py
@@ -210,10 +210,10 @@
         )
         for row in bad:
             registry, good = WorkerRegistry(), {**ROW, "id": "x"}
-            registry.reported(ListKind.FULL, read_list({"servers": [ROW, good]}, registry, 0, 0.0).nodes)
+            registry.apply_list(ListKind.FULL, read_list({"servers": [ROW, good]}, registry, 0, 0.0).nodes)
             read = read_list({"servers": [row, good]}, registry, 0, 0.0)
             self.assertEqual(len(read.faults), 1, row)
-            registry.reported(ListKind.CHANGES, read.nodes)
+            registry.apply_list(ListKind.CHANGES, read.nodes)
             named = isinstance(row, dict) and "id" in row
             self.assertIs(registry.serving(0x5BE2A07C), not named, row)
             self.assertTrue(registry.serving(registry.number("x")))
@@ -241,9 +241,9 @@
         registry = WorkerRegistry()
         fixed, other = read_list({"servers": [ROW, {**ROW, "id": "x"}]}, registry, 0, 0.0).nodes
         registry.add_static(fixed)
-        reported = registry.reported(ListKind.FULL, [other])
+        reported = registry.apply_list(ListKind.FULL, [other])
         self.assertEqual({e.worker for e in reported.entries}, {fixed.entry.worker, other.entry.worker})
-        registry.reported(ListKind.FULL, [])
+        registry.apply_list(ListKind.FULL, [])
         self.assertTrue(registry.serving(fixed.entry.worker))
         self.assertFalse(registry.serving(other.entry.worker))
         amended = registry.amend(fixed.entry.worker, state=State.DRAINING)
@@ -251,7 +251,7 @@
         self.assertEqual((amended.kind, len(amended.entries)), (ListKind.CACHED, 2))
         for batch in range(3):
             rows = [{**ROW, "id": f"n-{batch * MOST_NODES + i:x}"} for i in range(MOST_NODES)]
-            registry.reported(ListKind.FULL, read_list({"servers": rows}, registry, 0, 0.0).nodes)
+            registry.apply_list(ListKind.FULL, read_list({"servers": rows}, registry, 0, 0.0).nodes)
         self.assertLessEqual(len(registry._nodes), MOST_NODES + 1)
         self.assertLessEqual(len(registry._numbers), 2 * MOST_NODES)
 
--- a/tests/scheduler/test_platform_sockets.py
+++ b/tests/scheduler/test_platform_sockets.py
@@ -70,7 +70,7 @@
         self.reported: list[object] = []
         self.registry = WorkerRegistry()
         self.node = RouteNode("s-1", ("127.0.0.1", port), Listed(1))
-        self.registry.reported(ListKind.FULL, [self.node])
+        self.registry.apply_list(ListKind.FULL, [self.node])
         self.pool = pool or Pool(0.25, 30.0, 8)
         return PlatformNodes(self.registry, self.pool, MEANINGS, self.reported.append, QUIET)
 
@@ -133,7 +133,7 @@
         attempt = asyncio.create_task(self.nodes_for(node.port, pool).attempt(self.order(), self.node))
         await self.within(pool.asked.wait())
         drained = RouteNode("s-1", self.node.address, Listed(1, state=State.DRAINING))
-        self.registry.reported(ListKind.CHANGES, [drained])
+        self.registry.apply_list(ListKind.CHANGES, [drained])
         pool.go.set()
         await self.within(attempt)
         self.assertEqual((self.outcome().outcome, node.runs), (Outcome.NOT_SENT, []))
