--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -100,7 +100,7 @@
                 self._numbers.pop(self._nodes.pop(number).name, None)
         return NodeListReceived(kind, tuple(self._shown(n) for n in nodes))
 
-    def held(self) -> NodeListReceived:
+    def cached_list(self) -> NodeListReceived:
         """The whole list as held, of the kind that is no news from the list's service."""
         return NodeListReceived(ListKind.CACHED, tuple(self._shown(n) for n in self._nodes.values()))
 
@@ -111,4 +111,4 @@
         if node is None:
             return None
         self._nodes[number] = replace(node, entry=replace(node.entry, **changes))  # type: ignore[arg-type]
-        return self.held()
+        return self.cached_list()
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -229,4 +229,4 @@
             self._changed(node)
         news = self._registry.apply_list(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
         # What the old address still tells is heeded, but is no watch on the new one: that is asked for on.
-        self._post(news if address == self._address else self._registry.held())
+        self._post(news if address == self._address else self._registry.cached_list())
--- a/hollowusher/scheduler/operators/detached.py
+++ b/hollowusher/scheduler/operators/detached.py
@@ -71,4 +71,4 @@
                 self._leaving(worker.entry.worker)
         for name in sorted(back):
             self._log.notice("worker-attached", "it may serve again", worker=name)
-        self._post(self._registry.held())
+        self._post(self._registry.cached_list())
