--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -104,7 +104,7 @@
         """The whole list as held, of the kind that is no news from the list's service."""
         return NodeListReceived(ListKind.CACHED, tuple(self._shown(n) for n in self._nodes.values()))
 
-    def amend(self, number: int, **changes: State | int) -> NodeListReceived | None:
+    def update_node(self, number: int, **changes: State | int) -> NodeListReceived | None:
         """Take what a fixed node tells of itself.  The event is the whole list as held, of the kind that is
         no news from the list's service: as changes it would count as a watch that stands."""
         node = self._nodes.get(number)
--- a/hollowusher/scheduler/fronts/stomp/nodes.py
+++ b/hollowusher/scheduler/fronts/stomp/nodes.py
@@ -293,6 +293,6 @@
         self._reported(number, state=state, started_ns=started_ns)
 
     def _reported(self, number: int, **changes: State | int) -> None:
-        reported = self._registry.amend(number, **changes)
+        reported = self._registry.update_node(number, **changes)
         if reported is not None:
             self._post(reported)
--- a/tests/scheduler/test_parsers.py
+++ b/tests/scheduler/test_parsers.py
@@ -246,7 +246,7 @@
         registry.apply_list(ListKind.FULL, [])
         self.assertTrue(registry.serving(fixed.entry.worker))
         self.assertFalse(registry.serving(other.entry.worker))
-        amended = registry.amend(fixed.entry.worker, state=State.DRAINING)
+        amended = registry.update_node(fixed.entry.worker, state=State.DRAINING)
         assert amended is not None  # not as changes, which would count as a watch that stands
         self.assertEqual((amended.kind, len(amended.entries)), (ListKind.CACHED, 2))
         for batch in range(3):
