--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -10,7 +10,7 @@
 from hollowusher.balancing.interface import Listed, ListKind, State
 from hollowusher.scheduler.dispatch.model import NodeListReceived
 
-MOST_NODES = 4096
+MAX_NODES = 4096
 _HEX_NAME = re.compile(r"[a-z]+-([0-9a-f]{1,8})")
 
 
@@ -95,7 +95,7 @@
             nodes += [self._nodes[n] for n in sorted(self._fixed)]
         for node in nodes:
             self._nodes[node.entry.worker] = node
-        if len(self._nodes) > MOST_NODES:  # ids of machines long gone must not pile up
+        if len(self._nodes) > MAX_NODES:  # ids of machines long gone must not pile up
             for number in [n for n, node in self._nodes.items() if node.entry.state is State.GONE]:
                 self._numbers.pop(self._nodes.pop(number).name, None)
         return NodeListReceived(kind, tuple(self._shown(n) for n in nodes))
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from hollowusher.balancing.interface import Listed, State
-from hollowusher.scheduler.dispatch.worker_registry import MOST_NODES, RouteNode, WorkerRegistry
+from hollowusher.scheduler.dispatch.worker_registry import MAX_NODES, RouteNode, WorkerRegistry
 
 _STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
 _TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -123,8 +123,8 @@
         raise ValueError(f"a node list's version: {wrong!r}") from None
     nodes: dict[int, RouteNode] = {}
     for row in reported["servers"]:
-        if len(nodes) >= MOST_NODES:
-            read.faults.append(f"more than {MOST_NODES} nodes")
+        if len(nodes) >= MAX_NODES:
+            read.faults.append(f"more than {MAX_NODES} nodes")
             break
         try:
             node = _read_row(row, registry, now_ns, wall_ms, front)
--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -27,7 +27,7 @@
 MEMBER_MOST, OTHERS_MOST = 1.0, 3.0  # of another's, and of all others' together
 BAD = 1.9  # from which a node counts as bad: by two others' word, by one's and an own bad end, by two own
 TRIAL_NS = 1_000_000_000
-MOST_NODES = 4_096
+MAX_NODES = 4_096
 
 
 # Ends that tell something of the node: a refusal or an attempt that never went out does not.
@@ -92,7 +92,7 @@
         """Another's word; whether it was new.  Nonsense is counted and skipped."""
         if seen.member == self.name:
             return False
-        full = seen.node not in self._nodes and len(self._nodes) >= MOST_NODES
+        full = seen.node not in self._nodes and len(self._nodes) >= MAX_NODES
         if full or not LEAST <= seen.score <= MOST:
             self.refused += 1
             return False
--- a/tests/scheduler/test_parsers.py
+++ b/tests/scheduler/test_parsers.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from hollowusher.balancing import ListKind, Outcome, Reading, State
-from hollowusher.scheduler.dispatch.worker_registry import MOST_NODES, WorkerRegistry
+from hollowusher.scheduler.dispatch.worker_registry import MAX_NODES, WorkerRegistry
 from hollowusher.scheduler.fronts.common import read_load
 from hollowusher.scheduler.fronts.platform.answers import ending_of_head
 from hollowusher.scheduler.fronts.platform.http import AnswerReader, BadInput, RequestReader
@@ -228,9 +228,9 @@
             read = read_list({"servers": rows}, WorkerRegistry(), 0, 0.0)
             self.assertEqual([n.entry.state for n in read.nodes], [State.DRAINING])
             self.assertEqual(read.faults, ["s-5be2a07c is named twice"])
-        huge = [{**ROW, "id": f"n-{i:x}"} for i in range(MOST_NODES + 10)]
+        huge = [{**ROW, "id": f"n-{i:x}"} for i in range(MAX_NODES + 10)]
         read = read_list({"servers": huge}, WorkerRegistry(), 0, 0.0)
-        self.assertEqual((len(read.nodes), len(read.faults)), (MOST_NODES, 1))
+        self.assertEqual((len(read.nodes), len(read.faults)), (MAX_NODES, 1))
 
     def test_changes_out_of_order_are_known_and_a_complete_list_counts(self) -> None:
         for version, full, outdated in ((3, False, True), (4, False, False), (3, True, False)):
@@ -250,10 +250,10 @@
         assert amended is not None  # not as changes, which would count as a watch that stands
         self.assertEqual((amended.kind, len(amended.entries)), (ListKind.CACHED, 2))
         for batch in range(3):
-            rows = [{**ROW, "id": f"n-{batch * MOST_NODES + i:x}"} for i in range(MOST_NODES)]
+            rows = [{**ROW, "id": f"n-{batch * MAX_NODES + i:x}"} for i in range(MAX_NODES)]
             registry.apply_list(ListKind.FULL, read_list({"servers": rows}, registry, 0, 0.0).nodes)
-        self.assertLessEqual(len(registry._nodes), MOST_NODES + 1)
-        self.assertLessEqual(len(registry._numbers), 2 * MOST_NODES)
+        self.assertLessEqual(len(registry._nodes), MAX_NODES + 1)
+        self.assertLessEqual(len(registry._numbers), 2 * MAX_NODES)
 
     def test_names_that_meet_get_different_numbers(self) -> None:
         registry = WorkerRegistry()
