--- a/hollowusher/scheduler/rules/shared_state/budgets.py
+++ b/hollowusher/scheduler/rules/shared_state/budgets.py
@@ -21,7 +21,7 @@
 
 from msgspec import Struct
 
-DRIFT = 0.01  # that any clock may run fast or slow
+CLOCK_DRIFT = 0.01  # that any clock may run fast or slow
 REMEMBERED = 64  # grants that are told apart from their doubles
 ASKS_A_SPAN = 20  # askings of one member for one budget, at most
 
@@ -89,10 +89,10 @@
 
     def _left(self, now: int, budget: _Budget) -> float:
         """What is still ours within the span that ends now."""
-        span = round(budget.span * (1 + 2 * DRIFT))  # a fast clock's span is short
+        span = round(budget.span * (1 + 2 * CLOCK_DRIFT))  # a fast clock's span is short
         while budget.spent and budget.spent[0][0] <= now - span:
             budget.spent.popleft()
-        if now < self._began + span + round(self.permit_ns * (1 + 2 * DRIFT)):
+        if now < self._began + span + round(self.permit_ns * (1 + 2 * CLOCK_DRIFT)):
             return 0.0
         return budget.own - sum(amount for _, amount in budget.spent)
 
@@ -135,7 +135,7 @@
             granted = message.amount if self._left(now, budget) + 1e-9 >= message.amount else 0.0
             if granted:
                 # It may be used until its time is up: so it counts from then.
-                budget.spent.append((now + round(self.permit_ns * (1 + 2 * DRIFT)), granted))
+                budget.spent.append((now + round(self.permit_ns * (1 + 2 * CLOCK_DRIFT)), granted))
                 budget.spent = deque(sorted(budget.spent))
             self.sends.append((sender, BudgetGrant(message.budget, granted, message.at, message.number)))
         elif message.number not in budget.had:
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -96,13 +96,13 @@
 
     def test_each_planted_fault_passes_it(self) -> None:
         # With clocks that agree, and no spare time for those that do not, a fault shows sooner.
-        with mock.patch("hollowusher.scheduler.rules.shared_state.budgets.DRIFT", 0.0):
+        with mock.patch("hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0):
             self.assertLessEqual(max(self.worst(Budgets, 2, 8, 0.0), self.worst(Budgets, 8, 4, 0.0)), 100.0)
             for make in PLANTED:
                 with self.subTest(make.__name__):
                     self.assertGreater(max(self.worst(make, 2, 16, 0.0), self.worst(make, 8, 6, 0.0)), 100.0)
         with mock.patch(
-            "hollowusher.scheduler.rules.shared_state.budgets.DRIFT", 0.0
+            "hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0
         ):  # clocks differ, nothing is spared
             self.assertGreater(max(self.worst(Budgets, 2, 16, 0.05), self.worst(Budgets, 8, 6, 0.05)), 100.0)
 
