--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -15,7 +15,7 @@
 from hollowusher.scheduler.net.shared_state.settings import SharedConfig
 from hollowusher.scheduler.rules.membership.budget import Budget
 from hollowusher.scheduler.rules.shared_state.judgements import tells
-from hollowusher.scheduler.rules.shared_state.sharer import Sharer
+from hollowusher.scheduler.rules.shared_state.sharer import SharedStateGossip
 from hollowusher.scheduler.rules.shared_state.wire import Message, SharedStateCodec
 
 PERMIT_NS = 80_000_000
@@ -39,7 +39,7 @@
         self._config, self._peers, self._registry, self._log = config, peers, registry, log
         self._codec = SharedStateCodec(cluster)
         now, me = time.monotonic_ns(), peers.member.me
-        self.sharer = Sharer(
+        self.sharer = SharedStateGossip(
             me.name,
             sorted(peers.member.contacts),
             me.incarnation,
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -30,7 +30,7 @@
     sent: int = 0
 
 
-class Sharer:
+class SharedStateGossip:
     """`sends` gathers (to whom, message), most worth first for each; the caller empties it."""
 
     def __init__(
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -14,7 +14,7 @@
 from hollowusher.scheduler.rules.shared_state.budgets import BudgetGrant, BudgetRequest, Budgets
 from hollowusher.scheduler.rules.shared_state.counts import CountUpdate, SharedCounts
 from hollowusher.scheduler.rules.shared_state.judgements import LAPSE_NS, Judgements, NodeObservation
-from hollowusher.scheduler.rules.shared_state.sharer import Sharer
+from hollowusher.scheduler.rules.shared_state.sharer import SharedStateGossip
 from hollowusher.scheduler.rules.shared_state.wire import MOST_DATAGRAM, SharedStateCodec
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.reader import read_text
@@ -246,15 +246,17 @@
 
 
 class Spreads(unittest.TestCase):
-    def fleet(self, size: int, loss: float, seed: int) -> tuple[dict[str, Sharer], SharedStateCodec]:
+    def fleet(
+        self, size: int, loss: float, seed: int
+    ) -> tuple[dict[str, SharedStateGossip], SharedStateCodec]:
         names = [f"n{i}" for i in range(size)]
         return {
-            n: Sharer(n, names, 1, 4 * S, 80 * MS, random.Random(f"{seed}{n}"), 0) for n in names
+            n: SharedStateGossip(n, names, 1, 4 * S, 80 * MS, random.Random(f"{seed}{n}"), 0) for n in names
         }, SharedStateCodec("c")
 
     def play(
         self,
-        fleet: dict[str, Sharer],
+        fleet: dict[str, SharedStateGossip],
         codec: SharedStateCodec,
         now: int,
         until: int,
