--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -68,7 +68,7 @@
     said_at: int = 0
 
 
-class Judgements:
+class NodeScores:
     """One member's view of the nodes."""
 
     def __init__(self, name: str, incarnation: int) -> None:
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -13,7 +13,7 @@
 
 from hollowusher.scheduler.rules.shared_state.budgets import BudgetGrant, BudgetRequest, Budgets
 from hollowusher.scheduler.rules.shared_state.counts import CountUpdate, SharedCounts
-from hollowusher.scheduler.rules.shared_state.judgements import Judgements, NodeObservation
+from hollowusher.scheduler.rules.shared_state.judgements import NodeObservation, NodeScores
 from hollowusher.scheduler.rules.shared_state.wire import Message
 
 HEARTBEAT_NS = 200_000_000
@@ -47,7 +47,7 @@
         self._chance = chance
         self.budgets = Budgets(name, names, permit_ns, now)
         self.counts = SharedCounts(name, incarnation, window_ns, now)
-        self.judgements = Judgements(name, incarnation)
+        self.judgements = NodeScores(name, incarnation)
         self._news: dict[tuple[str, str], _News] = {}
         self._heartbeat_at = now
         self.sends: list[tuple[str, Message]] = []
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -13,7 +13,7 @@
 from hollowusher.scheduler.net.shared_state.settings import SHARED, read_shared
 from hollowusher.scheduler.rules.shared_state.budgets import BudgetGrant, BudgetRequest, Budgets
 from hollowusher.scheduler.rules.shared_state.counts import CountUpdate, SharedCounts
-from hollowusher.scheduler.rules.shared_state.judgements import LAPSE_NS, Judgements, NodeObservation
+from hollowusher.scheduler.rules.shared_state.judgements import LAPSE_NS, NodeObservation, NodeScores
 from hollowusher.scheduler.rules.shared_state.sharer import SharedStateGossip
 from hollowusher.scheduler.rules.shared_state.wire import MOST_DATAGRAM, SharedStateCodec
 from hollowusher.scheduler.settings.model import ConfigError
@@ -203,7 +203,7 @@
 class NoOneCondemns(unittest.TestCase):
     def bad(self, own: str, reported: dict[str, float], now: int = S) -> bool:
         """Whether a node is bad by own ends (g and b) and by others' words."""
-        view = Judgements("me", 1)
+        view = NodeScores("me", 1)
         for end in own:
             view.saw(now, "s1", end == "g")
         for number, (member, score) in enumerate(reported.items()):
@@ -229,7 +229,7 @@
                 self.assertEqual(self.bad(own, reported), wanted)
 
     def test_a_judgement_lapses_a_new_process_is_judged_anew_and_one_makes_the_trial(self) -> None:
-        view = Judgements("me", 1)
+        view = NodeScores("me", 1)
         for _ in range(4):
             view.saw(S, "s1", False)
         self.assertTrue(view.bad(S, "s1"))
@@ -241,7 +241,7 @@
         self.assertFalse(view.bad(S, "s1"))
         present = [f"n{i}" for i in range(7)]
         for turn in range(50):
-            tries = [n for n in present if Judgements(n, 1).may_try(turn * S, "s1", present)]
+            tries = [n for n in present if NodeScores(n, 1).may_try(turn * S, "s1", present)]
             self.assertEqual(len(tries), 1)
 
 
