--- a/hollowusher/scheduler/rules/shared_state/wire.py
+++ b/hollowusher/scheduler/rules/shared_state/wire.py
@@ -14,7 +14,7 @@
 from hollowusher.scheduler.rules.shared_state.judgements import NodeObservation
 
 MAGIC, VERSION = b"hs", 1
-MOST_DATAGRAM = 256
+MAX_DATAGRAM_BYTES = 256
 _HEAD = struct.Struct(">2sBII")
 Message = BudgetRequest | BudgetGrant | CountUpdate | NodeObservation
 
@@ -29,7 +29,7 @@
 class SharedStateCodec:
     """For one cluster.  `bad` counts what came and was skipped, by reason."""
 
-    def __init__(self, cluster: str, capacity: int = MOST_DATAGRAM) -> None:
+    def __init__(self, cluster: str, capacity: int = MAX_DATAGRAM_BYTES) -> None:
         self._cluster = xxhash.xxh32_intdigest(cluster.encode())
         self._capacity = capacity
         self._encoder = msgspec.msgpack.Encoder()
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -15,7 +15,7 @@
 from hollowusher.scheduler.rules.shared_state.counts import CountUpdate, SharedCounts
 from hollowusher.scheduler.rules.shared_state.judgements import LAPSE_NS, NodeObservation, NodeScores
 from hollowusher.scheduler.rules.shared_state.sharer import SharedStateGossip
-from hollowusher.scheduler.rules.shared_state.wire import MOST_DATAGRAM, SharedStateCodec
+from hollowusher.scheduler.rules.shared_state.wire import MAX_DATAGRAM_BYTES, SharedStateCodec
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.reader import read_text
 
@@ -277,7 +277,7 @@
                 for to, messages in by_name.items():
                     for data in codec.letters(name, messages, 2):  # type: ignore[arg-type]
                         letters, size = letters + 1, size + len(data)
-                        self.assertLessEqual(len(data), MOST_DATAGRAM)
+                        self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
                         letter = codec.read(data)
                         if letter is not None and (name, to) not in cut and chance.random() >= loss:
                             for message in letter.messages:
