--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -14,7 +14,7 @@
 from hollowusher.scheduler.net.membership.node import PeerNode
 from hollowusher.scheduler.net.shared_state.settings import SharedConfig
 from hollowusher.scheduler.rules.membership.budget import Budget
-from hollowusher.scheduler.rules.shared_state.judgements import tells
+from hollowusher.scheduler.rules.shared_state.judgements import node_evidence
 from hollowusher.scheduler.rules.shared_state.sharer import SharedStateGossip
 from hollowusher.scheduler.rules.shared_state.wire import Message, SharedStateCodec
 
@@ -74,7 +74,7 @@
                     self.sharer.counts.add(now, f"tenant/{job.tenant}")
             case AttemptEnded(attempt) if self._config.judgements:
                 node = self._registry.node(attempt.node)
-                if node is not None and (good := tells(event.outcome)) is not None:
+                if node is not None and (good := node_evidence(event.outcome)) is not None:
                     self.sharer.judgements.saw(now, node.name, good)
                     self._changed(now, node.name)
 
--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -34,7 +34,7 @@
 _BAD_ENDS = {Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.UNREACHABLE}
 
 
-def tells(outcome: Outcome) -> bool | None:
+def node_evidence(outcome: Outcome) -> bool | None:
     """Whether an attempt's end speaks for its node; None where it says nothing of it."""
     return True if outcome is Outcome.OK else False if outcome in _BAD_ENDS else None
 
