--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -75,7 +75,7 @@
             case AttemptEnded(attempt) if self._config.judgements:
                 node = self._registry.node(attempt.node)
                 if node is not None and (good := node_evidence(event.outcome)) is not None:
-                    self.sharer.judgements.saw(now, node.name, good)
+                    self.sharer.judgements.record_end(now, node.name, good)
                     self._changed(now, node.name)
 
     def report(self) -> Mapping[str, object]:
--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -77,7 +77,7 @@
         self._seq = 0
         self.refused = 0
 
-    def saw(self, now: int, node: str, good: bool) -> None:
+    def record_end(self, now: int, node: str, good: bool) -> None:
         """An attempt of our own has ended."""
         own = self._nodes.setdefault(node, _Node()).own
         score = own.aged(now)
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -205,7 +205,7 @@
         """Whether a node is bad by own ends (g and b) and by others' words."""
         view = NodeScores("me", 1)
         for end in own:
-            view.saw(now, "s1", end == "g")
+            view.record_end(now, "s1", end == "g")
         for number, (member, score) in enumerate(reported.items()):
             view.take(now, NodeObservation(member, 1, number + 1, "s1", score))
         return view.bad(now, "s1")
@@ -231,7 +231,7 @@
     def test_a_judgement_lapses_a_new_process_is_judged_anew_and_one_makes_the_trial(self) -> None:
         view = NodeScores("me", 1)
         for _ in range(4):
-            view.saw(S, "s1", False)
+            view.record_end(S, "s1", False)
         self.assertTrue(view.bad(S, "s1"))
         self.assertFalse(view.bad(S + LAPSE_NS, "s1"))
         for member in "abcdefgh":  # faded to less than a half each, they would still be enough together
@@ -289,7 +289,7 @@
             fleet, codec = self.fleet(size, loss, 1)
             self.play(fleet, codec, 0, 3 * S, loss, 1)
             for name in ("n1", "n2", "n3"):
-                fleet[name].judgements.saw(3 * S, "s9", False)
+                fleet[name].judgements.record_end(3 * S, "s9", False)
             self.play(fleet, codec, 3 * S, 4 * S, loss, 2)
             knowing = sum(s.judgements.bad(4 * S, "s9") for s in fleet.values())
             self.assertGreaterEqual(knowing, size if not loss else 0.95 * size, size)
