--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -84,7 +84,7 @@
         own.value = max(LEAST, score - GOOD) if good else min(MOST, max(0.0, score) + 1.0)
         own.at = now
 
-    def anew(self, node: str) -> None:
+    def reset_node(self, node: str) -> None:
         """It is another process: what was seen of the last one says nothing."""
         self._nodes.pop(node, None)
 
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -237,7 +237,7 @@
         for member in "abcdefgh":  # faded to less than a half each, they would still be enough together
             view.take(S, NodeObservation(member, 1, 1, "s2", 4.0))
         self.assertEqual((view.bad(S, "s2"), view.bad(S + LAPSE_NS + 1, "s2")), (True, False))
-        view.anew("s1")
+        view.reset_node("s1")
         self.assertFalse(view.bad(S, "s1"))
         present = [f"n{i}" for i in range(7)]
         for turn in range(50):
