--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -88,7 +88,7 @@
         """It is another process: what was seen of the last one says nothing."""
         self._nodes.pop(node, None)
 
-    def take(self, now: int, seen: NodeObservation) -> bool:
+    def receive(self, now: int, seen: NodeObservation) -> bool:
         """Another's word; whether it was new.  Nonsense is counted and skipped."""
         if seen.member == self.name:
             return False
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -69,7 +69,7 @@
                 if self.counts.frozen_of(message.member) != before:
                     self._put(message)
             case NodeObservation():
-                if self.judgements.take(now, message):
+                if self.judgements.receive(now, message):
                     self._put(message)
 
     def want(self, now: int, budget: str, amount: float, present: Sequence[str]) -> None:
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -207,7 +207,7 @@
         for end in own:
             view.record_end(now, "s1", end == "g")
         for number, (member, score) in enumerate(reported.items()):
-            view.take(now, NodeObservation(member, 1, number + 1, "s1", score))
+            view.receive(now, NodeObservation(member, 1, number + 1, "s1", score))
         return view.bad(now, "s1")
 
     def test_who_can_move_what(self) -> None:
@@ -235,7 +235,7 @@
         self.assertTrue(view.bad(S, "s1"))
         self.assertFalse(view.bad(S + LAPSE_NS, "s1"))
         for member in "abcdefgh":  # faded to less than a half each, they would still be enough together
-            view.take(S, NodeObservation(member, 1, 1, "s2", 4.0))
+            view.receive(S, NodeObservation(member, 1, 1, "s2", 4.0))
         self.assertEqual((view.bad(S, "s2"), view.bad(S + LAPSE_NS + 1, "s2")), (True, False))
         view.reset_node("s1")
         self.assertFalse(view.bad(S, "s1"))
