--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -125,7 +125,7 @@
         rank = {m: zlib.crc32(f"{node}/{turn}/{m}".encode()) for m in present}
         return self.name == max(rank, key=lambda m: (rank[m], m), default=self.name)
 
-    def news(self, now: int, most: int) -> list[NodeObservation]:
+    def pending_observations(self, now: int, most: int) -> list[NodeObservation]:
         """What is worth telling: scores that have moved furthest since they were told, bad ones first, and
         those that hold on before they lapse."""
         worth: list[tuple[float, str, float]] = []
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -87,7 +87,7 @@
         reported = self.counts.say(now, KEYS)
         if reported.counts:
             self._put(reported)
-        for seen in self.judgements.news(now, MOST_NEWS):
+        for seen in self.judgements.pending_observations(now, MOST_NEWS):
             self._put(seen)
         most = math.ceil(2 * math.log2(len(others) + 2)) + 1
         ranked = sorted(self._news.items(), key=lambda item: (-item[1].worth / (1 + item[1].sent), item[0]))
