--- a/hollowusher/scheduler/rules/shared_state/judgements.py
+++ b/hollowusher/scheduler/rules/shared_state/judgements.py
@@ -118,7 +118,7 @@
         """Whether a node counts as bad here."""
         return self.weight(now, node) >= BAD
 
-    def may_try(self, wall: int, node: str, present: Iterable[str]) -> bool:
+    def has_trial_turn(self, wall: int, node: str, present: Iterable[str]) -> bool:
         """Whether the one trial of this second (by the wall clock, in ns) at a bad node is ours: one over the
         whole fleet, as far as clocks and views agree."""
         turn = wall // TRIAL_NS
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -241,7 +241,7 @@
         self.assertFalse(view.bad(S, "s1"))
         present = [f"n{i}" for i in range(7)]
         for turn in range(50):
-            tries = [n for n in present if NodeScores(n, 1).may_try(turn * S, "s1", present)]
+            tries = [n for n in present if NodeScores(n, 1).has_trial_turn(turn * S, "s1", present)]
             self.assertEqual(len(tries), 1)
 
 
