--- a/hollowusher/scheduler/rules/shared_state/counts.py
+++ b/hollowusher/scheduler/rules/shared_state/counts.py
@@ -68,7 +68,7 @@
                 total[key] = total.get(key, 0.0) + amount * share
         return total
 
-    def say(self, now: int, most: int) -> CountUpdate:
+    def next_update(self, now: int, most: int) -> CountUpdate:
         """What to tell: the counts that have moved furthest from what was said, as shares of themselves."""
         own = self.own(now)
         keys = own.keys() | {k for k, v in self._said.items() if v}
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -84,7 +84,7 @@
             return
         self._heartbeat_at = now + round(HEARTBEAT_NS * (0.75 + 0.5 * self._chance.random()))
         others = [n for n in present if n != self.name]
-        reported = self.counts.say(now, KEYS)
+        reported = self.counts.next_update(now, KEYS)
         if reported.counts:
             self._put(reported)
         for seen in self.judgements.pending_observations(now, MOST_NEWS):
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -168,7 +168,7 @@
                 source = SharedCounts(member, incarnation, 4 * S, 0)
                 for step in range(4):
                     source.add(step * S, f"k{chance.randrange(4)}", chance.randint(1, 9))
-                    said.append(source.say(step * S, 3))
+                    said.append(source.next_update(step * S, 3))
         ends = []
         for _ in range(3):
             sink = SharedCounts("z", 1, 4 * S, 0)
@@ -186,13 +186,13 @@
             one.add(step * S // 10, "jobs", 2)
             two.add(step * S // 10, "jobs")
         now = 4 * S - 1
-        one.take(now, two.say(now, 4))
+        one.take(now, two.next_update(now, 4))
         self.assertAlmostEqual(one.total(now, "jobs"), 120, places=2)
         again = SharedCounts("b", 2, 4 * S, now)
         again.add(now, "jobs", 5)
-        one.take(now, again.say(now, 4))
+        one.take(now, again.next_update(now, 4))
         self.assertAlmostEqual(one.total(now, "jobs"), 85, places=2)
-        one.take(now, two.say(now, 4))  # a late one of the earlier life
+        one.take(now, two.next_update(now, 4))  # a late one of the earlier life
         self.assertAlmostEqual(one.totals(now)["jobs"], 85, places=2)
         for odd in ({"jobs": 1e12}, {"jobs": -1.0}, {f"k{i}": 1.0 for i in range(600)}):
             one.take(now, CountUpdate("b", 9, 9, odd))
