--- a/hollowusher/scheduler/rules/shared_state/counts.py
+++ b/hollowusher/scheduler/rules/shared_state/counts.py
@@ -82,7 +82,7 @@
         self._seq += 1
         return CountUpdate(self.name, self.incarnation, self._seq, chosen)
 
-    def take(self, now: int, reported: CountUpdate) -> None:
+    def receive(self, now: int, reported: CountUpdate) -> None:
         """What another tells of itself; nonsense is counted and skipped."""
         if reported.member == self.name:
             return
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -65,7 +65,7 @@
                 self.budgets.sends = []
             case CountUpdate():
                 before = self.counts.frozen_of(message.member)
-                self.counts.take(now, message)
+                self.counts.receive(now, message)
                 if self.counts.frozen_of(message.member) != before:
                     self._put(message)
             case NodeObservation():
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -175,7 +175,7 @@
             order = [*said, *chance.sample(said, 5)]
             chance.shuffle(order)
             for reported in order:
-                sink.take(S, reported)
+                sink.receive(S, reported)
             ends.append(sink.frozen())
         self.assertEqual(ends[0], ends[1])
         self.assertEqual(ends[0], ends[2])
@@ -186,16 +186,16 @@
             one.add(step * S // 10, "jobs", 2)
             two.add(step * S // 10, "jobs")
         now = 4 * S - 1
-        one.take(now, two.next_update(now, 4))
+        one.receive(now, two.next_update(now, 4))
         self.assertAlmostEqual(one.total(now, "jobs"), 120, places=2)
         again = SharedCounts("b", 2, 4 * S, now)
         again.add(now, "jobs", 5)
-        one.take(now, again.next_update(now, 4))
+        one.receive(now, again.next_update(now, 4))
         self.assertAlmostEqual(one.total(now, "jobs"), 85, places=2)
-        one.take(now, two.next_update(now, 4))  # a late one of the earlier life
+        one.receive(now, two.next_update(now, 4))  # a late one of the earlier life
         self.assertAlmostEqual(one.totals(now)["jobs"], 85, places=2)
         for odd in ({"jobs": 1e12}, {"jobs": -1.0}, {f"k{i}": 1.0 for i in range(600)}):
-            one.take(now, CountUpdate("b", 9, 9, odd))
+            one.receive(now, CountUpdate("b", 9, 9, odd))
         self.assertEqual((one.refused, round(one.total(now, "jobs"))), (3, 85))
         self.assertEqual(one.total(now + 20 * S, "jobs"), 0)  # silent for too long
 
