--- a/hollowusher/scheduler/rules/shared_state/counts.py
+++ b/hollowusher/scheduler/rules/shared_state/counts.py
@@ -122,7 +122,7 @@
         """It has left."""
         self._held.pop(member, None)
 
-    def frozen_of(self, member: str) -> object:
+    def counts_of(self, member: str) -> object:
         """What is held of one, to see whether a message changed it."""
         held = self._held.get(member)
         return held and (held.incarnation, dict(held.counts))
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -64,9 +64,9 @@
                 self.sends += self.budgets.sends
                 self.budgets.sends = []
             case CountUpdate():
-                before = self.counts.frozen_of(message.member)
+                before = self.counts.counts_of(message.member)
                 self.counts.receive(now, message)
-                if self.counts.frozen_of(message.member) != before:
+                if self.counts.counts_of(message.member) != before:
                     self._put(message)
             case NodeObservation():
                 if self.judgements.receive(now, message):
