--- a/hollowusher/scheduler/rules/shared_state/counts.py
+++ b/hollowusher/scheduler/rules/shared_state/counts.py
@@ -127,6 +127,6 @@
         held = self._held.get(member)
         return held and (held.incarnation, dict(held.counts))
 
-    def frozen(self) -> object:
+    def remote_counts(self) -> object:
         """What is held of others, without when: the same whatever the order of messages was."""
         return {m: (h.incarnation, dict(h.counts)) for m, h in self._held.items()}
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -176,7 +176,7 @@
             chance.shuffle(order)
             for reported in order:
                 sink.receive(S, reported)
-            ends.append(sink.frozen())
+            ends.append(sink.remote_counts())
         self.assertEqual(ends[0], ends[1])
         self.assertEqual(ends[0], ends[2])
 
