--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -96,7 +96,7 @@
             return
         now = time.monotonic_ns()
         for message in letter.messages:
-            self.sharer.take(now, message, letter.sender)
+            self.sharer.receive(now, message, letter.sender)
             if hasattr(message, "node"):
                 self._changed(now, message.node)
         self._send(now)
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -56,7 +56,7 @@
         """When `step` is to be called at the latest."""
         return self._heartbeat_at
 
-    def take(self, now: int, message: Message, sender: str) -> None:
+    def receive(self, now: int, message: Message, sender: str) -> None:
         """A message of another, its own or passed on."""
         match message:
             case BudgetRequest() | BudgetGrant():
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -281,7 +281,7 @@
                         letter = codec.read(data)
                         if letter is not None and (name, to) not in cut and chance.random() >= loss:
                             for message in letter.messages:
-                                fleet[to].take(now, message, name)
+                                fleet[to].receive(now, message, name)
         return letters, size
 
     def test_three_failures_anywhere_are_known_to_all_within_a_second(self) -> None:
