--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -72,7 +72,7 @@
                 if self.judgements.receive(now, message):
                     self._put(message)
 
-    def want(self, now: int, budget: str, amount: float, present: Sequence[str]) -> None:
+    def request_permit(self, now: int, budget: str, amount: float, present: Sequence[str]) -> None:
         """Ask for a permit."""
         self.budgets.want(now, budget, amount, present)
         self.sends += self.budgets.sends
