--- a/benchmarks/decoders.py
+++ b/benchmarks/decoders.py
@@ -66,7 +66,7 @@
     )
     click.echo(f"members: {feed(chance, inputs, good, one.decode, one._sum)} read, {dict(one.bad)}")
     two = shared.SharedStateCodec("depot")
-    good = two.letters(
+    good = two.encode_datagrams(
         "n1", [CountUpdate("n1", 1, 2, {"a": 1.0}), NodeObservation("n1", 1, 1, "s1", 1.0)], 2
     )[0]
     click.echo(f"shared: {feed(chance, inputs, good, two.read, two._sum)} read, {dict(two.bad)}")
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -129,7 +129,7 @@
         for name, message in sends:
             by_name.setdefault(name, []).append(message)
         for name, messages in by_name.items():
-            for letter in self._codec.letters(self.sharer.name, messages, MOST_LETTERS):
+            for letter in self._codec.encode_datagrams(self.sharer.name, messages, MOST_LETTERS):
                 if not self._budget.takes(now):
                     self._over += 1
                 else:
--- a/hollowusher/scheduler/rules/shared_state/wire.py
+++ b/hollowusher/scheduler/rules/shared_state/wire.py
@@ -40,7 +40,7 @@
         """Bytes that a message takes in a letter."""
         return len(self._encoder.encode(message))
 
-    def letters(self, sender: str, messages: Iterable[Message], most: int) -> list[bytes]:
+    def encode_datagrams(self, sender: str, messages: Iterable[Message], most: int) -> list[bytes]:
         """As many letters as are needed, at most so many; what finds no room is left out, the last first."""
         letters: list[bytes] = []
         capacity = self._capacity - _HEAD.size - len(sender.encode()) - 8
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -275,7 +275,7 @@
                     by_name.setdefault(to, []).append(message)
                 sharer.sends = []
                 for to, messages in by_name.items():
-                    for data in codec.letters(name, messages, 2):  # type: ignore[arg-type]
+                    for data in codec.encode_datagrams(name, messages, 2):  # type: ignore[arg-type]
                         letters, size = letters + 1, size + len(data)
                         self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
                         letter = codec.read(data)
