--- a/benchmarks/decoders.py
+++ b/benchmarks/decoders.py
@@ -69,7 +69,7 @@
     good = two.encode_datagrams(
         "n1", [CountUpdate("n1", 1, 2, {"a": 1.0}), NodeObservation("n1", 1, 1, "s1", 1.0)], 2
     )[0]
-    click.echo(f"shared: {feed(chance, inputs, good, two.read, two._sum)} read, {dict(two.bad)}")
+    click.echo(f"shared: {feed(chance, inputs, good, two.decode, two._sum)} read, {dict(two.bad)}")
     good, read = frame(Append("n0", 1, 2, 1, (LogEntry(1, bytes(50)),), 0, 5)), 0
     for _ in range(inputs // 5):
         with contextlib.suppress(ValueError):
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -91,7 +91,7 @@
         }
 
     def _heard(self, data: bytes) -> None:
-        letter = self._codec.read(data)
+        letter = self._codec.decode(data)
         if letter is None or letter.sender not in self._peers.member.contacts:
             return
         now = time.monotonic_ns()
--- a/hollowusher/scheduler/rules/shared_state/wire.py
+++ b/hollowusher/scheduler/rules/shared_state/wire.py
@@ -65,7 +65,7 @@
         body = self._encoder.encode(Envelope(sender, tuple(page)))
         return _HEAD.pack(MAGIC, VERSION, self._cluster, self._sum(body)) + body
 
-    def read(self, data: bytes) -> Envelope | None:
+    def decode(self, data: bytes) -> Envelope | None:
         """The letter, or None where this is none for us."""
         if not _HEAD.size < len(data) <= self._capacity:
             return self._bad("length")
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -278,7 +278,7 @@
                     for data in codec.encode_datagrams(name, messages, 2):  # type: ignore[arg-type]
                         letters, size = letters + 1, size + len(data)
                         self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
-                        letter = codec.read(data)
+                        letter = codec.decode(data)
                         if letter is not None and (name, to) not in cut and chance.random() >= loss:
                             for message in letter.messages:
                                 fleet[to].receive(now, message, name)
