--- a/hollowusher/scheduler/emulator/shared_state.py
+++ b/hollowusher/scheduler/emulator/shared_state.py
@@ -117,7 +117,7 @@
         if self.now < m.paused_until:
             self.at(m.paused_until, lambda: self._arrive(name, message, sender))
             return
-        m.budgets.take(round(self.now * m.rate), message, sender)
+        m.budgets.receive(round(self.now * m.rate), message, sender)
         self._post(m)
 
 
--- a/hollowusher/scheduler/rules/shared_state/budgets.py
+++ b/hollowusher/scheduler/rules/shared_state/budgets.py
@@ -126,7 +126,7 @@
         budget.poor[owner] = now  # until it grants something
         self.sends.append((owner, BudgetRequest(name, amount, now, self._number)))
 
-    def take(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
+    def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         """A message of another."""
         budget = self._budgets.get(message.budget)
         if budget is None or not 0 <= message.amount <= budget.bound:
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -60,7 +60,7 @@
         """A message of another, its own or passed on."""
         match message:
             case BudgetRequest() | BudgetGrant():
-                self.budgets.take(now, message, sender)
+                self.budgets.receive(now, message, sender)
                 self.sends += self.budgets.sends
                 self.budgets.sends = []
             case CountUpdate():
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -23,9 +23,9 @@
 class Doubles(Budgets):
     """A grant that comes twice counts twice."""
 
-    def take(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
+    def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         self._budgets[message.budget].had.clear()
-        super().take(now, message, sender)
+        super().receive(now, message, sender)
 
 
 class FreshStart(Budgets):
@@ -38,9 +38,9 @@
 class NotCounted(Budgets):
     """What is permitted to others is not counted as used."""
 
-    def take(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
+    def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         before = list(self._budgets[message.budget].spent)
-        super().take(now, message, sender)
+        super().receive(now, message, sender)
         if isinstance(message, BudgetRequest):
             self._budgets[message.budget].spent.clear()
             self._budgets[message.budget].spent.extend(before)
@@ -49,8 +49,8 @@
 class CountedEarly(Budgets):
     """A permit counts from when it is given, though it is used later."""
 
-    def take(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
-        super().take(now, message, sender)
+    def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
+        super().receive(now, message, sender)
         if isinstance(message, BudgetRequest):
             spent = self._budgets[message.budget].spent
             late = [(min(at, now), amount) for at, amount in spent]
@@ -61,8 +61,8 @@
 class ForGood(Budgets):
     """A permit never lapses."""
 
-    def take(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
-        super().take(now, message, sender)
+    def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
+        super().receive(now, message, sender)
         budget = self._budgets[message.budget]
         budget.permits = [(1 << 62, amount) for _, amount in budget.permits]
 
@@ -118,8 +118,8 @@
                 used, now = [], 10 * S
                 for budgets in (one, two):
                     budgets.bound("x", 2.0, S, 1.0)  # one each
-                one.take(now, BudgetRequest("x", 1.0, now, 1), "b")
-                two.take(now, one.sends[0][1], "a")
+                one.receive(now, BudgetRequest("x", 1.0, now, 1), "b")
+                two.receive(now, one.sends[0][1], "a")
                 for who, at in (
                     (two, now + late),
                     (two, now + late + S // 10),
@@ -153,7 +153,7 @@
             BudgetRequest("y", 1.0, 0, 1),
             BudgetGrant("x", 1e9, now, 1),
         ):
-            one.take(now + 2 * S, odd, "b")
+            one.receive(now + 2 * S, odd, "b")
         self.assertEqual((one.sends, one.permitted(now + 2 * S, "x")), ([], 0.0))
 
 
