--- a/hollowusher/scheduler/emulator/shared_state.py
+++ b/hollowusher/scheduler/emulator/shared_state.py
@@ -62,7 +62,7 @@
         m = self.members[name]
         now = round(self.now * m.rate)
         m.budgets = self._make(name, list(self.members), self.permit, now)
-        m.budgets.bound("b", self.bound, self.span, 1.0)
+        m.budgets.set_bound("b", self.bound, self.span, 1.0)
 
     def demand(self, rate: float, spans: float, step: int = 20 * MS) -> float:
         """All together want so much a span for so many spans; the share of the bound that they got."""
--- a/hollowusher/scheduler/rules/shared_state/budgets.py
+++ b/hollowusher/scheduler/rules/shared_state/budgets.py
@@ -70,7 +70,7 @@
         self._number = 0
         self.sends: list[tuple[str, BudgetRequest | BudgetGrant]] = []
 
-    def bound(self, name: str, bound: float, span: int, quantum: float) -> None:
+    def set_bound(self, name: str, bound: float, span: int, quantum: float) -> None:
         """There is such a budget, or its bound has changed: what was permitted of the old one lapses within a
         moment, so a span after the last member has heard of it the new one holds."""
         quanta, each = divmod(int(bound / quantum + 1e-9), len(self.names))
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -70,8 +70,8 @@
 class ByHearing(Budgets):
     """The bound is shared among those who are heard, not among those who are configured."""
 
-    def bound(self, name: str, bound: float, span: int, quantum: float) -> None:
-        super().bound(name, bound * 1.5, span, quantum)
+    def set_bound(self, name: str, bound: float, span: int, quantum: float) -> None:
+        super().set_bound(name, bound * 1.5, span, quantum)
 
 
 PLANTED = (Doubles, FreshStart, NotCounted, ByHearing)
@@ -117,7 +117,7 @@
                 one, two = (make(n, ["a", "b"], 80 * MS, 0) for n in "ab")
                 used, now = [], 10 * S
                 for budgets in (one, two):
-                    budgets.bound("x", 2.0, S, 1.0)  # one each
+                    budgets.set_bound("x", 2.0, S, 1.0)  # one each
                 one.receive(now, BudgetRequest("x", 1.0, now, 1), "b")
                 two.receive(now, one.sends[0][1], "a")
                 for who, at in (
@@ -141,10 +141,10 @@
 
     def test_a_lower_bound_holds_at_once_for_what_is_ours_and_nonsense_is_skipped(self) -> None:
         one = Budgets("a", ["a", "b"], 80 * MS, 0)
-        one.bound("x", 8.0, S, 1.0)
+        one.set_bound("x", 8.0, S, 1.0)
         now = 10 * S
         self.assertEqual([one.spend(now, "x", 1.0) for _ in range(5)], [True] * 4 + [False])
-        one.bound("x", 2.0, S, 1.0)
+        one.set_bound("x", 2.0, S, 1.0)
         self.assertFalse(one.spend(now + S // 2, "x", 1.0))
         self.assertTrue(one.spend(now + 2 * S, "x", 1.0))
         for odd in (
