--- a/hollowusher/scheduler/emulator/shared_state.py
+++ b/hollowusher/scheduler/emulator/shared_state.py
@@ -88,7 +88,7 @@
             self.total += 1.0
             self._spend(1.0)
         elif tries:
-            m.budgets.want(now, "b", 1.0, list(self.members))
+            m.budgets.request_permit(now, "b", 1.0, list(self.members))
             wait = round(self.chance.uniform(0.2, 1.0) * max(WAIT_MS * MS, self.permit))
             self.at(self.now + wait, lambda: self._want(m, tries - 1))
         self._post(m)
--- a/hollowusher/scheduler/rules/shared_state/budgets.py
+++ b/hollowusher/scheduler/rules/shared_state/budgets.py
@@ -112,7 +112,7 @@
         budget.used += amount
         return True
 
-    def want(self, now: int, name: str, amount: float, present: Sequence[str]) -> None:
+    def request_permit(self, now: int, name: str, amount: float, present: Sequence[str]) -> None:
         """Ask an owner that is there, one that had none to spare lately after the others."""
         budget = self._budgets[name]
         if now - budget.wanted_at < budget.span // ASKS_A_SPAN:
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -74,7 +74,7 @@
 
     def request_permit(self, now: int, budget: str, amount: float, present: Sequence[str]) -> None:
         """Ask for a permit."""
-        self.budgets.want(now, budget, amount, present)
+        self.budgets.request_permit(now, budget, amount, present)
         self.sends += self.budgets.sends
         self.budgets.sends = []
 
