--- a/hollowusher/scheduler/rules/shared_state/budgets.py
+++ b/hollowusher/scheduler/rules/shared_state/budgets.py
@@ -83,7 +83,7 @@
             known = self._budgets[name] = _Budget(bound, span, quantum, own, owners)
         known.bound, known.span, known.quantum, known.own, known.owners = bound, span, quantum, own, owners
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """There is no such budget any more."""
         self._budgets.pop(name, None)
 
