--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -106,7 +106,7 @@
             w.id for w in self._module.workers.values() if w.suspect and w.entry.state is not State.GONE
         )
 
-    def work(self, now: int, events: Iterable[DispatchEvent]) -> list[DispatchCommand]:
+    def process(self, now: int, events: Iterable[DispatchEvent]) -> list[DispatchCommand]:
         """Take a batch of events in one step of the module; the orders that follow."""
         self._orders, self._now = [], now
         reported: list[Event] = []
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -179,7 +179,7 @@
 
     def _step(self) -> None:
         events, self._events = self._events, []
-        for order in self._dispatcher.work(self.heap.now, events):
+        for order in self._dispatcher.process(self.heap.now, events):
             self._carry_out(order)
 
     def _carry_out(self, order: DispatchCommand) -> None:
--- a/hollowusher/scheduler/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -53,7 +53,7 @@
             while not self._queue.empty():
                 batch.append(self._queue.get_nowait())
             try:
-                orders = self._dispatcher.work(time.monotonic_ns(), batch)
+                orders = self._dispatcher.process(time.monotonic_ns(), batch)
             except Exception as fault:  # one bad step must not end the jobs that others still wait for
                 self._log.error("desk-fault", "the decision module failed in a step", fault=repr(fault))
                 continue
--- a/tests/scheduler/test_deployments.py
+++ b/tests/scheduler/test_deployments.py
@@ -109,7 +109,7 @@
             job = read_job(reader.ready.popleft(), {c.name: c for c in CLASSES}, 0, lambda answer: None)
             with mock.patch("hollowusher.scheduler.dispatch.dispatcher.Balancer") as module:
                 module.return_value.step.return_value = []
-                JobDispatcher(SETTINGS, 1, 0).work(0, [JobTaken(job)])
+                JobDispatcher(SETTINGS, 1, 0).process(0, [JobTaken(job)])
             arrival = module.return_value.step.call_args.args[1][0]
             assert isinstance(arrival, Arrival)
             self.assertEqual((arrival.tenant, arrival.hint_ns, arrival.slots), ("school", hint_ns, 1.0))
--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -50,7 +50,7 @@
         self.step(NodeListReceived(ListKind.FULL, (Listed(1), Listed(2))))
 
     def step(self, *events: DispatchEvent) -> list[DispatchCommand]:
-        orders = self.dispatcher.work(self.now, events)
+        orders = self.dispatcher.process(self.now, events)
         self.orders += orders
         return orders
 
@@ -107,7 +107,7 @@
         self.step(JobTaken(ClientJob("j", "eta-quote", "/x", b"", self.now, 3 * S, lambda a: None)))
         self.assertTrue(any(isinstance(o, WakeDispatcher) for o in self.orders))
         dispatcher = JobDispatcher(SETTINGS, 1, 0)
-        self.assertIn(WatchNodeList(), dispatcher.work(0, [NodeListReceived(ListKind.CACHED)]))
+        self.assertIn(WatchNodeList(), dispatcher.process(0, [NodeListReceived(ListKind.CACHED)]))
 
 
 class Advice(unittest.TestCase):
@@ -117,15 +117,15 @@
             limits = Limits(True, True, True, allowed, 2 * S, 3)
             dispatcher = JobDispatcher(replace(SETTINGS, limits=limits), 1, 0)
             job = ClientJob("j", "settle-shift", "/x", b"", 0, S, lambda a: None)
-            dispatcher.work(0, [NodeListReceived(ListKind.CACHED), JobTaken(job)])
-            (reply,) = [o for o in dispatcher.work(S, [TimerExpired()]) if isinstance(o, ReplyToClient)]
+            dispatcher.process(0, [NodeListReceived(ListKind.CACHED), JobTaken(job)])
+            (reply,) = [o for o in dispatcher.process(S, [TimerExpired()]) if isinstance(o, ReplyToClient)]
             self.assertEqual(reply.answer, JobAnswerBody(Verdict.REFUSED, wait_ns=wait))
 
 
 class Owner(unittest.IsolatedAsyncioTestCase):
     async def test_faults_do_not_end_the_one_task_that_owns_the_dispatcher(self) -> None:
         dispatcher, done = mock.Mock(), asyncio.Event()
-        dispatcher.work.side_effect = [
+        dispatcher.process.side_effect = [
             ValueError("a bad step"),
             [OperatorNotice("bad"), OperatorNotice("good")],
         ]
@@ -142,7 +142,7 @@
         await asyncio.sleep(0)
         owner.post(TimerExpired())
         await asyncio.wait_for(done.wait(), 5)
-        self.assertEqual([len(call.args[1]) for call in dispatcher.work.call_args_list], [2, 1])
+        self.assertEqual([len(call.args[1]) for call in dispatcher.process.call_args_list], [2, 1])
         task.cancel()
 
 
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -488,7 +488,7 @@
 
     def work(self, event: DispatchEvent, *actions: Any) -> list[DispatchCommand]:
         self.module.step.return_value = list(actions)
-        return self.dispatcher.work(0, [event])
+        return self.dispatcher.process(0, [event])
 
     def heard(self) -> list[Event]:
         return list(self.module.step.call_args.args[1])
