--- a/hollowusher/scheduler/rules/__init__.py
+++ b/hollowusher/scheduler/rules/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about streams, limits and recovery.  No I/O, no clock, no wire."""
+"""Rules for streams, limits and recovery.  They do no I/O, read no clock and know no wire format."""
--- a/hollowusher/scheduler/rules/stream_ends.py
+++ b/hollowusher/scheduler/rules/stream_ends.py
@@ -1,9 +1,10 @@
-"""How an attempt on an HTTP/2 stream ended where no answer told: what certainly never ran, and all else.
+"""Outcome of an attempt whose HTTP/2 stream ended without a complete response.
 
-RFC 9113 lets a client be certain in three cases only: the stream was refused (section 8.7), it lies above the
-last stream of a GOAWAY (6.8), or the request was never whole, since END_STREAM was not written.  A node
-that has begun to answer has taken the request, whatever it says afterwards: against such a one no case is
-certain."""
+The outcome shows whether the node may have run the job.  By RFC 9113 a client can rule that out in three
+cases only: the node refused the stream (section 8.7), the stream id is above the last stream id of a GOAWAY
+(section 6.8), or the client did not send END_STREAM, so the request was incomplete.  None of the three holds
+once the node has sent any part of a response, because the node must have accepted the request by then.
+"""
 
 from __future__ import annotations
 
@@ -13,26 +14,29 @@
 
 
 class Cause(Enum):
-    """What ended a stream before its answer did."""
+    """Why a stream ended before its response was complete."""
 
     REFUSED = "refused"  # RST_STREAM with REFUSED_STREAM
-    ABOVE_LAST = "above-last"  # its id is above the last one of a GOAWAY
-    RESET = "reset"  # RST_STREAM with any other code, or an answer that ended too soon
-    LOST = "lost"  # the connection broke, or was closed for what the node did on it
-    BODY_BLOCKED = "held-up"  # the node's window kept the body back for too long
-    WITHDRAWN = "withdrawn"  # the desk withdrew the attempt
-    TIMED_OUT = "timed-out"  # its time was over
+    ABOVE_LAST = "above-last"  # the stream id is above the last stream id of a GOAWAY
+    RESET = "reset"  # RST_STREAM with any other code, or a truncated response
+    LOST = "lost"  # the connection broke, or the scheduler closed it after a protocol error of the node
+    BODY_BLOCKED = "held-up"  # the node's flow-control window blocked the request body for too long
+    WITHDRAWN = "withdrawn"  # the dispatcher cancelled the attempt
+    TIMED_OUT = "timed-out"  # the attempt's timeout expired
 
 
 def outcome(cause: Cause, written: bool, answered: bool) -> Outcome:
-    """The outcome for the desk.  `written`: the request's END_STREAM may have left us; `answered`: anything
-    of an answer came."""
+    """Return the outcome that the dispatcher receives.
+
+    `written`: the request's END_STREAM may have been sent.  `answered`: the node has sent some part of a
+    response, which implies that it received the whole request.
+    """
     if answered:
         written = True
     elif cause is Cause.REFUSED:
         return Outcome.FULL
     elif cause is Cause.ABOVE_LAST:
-        return Outcome.NOT_SENT  # the node leaves in good order: nothing is wrong with it
+        return Outcome.NOT_SENT  # GOAWAY is a graceful shutdown and no fault of the node
     if cause is Cause.WITHDRAWN:
         return Outcome.CANCELLED if written else Outcome.NOT_SENT
     if cause is Cause.TIMED_OUT:
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -1,9 +1,13 @@
-"""Which job goes on which connection to a node, when another is opened, how long a job may wait for a stream,
-and when a connection is retired.  One book a node; the caller carries out what it says.
+"""Assigns jobs to HTTP/2 streams on the connections to one node.
 
-It does not decide which node a job goes to or whether it goes again: that is the decision module's.  A job
-that cannot go out here is turned back unsent, with the reason.  Times are nanoseconds of the caller's one
-clock; jobs are whatever the caller hands in, each at most once at a time."""
+The stream table decides which connection a job uses, when another connection is opened, how long a job may
+wait for a stream, and when a connection is retired.  There is one table per node; its methods return
+instructions, which the caller executes.
+
+The table does not choose the node of a job and does not retry jobs: the balancer does.  When a job gets no
+stream, the table rejects it with a reason before any byte of it is sent.  Times are nanoseconds on the
+caller's monotonic clock.  A job is any hashable object, and it may be in the table only once at a time.
+"""
 
 from __future__ import annotations
 
@@ -12,31 +16,31 @@
 from enum import Enum, IntEnum
 
 _NS_PER_MS = 1_000_000
-RETRY_FIRST_NS, RETRY_MOST_NS = 25 * _NS_PER_MS, 200 * _NS_PER_MS  # between connections that came to nothing
-RETIRING_SHARE = 3  # retiring connections a node may leave us with, for each that we may use
+MIN_RETRY_NS, MAX_RETRY_NS = 25 * _NS_PER_MS, 200 * _NS_PER_MS  # backoff after a failed connection
+MAX_RETIRING_PER_USABLE = 3  # at this number of retiring connections none is opened
 
 
 class RejectReason(Enum):
-    """Why a job comes back without a byte of it written."""
+    """Why a job was rejected before any byte of it was sent."""
 
-    FULL = "as many jobs wait as may"
+    FULL = "too many jobs are waiting for a stream"
     WAITED = "no stream came free in time"
-    LEAVING = "the node drains, is gone or has been replaced"
-    UNREACHABLE = "no connection came up"
-    NO_SOCKET = "no socket to spare"
+    LEAVING = "the node is draining, is gone or has been replaced"
+    UNREACHABLE = "no connection could be established"
+    NO_SOCKET = "no socket is available"
 
 
 class ConnectionStage(IntEnum):
-    """Where a connection stands."""
+    """Lifecycle stage of a connection."""
 
-    OPENING = 0  # until the node has shown by its SETTINGS that it speaks HTTP/2
+    OPENING = 0  # until the node's SETTINGS frame has shown that it speaks HTTP/2
     OPEN = 1
-    RETIRING = 2  # what is on it ends there; nothing new goes on it
+    RETIRING = 2  # open streams may finish; no new streams are assigned
 
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """The limits of one node's book."""
+    """Limits of one node's stream table: times in nanoseconds, `streams` per connection."""
 
     connections: int = 2
     streams: int = 100
@@ -48,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Bring up a connection under this number; `opened` or `failed` follows."""
+    """Open a connection with this number, then call `opened` or `failed`."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class AssignStream:
-    """The job goes on this connection now; `ended` or `unbegun` follows."""
+    """Start the job on a stream of this connection, then call `ended` or `requeue`."""
 
     job: Hashable
     connection: int
@@ -63,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectJob:
-    """The job does not go out here."""
+    """Reject the job: the table has no stream for it."""
 
     job: Hashable
     why: RejectReason
@@ -71,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """The connection is of no more use and has nothing on it; the book has forgotten it."""
+    """Close the connection: it has no streams, and the table has already removed it."""
 
     connection: int
 
@@ -80,25 +84,25 @@
 
 
 class _Connection:
-    """One connection's account."""
+    """State of one connection; `announced` is the stream limit that the node has announced."""
 
-    __slots__ = ("announced", "idle_since", "jobs", "quiet", "stage", "used")
+    __slots__ = ("announced", "idle_since", "jobs", "ping_pending", "stage", "used")
 
     def __init__(self, now: int) -> None:
         self.stage = ConnectionStage.OPENING
         self.announced = 0
         self.jobs: set[Hashable] = set()
         self.used = 0
-        self.quiet = False
+        self.ping_pending = False
         self.idle_since = now
 
 
 @dataclass(slots=True)
 class StreamMetrics:
-    """What the book has seen, for the log."""
+    """Counters of one stream table since the last log line."""
 
-    given: int = 0
-    waited: int = 0  # jobs that found no stream free at once
+    given: int = 0  # jobs assigned to a stream
+    waited: int = 0  # jobs that had to wait for a stream
     opened: int = 0
     retired: int = 0
     lost: int = 0
@@ -106,125 +110,133 @@
 
 
 class StreamTable:
-    """The account of one node: its connections, and the jobs that wait for a stream, in order."""
+    """The connections to one node, and the queue of jobs that wait for a stream."""
 
     def __init__(self, limits: StreamLimits) -> None:
         self._limits = limits
         self._connections: dict[int, _Connection] = {}
-        self._waiting: dict[Hashable, tuple[int, int]] = {}  # job: since, until
-        self._soonest = 0  # no job's wait ends before this
-        self._numbers = 0
-        self._barren = 0  # connections in a row that came to nothing
+        self._waiting: dict[Hashable, tuple[int, int]] = {}  # by job: start and end of its wait
+        self._earliest_expiry = 0  # lower bound for the end of any job's wait
+        self._last_number = 0
+        self._failures = 0  # consecutive connections that failed before any stream used them
         self._open_after = 0
         self.figures = StreamMetrics()
 
-    # --- what is told of jobs
+    # --- events of jobs
 
     def request_stream(
         self, now: int, job: Hashable, until: int, urgent: bool = False
     ) -> list[StreamInstruction]:
-        """A job wants a stream, at the latest at `until`.  An `urgent` one (a probe) goes before the others:
-        behind a queue it would say of a busy node that it is dead."""
+        """Request a stream for a job that may wait until `until`.
+
+        An `urgent` job, such as a probe, goes to the head of the queue and ignores the queue's limit: a probe
+        that waited behind other jobs could time out and make a busy node look dead.
+        """
         if len(self._waiting) >= self._limits.waiting and not urgent:
             return [RejectJob(job, RejectReason.FULL)]
-        self._wait(now, job, until, first=urgent)
-        acts = self._move(now)
+        self._enqueue(now, job, until, first=urgent)
+        instructions = self._advance(now)
         if job in self._waiting:
             self.figures.waited += 1
-        return acts
+        return instructions
 
     def cancel_wait(self, now: int, job: Hashable) -> bool:
-        """A job no longer wants a stream; whether it was waiting for one."""
+        """Remove a job from the queue; return whether it was waiting."""
         return self._waiting.pop(job, None) is not None
 
     def ended(self, now: int, connection: int, job: Hashable) -> list[StreamInstruction]:
-        """A job's stream is over."""
-        self._off(now, connection, job)
-        return self._move(now)
+        """Release the stream of a job that has ended."""
+        self._release(now, connection, job)
+        return self._advance(now)
 
     def requeue(self, now: int, connection: int, job: Hashable, until: int) -> list[StreamInstruction]:
-        """A job that was given comes back without a byte written, and wants another stream: the connection
-        retired, or the node lowered its limit, before its turn came.  It goes before those that came
-        later."""
-        self._off(now, connection, job)
-        self._wait(now, job, until, first=True)
-        return self._move(now)
+        """Put an assigned job back at the head of the queue, because no byte of it has been sent.
+
+        This happens when the connection is retired, or the node lowers its stream limit, before the session
+        starts the job's stream.
+        """
+        self._release(now, connection, job)
+        self._enqueue(now, job, until, first=True)
+        return self._advance(now)
 
-    # --- what is told of connections
+    # --- events of connections
 
     def opened(self, now: int, connection: int, announced: int) -> list[StreamInstruction]:
-        """A connection is up and its node allows so many streams."""
-        if (
-            account := self._connections.get(connection)
-        ) is not None and account.stage is ConnectionStage.OPENING:
-            account.stage, account.announced, account.idle_since = ConnectionStage.OPEN, announced, now
+        """Mark a connection as open; the node allows `announced` concurrent streams on it."""
+        if (conn := self._connections.get(connection)) is not None and conn.stage is ConnectionStage.OPENING:
+            conn.stage, conn.announced, conn.idle_since = ConnectionStage.OPEN, announced, now
             self.figures.opened += 1
-        return self._move(now)
+        return self._advance(now)
 
     def failed(
         self, now: int, connection: int, why: RejectReason = RejectReason.UNREACHABLE
     ) -> list[StreamInstruction]:
-        """A connection did not come up.  Where it was the only way to the node, those who wait learn it now:
-        their time is better spent elsewhere."""
+        """Remove a connection that could not be opened.
+
+        If no other connection is open, all waiting jobs are rejected at once with `why`, so that they can be
+        sent to another node before their deadlines.
+        """
         if self._connections.pop(connection, None) is None:
             return []
-        self._came_to_nothing(now)
+        self._back_off(now)
         if any(c.stage is ConnectionStage.OPEN for c in self._connections.values()):
-            return self._move(now)
-        return self._turn_back_all(why)
+            return self._advance(now)
+        return self._reject_all(why)
 
     def set_stream_limit(self, now: int, connection: int, announced: int) -> list[StreamInstruction]:
-        """The node allows so many streams from now on; those above it that are open may end in peace."""
-        if (account := self._connections.get(connection)) is not None:
-            account.announced = announced
-        return self._move(now)
+        """Set the node's limit on concurrent streams; streams already open above the limit may finish."""
+        if (conn := self._connections.get(connection)) is not None:
+            conn.announced = announced
+        return self._advance(now)
 
     def set_unresponsive(self, now: int, connection: int, silent: bool) -> list[StreamInstruction]:
-        """Whether the node owes a sign of life on this connection: nothing new goes on it meanwhile."""
-        if (account := self._connections.get(connection)) is not None:
-            account.quiet = silent
-        return self._move(now)
+        """Set whether a PING is unanswered on this connection; no new stream is assigned while it is."""
+        if (conn := self._connections.get(connection)) is not None:
+            conn.ping_pending = silent
+        return self._advance(now)
 
     def retired(self, now: int, connection: int) -> list[StreamInstruction]:
-        """Nothing new may go on a connection: the node sent GOAWAY, or it cannot be used further."""
-        account = self._connections.get(connection)
-        if account is not None and account.stage is not ConnectionStage.RETIRING:
-            account.stage = ConnectionStage.RETIRING
+        """Retire a connection, because the node sent GOAWAY or the connection cannot take new streams."""
+        conn = self._connections.get(connection)
+        if conn is not None and conn.stage is not ConnectionStage.RETIRING:
+            conn.stage = ConnectionStage.RETIRING
             self.figures.retired += 1
-        return self._move(now)
+        return self._advance(now)
 
     def lost(self, now: int, connection: int) -> list[StreamInstruction]:
-        """A connection broke; the caller has ended what was on it."""
-        account = self._connections.pop(connection, None)
-        if account is not None:
+        """Remove a connection that broke; the caller has already ended its streams."""
+        conn = self._connections.pop(connection, None)
+        if conn is not None:
             self.figures.lost += 1
-            if account.used == 0:
-                self._came_to_nothing(now)
-        return self._move(now)
+            if conn.used == 0:
+                self._back_off(now)
+        return self._advance(now)
 
-    # --- what is told of the node and of time
+    # --- events of the node, and timers
 
     def node_leaving(self, now: int) -> list[StreamInstruction]:
-        """The node drains, is gone, or is another process now: who waits goes back at once, what is open may
-        end, and nothing new goes out on these connections."""
-        acts = self._turn_back_all(RejectReason.LEAVING)
-        for account in self._connections.values():
-            account.stage = ConnectionStage.RETIRING
-        self._barren = self._open_after = 0
-        return acts + list(self._spent(now))
+        """Retire all connections, because the node drains, is gone or has been replaced by a new process.
+
+        Waiting jobs are rejected at once; open streams may finish.
+        """
+        instructions = self._reject_all(RejectReason.LEAVING)
+        for conn in self._connections.values():
+            conn.stage = ConnectionStage.RETIRING
+        self._failures = self._open_after = 0
+        return instructions + list(self._close_unused(now))
 
     def tick(self, now: int) -> list[StreamInstruction]:
-        """Time has passed."""
-        return self._move(now)
+        """Apply the timeouts that have expired by `now`."""
+        return self._advance(now)
 
     @property
     def earliest_expiry_ns(self) -> int | None:
-        """No job's wait ends before this; None: none waits."""
-        return self._soonest if self._waiting else None
+        """Lower bound for the end of any job's wait, or None when no job waits."""
+        return self._earliest_expiry if self._waiting else None
 
     @property
     def next_tick_ns(self) -> int | None:
-        """When `tick` is due, if nothing is told before; None: never."""
+        """When `tick` is due if no other event comes first, or None when no timer is pending."""
         due = [until for _, until in self._waiting.values()]
         due += [
             c.idle_since + self._limits.idle_ns
@@ -235,111 +247,111 @@
             due.append(self._open_after)
         return min(due, default=None)
 
-    # --- what can be seen
+    # --- state
 
     @property
     def waiting(self) -> int:
-        """Jobs that wait for a stream."""
+        """Number of jobs that wait for a stream."""
         return len(self._waiting)
 
     @property
     def open_streams(self) -> int:
-        """Streams in use."""
+        """Number of streams in use."""
         return sum(len(c.jobs) for c in self._connections.values())
 
     def holds(self, connection: int) -> bool:
-        """Whether the book still counts on a connection."""
+        """Return whether the table still contains a connection."""
         return connection in self._connections
 
     @property
     def connections(self) -> int:
-        """Connections held, of every stage."""
+        """Number of connections in any stage."""
         return len(self._connections)
 
-    # --- the decisions
+    # --- decisions
 
-    def _wait(self, now: int, job: Hashable, until: int, first: bool) -> None:
+    def _enqueue(self, now: int, job: Hashable, until: int, first: bool) -> None:
         entry = (now, min(until, now + self._limits.wait_ns))
-        self._soonest = min(self._soonest, entry[1]) if self._waiting else entry[1]
+        self._earliest_expiry = min(self._earliest_expiry, entry[1]) if self._waiting else entry[1]
         if first:
             self._waiting = {job: entry, **self._waiting}
         else:
             self._waiting[job] = entry
 
-    def _capacity(self, account: _Connection) -> int:
-        if account.stage is not ConnectionStage.OPEN or account.quiet:
+    def _capacity(self, conn: _Connection) -> int:
+        if conn.stage is not ConnectionStage.OPEN or conn.ping_pending:
             return 0
-        return min(self._limits.streams, account.announced) - len(account.jobs)
+        return min(self._limits.streams, conn.announced) - len(conn.jobs)
 
-    def _move(self, now: int) -> list[StreamInstruction]:
-        """Give out the streams that are free, turn back whose wait is over, close what is of no more use,
-        open what is lacking."""
-        acts: list[StreamInstruction] = []
+    def _advance(self, now: int) -> list[StreamInstruction]:
+        """Assign free streams, reject jobs whose wait is over, close unused connections and open new ones."""
+        instructions: list[StreamInstruction] = []
         while self._waiting:
-            # The fullest that has room: the emptier ones can then come to rest and be closed.
+            # Use the fullest connection with a free stream, so that the others become idle and are closed.
             free = [
                 (len(c.jobs), -number) for number, c in self._connections.items() if self._capacity(c) > 0
             ]
             if not free:
                 break
-            acts.append(self._give(now, -max(free)[1]))
-        if self._waiting and self._soonest <= now:
+            instructions.append(self._assign_next(now, -max(free)[1]))
+        if self._waiting and self._earliest_expiry <= now:
             for job in [job for job, (_, until) in self._waiting.items() if until <= now]:
                 del self._waiting[job]
-                acts.append(RejectJob(job, RejectReason.WAITED))
-            self._soonest = min((until for _, until in self._waiting.values()), default=0)
-        acts.extend(self._spent(now))
+                instructions.append(RejectJob(job, RejectReason.WAITED))
+            self._earliest_expiry = min((until for _, until in self._waiting.values()), default=0)
+        instructions.extend(self._close_unused(now))
         if self._waiting and self._may_open(now):
-            self._numbers += 1
-            self._connections[self._numbers] = _Connection(now)
-            acts.append(OpenConnection(self._numbers))
-        return acts
+            self._last_number += 1
+            self._connections[self._last_number] = _Connection(now)
+            instructions.append(OpenConnection(self._last_number))
+        return instructions
 
-    def _give(self, now: int, number: int) -> AssignStream:
-        account = self._connections[number]
+    def _assign_next(self, now: int, number: int) -> AssignStream:
+        conn = self._connections[number]
         job = next(iter(self._waiting))
         since, _ = self._waiting.pop(job)
-        account.jobs.add(job)
-        account.used += 1
+        conn.jobs.add(job)
+        conn.used += 1
         self.figures.given += 1
         self.figures.longest_wait_ns = max(self.figures.longest_wait_ns, now - since)
-        self._barren = self._open_after = 0
-        if (
-            account.used >= self._limits.max_lifetime_streams
-        ):  # its stream ids run out one day: better in a calm moment
-            account.stage = ConnectionStage.RETIRING
+        self._failures = self._open_after = 0
+        if conn.used >= self._limits.max_lifetime_streams:  # replace it before stream ids run out
+            conn.stage = ConnectionStage.RETIRING
             self.figures.retired += 1
         return AssignStream(job, number)
 
     def _may_open(self, now: int) -> bool:
-        """One at a time comes up, so that a burst costs the node one handshake and not a hundred."""
+        """Return whether a connection may be opened now.
+
+        Only one connection opens at a time, so that a burst of jobs costs the node one handshake, not many.
+        """
         stages = [c.stage for c in self._connections.values()]
         usable = len(stages) - stages.count(ConnectionStage.RETIRING)
         return (
             ConnectionStage.OPENING not in stages
             and now >= self._open_after
             and usable < self._limits.connections
-            and stages.count(ConnectionStage.RETIRING) < RETIRING_SHARE * self._limits.connections
+            and stages.count(ConnectionStage.RETIRING) < MAX_RETIRING_PER_USABLE * self._limits.connections
         )
 
-    def _spent(self, now: int) -> Iterator[CloseConnection]:
-        for number, account in list(self._connections.items()):
-            idle = account.stage is ConnectionStage.OPEN and now - account.idle_since >= self._limits.idle_ns
-            if not account.jobs and (idle or account.stage is ConnectionStage.RETIRING):
+    def _close_unused(self, now: int) -> Iterator[CloseConnection]:
+        for number, conn in list(self._connections.items()):
+            idle = conn.stage is ConnectionStage.OPEN and now - conn.idle_since >= self._limits.idle_ns
+            if not conn.jobs and (idle or conn.stage is ConnectionStage.RETIRING):
                 del self._connections[number]
                 yield CloseConnection(number)
 
-    def _off(self, now: int, connection: int, job: Hashable) -> None:
-        if (account := self._connections.get(connection)) is not None:
-            account.jobs.discard(job)
-            account.idle_since = now
+    def _release(self, now: int, connection: int, job: Hashable) -> None:
+        if (conn := self._connections.get(connection)) is not None:
+            conn.jobs.discard(job)
+            conn.idle_since = now
 
-    def _came_to_nothing(self, now: int) -> None:
-        """Pause before the next one: a node that accepts and breaks must not be called in a circle."""
-        self._open_after = now + min(RETRY_MOST_NS, RETRY_FIRST_NS << min(self._barren, 8))
-        self._barren += 1
+    def _back_off(self, now: int) -> None:
+        """Delay the next connection, because a node may accept and drop connections again and again."""
+        self._open_after = now + min(MAX_RETRY_NS, MIN_RETRY_NS << min(self._failures, 8))
+        self._failures += 1
 
-    def _turn_back_all(self, why: RejectReason) -> list[StreamInstruction]:
-        acts: list[StreamInstruction] = [RejectJob(job, why) for job in self._waiting]
+    def _reject_all(self, why: RejectReason) -> list[StreamInstruction]:
+        instructions: list[StreamInstruction] = [RejectJob(job, why) for job in self._waiting]
         self._waiting = {}
-        return acts
+        return instructions
