--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -1,4 +1,4 @@
-"""The roster: what the node list has told of each route node, and the numbers the module knows them by."""
+"""Worker registry: the last known entry of each node, and the numbers that identify nodes to the balancer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteNode:
-    """A route node: its name, where it is reached, and its entry in the list."""
+    """A worker node: its name, address (host and port), list entry, and the frontend that reaches it."""
 
     name: str
     address: tuple[str, int]
@@ -25,22 +25,28 @@
 
 
 class WorkerRegistry:
-    """All route nodes of both fronts.  It is told of a change before the desk is, so that a send that the
-    desk ordered a moment ago can be stopped at its first byte."""
+    """The worker nodes of all frontends.
+
+    The registry is updated before the dispatcher receives the change, so that an attempt that the dispatcher
+    has just started can still be stopped before its first byte.
+    """
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
         self._nodes: dict[int, RouteNode] = {}
-        self._fixed: set[int] = set()
-        self.detached: frozenset[str] = frozenset()  # the names of those that are out by hand
+        self._static: set[int] = set()
+        self.detached: frozenset[str] = frozenset()  # names of nodes that an operator has detached
 
     def add_static(self, node: RouteNode) -> None:
-        """A node that our own file lists: no list from outside tells of it, nor of its end."""
+        """Add a node from the scheduler's own configuration; external lists neither update nor remove it."""
         self._nodes[node.entry.worker] = node
-        self._fixed.add(node.entry.worker)
+        self._static.add(node.entry.worker)
 
     def number(self, name: str) -> int:
-        """The same number in every scheduler: their turns at a cold node are dealt out by it."""
+        """Return a node's number, which is normally the same in every scheduler.
+
+        Schedulers take turns at sending to a cold node, and the number determines the order of the turns.
+        """
         if name not in self._numbers:
             match = _HEX_NAME.fullmatch(name)
             number = int(match[1], 16) if match else zlib.crc32(name.encode())
@@ -51,62 +57,67 @@
         return self._numbers[name]
 
     def by_name(self, name: object) -> RouteNode | None:
-        """The node of this name, if any list has told of it."""
+        """Return the node with this name, or None if it is unknown."""
         return self._nodes.get(self._numbers.get(str(name), -1))
 
     def node(self, number: int) -> RouteNode | None:
-        """The node with this number, gone ones too."""
+        """Return the node with this number, including nodes that are gone, or None."""
         return self._nodes.get(number)
 
     def serving(self, number: int) -> bool:
-        """Whether new work may go to it as far as is known at this moment."""
+        """Return whether the node is ready and not detached, so that it may get new work."""
         node = self._nodes.get(number)
-        return node is not None and self._shown(node).state is State.READY
+        return node is not None and self._effective_entry(node).state is State.READY
 
     def listed(self) -> list[RouteNode]:
-        """The nodes that a list from outside has told of, gone ones too."""
-        return [node for number, node in self._nodes.items() if number not in self._fixed]
+        """Return the nodes from external lists, including nodes that are gone."""
+        return [node for number, node in self._nodes.items() if number not in self._static]
 
     def in_list(self) -> list[RouteNode]:
-        """All nodes that are not gone."""
+        """Return all nodes that are not gone."""
         return [node for node in self._nodes.values() if node.entry.state is not State.GONE]
 
-    def _shown(self, node: RouteNode) -> Listed:
-        """Its entry for the desk: to one that is out by hand nothing new goes, whatever the list says."""
+    def _effective_entry(self, node: RouteNode) -> Listed:
+        """Return a node's entry for the dispatcher; a detached node that is ready appears as draining."""
         if node.name in self.detached and node.entry.state is State.READY:
             return replace(node.entry, state=State.DRAINING)
         return node.entry
 
     def missing(self, nodes: Iterable[RouteNode]) -> list[RouteNode]:
-        """The nodes that a whole list no longer names, as gone."""
-        named = {n.entry.worker for n in nodes} | self._fixed
+        """Return the known nodes that a full list does not name, in state GONE."""
+        listed_numbers = {n.entry.worker for n in nodes} | self._static
         return [
             replace(old, entry=replace(old.entry, state=State.GONE))
             for number, old in self._nodes.items()
-            if number not in named
+            if number not in listed_numbers
         ]
 
     def apply_list(self, kind: ListKind, nodes: Iterable[RouteNode]) -> NodeListReceived:
-        """Take what a list tells; the event for the desk, with the fixed nodes in every whole list."""
+        """Apply a list or changes; return the event for the dispatcher.  Full lists include static nodes."""
         nodes = list(nodes)
         if kind in (ListKind.FULL, ListKind.CACHED):
             for gone in self.missing(nodes):
                 self._nodes[gone.entry.worker] = gone
-            nodes += [self._nodes[n] for n in sorted(self._fixed)]
+            nodes += [self._nodes[n] for n in sorted(self._static)]
         for node in nodes:
             self._nodes[node.entry.worker] = node
-        if len(self._nodes) > MAX_NODES:  # ids of machines long gone must not pile up
+        if len(self._nodes) > MAX_NODES:  # forget nodes that are gone, to bound memory
             for number in [n for n, node in self._nodes.items() if node.entry.state is State.GONE]:
                 self._numbers.pop(self._nodes.pop(number).name, None)
-        return NodeListReceived(kind, tuple(self._shown(n) for n in nodes))
+        return NodeListReceived(kind, tuple(self._effective_entry(n) for n in nodes))
 
     def cached_list(self) -> NodeListReceived:
-        """The whole list as held, of the kind that is no news from the list's service."""
-        return NodeListReceived(ListKind.CACHED, tuple(self._shown(n) for n in self._nodes.values()))
+        """Return the full known list as CACHED, which does not count as an update from the list service."""
+        return NodeListReceived(
+            ListKind.CACHED, tuple(self._effective_entry(n) for n in self._nodes.values())
+        )
 
     def update_node(self, number: int, **changes: State | int) -> NodeListReceived | None:
-        """Take what a fixed node tells of itself.  The event is the whole list as held, of the kind that is
-        no news from the list's service: as changes it would count as a watch that stands."""
+        """Update the entry of a static node and return the full known list as an event, or None if unknown.
+
+        The event is CACHED rather than CHANGES: the balancer would take CHANGES for a sign that the watch of
+        the list service works.
+        """
         node = self._nodes.get(number)
         if node is None:
             return None
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -1,7 +1,7 @@
-"""What is read from the node list's service, and what is made of a list that is partly wrong.
+"""Parser of the node lists that the discovery service sends, and its handling of partly invalid lists.
 
-No I/O, and no clock but what is handed in.  The whole fleet hears one list: a row that nobody can read must
-cost its own node and not all the others, and never the scheduler.
+The module does no I/O; callers pass the time in.  All schedulers receive the same list, so an invalid row
+must affect only its own node, and must never stop a scheduler.
 """
 
 from __future__ import annotations
@@ -17,87 +17,102 @@
 from hollowusher.scheduler.dispatch.worker_registry import MAX_NODES, RouteNode, WorkerRegistry
 
 _STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
-_TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
-_FAULTS = (KeyError, TypeError, ValueError, AttributeError, OverflowError, OSError)
+_JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+_ROW_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError, OSError)
 
 
 def default_front(name: str, kind: str) -> str:
-    """All nodes speak the platform's HTTP, unless the settings say otherwise."""
+    """Return the frontend that every node uses unless the settings name another: the platform's HTTP."""
     return "platform"
 
 
 class NodeListBackoff:
-    """When a pushed list is asked for again.  What its agent has counts as told whether we hear it or not, so
-    that the longest wait (seconds) is a part of the grace that a drain leaves; the agent is our own
-    machine's and answers at no cost, and is not hammered all the same while it is down."""
+    """Exponential backoff between watches of a pushed node list.
+
+    A drain counts as announced once the local agent has it, whether or not the scheduler has received it.
+    The longest wait is therefore 1/GRACE_PARTS of the drain grace period (`grace_ns`).  The first wait can be
+    as short as FIRST_S because the agent runs on the same machine and its answers are cheap; the backoff only
+    protects an agent that is down from a tight retry loop.
+    """
 
     FIRST_S, GRACE_PARTS = 0.01, 4
 
     def __init__(self, grace_ns: int, chance: Callable[[], float]) -> None:
-        self._longest_s = max(self.FIRST_S, grace_ns / 1e9 / self.GRACE_PARTS)
-        self._chance, self._failures = chance, 0
+        self._max_wait_s = max(self.FIRST_S, grace_ns / 1e9 / self.GRACE_PARTS)
+        self._random, self._failures = chance, 0
 
     def reset(self) -> None:
-        """It has told something."""
+        """Reset the backoff after the agent has sent a list."""
         self._failures = 0
 
     def wait_s(self) -> float:
-        """How long to wait after one more failure; half of it by chance."""
-        wait_s = min(self._longest_s, self.FIRST_S * 2.0 ** min(self._failures, 16))
+        """Count one more failure and return the seconds to wait; up to half of the wait is random jitter."""
+        wait_s = min(self._max_wait_s, self.FIRST_S * 2.0 ** min(self._failures, 16))
         self._failures += 1
-        return wait_s * (0.5 + 0.5 * self._chance())
+        return wait_s * (0.5 + 0.5 * self._random())
 
 
 class NodeListAssembler:
-    """Puts the objects of a watch together.  One mostly stands on a line; indented, it goes over many."""
+    """Assembles the JSON objects of a watch from lines.
+
+    An object usually takes one line, but an indented object takes several.
+    """
 
-    def __init__(self, most: int) -> None:
-        """ValueError at more bytes than that of one object."""
-        self._most, self._rest, self._depth = most, bytearray(), 0
+    def __init__(self, max_bytes: int) -> None:
+        """Limit one object to `most` bytes."""
+        self._max_bytes, self._pending, self._depth = max_bytes, bytearray(), 0
 
     def feed(self, line: bytes) -> tuple[object, ...]:
-        """Take a line; the objects that are whole by it.  ValueError where it cannot belong to one."""
+        """Add a line and return the objects that it completes.
+
+        When a new object starts before the previous one is complete, the result is None for the truncated
+        object followed by the new one.  Raises ValueError when an object ends early, is longer than the limit
+        or is not JSON.
+        """
         if not line.strip():
-            if self._rest:
+            if self._pending:
                 raise ValueError("a list stops short")
             return ()
-        if not self._rest or line.startswith(b"{"):  # one that begins anew leaves nothing of the one before
+        if not self._pending or line.startswith(b"{"):  # a new object discards an incomplete one before it
             try:
                 complete = json.loads(line)
             except ValueError:
                 pass
             else:
-                cut = bool(self._rest)
-                self._rest.clear()
-                return (None, complete) if cut else (complete,)
-        self._rest += line + b"\n"
-        if len(self._rest) > self._most:
+                truncated = bool(self._pending)
+                self._pending.clear()
+                return (None, complete) if truncated else (complete,)
+        self._pending += line + b"\n"
+        if len(self._pending) > self._max_bytes:
             raise ValueError("a list is too long")
-        bare = _TEXT.sub(b"", line)
+        unquoted = _JSON_STRING.sub(b"", line)
         self._depth = (
-            (self._depth if len(self._rest) > len(line) + 1 else 0)
-            + sum(bare.count(c) for c in b"{[")
-            - sum(bare.count(c) for c in b"}]")
+            (self._depth if len(self._pending) > len(line) + 1 else 0)
+            + sum(unquoted.count(c) for c in b"{[")
+            - sum(unquoted.count(c) for c in b"}]")
         )
         if self._depth > 0:
             return ()
-        text, self._rest = bytes(self._rest), bytearray()
+        text, self._pending = bytes(self._pending), bytearray()
         return (json.loads(text),)
 
 
 @dataclass(slots=True)
 class ParsedNodeList:
-    """One list object: its version, whether it is the whole list, its nodes, and what was wrong with it."""
+    """A parsed list object: its version, whether it is a full list, its nodes, and the errors found in it."""
 
     version: int
     full: bool
     nodes: list[RouteNode] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
 
-    def outdated(self, held: int) -> bool:
-        """Whether it came out of order: its changes are in what is held, and a drain among that must stand.
-        A whole list always counts, since a service that starts anew may count its versions anew."""
-        return not self.full and self.version < held
+    def outdated(self, known_version: int) -> bool:
+        """Return whether this object is older than version `held` and must be ignored.
+
+        The held list already contains an older object's changes, and applying them again could undo a later
+        drain.  A full list is never outdated, because the service may restart its version numbers.
+        """
+        return not self.full and self.version < known_version
 
 
 def read_list(
@@ -107,40 +122,41 @@
     wall_ms: float,
     front: Callable[[str, str], str] = default_front,
 ) -> ParsedNodeList:
-    """Read one list object; ValueError where nothing of it can be read.  `front` tells by name and machine
-    kind how a node is reached.
+    """Parse one list object.  `front` returns the frontend for a node's name and machine kind.
+
+    An invalid row is skipped; if it names a node in the registry, that node is marked as gone.  When two rows
+    name the same node, the row that stops new work to it wins.  Rows beyond MAX_NODES are skipped, because
+    the scheduler's memory is limited.  A node's start time arrives in wall-clock time (`wall_ms` is the
+    current one) and is converted to the monotonic clock of `now_ns`; 0 means a start long ago and stays 0.
 
-    A row that cannot be read is left out, and a node of ours that it names is not used on.  A node that is
-    named twice counts by the row that would have it left alone.  Rows beyond the most that a scheduler keeps
-    are left out: its memory is small.  A node's start is told by the wall clock and kept by the module's
-    monotonic one; 0, long ago, stays 0.
+    Raises ValueError when the object is not a node list or its version is invalid.
     """
     if not isinstance(reported, dict) or not isinstance(reported.get("servers"), list):
         raise ValueError("not a node list")
     try:
-        read = ParsedNodeList(int(reported.get("version") or 0), bool(reported.get("full")))
-    except _FAULTS as wrong:
-        raise ValueError(f"a node list's version: {wrong!r}") from None
+        parsed = ParsedNodeList(int(reported.get("version") or 0), bool(reported.get("full")))
+    except _ROW_ERRORS as error:
+        raise ValueError(f"a node list's version: {error!r}") from None
     nodes: dict[int, RouteNode] = {}
     for row in reported["servers"]:
         if len(nodes) >= MAX_NODES:
-            read.faults.append(f"more than {MAX_NODES} nodes")
+            parsed.faults.append(f"more than {MAX_NODES} nodes")
             break
         try:
             node = _read_row(row, registry, now_ns, wall_ms, front)
-        except _FAULTS as wrong:
-            read.faults.append(f"a row: {wrong!r}")
+        except _ROW_ERRORS as error:
+            parsed.faults.append(f"a row: {error!r}")
             known = registry.by_name(row["id"]) if isinstance(row, dict) and "id" in row else None
             if known is None:
                 continue
             node = replace(known, entry=replace(known.entry, state=State.GONE))
         number = node.entry.worker
         if number in nodes:
-            read.faults.append(f"{node.name} is named twice")
+            parsed.faults.append(f"{node.name} is named twice")
         if number not in nodes or nodes[number].entry.state is State.READY:
             nodes[number] = node
-    read.nodes = list(nodes.values())
-    return read
+    parsed.nodes = list(nodes.values())
+    return parsed
 
 
 def _read_row(
@@ -151,7 +167,7 @@
     front: Callable[[str, str], str],
 ) -> RouteNode:
     host, _, port = str(row["addr"]).rpartition(":")
-    socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)  # DNS there is none
+    socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)  # there is no DNS
     if not 0 < int(port) < 65536:
         raise ValueError("no port")
     started, weight = float(str(row.get("started_ms") or 0)), float(str(row.get("weight") or 1.0))
