--- a/hollowusher/scheduler/dispatch/__init__.py
+++ b/hollowusher/scheduler/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatch desk: jobs, attempts and answers, with no I/O, no clock and no word of any wire."""
+"""Job dispatch: jobs, attempts and answers.  It does no I/O, reads no clock and knows no protocol."""
--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatch desk: turns events into calls of the decision module and its actions into orders.
+"""Job dispatcher: translates events for the balancer, and the balancer's actions into commands.
 
-It decides nothing.  It keeps two books, of open jobs and of open attempts, so that a job gets exactly one
-final answer and the late news of a closed attempt goes nowhere.
+The balancer makes all decisions.  The dispatcher tracks open jobs and open attempts, so that each job gets
+exactly one final answer and late events of a closed attempt are dropped.
 """
 
 from __future__ import annotations
@@ -67,69 +67,69 @@
 
 @dataclass(slots=True)
 class _OpenJob:
-    """A job and what is still owed for it: an answer, and the ends of the attempts that are out."""
+    """A job that has not been answered, with its attempts in progress."""
 
     job: ClientJob
     sends: int = 0
-    out: int = 0  # attempts whose end has not been told
+    running: int = 0  # attempts in progress
     may_have_run: bool = False
-    kept: bool = False  # its client has left: nothing new begins, and the answer goes to the book
+    kept: bool = False  # the client has left: no new attempt starts, and the answer is stored
 
 
 class JobDispatcher:
-    """One module, its open jobs and its open attempts."""
+    """One balancer with its open jobs and open attempts."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        self._module = Balancer(settings, seed, now)
-        self._follow(settings, now)
+        self._balancer = Balancer(settings, seed, now)
+        self._apply_settings(settings, now)
         self._jobs: dict[str, _OpenJob] = {}
-        self._open: dict[tuple[str, int], JobAttempt] = {}
-        self._count = 0
-        self._orders: list[DispatchCommand] = []
+        self._attempts: dict[tuple[str, int], JobAttempt] = {}
+        self._last_ticket = 0
+        self._commands: list[DispatchCommand] = []
 
     @property
     def open_jobs(self) -> int:
-        """Jobs that are owed an answer."""
+        """Number of jobs that have not been answered."""
         return len(self._jobs)
 
     def remember(self) -> Memory:
-        """What the module has learnt."""
-        return remember(self._module)
+        """Return the state that the balancer has learned."""
+        return remember(self._balancer)
 
     def restore(self, memory: Memory, now: int) -> None:
-        """Begin with what another module has learnt, once the list is known."""
-        restore(self._module, memory, now)
+        """Restore state that another balancer has learned; the node list must be known before."""
+        restore(self._balancer, memory, now)
 
     def suspect_workers(self) -> frozenset[int]:
-        """The workers that the module sends nothing to but trials, as far as they are in the list."""
+        """Return the suspect workers in the list: the balancer sends them trial jobs only."""
         return frozenset(
-            w.id for w in self._module.workers.values() if w.suspect and w.entry.state is not State.GONE
+            w.id for w in self._balancer.workers.values() if w.suspect and w.entry.state is not State.GONE
         )
 
     def process(self, now: int, events: Iterable[DispatchEvent]) -> list[DispatchCommand]:
-        """Take a batch of events in one step of the module; the orders that follow."""
-        self._orders, self._now = [], now
-        reported: list[Event] = []
-        for each in events:
-            if isinstance(each, LearnedStateReceived):  # it concerns workers that the list before it names
-                self._step(now, reported)
-                reported = []
-                self.restore(each.memory, now)
-            elif (event := self._tell(now, each)) is not None:
-                reported.append(event)
-        self._step(now, reported)
-        return self._orders
-
-    def _step(self, now: int, reported: list[Event]) -> None:
-        for action in self._module.step(now, reported):
-            self._order(action)
-
-    def _tell(self, now: int, event: DispatchEvent) -> Event | None:
-        """The module's event for one of ours; None where it concerns nothing that is open."""
+        """Process a batch of events, normally in one balancer step, and return the resulting commands."""
+        self._commands, self._now = [], now
+        translated: list[Event] = []
+        for incoming in events:
+            if isinstance(incoming, LearnedStateReceived):  # it refers to workers of the list before it
+                self._step(now, translated)
+                translated = []
+                self.restore(incoming.memory, now)
+            elif (event := self._translate(now, incoming)) is not None:
+                translated.append(event)
+        self._step(now, translated)
+        return self._commands
+
+    def _step(self, now: int, translated: list[Event]) -> None:
+        for action in self._balancer.step(now, translated):
+            self._handle_action(action)
+
+    def _translate(self, now: int, event: DispatchEvent) -> Event | None:
+        """Translate an event for the balancer; None when its job or attempt is no longer open."""
         match event:
             case JobTaken(job):
-                self._count += 1
-                job.ticket = f"job-{self._count}"
+                self._last_ticket += 1
+                job.ticket = f"job-{self._last_ticket}"
                 self._jobs[job.ticket] = _OpenJob(job)
                 return Arrival(
                     job.ticket,
@@ -144,13 +144,13 @@
                     self._shares.over(job.tenant, job.retry, now),
                 )
             case ClientLeft(job, kept):
-                return self._gone(job.ticket, kept)
-            case AttemptStarted(a) if (a.ticket, a.number) in self._open:
+                return self._client_left(job.ticket, kept)
+            case AttemptStarted(a) if (a.ticket, a.number) in self._attempts:
                 return Started(a.ticket, a.number, a.node)
-            case AttemptProgress(a, share) if (a.ticket, a.number) in self._open:
+            case AttemptProgress(a, share) if (a.ticket, a.number) in self._attempts:
                 return Progress(a.ticket, a.number, a.node, share)
-            case AttemptEnded(a) if self._open.pop((a.ticket, a.number), None) is not None:
-                self._finish(event)
+            case AttemptEnded(a) if self._attempts.pop((a.ticket, a.number), None) is not None:
+                self._attempt_ended(event)
                 final = a.ticket not in self._jobs
                 return Ended(a.ticket, a.number, a.node, event.outcome, final, event.reading)
             case NodeListReceived(kind, entries):
@@ -162,76 +162,82 @@
             case ColdBudgetInUse():
                 return BudgetSpent()
             case NewSettings(settings):
-                self._follow(settings, now)
+                self._apply_settings(settings, now)
                 return SettingsChanged(settings)
         return None
 
-    def _follow(self, settings: Settings, now: int) -> None:
+    def _apply_settings(self, settings: Settings, now: int) -> None:
         self._shares = Shares(settings, now)
         self._max_wait = settings.limits.max_retry_after_ns if settings.limits.retry_after else 0
 
-    def _order(self, action: Action) -> None:
+    def _handle_action(self, action: Action) -> None:
         match action:
             case Send(ticket, node, timeout, within):
-                held = self._jobs[ticket]
-                attempt = JobAttempt(ticket, held.sends, node)
-                held.sends, held.out = held.sends + 1, held.out + 1
-                self._open[ticket, attempt.number] = attempt
-                self._orders.append(Dispatch(attempt, held.job, timeout, self._now + within if within else 0))
-            case Cancel(ticket, number) if (ticket, number) in self._open:
+                open_job = self._jobs[ticket]
+                attempt = JobAttempt(ticket, open_job.sends, node)
+                open_job.sends, open_job.running = open_job.sends + 1, open_job.running + 1
+                self._attempts[ticket, attempt.number] = attempt
+                self._commands.append(
+                    Dispatch(attempt, open_job.job, timeout, self._now + within if within else 0)
+                )
+            case Cancel(ticket, number) if (ticket, number) in self._attempts:
                 if not (ticket in self._jobs and self._jobs[ticket].kept):
-                    self._orders.append(CancelAttempt(self._open[ticket, number]))
+                    self._commands.append(CancelAttempt(self._attempts[ticket, number]))
             case Refuse(ticket, wait):
-                # The module says when a job is given up and mostly no wait; a client told nothing would come
-                # straight back into the crowd that it was refused for.
+                # The balancer often refuses a job without a retry delay.  A client without one would retry at
+                # once, into the same overload that caused the refusal.
                 advice = min(wait or self._max_wait // 2, self._max_wait)
                 self._answer(ticket, JobAnswerBody(Verdict.REFUSED, wait_ns=advice))
             case Fail(ticket):
                 self._answer(ticket, JobAnswerBody(Verdict.FAILED))
             case Probe(node):
-                self._orders.append(ProbeNode(node))
+                self._commands.append(ProbeNode(node))
             case Watch():
-                self._orders.append(WatchNodeList())
+                self._commands.append(WatchNodeList())
             case Wake(in_ns):
-                self._orders.append(WakeDispatcher(in_ns))
+                self._commands.append(WakeDispatcher(in_ns))
             case Log(text):
-                self._orders.append(OperatorNotice(text))
+                self._commands.append(OperatorNotice(text))
+
+    def _attempt_ended(self, event: AttemptEnded) -> None:
+        """Record the end of an attempt.
 
-    def _finish(self, event: AttemptEnded) -> None:
-        """An attempt is over: its job is answered by it, or waits for others, or for the module's word."""
-        ticket, held = event.attempt.ticket, self._jobs.get(event.attempt.ticket)
-        if held is None:
+        A successful attempt answers the job.  When the client has left, the last attempt to end closes the
+        job.  Otherwise the job waits for its other attempts or for the balancer's decision.
+        """
+        ticket, open_job = event.attempt.ticket, self._jobs.get(event.attempt.ticket)
+        if open_job is None:
             return
-        held.out -= 1
-        held.may_have_run |= not event.outcome.never_ran
+        open_job.running -= 1
+        open_job.may_have_run |= not event.outcome.never_ran
         if event.outcome is Outcome.OK:
             self._answer(ticket, JobAnswerBody(Verdict.SERVED, event.result))
-        elif held.kept and not held.out:
-            self._give_up(ticket)
+        elif open_job.kept and not open_job.running:
+            self._answer_departed(ticket)
 
-    def _gone(self, ticket: str, kept: bool) -> Event | None:
-        """A job's client has left.  The module hears of it at once: it must not send the job again."""
-        held = self._jobs.get(ticket)
-        if held is None or held.kept:
+    def _client_left(self, ticket: str, kept: bool) -> Event | None:
+        """Handle a client's departure; the returned event stops the balancer from sending the job again."""
+        open_job = self._jobs.get(ticket)
+        if open_job is None or open_job.kept:
             return None
-        held.kept = kept
+        open_job.kept = kept
         if not kept:
             self._close(ticket)
-        elif not held.out:
-            self._give_up(ticket)
+        elif not open_job.running:
+            self._answer_departed(ticket)
         return ClientGone(ticket)
 
-    def _give_up(self, ticket: str) -> None:
-        """The answer for the book where no node gave one."""
+    def _answer_departed(self, ticket: str) -> None:
+        """Answer a job whose client has left and whose attempts all failed; the answer is stored."""
         ran = self._jobs[ticket].may_have_run
         self._answer(ticket, JobAnswerBody(Verdict.FAILED if ran else Verdict.REFUSED))
 
     def _answer(self, ticket: str, answer: JobAnswerBody) -> None:
-        """Only the first answer of a job goes out: a second copy may be served as well."""
+        """Send a job's answer; only the first one is sent, because two copies of a job may both succeed."""
         job = self._close(ticket)
         if job is not None:
-            self._orders.append(ReplyToClient(job, answer))
+            self._commands.append(ReplyToClient(job, answer))
 
     def _close(self, ticket: str) -> ClientJob | None:
-        held = self._jobs.pop(ticket, None)
-        return held.job if held is not None else None
+        open_job = self._jobs.pop(ticket, None)
+        return open_job.job if open_job is not None else None
--- a/hollowusher/scheduler/dispatch/metrics.py
+++ b/hollowusher/scheduler/dispatch/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that operators fetch: each is counted in one place, where the thing happens."""
+"""Counters for operators; each event is counted in one place, where it happens."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 @dataclass(slots=True)
 class JobClassMetrics:
-    """Of one job class, since the start of this process."""
+    """Counters of one job class since the start of this process."""
 
     served: int = 0
     refused: int = 0
     failed: int = 0
-    attempts: int = 0  # written whole to workers
+    attempts: int = 0  # requests that were sent to workers completely
 
 
 class SchedulerMetrics:
-    """All counts of one process."""
+    """All counters of one process."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
         self.classes: dict[str, JobClassMetrics] = {}
-        self.in_flight = 0  # jobs taken and not yet ended
+        self.in_flight = 0  # jobs that were accepted and have not ended
         self.reloads_ok = self.reloads_failed = 0
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Show these classes as well; those that are dropped keep their counts."""
+        """Add counters for these classes; classes that are no longer configured keep their counters."""
         for name in classes:
             self.classes.setdefault(name, JobClassMetrics())
 
     def answered(self, job_class: str, verdict: Verdict) -> None:
-        """A client has been given a job's final answer."""
+        """Count a final answer that was sent to a client."""
         counts = self.classes.setdefault(job_class, JobClassMetrics())
         match verdict:
             case Verdict.SERVED:
@@ -44,5 +44,5 @@
                 counts.failed += 1
 
     def written(self, job_class: str) -> None:
-        """The last byte of an attempt has been written to a worker."""
+        """Count an attempt whose last byte has been written to a worker."""
         self.classes.setdefault(job_class, JobClassMetrics()).attempts += 1
--- a/hollowusher/scheduler/dispatch/model.py
+++ b/hollowusher/scheduler/dispatch/model.py
@@ -1,7 +1,7 @@
-"""What the fronts tell the desk, and what the desk orders.
+"""Events that the frontends post to the dispatcher, and commands that the dispatcher returns.
 
-A job is what a client asks for; each time it is sent to a route node is an attempt.  Times are
-nanoseconds of the caller's one monotonic clock.
+A job is one client request; an attempt is one transmission of a job to a node.  Times are nanoseconds on the
+caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Verdict(Enum):
-    """The three final answers."""
+    """Final result of a job, as its client sees it."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAnswerBody:
-    """The one final answer of a job; `wait_ns` is advice that goes with a refusal."""
+    """Final answer of a job; `wait_ns` is the retry delay to suggest when the job is refused (0: none)."""
 
     verdict: Verdict
     result: bytes = b""
@@ -33,7 +33,11 @@
 
 @dataclass(eq=False, slots=True)
 class ClientJob:
-    """A taken job.  `subject`, `body` and `repeat_key` pass to the route node as they came."""
+    """A job that the scheduler has accepted.
+
+    `subject`, `body` and `repeat_key` are forwarded to the node unchanged.  The client waits `left_ns` from
+    `taken_ns` on.  `answer_to` is the callback for the final answer.
+    """
 
     job_id: str
     job_class: str
@@ -44,13 +48,13 @@
     answer_to: Callable[[JobAnswerBody], None]
     repeat_key: str = ""
     about: str = ""
-    tenant: str = ""  # whose share it counts on; "" where nobody's
-    hint_ns: int = 0  # the client's guess at the work, 0: none
+    tenant: str = ""  # the tenant whose share the job uses; "" for none
+    hint_ns: int = 0  # the client's estimate of the run time; 0 for none
     slots: float = 1.0
     memory: float = 0.0
     retry: bool = False
-    gone: Callable[[], bool] = lambda: False  # whether its client can be seen to have left, at this moment
-    ticket: str = field(default="", init=False)  # the desk's own name for it: clients may reuse theirs
+    gone: Callable[[], bool] = lambda: False  # whether its client is known to have left
+    ticket: str = field(default="", init=False)  # the dispatcher's job id; clients may reuse theirs
 
     @property
     def deadline_ns(self) -> int:
@@ -60,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAttempt:
-    """Which send of which job to which node."""
+    """Identity of an attempt: the job's ticket, the attempt's number within the job, and the node."""
 
     ticket: str
     number: int
@@ -69,15 +73,17 @@
 
 @dataclass(frozen=True, slots=True)
 class JobTaken:
-    """Event: a job is ours now and is owed one answer."""
+    """Event: the scheduler has accepted a job and must answer it exactly once."""
 
     job: ClientJob
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """Event: nobody waits for this job any more.  Where its answer is `kept` for a client that comes back,
-    what may run already ends as it does; either way nothing new begins."""
+    """Event: the client of this job has disconnected, so no new attempt starts.
+
+    With `kept`, running attempts continue and the answer is stored for a client that reconnects.
+    """
 
     job: ClientJob
     kept: bool = False
@@ -85,14 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """Event: the node has begun the job."""
+    """Event: the node has started the job."""
 
     attempt: JobAttempt
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """Event: the node has done this share of the job."""
+    """Event: the node has completed this share of the job (0 to 1)."""
 
     attempt: JobAttempt
     share: float
@@ -100,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """Event: the attempt is over; `result` is the node's where the outcome is OK."""
+    """Event: the attempt has ended; `result` is the node's response body when the outcome is OK."""
 
     attempt: JobAttempt
     outcome: Outcome
@@ -110,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeListReceived:
-    """Event: the node list, or what changed in it, or that asking for it failed."""
+    """Event: a node list or changes to it have arrived, or the list request has failed; see `kind`."""
 
     kind: ListKind
     entries: tuple[Listed, ...] = ()
@@ -118,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeProbed:
-    """Event: a probe's result."""
+    """Event: a load probe has ended; `reading` is the node's load if it reported one."""
 
     node: int
     ok: bool
@@ -127,24 +133,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """Event: a time that the desk asked for has come."""
+    """Event: a timer that the dispatcher requested has expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdBudgetInUse:
-    """Event: another process of this scheduler may be sending to cold workers just now."""
+    """Event: another process of this scheduler may be using the budget for cold workers at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class NewSettings:
-    """Event: these settings hold from now on, for jobs that are not open yet."""
+    """Event: new settings apply to jobs that arrive from now on."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedStateReceived:
-    """Event: what another process of this scheduler has learnt; after the list that it held."""
+    """Event: learned state of another process of this scheduler; it follows that process's node list."""
 
     memory: Memory
 
@@ -166,8 +172,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Order: send the job to the node; `timeout_ns` 0 is until the client gives up.  The last byte of a
-    repeat that its key must still cover has to be written by `write_by_ns`; 0: whenever."""
+    """Command: send the job to the node.
+
+    `timeout_ns` limits the attempt; 0 lets it run until the client gives up.  `write_by_ns` is the time by
+    which the last byte of a retry must be written, while the node still recognizes its idempotency key;
+    0 means no limit.
+    """
 
     attempt: JobAttempt
     job: ClientJob
@@ -175,20 +185,23 @@
     write_by_ns: int = 0
 
     def may_begin(self, now: int) -> bool:
-        """Asked by every front right before the first byte: a connection may have been long in coming up."""
+        """Return whether the attempt may still start.
+
+        Every frontend checks this right before the first byte, because opening a connection can take long.
+        """
         return not self.job.gone() and (not self.write_by_ns or now < self.write_by_ns)
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Order: stop waiting for an attempt."""
+    """Command: cancel an attempt."""
 
     attempt: JobAttempt
 
 
 @dataclass(frozen=True, slots=True)
 class ReplyToClient:
-    """Order: give the job its final answer."""
+    """Command: send a job's final answer to its client."""
 
     job: ClientJob
     answer: JobAnswerBody
@@ -196,26 +209,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeNode:
-    """Order: ask a node for its load."""
+    """Command: request a load report from a node."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchNodeList:
-    """Order: ask for the node list and its changes."""
+    """Command: request the node list and watch it for changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class WakeDispatcher:
-    """Order: tell the desk `TimerExpired` after this span."""
+    """Command: post `TimerExpired` to the dispatcher after `in_ns`."""
 
     in_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorNotice:
-    """Order: a line for the people on call."""
+    """Command: write a log line for operators."""
 
     text: str
 
--- a/hollowusher/scheduler/effects.py
+++ b/hollowusher/scheduler/effects.py
@@ -1,4 +1,4 @@
-"""The floor: carries out the desk's orders with the fronts, and keeps the attempts that are under way."""
+"""Executes the dispatcher's commands through the frontends, and tracks the attempts in progress."""
 
 from __future__ import annotations
 
@@ -28,55 +28,61 @@
 SWEEP_S = 2.0
 
 
-class Nodes(Protocol):
-    """What a front does with its route nodes."""
+class NodeFrontend(Protocol):
+    """What a frontend does for the nodes that it reaches."""
 
-    async def attempt(self, order: Dispatch, node: RouteNode) -> None:
-        """One attempt, of which the desk is told the ending."""
+    async def attempt(self, command: Dispatch, node: RouteNode) -> None:
+        """Run one attempt and post its end to the dispatcher."""
 
     async def probe(self, node: RouteNode) -> None:
-        """One probe, of which the desk is told the result."""
+        """Run one load probe and post its result to the dispatcher."""
 
     def leaving(self, number: int) -> None:
-        """A node drains, is gone, or comes back as another process: nothing new goes on what leads there."""
+        """Stop new work on the connections to a node that drains, is gone or has been replaced."""
 
 
 @dataclass(eq=False, slots=True)
-class _UnderWay:
-    """An attempt's task.  One that is cancelled before its first step never gets to tell how it ended."""
+class _RunningAttempt:
+    """Task of one attempt.
+
+    `begun` is False until the task first runs.  A task that is cancelled before that cannot report its end.
+    """
 
     task: asyncio.Task[None] | None = None
     begun: bool = False
 
     async def run(self, work: Coroutine[None, None, None]) -> None:
-        """The task: the front's own work, once it has its first turn."""
+        """Mark the attempt as begun, then run the frontend's coroutine."""
         self.begun = True
         await work
 
 
 class EffectExecutor:
-    """Either front's jobs go to either kind of node: the roster says by which front a node is reached."""
+    """Executes dispatcher commands.
+
+    A job from any client frontend can go to any node; the worker registry names the frontend of each node.
+    """
 
     def __init__(self, registry: WorkerRegistry, pool: Pool, log: LogWriter) -> None:
         self._registry, self._pool, self._log = registry, pool, log
-        self.nodes: dict[str, Nodes] = {}
+        self.nodes: dict[str, NodeFrontend] = {}
         self.post: Callable[[DispatchEvent], None] = lambda event: None
         self.watch: Callable[[], None] = lambda: None
-        self._attempts: dict[JobAttempt, _UnderWay] = {}
+        self._attempts: dict[JobAttempt, _RunningAttempt] = {}
         self._others: set[asyncio.Task[None]] = set()
 
-    def carry_out(self, order: DispatchCommand) -> None:
-        """Carry out one order; returns at once."""
-        match order:
+    def carry_out(self, command: DispatchCommand) -> None:
+        """Execute one command without blocking; attempts and probes run as tasks."""
+        match command:
             case Dispatch(attempt):
                 node = self._registry.node(attempt.node)
-                # Since the desk was stepped the list may have told of a drain, or the client have left.
-                if node is None or not self._registry.serving(attempt.node) or order.job.gone():
+                # Since the dispatcher's step the node may have started to drain, or the client may have left.
+                if node is None or not self._registry.serving(attempt.node) or command.job.gone():
                     self.post(AttemptEnded(attempt, Outcome.NOT_SENT))
                     return
-                self._begin(order, node)
+                self._start_attempt(command, node)
             case CancelAttempt(attempt):
-                self._withdraw(attempt)
+                self._cancel_attempt(attempt)
             case ReplyToClient(job, answer):
                 job.answer_to(answer)
             case ProbeNode(number):
@@ -90,46 +96,46 @@
             case OperatorNotice(text):
                 self._log.notice("desk-remark", text)
 
-    def _begin(self, order: Dispatch, node: RouteNode) -> None:
-        attempt, under_way = order.attempt, _UnderWay()
-        work = self.nodes[node.front].attempt(order, node)
-        self._attempts[attempt] = under_way
-        under_way.task = self._spawn(under_way.run(work))
+    def _start_attempt(self, command: Dispatch, node: RouteNode) -> None:
+        attempt, running = command.attempt, _RunningAttempt()
+        work = self.nodes[node.front].attempt(command, node)
+        self._attempts[attempt] = running
+        running.task = self._spawn(running.run(work))
 
-        def over(_: asyncio.Task[None]) -> None:
+        def on_done(_: asyncio.Task[None]) -> None:
             self._attempts.pop(attempt, None)
-            work.close()  # does nothing to one that has run
+            work.close()  # no effect on a coroutine that has finished
 
-        under_way.task.add_done_callback(over)
+        running.task.add_done_callback(on_done)
 
-    def _withdraw(self, attempt: JobAttempt) -> None:
-        under_way = self._attempts.get(attempt)
-        if under_way is not None and under_way.task is not None:
-            under_way.task.cancel()
-            if not under_way.begun:  # its orders came in one breath: nothing of it is out
+    def _cancel_attempt(self, attempt: JobAttempt) -> None:
+        running = self._attempts.get(attempt)
+        if running is not None and running.task is not None:
+            running.task.cancel()
+            if not running.begun:  # cancelled before the task first ran: nothing has been sent
                 self._attempts.pop(attempt)
                 self.post(AttemptEnded(attempt, Outcome.NOT_SENT))
 
     def changed(self, node: RouteNode) -> None:
-        """A node's entry is about to change: connections to a process that ends or ended lead nowhere."""
+        """Retire connections before a node's entry changes, if the node is not ready or has a new address."""
         old = self._registry.node(node.entry.worker)
         if node.entry.state is not State.READY or (old is not None and old.address != node.address):
             self.nodes[node.front].leaving(node.entry.worker)
 
     def leaving(self, number: int) -> None:
-        """Nothing new may go to a node from now on: its idle connections are of no use."""
+        """Retire the connections to a node that must get no new work."""
         if (node := self._registry.node(number)) is not None:
             self.nodes[node.front].leaving(number)
 
     async def sweep(self) -> None:
-        """Close connections that have been idle for too long, until cancelled."""
+        """Close idle connections every SWEEP_S seconds, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_S)
             self._pool.sweep()
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
-        self._others.add(task)  # the loop itself holds tasks only weakly
+        self._others.add(task)  # the event loop keeps only weak references to tasks
         task.add_done_callback(self._done)
         return task
 
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -84,16 +84,16 @@
 
     # --- from the desk ------------------------------------------------------------------------------------
 
-    def carry_out(self, order: DispatchCommand) -> None:
+    def carry_out(self, command: DispatchCommand) -> None:
         """What the desk orders."""
         assert self.node is not None
-        match order:
+        match command:
             case Dispatch(attempt, job) if self.copied(job):
                 listed = self._registry.node(attempt.node)
                 name, cell = (listed.name, str(listed.entry.cell)) if listed is not None else ("", "")
                 self._number += 1
                 self._waiting[attempt] = self._number
-                self.node.intent(job.job_id, self._number, name, cell, order)
+                self.node.intent(job.job_id, self._number, name, cell, command)
             case CancelAttempt(attempt) if attempt in self._waiting:
                 # Nothing of it is out, and nothing will be: the desk must hear so, else it waits for good and
                 # takes the node for one that is silent.
@@ -106,7 +106,7 @@
                 )
                 self.node.answer(reported, job, until_ms)
             case _:
-                self._carry_out(order)
+                self._carry_out(command)
 
     # --- what may go on -----------------------------------------------------------------------------------
 
@@ -123,9 +123,9 @@
             case Do.TELL, ClientJob() as job if act.answer is not None:
                 answer = act.answer
                 job.answer_to(JobAnswerBody(Verdict(answer.verdict), answer.result, answer.wait_ns))
-            case Do.GO, Dispatch(attempt, job) as order if attempt in self._waiting:
+            case Do.GO, Dispatch(attempt, job) as command if attempt in self._waiting:
                 self._out[attempt] = (job.job_id, self._waiting.pop(attempt))
-                self._carry_out(order)
+                self._carry_out(command)
             case Do.GO, Dispatch(attempt, job) if attempt in self._withdrawn:
                 self.node.ended(job.job_id, self._withdrawn.pop(attempt), True)
             case Do.NOT_SENT, Dispatch(attempt, _) if attempt in self._withdrawn:
