--- a/hollowusher/scheduler/rules/shared_state/__init__.py
+++ b/hollowusher/scheduler/rules/shared_state/__init__.py
@@ -1,1 +1,1 @@
-"""What schedulers share: budgets, counts and judgements that stay within bounds.  No I/O, no clock."""
+"""State that schedulers share: budgets, counts and node scores.  It does no I/O and reads no clock."""
--- a/hollowusher/scheduler/rules/shared_state/counts.py
+++ b/hollowusher/scheduler/rules/shared_state/counts.py
@@ -1,8 +1,8 @@
-"""Counts that all members add up: each tells its own, the newest of each member counts once.
+"""Cluster-wide counts over a sliding window: the sum of the newest counts of every member.
 
-State-based: what a member tells of itself takes the place of what it told before, so that doubled, late
-and reordered messages change nothing.  A member that starts anew is told from its earlier life by its
-incarnation; one that is silent for too long counts no more.
+The counts are a state-based CRDT.  A newer update of a member replaces its older one, so duplicate, late and
+reordered messages have no effect.  The incarnation distinguishes a restarted member from its previous
+process.  A member that has been silent for two windows no longer counts.
 """
 
 from __future__ import annotations
@@ -13,12 +13,15 @@
 
 from msgspec import Struct
 
-MOST_KEYS = 512  # of one member
-MOST_VALUE = 1e9  # a larger one is nonsense
+MAX_KEYS = 512  # keys per member
+MAX_VALUE = 1e9  # an update with a larger count is invalid
 
 
 class CountUpdate(Struct, frozen=True, array_like=True, tag="C"):
-    """A member's own counts over its last window: all, or those that changed most.  `seq` grows."""
+    """A member's own counts over its last window: all of them, or those that changed most.
+
+    `seq` increases with each update of an incarnation.
+    """
 
     member: str
     incarnation: int
@@ -27,106 +30,115 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _MemberCounts:
     incarnation: int
     at: int
-    counts: dict[str, tuple[int, float]] = field(default_factory=dict)  # with the seq that told it
+    counts: dict[str, tuple[int, float]] = field(default_factory=dict)  # by key: seq of the update, count
 
 
 class SharedCounts:
-    """Own counts and the others'."""
+    """This member's counts, and the last known counts of the other members."""
 
     def __init__(self, name: str, incarnation: int, window: int, now: int) -> None:
         self.name, self.incarnation, self.window = name, incarnation, window
-        self._parts: list[tuple[int, dict[str, float]]] = [(now, {})]  # own, by eighths of the window
-        self._held: dict[str, _Held] = {}
-        self._said: dict[str, float] = {}
+        self._buckets: list[tuple[int, dict[str, float]]] = [(now, {})]  # own counts per eighth of the window
+        self._members: dict[str, _MemberCounts] = {}
+        self._sent: dict[str, float] = {}
         self._seq = 0
         self.refused = 0
 
     def add(self, now: int, key: str, amount: float = 1.0) -> None:
-        """Count something here."""
-        part = self._part(now)
-        if key in part or len(part) < MOST_KEYS:
-            part[key] = part.get(key, 0.0) + amount
+        """Add `amount` to this member's count of `key`; new keys beyond MAX_KEYS are ignored."""
+        bucket = self._current_bucket(now)
+        if key in bucket or len(bucket) < MAX_KEYS:
+            bucket[key] = bucket.get(key, 0.0) + amount
 
-    def _part(self, now: int) -> dict[str, float]:
+    def _current_bucket(self, now: int) -> dict[str, float]:
         eighth = self.window // 8
-        if now - self._parts[-1][0] >= eighth:
-            self._parts.append((now - now % eighth, {}))
-        while len(self._parts) > 1 and self._parts[0][0] <= now - self.window - eighth:
-            self._parts.pop(0)
-        return self._parts[-1][1]
+        if now - self._buckets[-1][0] >= eighth:
+            self._buckets.append((now - now % eighth, {}))
+        while len(self._buckets) > 1 and self._buckets[0][0] <= now - self.window - eighth:
+            self._buckets.pop(0)
+        return self._buckets[-1][1]
 
     def own(self, now: int) -> dict[str, float]:
-        """Own counts over the last window; of the part that it cuts, the share that lies within."""
-        self._part(now)
+        """Return this member's counts over the last window.
+
+        The oldest eighth, which lies partly outside the window, counts with the share that lies within it.
+        """
+        self._current_bucket(now)
         total: dict[str, float] = {}
-        for began, part in self._parts:
+        for began, bucket in self._buckets:
             share = min(1.0, (began - (now - self.window)) * 8 / self.window + 1.0)
-            for key, amount in part.items() if share > 0 else ():
+            for key, amount in bucket.items() if share > 0 else ():
                 total[key] = total.get(key, 0.0) + amount * share
         return total
 
     def next_update(self, now: int, most: int) -> CountUpdate:
-        """What to tell: the counts that have moved furthest from what was said, as shares of themselves."""
+        """Return an update with at most `most` counts, those that differ most from the last update sent.
+
+        Differences are relative to the square root of the count.
+        """
         own = self.own(now)
-        keys = own.keys() | {k for k, v in self._said.items() if v}
-        by_news = sorted(
+        keys = own.keys() | {k for k, v in self._sent.items() if v}
+        by_change = sorted(
             keys,
-            key=lambda k: -abs(own.get(k, 0.0) - self._said.get(k, 0.0)) / math.sqrt(1.0 + own.get(k, 0.0)),
+            key=lambda k: -abs(own.get(k, 0.0) - self._sent.get(k, 0.0)) / math.sqrt(1.0 + own.get(k, 0.0)),
         )
-        chosen = {k: round(own.get(k, 0.0), 3) for k in by_news[:most]}
-        self._said.update(chosen)
-        self._said = {k: v for k, v in self._said.items() if v or k in own}
+        chosen = {k: round(own.get(k, 0.0), 3) for k in by_change[:most]}
+        self._sent.update(chosen)
+        self._sent = {k: v for k, v in self._sent.items() if v or k in own}
         self._seq += 1
         return CountUpdate(self.name, self.incarnation, self._seq, chosen)
 
-    def receive(self, now: int, reported: CountUpdate) -> None:
-        """What another tells of itself; nonsense is counted and skipped."""
-        if reported.member == self.name:
+    def receive(self, now: int, incoming: CountUpdate) -> None:
+        """Merge another member's update; invalid updates are counted and ignored."""
+        if incoming.member == self.name:
             return
-        values = reported.counts.values()
-        if len(reported.counts) > MOST_KEYS or not all(0 <= v <= MOST_VALUE for v in values):
+        values = incoming.counts.values()
+        if len(incoming.counts) > MAX_KEYS or not all(0 <= v <= MAX_VALUE for v in values):
             self.refused += 1
             return
-        held = self._held.get(reported.member)
-        if held is None or reported.incarnation > held.incarnation:
-            held = self._held[reported.member] = _Held(reported.incarnation, now)
-        elif reported.incarnation < held.incarnation:
+        known = self._members.get(incoming.member)
+        if known is None or incoming.incarnation > known.incarnation:
+            known = self._members[incoming.member] = _MemberCounts(incoming.incarnation, now)
+        elif incoming.incarnation < known.incarnation:
             return
-        held.at = max(held.at, now)
-        for key, value in reported.counts.items():
-            seq, _ = held.counts.get(key, (0, 0.0))
-            if reported.seq > seq and (key in held.counts or len(held.counts) < MOST_KEYS):
-                held.counts[key] = (reported.seq, value)
+        known.at = max(known.at, now)
+        for key, value in incoming.counts.items():
+            seq, _ = known.counts.get(key, (0, 0.0))
+            if incoming.seq > seq and (key in known.counts or len(known.counts) < MAX_KEYS):
+                known.counts[key] = (incoming.seq, value)
 
     def total(self, now: int, key: str) -> float:
-        """Over all that are heard."""
+        """Return the sum of one count over this member and the members heard recently."""
         return self.own(now).get(key, 0.0) + sum(
-            held.counts.get(key, (0, 0.0))[1] for held in self._fresh(now)
+            known.counts.get(key, (0, 0.0))[1] for known in self._fresh(now)
         )
 
     def totals(self, now: int) -> dict[str, float]:
-        """All counts over all that are heard."""
+        """Return the sums of all counts over this member and the members heard recently."""
         total = self.own(now)
-        for held in self._fresh(now):
-            for key, (_, value) in held.counts.items():
+        for known in self._fresh(now):
+            for key, (_, value) in known.counts.items():
                 total[key] = total.get(key, 0.0) + value
         return total
 
-    def _fresh(self, now: int) -> Iterable[_Held]:
-        return (held for held in self._held.values() if now - held.at < 2 * self.window)
+    def _fresh(self, now: int) -> Iterable[_MemberCounts]:
+        return (known for known in self._members.values() if now - known.at < 2 * self.window)
 
     def forget(self, member: str) -> None:
-        """It has left."""
-        self._held.pop(member, None)
+        """Drop the counts of a member that has left."""
+        self._members.pop(member, None)
 
     def counts_of(self, member: str) -> object:
-        """What is held of one, to see whether a message changed it."""
-        held = self._held.get(member)
-        return held and (held.incarnation, dict(held.counts))
+        """Return a copy of one member's counts, to detect whether an update changed them."""
+        known = self._members.get(member)
+        return known and (known.incarnation, dict(known.counts))
 
     def remote_counts(self) -> object:
-        """What is held of others, without when: the same whatever the order of messages was."""
-        return {m: (h.incarnation, dict(h.counts)) for m, h in self._held.items()}
+        """Return a copy of the other members' counts without arrival times.
+
+        The result does not depend on the order in which the updates arrived.
+        """
+        return {m: (h.incarnation, dict(h.counts)) for m, h in self._members.items()}
--- a/hollowusher/scheduler/rules/shared_state/sharer.py
+++ b/hollowusher/scheduler/rules/shared_state/sharer.py
@@ -1,7 +1,8 @@
-"""One member's part of all that is shared: what comes in goes to its place, what is worth telling goes out.
+"""Gossip of one member's shared state: dispatches received messages and spreads new ones.
 
-News are told to a few members each beat, and passed on by those to whom they were new, until all must have
-heard them; evidence that a node is bad goes before counts that moved.
+In each round a member sends its updates to FANOUT random members.  A receiver forwards an update only if it
+was new to it.  Each member sends an update often enough for it to reach all members with high probability.
+Scores of bad nodes are sent before counts.
 """
 
 from __future__ import annotations
@@ -16,22 +17,26 @@
 from hollowusher.scheduler.rules.shared_state.judgements import NodeObservation, NodeScores
 from hollowusher.scheduler.rules.shared_state.wire import Message
 
-HEARTBEAT_NS = 200_000_000
-FANOUT = 3  # members that are told in each beat
-KEYS = 6  # counts in one telling
-MOST_QUEUED = 512
-MOST_NEWS = 8  # judgements told anew in one beat
+GOSSIP_INTERVAL_NS = 200_000_000
+FANOUT = 3  # receivers per round
+COUNTS_PER_UPDATE = 6  # counts per update
+MAX_QUEUED = 512
+SCORES_PER_ROUND = 8  # own node scores per round
 
 
 @dataclass(slots=True)
-class _News:
+class _QueuedMessage:
     message: CountUpdate | NodeObservation
-    worth: float
+    priority: float
     sent: int = 0
 
 
 class SharedStateGossip:
-    """`sends` gathers (to whom, message), most worth first for each; the caller empties it."""
+    """Shared state of one member: its budgets, counts and node scores, and the gossip that spreads them.
+
+    `sends` collects (receiver, message) pairs, the most important messages of each receiver first; the caller
+    sends them and empties the list.
+    """
 
     def __init__(
         self,
@@ -44,20 +49,20 @@
         now: int,
     ) -> None:
         self.name = name
-        self._chance = chance
+        self._random = chance
         self.budgets = Budgets(name, names, permit_ns, now)
         self.counts = SharedCounts(name, incarnation, window_ns, now)
         self.judgements = NodeScores(name, incarnation)
-        self._news: dict[tuple[str, str], _News] = {}
-        self._heartbeat_at = now
+        self._queue: dict[tuple[str, str], _QueuedMessage] = {}
+        self._next_round_at = now
         self.sends: list[tuple[str, Message]] = []
 
     def due(self) -> int:
-        """When `step` is to be called at the latest."""
-        return self._heartbeat_at
+        """Return the time of the next gossip round, when `step` must be called."""
+        return self._next_round_at
 
     def receive(self, now: int, message: Message, sender: str) -> None:
-        """A message of another, its own or passed on."""
+        """Process a message that another member created or forwarded."""
         match message:
             case BudgetRequest() | BudgetGrant():
                 self.budgets.receive(now, message, sender)
@@ -67,43 +72,45 @@
                 before = self.counts.counts_of(message.member)
                 self.counts.receive(now, message)
                 if self.counts.counts_of(message.member) != before:
-                    self._put(message)
+                    self._enqueue(message)
             case NodeObservation():
                 if self.judgements.receive(now, message):
-                    self._put(message)
+                    self._enqueue(message)
 
     def request_permit(self, now: int, budget: str, amount: float, present: Sequence[str]) -> None:
-        """Ask for a permit."""
+        """Request a permit for `amount` of a budget from one of the `present` members."""
         self.budgets.request_permit(now, budget, amount, present)
         self.sends += self.budgets.sends
         self.budgets.sends = []
 
     def step(self, now: int, present: Sequence[str]) -> None:
-        """Tell some of those who are there."""
-        if now < self._heartbeat_at:
+        """Run a gossip round with the `present` members if one is due."""
+        if now < self._next_round_at:
             return
-        self._heartbeat_at = now + round(HEARTBEAT_NS * (0.75 + 0.5 * self._chance.random()))
+        self._next_round_at = now + round(GOSSIP_INTERVAL_NS * (0.75 + 0.5 * self._random.random()))
         others = [n for n in present if n != self.name]
-        reported = self.counts.next_update(now, KEYS)
-        if reported.counts:
-            self._put(reported)
-        for seen in self.judgements.pending_observations(now, MOST_NEWS):
-            self._put(seen)
-        most = math.ceil(2 * math.log2(len(others) + 2)) + 1
-        ranked = sorted(self._news.items(), key=lambda item: (-item[1].worth / (1 + item[1].sent), item[0]))
-        targets = self._chance.sample(others, min(FANOUT, len(others)))
-        for key, news in ranked[: 4 * KEYS]:
+        update = self.counts.next_update(now, COUNTS_PER_UPDATE)
+        if update.counts:
+            self._enqueue(update)
+        for observation in self.judgements.pending_observations(now, SCORES_PER_ROUND):
+            self._enqueue(observation)
+        max_sends = math.ceil(2 * math.log2(len(others) + 2)) + 1
+        ranked = sorted(
+            self._queue.items(), key=lambda item: (-item[1].priority / (1 + item[1].sent), item[0])
+        )
+        targets = self._random.sample(others, min(FANOUT, len(others)))
+        for key, queued in ranked[: 4 * COUNTS_PER_UPDATE]:
             for name in targets:
-                self.sends.append((name, news.message))
-            news.sent += len(targets)
-            if news.sent >= most:
-                del self._news[key]
+                self.sends.append((name, queued.message))
+            queued.sent += len(targets)
+            if queued.sent >= max_sends:
+                del self._queue[key]
 
-    def _put(self, message: CountUpdate | NodeObservation) -> None:
-        """Have it told; what the same member says of the same takes an older one's place."""
+    def _enqueue(self, message: CountUpdate | NodeObservation) -> None:
+        """Queue a message for gossip; it replaces an older message of the same member on the same subject."""
         if isinstance(message, NodeObservation):
-            key, worth = (message.member, message.node), 8.0 + message.score
+            key, priority = (message.member, message.node), 8.0 + message.score
         else:
-            key, worth = (message.member, ""), 1.0
-        if key in self._news or len(self._news) < MOST_QUEUED:
-            self._news[key] = _News(message, worth)
+            key, priority = (message.member, ""), 1.0
+        if key in self._queue or len(self._queue) < MAX_QUEUED:
+            self._queue[key] = _QueuedMessage(message, priority)
--- a/hollowusher/scheduler/rules/shared_state/wire.py
+++ b/hollowusher/scheduler/rules/shared_state/wire.py
@@ -1,4 +1,4 @@
-"""Datagrams of what is shared: several messages in an envelope, by worth, at most so many bytes."""
+"""Datagram format of the shared state: a checksummed header and an envelope of several messages."""
 
 from __future__ import annotations
 
@@ -20,14 +20,17 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What one datagram holds."""
+    """Content of one datagram."""
 
     sender: str
     messages: tuple[Message, ...]
 
 
 class SharedStateCodec:
-    """For one cluster.  `bad` counts what came and was skipped, by reason."""
+    """Encodes and decodes the datagrams of one cluster, up to `capacity` bytes each.
+
+    `bad` counts the received datagrams that were dropped, by reason.
+    """
 
     def __init__(self, cluster: str, capacity: int = MAX_DATAGRAM_BYTES) -> None:
         self._cluster = xxhash.xxh32_intdigest(cluster.encode())
@@ -37,52 +40,52 @@
         self.bad: Counter[str] = Counter()
 
     def size(self, message: Message) -> int:
-        """Bytes that a message takes in a letter."""
+        """Return the encoded size of a message in bytes."""
         return len(self._encoder.encode(message))
 
     def encode_datagrams(self, sender: str, messages: Iterable[Message], most: int) -> list[bytes]:
-        """As many letters as are needed, at most so many; what finds no room is left out, the last first."""
-        letters: list[bytes] = []
+        """Pack messages in order into at most `most` datagrams; messages that do not fit are dropped."""
+        datagrams: list[bytes] = []
         capacity = self._capacity - _HEAD.size - len(sender.encode()) - 8
-        page: list[Message] = []
+        batch: list[Message] = []
         left = capacity
         for message in messages:
             size = self.size(message)
             if size > capacity:
                 continue
             if size > left:
-                letters.append(self._seal(sender, page))
-                page, left = [], capacity
-                if len(letters) >= most:
-                    return letters
-            page.append(message)
+                datagrams.append(self._encode_datagram(sender, batch))
+                batch, left = [], capacity
+                if len(datagrams) >= most:
+                    return datagrams
+            batch.append(message)
             left -= size
-        if page:
-            letters.append(self._seal(sender, page))
-        return letters
+        if batch:
+            datagrams.append(self._encode_datagram(sender, batch))
+        return datagrams
 
-    def _seal(self, sender: str, page: list[Message]) -> bytes:
-        body = self._encoder.encode(Envelope(sender, tuple(page)))
+    def _encode_datagram(self, sender: str, batch: list[Message]) -> bytes:
+        body = self._encoder.encode(Envelope(sender, tuple(batch)))
         return _HEAD.pack(MAGIC, VERSION, self._cluster, self._sum(body)) + body
 
     def decode(self, data: bytes) -> Envelope | None:
-        """The letter, or None where this is none for us."""
+        """Decode a datagram; return None if it is invalid or belongs to another cluster."""
         if not _HEAD.size < len(data) <= self._capacity:
-            return self._bad("length")
+            return self._reject("length")
         magic, version, cluster, checksum = _HEAD.unpack_from(data)
         if (magic, version) != (MAGIC, VERSION):
-            return self._bad("version")
+            return self._reject("version")
         if cluster != self._cluster:
-            return self._bad("cluster")
+            return self._reject("cluster")
         body = data[_HEAD.size :]
         if checksum != self._sum(body):
-            return self._bad("checksum")
+            return self._reject("checksum")
         try:
             return self._decoder.decode(body)
         except (msgspec.DecodeError, RecursionError):
-            return self._bad("body")
+            return self._reject("body")
 
-    def _bad(self, why: str) -> Envelope | None:
+    def _reject(self, why: str) -> Envelope | None:
         self.bad[why] += 1
         return None
 
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -1,4 +1,4 @@
-"""What schedulers share: budgets within bounds, counts in any order, judgements that no one makes alone."""
+"""Tests of the state that schedulers share: budget limits, order-independent counts and node scores."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hollowusher.scheduler.net.shared_state.settings import SHARED, read_shared
 from hollowusher.scheduler.rules.shared_state.budgets import BudgetGrant, BudgetRequest, Budgets
 from hollowusher.scheduler.rules.shared_state.counts import CountUpdate, SharedCounts
-from hollowusher.scheduler.rules.shared_state.judgements import LAPSE_NS, NodeObservation, NodeScores
+from hollowusher.scheduler.rules.shared_state.judgements import EXPIRY_NS, NodeObservation, NodeScores
 from hollowusher.scheduler.rules.shared_state.sharer import SharedStateGossip
 from hollowusher.scheduler.rules.shared_state.wire import MAX_DATAGRAM_BYTES, SharedStateCodec
 from hollowusher.scheduler.settings.model import ConfigError
@@ -21,22 +21,22 @@
 
 
 class Doubles(Budgets):
-    """A grant that comes twice counts twice."""
+    """Faulty budgets: a duplicate grant counts twice."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
-        self._budgets[message.budget].had.clear()
+        self._budgets[message.budget].seen_grants.clear()
         super().receive(now, message, sender)
 
 
 class FreshStart(Budgets):
-    """A process that starts uses its share at once."""
+    """Faulty budgets: a new process uses its share at once, while its predecessor's uses still count."""
 
     def __init__(self, name: str, names: list[str], permit_ns: int, now: int) -> None:
         super().__init__(name, names, permit_ns, now - 100 * S)
 
 
 class NotCounted(Budgets):
-    """What is permitted to others is not counted as used."""
+    """Faulty budgets: the owner does not count the permits that it grants."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         before = list(self._budgets[message.budget].spent)
@@ -47,7 +47,7 @@
 
 
 class CountedEarly(Budgets):
-    """A permit counts from when it is given, though it is used later."""
+    """Faulty budgets: a permit counts from its grant instead of from its expiry."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         super().receive(now, message, sender)
@@ -59,7 +59,7 @@
 
 
 class ForGood(Budgets):
-    """A permit never lapses."""
+    """Faulty budgets: permits never expire."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
         super().receive(now, message, sender)
@@ -68,7 +68,10 @@
 
 
 class ByHearing(Budgets):
-    """The bound is shared among those who are heard, not among those who are configured."""
+    """Faulty budgets: the shares add up to more than the bound.
+
+    This happens when the bound is divided among the reachable members instead of the configured ones.
+    """
 
     def set_bound(self, name: str, bound: float, span: int, quantum: float) -> None:
         super().set_bound(name, bound * 1.5, span, quantum)
@@ -79,7 +82,7 @@
 
 class WithinBounds(unittest.TestCase):
     def worst(self, make: type[Budgets], size: int, seeds: int, drift: float = 0.01) -> float:
-        """The most that was used within a span, of a bound of 100."""
+        """Return the largest use within any span over all seeds; the bound is 100."""
         worst = 0.0
         for seed in range(seeds):
             net = BudgetNet(size, seed, make=make, permit=(80 + 200 * (seed % 2)) * MS, drift=drift)
@@ -95,7 +98,7 @@
                 self.assertLessEqual(self.worst(Budgets, size, seeds), 100.0)
 
     def test_each_planted_fault_passes_it(self) -> None:
-        # With clocks that agree, and no spare time for those that do not, a fault shows sooner.
+        # Exact clocks and no allowance for drift: each fault then exceeds the bound within fewer runs.
         with mock.patch("hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0):
             self.assertLessEqual(max(self.worst(Budgets, 2, 8, 0.0), self.worst(Budgets, 8, 4, 0.0)), 100.0)
             for make in PLANTED:
@@ -103,7 +106,7 @@
                     self.assertGreater(max(self.worst(make, 2, 16, 0.0), self.worst(make, 8, 6, 0.0)), 100.0)
         with mock.patch(
             "hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0
-        ):  # clocks differ, nothing is spared
+        ):  # drifting clocks without an allowance exceed the bound
             self.assertGreater(max(self.worst(Budgets, 2, 16, 0.05), self.worst(Budgets, 8, 6, 0.05)), 100.0)
 
     def test_a_permit_counts_until_the_last_moment_of_its_use(self) -> None:
@@ -117,7 +120,7 @@
                 one, two = (make(n, ["a", "b"], 80 * MS, 0) for n in "ab")
                 used, now = [], 10 * S
                 for budgets in (one, two):
-                    budgets.set_bound("x", 2.0, S, 1.0)  # one each
+                    budgets.set_bound("x", 2.0, S, 1.0)  # one quantum for each member
                 one.receive(now, BudgetRequest("x", 1.0, now, 1), "b")
                 two.receive(now, one.sends[0][1], "a")
                 for who, at in (
@@ -192,17 +195,20 @@
         again.add(now, "jobs", 5)
         one.receive(now, again.next_update(now, 4))
         self.assertAlmostEqual(one.total(now, "jobs"), 85, places=2)
-        one.receive(now, two.next_update(now, 4))  # a late one of the earlier life
+        one.receive(now, two.next_update(now, 4))  # a late update of the previous incarnation
         self.assertAlmostEqual(one.totals(now)["jobs"], 85, places=2)
         for odd in ({"jobs": 1e12}, {"jobs": -1.0}, {f"k{i}": 1.0 for i in range(600)}):
             one.receive(now, CountUpdate("b", 9, 9, odd))
         self.assertEqual((one.refused, round(one.total(now, "jobs"))), (3, 85))
-        self.assertEqual(one.total(now + 20 * S, "jobs"), 0)  # silent for too long
+        self.assertEqual(one.total(now + 20 * S, "jobs"), 0)  # both members' counts have expired
 
 
 class NoOneCondemns(unittest.TestCase):
     def bad(self, own: str, reported: dict[str, float], now: int = S) -> bool:
-        """Whether a node is bad by own ends (g and b) and by others' words."""
+        """Return whether a node is bad.
+
+        `own` lists this member's attempts (g: success, b: failure); `reports` maps other members to scores.
+        """
         view = NodeScores("me", 1)
         for end in own:
             view.record_end(now, "s1", end == "g")
@@ -212,18 +218,18 @@
 
     def test_who_can_move_what(self) -> None:
         for own, reported, wanted in (
-            ("", {"a": 4.0}, False),  # one member alone, however loud
-            ("", dict.fromkeys("ab", 1.0), True),  # two that have seen it fail
+            ("", {"a": 4.0}, False),  # one other member alone, even with the highest score
+            ("", dict.fromkeys("ab", 1.0), True),  # two other members have seen it fail
             ("b", {}, False),
             ("b", {"a": 1.0}, True),
-            ("g", dict.fromkeys("ab", 4.0), False),  # own good ends go before two others' word
-            ("gggg", dict.fromkeys("abcdefgh", 4.0), False),  # own good ends outweigh all others
+            ("g", dict.fromkeys("ab", 4.0), False),  # an own success outweighs two other members
+            ("gggg", dict.fromkeys("abcdefgh", 4.0), False),  # own successes outweigh all other members
             ("bb", {}, True),
-            ("bbb", dict.fromkeys("abcdef", -2.0), False),  # all others reach it: perhaps it is not the node
-            ("bbbb", dict.fromkeys("abcdef", -2.0), True),  # but what we see, we see
-            ("", {"a": 4.0, **dict.fromkeys("bcdef", -2.0)}, False),  # a cut in front of one
-            ("", dict.fromkeys("abcdef", 1e9), False),  # nonsense
-            ("ggggggbb", {}, True),  # it was good, and is no more
+            ("bbb", dict.fromkeys("abcdef", -2.0), False),  # all others succeed: the fault may be on our side
+            ("bbbb", dict.fromkeys("abcdef", -2.0), True),  # enough own failures outweigh all others
+            ("", {"a": 4.0, **dict.fromkeys("bcdef", -2.0)}, False),  # one member cannot reach the node
+            ("", dict.fromkeys("abcdef", 1e9), False),  # invalid scores are ignored
+            ("ggggggbb", {}, True),  # recent failures outweigh earlier successes
         ):
             with self.subTest(reported=reported, own=own):
                 self.assertEqual(self.bad(own, reported), wanted)
@@ -233,10 +239,10 @@
         for _ in range(4):
             view.record_end(S, "s1", False)
         self.assertTrue(view.bad(S, "s1"))
-        self.assertFalse(view.bad(S + LAPSE_NS, "s1"))
-        for member in "abcdefgh":  # faded to less than a half each, they would still be enough together
+        self.assertFalse(view.bad(S + EXPIRY_NS, "s1"))
+        for member in "abcdefgh":  # without expiry, eight decayed scores would still exceed the threshold
             view.receive(S, NodeObservation(member, 1, 1, "s2", 4.0))
-        self.assertEqual((view.bad(S, "s2"), view.bad(S + LAPSE_NS + 1, "s2")), (True, False))
+        self.assertEqual((view.bad(S, "s2"), view.bad(S + EXPIRY_NS + 1, "s2")), (True, False))
         view.reset_node("s1")
         self.assertFalse(view.bad(S, "s1"))
         present = [f"n{i}" for i in range(7)]
@@ -264,7 +270,7 @@
         seed: int,
         cut: frozenset[tuple[str, str]] = frozenset(),
     ) -> tuple[int, int]:
-        """Letters by the wire's own codec; how many, and how many bytes."""
+        """Run the gossip over the real codec; return the number of datagrams and their total bytes."""
         chance, letters, size = random.Random(seed), 0, 0
         while now < until:
             now += 25 * MS
