--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
 WITHOUT, ONLY = "without", "only"
 
 LONGEST = (  # the longest first; the first four play scripts in real time
-    "test_shared_process.py::Shared::test_what_fails_is_known_to_all_and_a_cut_condemns_nobody",
+    "test_shared_process.py::SharedStateProcesses::test_failures_reach_all_members_and_a_partition_marks_no_node_bad",
     "test_faults_process.py::ShortSet::test_they_hold_with_faults_between_processes",
     "test_copies_process.py::Copies::test_nothing_runs_twice_and_all_have_one_answer_while_processes_die",
     "test_copies_process.py::Copies::test_a_group_without_its_majority_refuses_and_says_so",
@@ -30,7 +30,7 @@
     "test_copies.py::Storms::test_each_planted_fault_of_the_protocol_is_found",
     "test_membership_check.py::ModelCheck::test_every_order_to_a_small_depth",
     "test_membership_check.py::ModelCheck::test_each_planted_fault_is_found",
-    "test_parsers.py::Lists::test_registry_keeps_fixed_nodes_and_bounds_the_rest",
+    "test_parsers.py::NodeLists::test_registry_keeps_static_nodes_and_bounds_the_others",
     "test_http2_process.py::GoawayUnderLoad::test_no_unsafe_job_runs_twice_and_each_job_has_one_answer",
     "test_membership.py::HardCases::test_whatever_befalls_them_they_agree_once_messages_flow",
     "test_replacement.py::",
@@ -42,7 +42,7 @@
     "test_rehearsal.py::Suspicion::",
     "test_any_names.py::",
     "test_fleet.py::",
-    "test_shared.py::WithinBounds::",
+    "test_shared.py::BudgetLimits::",
     "test_peers_process.py::",
 )
 
--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The desk, the ledger and the configuration, without any socket."""
+"""Tests of the dispatcher, its owner task, the STOMP job table and the configuration, without sockets."""
 
 from __future__ import annotations
 
@@ -85,13 +85,13 @@
         self.step(AttemptEnded(again.attempt, Outcome.OK), AttemptEnded(sent.attempt, Outcome.OK))
         self.assertEqual([o.job for o in self.orders if isinstance(o, ReplyToClient)], [second, first])
 
-    def test_client_left_withdraws_and_gets_no_answer(self) -> None:
+    def test_client_departure_cancels_attempts_and_sends_no_answer(self) -> None:
         job, sent = self.take()
         self.assertIn(CancelAttempt(sent.attempt), self.step(ClientLeft(job), ClientLeft(job)))
         self.step(AttemptEnded(sent.attempt, Outcome.OK))
         self.assertEqual(self.replies(), [])
 
-    def test_served_as_the_client_goes_is_closed_once(self) -> None:
+    def test_success_and_client_departure_in_one_batch_close_the_job_once(self) -> None:
         job, sent = self.take()
         self.step(AttemptEnded(sent.attempt, Outcome.OK), ClientLeft(job))
         self.assertEqual(self.replies(), [Verdict.SERVED])
@@ -103,16 +103,16 @@
         self.assertLess(self.now, job.deadline_ns)
         self.assertIn(CancelAttempt(sent.attempt), self.orders)
 
-    def test_it_asks_for_the_list_and_for_its_time(self) -> None:
+    def test_requests_the_node_list_and_a_timer(self) -> None:
         self.step(JobTaken(ClientJob("j", "eta-quote", "/x", b"", self.now, 3 * S, lambda a: None)))
         self.assertTrue(any(isinstance(o, WakeDispatcher) for o in self.orders))
         dispatcher = JobDispatcher(SETTINGS, 1, 0)
         self.assertIn(WatchNodeList(), dispatcher.process(0, [NodeListReceived(ListKind.CACHED)]))
 
 
-class Advice(unittest.TestCase):
-    def test_refusals_advise_a_wait_within_the_maximum_where_the_site_allows_it(self) -> None:
-        # A client told nothing comes back at once, into the same crowd that it was refused for.
+class RetryDelayAdvice(unittest.TestCase):
+    def test_refusals_suggest_a_bounded_retry_delay_if_allowed(self) -> None:
+        # Without a suggested delay a refused client retries at once and adds to the overload.
         for allowed, wait in ((True, S), (False, 0)):
             limits = Limits(True, True, True, allowed, 2 * S, 3)
             dispatcher = JobDispatcher(replace(SETTINGS, limits=limits), 1, 0)
@@ -122,7 +122,7 @@
             self.assertEqual(reply.answer, JobAnswerBody(Verdict.REFUSED, wait_ns=wait))
 
 
-class Owner(unittest.IsolatedAsyncioTestCase):
+class DispatcherOwnerCases(unittest.IsolatedAsyncioTestCase):
     async def test_faults_do_not_end_the_one_task_that_owns_the_dispatcher(self) -> None:
         dispatcher, done = mock.Mock(), asyncio.Event()
         dispatcher.process.side_effect = [
@@ -138,7 +138,7 @@
         owner = DispatcherOwner(dispatcher, carry_out, LogWriter("test", per_s=0, burst=0))
         task = asyncio.create_task(owner.run())
         owner.post(TimerExpired())
-        owner.post(TimerExpired())  # these two are one batch
+        owner.post(TimerExpired())  # both events are processed in one batch
         await asyncio.sleep(0)
         owner.post(TimerExpired())
         await asyncio.wait_for(done.wait(), 5)
@@ -162,7 +162,7 @@
         assert self.entry is not None
         self.jobs.answered(self.entry, JobAnswerBody(verdict, result), now)
 
-    def test_findings(self) -> None:
+    def test_resend_states(self) -> None:
         self.assertEqual(self.find("a"), ResendState.NEW)
         self.assertEqual(self.find("a"), ResendState.JOINED)
         self.assertEqual(self.find("a", body=b"other"), ResendState.CONFLICT)
@@ -171,36 +171,36 @@
         self.assertEqual(self.find("b", resend=True), ResendState.UNKNOWN)
         self.assertEqual(self.find("c", Effect.KEYED, resend=True), ResendState.NEW)
 
-    def test_refused_job_runs_when_asked_anew_but_not_when_resent(self) -> None:
+    def test_refused_job_runs_for_a_new_request_but_not_for_a_resend(self) -> None:
         self.find("a")
         self.end(Verdict.REFUSED)
         self.assertEqual(self.find("a", resend=True), ResendState.KEPT)
         self.assertEqual(self.find("a"), ResendState.NEW)
 
-    def test_full_job_table_gives_up_safe_answers_only_and_windows_end(self) -> None:
+    def test_full_job_table_evicts_safe_entries_only_and_entries_expire(self) -> None:
         for name, effect in (("s", Effect.SAFE), ("k", Effect.KEYED), ("u", Effect.UNSAFE)):
             self.find(name, effect)
             self.end()
-        self.assertEqual(self.find("new"), ResendState.NEW)  # in the place of s
+        self.assertEqual(self.find("new"), ResendState.NEW)  # replaces s
         self.assertEqual(self.find("s", Effect.SAFE), ResendState.FULL)
         self.assertEqual(self.find("u", now=9), ResendState.KEPT)
-        self.assertEqual(self.find("s", Effect.SAFE, now=10), ResendState.NEW)  # k's window is over
+        self.assertEqual(self.find("s", Effect.SAFE, now=10), ResendState.NEW)  # k has expired
         self.assertEqual(self.find("u", now=99), ResendState.KEPT)
         self.assertEqual(self.find("u", now=100), ResendState.NEW)
 
-    def test_bytes_are_bounded_and_counted_back(self) -> None:
+    def test_bytes_are_bounded_and_released(self) -> None:
         self.find("a")
         self.end(result=b"x" * (1 << 20))
         self.assertEqual(self.find("b"), ResendState.FULL)
         self.assertEqual(self.find("b", now=100), ResendState.NEW)
         large = b"x" * (1 << 20)
         self.assertEqual(self.find("c", now=100, body=large), ResendState.NEW)
-        self.assertEqual(self.find("d", now=100), ResendState.FULL)  # jobs in flight count as well
+        self.assertEqual(self.find("d", now=100), ResendState.FULL)  # bodies of jobs in progress count too
         for name, body in (("b", b""), ("c", large)):
             self.assertEqual(self.find(name, now=100, body=body), ResendState.JOINED)
             assert self.entry is not None
             self.jobs.remove(self.entry)
-        self.end()  # an answer that comes after it was forgotten
+        self.end()  # the answer arrives after its entry was removed
         self.assertEqual((len(self.jobs), self.jobs.bytes), (0, 0))
 
 
@@ -232,7 +232,7 @@
         self.assertEqual((config.settings.classes[0].aim_ns, config.settings.kinds), (10, ("a", "b")))
         self.assertEqual(flatten({"a": {"b": [True, None]}, "c": "x, y"}), {"a.b": "true,", "c": "x__y"})
 
-    def test_faulty_keys_are_named(self) -> None:
+    def test_errors_name_the_invalid_key(self) -> None:
         cases: tuple[tuple[dict[str, Any], str], ...] = (
             ({"listen": "here"}, "PROXY_LISTEN"),
             ({"discovery": "127.0.0.1:0"}, "PROXY_DISCOVERY"),
@@ -255,7 +255,7 @@
         with self.assertRaisesRegex(ConfigError, "^PROXY_CONFIG:"):
             load({})
 
-    def test_settings_that_cannot_hold_are_named_and_more_keys_are_no_matter(self) -> None:
+    def test_errors_name_invalid_settings_and_unknown_keys_are_ignored(self) -> None:
         caps, contract = platform_settings([])["caps"], platform_settings([])["contract"]
         cases: list[tuple[dict[str, Any], str]] = [
             ({"grades": []}, "grades"),
--- a/tests/scheduler/test_parsers.py
+++ b/tests/scheduler/test_parsers.py
@@ -1,4 +1,4 @@
-"""Tables of cases for what is read and written: frames, HTTP, lists, load reports, rings, log lines."""
+"""Table-driven tests: STOMP frames, HTTP, node lists, load reports, ring buffers and log lines."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
             reader.feed(piece)
         return list(reader.ready)
 
-    def test_good_frames_however_they_are_cut(self) -> None:
+    def test_valid_frames_with_any_split(self) -> None:
         cases: dict[bytes, list[tuple[str, dict[str, str], bytes]]] = {
             SEND: [("SEND", {"destination": "/queue/jobs", "x": "1", "content-length": "3"}, b"a\0b")],
             b"\n\r\n\nACK\r\nid:7\r\n\r\n\0\n\n": [("ACK", {"id": "7"}, b"")],
@@ -61,7 +61,7 @@
             for cut in range(len(data)):
                 self.assertEqual(self.read(data[:cut], data[cut:]), frames, (data, cut))
 
-    def test_bad_frames_are_refused(self) -> None:
+    def test_invalid_frames_are_rejected(self) -> None:
         for data in (
             b"HELLO\n\n\0",
             b"send\n\n\0",
@@ -84,7 +84,7 @@
             with self.assertRaises(FrameError, msg=data[:40]):
                 self.read(data)
 
-    def test_what_is_written_is_read_back(self) -> None:
+    def test_encoded_frames_can_be_decoded(self) -> None:
         headers = {"a:b": "1\r\n2\\3:4", "c": ""}
         (frame,) = self.read(encode(Frame("SEND", headers, b"\0\n")) + b"\0\n\0")
         self.assertEqual((dict(frame.headers), frame.body), ({**headers, "content-length": "2"}, b"\0\n"))
@@ -99,7 +99,7 @@
 
 
 class Http(unittest.TestCase):
-    def test_requests_however_they_are_cut(self) -> None:
+    def test_requests_with_any_split(self) -> None:
         data = post("a") + post("b", body=b"")
         for cut in range(len(data)):
             reader = RequestReader()
@@ -109,7 +109,7 @@
                 [(r.headers["x-call-id"], r.body) for r in reader.ready], [("a", b"parcel"), ("b", b"")], cut
             )
 
-    def test_bad_requests(self) -> None:
+    def test_invalid_requests_are_rejected(self) -> None:
         cases = {
             b"\0\0\0\0": 400,
             b"GET / HTTP/9.9\r\n\r\n": 400,
@@ -125,7 +125,7 @@
                 RequestReader().feed(memoryview(data))
             self.assertEqual(caught.exception.status, status, data)
 
-    def test_answers_come_line_by_line(self) -> None:
+    def test_responses_are_read_line_by_line(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         data = head + b"5\r\n{1}\n{\r\n3\r\n2}\n\r\n3\r\n{3}\r\n0\r\n\r\n"
         for cut in range(len(data)):
@@ -138,7 +138,7 @@
             with self.assertRaises(ConnectionError, msg=bad):
                 AnswerReader(100).feed(memoryview(bad))
 
-    def test_heads_that_end_an_attempt(self) -> None:
+    def test_response_heads_that_end_an_attempt(self) -> None:
         load = {"x-load-report": '{"x0":1}'}
         cases: tuple[tuple[int, dict[str, str], Outcome | None], ...] = (
             (200, {}, None),
@@ -182,17 +182,17 @@
 }
 
 
-class Lists(unittest.TestCase):
-    def test_entries(self) -> None:
+class NodeLists(unittest.TestCase):
+    def test_list_entries(self) -> None:
         reported = {"version": 4, "full": True, "servers": [ROW, {**ROW, "id": "x", "started_ms": 99_000}]}
         read = read_list(reported, WorkerRegistry(), 50 * S, 100_000.0)
         old, young = read.nodes
         self.assertEqual((read.version, read.full), (4, True))
         self.assertEqual((old.entry.worker, old.address), (0x5BE2A07C, ("127.0.0.1", 8000)))
         self.assertEqual((old.entry.cell, old.entry.size, old.entry.started_ns), (3, 1.5, 0))
-        self.assertEqual(young.entry.started_ns, 49 * S)  # the wall clock's second ago, on the other clock
+        self.assertEqual(young.entry.started_ns, 49 * S)  # one second ago, converted to the monotonic clock
 
-    def test_a_row_that_cannot_be_read_costs_its_node_and_no_other(self) -> None:
+    def test_an_invalid_row_affects_only_its_own_node(self) -> None:
         bad: tuple[object, ...] = (
             {},
             {**ROW, "state": "ASLEEP"},
@@ -222,7 +222,7 @@
             with self.assertRaises(ValueError, msg=other):
                 read_list(other, WorkerRegistry(), 0, 0.0)
 
-    def test_a_node_named_twice_is_left_alone_and_a_huge_list_is_cut(self) -> None:
+    def test_a_duplicate_row_cannot_revive_a_draining_node_and_list_size_is_bounded(self) -> None:
         drains = {**ROW, "state": "DRAINING"}
         for rows in ([ROW, drains], [drains, ROW]):
             read = read_list({"servers": rows}, WorkerRegistry(), 0, 0.0)
@@ -232,12 +232,12 @@
         read = read_list({"servers": huge}, WorkerRegistry(), 0, 0.0)
         self.assertEqual((len(read.nodes), len(read.faults)), (MAX_NODES, 1))
 
-    def test_changes_out_of_order_are_known_and_a_complete_list_counts(self) -> None:
+    def test_outdated_changes_are_detected_and_full_lists_always_apply(self) -> None:
         for version, full, outdated in ((3, False, True), (4, False, False), (3, True, False)):
             read = read_list({"version": version, "full": full, "servers": []}, WorkerRegistry(), 0, 0.0)
             self.assertIs(read.outdated(4), outdated)
 
-    def test_registry_keeps_fixed_nodes_and_bounds_the_rest(self) -> None:
+    def test_registry_keeps_static_nodes_and_bounds_the_others(self) -> None:
         registry = WorkerRegistry()
         fixed, other = read_list({"servers": [ROW, {**ROW, "id": "x"}]}, registry, 0, 0.0).nodes
         registry.add_static(fixed)
@@ -247,7 +247,7 @@
         self.assertTrue(registry.serving(fixed.entry.worker))
         self.assertFalse(registry.serving(other.entry.worker))
         amended = registry.update_node(fixed.entry.worker, state=State.DRAINING)
-        assert amended is not None  # not as changes, which would count as a watch that stands
+        assert amended is not None  # as CHANGES it would count as a working watch
         self.assertEqual((amended.kind, len(amended.entries)), (ListKind.CACHED, 2))
         for batch in range(3):
             rows = [{**ROW, "id": f"n-{batch * MAX_NODES + i:x}"} for i in range(MAX_NODES)]
@@ -255,20 +255,20 @@
         self.assertLessEqual(len(registry._nodes), MAX_NODES + 1)
         self.assertLessEqual(len(registry._numbers), 2 * MAX_NODES)
 
-    def test_names_that_meet_get_different_numbers(self) -> None:
+    def test_colliding_names_get_different_numbers(self) -> None:
         registry = WorkerRegistry()
         self.assertEqual(
             (registry.number("a-1f"), registry.number("b-1f"), registry.number("a-1f")), (31, 32, 31)
         )
 
 
-class Rings(unittest.TestCase):
+class RingBuffers(unittest.TestCase):
     def test_size_follows_the_limits(self) -> None:
         cases = {(192, 256): 16_384, (80, 384): 8_192, (64, 1024): 4_096, (16, 4096): 2_048}
         for (memory_mb, sockets), expected in cases.items():
             self.assertEqual(ring_bytes(memory_mb, sockets), expected)
 
-    def test_memory_is_taken_at_first_use_and_given_back(self) -> None:
+    def test_memory_is_allocated_at_first_use_and_released(self) -> None:
         ring = RingBuffer(8)
         ring.put(b"abc")
         ring.release()
@@ -288,7 +288,7 @@
 
         self.assertEqual(asyncio.run(closed()), 0)
 
-    def test_bytes_keep_their_order_round_the_end(self) -> None:
+    def test_bytes_keep_their_order_across_the_wrap(self) -> None:
         ring, sent, got = RingBuffer(7), bytes(range(200)), b""
         at = 0
         while len(got) < len(sent):
@@ -312,7 +312,7 @@
         self.assertIn(" - nothing", message(6, when, "", "x", "nothing", {}))
         self.assertEqual(escape("\x00\x1f\x7f"), "   ")
 
-    def test_lines_go_to_a_receiver_as_well(self) -> None:
+    def test_lines_are_forwarded_to_a_syslog_receiver(self) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
             receiver.bind(("127.0.0.1", 0))
             receiver.settimeout(5)
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -20,7 +20,7 @@
 from hollowusher.scheduler.settings.reader import read_text
 
 
-class Doubles(Budgets):
+class DuplicateGrantsCount(Budgets):
     """Faulty budgets: a duplicate grant counts twice."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
@@ -28,14 +28,14 @@
         super().receive(now, message, sender)
 
 
-class FreshStart(Budgets):
+class NoStartupWait(Budgets):
     """Faulty budgets: a new process uses its share at once, while its predecessor's uses still count."""
 
     def __init__(self, name: str, names: list[str], permit_ns: int, now: int) -> None:
         super().__init__(name, names, permit_ns, now - 100 * S)
 
 
-class NotCounted(Budgets):
+class GrantedPermitsNotCounted(Budgets):
     """Faulty budgets: the owner does not count the permits that it grants."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
@@ -46,7 +46,7 @@
             self._budgets[message.budget].spent.extend(before)
 
 
-class CountedEarly(Budgets):
+class PermitCountedAtGrant(Budgets):
     """Faulty budgets: a permit counts from its grant instead of from its expiry."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
@@ -58,7 +58,7 @@
             spent.extend(sorted(late))
 
 
-class ForGood(Budgets):
+class PermitsNeverExpire(Budgets):
     """Faulty budgets: permits never expire."""
 
     def receive(self, now: int, message: BudgetRequest | BudgetGrant, sender: str) -> None:
@@ -67,7 +67,7 @@
         budget.permits = [(1 << 62, amount) for _, amount in budget.permits]
 
 
-class ByHearing(Budgets):
+class SharesExceedBound(Budgets):
     """Faulty budgets: the shares add up to more than the bound.
 
     This happens when the bound is divided among the reachable members instead of the configured ones.
@@ -77,10 +77,10 @@
         super().set_bound(name, bound * 1.5, span, quantum)
 
 
-PLANTED = (Doubles, FreshStart, NotCounted, ByHearing)
+FAULTY_BUDGETS = (DuplicateGrantsCount, NoStartupWait, GrantedPermitsNotCounted, SharesExceedBound)
 
 
-class WithinBounds(unittest.TestCase):
+class BudgetLimits(unittest.TestCase):
     def worst(self, make: type[Budgets], size: int, seeds: int, drift: float = 0.01) -> float:
         """Return the largest use within any span over all seeds; the bound is 100."""
         worst = 0.0
@@ -92,16 +92,16 @@
                 break
         return worst
 
-    def test_all_together_keep_the_bound_whatever_befalls_them(self) -> None:
+    def test_the_bound_holds_under_message_loss_partitions_and_restarts(self) -> None:
         for size, seeds in ((2, 8), (8, 6), (40, 2), (200, 1)):
             with self.subTest(size):
                 self.assertLessEqual(self.worst(Budgets, size, seeds), 100.0)
 
-    def test_each_planted_fault_passes_it(self) -> None:
+    def test_each_faulty_implementation_exceeds_the_bound(self) -> None:
         # Exact clocks and no allowance for drift: each fault then exceeds the bound within fewer runs.
         with mock.patch("hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0):
             self.assertLessEqual(max(self.worst(Budgets, 2, 8, 0.0), self.worst(Budgets, 8, 4, 0.0)), 100.0)
-            for make in PLANTED:
+            for make in FAULTY_BUDGETS:
                 with self.subTest(make.__name__):
                     self.assertGreater(max(self.worst(make, 2, 16, 0.0), self.worst(make, 8, 6, 0.0)), 100.0)
         with mock.patch(
@@ -109,12 +109,12 @@
         ):  # drifting clocks without an allowance exceed the bound
             self.assertGreater(max(self.worst(Budgets, 2, 16, 0.05), self.worst(Budgets, 8, 6, 0.05)), 100.0)
 
-    def test_a_permit_counts_until_the_last_moment_of_its_use(self) -> None:
+    def test_a_permit_counts_until_its_latest_possible_use(self) -> None:
         for make, late, wanted in (
             (Budgets, 79 * MS, 2),
-            (CountedEarly, 79 * MS, 3),
+            (PermitCountedAtGrant, 79 * MS, 3),
             (Budgets, 400 * MS, 2),
-            (ForGood, 400 * MS, 3),
+            (PermitsNeverExpire, 400 * MS, 3),
         ):
             with self.subTest(make.__name__, late=late):
                 one, two = (make(n, ["a", "b"], 80 * MS, 0) for n in "ab")
@@ -134,7 +134,7 @@
                 within = max(sum(t <= at < t + S for at in used) for t in used)
                 self.assertEqual(within, wanted)
 
-    def test_the_bound_is_used_when_calm_and_in_a_cut(self) -> None:
+    def test_most_of_the_bound_is_usable_with_and_without_a_partition(self) -> None:
         net = BudgetNet(8, 1)
         net.demand(150, 3)
         self.assertGreater(net.demand(150, 5), 0.75)
@@ -142,7 +142,7 @@
         net.cuts = {(a, b) for a in names for b in names if (a < "n4") != (b < "n4")}
         self.assertGreater(net.demand(150, 5), 0.6)
 
-    def test_a_lower_bound_holds_at_once_for_what_is_ours_and_nonsense_is_skipped(self) -> None:
+    def test_a_lower_bound_applies_at_once_to_own_use_and_invalid_messages_are_ignored(self) -> None:
         one = Budgets("a", ["a", "b"], 80 * MS, 0)
         one.set_bound("x", 8.0, S, 1.0)
         now = 10 * S
@@ -160,30 +160,30 @@
         self.assertEqual((one.sends, one.permitted(now + 2 * S, "x")), ([], 0.0))
 
 
-class CountsAddUp(unittest.TestCase):
+class CountTotals(unittest.TestCase):
     @settings(max_examples=80, deadline=None)
     @given(st.integers(0, 2**31))
-    def test_in_any_order_and_however_often_the_same(self, seed: int) -> None:
+    def test_result_does_not_depend_on_order_or_duplicates(self, seed: int) -> None:
         chance = random.Random(seed)
-        said = []
+        sent = []
         for member in "abc":
             for incarnation in (1, 2):
                 source = SharedCounts(member, incarnation, 4 * S, 0)
                 for step in range(4):
                     source.add(step * S, f"k{chance.randrange(4)}", chance.randint(1, 9))
-                    said.append(source.next_update(step * S, 3))
+                    sent.append(source.next_update(step * S, 3))
         ends = []
         for _ in range(3):
             sink = SharedCounts("z", 1, 4 * S, 0)
-            order = [*said, *chance.sample(said, 5)]
+            order = [*sent, *chance.sample(sent, 5)]
             chance.shuffle(order)
-            for reported in order:
-                sink.receive(S, reported)
+            for reports in order:
+                sink.receive(S, reports)
             ends.append(sink.remote_counts())
         self.assertEqual(ends[0], ends[1])
         self.assertEqual(ends[0], ends[2])
 
-    def test_the_total_is_the_truth_and_a_restart_counts_once(self) -> None:
+    def test_totals_are_exact_and_a_restarted_member_counts_once(self) -> None:
         one, two = SharedCounts("a", 1, 4 * S, 0), SharedCounts("b", 1, 4 * S, 0)
         for step in range(40):
             one.add(step * S // 10, "jobs", 2)
@@ -203,8 +203,8 @@
         self.assertEqual(one.total(now + 20 * S, "jobs"), 0)  # both members' counts have expired
 
 
-class NoOneCondemns(unittest.TestCase):
-    def bad(self, own: str, reported: dict[str, float], now: int = S) -> bool:
+class NodeScoreThresholds(unittest.TestCase):
+    def bad(self, own: str, reports: dict[str, float], now: int = S) -> bool:
         """Return whether a node is bad.
 
         `own` lists this member's attempts (g: success, b: failure); `reports` maps other members to scores.
@@ -212,12 +212,12 @@
         view = NodeScores("me", 1)
         for end in own:
             view.record_end(now, "s1", end == "g")
-        for number, (member, score) in enumerate(reported.items()):
+        for number, (member, score) in enumerate(reports.items()):
             view.receive(now, NodeObservation(member, 1, number + 1, "s1", score))
         return view.bad(now, "s1")
 
-    def test_who_can_move_what(self) -> None:
-        for own, reported, wanted in (
+    def test_own_and_reported_scores_are_weighted(self) -> None:
+        for own, reports, wanted in (
             ("", {"a": 4.0}, False),  # one other member alone, even with the highest score
             ("", dict.fromkeys("ab", 1.0), True),  # two other members have seen it fail
             ("b", {}, False),
@@ -231,10 +231,10 @@
             ("", dict.fromkeys("abcdef", 1e9), False),  # invalid scores are ignored
             ("ggggggbb", {}, True),  # recent failures outweigh earlier successes
         ):
-            with self.subTest(reported=reported, own=own):
-                self.assertEqual(self.bad(own, reported), wanted)
+            with self.subTest(reports=reports, own=own):
+                self.assertEqual(self.bad(own, reports), wanted)
 
-    def test_a_judgement_lapses_a_new_process_is_judged_anew_and_one_makes_the_trial(self) -> None:
+    def test_scores_expire_reset_with_the_process_and_one_member_sends_the_trial(self) -> None:
         view = NodeScores("me", 1)
         for _ in range(4):
             view.record_end(S, "s1", False)
@@ -251,7 +251,7 @@
             self.assertEqual(len(tries), 1)
 
 
-class Spreads(unittest.TestCase):
+class GossipSpread(unittest.TestCase):
     def fleet(
         self, size: int, loss: float, seed: int
     ) -> tuple[dict[str, SharedStateGossip], SharedStateCodec]:
@@ -260,7 +260,7 @@
             n: SharedStateGossip(n, names, 1, 4 * S, 80 * MS, random.Random(f"{seed}{n}"), 0) for n in names
         }, SharedStateCodec("c")
 
-    def play(
+    def run_gossip(
         self,
         fleet: dict[str, SharedStateGossip],
         codec: SharedStateCodec,
@@ -271,7 +271,7 @@
         cut: frozenset[tuple[str, str]] = frozenset(),
     ) -> tuple[int, int]:
         """Run the gossip over the real codec; return the number of datagrams and their total bytes."""
-        chance, letters, size = random.Random(seed), 0, 0
+        chance, datagrams, size = random.Random(seed), 0, 0
         while now < until:
             now += 25 * MS
             for name, sharer in fleet.items():
@@ -282,36 +282,36 @@
                 sharer.sends = []
                 for to, messages in by_name.items():
                     for data in codec.encode_datagrams(name, messages, 2):  # type: ignore[arg-type]
-                        letters, size = letters + 1, size + len(data)
+                        datagrams, size = datagrams + 1, size + len(data)
                         self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
-                        letter = codec.decode(data)
-                        if letter is not None and (name, to) not in cut and chance.random() >= loss:
-                            for message in letter.messages:
+                        envelope = codec.decode(data)
+                        if envelope is not None and (name, to) not in cut and chance.random() >= loss:
+                            for message in envelope.messages:
                                 fleet[to].receive(now, message, name)
-        return letters, size
+        return datagrams, size
 
-    def test_three_failures_anywhere_are_known_to_all_within_a_second(self) -> None:
+    def test_three_failures_reach_all_members_within_a_second(self) -> None:
         for size, loss in ((7, 0.0), (40, 0.3)):
             fleet, codec = self.fleet(size, loss, 1)
-            self.play(fleet, codec, 0, 3 * S, loss, 1)
+            self.run_gossip(fleet, codec, 0, 3 * S, loss, 1)
             for name in ("n1", "n2", "n3"):
                 fleet[name].judgements.record_end(3 * S, "s9", False)
-            self.play(fleet, codec, 3 * S, 4 * S, loss, 2)
+            self.run_gossip(fleet, codec, 3 * S, 4 * S, loss, 2)
             knowing = sum(s.judgements.bad(4 * S, "s9") for s in fleet.values())
             self.assertGreaterEqual(knowing, size if not loss else 0.95 * size, size)
 
-    def test_counts_are_near_the_truth_two_seconds_after_a_heal(self) -> None:
+    def test_counts_converge_within_two_seconds_after_a_partition(self) -> None:
         fleet, codec = self.fleet(7, 0.0, 1)
         names = list(fleet)
         cut = {(a, b) for a in names for b in names if (a < "n3") != (b < "n3")}
         for at in range(0, 12 * S, S // 20):
             for number, sharer in enumerate(fleet.values()):
                 sharer.counts.add(at, "jobs/quote", 1 + number / 4)
-            self.play(fleet, codec, at, at + S // 20, 0.0, at, frozenset(cut if at < 10 * S else ()))
+            self.run_gossip(fleet, codec, at, at + S // 20, 0.0, at, frozenset(cut if at < 10 * S else ()))
         now = 12 * S
-        truth = sum(s.counts.own(now).get("jobs/quote", 0.0) for s in fleet.values())
+        expected = sum(s.counts.own(now).get("jobs/quote", 0.0) for s in fleet.values())
         for sharer in fleet.values():
-            self.assertAlmostEqual(sharer.counts.total(now, "jobs/quote") / truth, 1.0, delta=0.02)
+            self.assertAlmostEqual(sharer.counts.total(now, "jobs/quote") / expected, 1.0, delta=0.02)
 
     def test_settings(self) -> None:
         with self.assertRaisesRegex(ConfigError, "x:2: .*needs .peers. to be enabled"):
--- a/tests/scheduler/test_shared_state_process.py
+++ b/tests/scheduler/test_shared_state_process.py
@@ -1,4 +1,8 @@
-"""Judgements and counts among processes: a node that fails is known to all, one behind a cut to no other."""
+"""Shared scores and counts among real scheduler processes.
+
+All schedulers must learn of a failing node.  A scheduler that a network partition separates from a node must
+not make the others treat that node as bad.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +21,9 @@
 SHARED = "[shared]\ncounts yes\njudgements yes\nwindow 2s"
 
 
-class Shared(unittest.IsolatedAsyncioTestCase):
+class SharedStateProcesses(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # tracebacks of all callbacks make the rig late
+        asyncio.get_running_loop().set_debug(False)  # asyncio's debug mode delays the test
 
     async def play(self, members: int, words: str) -> tuple[Played, list[dict[str, float]]]:
         folder = Path(tempfile.mkdtemp())
@@ -34,8 +38,8 @@
         totals = [dict(t["counts"]) for t in reported if isinstance(t, dict)]  # type: ignore[call-overload]
         return await task, totals
 
-    async def test_what_fails_is_known_to_all_and_a_cut_condemns_nobody(self) -> None:
-        # One after another: side by side their thirty processes keep each other waiting: counts come late.
+    async def test_failures_reach_all_members_and_a_partition_marks_no_node_bad(self) -> None:
+        # The runs are sequential: about thirty concurrent processes delay each other, and counts arrive late.
         plays = [
             await self.play(members, words)
             for members, words in (
@@ -46,14 +50,14 @@
         ]
         for members, (played, totals) in zip((3, 7, 7), plays, strict=True):
             self.assertEqual([f for f in played.findings if not f.holds], [])
-            reported = [t["jobs/eta-quote"] for t in totals]  # asked for at moments that differ
+            reported = [t["jobs/eta-quote"] for t in totals]  # the totals are read at different times
             self.assertGreater(len(reported), 1)
             self.assertLess(max(reported) - min(reported), 0.4 * max(reported), (members, reported))
         for members, (played, _) in zip((3, 7), plays[:2], strict=True):
             bad = {e.who: e.at for e in reversed(played.entries) if e.what == "shared-bad" and e.of == "s-2"}
             self.assertEqual(len(bad), members)
             third = [e.at for e in played.entries if e.what == "failed"][2]
-            self.assertLess(max(bad.values()) - third, 3.0)  # the third may be seen by the one that saw two
+            self.assertLess(max(bad.values()) - third, 3.0)  # one scheduler may see several failures
             self.assertEqual({e.of for e in played.entries if e.what == "shared-bad"}, {"s-2"})
         cut = plays[2][0]
         self.assertLessEqual({e.who for e in cut.entries if e.what == "shared-bad" and e.of == "s-1"}, {"n1"})
