--- a/hollowusher/scheduler/dispatch/dispatcher.py
+++ b/hollowusher/scheduler/dispatch/dispatcher.py
@@ -107,7 +107,10 @@
         )
 
     def process(self, now: int, events: Iterable[DispatchEvent]) -> list[DispatchCommand]:
-        """Process a batch of events, normally in one balancer step, and return the resulting commands."""
+        """Process a batch of events and return the resulting commands.
+
+        A batch is one balancer step, except that LearnedStateReceived ends the step before it.
+        """
         self._commands, self._now = [], now
         translated: list[Event] = []
         for incoming in events:
@@ -228,7 +231,7 @@
         return ClientGone(ticket)
 
     def _answer_departed(self, ticket: str) -> None:
-        """Answer a job whose client has left and whose attempts all failed; the answer is stored."""
+        """Answer a job whose client has left and which has no attempt in progress; the answer is stored."""
         ran = self._jobs[ticket].may_have_run
         self._answer(ticket, JobAnswerBody(Verdict.FAILED if ran else Verdict.REFUSED))
 
--- a/hollowusher/scheduler/dispatch/worker_registry.py
+++ b/hollowusher/scheduler/dispatch/worker_registry.py
@@ -43,7 +43,7 @@
         self._static.add(node.entry.worker)
 
     def number(self, name: str) -> int:
-        """Return a node's number, which is normally the same in every scheduler.
+        """Return a node's number, which is the same in every scheduler unless names collide.
 
         Schedulers take turns at sending to a cold node, and the number determines the order of the turns.
         """
--- a/hollowusher/scheduler/rules/node_list.py
+++ b/hollowusher/scheduler/rules/node_list.py
@@ -59,7 +59,7 @@
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Limit one object to `most` bytes."""
+        """Limit one object to `max_bytes`."""
         self._max_bytes, self._pending, self._depth = max_bytes, bytearray(), 0
 
     def feed(self, line: bytes) -> tuple[object, ...]:
@@ -71,7 +71,7 @@
         """
         if not line.strip():
             if self._pending:
-                raise ValueError("a list stops short")
+                raise ValueError("a node list object ends early")
             return ()
         if not self._pending or line.startswith(b"{"):  # a new object discards an incomplete one before it
             try:
@@ -84,7 +84,7 @@
                 return (None, complete) if truncated else (complete,)
         self._pending += line + b"\n"
         if len(self._pending) > self._max_bytes:
-            raise ValueError("a list is too long")
+            raise ValueError("a node list object is too long")
         unquoted = _JSON_STRING.sub(b"", line)
         self._depth = (
             (self._depth if len(self._pending) > len(line) + 1 else 0)
@@ -107,10 +107,10 @@
     faults: list[str] = field(default_factory=list)
 
     def outdated(self, known_version: int) -> bool:
-        """Return whether this object is older than version `held` and must be ignored.
+        """Return whether this object is older than `known_version` and must be ignored.
 
-        The held list already contains an older object's changes, and applying them again could undo a later
-        drain.  A full list is never outdated, because the service may restart its version numbers.
+        The known list already contains the changes of an older object, and applying them again could undo a
+        later drain.  A full list is never outdated, because the service may restart its version numbers.
         """
         return not self.full and self.version < known_version
 
@@ -136,7 +136,7 @@
     try:
         parsed = ParsedNodeList(int(reported.get("version") or 0), bool(reported.get("full")))
     except _ROW_ERRORS as error:
-        raise ValueError(f"a node list's version: {error!r}") from None
+        raise ValueError(f"invalid node list version: {error!r}") from None
     nodes: dict[int, RouteNode] = {}
     for row in reported["servers"]:
         if len(nodes) >= MAX_NODES:
@@ -145,7 +145,7 @@
         try:
             node = _read_row(row, registry, now_ns, wall_ms, front)
         except _ROW_ERRORS as error:
-            parsed.faults.append(f"a row: {error!r}")
+            parsed.faults.append(f"invalid row: {error!r}")
             known = registry.by_name(row["id"]) if isinstance(row, dict) and "id" in row else None
             if known is None:
                 continue
@@ -169,10 +169,10 @@
     host, _, port = str(row["addr"]).rpartition(":")
     socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)  # there is no DNS
     if not 0 < int(port) < 65536:
-        raise ValueError("no port")
+        raise ValueError("invalid port")
     started, weight = float(str(row.get("started_ms") or 0)), float(str(row.get("weight") or 1.0))
     if not (math.isfinite(weight) and weight > 0):
-        raise ValueError("no weight")
+        raise ValueError("invalid weight")
     started_ns = now_ns - round((wall_ms - started) * 1e6) if started > 0 else 0
     name, kind, state = str(row["id"]), str(row.get("kind") or ""), _STATES[str(row["state"])]
     entry = Listed(
--- a/hollowusher/scheduler/rules/shared_state/counts.py
+++ b/hollowusher/scheduler/rules/shared_state/counts.py
@@ -64,7 +64,7 @@
     def own(self, now: int) -> dict[str, float]:
         """Return this member's counts over the last window.
 
-        The oldest eighth, which lies partly outside the window, counts with the share that lies within it.
+        The oldest eighth lies partly outside the window and counts in proportion to the part inside.
         """
         self._current_bucket(now)
         total: dict[str, float] = {}
@@ -75,9 +75,10 @@
         return total
 
     def next_update(self, now: int, most: int) -> CountUpdate:
-        """Return an update with at most `most` counts, those that differ most from the last update sent.
+        """Return an update with at most `most` counts, those that differ most from the values last sent.
 
-        Differences are relative to the square root of the count.
+        Each difference is divided by the square root of the count, so that large counts do not displace small
+        ones.
         """
         own = self.own(now)
         keys = own.keys() | {k for k, v in self._sent.items() if v}
--- a/hollowusher/scheduler/rules/streams.py
+++ b/hollowusher/scheduler/rules/streams.py
@@ -17,7 +17,9 @@
 
 _NS_PER_MS = 1_000_000
 MIN_RETRY_NS, MAX_RETRY_NS = 25 * _NS_PER_MS, 200 * _NS_PER_MS  # backoff after a failed connection
-MAX_RETIRING_PER_USABLE = 3  # at this number of retiring connections none is opened
+# Per connection of StreamLimits.connections.  No connection is opened while this many are retiring, so that a
+# node that keeps sending GOAWAY cannot make the scheduler hold ever more connections.
+MAX_RETIRING_PER_USABLE = 3
 
 
 class RejectReason(Enum):
@@ -40,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """Limits of one node's stream table: times in nanoseconds, `streams` per connection."""
+    """Limits of one node's stream table."""
 
-    connections: int = 2
-    streams: int = 100
-    waiting: int = 512
-    wait_ns: int = 1_000 * _NS_PER_MS
-    idle_ns: int = 21_000 * _NS_PER_MS
-    max_lifetime_streams: int = 1_000_000
+    connections: int = 2  # connections that are not retiring
+    streams: int = 100  # concurrent streams per connection
+    waiting: int = 512  # jobs in the queue
+    wait_ns: int = 1_000 * _NS_PER_MS  # longest wait of a job for a stream
+    idle_ns: int = 21_000 * _NS_PER_MS  # idle time after which a connection is closed
+    max_lifetime_streams: int = 1_000_000  # streams after which a connection is replaced
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectJob:
-    """Reject the job: the table has no stream for it."""
+    """Return the job unsent, with the reason."""
 
     job: Hashable
     why: RejectReason
@@ -84,7 +86,10 @@
 
 
 class _Connection:
-    """State of one connection; `announced` is the stream limit that the node has announced."""
+    """State of one connection.
+
+    `announced` is the node's limit on concurrent streams; `used` counts all streams so far.
+    """
 
     __slots__ = ("announced", "idle_since", "jobs", "ping_pending", "stage", "used")
 
@@ -119,7 +124,7 @@
         self._earliest_expiry = 0  # lower bound for the end of any job's wait
         self._last_number = 0
         self._failures = 0  # consecutive connections that failed before any stream used them
-        self._open_after = 0
+        self._open_after = 0  # end of the backoff; 0 without one
         self.figures = StreamMetrics()
 
     # --- events of jobs
@@ -226,7 +231,7 @@
         return instructions + list(self._close_unused(now))
 
     def tick(self, now: int) -> list[StreamInstruction]:
-        """Apply the timeouts that have expired by `now`."""
+        """Expire waiting jobs and idle connections, and open a connection once the backoff has ended."""
         return self._advance(now)
 
     @property
