--- a/tests/scheduler/test_dispatcher.py
+++ b/tests/scheduler/test_dispatcher.py
@@ -181,7 +181,7 @@
         for name, effect in (("s", Effect.SAFE), ("k", Effect.KEYED), ("u", Effect.UNSAFE)):
             self.find(name, effect)
             self.end()
-        self.assertEqual(self.find("new"), ResendState.NEW)  # replaces s
+        self.assertEqual(self.find("new"), ResendState.NEW)  # evicts the safe job s
         self.assertEqual(self.find("s", Effect.SAFE), ResendState.FULL)
         self.assertEqual(self.find("u", now=9), ResendState.KEPT)
         self.assertEqual(self.find("s", Effect.SAFE, now=10), ResendState.NEW)  # k has expired
--- a/tests/scheduler/test_parsers.py
+++ b/tests/scheduler/test_parsers.py
@@ -247,7 +247,7 @@
         self.assertTrue(registry.serving(fixed.entry.worker))
         self.assertFalse(registry.serving(other.entry.worker))
         amended = registry.update_node(fixed.entry.worker, state=State.DRAINING)
-        assert amended is not None  # as CHANGES it would count as a working watch
+        assert amended is not None  # CHANGES would be taken for a sign of a working watch
         self.assertEqual((amended.kind, len(amended.entries)), (ListKind.CACHED, 2))
         for batch in range(3):
             rows = [{**ROW, "id": f"n-{batch * MAX_NODES + i:x}"} for i in range(MAX_NODES)]
--- a/tests/scheduler/test_shared_state.py
+++ b/tests/scheduler/test_shared_state.py
@@ -98,15 +98,14 @@
                 self.assertLessEqual(self.worst(Budgets, size, seeds), 100.0)
 
     def test_each_faulty_implementation_exceeds_the_bound(self) -> None:
-        # Exact clocks and no allowance for drift: each fault then exceeds the bound within fewer runs.
+        # The clocks are exact and the budgets allow for no drift, so that each fault shows within fewer runs.
         with mock.patch("hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0):
             self.assertLessEqual(max(self.worst(Budgets, 2, 8, 0.0), self.worst(Budgets, 8, 4, 0.0)), 100.0)
             for make in FAULTY_BUDGETS:
                 with self.subTest(make.__name__):
                     self.assertGreater(max(self.worst(make, 2, 16, 0.0), self.worst(make, 8, 6, 0.0)), 100.0)
-        with mock.patch(
-            "hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0
-        ):  # drifting clocks without an allowance exceed the bound
+        # The clocks drift while the budgets allow for no drift: even correct budgets exceed the bound.
+        with mock.patch("hollowusher.scheduler.rules.shared_state.budgets.CLOCK_DRIFT", 0.0):
             self.assertGreater(max(self.worst(Budgets, 2, 16, 0.05), self.worst(Budgets, 8, 6, 0.05)), 100.0)
 
     def test_a_permit_counts_until_its_latest_possible_use(self) -> None:
--- a/tests/scheduler/test_shared_state_process.py
+++ b/tests/scheduler/test_shared_state_process.py
@@ -16,14 +16,14 @@
 from hollowusher.scheduler.emulator.processes.play import Played, ProcessPlay
 from hollowusher.scheduler.emulator.script import parse
 from hollowusher.scheduler.net.reports.listener import ask
-from tests.support import standins  # noqa: F401  (its event loop)
+from tests.support import standins  # noqa: F401  (the import sets the event loop policy)
 
 SHARED = "[shared]\ncounts yes\njudgements yes\nwindow 2s"
 
 
 class SharedStateProcesses(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # asyncio's debug mode delays the test
+        asyncio.get_running_loop().set_debug(False)  # debug mode records callback tracebacks, which is slow
 
     async def play(self, members: int, words: str) -> tuple[Played, list[dict[str, float]]]:
         folder = Path(tempfile.mkdtemp())
@@ -50,14 +50,16 @@
         ]
         for members, (played, totals) in zip((3, 7, 7), plays, strict=True):
             self.assertEqual([f for f in played.findings if not f.holds], [])
-            reported = [t["jobs/eta-quote"] for t in totals]  # the totals are read at different times
+            # The schedulers report their totals at different times, so the totals may differ somewhat.
+            reported = [t["jobs/eta-quote"] for t in totals]
             self.assertGreater(len(reported), 1)
             self.assertLess(max(reported) - min(reported), 0.4 * max(reported), (members, reported))
         for members, (played, _) in zip((3, 7), plays[:2], strict=True):
             bad = {e.who: e.at for e in reversed(played.entries) if e.what == "shared-bad" and e.of == "s-2"}
             self.assertEqual(len(bad), members)
             third = [e.at for e in played.entries if e.what == "failed"][2]
-            self.assertLess(max(bad.values()) - third, 3.0)  # one scheduler may see several failures
+            # The limit leaves time for gossip, because one scheduler may have seen two of the three failures.
+            self.assertLess(max(bad.values()) - third, 3.0)
             self.assertEqual({e.of for e in played.entries if e.what == "shared-bad"}, {"s-2"})
         cut = plays[2][0]
         self.assertLessEqual({e.who for e in cut.entries if e.what == "shared-bad" and e.of == "s-1"}, {"n1"})
