--- a/hollowusher/scheduler/emulator/shared_state.py
+++ b/hollowusher/scheduler/emulator/shared_state.py
@@ -62,7 +62,7 @@
         m = self.members[name]
         now = round(self.now * m.rate)
         m.budgets = self._make(name, list(self.members), self.permit, now)
-        m.budgets.bound("b", self.bound, self.span, 1.0)
+        m.budgets.set_bound("b", self.bound, self.span, 1.0)
 
     def demand(self, rate: float, spans: float, step: int = 20 * MS) -> float:
         """All together want so much a span for so many spans; the share of the bound that they got."""
@@ -88,7 +88,7 @@
             self.total += 1.0
             self._spend(1.0)
         elif tries:
-            m.budgets.want(now, "b", 1.0, list(self.members))
+            m.budgets.request_permit(now, "b", 1.0, list(self.members))
             wait = round(self.chance.uniform(0.2, 1.0) * max(WAIT_MS * MS, self.permit))
             self.at(self.now + wait, lambda: self._want(m, tries - 1))
         self._post(m)
@@ -117,7 +117,7 @@
         if self.now < m.paused_until:
             self.at(m.paused_until, lambda: self._arrive(name, message, sender))
             return
-        m.budgets.take(round(self.now * m.rate), message, sender)
+        m.budgets.receive(round(self.now * m.rate), message, sender)
         self._post(m)
 
 
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -17,7 +17,13 @@
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
-from hollowusher.scheduler.rules.node_list import AskAgain, ListLines, ListRead, one_front, read_list
+from hollowusher.scheduler.rules.node_list import (
+    NodeListAssembler,
+    NodeListBackoff,
+    ParsedNodeList,
+    default_front,
+    read_list,
+)
 
 CONNECT_TIMEOUT_S = 1.0
 SILENT_S = 3.5  # an empty line comes every 2 s: after this the watch is broken, whatever the socket says
@@ -38,8 +44,8 @@
         post: Callable[[DispatchEvent], None],
         changed: Callable[[RouteNode], None],
         log: LogWriter,
-        front: Callable[[str, str], str] = one_front,
-        again: AskAgain | None = None,
+        front: Callable[[str, str], str] = default_front,
+        again: NodeListBackoff | None = None,
         known: Mapping[str, Any] | None = None,
         calls: ListCalls = CALLS,
         chance: Callable[[], float] = random.random,
@@ -61,7 +67,7 @@
         """Begin with the list as it was last held; it may be old."""
         if self._delivered is not None:
             self._version, nodes = self._delivered
-            self._post(self._registry.reported(ListKind.CACHED, nodes))
+            self._post(self._registry.apply_list(ListKind.CACHED, nodes))
         else:
             self._begin_with_known()
         if self._again is not None:
@@ -81,11 +87,11 @@
             read = self._read(dict(self._known) or {"servers": []})
         except ValueError as wrong:
             self._log.warning("list-unreadable", str(wrong))
-            read = ListRead(0, True)
+            read = ParsedNodeList(0, True)
         self._version = read.version
-        self._post(self._registry.reported(ListKind.CACHED, read.nodes))
+        self._post(self._registry.apply_list(ListKind.CACHED, read.nodes))
 
-    def _read(self, reported: object) -> ListRead:
+    def _read(self, reported: object) -> ParsedNodeList:
         read = read_list(reported, self._registry, time.monotonic_ns(), time.time() * 1000, self._front)
         if read.faults:
             self._log.warning("list-odd", "; ".join(read.faults[:3]), faults=len(read.faults))
@@ -131,7 +137,7 @@
         # A call that is refused, reset or answered with an error met no service that could tell; one that is
         # given up, or whose answer cannot be read, shows nothing.
         why, kind = "the watch ended", ListKind.SILENT
-        lines = ListLines(MOST_LINE)
+        lines = NodeListAssembler(MOST_LINE)
         try:
             reader = AnswerReader(MOST_LINE)
             path = f"/api/targets?watch=1&from={version}"
@@ -182,7 +188,7 @@
                 self._standing.cancel()
             self._standing = task
         if self._again is not None:
-            self._again.good()
+            self._again.reset()
 
     def _ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
         """A watch broke, or a call failed: the desk asks again."""
@@ -196,7 +202,7 @@
             self._timer = asyncio.get_running_loop().call_later(self._again.wait_s(), self.ask)
         self._post(NodeListReceived(kind))
 
-    def _line(self, lines: ListLines, line: bytes, address: tuple[str, int]) -> None:
+    def _line(self, lines: NodeListAssembler, line: bytes, address: tuple[str, int]) -> None:
         reported = lines.feed(line)
         if not line.strip():
             if address == self._address:  # nothing has changed: what is held is good until now
@@ -221,6 +227,6 @@
             self._log.warning("list-odd", "the whole list names no node")
         for node in [*read.nodes, *(self._registry.missing(read.nodes) if read.full else ())]:
             self._changed(node)
-        news = self._registry.reported(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
+        news = self._registry.apply_list(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
         # What the old address still tells is heeded, but is no watch on the new one: that is asked for on.
-        self._post(news if address == self._address else self._registry.held())
+        self._post(news if address == self._address else self._registry.cached_list())
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -8,17 +8,17 @@
 from hollowusher.balancing.interface import Outcome
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
     JobTaken,
-    Order,
     ReplyToClient,
     Verdict,
-    Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.net.log_replication.node import CopiesNode
@@ -34,7 +34,7 @@
         classes: frozenset[str],
         registry: WorkerRegistry,
         post: Callable[[DispatchEvent], None],
-        carry_out: Callable[[Order], None],
+        carry_out: Callable[[DispatchCommand], None],
         wait_ns: int,
         seed: int,
     ) -> None:
@@ -84,17 +84,17 @@
 
     # --- from the desk ------------------------------------------------------------------------------------
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, command: DispatchCommand) -> None:
         """What the desk orders."""
         assert self.node is not None
-        match order:
+        match command:
             case Dispatch(attempt, job) if self.copied(job):
                 listed = self._registry.node(attempt.node)
                 name, cell = (listed.name, str(listed.entry.cell)) if listed is not None else ("", "")
                 self._number += 1
                 self._waiting[attempt] = self._number
-                self.node.intent(job.job_id, self._number, name, cell, order)
-            case Withdraw(attempt) if attempt in self._waiting:
+                self.node.intent(job.job_id, self._number, name, cell, command)
+            case CancelAttempt(attempt) if attempt in self._waiting:
                 # Nothing of it is out, and nothing will be: the desk must hear so, else it waits for good and
                 # takes the node for one that is silent.
                 self._withdrawn[attempt] = self._waiting.pop(attempt)
@@ -106,7 +106,7 @@
                 )
                 self.node.answer(reported, job, until_ms)
             case _:
-                self._carry_out(order)
+                self._carry_out(command)
 
     # --- what may go on -----------------------------------------------------------------------------------
 
@@ -123,9 +123,9 @@
             case Do.TELL, ClientJob() as job if act.answer is not None:
                 answer = act.answer
                 job.answer_to(JobAnswerBody(Verdict(answer.verdict), answer.result, answer.wait_ns))
-            case Do.GO, Dispatch(attempt, job) as order if attempt in self._waiting:
+            case Do.GO, Dispatch(attempt, job) as command if attempt in self._waiting:
                 self._out[attempt] = (job.job_id, self._waiting.pop(attempt))
-                self._carry_out(order)
+                self._carry_out(command)
             case Do.GO, Dispatch(attempt, job) if attempt in self._withdrawn:
                 self.node.ended(job.job_id, self._withdrawn.pop(attempt), True)
             case Do.NOT_SENT, Dispatch(attempt, _) if attempt in self._withdrawn:
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -33,17 +33,17 @@
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
     JobTaken,
-    Order,
     ReplyToClient,
     Verdict,
-    Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.effects import EffectExecutor
@@ -55,7 +55,7 @@
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import LINGER_PACE_S, Link, connect, listen
 from hollowusher.scheduler.net.pool import Pool
-from hollowusher.scheduler.rules.node_list import ListLines
+from hollowusher.scheduler.rules.node_list import NodeListAssembler
 from tests.scheduler.test_platform_sockets import SlowPool
 from tests.scheduler.test_reload import Process
 from tests.support.balancer import MS, Node, S, only, sends, workers
@@ -298,7 +298,7 @@
         self.reported: list[object] = []
         self.registry, self.pool = WorkerRegistry(), pool or Pool(0.25, 30.0, 8)
         self.node = RouteNode("s-1", ("127.0.0.1", port), Listed(1))
-        self.registry.reported(ListKind.FULL, [self.node])
+        self.registry.apply_list(ListKind.FULL, [self.node])
         return PlatformNodes(self.registry, self.pool, MEANINGS, self.reported.append, QUIET)
 
     def order(self, name: str = "j1", write_by_ns: int = 0, body: bytes = b"x") -> Dispatch:
@@ -453,7 +453,7 @@
     async def test_an_attempt_withdrawn_before_its_first_turn_is_reported_and_nothing_is_left(self) -> None:
         # The desk's task may order a send and its withdrawal without a turn for any other task in between.
         registry, reported, ran = WorkerRegistry(), list[DispatchEvent](), list[JobAttempt]()
-        registry.reported(ListKind.FULL, [RouteNode("s-1", ("127.0.0.1", 9), Listed(1))])
+        registry.apply_list(ListKind.FULL, [RouteNode("s-1", ("127.0.0.1", 9), Listed(1))])
 
         class Nodes:
             async def attempt(self, order: Dispatch, node: RouteNode) -> None:
@@ -467,7 +467,7 @@
         executor.nodes["platform"], executor.post = Nodes(), reported.append
         order = Dispatch(JobAttempt("j", 0, 1), ClientJob("j", "c", "/", b"", 0, S, lambda a: None), 0)
         executor.carry_out(order)
-        executor.carry_out(Withdraw(order.attempt))
+        executor.carry_out(CancelAttempt(order.attempt))
         await asyncio.sleep(0.01)
         self.assertEqual(reported, [AttemptEnded(order.attempt, Outcome.NOT_SENT)])
         self.assertEqual((ran, executor._attempts, executor._others), ([], {}, set()))
@@ -486,9 +486,9 @@
             self.dispatcher = JobDispatcher(SETTINGS, 1, 0)
         self.job = ClientJob("j", "settle-shift", "/", b"", 0, S, lambda a: None)
 
-    def work(self, event: DispatchEvent, *actions: Any) -> list[Order]:
+    def work(self, event: DispatchEvent, *actions: Any) -> list[DispatchCommand]:
         self.module.step.return_value = list(actions)
-        return self.dispatcher.work(0, [event])
+        return self.dispatcher.process(0, [event])
 
     def heard(self) -> list[Event]:
         return list(self.module.step.call_args.args[1])
@@ -624,7 +624,7 @@
 
 class ListLinesAreRead(unittest.TestCase):
     def read(self, text: str, most: int = 1 << 20) -> list[object]:
-        lines, reported = ListLines(most), list[object]()
+        lines, reported = NodeListAssembler(most), list[object]()
         for line in text.split("\n"):
             reported += lines.feed(line.encode())
         return reported
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -37,8 +37,8 @@
 )
 from tests.support.balancer import MS, S
 
-CONFIG = Http2Config(True, ("*",), control_frames=1000, used_most=10)
-LIMITS = StreamLimits(connections=2, streams=3, waiting=8, wait_ns=S, idle_ns=5 * S, used_most=10)
+CONFIG = Http2Config(True, ("*",), control_frames=1000, max_lifetime_streams=10)
+LIMITS = StreamLimits(connections=2, streams=3, waiting=8, wait_ns=S, idle_ns=5 * S, max_lifetime_streams=10)
 NEVER_RAN = (Outcome.FULL, Outcome.NOT_SENT, Outcome.UNREACHABLE, *RejectReason)
 
 
@@ -113,10 +113,10 @@
         self.do(self.stream_table.opened(self.now, session.number, announced))
 
     def limited(self, session: Http2Session, announced: int) -> None:
-        self.do(self.stream_table.limited(self.now, session.number, announced))
+        self.do(self.stream_table.set_stream_limit(self.now, session.number, announced))
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
-        self.do(self.stream_table.quiet(self.now, session.number, silent))
+        self.do(self.stream_table.set_unresponsive(self.now, session.number, silent))
 
     def retired(self, session: Http2Session, code: int | None, above: int) -> None:
         self.do(self.stream_table.retired(self.now, session.number))
@@ -127,7 +127,7 @@
     def unbegun(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
         assert not exchange.ended
         exchange.connection = 0
-        self.do(self.stream_table.unbegun(self.now, session.number, exchange, exchange.until_ns))
+        self.do(self.stream_table.requeue(self.now, session.number, exchange, exchange.until_ns))
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         self.sessions.pop(session.number, None)
@@ -209,7 +209,7 @@
             self.reported[name] = self.reported.get(name, 0) + 1
 
         exchange.tell = tell
-        self.do(self.stream_table.ask(self.now, exchange, exchange.until_ns, urgent))
+        self.do(self.stream_table.request_stream(self.now, exchange, exchange.until_ns, urgent))
 
     @rule()
     def refuse_next(self) -> None:
@@ -304,7 +304,7 @@
             self.give_up(open_jobs[pick % len(open_jobs)], cause)
 
     def give_up(self, exchange: StreamExchange[str], cause: Cause) -> None:
-        if self.stream_table.leave(self.now, exchange):
+        if self.stream_table.cancel_wait(self.now, exchange):
             exchange.finish(Outcome.NOT_SENT)
         else:
             exchange.finish(self.sessions[exchange.connection].withdraw(exchange, cause))
@@ -313,7 +313,7 @@
     def drain(self, share: float) -> None:
         """The node drains, is heard of for a while, and comes back."""
         self.serving = False
-        self.do(self.stream_table.leaving(self.now))
+        self.do(self.stream_table.node_leaving(self.now))
         assert self.stream_table.waiting == 0
         begun = {s.number: s.open_streams for s in self.sessions.values()}
         self.exchange_bytes([share, share])
