--- a/hollowusher/scheduler/emulator/log_replication.py
+++ b/hollowusher/scheduler/emulator/log_replication.py
@@ -140,7 +140,7 @@
     def leader(self) -> Replica | None:
         """Who may promise, if anyone."""
         for one in self.copies.values():
-            if one.replica is not None and one.replica.promises(self._clock(one)):
+            if one.replica is not None and one.replica.can_write(self._clock(one)):
                 return one.replica
         return None
 
@@ -211,13 +211,13 @@
             term = replica.kept.term
             if self.leaders.setdefault(term, one.name) != one.name:
                 raise RuleBroken(f"{one.name} and {self.leaders[term]} lead in term {term}")
-        if replica.promises(self._clock(one)):
+        if replica.can_write(self._clock(one)):
             for other in self.copies.values():
                 if (
                     other is not one
                     and other.replica is not None
                     and self.now >= other.paused_until
-                    and other.replica.promises(self._clock(other))
+                    and other.replica.can_write(self._clock(other))
                 ):
                     raise RuleBroken(f"{one.name} and {other.name} both promise")
 
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -84,7 +84,7 @@
 class LeaseForGood(Replica):
     """Who leads promises, whatever it hears."""
 
-    def promises(self, now: int) -> bool:
+    def can_write(self, now: int) -> bool:
         return self.role is Role.LEADER and self.commit >= self._begun
 
 
@@ -125,7 +125,7 @@
 class EarlyAcknowledgement(Replica):
     """It promises before all that others promised is committed here."""
 
-    def promises(self, now: int) -> bool:
+    def can_write(self, now: int) -> bool:
         return self.role is Role.LEADER and now < self.lease_until
 
     def _advance(self) -> None:
--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -69,7 +69,7 @@
                 at = number - r.kept.first
                 if at >= len(r.kept.entries) or (at >= 0 and r.kept.entries[at] != entry):
                     self.wrong = f"{name} leads in term {term} without entry {number}"
-        if sum(m.promises(self.now) for m in self.members.values()) > 1:
+        if sum(m.can_write(self.now) for m in self.members.values()) > 1:
             self.wrong = "two promise"
         self.flight += [(name, to, m) for to, m in r.sends]
         r.sends = []
@@ -87,7 +87,7 @@
             sender, to, message = world.flight.pop(0)
             world.members[to].step(world.now, message, sender)
             world.stabilize(to)
-        if leads and any(m.promises(world.now) for m in world.members.values()):
+        if leads and any(m.can_write(world.now) for m in world.members.values()):
             break
         if not leads and all(m.role is Role.FOLLOWER for m in world.members.values()):
             break
@@ -101,7 +101,7 @@
 def torn(make: Callable[..., Replica] = Replica) -> ReplicationModel:
     """One leads; its first job is held by one other, the second by nobody; then it is silent for long."""
     world = start(make)
-    lead = next(n for n, m in world.members.items() if m.promises(world.now))
+    lead = next(n for n, m in world.members.items() if m.can_write(world.now))
     first, second = (n for n in NAMES if n != lead)
     world.flight.clear()
     for job, holds in ((JOBS[0], True), (JOBS[1], False)):
@@ -170,7 +170,7 @@
                 w.stabilize(name)
 
             yield f"restart {name}", after(crash)
-        if world.proposed < len(JOBS) and world.members[name].promises(world.now):
+        if world.proposed < len(JOBS) and world.members[name].can_write(world.now):
 
             def propose(w: ReplicationModel, name: str = name) -> None:
                 w.members[name].propose(w.now, [JOBS[w.proposed]])
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -126,7 +126,7 @@
                 "role": replica.role.value,
                 "leader": replica.leader,
                 "term": replica.kept.term,
-                "promises": replicas.promises(now, owner),
+                "promises": replicas.can_write(now, owner),
                 "committed": replica.commit,
                 "last": replica.kept.last,
                 "open": len(log.jobs_state.open()),
@@ -188,10 +188,10 @@
         self._tick_at = now + round(TICK_S * 1e9)
         self.replication.replicas.step(now, _ms())
         self.replication.tick(now, _ms())
-        promises = self.replication.replicas.promises(now)
-        if promises != self._promised:
-            self._promised = promises
-            if promises:
+        can_write = self.replication.replicas.can_write(now)
+        if can_write != self._promised:
+            self._promised = can_write
+            if can_write:
                 self._log.notice("copies-promise", "jobs are taken: our log is ours")
             else:
                 self._log.warning("copies-no-promise", "no majority of our group answers: jobs are refused")
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -150,7 +150,7 @@
         held, self._held = self._held, []
         for until_ms, intent, handle in held:
             owner = self._owners.get(intent.job)
-            if owner is not None and not self.replicas.promises(now, owner) and now_ms < until_ms:
+            if owner is not None and not self.replicas.can_write(now, owner) and now_ms < until_ms:
                 self._held.append((until_ms, intent, handle))
                 continue
             token = self.replicas.write(now, now_ms, owner, (intent,)) if owner is not None else 0
@@ -287,7 +287,7 @@
 
     def _know(self, now: int, job: str, seek_round: int) -> JobFound:
         known = self.replicas.find(job)
-        leads = tuple(o for o in self.replicas.logs if self.replicas.promises(now, o))
+        leads = tuple(o for o in self.replicas.logs if self.replicas.can_write(now, o))
         if known is None or _refused(known[1]):
             return JobFound(job, self._takes(job), None, leads, seek_round)
         return JobFound(job, known[1].answer is None, known[1].answer, leads, seek_round)
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -98,10 +98,10 @@
         """When `step` is to be called at the latest."""
         return min(log.replica.due() for log in self.logs.values())
 
-    def promises(self, now: int, owner: str = "") -> bool:
+    def can_write(self, now: int, owner: str = "") -> bool:
         """Whether we may promise for a log, our own if none is named, and have taken it over."""
         log = self.logs[owner or self.name]
-        return log.replica.promises(now) and log.term == log.replica.kept.term
+        return log.replica.can_write(now) and log.term == log.replica.kept.term
 
     def learns(self) -> bool:
         """Whether this process does not know yet all that it must of some log."""
@@ -150,7 +150,7 @@
     def write(self, now: int, now_ms: int, owner: str, records: Sequence[Record]) -> int:
         """Have records kept, in order; the token that `written` will name, or 0 where we may not promise."""
         log = self.logs[owner]
-        if not self.promises(now, owner) or any(
+        if not self.can_write(now, owner) or any(
             isinstance(r, Intent) and not self._harmless(log, r, now_ms) for r in records
         ):
             return 0
@@ -201,7 +201,7 @@
             self.written += [RecordWritten(token, False) for token in log.waiting.values()]
             log.waiting.clear()
             log.term = 0
-        elif log.term != replica.kept.term and replica.promises(now):
+        elif log.term != replica.kept.term and replica.can_write(now):
             log.term = replica.kept.term
             for held in log.jobs_state.open():
                 self.adopted.append(Adopted(owner, held, *next_of(held, self.classes, now_ms)))
@@ -211,7 +211,7 @@
 
     def _forget(self, now: int, now_ms: int) -> None:
         for owner, log in self.logs.items():
-            if self.promises(now, owner):
+            if self.can_write(now, owner):
                 old = log.jobs_state.answered_before(now_ms - self._keep_ms)
                 for at in range(0, len(old), FORGET_BATCH):
                     log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + FORGET_BATCH])))])
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -156,7 +156,7 @@
     def _most(self, group: Sequence[str] | None = None) -> int:
         return len(group or self.group) // 2 + 1
 
-    def promises(self, now: int) -> bool:
+    def can_write(self, now: int) -> bool:
         """Whether it may promise: it leads, a majority has vouched for that a moment ago, and all that led
         before is committed."""
         return (
@@ -196,7 +196,7 @@
 
     def propose(self, now: int, data: Sequence[bytes], group: tuple[str, ...] = ()) -> int:
         """Add entries; the last one's number, or 0 where it may not promise."""
-        if not self.promises(now):
+        if not self.can_write(now):
             return 0
         entries = tuple(LogEntry(self.kept.term, d) for d in data)
         if group:
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -139,7 +139,7 @@
             net.cut(lead.name, other, 20 * S)
             net.cut(other, lead.name, 20 * S)
         net.run(net.now + S)
-        self.assertFalse(lead.promises(net._clock(net.copies[lead.name])))
+        self.assertFalse(lead.can_write(net._clock(net.copies[lead.name])))
         net.run(net.now + 3 * S)
         new = net.leader()
         assert new is not None
@@ -266,7 +266,7 @@
         self.replicas = LogReplicas("n1", ["n1"], 1, ReplicationTiming(), random.Random(1), 0, CLASSES)
         self.now = 0
         self.to(3 * S)
-        self.assertTrue(self.replicas.promises(self.now))
+        self.assertTrue(self.replicas.can_write(self.now))
 
     def to(self, now: int) -> None:
         while self.now < now:
