--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -22,7 +22,7 @@
 from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
 from hollowusher.scheduler.rules.log_replication.pace import MS, ReplicationTiming
 from hollowusher.scheduler.rules.log_replication.records import AnswerRecord, JobTakenRecord
-from hollowusher.scheduler.rules.log_replication.replica import Kept
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState
 
 S = 1000 * MS
 CLASSES = {
@@ -46,7 +46,7 @@
     rate: float
     replication: JobReplication | None = None
     process_id: int = 0
-    disks: dict[str, Kept] = field(default_factory=dict)
+    disks: dict[str, PersistentState] = field(default_factory=dict)
     paused_until: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)
     attempts: Counter[str] = field(default_factory=Counter)  # of the plain desk
--- a/hollowusher/scheduler/emulator/log_replication.py
+++ b/hollowusher/scheduler/emulator/log_replication.py
@@ -14,7 +14,7 @@
 from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.rules.log_replication.messages import LogEntry, Message
 from hollowusher.scheduler.rules.log_replication.pace import MS, ReplicationTiming
-from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role
 
 S = 1000 * MS
 Make = Callable[..., Replica]
@@ -31,8 +31,8 @@
     name: str
     rate: float
     replica: Replica | None = None
-    disk: Kept | None = None
-    old: Kept | None = None  # an image of its storage, taken earlier
+    disk: PersistentState | None = None
+    old: PersistentState | None = None  # an image of its storage, taken earlier
     paused_until: int = 0
     inbox: list[tuple[Message, str]] = field(default_factory=list)
     wake_at: int = -1
--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -16,7 +16,7 @@
 from hollowusher.scheduler.emulator.explore import Explored, explore
 from hollowusher.scheduler.rules.log_replication.messages import LogEntry, Message
 from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
-from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role
 
 T = TypeVar("T")
 NAMES = ("a", "b", "c")
@@ -42,7 +42,7 @@
 
     now: int = 0
     members: dict[str, Replica] = field(default_factory=dict)
-    disks: dict[str, Kept] = field(default_factory=dict)
+    disks: dict[str, PersistentState] = field(default_factory=dict)
     flight: list[tuple[str, str, Message]] = field(default_factory=list)
     committed: dict[int, LogEntry] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
--- a/hollowusher/scheduler/net/log_replication/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from hollowusher.scheduler.rules.log_replication.messages import LogEntry
-from hollowusher.scheduler.rules.log_replication.replica import Kept, Store
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Store
 
 MAGIC = b"hollowusher copies 1\n"
 _HEAD = struct.Struct(">IQ")
@@ -64,10 +64,10 @@
 class Storage(Protocol):
     """Keeps logs over restarts."""
 
-    def load(self) -> tuple[dict[str, Kept], list[str]]:
+    def load(self) -> tuple[dict[str, PersistentState], list[str]]:
         """What is held, by owner, and what was wrong with it."""
 
-    def write(self, owner: str, stores: Iterable[Store], kept: Kept) -> None:
+    def write(self, owner: str, stores: Iterable[Store], kept: PersistentState) -> None:
         """Make them durable; OSError where that is not certain."""
 
     def close(self) -> None:
@@ -77,10 +77,10 @@
 class Nowhere:
     """Memory only: a process that starts holds nothing."""
 
-    def load(self) -> tuple[dict[str, Kept], list[str]]:
+    def load(self) -> tuple[dict[str, PersistentState], list[str]]:
         return {}, []
 
-    def write(self, owner: str, stores: Iterable[Store], kept: Kept) -> None:
+    def write(self, owner: str, stores: Iterable[Store], kept: PersistentState) -> None:
         """What the replica holds is all there is."""
 
     def close(self) -> None:
@@ -127,10 +127,10 @@
         self._void: dict[str, int] = {}
         self.broken = False
 
-    def load(self) -> tuple[dict[str, Kept], list[str]]:
+    def load(self) -> tuple[dict[str, PersistentState], list[str]]:
         """All logs; what is damaged is set aside and told."""
         self._path.mkdir(parents=True, exist_ok=True)
-        found: dict[str, Kept] = {}
+        found: dict[str, PersistentState] = {}
         reported: list[str] = []
         for path in sorted(self._path.glob("*.log")):
             data = path.read_bytes()
@@ -149,7 +149,7 @@
                 found[path.stem] = kept
         return found, reported
 
-    def write(self, owner: str, stores: Iterable[Store], kept: Kept) -> None:
+    def write(self, owner: str, stores: Iterable[Store], kept: PersistentState) -> None:
         """One write and one sync for all of them."""
         if self.broken:
             raise OSError("the folder has failed before")
@@ -159,7 +159,7 @@
             self.broken = True
             raise
 
-    def _write(self, owner: str, stores: list[Store], kept: Kept) -> None:
+    def _write(self, owner: str, stores: list[Store], kept: PersistentState) -> None:
         void = self._void.get(owner, 0)
         data = bytearray()
         for store in stores:
@@ -185,7 +185,7 @@
         self._files.write(self._open[owner], bytes(data))
         self._files.sync(self._open[owner])
 
-    def _rewrite(self, owner: str, kept: Kept) -> None:
+    def _rewrite(self, owner: str, kept: PersistentState) -> None:
         new = self._path / f"{owner}.new"
         new.unlink(missing_ok=True)
         descriptor = self._files.append(new)
@@ -212,7 +212,7 @@
         self._open.clear()
 
 
-def meta_of(kept: Kept) -> Meta:
+def meta_of(kept: PersistentState) -> Meta:
     """The part that is no log."""
     return Meta(kept.term, kept.voted, kept.starts, dict(kept.heard))
 
@@ -223,9 +223,9 @@
     return _HEAD.pack(len(body), xxhash.xxh64_intdigest(body)) + body
 
 
-def parse(data: bytes) -> tuple[Kept, int]:
+def parse(data: bytes) -> tuple[PersistentState, int]:
     """A log from its file, and how many of its bytes are whole; ValueError where one of them was changed."""
-    kept = Kept()
+    kept = PersistentState()
     if len(data) < len(MAGIC):
         if not MAGIC.startswith(data):
             raise ValueError("its head is another's")
@@ -253,7 +253,7 @@
     return kept, at
 
 
-def _take(kept: Kept, piece: Piece) -> None:
+def _take(kept: PersistentState, piece: Piece) -> None:
     match piece:
         case Meta():
             kept.term, kept.voted, kept.starts = piece.term, piece.voted, piece.starts
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -22,7 +22,7 @@
     pack,
     unpack,
 )
-from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role, Store
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
 from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
 
 COMPACT_ENTRIES = 4_096  # beyond this many, a log's entries give way to an image of its book
@@ -70,7 +70,7 @@
         chance: random.Random,
         now: int,
         classes: Mapping[str, JobClass],
-        kept: Mapping[str, Kept] | None = None,
+        kept: Mapping[str, PersistentState] | None = None,
         keep_ms: int = 120_000,
         most_jobs: int = 20_000,
     ) -> None:
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """What a member holds of a log, and what its storage gives back after a restart."""
 
     term: int = 0
@@ -109,10 +109,10 @@
         pace: ReplicationTiming,
         chance: random.Random,
         now: int,
-        kept: Kept | None = None,
+        kept: PersistentState | None = None,
     ) -> None:
         self.name, self.owner, self.pace, self.chance = name, owner, pace, chance
-        self.kept = kept or Kept()
+        self.kept = kept or PersistentState()
         self._configured = tuple(group)
         self.role, self.leader = Role.LEARNER, ""
         self.commit = self.kept.first - 1
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -60,7 +60,7 @@
     pack,
     unpack,
 )
-from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role, Store
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
 from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.reader import read_text
@@ -402,9 +402,9 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name)
 
-    def scenario(self, folder: Folder) -> tuple[Kept, Kept]:
+    def scenario(self, folder: Folder) -> tuple[PersistentState, PersistentState]:
         """Some writes as a replica asks for them; what was synced last, and what was under way."""
-        kept, synced = Kept(), Kept()
+        kept, synced = PersistentState(), PersistentState()
         steps: list[tuple[Store, ...]] = [(Store(meta=True),)]
         steps += [(Store(entries=(LogEntry(1, b"%d" % n),), first=n),) for n in range(1, 6)]
         steps += [(Store(entries=(LogEntry(2, b"x"), LogEntry(2, b"y")), first=4),), (Store(meta=True),)]
@@ -440,7 +440,7 @@
                 folder.close()
                 found, reported = Folder(self.path).load()
                 self.assertFalse([t for t in reported if "set aside" in t], (at, reported))
-                got = found.get("n0", Kept())
+                got = found.get("n0", PersistentState())
                 self.assertGreaterEqual((got.term, got.last), (synced.term, synced.last), at)
                 self.assertLessEqual(got.last, max(kept.last, synced.last))
         self.assertEqual(got, kept)  # the last one died nowhere
@@ -465,7 +465,7 @@
         self.assertIn("learns anew", reported[0])
 
     def test_a_file_that_images_have_made_long_is_written_anew(self) -> None:
-        folder, kept = Folder(self.path), Kept(starts=1)
+        folder, kept = Folder(self.path), PersistentState(starts=1)
         for number in range(1, 9):
             kept.entries, kept.first, kept.image = [], number + 1, bytes(1 << 21)
             folder.write("n0", (Store(image=kept.image, upto=number), Store(meta=True)), kept)
