--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -133,7 +133,8 @@
     def complete(self) -> bool:
         """Whether all run, and know all that they must."""
         return all(
-            q.replication is not None and not q.replication.replicas.learns() for q in self.processes.values()
+            q.replication is not None and not q.replication.replicas.is_learning()
+            for q in self.processes.values()
         )
 
     def cut(self, a: str, b: str, span: int) -> None:
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -249,7 +249,7 @@
             net.loss = chance.choice((0.0, 0.05, 0.2))
         for name in list(down):
             replication = net.processes[name].replication
-            if replication is not None and not replication.replicas.learns():
+            if replication is not None and not replication.replicas.is_learning():
                 del down[name]
     net.loss = net.die_at_go = 0.0
     net.cuts.clear()
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -103,7 +103,7 @@
         log = self.logs[owner or self.name]
         return log.replica.can_write(now) and log.term == log.replica.kept.term
 
-    def learns(self) -> bool:
+    def is_learning(self) -> bool:
         """Whether this process does not know yet all that it must of some log."""
         return any(log.replica.role is Role.LEARNER for log in self.logs.values())
 
