--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -56,8 +56,8 @@
         self._led_at = now
         super()._lead(now)
 
-    def _heeds(self, now: int, term: int, sender: str) -> bool:
-        return super()._heeds(now, max(term, self.kept.term), sender)
+    def _accepts_leader(self, now: int, term: int, sender: str) -> bool:
+        return super()._accepts_leader(now, max(term, self.kept.term), sender)
 
 
 class AnyVote(Replica):
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -250,12 +250,12 @@
             case LearnReply():
                 self._learnt(now, message, sender)
             case Append():
-                if self._heeds(now, message.term, sender):
+                if self._accepts_leader(now, message.term, sender):
                     self._appended(now, message, sender)
                 else:
                     self.sends.append((sender, Appended(self.owner, self.kept.term, False, 0, message.sent)))
             case SnapshotChunk():
-                if self._heeds(now, message.term, sender):
+                if self._accepts_leader(now, message.term, sender):
                     self._imaged(now, message, sender)
             case Appended() if message.term > self.kept.term and self.role is not Role.LEARNER:
                 self._follow(now, message.term, "")
@@ -277,7 +277,7 @@
             case _:
                 pass
 
-    def _heeds(self, now: int, term: int, sender: str) -> bool:
+    def _accepts_leader(self, now: int, term: int, sender: str) -> bool:
         """Whether a leader's word counts: the fence.  A learner heeds one too, and vouches for nothing."""
         if term < self.kept.term:
             return False
