--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -100,7 +100,7 @@
 class WordBroken(Replica):
     """It votes for another while its leader has its word."""
 
-    def _bound(self, now: int, m: VoteRequest, sender: str) -> bool:
+    def _is_bound_by_lease(self, now: int, m: VoteRequest, sender: str) -> bool:
         return False
 
 
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -480,7 +480,7 @@
 
     def _asked(self, now: int, m: VoteRequest, sender: str) -> None:
         kept = self.kept
-        if self._bound(now, m, sender):
+        if self._is_bound_by_lease(now, m, sender):
             # A leader has our word for a lease: whoever asks meanwhile is not answered yes, nor is its term
             # taken up.
             self.sends.append((sender, Vote(self.owner, max(kept.term, 0), False, m.trial)))
@@ -499,7 +499,7 @@
             self._ask_at = now + self._wait()
         self.sends.append((sender, Vote(self.owner, kept.term, yes)))
 
-    def _bound(self, now: int, m: VoteRequest, sender: str) -> bool:
+    def _is_bound_by_lease(self, now: int, m: VoteRequest, sender: str) -> bool:
         """Whether our word to a leader still holds, or we lead and others' word to us does."""
         if m.calls or self.leader in ("", sender):
             return False
