--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -63,7 +63,7 @@
 class AnyVote(Replica):
     """It votes for whoever asks, however little that one holds."""
 
-    def _complete(self, m: VoteRequest) -> bool:
+    def _is_up_to_date(self, m: VoteRequest) -> bool:
         return True
 
 
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -485,7 +485,7 @@
             # taken up.
             self.sends.append((sender, Vote(self.owner, max(kept.term, 0), False, m.trial)))
             return
-        complete = self._complete(m)
+        complete = self._is_up_to_date(m)
         if m.trial:
             yes = complete and m.term > kept.term
             self.sends.append((sender, Vote(self.owner, m.term if yes else kept.term, yes, True)))
@@ -505,7 +505,7 @@
             return False
         return now < self.lease_until if self.role is Role.LEADER else now - self._led_at < self.pace.lease_ns
 
-    def _complete(self, m: VoteRequest) -> bool:
+    def _is_up_to_date(self, m: VoteRequest) -> bool:
         """Whether whoever asks holds all that we do: a majority of such holds all that was committed."""
         return (m.last_term, m.last) >= (self.kept.term_of(self.kept.last), self.kept.last)
 
