--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -115,8 +115,8 @@
 class ImageTrusted(Replica):
     """Nobody remembers how often another has started."""
 
-    def _teach(self, m: LearnRequest, sender: str) -> None:
-        super()._teach(m, sender)
+    def _handle_learn_request(self, m: LearnRequest, sender: str) -> None:
+        super()._handle_learn_request(m, sender)
         to, t = self.sends.pop()
         assert isinstance(t, LearnReply)
         self.sends.append((to, LearnReply(t.owner, t.nonce, t.term, 0, t.standing, t.leads, t.last)))
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -246,7 +246,7 @@
     def _take(self, now: int, message: Message, sender: str) -> None:
         match message:
             case LearnRequest():
-                self._teach(message, sender)
+                self._handle_learn_request(message, sender)
             case LearnReply():
                 self._learnt(now, message, sender)
             case Append():
@@ -561,7 +561,7 @@
         for name in self._others():
             self.sends.append((name, LearnRequest(self.owner, self._nonce, starts)))
 
-    def _teach(self, m: LearnRequest, sender: str) -> None:
+    def _handle_learn_request(self, m: LearnRequest, sender: str) -> None:
         known, nonce = self.kept.heard.get(sender, (0, 0))
         if m.nonce == nonce:
             known = m.starts - 1  # asked once more in this same start
