--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -78,7 +78,7 @@
     """One that starts without its storage votes at once."""
 
     def _learn(self, now: int) -> None:
-        self._learnt_all(now)
+        self._finish_learning(now)
 
 
 class LeaseForGood(Replica):
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -309,7 +309,7 @@
         match = m.prev + len(m.entries)
         self._commit_to(min(m.commit, match))
         if self.role is Role.LEARNER and self._need and match >= self._need and sender == self._teacher:
-            self._learnt_all(now)
+            self._finish_learning(now)
         self._answer(sender, True, match, m.sent)
 
     def _answer(self, sender: str, ok: bool, match: int, sent: int) -> None:
@@ -555,7 +555,7 @@
         self._learn_at = now + self.pace.heartbeat_ns
         self._taught = {n: t for n, t in self._taught.items() if n in self.group}
         if len(self.group) == 1:
-            self._learnt_all(now)
+            self._finish_learning(now)
             return
         starts = self.kept.starts if self._held else 0
         for name in self._others():
@@ -617,7 +617,7 @@
                 now >= self._trust_at
                 and 1 + sum(t.standing >= VoterStanding.STORED for t in reported) >= self._most()
             ):
-                self._learnt_all(now)
+                self._finish_learning(now)
         elif (
             len(reported) == len(self.group) - 1
             and not self.kept.last
@@ -625,7 +625,7 @@
         ):
             # Nobody in the whole group holds anything: the log begins, or all that was promised is lost.
             self.reported.append("nobody holds anything of this log: it begins anew")
-            self._learnt_all(now)
+            self._finish_learning(now)
 
     def _lose(self) -> None:
         self.kept.entries, self.kept.first, self.kept.before = [], 1, 0
@@ -634,7 +634,7 @@
         self.commits.clear()
         self.stores.append(Store(meta=True, cut=1, image=b"", upto=0))
 
-    def _learnt_all(self, now: int) -> None:
+    def _finish_learning(self, now: int) -> None:
         """From now on it votes and vouches."""
         if not self._held:
             # The others remember starts from before it lost its storage: it counts on from there and says so,
