--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -85,7 +85,7 @@
     """Who leads promises, whatever it hears."""
 
     def can_write(self, now: int) -> bool:
-        return self.role is Role.LEADER and self.commit >= self._begun
+        return self.role is Role.LEADER and self.commit >= self._first_entry_of_term
 
 
 class LeaseTooLong(Replica):
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -129,7 +129,7 @@
         self._trying = False
         self._giving = False  # the lead is being given back: nothing new is taken
         self._given_at = now
-        self._begun = 0  # the entry with which this leader began
+        self._first_entry_of_term = 0  # the entry with which this leader began
         self._missing: set[str] = set()  # whom the view of the members holds dead
         self._piece = bytearray()
         # A start: whatever the storage gave back, it may be an old image of it.  So all are asked first.
@@ -163,7 +163,7 @@
             self.role is Role.LEADER
             and not self._giving
             and now < self.lease_until
-            and self.commit >= self._begun
+            and self.commit >= self._first_entry_of_term
         )
 
     def due(self) -> int:
@@ -530,7 +530,7 @@
         self.lease_until = -(1 << 62)
         self.peers = {}
         self._extend((LogEntry(self.kept.term),))
-        self._begun = self.kept.last
+        self._first_entry_of_term = self.kept.last
         self._set_peers(now)
         self.reported.append(f"leads in term {self.kept.term}")
         self._advance()
