--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -195,7 +195,7 @@
                 k.starts,
                 tuple(k.entries),
                 r.commit,
-                r._need,
+                r._required_match,
                 r._held,
                 r._teacher,
                 frozenset(r._votes),
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -138,7 +138,7 @@
         self.stores.append(Store(meta=True))
         self._nonce = chance.randrange(1, 1 << 53)
         self._taught: dict[str, LearnReply] = {}
-        self._need = 0  # a learner without storage votes again once it holds all up to here
+        self._required_match = 0  # a learner without storage votes again once it holds all up to here
         self._teacher = ""
         self._rest_until = now + pace.lease_ns  # what it promised before it forgot has run out by then
         self._learn_at, self._trust_at = now, now + 3 * pace.heartbeat_ns
@@ -308,7 +308,12 @@
             break
         match = m.prev + len(m.entries)
         self._commit_to(min(m.commit, match))
-        if self.role is Role.LEARNER and self._need and match >= self._need and sender == self._teacher:
+        if (
+            self.role is Role.LEARNER
+            and self._required_match
+            and match >= self._required_match
+            and sender == self._teacher
+        ):
             self._finish_learning(now)
         self._answer(sender, True, match, m.sent)
 
@@ -608,7 +613,7 @@
             newest = max(t.term for t in full.values())
             for name, t in full.items():
                 if t.leads and t.term == newest and name != self._teacher:
-                    self._teacher, self._need = name, t.last
+                    self._teacher, self._required_match = name, t.last
             if newest > self.kept.term:
                 self._set_term(newest, "")
         elif self._held:
@@ -645,7 +650,7 @@
                 (n, LearnRequest(self.owner, self._nonce, self.kept.starts)) for n in self._others()
             ]
         self.role, self._held = Role.FOLLOWER, True
-        if self._need and not self.kept.voted:
+        if self._required_match and not self.kept.voted:
             self._set_term(self.kept.term, "?")  # whom it voted for in this term it cannot know
         self._ask_at = now + self._wait()
         self.reported.append("knows all that it must")
