--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -204,7 +204,7 @@
                 max(-1, r._led_at + r.pace.lease_ns - world.now),
                 r.due() - world.now,
                 tuple((n, p.next, p.match, p.open, p.lacks) for n, p in r.peers.items()),
-                tuple((n, t.standing, t.term, t.last) for n, t in r._taught.items()),
+                tuple((n, t.standing, t.term, t.last) for n, t in r._learn_replies.items()),
             )
         )
     return (tuple(rows), tuple(world.flight), world.proposed, world.losses, world.crashes)
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -137,7 +137,7 @@
         self.kept.starts += 1
         self.stores.append(Store(meta=True))
         self._nonce = chance.randrange(1, 1 << 53)
-        self._taught: dict[str, LearnReply] = {}
+        self._learn_replies: dict[str, LearnReply] = {}
         self._required_match = 0  # a learner without storage votes again once it holds all up to here
         self._teacher = ""
         self._rest_until = now + pace.lease_ns  # what it promised before it forgot has run out by then
@@ -558,7 +558,7 @@
     def _learn(self, now: int) -> None:
         """Ask all what they know, until enough is known."""
         self._learn_at = now + self.pace.heartbeat_ns
-        self._taught = {n: t for n, t in self._taught.items() if n in self.group}
+        self._learn_replies = {n: t for n, t in self._learn_replies.items() if n in self.group}
         if len(self.group) == 1:
             self._finish_learning(now)
             return
@@ -601,14 +601,14 @@
     def _learnt(self, now: int, m: LearnReply, sender: str) -> None:
         if self.role is not Role.LEARNER or m.nonce != self._nonce or sender not in self.group:
             return
-        self._taught[sender] = m
-        reported = list(self._taught.values())
+        self._learn_replies[sender] = m
+        reported = list(self._learn_replies.values())
         if self._held and any(t.starts >= self.kept.starts for t in reported):
             # Somebody has heard of a later start of ours: what our storage gave back is an old image of it.
             self.reported.append("its storage is an old image: it learns anew")
             self._held, self.kept.starts = False, max(t.starts for t in reported) + 1
             self._lose()
-        full = {n: t for n, t in self._taught.items() if t.standing == VoterStanding.FULL}
+        full = {n: t for n, t in self._learn_replies.items() if t.standing == VoterStanding.FULL}
         if len(full) >= self._most():
             newest = max(t.term for t in full.values())
             for name, t in full.items():
@@ -644,7 +644,7 @@
         if not self._held:
             # The others remember starts from before it lost its storage: it counts on from there and says so,
             # else its next start would be taken for one with an old image.
-            self.kept.starts = max([self.kept.starts, *(t.starts + 1 for t in self._taught.values())])
+            self.kept.starts = max([self.kept.starts, *(t.starts + 1 for t in self._learn_replies.values())])
             self.stores.append(Store(meta=True))
             self.sends += [
                 (n, LearnRequest(self.owner, self._nonce, self.kept.starts)) for n in self._others()
