--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -199,7 +199,7 @@
                 r._held,
                 r._teacher,
                 frozenset(r._votes),
-                r._trying,
+                r._pre_voting,
                 max(-1, r.lease_until - world.now),
                 max(-1, r._led_at + r.pace.lease_ns - world.now),
                 r.due() - world.now,
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -126,7 +126,7 @@
         self._led_at = -(1 << 62)  # when a leader was last heard
         self._ask_at = now
         self._votes: set[str] = set()
-        self._trying = False
+        self._pre_voting = False
         self._giving = False  # the lead is being given back: nothing new is taken
         self._given_at = now
         self._first_entry_of_term = 0  # the entry with which this leader began
@@ -443,7 +443,7 @@
         self._ask_at = now + self._wait()
         if self.name not in self.group:
             return
-        self._votes, self._trying = {self.name}, True
+        self._votes, self._pre_voting = {self.name}, True
         if len(self._votes) >= self._most():
             self._campaign(now)
             return
@@ -463,7 +463,7 @@
 
     def _campaign(self, now: int, calls: bool = False) -> None:
         self._set_term(self.kept.term + 1, self.name)
-        self.role, self.leader, self._trying = Role.CANDIDATE, "", False
+        self.role, self.leader, self._pre_voting = Role.CANDIDATE, "", False
         self._votes = {self.name}
         self._ask_at = now + self._wait()
         if len(self._votes) >= self._most():
@@ -520,7 +520,7 @@
             return
         if sender not in self.group or not m.yes:
             return
-        if m.trial and self._trying and m.term == self.kept.term + 1:
+        if m.trial and self._pre_voting and m.term == self.kept.term + 1:
             self._votes.add(sender)
             if len(self._votes) >= self._most():
                 self._campaign(now)
@@ -549,7 +549,7 @@
             self.reported.append(f"no longer leads: term {term}")
         if term > self.kept.term:
             self._set_term(term, "")
-        self.role, self.leader, self.peers, self._trying = Role.FOLLOWER, leader, {}, False
+        self.role, self.leader, self.peers, self._pre_voting = Role.FOLLOWER, leader, {}, False
         self._piece.clear()
         self._ask_at = max(self._ask_at, now + self._wait())
 
