--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -172,7 +172,7 @@
 class TakesTwice(JobReplication):
     """A job that is being taken here is not known yet when it comes once more."""
 
-    def _takes(self, job: str) -> bool:
+    def _is_being_taken(self, job: str) -> bool:
         return False
 
 
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -125,7 +125,7 @@
             self._wait_for(now_ms, taken, handle, known[1])
         elif taken.job in self._sought:
             self._sought[taken.job].handles.append(handle)
-        elif self._takes(taken.job):
+        elif self._is_being_taken(taken.job):
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
         elif len(self._names) > 1 and (
             again or taken.job_class in self._once or self._denied.get(taken.job, 0) > now_ms
@@ -264,7 +264,7 @@
         self._round += 1
         return self._round
 
-    def _takes(self, job: str) -> bool:
+    def _is_being_taken(self, job: str) -> bool:
         """Whether the job is being taken here, and is not kept yet."""
         return any(what == "taken" and j == job for what, j, _ in self._pending.values())
 
@@ -289,7 +289,7 @@
         known = self.replicas.find(job)
         leads = tuple(o for o in self.replicas.logs if self.replicas.can_write(now, o))
         if known is None or _refused(known[1]):
-            return JobFound(job, self._takes(job), None, leads, seek_round)
+            return JobFound(job, self._is_being_taken(job), None, leads, seek_round)
         return JobFound(job, known[1].answer is None, known[1].answer, leads, seek_round)
 
     def _hear(self, now: int, now_ms: int, sender: str, found: JobFound) -> None:
