--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -104,7 +104,7 @@
         self._pending: dict[int, tuple[str, str, Hashable]] = {}  # token: what was written, job, handle
         self._owners: dict[str, str] = {}  # jobs that this process works on: whose log they are in
         self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # who waits for a job, until when
-        self._sought: dict[str, _Sought] = {}
+        self._searches: dict[str, _Sought] = {}
         self._held: list[tuple[int, Intent, Hashable]] = []  # attempts that wait for our promise, until (ms)
         self._doubted: dict[str, int] = {}  # jobs that may be kept: by which term our log was settled
         self._unsaid: dict[str, tuple[str, AnswerRecord, int]] = {}  # by job: whose log, what, until (ms)
@@ -123,14 +123,14 @@
         known = self.replicas.find(taken.job)
         if known is not None and not _refused(known[1]):
             self._wait_for(now_ms, taken, handle, known[1])
-        elif taken.job in self._sought:
-            self._sought[taken.job].handles.append(handle)
+        elif taken.job in self._searches:
+            self._searches[taken.job].handles.append(handle)
         elif self._is_being_taken(taken.job):
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
         elif len(self._names) > 1 and (
             again or taken.job_class in self._once or self._denied.get(taken.job, 0) > now_ms
         ):
-            sought = self._sought[taken.job] = _Sought(taken, [handle], now_ms, now_ms, self._next_round())
+            sought = self._searches[taken.job] = _Sought(taken, [handle], now_ms, now_ms, self._next_round())
             self.asks.append(("", FindJob(taken.job, sought.round)))
             self._hear(now, now_ms, self.replicas.name, self._know(now, taken.job, sought.round))
         else:
@@ -187,10 +187,10 @@
         """This client waits no more; the job itself goes on, and others may wait for it."""
         if left := [w for w in self._waiting.pop(job, []) if w[0] != handle]:
             self._waiting[job] = left
-        if (sought := self._sought.get(job)) is not None:
+        if (sought := self._searches.get(job)) is not None:
             sought.handles = [h for h in sought.handles if h != handle]
             if not sought.handles:
-                del self._sought[job]
+                del self._searches[job]
 
     def abandon(self, now_ms: int, acts: list[ReplicationInstruction]) -> list[ReplicationInstruction]:
         """The storage has failed and all begins anew from what it holds: what every client and attempt here
@@ -215,7 +215,7 @@
                 reported.setdefault(
                     handle, ReplicationInstruction(Do.TELL, handle, AnswerRecord(job, "failed", now_ms))
                 )
-        for sought in self._sought.values():
+        for sought in self._searches.values():
             for handle in sought.handles:
                 reported.setdefault(handle, ReplicationInstruction(Do.REFUSE, handle))
         return list(reported.values())
@@ -223,7 +223,7 @@
     def heard(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
         """Another scheduler asks, or answers."""
         if isinstance(message, FindJob):
-            sought = self._sought.get(message.job)
+            sought = self._searches.get(message.job)
             if sought is not None and (sender in sought.no or self.replicas.name < sender):
                 # Both look for it: whoever has the other's no goes on, else the first by name.
                 self.asks.append((sender, JobFound(message.job, True, None, (), message.round)))
@@ -245,16 +245,16 @@
 
     def tick(self, now: int, now_ms: int) -> None:
         """After each step of the keeper, and ten times a second."""
-        for job, sought in list(self._sought.items()):
+        for job, sought in list(self._searches.items()):
             if now_ms - sought.asked_ms >= SEEK_AGAIN_MS:
                 sought.asked_ms = now_ms
                 self.asks.append(("", FindJob(job, sought.round)))
                 self._hear(now, now_ms, self.replicas.name, self._know(now, job, sought.round))
-                if job not in self._sought:
+                if job not in self._searches:
                     continue
             late = now_ms - sought.since_ms > SEEK_MS and not sought.open
             if late or now_ms > sought.taken.until_ms - TELL_SPARE_MS:
-                del self._sought[job]
+                del self._searches[job]
                 self.acts += [ReplicationInstruction(Do.REFUSE, handle) for handle in sought.handles]
         self._finish(now, now_ms)
 
@@ -294,11 +294,11 @@
 
     def _hear(self, now: int, now_ms: int, sender: str, found: JobFound) -> None:
         job = found.job
-        sought = self._sought.get(job)
+        sought = self._searches.get(job)
         if sought is None or found.round != sought.round:
             return
         if found.answer is not None:
-            del self._sought[job]
+            del self._searches[job]
             self.acts += [ReplicationInstruction(Do.TELL, handle, found.answer) for handle in sought.handles]
         elif found.open:
             sought.open = True
@@ -308,7 +308,7 @@
             sought.leads.update(found.leads)
             sought.no.add(sender)
             if sought.leads >= set(self._names):  # whoever leads each log says no
-                del self._sought[job]
+                del self._searches[job]
                 self._take_new(now, now_ms, sought.taken, sought.handles)
 
     def _finish(self, now: int, now_ms: int) -> None:
