--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -196,7 +196,7 @@
 class SendsAgain(LogReplicas):
     """Whatever may have run is sent again."""
 
-    def _harmless(self, log: Any, intent: Any, now_ms: int) -> bool:
+    def _may_send(self, log: Any, intent: Any, now_ms: int) -> bool:
         return True
 
     def step(self, *args: Any, **words: Any) -> None:
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -151,7 +151,7 @@
         """Have records kept, in order; the token that `written` will name, or 0 where we may not promise."""
         log = self.logs[owner]
         if not self.can_write(now, owner) or any(
-            isinstance(r, Intent) and not self._harmless(log, r, now_ms) for r in records
+            isinstance(r, Intent) and not self._may_send(log, r, now_ms) for r in records
         ):
             return 0
         number = log.replica.propose(now, [pack(r) for r in records])
@@ -168,7 +168,7 @@
         for log in self.logs.values():
             log.replica.missing(now, missing)
 
-    def _harmless(self, log: _Log, intent: Intent, now_ms: int) -> bool:
+    def _may_send(self, log: _Log, intent: Intent, now_ms: int) -> bool:
         """Whether an attempt may go out, by all that is known of the job: who leads knows all that was
         promised.  Here, and nowhere else, a second run of what must not run twice is kept from happening."""
         held = log.jobs_state.jobs.get(intent.job)
