--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -265,7 +265,7 @@
         sender = message.sender
         if sender.name == self.me.name:
             if sender.process_id != self.me.process_id:
-                self._about_me(now, sender)
+                self._handle_update_about_self(now, sender)
             return
         self._heard_at = now
         if self.deaf:
@@ -354,7 +354,7 @@
     def _apply(self, now: int, news: MemberUpdate) -> None:
         """Take one piece of news, if it is newer than what is known."""
         if news.name == self.me.name:
-            self._about_me(now, news)
+            self._handle_update_about_self(now, news)
             return
         record = self.records.get(news.name)
         if record is None:
@@ -445,7 +445,7 @@
             record.twin = True
             self._tell(Change.TWIN, record.news.name, "two processes speak under this name")
 
-    def _about_me(self, now: int, news: MemberUpdate) -> None:
+    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
         """Something is said of our own name: we are here, and say so with a higher incarnation."""
         if news.incarnation < self.me.incarnation or (
             news.process_id == self.me.process_id and news.standing is MemberStatus.ALIVE
--- a/tests/scheduler/test_membership_check.py
+++ b/tests/scheduler/test_membership_check.py
@@ -14,7 +14,7 @@
 class Resigned(SwimMember):
     """Hears that it is held dead, and believes it."""
 
-    def _about_me(self, now: int, news: MemberUpdate) -> None:
+    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
         if news.standing is MemberStatus.DEAD:
             self.me = replace(self.me, standing=MemberStatus.DEAD)
 
@@ -22,22 +22,22 @@
 class Mute(SwimMember):
     """Never says otherwise."""
 
-    def _about_me(self, now: int, news: MemberUpdate) -> None:
+    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
         pass
 
 
 class Meek(SwimMember):
     """Answers its accuser at the same incarnation, which beats nothing."""
 
-    def _about_me(self, now: int, news: MemberUpdate) -> None:
+    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
         self.gossip.put(self.me)
 
 
 class Backward(SwimMember):
     """Answers with a lower incarnation than it had."""
 
-    def _about_me(self, now: int, news: MemberUpdate) -> None:
-        super()._about_me(now, replace(news, incarnation=max(0, news.incarnation - 3)))
+    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
+        super()._handle_update_about_self(now, replace(news, incarnation=max(0, news.incarnation - 3)))
         if news.standing is not MemberStatus.ALIVE:
             self.me = replace(self.me, incarnation=news.incarnation - 1)
 
