--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -271,9 +271,9 @@
         if self.deaf:
             self._hears(now, sender.name)
         self.number = max(self.number, message.number)
-        self._apply(now, sender)
+        self._apply_update(now, sender)
         for news in message.news:
-            self._apply(now, news)
+            self._apply_update(now, news)
         record = self.records.get(sender.name)
         if record is None:
             return
@@ -351,7 +351,7 @@
 
     # --- news ---------------------------------------------------------------------------------------------
 
-    def _apply(self, now: int, news: MemberUpdate) -> None:
+    def _apply_update(self, now: int, news: MemberUpdate) -> None:
         """Take one piece of news, if it is newer than what is known."""
         if news.name == self.me.name:
             self._handle_update_about_self(now, news)
@@ -512,7 +512,7 @@
         if record is None or not record.present:
             return
         if record.suspicion is not None:  # our own word among those that confirm it
-            self._apply(now, replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name))
+            self._apply_update(now, replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
         news = replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
         self._set(now, record, news, private=self.deaf)
--- a/tests/scheduler/test_membership_check.py
+++ b/tests/scheduler/test_membership_check.py
@@ -53,7 +53,7 @@
 class Spiteful(SwimMember):
     """Counts whoever accused last as right, whatever the incarnation."""
 
-    def _apply(self, now: int, news: MemberUpdate) -> None:
+    def _apply_update(self, now: int, news: MemberUpdate) -> None:
         record = self.records.get(news.name)
         if (
             record is not None
@@ -61,7 +61,7 @@
             and record.news.standing is MemberStatus.DEAD
         ):
             return
-        super()._apply(now, news)
+        super()._apply_update(now, news)
 
 
 FAULTS = (
