--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -385,7 +385,7 @@
             if not news.beats(old):
                 return
             self._send(news.name, MessageKind.PING, first=(news,))
-        self._set(now, record, news)
+        self._update_record(now, record, news)
 
     def _first(self, now: int, news: MemberUpdate) -> None:
         """Somebody who was not known."""
@@ -400,7 +400,7 @@
             self.gossip.put(news)
             self._view(Change.JOINED, news.name, "first heard of")
 
-    def _set(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
+    def _update_record(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
         """What is known of a member changes."""
         old, was_there = record.news, record.present
         record.news = news = replace(news, address=news.address or old.address)
@@ -515,7 +515,7 @@
             self._apply_update(now, replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
         news = replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
-        self._set(now, record, news, private=self.deaf)
+        self._update_record(now, record, news, private=self.deaf)
 
     def _ends(self, record: Record) -> int:
         """When a suspicion runs out; one that has been called has a moment more."""
@@ -542,7 +542,9 @@
             suspicion.called, suspicion.since, suspicion.heard_at = False, now, -1
         else:
             by = self.me.name
-            self._set(now, record, replace(record.news, standing=MemberStatus.DEAD, by=by), private=self.deaf)
+            self._update_record(
+                now, record, replace(record.news, standing=MemberStatus.DEAD, by=by), private=self.deaf
+            )
 
     # --- digests ------------------------------------------------------------------------------------------
 
--- a/tests/scheduler/test_membership_check.py
+++ b/tests/scheduler/test_membership_check.py
@@ -45,9 +45,9 @@
 class Final(SwimMember):
     """Once dead is dead for good."""
 
-    def _set(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
+    def _update_record(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
         if record.news.standing is not MemberStatus.DEAD:
-            super()._set(now, record, news, private)
+            super()._update_record(now, record, news, private)
 
 
 class Spiteful(SwimMember):
