--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -86,7 +86,7 @@
     """Play one: a watch with the condition's faults, two deaths, and two halves apart for 20 s."""
     _, loss, pause = CONDITIONS[run.condition]
     names = [f"n{i}" for i in range(run.members)]
-    pace = MembershipTiming(health_most=0) if run.kind == "no health" else MembershipTiming()
+    pace = MembershipTiming(max_health_score=0) if run.kind == "no health" else MembershipTiming()
 
     def beats(name: str, now: int) -> SimulatedPeer:
         return Beats(name, names, run.span, now, random.Random(f"{run.seed}{name}"))
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -627,7 +627,7 @@
         return round(periods * self.pace.period_ns * (0.75 + 0.5 * self.chance.random()))
 
     def _worsen(self, by: int) -> None:
-        self.health = min(self.pace.health_most, self.health + by)
+        self.health = min(self.pace.max_health_score, self.health + by)
 
     def _message(
         self,
--- a/hollowusher/scheduler/rules/membership/pace.py
+++ b/hollowusher/scheduler/rules/membership/pace.py
@@ -18,7 +18,9 @@
     suspect_periods: float = 4.0  # from a suspicion to a death at the least; grows by the log of the members
     suspect_most: float = 4.0  # times the least, while nobody else has confirmed it (beta of Lifeguard)
     confirmers: int = 3  # others whose confirmation brings the time down to the least (K of Lifeguard)
-    health_most: int = 8  # Lifeguard's local health: how much slower one judges that distrusts itself; 0: off
+    max_health_score: int = (
+        8  # Lifeguard's local health: how much slower one judges that distrusts itself; 0: off
+    )
     deaf_periods: float = 4.0  # who hears nobody for so long is cut off itself and accuses nobody
     digest_periods: float = 10.0  # between two exchanges of digests
     reach_periods: float = 5.0  # between two rounds of calls at those who are not there
