--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -15,7 +15,7 @@
 from hollowusher.balancing.interface import Effect, Group, JobClass
 from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.rules.log_replication.job_replication import (
-    Do,
+    ReplicationAction,
     JobReplication,
     ReplicationInstruction,
 )
@@ -268,15 +268,15 @@
 
     def _act(self, p: SchedulerProcess, replication: JobReplication, act: ReplicationInstruction) -> None:
         match act.do:
-            case Do.START:
+            case ReplicationAction.START:
                 taken = act.adopted.held.taken if act.adopted else self.clients[self._job(act.handle)].taken
                 self.clients[taken.job].begun = True
                 p.work[taken.job] = taken
                 p.handles[taken.job] = act.handle
                 self._dispatch(p, replication, taken.job)
-            case Do.REFUSE:
+            case ReplicationAction.REFUSE:
                 self.clients[self._job(act.handle)].refused += 1
-            case Do.TELL if act.answer is not None and act.handle is not None:
+            case ReplicationAction.TELL if act.answer is not None and act.handle is not None:
                 job, tries = self._job(act.handle), self._tries(act.handle)
                 client = self.clients[job]
                 if tries == client.tries:  # else it has left
@@ -284,11 +284,11 @@
                     client.done = True
                     if self.chance.random() < 0.2:  # it comes back for its answer
                         self.at(self.now + round(self.chance.uniform(0.5, 5) * S), lambda: self._again(job))
-            case Do.GO:
+            case ReplicationAction.GO:
                 self._run(p, self._job(act.handle))
                 if self.chance.random() < self.die_at_go and self.complete():
                     self.crash(p.name)  # its last byte went out, and whatever it had not said yet did not
-            case Do.NOT_SENT:
+            case ReplicationAction.NOT_SENT:
                 job = self._job(act.handle)
                 process_id = p.process_id
                 self.at(
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -11,7 +11,7 @@
 from hollowusher.scheduler.emulator.job_replication import JobReplicationNetwork, S
 from hollowusher.scheduler.emulator.log_replication import ReplicationNetwork, RuleBroken, storm
 from hollowusher.scheduler.rules.log_replication.job_replication import (
-    Do,
+    ReplicationAction,
     FindJob,
     JobReplication,
     ReplicationInstruction,
@@ -158,7 +158,7 @@
         if self._pending and not any(a.handle == handle for a in self.acts):
             token = max(self._pending)
             self._pending.pop(token)
-            self.acts.append(ReplicationInstruction(Do.GO, handle))
+            self.acts.append(ReplicationInstruction(ReplicationAction.GO, handle))
 
 
 class TellsFirst(JobReplication):
@@ -166,7 +166,7 @@
 
     def answer(self, now: int, now_ms: int, answer: Any, handle: Any, until_ms: int) -> None:
         super().answer(now, now_ms, answer, handle, until_ms)
-        self.acts.append(ReplicationInstruction(Do.TELL, handle, answer))
+        self.acts.append(ReplicationInstruction(ReplicationAction.TELL, handle, answer))
 
 
 class TakesTwice(JobReplication):
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -22,7 +22,10 @@
 )
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.net.log_replication.node import CopiesNode
-from hollowusher.scheduler.rules.log_replication.job_replication import Do, ReplicationInstruction
+from hollowusher.scheduler.rules.log_replication.job_replication import (
+    ReplicationAction,
+    ReplicationInstruction,
+)
 from hollowusher.scheduler.rules.log_replication.records import AnswerRecord, JobTakenRecord
 
 
@@ -114,23 +117,23 @@
         """One thing that the custody lets go on."""
         assert self.node is not None
         match act.do, act.handle:
-            case Do.START, ClientJob() as job:
+            case ReplicationAction.START, ClientJob() as job:
                 self._post(JobTaken(job))
-            case Do.START, None if act.adopted is not None:
+            case ReplicationAction.START, None if act.adopted is not None:
                 self._post(JobTaken(_adopted(act.adopted.held.taken)))
-            case Do.REFUSE, ClientJob() as job:
+            case ReplicationAction.REFUSE, ClientJob() as job:
                 job.answer_to(JobAnswerBody(Verdict.REFUSED, wait_ns=self._wait_ns))
-            case Do.TELL, ClientJob() as job if act.answer is not None:
+            case ReplicationAction.TELL, ClientJob() as job if act.answer is not None:
                 answer = act.answer
                 job.answer_to(JobAnswerBody(Verdict(answer.verdict), answer.result, answer.wait_ns))
-            case Do.GO, Dispatch(attempt, job) as order if attempt in self._waiting:
+            case ReplicationAction.GO, Dispatch(attempt, job) as order if attempt in self._waiting:
                 self._out[attempt] = (job.job_id, self._waiting.pop(attempt))
                 self._carry_out(order)
-            case Do.GO, Dispatch(attempt, job) if attempt in self._withdrawn:
+            case ReplicationAction.GO, Dispatch(attempt, job) if attempt in self._withdrawn:
                 self.node.ended(job.job_id, self._withdrawn.pop(attempt), True)
-            case Do.NOT_SENT, Dispatch(attempt, _) if attempt in self._withdrawn:
+            case ReplicationAction.NOT_SENT, Dispatch(attempt, _) if attempt in self._withdrawn:
                 del self._withdrawn[attempt]
-            case Do.NOT_SENT, Dispatch(attempt, _) if attempt in self._waiting:
+            case ReplicationAction.NOT_SENT, Dispatch(attempt, _) if attempt in self._waiting:
                 del self._waiting[attempt]
                 self._post(AttemptEnded(attempt, Outcome.NOT_SENT))
             case _:
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -48,7 +48,7 @@
     round: int = 0
 
 
-class Do(Enum):
+class ReplicationAction(Enum):
     """What may go on now."""
 
     START = "start"  # the job goes to the desk
@@ -62,7 +62,7 @@
 class ReplicationInstruction:
     """One thing that may go on; `adopted`: a job of another's log that is to be worked on here."""
 
-    do: Do
+    do: ReplicationAction
     handle: Hashable
     answer: AnswerRecord | None = None
     adopted: Adopted | None = None
@@ -157,7 +157,7 @@
             if token:
                 self._pending[token] = ("intent", intent.job, handle)
             else:
-                self.acts.append(ReplicationInstruction(Do.NOT_SENT, handle))
+                self.acts.append(ReplicationInstruction(ReplicationAction.NOT_SENT, handle))
 
     def ended(self, now: int, now_ms: int, job: str, number: int, never: bool) -> None:
         """An attempt is over.  Told, and not waited for."""
@@ -197,27 +197,30 @@
         is told now.  `acts`: those that had not been let go on, which they are not any more."""
         reported: dict[Hashable, ReplicationInstruction] = {}
         for act in acts:
-            if act.do is Do.GO:
-                reported[act.handle] = ReplicationInstruction(Do.NOT_SENT, act.handle)
-            elif act.do is Do.START and act.handle is not None:
+            if act.do is ReplicationAction.GO:
+                reported[act.handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, act.handle)
+            elif act.do is ReplicationAction.START and act.handle is not None:
                 reported[act.handle] = ReplicationInstruction(
-                    Do.TELL, act.handle, AnswerRecord("", "failed", now_ms)
+                    ReplicationAction.TELL, act.handle, AnswerRecord("", "failed", now_ms)
                 )
-            elif act.do in (Do.REFUSE, Do.NOT_SENT, Do.TELL):
+            elif act.do in (ReplicationAction.REFUSE, ReplicationAction.NOT_SENT, ReplicationAction.TELL):
                 reported[act.handle] = act
         for _, _, handle in self._held:
-            reported[handle] = ReplicationInstruction(Do.NOT_SENT, handle)
+            reported[handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, handle)
         for what, _, handle in self._pending.values():
             if what == "intent":
-                reported.setdefault(handle, ReplicationInstruction(Do.NOT_SENT, handle))
+                reported.setdefault(handle, ReplicationInstruction(ReplicationAction.NOT_SENT, handle))
         for job, waiting in self._waiting.items():
             for handle, _ in waiting:
                 reported.setdefault(
-                    handle, ReplicationInstruction(Do.TELL, handle, AnswerRecord(job, "failed", now_ms))
+                    handle,
+                    ReplicationInstruction(
+                        ReplicationAction.TELL, handle, AnswerRecord(job, "failed", now_ms)
+                    ),
                 )
         for sought in self._searches.values():
             for handle in sought.handles:
-                reported.setdefault(handle, ReplicationInstruction(Do.REFUSE, handle))
+                reported.setdefault(handle, ReplicationInstruction(ReplicationAction.REFUSE, handle))
         return list(reported.values())
 
     def heard(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
@@ -255,7 +258,9 @@
             late = now_ms - sought.since_ms > SEEK_MS and not sought.open
             if late or now_ms > sought.taken.until_ms - TELL_SPARE_MS:
                 del self._searches[job]
-                self.acts += [ReplicationInstruction(Do.REFUSE, handle) for handle in sought.handles]
+                self.acts += [
+                    ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in sought.handles
+                ]
         self._finish(now, now_ms)
 
     # --- inside -------------------------------------------------------------------------------------------
@@ -277,11 +282,11 @@
             self._pending[token] = ("taken", taken.job, handles[0])
             self._waiting.setdefault(taken.job, []).extend((h, taken.until_ms) for h in handles)
         else:
-            self.acts += [ReplicationInstruction(Do.REFUSE, handle) for handle in handles]
+            self.acts += [ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in handles]
 
     def _wait_for(self, now_ms: int, taken: JobTakenRecord, handle: Hashable, held: LoggedJob) -> None:
         if held.answer is not None:
-            self.acts.append(ReplicationInstruction(Do.TELL, handle, held.answer))
+            self.acts.append(ReplicationInstruction(ReplicationAction.TELL, handle, held.answer))
         else:
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
 
@@ -299,7 +304,10 @@
             return
         if found.answer is not None:
             del self._searches[job]
-            self.acts += [ReplicationInstruction(Do.TELL, handle, found.answer) for handle in sought.handles]
+            self.acts += [
+                ReplicationInstruction(ReplicationAction.TELL, handle, found.answer)
+                for handle in sought.handles
+            ]
         elif found.open:
             sought.open = True
             sought.leads.clear()
@@ -323,11 +331,15 @@
                     if others:
                         self._waiting[job] = others
                     self._owners[job] = self.replicas.name
-                    self.acts.append(ReplicationInstruction(Do.START, handle))
+                    self.acts.append(ReplicationInstruction(ReplicationAction.START, handle))
                 else:  # it may be kept all the same: that shows once somebody leads our log anew
                     self._doubted[job] = self.replicas.committed_term(self.replicas.name)
             elif what == "intent":
-                self.acts.append(ReplicationInstruction(Do.GO if written.kept else Do.NOT_SENT, handle))
+                self.acts.append(
+                    ReplicationInstruction(
+                        ReplicationAction.GO if written.kept else ReplicationAction.NOT_SENT, handle
+                    )
+                )
             elif what == "answer" and not written.kept and isinstance(handle, tuple):
                 self._unsaid[job] = handle  # it may be kept or not: once more does no harm, the first counts
         self.replicas.written = []
@@ -337,7 +349,7 @@
                 continue  # our own desk has it still
             if adopted.next is Next.SEND:
                 self._owners[job] = adopted.owner
-                self.acts.append(ReplicationInstruction(Do.START, None, adopted=adopted))
+                self.acts.append(ReplicationInstruction(ReplicationAction.START, None, adopted=adopted))
             else:
                 self.replicas.write(now, now_ms, adopted.owner, (AnswerRecord(job, "failed", now_ms),))
         self.replicas.adopted = []
@@ -346,7 +358,8 @@
                 del self._doubted[job]
                 if self.replicas.find(job) is None:  # it never was, and never will be
                     self.acts += [
-                        ReplicationInstruction(Do.REFUSE, handle) for handle, _ in self._waiting.pop(job, [])
+                        ReplicationInstruction(ReplicationAction.REFUSE, handle)
+                        for handle, _ in self._waiting.pop(job, [])
                     ]
         for job in list(self._waiting):
             self._tell(now_ms, job)
@@ -357,9 +370,13 @@
         left: list[tuple[Hashable, int]] = []
         for handle, until_ms in self._waiting[job]:
             if answer is not None:
-                self.acts.append(ReplicationInstruction(Do.TELL, handle, answer))
+                self.acts.append(ReplicationInstruction(ReplicationAction.TELL, handle, answer))
             elif now_ms >= until_ms - TELL_SPARE_MS:
-                self.acts.append(ReplicationInstruction(Do.TELL, handle, AnswerRecord(job, "failed", now_ms)))
+                self.acts.append(
+                    ReplicationInstruction(
+                        ReplicationAction.TELL, handle, AnswerRecord(job, "failed", now_ms)
+                    )
+                )
             else:
                 left.append((handle, until_ms))
         if left:
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -44,7 +44,10 @@
 from hollowusher.scheduler.net.log_replication.storage import MAGIC, Folder, MemberFiles, parse
 from hollowusher.scheduler.net.log_replication.wire import Frames, frame
 from hollowusher.scheduler.rules.log_replication.groups import group_of, kept_by
-from hollowusher.scheduler.rules.log_replication.job_replication import Do, ReplicationInstruction
+from hollowusher.scheduler.rules.log_replication.job_replication import (
+    ReplicationAction,
+    ReplicationInstruction,
+)
 from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
 from hollowusher.scheduler.rules.log_replication.messages import Append, LearnRequest, LogEntry
 from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
@@ -497,7 +500,7 @@
             node = CopiesNode(config, CLASSES, 1, acts.put_nowait, LogWriter("n1", per_s=0, burst=0), storage)
             await node.start()
             try:
-                served, reported = 0, list[Do]()
+                served, reported = 0, list[ReplicationAction]()
                 for number in range(200):
                     job = f"{fails_at}-{number}"
                     node.take(taken(job, until_ms=int(time.time() * 1000) + 10_000), job, False)
@@ -506,13 +509,13 @@
                         self.assertIsNone(act.handle)
                         act = await self.next(acts)
                     reported.append(act.do)
-                    served = served + 1 if act.do is Do.START else 0
+                    served = served + 1 if act.do is ReplicationAction.START else 0
                     if served == 3 and storage.broken:
                         break
                     await asyncio.sleep(0.02)
                 self.assertTrue(storage.broken, reported)
                 self.assertEqual(served, 3, reported)
-                self.assertIn(Do.REFUSE, reported)
+                self.assertIn(ReplicationAction.REFUSE, reported)
             finally:
                 await node.stop()
             found, faults = Folder(Path(folder.name)).load()
@@ -537,14 +540,14 @@
     def test_an_attempt_waits_for_its_intent(self) -> None:
         self.admission.carry_out(self.order)
         self.assertEqual((self.carried, self.posted), ([], []))
-        self.admission.act(ReplicationInstruction(Do.GO, self.order))
+        self.admission.act(ReplicationInstruction(ReplicationAction.GO, self.order))
         self.assertEqual(self.carried, [self.order])
         self.admission.post(AttemptEnded(self.order.attempt, Outcome.RESET))
         self.node.ended.assert_called_once_with("j", mock.ANY, False)
         self.assertEqual(len(self.posted), 1)
 
     def test_one_that_is_withdrawn_meanwhile_ends_at_once_and_is_never_sent(self) -> None:
-        for late, never in ((Do.GO, 1), (Do.NOT_SENT, 0)):
+        for late, never in ((ReplicationAction.GO, 1), (ReplicationAction.NOT_SENT, 0)):
             self.setUp()
             self.admission.carry_out(self.order)
             number = self.node.intent.call_args.args[1]
