--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -196,7 +196,7 @@
                 tuple(k.entries),
                 r.commit,
                 r._required_match,
-                r._held,
+                r._storage_trusted,
                 r._teacher,
                 frozenset(r._votes),
                 r._pre_voting,
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -133,7 +133,7 @@
         self._missing: set[str] = set()  # whom the view of the members holds dead
         self._piece = bytearray()
         # A start: whatever the storage gave back, it may be an old image of it.  So all are asked first.
-        self._held = self.kept.starts > 0
+        self._storage_trusted = self.kept.starts > 0
         self.kept.starts += 1
         self.stores.append(Store(meta=True))
         self._nonce = chance.randrange(1, 1 << 53)
@@ -562,7 +562,7 @@
         if len(self.group) == 1:
             self._finish_learning(now)
             return
-        starts = self.kept.starts if self._held else 0
+        starts = self.kept.starts if self._storage_trusted else 0
         for name in self._others():
             self.sends.append((name, LearnRequest(self.owner, self._nonce, starts)))
 
@@ -577,7 +577,7 @@
         standing = VoterStanding.BLANK
         if self.role is not Role.LEARNER and (self.kept.term or self.kept.last):
             standing = VoterStanding.FULL
-        elif self.role is Role.LEARNER and self._held:
+        elif self.role is Role.LEARNER and self._storage_trusted:
             standing = VoterStanding.STORED
         elif self.kept.last:
             standing = (
@@ -603,10 +603,10 @@
             return
         self._learn_replies[sender] = m
         reported = list(self._learn_replies.values())
-        if self._held and any(t.starts >= self.kept.starts for t in reported):
+        if self._storage_trusted and any(t.starts >= self.kept.starts for t in reported):
             # Somebody has heard of a later start of ours: what our storage gave back is an old image of it.
             self.reported.append("its storage is an old image: it learns anew")
-            self._held, self.kept.starts = False, max(t.starts for t in reported) + 1
+            self._storage_trusted, self.kept.starts = False, max(t.starts for t in reported) + 1
             self._lose()
         full = {n: t for n, t in self._learn_replies.items() if t.standing == VoterStanding.FULL}
         if len(full) >= self._most():
@@ -616,7 +616,7 @@
                     self._teacher, self._required_match = name, t.last
             if newest > self.kept.term:
                 self._set_term(newest, "")
-        elif self._held:
+        elif self._storage_trusted:
             # Too few can teach us, so that our storage is needed: all of a group have been restarted, say.
             if (
                 now >= self._trust_at
@@ -641,7 +641,7 @@
 
     def _finish_learning(self, now: int) -> None:
         """From now on it votes and vouches."""
-        if not self._held:
+        if not self._storage_trusted:
             # The others remember starts from before it lost its storage: it counts on from there and says so,
             # else its next start would be taken for one with an old image.
             self.kept.starts = max([self.kept.starts, *(t.starts + 1 for t in self._learn_replies.values())])
@@ -649,7 +649,7 @@
             self.sends += [
                 (n, LearnRequest(self.owner, self._nonce, self.kept.starts)) for n in self._others()
             ]
-        self.role, self._held = Role.FOLLOWER, True
+        self.role, self._storage_trusted = Role.FOLLOWER, True
         if self._required_match and not self.kept.voted:
             self._set_term(self.kept.term, "?")  # whom it voted for in this term it cannot know
         self._ask_at = now + self._wait()
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -173,7 +173,10 @@
         net.run(net.now + S // 10)
         taught = net.copies["n1"].replica
         assert taught is not None
-        taught.role, taught._held = Role.LEARNER, False  # as if its teacher had gone a moment sooner
+        taught.role, taught._storage_trusted = (
+            Role.LEARNER,
+            False,
+        )  # as if its teacher had gone a moment sooner
         for name in ("n0", "n2"):
             net.crash(name)
             net.start(name)
