--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -276,7 +276,7 @@
                 self._dispatch(p, replication, taken.job)
             case ReplicationAction.REFUSE:
                 self.clients[self._job(act.handle)].refused += 1
-            case ReplicationAction.TELL if act.answer is not None and act.handle is not None:
+            case ReplicationAction.ANSWER if act.answer is not None and act.handle is not None:
                 job, tries = self._job(act.handle), self._tries(act.handle)
                 client = self.clients[job]
                 if tries == client.tries:  # else it has left
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -166,7 +166,7 @@
 
     def answer(self, now: int, now_ms: int, answer: Any, handle: Any, until_ms: int) -> None:
         super().answer(now, now_ms, answer, handle, until_ms)
-        self.acts.append(ReplicationInstruction(ReplicationAction.TELL, handle, answer))
+        self.acts.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
 
 
 class TakesTwice(JobReplication):
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -123,7 +123,7 @@
                 self._post(JobTaken(_adopted(act.adopted.held.taken)))
             case ReplicationAction.REFUSE, ClientJob() as job:
                 job.answer_to(JobAnswerBody(Verdict.REFUSED, wait_ns=self._wait_ns))
-            case ReplicationAction.TELL, ClientJob() as job if act.answer is not None:
+            case ReplicationAction.ANSWER, ClientJob() as job if act.answer is not None:
                 answer = act.answer
                 job.answer_to(JobAnswerBody(Verdict(answer.verdict), answer.result, answer.wait_ns))
             case ReplicationAction.GO, Dispatch(attempt, job) as order if attempt in self._waiting:
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -55,7 +55,7 @@
     REFUSE = "refuse"  # it was not taken: harmless to try again
     GO = "go"  # the attempt's first byte may go out
     NOT_SENT = "not-sent"  # it may not: nothing of it went out
-    TELL = "tell"  # the client is told this answer
+    ANSWER = "tell"  # the client is told this answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,9 +201,9 @@
                 reported[act.handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, act.handle)
             elif act.do is ReplicationAction.START and act.handle is not None:
                 reported[act.handle] = ReplicationInstruction(
-                    ReplicationAction.TELL, act.handle, AnswerRecord("", "failed", now_ms)
+                    ReplicationAction.ANSWER, act.handle, AnswerRecord("", "failed", now_ms)
                 )
-            elif act.do in (ReplicationAction.REFUSE, ReplicationAction.NOT_SENT, ReplicationAction.TELL):
+            elif act.do in (ReplicationAction.REFUSE, ReplicationAction.NOT_SENT, ReplicationAction.ANSWER):
                 reported[act.handle] = act
         for _, _, handle in self._held:
             reported[handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, handle)
@@ -215,7 +215,7 @@
                 reported.setdefault(
                     handle,
                     ReplicationInstruction(
-                        ReplicationAction.TELL, handle, AnswerRecord(job, "failed", now_ms)
+                        ReplicationAction.ANSWER, handle, AnswerRecord(job, "failed", now_ms)
                     ),
                 )
         for sought in self._searches.values():
@@ -286,7 +286,7 @@
 
     def _wait_for(self, now_ms: int, taken: JobTakenRecord, handle: Hashable, held: LoggedJob) -> None:
         if held.answer is not None:
-            self.acts.append(ReplicationInstruction(ReplicationAction.TELL, handle, held.answer))
+            self.acts.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, held.answer))
         else:
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
 
@@ -305,7 +305,7 @@
         if found.answer is not None:
             del self._searches[job]
             self.acts += [
-                ReplicationInstruction(ReplicationAction.TELL, handle, found.answer)
+                ReplicationInstruction(ReplicationAction.ANSWER, handle, found.answer)
                 for handle in sought.handles
             ]
         elif found.open:
@@ -370,11 +370,11 @@
         left: list[tuple[Hashable, int]] = []
         for handle, until_ms in self._waiting[job]:
             if answer is not None:
-                self.acts.append(ReplicationInstruction(ReplicationAction.TELL, handle, answer))
+                self.acts.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
             elif now_ms >= until_ms - TELL_SPARE_MS:
                 self.acts.append(
                     ReplicationInstruction(
-                        ReplicationAction.TELL, handle, AnswerRecord(job, "failed", now_ms)
+                        ReplicationAction.ANSWER, handle, AnswerRecord(job, "failed", now_ms)
                     )
                 )
             else:
