--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -240,7 +240,7 @@
                     self._send(
                         p.name,
                         other,
-                        lambda c, q, m=ask: c.heard(  # type: ignore[misc]
+                        lambda c, q, m=ask: c.handle_message(  # type: ignore[misc]
                             self._clock(q), self._ms(), m, p.name
                         ),
                     )
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -179,9 +179,9 @@
 class BothLook(JobReplication):
     """Of two who look for one job at the same time, each tells the other that it knows nothing."""
 
-    def heard(self, now: int, now_ms: int, message: Any, sender: str) -> None:
+    def handle_message(self, now: int, now_ms: int, message: Any, sender: str) -> None:
         sought = self._searches.pop(message.job, None) if isinstance(message, FindJob) else None
-        super().heard(now, now_ms, message, sender)
+        super().handle_message(now, now_ms, message, sender)
         if sought is not None:
             self._searches[message.job] = sought
 
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -177,7 +177,7 @@
             return
         now = time.monotonic_ns()
         if isinstance(message, FindJob | JobFound):
-            self.replication.heard(now, _ms(), message, sender)
+            self.replication.handle_message(now, _ms(), message, sender)
         else:
             self.replication.replicas.step(now, _ms(), message, sender)
             self.replication.tick(now, _ms())
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -223,7 +223,7 @@
                 reported.setdefault(handle, ReplicationInstruction(ReplicationAction.REFUSE, handle))
         return list(reported.values())
 
-    def heard(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
+    def handle_message(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
         """Another scheduler asks, or answers."""
         if isinstance(message, FindJob):
             sought = self._searches.get(message.job)
