--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -157,7 +157,7 @@
         for name, left in client.asked:  # it has left whom it asked before
             p = self.processes[name]
             if p.replication is not None and p.process_id == left[2]:
-                p.replication.gone(job, left)
+                p.replication.client_disconnected(job, left)
         client.asked = []
         client.tries += 1
         self._ask_one(client, client.tries > 1, 0)
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -164,7 +164,7 @@
 
     def gone(self, job: str, handle: Hashable) -> None:
         """This client waits no more."""
-        self.replication.gone(job, handle)
+        self.replication.client_disconnected(job, handle)
 
     def view(self, missing: set[str]) -> None:
         """Whom the members' view holds dead."""
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -183,7 +183,7 @@
             if token or now_ms > until_ms or (known is not None and known[1].answer is not None):
                 del self._unsaid[job]
 
-    def gone(self, job: str, handle: Hashable) -> None:
+    def client_disconnected(self, job: str, handle: Hashable) -> None:
         """This client waits no more; the job itself goes on, and others may wait for it."""
         if left := [w for w in self._waiting.pop(job, []) if w[0] != handle]:
             self._waiting[job] = left
