--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -169,7 +169,7 @@
     def view(self, missing: set[str]) -> None:
         """Whom the members' view holds dead."""
         self._missing = missing
-        self.replication.replicas.view(time.monotonic_ns(), missing)
+        self.replication.replicas.set_missing_members(time.monotonic_ns(), missing)
         self._arm()
 
     def _heard(self, sender: str, message: Message) -> None:
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -163,10 +163,10 @@
         self._gather()
         return self._tokens
 
-    def view(self, now: int, missing: set[str]) -> None:
+    def set_missing_members(self, now: int, missing: set[str]) -> None:
         """Whom the members' view holds dead."""
         for log in self.logs.values():
-            log.replica.missing(now, missing)
+            log.replica.handle_missing_members(now, missing)
 
     def _may_send(self, log: _Log, intent: Intent, now_ms: int) -> bool:
         """Whether an attempt may go out, by all that is known of the job: who leads knows all that was
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -213,7 +213,7 @@
             self._append(now, name)
         return self.kept.last
 
-    def missing(self, now: int, names: set[str]) -> None:
+    def handle_missing_members(self, now: int, names: set[str]) -> None:
         """Whom the view of the members holds dead: a follower whose leader is among them asks sooner."""
         self._missing = names
         if self.role is Role.FOLLOWER and self.leader in names:
