--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -221,7 +221,13 @@
         replication = p.replication
         assert replication is not None
         replicas = replication.replicas
-        while replicas.stores or replicas.sends or replication.acts or replication.asks or replicas.reported:
+        while (
+            replicas.stores
+            or replicas.sends
+            or replication.acts
+            or replication.lookup_messages
+            or replicas.reported
+        ):
             for owner in {owner for owner, _ in replicas.stores} if self.storage else ():
                 p.disks[owner] = copy.deepcopy(replicas.logs[owner].replica.kept)
             replicas.stores = []
@@ -234,7 +240,7 @@
                         self._clock(q), self._ms(), m, p.name
                     ),
                 )
-            asks, replication.asks = replication.asks, []
+            asks, replication.lookup_messages = replication.lookup_messages, []
             for name, ask in asks:
                 for other in [name] if name else [n for n in self.names if n != p.name]:
                     self._send(
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -203,13 +203,13 @@
         replicas, batch = self.replication.replicas, self._batch
         batch.stores += replicas.stores
         batch.sends += replicas.sends
-        for name, ask in self.replication.asks:
+        for name, ask in self.replication.lookup_messages:
             batch.sends += [(n, ask) for n in ([name] if name else self._outgoing)]
         batch.acts += self.replication.acts
         for owner, what in replicas.reported:
             self._log.notice("copies-log", what, owner=owner)
         replicas.stores, replicas.sends, replicas.reported = [], [], []
-        self.replication.acts, self.replication.asks = [], []
+        self.replication.acts, self.replication.lookup_messages = [], []
         if self._flushing is None:
             self._flush()
         self._arm()
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -100,7 +100,7 @@
         self.replicas, self._names = replicas, names
         self._once = {c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE}
         self.acts: list[ReplicationInstruction] = []
-        self.asks: list[tuple[str, FindJob | JobFound]] = []
+        self.lookup_messages: list[tuple[str, FindJob | JobFound]] = []
         self._pending: dict[int, tuple[str, str, Hashable]] = {}  # token: what was written, job, handle
         self._owners: dict[str, str] = {}  # jobs that this process works on: whose log they are in
         self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # who waits for a job, until when
@@ -131,7 +131,7 @@
             again or taken.job_class in self._once or self._denied.get(taken.job, 0) > now_ms
         ):
             sought = self._searches[taken.job] = _Sought(taken, [handle], now_ms, now_ms, self._next_round())
-            self.asks.append(("", FindJob(taken.job, sought.round)))
+            self.lookup_messages.append(("", FindJob(taken.job, sought.round)))
             self._hear(now, now_ms, self.replicas.name, self._know(now, taken.job, sought.round))
         else:
             self._take_new(now, now_ms, taken, [handle])
@@ -229,7 +229,7 @@
             sought = self._searches.get(message.job)
             if sought is not None and (sender in sought.no or self.replicas.name < sender):
                 # Both look for it: whoever has the other's no goes on, else the first by name.
-                self.asks.append((sender, JobFound(message.job, True, None, (), message.round)))
+                self.lookup_messages.append((sender, JobFound(message.job, True, None, (), message.round)))
                 return
             if sought is not None:  # it goes first: what was said to us before counts no more
                 sought.round, sought.asked_ms = self._next_round(), now_ms
@@ -241,7 +241,7 @@
                 self._denied[message.job] = now_ms + self._longest_ms
                 if len(self._denied) > MOST_DENIED:
                     del self._denied[next(iter(self._denied))]
-            self.asks.append((sender, found))
+            self.lookup_messages.append((sender, found))
         else:
             self._hear(now, now_ms, sender, message)
             self._finish(now, now_ms)
@@ -251,7 +251,7 @@
         for job, sought in list(self._searches.items()):
             if now_ms - sought.asked_ms >= SEEK_AGAIN_MS:
                 sought.asked_ms = now_ms
-                self.asks.append(("", FindJob(job, sought.round)))
+                self.lookup_messages.append(("", FindJob(job, sought.round)))
                 self._hear(now, now_ms, self.replicas.name, self._know(now, job, sought.round))
                 if job not in self._searches:
                     continue
