--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -94,7 +94,7 @@
     def _renew(self, now: int) -> None:
         super()._renew(now)
         if now < self.lease_until:
-            self.lease_until = now + 2 * self.pace.lease_ns
+            self.lease_until = now + 2 * self.timing.lease_ns
 
 
 class WordBroken(Replica):
--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -115,7 +115,7 @@
             world.members[to].step(world.now, message, sender)
             world.stabilize(to)
         world.flight.clear()
-    world.now += 2 * world.members[second].pace.lease_ns
+    world.now += 2 * world.members[second].timing.lease_ns
     return world
 
 
@@ -201,7 +201,7 @@
                 frozenset(r._votes),
                 r._pre_voting,
                 max(-1, r.lease_until - world.now),
-                max(-1, r._led_at + r.pace.lease_ns - world.now),
+                max(-1, r._led_at + r.timing.lease_ns - world.now),
                 r.due() - world.now,
                 tuple((n, p.next, p.match, p.open, p.lacks) for n, p in r.peers.items()),
                 tuple((n, t.standing, t.term, t.last) for n, t in r._learn_replies.items()),
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -66,7 +66,7 @@
         name: str,
         names: Iterable[str],
         size: int,
-        pace: ReplicationTiming,
+        timing: ReplicationTiming,
         chance: random.Random,
         now: int,
         classes: Mapping[str, JobClass],
@@ -85,7 +85,7 @@
         for owner in kept_by(name, everyone, size):
             had = (kept or {}).get(owner)
             replica = Replica(
-                name, owner, group_of(owner, everyone, size), pace, random.Random(chance.random()), now, had
+                name, owner, group_of(owner, everyone, size), timing, random.Random(chance.random()), now, had
             )
             self.logs[owner] = _Log(replica, JobLogState.of(replica.kept.image))
         self._tokens = 0
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -106,12 +106,12 @@
         name: str,
         owner: str,
         group: Sequence[str],
-        pace: ReplicationTiming,
+        timing: ReplicationTiming,
         chance: random.Random,
         now: int,
         kept: PersistentState | None = None,
     ) -> None:
-        self.name, self.owner, self.pace, self.chance = name, owner, pace, chance
+        self.name, self.owner, self.timing, self.chance = name, owner, timing, chance
         self.kept = kept or PersistentState()
         self._configured = tuple(group)
         self.role, self.leader = Role.LEARNER, ""
@@ -140,8 +140,8 @@
         self._learn_replies: dict[str, LearnReply] = {}
         self._required_match = 0  # a learner without storage votes again once it holds all up to here
         self._teacher = ""
-        self._rest_until = now + pace.lease_ns  # what it promised before it forgot has run out by then
-        self._learn_at, self._trust_at = now, now + 3 * pace.heartbeat_ns
+        self._rest_until = now + timing.lease_ns  # what it promised before it forgot has run out by then
+        self._learn_at, self._trust_at = now, now + 3 * timing.heartbeat_ns
 
     # --- what others read -------------------------------------------------------------------------------
 
@@ -173,8 +173,8 @@
                 return self._learn_at
             case Role.LEADER:
                 return min(
-                    (p.sent_at + self.pace.heartbeat_ns for p in self.peers.values()),
-                    default=self._led_at + self.pace.heartbeat_ns,
+                    (p.sent_at + self.timing.heartbeat_ns for p in self.peers.values()),
+                    default=self._led_at + self.timing.heartbeat_ns,
                 )
             case _:
                 return self._ask_at
@@ -219,8 +219,8 @@
         if self.role is Role.FOLLOWER and self.leader in names:
             self._ask_at = min(
                 self._ask_at,
-                max(now, self._led_at + self.pace.lease_ns)
-                + round(self.chance.random() * self.pace.heartbeat_ns),
+                max(now, self._led_at + self.timing.lease_ns)
+                + round(self.chance.random() * self.timing.heartbeat_ns),
             )
 
     def hand_back(self, now: int) -> None:
@@ -324,17 +324,17 @@
     # --- leading ----------------------------------------------------------------------------------------
 
     def _lead(self, now: int) -> None:
-        if self._giving and now - self._given_at > self.pace.lease_ns:
+        if self._giving and now - self._given_at > self.timing.lease_ns:
             self._giving = False  # it was not taken
-        if self.peers and now - max(self.lease_until, self._led_at) > self.pace.lease_ns:
+        if self.peers and now - max(self.lease_until, self._led_at) > self.timing.lease_ns:
             self._follow(now, self.kept.term, "")  # no majority answers: what waits here must not wait on
             return
         if not self.peers:
             self._led_at = now
-            self.lease_until = now + self.pace.lease_ns
+            self.lease_until = now + self.timing.lease_ns
         for name, peer in self.peers.items():
-            if peer.sent_at + self.pace.heartbeat_ns <= now:
-                if now - peer.sent_at >= self.pace.resend * self.pace.heartbeat_ns:
+            if peer.sent_at + self.timing.heartbeat_ns <= now:
+                if now - peer.sent_at >= self.timing.resend * self.timing.heartbeat_ns:
                     peer.open = False
                 self._append(now, name, heartbeat=True)
 
@@ -410,7 +410,7 @@
         """The lease: from when the appends were sent that a majority has answered."""
         times = sorted([now, *(p.vouched for n, p in self.peers.items() if n in self.group)], reverse=True)
         if len(times) >= self._most():
-            self.lease_until = max(self.lease_until, times[self._most() - 1] + self.pace.held_ns)
+            self.lease_until = max(self.lease_until, times[self._most() - 1] + self.timing.held_ns)
 
     def _advance(self) -> None:
         """What a majority holds is committed, once an entry of this term is among it."""
@@ -508,7 +508,9 @@
         """Whether our word to a leader still holds, or we lead and others' word to us does."""
         if m.calls or self.leader in ("", sender):
             return False
-        return now < self.lease_until if self.role is Role.LEADER else now - self._led_at < self.pace.lease_ns
+        return (
+            now < self.lease_until if self.role is Role.LEADER else now - self._led_at < self.timing.lease_ns
+        )
 
     def _is_up_to_date(self, m: VoteRequest) -> bool:
         """Whether whoever asks holds all that we do: a majority of such holds all that was committed."""
@@ -557,7 +559,7 @@
 
     def _learn(self, now: int) -> None:
         """Ask all what they know, until enough is known."""
-        self._learn_at = now + self.pace.heartbeat_ns
+        self._learn_at = now + self.timing.heartbeat_ns
         self._learn_replies = {n: t for n, t in self._learn_replies.items() if n in self.group}
         if len(self.group) == 1:
             self._finish_learning(now)
@@ -680,7 +682,7 @@
 
     def _wait(self) -> int:
         """How long from now a silent leader is waited for."""
-        return self.pace.wait_ns(self.chance.random(), self.name == self.owner, len(self.group))
+        return self.timing.wait_ns(self.chance.random(), self.name == self.owner, len(self.group))
 
     # --- small things -----------------------------------------------------------------------------------
 
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -102,14 +102,14 @@
         process_id: int,
         incarnation: int,
         contacts: Iterable[str],
-        pace: MembershipTiming,
+        timing: MembershipTiming,
         chance: random.Random,
         now: int,
         address: str = "",
     ) -> None:
         self.me = MemberUpdate(name, process_id & MAX_PROCESS_ID, incarnation, address=address)
         self.contacts = frozenset(contacts) | {name}
-        self.pace, self.chance = pace, chance
+        self.timing, self.chance = timing, chance
         self.records: dict[str, Record] = {}
         self.gossip = Gossip()
         self.sends: list[tuple[str, Message]] = []
@@ -122,9 +122,9 @@
         self._order: list[str] = []
         self._doubted: set[str] = set()  # who has a suspicion
         self._there_now: list[str] | None = None  # the present ones in order, until they change
-        self._probe_at = now + round(chance.random() * pace.period_ns)
+        self._probe_at = now + round(chance.random() * timing.period_ns)
         self._reach_at = now
-        self._digest_at = now + round((1 + chance.random()) * pace.digest_periods * pace.period_ns)
+        self._digest_at = now + round((1 + chance.random()) * timing.digest_periods * timing.period_ns)
         self._outbid: dict[int, int] = {}  # another process of our name: the incarnation we answered it with
         self._answered_at = now - 1
         self._twin: int | None = None
@@ -161,7 +161,7 @@
             self._probe_at - now,
             self._reach_at - now,
             self._digest_at - now,
-            min(now - self._heard_at, self.pace.forget_ns),
+            min(now - self._heard_at, self.timing.forget_ns),
             probe
             and (probe.target, probe.ask_at - now, probe.end_at - now, probe.asked, probe.nacks, probe.acked),
             tuple(
@@ -195,7 +195,7 @@
         if self.gone:
             return
         late = now - self.due()
-        if late > self.pace.timeout_ns:
+        if late > self.timing.timeout_ns:
             self._paused(now, late)
         if message is not None:
             self._take(now, message)
@@ -211,7 +211,7 @@
         """Say that we go, in good order; nothing is said or heard after that."""
         self.me = replace(self.me, standing=MemberStatus.LEFT)
         others = self._others(())
-        for name in self.chance.sample(others, min(len(others), 2 * self.pace.helpers)):
+        for name in self.chance.sample(others, min(len(others), 2 * self.timing.helpers)):
             self._send(name, MessageKind.PING, first=(self.me,))
         self.gone = True
 
@@ -237,12 +237,12 @@
         if self._reach_at <= now:
             self._reach(now)
         if self._digest_at <= now:
-            self._digest_at = now + self._spread(self.pace.digest_periods)
+            self._digest_at = now + self._spread(self.timing.digest_periods)
             others = self._others(())
             if others:
                 self._digest(self.chance.choice(others), asks=True)
             self._forget(now)
-        if not self.deaf and now - self._heard_at > self._slow(self.pace.deaf_periods):
+        if not self.deaf and now - self._heard_at > self._slow(self.timing.deaf_periods):
             self.deaf = True
             self._tell(Change.DEAF, self.me.name, "nothing came from anybody")
             self._weigh()
@@ -253,10 +253,10 @@
             if (suspicion := self.records[name].suspicion) is not None:
                 suspicion.since += late
                 suspicion.called = False
-        self._probe, self._probe_at = None, now + round(self.chance.random() * self.pace.period_ns)
+        self._probe, self._probe_at = None, now + round(self.chance.random() * self.timing.period_ns)
         self._helps.clear()
         self._heard_at += late
-        self._worsen(1 + late // self.pace.period_ns)
+        self._worsen(1 + late // self.timing.period_ns)
         self._tell(Change.PAUSED, self.me.name, f"{late / 1e6:.0f} ms late")
 
     # --- messages in --------------------------------------------------------------------------------------
@@ -293,13 +293,13 @@
                 self._answer_digest(message)
         if (
             not record.present or record.news.process_id != sender.process_id
-        ) and now - record.warned_at >= self.pace.period_ns:
+        ) and now - record.warned_at >= self.timing.period_ns:
             # It is held dead or gone, or a process of its name with a younger clock is known: it is told, and
             # can say otherwise.  Once a period: one that never does would be asked at the network's speed.
             record.warned_at = now
             if (
                 record.news.process_id != sender.process_id
-                and now - record.lived_at > TWIN_PERIODS * self.pace.period_ns
+                and now - record.lived_at > TWIN_PERIODS * self.timing.period_ns
             ):
                 self._twins(record)  # what one that ended had sent has arrived by now
             self._send(sender.name, MessageKind.PING, first=(record.news,))
@@ -344,8 +344,8 @@
         if message.target not in self.records or len(self._helps) >= MOST_HELPS:
             return
         seq = self._next_seq()
-        nack_at = now + self.pace.timeout_ns * 4 // 5
-        until = now + 2 * self.pace.period_ns
+        nack_at = now + self.timing.timeout_ns * 4 // 5
+        until = now + 2 * self.timing.period_ns
         self._helps[seq] = Help(message.target, message.sender.name, message.seq, nack_at, until)
         self._send(message.target, MessageKind.PING, seq)
 
@@ -358,7 +358,7 @@
             return
         record = self.records.get(news.name)
         if record is None:
-            if len(self.records) < self.pace.most_members:
+            if len(self.records) < self.timing.most_members:
                 self._first(now, news)
             return
         old, suspicion = record.news, record.suspicion
@@ -367,13 +367,13 @@
             and suspicion is not None
             and (news.process_id, news.incarnation) == (old.process_id, old.incarnation)
         ):
-            if news.by not in suspicion.accusers and len(suspicion.accusers) <= self.pace.confirmers:
+            if news.by not in suspicion.accusers and len(suspicion.accusers) <= self.timing.confirmers:
                 suspicion.accusers.add(news.by)
                 self.gossip.put(news)
             return
         if not news.beats(old):
             return
-        just = self.pace.suspicion_ns(self._size(), self.pace.confirmers, 0)
+        just = self.timing.suspicion_ns(self._size(), self.timing.confirmers, 0)
         if (
             news.standing is MemberStatus.DEAD
             and news.process_id == old.process_id
@@ -389,7 +389,7 @@
 
     def _first(self, now: int, news: MemberUpdate) -> None:
         """Somebody who was not known."""
-        record = Record(news, now - self.pace.forget_ns, now, now - self.pace.period_ns, now)
+        record = Record(news, now - self.timing.forget_ns, now, now - self.timing.period_ns, now)
         self.records[news.name] = record
         if news.standing is MemberStatus.SUSPECT:
             record.suspicion = MemberSuspicion(now, {news.by})
@@ -435,7 +435,7 @@
         elif news.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
             self._tell(Change.SUSPECTED, news.name, f"by {news.by}")
             # So many of all ask it next, out of turn: it hears of the suspicion, and three confirm it soon.
-            if self.chance.random() * len(self.records) < 2 * self.pace.confirmers:
+            if self.chance.random() * len(self.records) < 2 * self.timing.confirmers:
                 self._order.append(news.name)
         elif news.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
             self._tell(Change.CLEARED, news.name, f"incarnation {news.incarnation}")
@@ -459,7 +459,7 @@
                 self._tell(
                     Change.TWIN, self.me.name, f"another process, life {news.process_id:08x}, has our name"
                 )
-            if self._twin is not None and now - self._answered_at < self._slow(self.pace.digest_periods):
+            if self._twin is not None and now - self._answered_at < self._slow(self.timing.digest_periods):
                 return  # two that outbid each other at once would fill the network with it
             self._outbid[news.process_id] = news.incarnation + 1
             if len(self._outbid) > MAX_PROCESS_IDS:
@@ -472,7 +472,7 @@
         if news.standing is not MemberStatus.ALIVE:
             self._tell(Change.REFUTED, self.me.name, f"{news.standing.name.lower()} by {news.by or 'others'}")
         others = self._others((news.by,))
-        reported = self.chance.sample(others, min(len(others), self.pace.helpers))
+        reported = self.chance.sample(others, min(len(others), self.timing.helpers))
         for name in [*([news.by] if news.by in self.records else []), *reported]:
             self._send(name, MessageKind.PING, first=(self.me,))
 
@@ -497,7 +497,7 @@
         if probe.acked:
             return
         others = self._others((probe.target,))
-        for name in self.chance.sample(others, min(len(others), self.pace.helpers)):
+        for name in self.chance.sample(others, min(len(others), self.timing.helpers)):
             self._send(name, MessageKind.ASK, probe.seq, probe.target)
             probe.asked += 1
         self._send(probe.target, MessageKind.PING, probe.seq)
@@ -524,7 +524,7 @@
         if suspicion.called:
             return suspicion.since
         confirmed = len(suspicion.accusers) - 1
-        return suspicion.since + self.pace.suspicion_ns(self._size(), confirmed, self.health)
+        return suspicion.since + self.timing.suspicion_ns(self._size(), confirmed, self.health)
 
     def _expire(self, now: int, name: str, record: Record, suspicion: MemberSuspicion) -> None:
         """A suspicion has run out: it is called once more, by us and by helpers, and then it is dead."""
@@ -533,10 +533,10 @@
                 suspicion.since, suspicion.heard_at = now, -1
                 self._send(name, MessageKind.PING)
                 return
-            suspicion.called, suspicion.since = True, now + 2 * self.pace.timeout_ns
+            suspicion.called, suspicion.since = True, now + 2 * self.timing.timeout_ns
             self._send(name, MessageKind.PING, self._next_seq())
             others = self._others((name,))
-            for other in self.chance.sample(others, min(len(others), self.pace.helpers)):
+            for other in self.chance.sample(others, min(len(others), self.timing.helpers)):
                 self._send(other, MessageKind.ASK, self._next_seq(), name)
         elif suspicion.heard_at >= 0:
             suspicion.called, suspicion.since, suspicion.heard_at = False, now, -1
@@ -554,8 +554,8 @@
             {n for n in self.contacts if n != self.me.name and not self._there(n)}
             | {n for n, r in self.records.items() if r.news.standing is MemberStatus.DEAD}
         )
-        calls = max(1, len(absent) // self.pace.reach_part) if self.joined else JOIN_CALLS
-        self._reach_at = now + self._spread(self.pace.reach_periods if self.joined else 1.0)
+        calls = max(1, len(absent) // self.timing.reach_part) if self.joined else JOIN_CALLS
+        self._reach_at = now + self._spread(self.timing.reach_periods if self.joined else 1.0)
         for name in self.chance.sample(absent, min(len(absent), calls)):
             self._digest(name, asks=True)
 
@@ -594,7 +594,7 @@
         for _ in range(MOST_PAGES):
             if not news:
                 break
-            page, capacity = [], self.pace.capacity - message_bytes(empty)
+            page, capacity = [], self.timing.capacity - message_bytes(empty)
             while news and news_bytes(news[-1]) <= capacity:
                 capacity -= news_bytes(news[-1])
                 page.append(news.pop())
@@ -617,17 +617,17 @@
 
     def _slow(self, periods: float) -> int:
         """So many periods, longer for one that distrusts itself."""
-        return round(periods * self.pace.period_ns * (1 + self.health))
+        return round(periods * self.timing.period_ns * (1 + self.health))
 
     def _slow_timeout(self) -> int:
-        return self.pace.timeout_ns * (1 + self.health)
+        return self.timing.timeout_ns * (1 + self.health)
 
     def _spread(self, periods: float) -> int:
         """So many periods, give or take a quarter: what all do at once, they do not do at once for long."""
-        return round(periods * self.pace.period_ns * (0.75 + 0.5 * self.chance.random()))
+        return round(periods * self.timing.period_ns * (0.75 + 0.5 * self.chance.random()))
 
     def _worsen(self, by: int) -> None:
-        self.health = min(self.pace.max_health_score, self.health + by)
+        self.health = min(self.timing.max_health_score, self.health + by)
 
     def _message(
         self,
@@ -653,14 +653,14 @@
         if record is not None and record.news.standing is not MemberStatus.ALIVE and not record.private:
             first = (record.news, *first)
         message = self._message(kind, seq, target, (), hashes)
-        capacity = self.pace.capacity - message_bytes(message)
+        capacity = self.timing.capacity - message_bytes(message)
         self.sends.append(
             (name, replace(message, news=self.gossip.pick(capacity, len(self.records) + 1, first)))
         )
 
     def _forget(self, now: int) -> None:
         for name in [
-            n for n, r in self.records.items() if not r.present and now - r.changed_at > self.pace.forget_ns
+            n for n, r in self.records.items() if not r.present and now - r.changed_at > self.timing.forget_ns
         ]:
             del self.records[name]
             self.gossip.drop(name)
