--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -67,7 +67,7 @@
         names: Iterable[str],
         size: int,
         timing: ReplicationTiming,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
         classes: Mapping[str, JobClass],
         kept: Mapping[str, PersistentState] | None = None,
@@ -85,7 +85,7 @@
         for owner in kept_by(name, everyone, size):
             had = (kept or {}).get(owner)
             replica = Replica(
-                name, owner, group_of(owner, everyone, size), timing, random.Random(chance.random()), now, had
+                name, owner, group_of(owner, everyone, size), timing, random.Random(rng.random()), now, had
             )
             self.logs[owner] = _Log(replica, JobLogState.of(replica.kept.image))
         self._tokens = 0
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -107,11 +107,11 @@
         owner: str,
         group: Sequence[str],
         timing: ReplicationTiming,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
         kept: PersistentState | None = None,
     ) -> None:
-        self.name, self.owner, self.timing, self.chance = name, owner, timing, chance
+        self.name, self.owner, self.timing, self.rng = name, owner, timing, rng
         self.kept = kept or PersistentState()
         self._configured = tuple(group)
         self.role, self.leader = Role.LEARNER, ""
@@ -136,7 +136,7 @@
         self._storage_trusted = self.kept.starts > 0
         self.kept.starts += 1
         self.stores.append(Store(meta=True))
-        self._nonce = chance.randrange(1, 1 << 53)
+        self._nonce = rng.randrange(1, 1 << 53)
         self._learn_replies: dict[str, LearnReply] = {}
         self._required_match = 0  # a learner without storage votes again once it holds all up to here
         self._teacher = ""
@@ -220,7 +220,7 @@
             self._ask_at = min(
                 self._ask_at,
                 max(now, self._led_at + self.timing.lease_ns)
-                + round(self.chance.random() * self.timing.heartbeat_ns),
+                + round(self.rng.random() * self.timing.heartbeat_ns),
             )
 
     def hand_back(self, now: int) -> None:
@@ -682,7 +682,7 @@
 
     def _wait(self) -> int:
         """How long from now a silent leader is waited for."""
-        return self.timing.wait_ns(self.chance.random(), self.name == self.owner, len(self.group))
+        return self.timing.wait_ns(self.rng.random(), self.name == self.owner, len(self.group))
 
     # --- small things -----------------------------------------------------------------------------------
 
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -103,13 +103,13 @@
         incarnation: int,
         contacts: Iterable[str],
         timing: MembershipTiming,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
         address: str = "",
     ) -> None:
         self.me = MemberUpdate(name, process_id & MAX_PROCESS_ID, incarnation, address=address)
         self.contacts = frozenset(contacts) | {name}
-        self.timing, self.chance = timing, chance
+        self.timing, self.rng = timing, rng
         self.records: dict[str, Record] = {}
         self.gossip = Gossip()
         self.sends: list[tuple[str, Message]] = []
@@ -122,9 +122,9 @@
         self._order: list[str] = []
         self._doubted: set[str] = set()  # who has a suspicion
         self._there_now: list[str] | None = None  # the present ones in order, until they change
-        self._probe_at = now + round(chance.random() * timing.period_ns)
+        self._probe_at = now + round(rng.random() * timing.period_ns)
         self._reach_at = now
-        self._digest_at = now + round((1 + chance.random()) * timing.digest_periods * timing.period_ns)
+        self._digest_at = now + round((1 + rng.random()) * timing.digest_periods * timing.period_ns)
         self._outbid: dict[int, int] = {}  # another process of our name: the incarnation we answered it with
         self._answered_at = now - 1
         self._twin: int | None = None
@@ -211,7 +211,7 @@
         """Say that we go, in good order; nothing is said or heard after that."""
         self.me = replace(self.me, standing=MemberStatus.LEFT)
         others = self._others(())
-        for name in self.chance.sample(others, min(len(others), 2 * self.timing.helpers)):
+        for name in self.rng.sample(others, min(len(others), 2 * self.timing.helpers)):
             self._send(name, MessageKind.PING, first=(self.me,))
         self.gone = True
 
@@ -240,7 +240,7 @@
             self._digest_at = now + self._spread(self.timing.digest_periods)
             others = self._others(())
             if others:
-                self._digest(self.chance.choice(others), asks=True)
+                self._digest(self.rng.choice(others), asks=True)
             self._forget(now)
         if not self.deaf and now - self._heard_at > self._slow(self.timing.deaf_periods):
             self.deaf = True
@@ -253,7 +253,7 @@
             if (suspicion := self.records[name].suspicion) is not None:
                 suspicion.since += late
                 suspicion.called = False
-        self._probe, self._probe_at = None, now + round(self.chance.random() * self.timing.period_ns)
+        self._probe, self._probe_at = None, now + round(self.rng.random() * self.timing.period_ns)
         self._helps.clear()
         self._heard_at += late
         self._worsen(1 + late // self.timing.period_ns)
@@ -396,7 +396,7 @@
             self._doubted.add(news.name)
         self._there_now = None
         if record.present:
-            self._order.insert(self.chance.randrange(len(self._order) + 1), news.name)
+            self._order.insert(self.rng.randrange(len(self._order) + 1), news.name)
             self.gossip.put(news)
             self._view(Change.JOINED, news.name, "first heard of")
 
@@ -425,7 +425,7 @@
                 -MAX_PROCESS_IDS:
             ]
         if record.present and not was_there:
-            self._order.insert(self.chance.randrange(len(self._order) + 1), news.name)
+            self._order.insert(self.rng.randrange(len(self._order) + 1), news.name)
             self._view(Change.JOINED, news.name, f"incarnation {news.incarnation}")
         elif was_there and not record.present:
             change = Change.DIED if news.standing is MemberStatus.DEAD else Change.LEFT
@@ -435,7 +435,7 @@
         elif news.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
             self._tell(Change.SUSPECTED, news.name, f"by {news.by}")
             # So many of all ask it next, out of turn: it hears of the suspicion, and three confirm it soon.
-            if self.chance.random() * len(self.records) < 2 * self.timing.confirmers:
+            if self.rng.random() * len(self.records) < 2 * self.timing.confirmers:
                 self._order.append(news.name)
         elif news.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
             self._tell(Change.CLEARED, news.name, f"incarnation {news.incarnation}")
@@ -472,7 +472,7 @@
         if news.standing is not MemberStatus.ALIVE:
             self._tell(Change.REFUTED, self.me.name, f"{news.standing.name.lower()} by {news.by or 'others'}")
         others = self._others((news.by,))
-        reported = self.chance.sample(others, min(len(others), self.timing.helpers))
+        reported = self.rng.sample(others, min(len(others), self.timing.helpers))
         for name in [*([news.by] if news.by in self.records else []), *reported]:
             self._send(name, MessageKind.PING, first=(self.me,))
 
@@ -485,7 +485,7 @@
             return
         while True:
             if not self._order:
-                self._order = self.chance.sample(others, len(others))
+                self._order = self.rng.sample(others, len(others))
             target = self._order.pop()
             if target in self.records and self.records[target].present:
                 break
@@ -497,7 +497,7 @@
         if probe.acked:
             return
         others = self._others((probe.target,))
-        for name in self.chance.sample(others, min(len(others), self.timing.helpers)):
+        for name in self.rng.sample(others, min(len(others), self.timing.helpers)):
             self._send(name, MessageKind.ASK, probe.seq, probe.target)
             probe.asked += 1
         self._send(probe.target, MessageKind.PING, probe.seq)
@@ -536,7 +536,7 @@
             suspicion.called, suspicion.since = True, now + 2 * self.timing.timeout_ns
             self._send(name, MessageKind.PING, self._next_seq())
             others = self._others((name,))
-            for other in self.chance.sample(others, min(len(others), self.timing.helpers)):
+            for other in self.rng.sample(others, min(len(others), self.timing.helpers)):
                 self._send(other, MessageKind.ASK, self._next_seq(), name)
         elif suspicion.heard_at >= 0:
             suspicion.called, suspicion.since, suspicion.heard_at = False, now, -1
@@ -556,7 +556,7 @@
         )
         calls = max(1, len(absent) // self.timing.reach_part) if self.joined else JOIN_CALLS
         self._reach_at = now + self._spread(self.timing.reach_periods if self.joined else 1.0)
-        for name in self.chance.sample(absent, min(len(absent), calls)):
+        for name in self.rng.sample(absent, min(len(absent), calls)):
             self._digest(name, asks=True)
 
     def _there(self, name: str) -> bool:
@@ -624,7 +624,7 @@
 
     def _spread(self, periods: float) -> int:
         """So many periods, give or take a quarter: what all do at once, they do not do at once for long."""
-        return round(periods * self.timing.period_ns * (0.75 + 0.5 * self.chance.random()))
+        return round(periods * self.timing.period_ns * (0.75 + 0.5 * self.rng.random()))
 
     def _worsen(self, by: int) -> None:
         self.health = min(self.timing.max_health_score, self.health + by)
