--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -15,8 +15,8 @@
 from hollowusher.balancing.interface import Effect, Group, JobClass
 from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.rules.log_replication.job_replication import (
-    ReplicationAction,
     JobReplication,
+    ReplicationAction,
     ReplicationInstruction,
 )
 from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -11,9 +11,9 @@
 from hollowusher.scheduler.emulator.job_replication import JobReplicationNetwork, S
 from hollowusher.scheduler.emulator.log_replication import ReplicationNetwork, RuleBroken, storm
 from hollowusher.scheduler.rules.log_replication.job_replication import (
-    ReplicationAction,
     FindJob,
     JobReplication,
+    ReplicationAction,
     ReplicationInstruction,
 )
 from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
