--- a/hollowusher/scheduler/emulator/membership_check.py
+++ b/hollowusher/scheduler/emulator/membership_check.py
@@ -116,7 +116,7 @@
     def sees(self, of: SwimMember) -> bool:
         """Whether a member sees all that run, and as the processes that they are."""
         process_ids = {n: m.me.process_id for n, m in self.members.items() if n != of.me.name}
-        return {n: r.news.process_id for n, r in of.records.items() if r.present} == process_ids
+        return {n: r.update.process_id for n, r in of.records.items() if r.present} == process_ids
 
 
 def member(
@@ -139,7 +139,7 @@
     state = trio(kind)
     of = state.members["a"].records["b"]
     of.heard_at -= of.heard_at + MembershipTiming().forget_ns
-    news = MemberUpdate("b", of.news.process_id, of.news.incarnation, standing, "c")
+    news = MemberUpdate("b", of.update.process_id, of.update.incarnation, standing, "c")
     state.step("a", Message(MessageKind.PAGE, state.members["c"].me, news=(news,)))
     return state
 
--- a/hollowusher/scheduler/net/membership/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -91,9 +91,9 @@
         member, now = self.member, time.monotonic_ns()
         rows = {
             name: {
-                "standing": r.news.standing.name.lower(),
-                "incarnation": r.news.incarnation,
-                "life": f"{r.news.process_id:08x}",
+                "standing": r.update.standing.name.lower(),
+                "incarnation": r.update.incarnation,
+                "life": f"{r.update.process_id:08x}",
                 "heard_s": round((now - r.heard_at) / 1e9, 2),
                 "accusers": sorted(r.suspicion.accusers) if r.suspicion is not None else [],
             }
@@ -176,7 +176,7 @@
         if name in self._peers:
             return self._peers[name]
         record = self.member.records.get(name)
-        host, _, port = record.news.address.rpartition(":") if record is not None else ("", "", "")
+        host, _, port = record.update.address.rpartition(":") if record is not None else ("", "", "")
         with contextlib.suppress(OSError, ValueError):  # what a member says of itself may be anything
             socket.inet_pton(socket.AF_INET, host)
             if 0 < int(port) < 65_536:
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -50,7 +50,7 @@
 class Record:
     """What is known of one member."""
 
-    news: MemberUpdate
+    update: MemberUpdate
     heard_at: int  # when it was heard itself, last
     changed_at: int
     warned_at: int  # when it was told that it is held dead, or outdated
@@ -168,7 +168,7 @@
                 sorted(
                     (
                         n,
-                        r.news,
+                        r.update,
                         r.private,
                         now - r.heard_at,
                         r.suspicion
@@ -277,7 +277,7 @@
         record = self.records.get(sender.name)
         if record is None:
             return
-        if record.news.process_id == sender.process_id:
+        if record.update.process_id == sender.process_id:
             self._alive(now, record)
         match message.kind:
             case MessageKind.PING:
@@ -292,17 +292,17 @@
             case MessageKind.DIGEST:
                 self._answer_digest(message)
         if (
-            not record.present or record.news.process_id != sender.process_id
+            not record.present or record.update.process_id != sender.process_id
         ) and now - record.warned_at >= self.timing.period_ns:
             # It is held dead or gone, or a process of its name with a younger clock is known: it is told, and
             # can say otherwise.  Once a period: one that never does would be asked at the network's speed.
             record.warned_at = now
             if (
-                record.news.process_id != sender.process_id
+                record.update.process_id != sender.process_id
                 and now - record.lived_at > TWIN_PERIODS * self.timing.period_ns
             ):
                 self._twins(record)  # what one that ended had sent has arrived by now
-            self._send(sender.name, MessageKind.PING, first=(record.news,))
+            self._send(sender.name, MessageKind.PING, first=(record.update,))
 
     def _hears(self, now: int, name: str) -> None:
         """Someone is heard again, or for the first time: what was judged meanwhile is taken back."""
@@ -313,7 +313,7 @@
                 self._doubted.discard(other)
                 if not record.present:
                     self._tell(Change.JOINED, other, "judged while we heard nobody")
-                record.news = replace(record.news, standing=MemberStatus.ALIVE, by="")
+                record.update = replace(record.update, standing=MemberStatus.ALIVE, by="")
         self._there_now = None
         self._tell(Change.HEARING, self.me.name, f"{name} is heard")
         self.joined = True
@@ -361,7 +361,7 @@
             if len(self.records) < self.timing.most_members:
                 self._first(now, news)
             return
-        old, suspicion = record.news, record.suspicion
+        old, suspicion = record.update, record.suspicion
         if (
             news.standing is MemberStatus.SUSPECT
             and suspicion is not None
@@ -402,8 +402,8 @@
 
     def _update_record(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
         """What is known of a member changes."""
-        old, was_there = record.news, record.present
-        record.news = news = replace(news, address=news.address or old.address)
+        old, was_there = record.update, record.present
+        record.update = news = replace(news, address=news.address or old.address)
         record.changed_at, record.private = now, private
         if news.standing is MemberStatus.SUSPECT:
             record.suspicion = record.suspicion if news.incarnation == old.incarnation else None
@@ -443,7 +443,7 @@
     def _twins(self, record: Record) -> None:
         if not record.twin:
             record.twin = True
-            self._tell(Change.TWIN, record.news.name, "two processes speak under this name")
+            self._tell(Change.TWIN, record.update.name, "two processes speak under this name")
 
     def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
         """Something is said of our own name: we are here, and say so with a higher incarnation."""
@@ -512,9 +512,9 @@
         if record is None or not record.present:
             return
         if record.suspicion is not None:  # our own word among those that confirm it
-            self._apply_update(now, replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name))
+            self._apply_update(now, replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
-        news = replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
+        news = replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
         self._update_record(now, record, news, private=self.deaf)
 
     def _ends(self, record: Record) -> int:
@@ -543,7 +543,7 @@
         else:
             by = self.me.name
             self._update_record(
-                now, record, replace(record.news, standing=MemberStatus.DEAD, by=by), private=self.deaf
+                now, record, replace(record.update, standing=MemberStatus.DEAD, by=by), private=self.deaf
             )
 
     # --- digests ------------------------------------------------------------------------------------------
@@ -552,7 +552,7 @@
         """Call at names that are not there: to join, and so that halves that were apart find each other."""
         absent = sorted(
             {n for n in self.contacts if n != self.me.name and not self._there(n)}
-            | {n for n, r in self.records.items() if r.news.standing is MemberStatus.DEAD}
+            | {n for n, r in self.records.items() if r.update.standing is MemberStatus.DEAD}
         )
         calls = max(1, len(absent) // self.timing.reach_part) if self.joined else JOIN_CALLS
         self._reach_at = now + self._spread(self.timing.reach_periods if self.joined else 1.0)
@@ -566,7 +566,7 @@
     def hashes(self) -> tuple[int, ...]:
         """What is held of all who are there, in parts; the same at two members that hold the same."""
         parts = [0] * BUCKETS
-        for news in [self.me, *(r.news for r in self.records.values() if r.present)]:
+        for news in [self.me, *(r.update for r in self.records.values() if r.present)]:
             said = f"{news.name}/{news.process_id}/{news.incarnation}"
             parts[self._bucket(news.name)] ^= zlib.crc32(said.encode())
         return tuple(parts)
@@ -586,7 +586,7 @@
         if message.seq:
             self._digest(message.sender.name, asks=False)
         news = [
-            r.news
+            r.update
             for n, r in self.records.items()
             if self._bucket(n) in differ and not r.private and n != message.sender.name
         ]
@@ -650,8 +650,8 @@
     ) -> None:
         """A message with as much news as fits; what its receiver must hear of itself goes first."""
         record = self.records.get(name)
-        if record is not None and record.news.standing is not MemberStatus.ALIVE and not record.private:
-            first = (record.news, *first)
+        if record is not None and record.update.standing is not MemberStatus.ALIVE and not record.private:
+            first = (record.update, *first)
         message = self._message(kind, seq, target, (), hashes)
         capacity = self.timing.capacity - message_bytes(message)
         self.sends.append(
--- a/tests/scheduler/test_membership_check.py
+++ b/tests/scheduler/test_membership_check.py
@@ -46,7 +46,7 @@
     """Once dead is dead for good."""
 
     def _update_record(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
-        if record.news.standing is not MemberStatus.DEAD:
+        if record.update.standing is not MemberStatus.DEAD:
             super()._update_record(now, record, news, private)
 
 
@@ -58,7 +58,7 @@
         if (
             record is not None
             and news.standing is MemberStatus.ALIVE
-            and record.news.standing is MemberStatus.DEAD
+            and record.update.standing is MemberStatus.DEAD
         ):
             return
         super()._apply_update(now, news)
