--- a/hollowusher/scheduler/emulator/faults/virtual.py
+++ b/hollowusher/scheduler/emulator/faults/virtual.py
@@ -97,7 +97,7 @@
             case "rename":
                 peer = net.processes[name].peer
                 if isinstance(peer, SwimMember):
-                    peer.rename(net.now, fault.to)
+                    peer.set_contacts(net.now, fault.to)
 
     def _starve(self, name: str, share: float, until_s: float) -> None:
         if self.net.now < until_s * NS:
--- a/hollowusher/scheduler/net/membership/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -115,7 +115,7 @@
     def follow(self, config: PeersConfig) -> None:
         """Other names or addresses are configured from now on; our own place stays what it was."""
         self._peers = dict(config.peers)
-        self.member.rename(time.monotonic_ns(), self._peers)
+        self.member.set_contacts(time.monotonic_ns(), self._peers)
         self._step(None)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -201,7 +201,7 @@
             self._take(now, message)
         self._run(now)
 
-    def rename(self, now: int, contacts: Iterable[str]) -> None:
+    def set_contacts(self, now: int, contacts: Iterable[str]) -> None:
         """Other names are configured from now on: who is there stays, the majority is of the new ones."""
         self.contacts = frozenset(contacts) | {self.me.name}
         self._reach_at = now
--- a/tests/scheduler/test_membership.py
+++ b/tests/scheduler/test_membership.py
@@ -149,7 +149,7 @@
         play.run(play.now + 5 * S)
         self.assertEqual(play.reported(Change.DIED), [])
         self.assertEqual({who for _, who, t in play.reported(Change.LEFT)}, set(names(6)))
-        member(play, "n0").rename(play.now, ["n0", *(f"m{i}" for i in range(9))])
+        member(play, "n0").set_contacts(play.now, ["n0", *(f"m{i}" for i in range(9))])
         self.assertTrue(member(play, "n0").minority)
 
     def test_numbers_of_views_never_fall(self) -> None:
