--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -56,7 +56,7 @@
     warned_at: int  # when it was told that it is held dead, or outdated
     lived_at: int  # since when this process of it is known
     twin: bool = False  # two processes of it were told of
-    private: bool = False  # judged while we heard nobody: not told, and taken back once we hear
+    tentative: bool = False  # judged while we heard nobody: not told, and taken back once we hear
     suspicion: MemberSuspicion | None = None
     process_ids: list[int] = field(default_factory=list)  # earlier ones
 
@@ -169,7 +169,7 @@
                     (
                         n,
                         r.update,
-                        r.private,
+                        r.tentative,
                         now - r.heard_at,
                         r.suspicion
                         and (
@@ -308,8 +308,8 @@
         """Someone is heard again, or for the first time: what was judged meanwhile is taken back."""
         self.deaf = False
         for other, record in self.records.items():
-            if record.private:
-                record.private, record.suspicion = False, None
+            if record.tentative:
+                record.tentative, record.suspicion = False, None
                 self._doubted.discard(other)
                 if not record.present:
                     self._tell(Change.JOINED, other, "judged while we heard nobody")
@@ -377,7 +377,7 @@
         if (
             news.standing is MemberStatus.DEAD
             and news.process_id == old.process_id
-            and not record.private
+            and not record.tentative
             and now - record.heard_at < just
         ):
             # We heard it itself a moment ago: so it is not reached by some, which it gets to know and answer.
@@ -400,11 +400,11 @@
             self.gossip.put(news)
             self._view(Change.JOINED, news.name, "first heard of")
 
-    def _update_record(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
+    def _update_record(self, now: int, record: Record, news: MemberUpdate, tentative: bool = False) -> None:
         """What is known of a member changes."""
         old, was_there = record.update, record.present
         record.update = news = replace(news, address=news.address or old.address)
-        record.changed_at, record.private = now, private
+        record.changed_at, record.tentative = now, tentative
         if news.standing is MemberStatus.SUSPECT:
             record.suspicion = record.suspicion if news.incarnation == old.incarnation else None
             record.suspicion = record.suspicion or MemberSuspicion(now, {news.by})
@@ -413,7 +413,7 @@
             record.suspicion = None
             self._doubted.discard(news.name)
         self._there_now = None
-        if private:
+        if tentative:
             self.gossip.drop(news.name)
         else:
             self.gossip.put(news)
@@ -515,7 +515,7 @@
             self._apply_update(now, replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
         news = replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
-        self._update_record(now, record, news, private=self.deaf)
+        self._update_record(now, record, news, tentative=self.deaf)
 
     def _ends(self, record: Record) -> int:
         """When a suspicion runs out; one that has been called has a moment more."""
@@ -543,7 +543,7 @@
         else:
             by = self.me.name
             self._update_record(
-                now, record, replace(record.update, standing=MemberStatus.DEAD, by=by), private=self.deaf
+                now, record, replace(record.update, standing=MemberStatus.DEAD, by=by), tentative=self.deaf
             )
 
     # --- digests ------------------------------------------------------------------------------------------
@@ -588,7 +588,7 @@
         news = [
             r.update
             for n, r in self.records.items()
-            if self._bucket(n) in differ and not r.private and n != message.sender.name
+            if self._bucket(n) in differ and not r.tentative and n != message.sender.name
         ]
         empty = self._message(MessageKind.PAGE, 0, "", (), ())
         for _ in range(MOST_PAGES):
@@ -650,7 +650,7 @@
     ) -> None:
         """A message with as much news as fits; what its receiver must hear of itself goes first."""
         record = self.records.get(name)
-        if record is not None and record.update.standing is not MemberStatus.ALIVE and not record.private:
+        if record is not None and record.update.standing is not MemberStatus.ALIVE and not record.tentative:
             first = (record.update, *first)
         message = self._message(kind, seq, target, (), hashes)
         capacity = self.timing.capacity - message_bytes(message)
--- a/tests/scheduler/test_membership.py
+++ b/tests/scheduler/test_membership.py
@@ -222,7 +222,7 @@
         self.assertEqual(self.said(MemberStatus.SUSPECT) | self.said(MemberStatus.DEAD), set())
         self.hear("n1")
         self.assertEqual(self.one.present(), names(3))
-        self.assertFalse([r for r in self.one.records.values() if r.private or r.suspicion])
+        self.assertFalse([r for r in self.one.records.values() if r.tentative or r.suspicion])
 
     def test_a_death_of_one_that_was_just_heard_is_a_suspicion_and_it_is_asked_next(self) -> None:
         sent = self.hear("n1", MessageKind.PAGE, MemberUpdate("n2", 5, 9, MemberStatus.DEAD, "n1"))
--- a/tests/scheduler/test_membership_check.py
+++ b/tests/scheduler/test_membership_check.py
@@ -45,9 +45,9 @@
 class Final(SwimMember):
     """Once dead is dead for good."""
 
-    def _update_record(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
+    def _update_record(self, now: int, record: Record, news: MemberUpdate, tentative: bool = False) -> None:
         if record.update.standing is not MemberStatus.DEAD:
-            super()._update_record(now, record, news, private)
+            super()._update_record(now, record, news, tentative)
 
 
 class Spiteful(SwimMember):
