--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -119,7 +119,7 @@
         self._heard_at = now
         self._probe: MemberProbe | None = None
         self._helps: dict[int, Help] = {}
-        self._order: list[str] = []
+        self._probe_order: list[str] = []
         self._doubted: set[str] = set()  # who has a suspicion
         self._there_now: list[str] | None = None  # the present ones in order, until they change
         self._probe_at = now + round(rng.random() * timing.period_ns)
@@ -183,7 +183,7 @@
                 )
             ),
             tuple((h.target, h.origin, h.nack_at - now) for h in self._helps.values()),
-            tuple(self._order),
+            tuple(self._probe_order),
             self.gossip.frozen(),
             tuple(self._outbid.items()),
         )
@@ -396,7 +396,7 @@
             self._doubted.add(news.name)
         self._there_now = None
         if record.present:
-            self._order.insert(self.rng.randrange(len(self._order) + 1), news.name)
+            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), news.name)
             self.gossip.put(news)
             self._view(Change.JOINED, news.name, "first heard of")
 
@@ -425,7 +425,7 @@
                 -MAX_PROCESS_IDS:
             ]
         if record.present and not was_there:
-            self._order.insert(self.rng.randrange(len(self._order) + 1), news.name)
+            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), news.name)
             self._view(Change.JOINED, news.name, f"incarnation {news.incarnation}")
         elif was_there and not record.present:
             change = Change.DIED if news.standing is MemberStatus.DEAD else Change.LEFT
@@ -436,7 +436,7 @@
             self._tell(Change.SUSPECTED, news.name, f"by {news.by}")
             # So many of all ask it next, out of turn: it hears of the suspicion, and three confirm it soon.
             if self.rng.random() * len(self.records) < 2 * self.timing.confirmers:
-                self._order.append(news.name)
+                self._probe_order.append(news.name)
         elif news.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
             self._tell(Change.CLEARED, news.name, f"incarnation {news.incarnation}")
 
@@ -484,9 +484,9 @@
         if not others:
             return
         while True:
-            if not self._order:
-                self._order = self.rng.sample(others, len(others))
-            target = self._order.pop()
+            if not self._probe_order:
+                self._probe_order = self.rng.sample(others, len(others))
+            target = self._probe_order.pop()
             if target in self.records and self.records[target].present:
                 break
         self._probe = MemberProbe(target, self._next_seq(), now + self._slow_timeout(), now + self._slow(1.0))
--- a/tests/scheduler/test_membership.py
+++ b/tests/scheduler/test_membership.py
@@ -230,7 +230,7 @@
             [n for n, m in sent if m.news and m.news[0].standing is MemberStatus.SUSPECT], ["n2"]
         )
         self.assertIn("n2", self.one.present())
-        self.assertEqual(self.one._order[-1], "n2")
+        self.assertEqual(self.one._probe_order[-1], "n2")
 
     def test_one_that_never_says_otherwise_is_reported_once_a_period(self) -> None:
         self.now += 9 * S
