--- a/hollowusher/scheduler/rules/membership/codec.py
+++ b/hollowusher/scheduler/rules/membership/codec.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from hollowusher.scheduler.rules.membership.messages import HEAD_BYTES, MOST_DATAGRAM, Message
+from hollowusher.scheduler.rules.membership.messages import HEAD_BYTES, MAX_DATAGRAM_BYTES, Message
 
 MAGIC, VERSION = b"hu", 1
 MOST_NEWS, MOST_HASHES = 64, 64
@@ -22,7 +22,7 @@
 class DatagramCodec:
     """For one cluster.  `bad` counts what came and was skipped, by reason."""
 
-    def __init__(self, cluster: str, capacity: int = MOST_DATAGRAM) -> None:
+    def __init__(self, cluster: str, capacity: int = MAX_DATAGRAM_BYTES) -> None:
         self._cluster = xxhash.xxh32_intdigest(cluster.encode())
         self._capacity = capacity
         self._decoder = msgspec.msgpack.Decoder(Message)
--- a/hollowusher/scheduler/rules/membership/messages.py
+++ b/hollowusher/scheduler/rules/membership/messages.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 MOST_NAME = 32  # bytes of a name, and of an address
-MOST_DATAGRAM = 256  # bytes, as the platform allows between schedulers
+MAX_DATAGRAM_BYTES = 256  # bytes, as the platform allows between schedulers
 MAX_PROCESS_ID = 2**32 - 1
 MOST_INCARNATION = 2**53  # seconds of the wall clock at the start, and one more for each answer to an accuser
 
--- a/tests/scheduler/test_membership.py
+++ b/tests/scheduler/test_membership.py
@@ -14,7 +14,7 @@
 from hollowusher.scheduler.rules.membership.events import Change
 from hollowusher.scheduler.rules.membership.member import SwimMember
 from hollowusher.scheduler.rules.membership.messages import (
-    MOST_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     MemberStatus,
     MemberUpdate,
     Message,
@@ -284,7 +284,7 @@
             process.peer.step(play.now + 5 * S)
             for _, message in process.peer.sends:
                 longest = max(longest, len(codec.encode(message)))
-        self.assertLessEqual(longest, MOST_DATAGRAM)
+        self.assertLessEqual(longest, MAX_DATAGRAM_BYTES)
         self.assertGreater(longest, 60)
 
     def test_what_cannot_be_read_is_counted_by_its_reason(self) -> None:
