--- a/hollowusher/scheduler/net/membership/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -164,7 +164,7 @@
             address = self._where(name)
             if address is None or self._transport is None:
                 self.counts["nowhere"] += 1
-            elif not self.budget.takes(now):
+            elif not self.budget.try_acquire(now):
                 self.counts["over-budget"] += 1
             else:
                 self.counts["sent"] += 1
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -130,7 +130,7 @@
             by_name.setdefault(name, []).append(message)
         for name, messages in by_name.items():
             for letter in self._codec.letters(self.sharer.name, messages, MOST_LETTERS):
-                if not self._budget.takes(now):
+                if not self._budget.try_acquire(now):
                     self._over += 1
                 else:
                     self._peers.send_other(name, letter)
--- a/tests/scheduler/test_membership_sockets.py
+++ b/tests/scheduler/test_membership_sockets.py
@@ -74,6 +74,6 @@
 
     async def test_what_is_beyond_the_budget_is_dropped_and_counted(self) -> None:
         one = self.nodes["n0"]
-        one.budget.per_s, one.budget.spare = 0.0, 0.0
+        one.budget.per_s, one.budget.tokens = 0.0, 0.0
         await self.until(lambda: bool(self.knowing(Change.SUSPECTED, "n0")))
         self.assertGreater(one.counts["over-budget"], 0)
