--- a/hollowusher/scheduler/rules/membership/codec.py
+++ b/hollowusher/scheduler/rules/membership/codec.py
@@ -11,12 +11,12 @@
 import msgspec
 import xxhash
 
-from hollowusher.scheduler.rules.membership.messages import HEAD_BYTES, MAX_DATAGRAM_BYTES, Message
+from hollowusher.scheduler.rules.membership.messages import HEADER_BYTES, MAX_DATAGRAM_BYTES, Message
 
 MAGIC, VERSION = b"hu", 1
-MOST_NEWS, MOST_HASHES = 64, 64
-_HEAD = struct.Struct(">2sBII")
-assert _HEAD.size == HEAD_BYTES
+MAX_UPDATES, MAX_HASHES = 64, 64
+_HEADER = struct.Struct(">2sBII")
+assert _HEADER.size == HEADER_BYTES
 
 
 class DatagramCodec:
@@ -32,9 +32,9 @@
     def encode(self, message: Message) -> bytes:
         """The datagram; ValueError where it would be longer than allowed."""
         body = self._encoder.encode(message)
-        if len(body) + HEAD_BYTES > self._capacity:
-            raise ValueError(f"a datagram of {len(body) + HEAD_BYTES} bytes")
-        return _HEAD.pack(MAGIC, VERSION, self._cluster, self._sum(body)) + body
+        if len(body) + HEADER_BYTES > self._capacity:
+            raise ValueError(f"a datagram of {len(body) + HEADER_BYTES} bytes")
+        return _HEADER.pack(MAGIC, VERSION, self._cluster, self._sum(body)) + body
 
     def decode(self, data: bytes) -> Message | None:
         """The message, or None where this is none for us."""
@@ -44,23 +44,23 @@
         return message
 
     def _read(self, data: bytes) -> tuple[str, Message | None]:
-        if not HEAD_BYTES < len(data) <= self._capacity:
+        if not HEADER_BYTES < len(data) <= self._capacity:
             return "length", None
-        magic, version, cluster, checksum = _HEAD.unpack_from(data)
+        magic, version, cluster, checksum = _HEADER.unpack_from(data)
         if magic != MAGIC:
             return "magic", None
         if version != VERSION:
             return "version", None
         if cluster != self._cluster:
             return "cluster", None
-        body = data[HEAD_BYTES:]
+        body = data[HEADER_BYTES:]
         if checksum != self._sum(body):
             return "checksum", None
         try:
             message = self._decoder.decode(body)
         except (msgspec.DecodeError, RecursionError):  # a kind that we do not know among them
             return "body", None
-        if len(message.news) > MOST_NEWS or len(message.hashes) > MOST_HASHES:
+        if len(message.news) > MAX_UPDATES or len(message.hashes) > MAX_HASHES:
             return "body", None
         return "", message
 
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -24,16 +24,16 @@
     Message,
     MessageKind,
     message_bytes,
-    news_bytes,
+    update_bytes,
 )
 from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
-BUCKETS = 12  # parts of a digest: what differs is sent by the part
-MOST_PAGES = 32  # datagrams that answer one digest
-MOST_HELPS = 64  # pings for others that are under way
-TWIN_PERIODS = 20  # after which nothing of an earlier process of a name is under way
+DIGEST_BUCKETS = 12  # parts of a digest: what differs is sent by the part
+MAX_PAGES = 32  # datagrams that answer one digest
+MAX_INDIRECT_PINGS = 64  # pings for others that are under way
+DUPLICATE_NAME_PERIODS = 20  # after which nothing of an earlier process of a name is under way
 MAX_PROCESS_IDS = 4  # earlier processes of a name that are remembered
-JOIN_CALLS = 3  # names called in a period, until one has answered
+JOIN_CONTACTS = 3  # names called in a period, until one has answered
 
 
 @dataclass(slots=True)
@@ -53,9 +53,9 @@
     update: MemberUpdate
     heard_at: int  # when it was heard itself, last
     changed_at: int
-    warned_at: int  # when it was told that it is held dead, or outdated
-    lived_at: int  # since when this process of it is known
-    twin: bool = False  # two processes of it were told of
+    notified_at: int  # when it was told that it is held dead, or outdated
+    process_since: int  # since when this process of it is known
+    duplicate_reported: bool = False  # two processes of it were told of
     tentative: bool = False  # judged while we heard nobody: not told, and taken back once we hear
     suspicion: MemberSuspicion | None = None
     process_ids: list[int] = field(default_factory=list)  # earlier ones
@@ -63,7 +63,7 @@
     @property
     def present(self) -> bool:
         """Whether it counts as there."""
-        return self.news.standing <= MemberStatus.SUSPECT
+        return self.update.standing <= MemberStatus.SUSPECT
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Help:
+class IndirectPing:
     """A ping for another member."""
 
     target: str
@@ -118,16 +118,18 @@
         self.minority, self.deaf, self.joined, self.gone = len(self.contacts) > 1, True, False, False
         self._heard_at = now
         self._probe: MemberProbe | None = None
-        self._helps: dict[int, Help] = {}
+        self._indirect_pings: dict[int, IndirectPing] = {}
         self._probe_order: list[str] = []
-        self._doubted: set[str] = set()  # who has a suspicion
-        self._there_now: list[str] | None = None  # the present ones in order, until they change
+        self._suspected: set[str] = set()  # who has a suspicion
+        self._present_names: list[str] | None = None  # the present ones in order, until they change
         self._probe_at = now + round(rng.random() * timing.period_ns)
-        self._reach_at = now
-        self._digest_at = now + round((1 + rng.random()) * timing.digest_periods * timing.period_ns)
-        self._outbid: dict[int, int] = {}  # another process of our name: the incarnation we answered it with
-        self._answered_at = now - 1
-        self._twin: int | None = None
+        self._contact_absent_at = now
+        self._send_digest_at = now + round((1 + rng.random()) * timing.digest_periods * timing.period_ns)
+        self._outbid_incarnations: dict[
+            int, int
+        ] = {}  # another process of our name: the incarnation we answered it with
+        self._refuted_at = now - 1
+        self._duplicate_process: int | None = None
 
     # --- what others read ---------------------------------------------------------------------------------
 
@@ -141,11 +143,11 @@
 
     def due(self) -> int:
         """When `step` is to be called at the latest."""
-        whens = [self._reach_at, self._digest_at, self._probe_at]
+        whens = [self._contact_absent_at, self._send_digest_at, self._probe_at]
         if self._probe is not None:
             whens.append(self._probe.end_at if self._probe.asked >= 0 else self._probe.ask_at)
-        whens += [h.nack_at for h in self._helps.values()]
-        whens += [self._ends(self.records[n]) for n in self._doubted]
+        whens += [h.nack_at for h in self._indirect_pings.values()]
+        whens += [self._suspicion_end(self.records[n]) for n in self._suspected]
         return min(whens)
 
     def frozen(self, now: int) -> tuple[object, ...]:
@@ -159,8 +161,8 @@
             self.joined,
             self.gone,
             self._probe_at - now,
-            self._reach_at - now,
-            self._digest_at - now,
+            self._contact_absent_at - now,
+            self._send_digest_at - now,
             min(now - self._heard_at, self.timing.forget_ns),
             probe
             and (probe.target, probe.ask_at - now, probe.end_at - now, probe.asked, probe.nacks, probe.acked),
@@ -182,10 +184,10 @@
                     for n, r in self.records.items()
                 )
             ),
-            tuple((h.target, h.origin, h.nack_at - now) for h in self._helps.values()),
+            tuple((h.target, h.origin, h.nack_at - now) for h in self._indirect_pings.values()),
             tuple(self._probe_order),
             self.gossip.frozen(),
-            tuple(self._outbid.items()),
+            tuple(self._outbid_incarnations.items()),
         )
 
     # --- what drives it -----------------------------------------------------------------------------------
@@ -196,16 +198,16 @@
             return
         late = now - self.due()
         if late > self.timing.timeout_ns:
-            self._paused(now, late)
+            self._handle_pause(now, late)
         if message is not None:
-            self._take(now, message)
-        self._run(now)
+            self._handle_message(now, message)
+        self._run_due_timers(now)
 
     def set_contacts(self, now: int, contacts: Iterable[str]) -> None:
         """Other names are configured from now on: who is there stays, the majority is of the new ones."""
         self.contacts = frozenset(contacts) | {self.me.name}
-        self._reach_at = now
-        self._weigh()
+        self._contact_absent_at = now
+        self._update_majority()
 
     def leave(self, now: int) -> None:
         """Say that we go, in good order; nothing is said or heard after that."""
@@ -215,15 +217,15 @@
             self._send(name, MessageKind.PING, first=(self.me,))
         self.gone = True
 
-    def _run(self, now: int) -> None:
-        for name in sorted(self._doubted):
+    def _run_due_timers(self, now: int) -> None:
+        for name in sorted(self._suspected):
             record = self.records[name]
-            if record.suspicion is not None and self._ends(record) <= now:
+            if record.suspicion is not None and self._suspicion_end(record) <= now:
                 self._expire(now, name, record, record.suspicion)
-        for seq in [s for s, h in self._helps.items() if h.nack_at <= now]:
-            wanted = self._helps[seq]
+        for seq in [s for s, h in self._indirect_pings.items() if h.nack_at <= now]:
+            wanted = self._indirect_pings[seq]
             if wanted.until <= now:
-                del self._helps[seq]
+                del self._indirect_pings[seq]
             else:
                 self._send(wanted.origin, MessageKind.NACK, wanted.seq, wanted.target)
                 wanted.nack_at = wanted.until
@@ -234,34 +236,34 @@
             self._end_probe(now, probe)
         if self._probe is None and self._probe_at <= now:
             self._start_probe(now)
-        if self._reach_at <= now:
-            self._reach(now)
-        if self._digest_at <= now:
-            self._digest_at = now + self._spread(self.timing.digest_periods)
+        if self._contact_absent_at <= now:
+            self._contact_absent(now)
+        if self._send_digest_at <= now:
+            self._send_digest_at = now + self._jittered_periods_ns(self.timing.digest_periods)
             others = self._others(())
             if others:
-                self._digest(self.rng.choice(others), asks=True)
-            self._forget(now)
-        if not self.deaf and now - self._heard_at > self._slow(self.timing.deaf_periods):
+                self._send_digest(self.rng.choice(others), asks=True)
+            self._remove_expired(now)
+        if not self.deaf and now - self._heard_at > self._scaled_periods_ns(self.timing.isolation_periods):
             self.deaf = True
-            self._tell(Change.DEAF, self.me.name, "nothing came from anybody")
-            self._weigh()
+            self._report(Change.DEAF, self.me.name, "nothing came from anybody")
+            self._update_majority()
 
-    def _paused(self, now: int, late: int) -> None:
+    def _handle_pause(self, now: int, late: int) -> None:
         """We did not run: whom we did not hear meanwhile, we could not hear."""
-        for name in self._doubted:
+        for name in self._suspected:
             if (suspicion := self.records[name].suspicion) is not None:
                 suspicion.since += late
                 suspicion.called = False
         self._probe, self._probe_at = None, now + round(self.rng.random() * self.timing.period_ns)
-        self._helps.clear()
+        self._indirect_pings.clear()
         self._heard_at += late
-        self._worsen(1 + late // self.timing.period_ns)
-        self._tell(Change.PAUSED, self.me.name, f"{late / 1e6:.0f} ms late")
+        self._raise_health_score(1 + late // self.timing.period_ns)
+        self._report(Change.PAUSED, self.me.name, f"{late / 1e6:.0f} ms late")
 
     # --- messages in --------------------------------------------------------------------------------------
 
-    def _take(self, now: int, message: Message) -> None:
+    def _handle_message(self, now: int, message: Message) -> None:
         sender = message.sender
         if sender.name == self.me.name:
             if sender.process_id != self.me.process_id:
@@ -269,23 +271,23 @@
             return
         self._heard_at = now
         if self.deaf:
-            self._hears(now, sender.name)
+            self._end_isolation(now, sender.name)
         self.number = max(self.number, message.number)
         self._apply_update(now, sender)
-        for news in message.news:
-            self._apply_update(now, news)
+        for update in message.news:
+            self._apply_update(now, update)
         record = self.records.get(sender.name)
         if record is None:
             return
         if record.update.process_id == sender.process_id:
-            self._alive(now, record)
+            self._note_contact(now, record)
         match message.kind:
             case MessageKind.PING:
                 self._send(sender.name, MessageKind.ACK, message.seq)
             case MessageKind.ACK:
-                self._acked(now, message)
+                self._handle_ack(now, message)
             case MessageKind.ASK:
-                self._help(now, message)
+                self._handle_ping_request(now, message)
             case MessageKind.NACK:
                 if self._probe is not None and message.seq == self._probe.seq:
                     self._probe.nacks += 1
@@ -293,193 +295,205 @@
                 self._answer_digest(message)
         if (
             not record.present or record.update.process_id != sender.process_id
-        ) and now - record.warned_at >= self.timing.period_ns:
+        ) and now - record.notified_at >= self.timing.period_ns:
             # It is held dead or gone, or a process of its name with a younger clock is known: it is told, and
             # can say otherwise.  Once a period: one that never does would be asked at the network's speed.
-            record.warned_at = now
+            record.notified_at = now
             if (
                 record.update.process_id != sender.process_id
-                and now - record.lived_at > TWIN_PERIODS * self.timing.period_ns
+                and now - record.process_since > DUPLICATE_NAME_PERIODS * self.timing.period_ns
             ):
-                self._twins(record)  # what one that ended had sent has arrived by now
+                self._report_duplicate_name(record)  # what one that ended had sent has arrived by now
             self._send(sender.name, MessageKind.PING, first=(record.update,))
 
-    def _hears(self, now: int, name: str) -> None:
+    def _end_isolation(self, now: int, name: str) -> None:
         """Someone is heard again, or for the first time: what was judged meanwhile is taken back."""
         self.deaf = False
         for other, record in self.records.items():
             if record.tentative:
                 record.tentative, record.suspicion = False, None
-                self._doubted.discard(other)
+                self._suspected.discard(other)
                 if not record.present:
-                    self._tell(Change.JOINED, other, "judged while we heard nobody")
+                    self._report(Change.JOINED, other, "judged while we heard nobody")
                 record.update = replace(record.update, standing=MemberStatus.ALIVE, by="")
-        self._there_now = None
-        self._tell(Change.HEARING, self.me.name, f"{name} is heard")
+        self._present_names = None
+        self._report(Change.HEARING, self.me.name, f"{name} is heard")
         self.joined = True
-        self._digest(name, asks=True)
-        self._weigh()
+        self._send_digest(name, asks=True)
+        self._update_majority()
 
-    def _alive(self, now: int, record: Record) -> None:
+    def _note_contact(self, now: int, record: Record) -> None:
         """A sign of life from the member itself, or brought by a helper."""
         record.heard_at = now
         if record.suspicion is not None:
             record.suspicion.heard_at = now
 
-    def _acked(self, now: int, message: Message) -> None:
+    def _handle_ack(self, now: int, message: Message) -> None:
         name = message.target or message.sender.name
-        wanted = self._helps.get(message.seq)
+        wanted = self._indirect_pings.get(message.seq)
         if wanted is not None and wanted.target == name:
-            del self._helps[message.seq]
+            del self._indirect_pings[message.seq]
             self._send(wanted.origin, MessageKind.ACK, wanted.seq, wanted.target)
             return
         record = self.records.get(name)
         if record is not None and message.target:
-            self._alive(now, record)
+            self._note_contact(now, record)
         if self._probe is not None and self._probe.seq == message.seq and self._probe.target == name:
             self._probe.acked = True
 
-    def _help(self, now: int, message: Message) -> None:
+    def _handle_ping_request(self, now: int, message: Message) -> None:
         """Ping a member for another that does not hear it."""
-        if message.target not in self.records or len(self._helps) >= MOST_HELPS:
+        if message.target not in self.records or len(self._indirect_pings) >= MAX_INDIRECT_PINGS:
             return
         seq = self._next_seq()
         nack_at = now + self.timing.timeout_ns * 4 // 5
         until = now + 2 * self.timing.period_ns
-        self._helps[seq] = Help(message.target, message.sender.name, message.seq, nack_at, until)
+        self._indirect_pings[seq] = IndirectPing(
+            message.target, message.sender.name, message.seq, nack_at, until
+        )
         self._send(message.target, MessageKind.PING, seq)
 
-    # --- news ---------------------------------------------------------------------------------------------
+    # --- update ---------------------------------------------------------------------------------------------
 
-    def _apply_update(self, now: int, news: MemberUpdate) -> None:
-        """Take one piece of news, if it is newer than what is known."""
-        if news.name == self.me.name:
-            self._handle_update_about_self(now, news)
+    def _apply_update(self, now: int, update: MemberUpdate) -> None:
+        """Take one piece of update, if it is newer than what is known."""
+        if update.name == self.me.name:
+            self._handle_update_about_self(now, update)
             return
-        record = self.records.get(news.name)
+        record = self.records.get(update.name)
         if record is None:
-            if len(self.records) < self.timing.most_members:
-                self._first(now, news)
+            if len(self.records) < self.timing.max_members:
+                self._add_record(now, update)
             return
         old, suspicion = record.update, record.suspicion
         if (
-            news.standing is MemberStatus.SUSPECT
+            update.standing is MemberStatus.SUSPECT
             and suspicion is not None
-            and (news.process_id, news.incarnation) == (old.process_id, old.incarnation)
+            and (update.process_id, update.incarnation) == (old.process_id, old.incarnation)
         ):
-            if news.by not in suspicion.accusers and len(suspicion.accusers) <= self.timing.confirmers:
-                suspicion.accusers.add(news.by)
-                self.gossip.put(news)
+            if update.by not in suspicion.accusers and len(suspicion.accusers) <= self.timing.confirmers:
+                suspicion.accusers.add(update.by)
+                self.gossip.put(update)
             return
-        if not news.beats(old):
+        if not update.supersedes(old):
             return
-        just = self.timing.suspicion_ns(self._size(), self.timing.confirmers, 0)
+        just = self.timing.suspicion_ns(self._present_count(), self.timing.confirmers, 0)
         if (
-            news.standing is MemberStatus.DEAD
-            and news.process_id == old.process_id
+            update.standing is MemberStatus.DEAD
+            and update.process_id == old.process_id
             and not record.tentative
             and now - record.heard_at < just
         ):
             # We heard it itself a moment ago: so it is not reached by some, which it gets to know and answer.
-            news = replace(news, standing=MemberStatus.SUSPECT, by=news.by or "others")
-            if not news.beats(old):
+            update = replace(update, standing=MemberStatus.SUSPECT, by=update.by or "others")
+            if not update.supersedes(old):
                 return
-            self._send(news.name, MessageKind.PING, first=(news,))
-        self._update_record(now, record, news)
+            self._send(update.name, MessageKind.PING, first=(update,))
+        self._update_record(now, record, update)
 
-    def _first(self, now: int, news: MemberUpdate) -> None:
+    def _add_record(self, now: int, update: MemberUpdate) -> None:
         """Somebody who was not known."""
-        record = Record(news, now - self.timing.forget_ns, now, now - self.timing.period_ns, now)
-        self.records[news.name] = record
-        if news.standing is MemberStatus.SUSPECT:
-            record.suspicion = MemberSuspicion(now, {news.by})
-            self._doubted.add(news.name)
-        self._there_now = None
+        record = Record(update, now - self.timing.forget_ns, now, now - self.timing.period_ns, now)
+        self.records[update.name] = record
+        if update.standing is MemberStatus.SUSPECT:
+            record.suspicion = MemberSuspicion(now, {update.by})
+            self._suspected.add(update.name)
+        self._present_names = None
         if record.present:
-            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), news.name)
-            self.gossip.put(news)
-            self._view(Change.JOINED, news.name, "first heard of")
+            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), update.name)
+            self.gossip.put(update)
+            self._report_view_change(Change.JOINED, update.name, "first heard of")
 
-    def _update_record(self, now: int, record: Record, news: MemberUpdate, tentative: bool = False) -> None:
+    def _update_record(self, now: int, record: Record, update: MemberUpdate, tentative: bool = False) -> None:
         """What is known of a member changes."""
         old, was_there = record.update, record.present
-        record.update = news = replace(news, address=news.address or old.address)
+        record.update = update = replace(update, address=update.address or old.address)
         record.changed_at, record.tentative = now, tentative
-        if news.standing is MemberStatus.SUSPECT:
-            record.suspicion = record.suspicion if news.incarnation == old.incarnation else None
-            record.suspicion = record.suspicion or MemberSuspicion(now, {news.by})
-            self._doubted.add(news.name)
+        if update.standing is MemberStatus.SUSPECT:
+            record.suspicion = record.suspicion if update.incarnation == old.incarnation else None
+            record.suspicion = record.suspicion or MemberSuspicion(now, {update.by})
+            self._suspected.add(update.name)
         else:
             record.suspicion = None
-            self._doubted.discard(news.name)
-        self._there_now = None
+            self._suspected.discard(update.name)
+        self._present_names = None
         if tentative:
-            self.gossip.drop(news.name)
+            self.gossip.drop(update.name)
         else:
-            self.gossip.put(news)
-        if news.process_id != old.process_id:
-            if news.process_id in record.process_ids:
-                self._twins(record)
-            record.lived_at = now
-            record.process_ids = [*(n for n in record.process_ids if n != news.process_id), old.process_id][
+            self.gossip.put(update)
+        if update.process_id != old.process_id:
+            if update.process_id in record.process_ids:
+                self._report_duplicate_name(record)
+            record.process_since = now
+            record.process_ids = [*(n for n in record.process_ids if n != update.process_id), old.process_id][
                 -MAX_PROCESS_IDS:
             ]
         if record.present and not was_there:
-            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), news.name)
-            self._view(Change.JOINED, news.name, f"incarnation {news.incarnation}")
+            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), update.name)
+            self._report_view_change(Change.JOINED, update.name, f"incarnation {update.incarnation}")
         elif was_there and not record.present:
-            change = Change.DIED if news.standing is MemberStatus.DEAD else Change.LEFT
-            self._view(change, news.name, f"by {news.by}" if news.by else "")
-        elif record.present and news.process_id != old.process_id:
-            self._view(Change.RESTARTED, news.name, f"life {news.process_id:08x} after {old.process_id:08x}")
-        elif news.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
-            self._tell(Change.SUSPECTED, news.name, f"by {news.by}")
+            change = Change.DIED if update.standing is MemberStatus.DEAD else Change.LEFT
+            self._report_view_change(change, update.name, f"by {update.by}" if update.by else "")
+        elif record.present and update.process_id != old.process_id:
+            self._report_view_change(
+                Change.RESTARTED, update.name, f"life {update.process_id:08x} after {old.process_id:08x}"
+            )
+        elif update.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
+            self._report(Change.SUSPECTED, update.name, f"by {update.by}")
             # So many of all ask it next, out of turn: it hears of the suspicion, and three confirm it soon.
             if self.rng.random() * len(self.records) < 2 * self.timing.confirmers:
-                self._probe_order.append(news.name)
-        elif news.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
-            self._tell(Change.CLEARED, news.name, f"incarnation {news.incarnation}")
+                self._probe_order.append(update.name)
+        elif update.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
+            self._report(Change.CLEARED, update.name, f"incarnation {update.incarnation}")
 
-    def _twins(self, record: Record) -> None:
-        if not record.twin:
-            record.twin = True
-            self._tell(Change.TWIN, record.update.name, "two processes speak under this name")
+    def _report_duplicate_name(self, record: Record) -> None:
+        if not record.duplicate_reported:
+            record.duplicate_reported = True
+            self._report(Change.TWIN, record.update.name, "two processes speak under this name")
 
-    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
+    def _handle_update_about_self(self, now: int, update: MemberUpdate) -> None:
         """Something is said of our own name: we are here, and say so with a higher incarnation."""
-        if news.incarnation < self.me.incarnation or (
-            news.process_id == self.me.process_id and news.standing is MemberStatus.ALIVE
+        if update.incarnation < self.me.incarnation or (
+            update.process_id == self.me.process_id and update.standing is MemberStatus.ALIVE
         ):
             return
-        if news.process_id != self.me.process_id:
-            answered = self._outbid.get(news.process_id)
-            if answered is not None and news.incarnation > answered and self._twin != news.process_id:
+        if update.process_id != self.me.process_id:
+            answered = self._outbid_incarnations.get(update.process_id)
+            if (
+                answered is not None
+                and update.incarnation > answered
+                and self._duplicate_process != update.process_id
+            ):
                 # Whoever ended cannot have answered us: this process is there.
-                self._twin = news.process_id
-                self._tell(
-                    Change.TWIN, self.me.name, f"another process, life {news.process_id:08x}, has our name"
+                self._duplicate_process = update.process_id
+                self._report(
+                    Change.TWIN, self.me.name, f"another process, life {update.process_id:08x}, has our name"
                 )
-            if self._twin is not None and now - self._answered_at < self._slow(self.timing.digest_periods):
+            if self._duplicate_process is not None and now - self._refuted_at < self._scaled_periods_ns(
+                self.timing.digest_periods
+            ):
                 return  # two that outbid each other at once would fill the network with it
-            self._outbid[news.process_id] = news.incarnation + 1
-            if len(self._outbid) > MAX_PROCESS_IDS:
-                del self._outbid[next(iter(self._outbid))]
-            self._answered_at = now
-        elif news.standing is MemberStatus.SUSPECT:
-            self._worsen(1)
-        self.me = replace(self.me, incarnation=news.incarnation + 1)
+            self._outbid_incarnations[update.process_id] = update.incarnation + 1
+            if len(self._outbid_incarnations) > MAX_PROCESS_IDS:
+                del self._outbid_incarnations[next(iter(self._outbid_incarnations))]
+            self._refuted_at = now
+        elif update.standing is MemberStatus.SUSPECT:
+            self._raise_health_score(1)
+        self.me = replace(self.me, incarnation=update.incarnation + 1)
         self.gossip.put(self.me)
-        if news.standing is not MemberStatus.ALIVE:
-            self._tell(Change.REFUTED, self.me.name, f"{news.standing.name.lower()} by {news.by or 'others'}")
-        others = self._others((news.by,))
+        if update.standing is not MemberStatus.ALIVE:
+            self._report(
+                Change.REFUTED, self.me.name, f"{update.standing.name.lower()} by {update.by or 'others'}"
+            )
+        others = self._others((update.by,))
         reported = self.rng.sample(others, min(len(others), self.timing.helpers))
-        for name in [*([news.by] if news.by in self.records else []), *reported]:
+        for name in [*([update.by] if update.by in self.records else []), *reported]:
             self._send(name, MessageKind.PING, first=(self.me,))
 
     # --- judging ------------------------------------------------------------------------------------------
 
     def _start_probe(self, now: int) -> None:
-        self._probe_at = now + self._slow(1.0)
+        self._probe_at = now + self._scaled_periods_ns(1.0)
         others = self._others(())
         if not others:
             return
@@ -489,7 +503,9 @@
             target = self._probe_order.pop()
             if target in self.records and self.records[target].present:
                 break
-        self._probe = MemberProbe(target, self._next_seq(), now + self._slow_timeout(), now + self._slow(1.0))
+        self._probe = MemberProbe(
+            target, self._next_seq(), now + self._scaled_timeout_ns(), now + self._scaled_periods_ns(1.0)
+        )
         self._send(target, MessageKind.PING, self._probe.seq)
 
     def _ask_helpers(self, probe: MemberProbe) -> None:
@@ -507,24 +523,24 @@
         if probe.acked:
             self.health = max(0, self.health - 1)
             return
-        self._worsen(max(0, probe.asked - probe.nacks) if probe.asked > 0 else 1)
+        self._raise_health_score(max(0, probe.asked - probe.nacks) if probe.asked > 0 else 1)
         record = self.records.get(probe.target)
         if record is None or not record.present:
             return
         if record.suspicion is not None:  # our own word among those that confirm it
             self._apply_update(now, replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
-        news = replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
-        self._update_record(now, record, news, tentative=self.deaf)
+        update = replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
+        self._update_record(now, record, update, tentative=self.deaf)
 
-    def _ends(self, record: Record) -> int:
+    def _suspicion_end(self, record: Record) -> int:
         """When a suspicion runs out; one that has been called has a moment more."""
         suspicion = record.suspicion
         assert suspicion is not None
         if suspicion.called:
             return suspicion.since
         confirmed = len(suspicion.accusers) - 1
-        return suspicion.since + self.timing.suspicion_ns(self._size(), confirmed, self.health)
+        return suspicion.since + self.timing.suspicion_ns(self._present_count(), confirmed, self.health)
 
     def _expire(self, now: int, name: str, record: Record, suspicion: MemberSuspicion) -> None:
         """A suspicion has run out: it is called once more, by us and by helpers, and then it is dead."""
@@ -548,33 +564,35 @@
 
     # --- digests ------------------------------------------------------------------------------------------
 
-    def _reach(self, now: int) -> None:
+    def _contact_absent(self, now: int) -> None:
         """Call at names that are not there: to join, and so that halves that were apart find each other."""
         absent = sorted(
-            {n for n in self.contacts if n != self.me.name and not self._there(n)}
+            {n for n in self.contacts if n != self.me.name and not self._is_present(n)}
             | {n for n, r in self.records.items() if r.update.standing is MemberStatus.DEAD}
         )
-        calls = max(1, len(absent) // self.timing.reach_part) if self.joined else JOIN_CALLS
-        self._reach_at = now + self._spread(self.timing.reach_periods if self.joined else 1.0)
+        calls = max(1, len(absent) // self.timing.rejoin_divisor) if self.joined else JOIN_CONTACTS
+        self._contact_absent_at = now + self._jittered_periods_ns(
+            self.timing.rejoin_periods if self.joined else 1.0
+        )
         for name in self.rng.sample(absent, min(len(absent), calls)):
-            self._digest(name, asks=True)
+            self._send_digest(name, asks=True)
 
-    def _there(self, name: str) -> bool:
+    def _is_present(self, name: str) -> bool:
         record = self.records.get(name)
         return record is not None and record.present
 
     def hashes(self) -> tuple[int, ...]:
         """What is held of all who are there, in parts; the same at two members that hold the same."""
-        parts = [0] * BUCKETS
-        for news in [self.me, *(r.update for r in self.records.values() if r.present)]:
-            said = f"{news.name}/{news.process_id}/{news.incarnation}"
-            parts[self._bucket(news.name)] ^= zlib.crc32(said.encode())
+        parts = [0] * DIGEST_BUCKETS
+        for update in [self.me, *(r.update for r in self.records.values() if r.present)]:
+            said = f"{update.name}/{update.process_id}/{update.incarnation}"
+            parts[self._bucket(update.name)] ^= zlib.crc32(said.encode())
         return tuple(parts)
 
     def _bucket(self, name: str) -> int:
-        return zlib.crc32(name.encode()) % BUCKETS
+        return zlib.crc32(name.encode()) % DIGEST_BUCKETS
 
-    def _digest(self, name: str, asks: bool) -> None:
+    def _send_digest(self, name: str, asks: bool) -> None:
         self._send(name, MessageKind.DIGEST, int(asks), hashes=self.hashes())
 
     def _answer_digest(self, message: Message) -> None:
@@ -584,30 +602,30 @@
         if not differ:
             return
         if message.seq:
-            self._digest(message.sender.name, asks=False)
-        news = [
+            self._send_digest(message.sender.name, asks=False)
+        update = [
             r.update
             for n, r in self.records.items()
             if self._bucket(n) in differ and not r.tentative and n != message.sender.name
         ]
         empty = self._message(MessageKind.PAGE, 0, "", (), ())
-        for _ in range(MOST_PAGES):
-            if not news:
+        for _ in range(MAX_PAGES):
+            if not update:
                 break
             page, capacity = [], self.timing.capacity - message_bytes(empty)
-            while news and news_bytes(news[-1]) <= capacity:
-                capacity -= news_bytes(news[-1])
-                page.append(news.pop())
+            while update and update_bytes(update[-1]) <= capacity:
+                capacity -= update_bytes(update[-1])
+                page.append(update.pop())
             self.sends.append((message.sender.name, replace(empty, news=tuple(page))))
 
     # --- small things -------------------------------------------------------------------------------------
 
-    def _others(self, but: tuple[str, ...]) -> list[str]:
-        if self._there_now is None:
-            self._there_now = sorted(n for n, r in self.records.items() if r.present)
-        return [n for n in self._there_now if n not in but] if but else self._there_now
+    def _others(self, excluded: tuple[str, ...]) -> list[str]:
+        if self._present_names is None:
+            self._present_names = sorted(n for n, r in self.records.items() if r.present)
+        return [n for n in self._present_names if n not in excluded] if excluded else self._present_names
 
-    def _size(self) -> int:
+    def _present_count(self) -> int:
         """Members that are there."""
         return 1 + len(self._others(()))
 
@@ -615,18 +633,18 @@
         self._seq = self._seq % 60_000 + 1
         return self._seq
 
-    def _slow(self, periods: float) -> int:
+    def _scaled_periods_ns(self, periods: float) -> int:
         """So many periods, longer for one that distrusts itself."""
         return round(periods * self.timing.period_ns * (1 + self.health))
 
-    def _slow_timeout(self) -> int:
+    def _scaled_timeout_ns(self) -> int:
         return self.timing.timeout_ns * (1 + self.health)
 
-    def _spread(self, periods: float) -> int:
+    def _jittered_periods_ns(self, periods: float) -> int:
         """So many periods, give or take a quarter: what all do at once, they do not do at once for long."""
         return round(periods * self.timing.period_ns * (0.75 + 0.5 * self.rng.random()))
 
-    def _worsen(self, by: int) -> None:
+    def _raise_health_score(self, by: int) -> None:
         self.health = min(self.timing.max_health_score, self.health + by)
 
     def _message(
@@ -634,10 +652,10 @@
         kind: MessageKind,
         seq: int,
         target: str,
-        news: tuple[MemberUpdate, ...],
+        update: tuple[MemberUpdate, ...],
         hashes: tuple[int, ...],
     ) -> Message:
-        return Message(kind, self.me, self.number, seq, target, news, hashes)
+        return Message(kind, self.me, self.number, seq, target, update, hashes)
 
     def _send(
         self,
@@ -648,7 +666,7 @@
         first: tuple[MemberUpdate, ...] = (),
         hashes: tuple[int, ...] = (),
     ) -> None:
-        """A message with as much news as fits; what its receiver must hear of itself goes first."""
+        """A message with as much update as fits; what its receiver must hear of itself goes first."""
         record = self.records.get(name)
         if record is not None and record.update.standing is not MemberStatus.ALIVE and not record.tentative:
             first = (record.update, *first)
@@ -658,30 +676,32 @@
             (name, replace(message, news=self.gossip.pick(capacity, len(self.records) + 1, first)))
         )
 
-    def _forget(self, now: int) -> None:
+    def _remove_expired(self, now: int) -> None:
         for name in [
             n for n, r in self.records.items() if not r.present and now - r.changed_at > self.timing.forget_ns
         ]:
             del self.records[name]
             self.gossip.drop(name)
 
-    def _view(self, change: Change, name: str, why: str) -> None:
+    def _report_view_change(self, change: Change, name: str, why: str) -> None:
         """Who is there has changed: the view gets a higher number than any that was heard of."""
         self.number += 1
-        self._tell(change, name, why)
-        self._weigh()
+        self._report(change, name, why)
+        self._update_majority()
 
-    def _weigh(self) -> None:
+    def _update_majority(self) -> None:
         """Whether we reach a majority of the configured names."""
-        reached = 1 if self.deaf else sum(1 for n in self.contacts if n == self.me.name or self._there(n))
+        reached = (
+            1 if self.deaf else sum(1 for n in self.contacts if n == self.me.name or self._is_present(n))
+        )
         minority = 2 * reached <= len(self.contacts)
         if minority != self.minority:
             self.minority = minority
-            self._tell(
+            self._report(
                 Change.MINORITY if minority else Change.MAJORITY,
                 self.me.name,
                 f"{reached} of {len(self.contacts)}",
             )
 
-    def _tell(self, change: Change, name: str, why: str = "") -> None:
+    def _report(self, change: Change, name: str, why: str = "") -> None:
         self.reported.append(MembershipEvent(change, name, why, self.number))
--- a/hollowusher/scheduler/rules/membership/messages.py
+++ b/hollowusher/scheduler/rules/membership/messages.py
@@ -11,15 +11,15 @@
 
 from msgspec import Meta, Struct
 
-MOST_NAME = 32  # bytes of a name, and of an address
+MAX_NAME_BYTES = 32  # bytes of a name, and of an address
 MAX_DATAGRAM_BYTES = 256  # bytes, as the platform allows between schedulers
 MAX_PROCESS_ID = 2**32 - 1
-MOST_INCARNATION = 2**53  # seconds of the wall clock at the start, and one more for each answer to an accuser
+MAX_INCARNATION = 2**53  # seconds of the wall clock at the start, and one more for each answer to an accuser
 
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
-Text = Annotated[str, Meta(max_length=MOST_NAME)]
-Count = Annotated[int, Meta(ge=0, le=MOST_INCARNATION)]
-Word = Annotated[int, Meta(ge=0, le=MAX_PROCESS_ID)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+ShortText = Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
+Count = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
+Uint32 = Annotated[int, Meta(ge=0, le=MAX_PROCESS_ID)]
 
 
 class MemberStatus(IntEnum):
@@ -46,13 +46,13 @@
     """One thing said of one member.  `by` accuses, where it is suspect; `address` where it names one."""
 
     name: Name
-    process_id: Word
+    process_id: Uint32
     incarnation: Count
     standing: MemberStatus = MemberStatus.ALIVE
-    by: Text = ""
-    address: Text = ""
+    by: ShortText = ""
+    address: ShortText = ""
 
-    def beats(self, other: MemberUpdate) -> bool:
+    def supersedes(self, other: MemberUpdate) -> bool:
         """Whether this is newer: by incarnation, then by standing, then (two processes of one name that came
         to the same incarnation) by life, so that all come to the same end."""
         return (self.incarnation, self.standing, self.process_id) > (
@@ -68,10 +68,10 @@
     kind: MessageKind
     sender: MemberUpdate
     number: Count = 0  # of the sender's view
-    seq: Word = 0
-    target: Text = ""
+    seq: Uint32 = 0
+    target: ShortText = ""
     news: tuple[MemberUpdate, ...] = ()
-    hashes: tuple[Word, ...] = ()
+    hashes: tuple[Uint32, ...] = ()
 
 
 def number_bytes(value: int) -> int:
@@ -85,32 +85,32 @@
     return length + (1 if length < 32 else 2)
 
 
-def news_bytes(news: MemberUpdate) -> int:
-    """Bytes that this news takes on the wire."""
+def update_bytes(update: MemberUpdate) -> int:
+    """Bytes that this update takes on the wire."""
     return (
         2
-        + text_bytes(news.name)
-        + number_bytes(news.process_id)
-        + number_bytes(news.incarnation)
-        + text_bytes(news.by)
-        + text_bytes(news.address)
+        + text_bytes(update.name)
+        + number_bytes(update.process_id)
+        + number_bytes(update.incarnation)
+        + text_bytes(update.by)
+        + text_bytes(update.address)
     )
 
 
-HEAD_BYTES = 11  # magic, version, cluster, checksum: see codec.py
+HEADER_BYTES = 11  # magic, version, cluster, checksum: see codec.py
 
 
 def message_bytes(message: Message) -> int:
     """Bytes of the datagram; each list is counted at its longest head."""
     return (
-        HEAD_BYTES
+        HEADER_BYTES
         + 2
-        + news_bytes(message.sender)
+        + update_bytes(message.sender)
         + number_bytes(message.number)
         + number_bytes(message.seq)
         + text_bytes(message.target)
         + 3
-        + sum(map(news_bytes, message.news))
+        + sum(map(update_bytes, message.news))
         + 3
         + sum(map(number_bytes, message.hashes))
     )
