--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -24,11 +24,13 @@
 )
 from hollowusher.scheduler.rules.log_replication.takeover import Next
 
-SEEK_AGAIN_MS = 200  # between two questions about a job that another scheduler is working on
-SEEK_MS = 600  # how long a job that comes again may stay unknown before its client is told to come later
-MOST_DENIED = 65_536  # jobs that another was told we do not know; the oldest go first
-HOLD_MS = 500  # how long an attempt waits for our promise to come back, before it counts as not sent
-TELL_SPARE_MS = 30  # before its client gives up, one that cannot be told its answer is told that it failed
+SEARCH_INTERVAL_MS = 200  # between two questions about a job that another scheduler is working on
+SEARCH_TIMEOUT_MS = (
+    600  # how long a job that comes again may stay unknown before its client is told to come later
+)
+MAX_REPORTED_UNKNOWN = 65_536  # jobs that another was told we do not know; the oldest go first
+INTENT_HOLD_MS = 500  # how long an attempt waits for our promise to come back, before it counts as not sent
+ANSWER_MARGIN_MS = 30  # before its client gives up, one that cannot be told its answer is told that it failed
 
 
 class FindJob(Struct, frozen=True, array_like=True, tag="seek"):
@@ -69,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class _Sought:
+class _JobSearch:
     taken: JobTakenRecord
     handles: list[Hashable]
     since_ms: int
@@ -77,10 +79,10 @@
     round: int
     open: bool = False
     leads: set[str] = field(default_factory=set)  # logs whose leader says no, in this round
-    no: set[str] = field(default_factory=set)  # and who these are
+    negative_from: set[str] = field(default_factory=set)  # and who these are
 
 
-def _refused(held: LoggedJob) -> bool:
+def _was_refused(held: LoggedJob) -> bool:
     """Whether it was turned away: then it is as new when it comes again."""
     return held.answer is not None and held.answer.verdict == "refused"
 
@@ -98,20 +100,26 @@
         """`seek_once`: whether a job that must not run twice is looked for at all others before it is taken,
         even if its client does not say that it has asked before."""
         self.replicas, self._names = replicas, names
-        self._once = {c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE}
+        self._search_first_classes = {
+            c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE
+        }
         self.acts: list[ReplicationInstruction] = []
         self.lookup_messages: list[tuple[str, FindJob | JobFound]] = []
         self._pending: dict[int, tuple[str, str, Hashable]] = {}  # token: what was written, job, handle
         self._owners: dict[str, str] = {}  # jobs that this process works on: whose log they are in
         self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # who waits for a job, until when
-        self._searches: dict[str, _Sought] = {}
-        self._held: list[tuple[int, Intent, Hashable]] = []  # attempts that wait for our promise, until (ms)
-        self._doubted: dict[str, int] = {}  # jobs that may be kept: by which term our log was settled
-        self._unsaid: dict[str, tuple[str, AnswerRecord, int]] = {}  # by job: whose log, what, until (ms)
+        self._searches: dict[str, _JobSearch] = {}
+        self._held_intents: list[
+            tuple[int, Intent, Hashable]
+        ] = []  # attempts that wait for our promise, until (ms)
+        self._uncertain_jobs: dict[str, int] = {}  # jobs that may be kept: by which term our log was settled
+        self._unwritten_answers: dict[
+            str, tuple[str, AnswerRecord, int]
+        ] = {}  # by job: whose log, what, until (ms)
         self._round = 0
         # Jobs that another scheduler was told we know nothing of, until (ms): it may have taken them since,
         # so who comes here with one of them after all, late or at the same time, is not taken as new.
-        self._denied: dict[str, int] = {}
+        self._reported_unknown: dict[str, int] = {}
         self._longest_ms = max((c.deadline_ns for c in classes.values()), default=0) // 1_000_000
 
     # --- in -----------------------------------------------------------------------------------------------
@@ -121,37 +129,43 @@
     ) -> None:
         """A client asks.  `again`: it says that it has asked before, perhaps elsewhere."""
         known = self.replicas.find(taken.job)
-        if known is not None and not _refused(known[1]):
+        if known is not None and not _was_refused(known[1]):
             self._wait_for(now_ms, taken, handle, known[1])
         elif taken.job in self._searches:
             self._searches[taken.job].handles.append(handle)
         elif self._is_being_taken(taken.job):
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
         elif len(self._names) > 1 and (
-            again or taken.job_class in self._once or self._denied.get(taken.job, 0) > now_ms
+            again
+            or taken.job_class in self._search_first_classes
+            or self._reported_unknown.get(taken.job, 0) > now_ms
         ):
-            sought = self._searches[taken.job] = _Sought(taken, [handle], now_ms, now_ms, self._next_round())
-            self.lookup_messages.append(("", FindJob(taken.job, sought.round)))
-            self._hear(now, now_ms, self.replicas.name, self._know(now, taken.job, sought.round))
+            search = self._searches[taken.job] = _JobSearch(
+                taken, [handle], now_ms, now_ms, self._next_round()
+            )
+            self.lookup_messages.append(("", FindJob(taken.job, search.round)))
+            self._handle_job_found(
+                now, now_ms, self.replicas.name, self._look_up(now, taken.job, search.round)
+            )
         else:
             self._take_new(now, now_ms, taken, [handle])
-        self._finish(now, now_ms)
+        self._process_results(now, now_ms)
 
     def intent(
         self, now: int, now_ms: int, job: str, number: int, node: str, cell: str, handle: Hashable
     ) -> None:
         """The desk orders an attempt."""
-        self._held.append((now_ms + HOLD_MS, Intent(job, number, node, cell, now_ms), handle))
-        self._finish(now, now_ms)
+        self._held_intents.append((now_ms + INTENT_HOLD_MS, Intent(job, number, node, cell, now_ms), handle))
+        self._process_results(now, now_ms)
 
-    def _intents(self, now: int, now_ms: int) -> None:
+    def _write_intents(self, now: int, now_ms: int) -> None:
         """Those that may be kept now.  Without our promise they wait a moment: it is lost for as long as a
         stall lasts, and an attempt that is turned away at once costs the job one of the few it has."""
-        held, self._held = self._held, []
+        held, self._held_intents = self._held_intents, []
         for until_ms, intent, handle in held:
             owner = self._owners.get(intent.job)
             if owner is not None and not self.replicas.can_write(now, owner) and now_ms < until_ms:
-                self._held.append((until_ms, intent, handle))
+                self._held_intents.append((until_ms, intent, handle))
                 continue
             token = self.replicas.write(now, now_ms, owner, (intent,)) if owner is not None else 0
             if token:
@@ -163,33 +177,33 @@
         """An attempt is over.  Told, and not waited for."""
         if (owner := self._owners.get(job)) is not None:
             self.replicas.write(now, now_ms, owner, (AttemptEndRecord(job, number, never),))
-            self._finish(now, now_ms)
+            self._process_results(now, now_ms)
 
     def answer(self, now: int, now_ms: int, answer: AnswerRecord, handle: Hashable, until_ms: int) -> None:
         """The desk has its answer: the client is told once it is kept."""
         owner = self._owners.pop(answer.job, None)  # our desk is through with it
         if owner is not None:
-            self._unsaid[answer.job] = (owner, answer, until_ms)
+            self._unwritten_answers[answer.job] = (owner, answer, until_ms)
         self._waiting.setdefault(answer.job, []).append((handle, until_ms))
-        self._finish(now, now_ms)
+        self._process_results(now, now_ms)
 
-    def _answers(self, now: int, now_ms: int) -> None:
+    def _write_answers(self, now: int, now_ms: int) -> None:
         """Those that may be kept now; others wait until our promise comes back, or another has answered."""
-        for job, (owner, answer, until_ms) in list(self._unsaid.items()):
+        for job, (owner, answer, until_ms) in list(self._unwritten_answers.items()):
             token = self.replicas.write(now, now_ms, owner, (answer,))
             known = self.replicas.find(job)
             if token:
                 self._pending[token] = ("answer", job, (owner, answer, until_ms))
             if token or now_ms > until_ms or (known is not None and known[1].answer is not None):
-                del self._unsaid[job]
+                del self._unwritten_answers[job]
 
     def client_disconnected(self, job: str, handle: Hashable) -> None:
         """This client waits no more; the job itself goes on, and others may wait for it."""
         if left := [w for w in self._waiting.pop(job, []) if w[0] != handle]:
             self._waiting[job] = left
-        if (sought := self._searches.get(job)) is not None:
-            sought.handles = [h for h in sought.handles if h != handle]
-            if not sought.handles:
+        if (search := self._searches.get(job)) is not None:
+            search.handles = [h for h in search.handles if h != handle]
+            if not search.handles:
                 del self._searches[job]
 
     def abandon(self, now_ms: int, acts: list[ReplicationInstruction]) -> list[ReplicationInstruction]:
@@ -205,7 +219,7 @@
                 )
             elif act.do in (ReplicationAction.REFUSE, ReplicationAction.NOT_SENT, ReplicationAction.ANSWER):
                 reported[act.handle] = act
-        for _, _, handle in self._held:
+        for _, _, handle in self._held_intents:
             reported[handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, handle)
         for what, _, handle in self._pending.values():
             if what == "intent":
@@ -218,50 +232,50 @@
                         ReplicationAction.ANSWER, handle, AnswerRecord(job, "failed", now_ms)
                     ),
                 )
-        for sought in self._searches.values():
-            for handle in sought.handles:
+        for search in self._searches.values():
+            for handle in search.handles:
                 reported.setdefault(handle, ReplicationInstruction(ReplicationAction.REFUSE, handle))
         return list(reported.values())
 
     def handle_message(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
         """Another scheduler asks, or answers."""
         if isinstance(message, FindJob):
-            sought = self._searches.get(message.job)
-            if sought is not None and (sender in sought.no or self.replicas.name < sender):
+            search = self._searches.get(message.job)
+            if search is not None and (sender in search.negative_from or self.replicas.name < sender):
                 # Both look for it: whoever has the other's no goes on, else the first by name.
                 self.lookup_messages.append((sender, JobFound(message.job, True, None, (), message.round)))
                 return
-            if sought is not None:  # it goes first: what was said to us before counts no more
-                sought.round, sought.asked_ms = self._next_round(), now_ms
-                sought.leads.clear()
-                sought.no.clear()
-            found = self._know(now, message.job, message.round)
+            if search is not None:  # it goes first: what was said to us before counts no more
+                search.round, search.asked_ms = self._next_round(), now_ms
+                search.leads.clear()
+                search.negative_from.clear()
+            found = self._look_up(now, message.job, message.round)
             if not found.open and found.answer is None:
-                self._denied.pop(message.job, None)  # so that the oldest stand first
-                self._denied[message.job] = now_ms + self._longest_ms
-                if len(self._denied) > MOST_DENIED:
-                    del self._denied[next(iter(self._denied))]
+                self._reported_unknown.pop(message.job, None)  # so that the oldest stand first
+                self._reported_unknown[message.job] = now_ms + self._longest_ms
+                if len(self._reported_unknown) > MAX_REPORTED_UNKNOWN:
+                    del self._reported_unknown[next(iter(self._reported_unknown))]
             self.lookup_messages.append((sender, found))
         else:
-            self._hear(now, now_ms, sender, message)
-            self._finish(now, now_ms)
+            self._handle_job_found(now, now_ms, sender, message)
+            self._process_results(now, now_ms)
 
     def tick(self, now: int, now_ms: int) -> None:
         """After each step of the keeper, and ten times a second."""
-        for job, sought in list(self._searches.items()):
-            if now_ms - sought.asked_ms >= SEEK_AGAIN_MS:
-                sought.asked_ms = now_ms
-                self.lookup_messages.append(("", FindJob(job, sought.round)))
-                self._hear(now, now_ms, self.replicas.name, self._know(now, job, sought.round))
+        for job, search in list(self._searches.items()):
+            if now_ms - search.asked_ms >= SEARCH_INTERVAL_MS:
+                search.asked_ms = now_ms
+                self.lookup_messages.append(("", FindJob(job, search.round)))
+                self._handle_job_found(now, now_ms, self.replicas.name, self._look_up(now, job, search.round))
                 if job not in self._searches:
                     continue
-            late = now_ms - sought.since_ms > SEEK_MS and not sought.open
-            if late or now_ms > sought.taken.until_ms - TELL_SPARE_MS:
+            late = now_ms - search.since_ms > SEARCH_TIMEOUT_MS and not search.open
+            if late or now_ms > search.taken.until_ms - ANSWER_MARGIN_MS:
                 del self._searches[job]
                 self.acts += [
-                    ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in sought.handles
+                    ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in search.handles
                 ]
-        self._finish(now, now_ms)
+        self._process_results(now, now_ms)
 
     # --- inside -------------------------------------------------------------------------------------------
 
@@ -290,39 +304,39 @@
         else:
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
 
-    def _know(self, now: int, job: str, seek_round: int) -> JobFound:
+    def _look_up(self, now: int, job: str, seek_round: int) -> JobFound:
         known = self.replicas.find(job)
         leads = tuple(o for o in self.replicas.logs if self.replicas.can_write(now, o))
-        if known is None or _refused(known[1]):
+        if known is None or _was_refused(known[1]):
             return JobFound(job, self._is_being_taken(job), None, leads, seek_round)
         return JobFound(job, known[1].answer is None, known[1].answer, leads, seek_round)
 
-    def _hear(self, now: int, now_ms: int, sender: str, found: JobFound) -> None:
+    def _handle_job_found(self, now: int, now_ms: int, sender: str, found: JobFound) -> None:
         job = found.job
-        sought = self._searches.get(job)
-        if sought is None or found.round != sought.round:
+        search = self._searches.get(job)
+        if search is None or found.round != search.round:
             return
         if found.answer is not None:
             del self._searches[job]
             self.acts += [
                 ReplicationInstruction(ReplicationAction.ANSWER, handle, found.answer)
-                for handle in sought.handles
+                for handle in search.handles
             ]
         elif found.open:
-            sought.open = True
-            sought.leads.clear()
-            sought.no.clear()
+            search.open = True
+            search.leads.clear()
+            search.negative_from.clear()
         elif found.leads:
-            sought.leads.update(found.leads)
-            sought.no.add(sender)
-            if sought.leads >= set(self._names):  # whoever leads each log says no
+            search.leads.update(found.leads)
+            search.negative_from.add(sender)
+            if search.leads >= set(self._names):  # whoever leads each log says no
                 del self._searches[job]
-                self._take_new(now, now_ms, sought.taken, sought.handles)
+                self._take_new(now, now_ms, search.taken, search.handles)
 
-    def _finish(self, now: int, now_ms: int) -> None:
+    def _process_results(self, now: int, now_ms: int) -> None:
         """What the keeper has told, and what may be kept by now."""
-        self._intents(now, now_ms)
-        self._answers(now, now_ms)
+        self._write_intents(now, now_ms)
+        self._write_answers(now, now_ms)
         for written in self.replicas.written:
             what, job, handle = self._pending.pop(written.token, ("", "", None))
             if what == "taken":
@@ -333,7 +347,7 @@
                     self._owners[job] = self.replicas.name
                     self.acts.append(ReplicationInstruction(ReplicationAction.START, handle))
                 else:  # it may be kept all the same: that shows once somebody leads our log anew
-                    self._doubted[job] = self.replicas.committed_term(self.replicas.name)
+                    self._uncertain_jobs[job] = self.replicas.committed_term(self.replicas.name)
             elif what == "intent":
                 self.acts.append(
                     ReplicationInstruction(
@@ -341,7 +355,9 @@
                     )
                 )
             elif what == "answer" and not written.kept and isinstance(handle, tuple):
-                self._unsaid[job] = handle  # it may be kept or not: once more does no harm, the first counts
+                self._unwritten_answers[job] = (
+                    handle  # it may be kept or not: once more does no harm, the first counts
+                )
         self.replicas.written = []
         for adopted in self.replicas.adopted:
             job = adopted.held.taken.job
@@ -353,25 +369,25 @@
             else:
                 self.replicas.write(now, now_ms, adopted.owner, (AnswerRecord(job, "failed", now_ms),))
         self.replicas.adopted = []
-        for job, term in list(self._doubted.items()):
+        for job, term in list(self._uncertain_jobs.items()):
             if self.replicas.committed_term(self.replicas.name) > term:
-                del self._doubted[job]
+                del self._uncertain_jobs[job]
                 if self.replicas.find(job) is None:  # it never was, and never will be
                     self.acts += [
                         ReplicationInstruction(ReplicationAction.REFUSE, handle)
                         for handle, _ in self._waiting.pop(job, [])
                     ]
         for job in list(self._waiting):
-            self._tell(now_ms, job)
+            self._answer_clients(now_ms, job)
 
-    def _tell(self, now_ms: int, job: str) -> None:
+    def _answer_clients(self, now_ms: int, job: str) -> None:
         known = self.replicas.find(job)
         answer = known[1].answer if known is not None else None
         left: list[tuple[Hashable, int]] = []
         for handle, until_ms in self._waiting[job]:
             if answer is not None:
                 self.acts.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
-            elif now_ms >= until_ms - TELL_SPARE_MS:
+            elif now_ms >= until_ms - ANSWER_MARGIN_MS:
                 self.acts.append(
                     ReplicationInstruction(
                         ReplicationAction.ANSWER, handle, AnswerRecord(job, "failed", now_ms)
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -26,9 +26,9 @@
 from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
 
 COMPACT_ENTRIES = 4_096  # beyond this many, a log's entries give way to an image of its book
-FORGET_BATCH = 256
-FORGET_PERIOD_NS = 1_000_000_000
-LATE_MS = 2_000  # after its client gave up, an open job is answered as failed
+EXPIRE_BATCH = 256
+EXPIRE_PERIOD_NS = 1_000_000_000
+ORPHAN_GRACE_MS = 2_000  # after its client gave up, an open job is answered as failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     jobs_state: JobLogState
     waiting: dict[int, int] = field(default_factory=dict)  # number of the entry: token
     term: int = 0  # that we lead and have taken over in; 0: none
-    dirty: int = 0  # entries since the last image
+    entries_since_snapshot: int = 0  # entries since the last image
 
 
 class LogReplicas:
@@ -83,14 +83,20 @@
         self.logs: dict[str, _Log] = {}
         everyone = sorted({*names, name})
         for owner in kept_by(name, everyone, size):
-            had = (kept or {}).get(owner)
+            restored = (kept or {}).get(owner)
             replica = Replica(
-                name, owner, group_of(owner, everyone, size), timing, random.Random(rng.random()), now, had
+                name,
+                owner,
+                group_of(owner, everyone, size),
+                timing,
+                random.Random(rng.random()),
+                now,
+                restored,
             )
             self.logs[owner] = _Log(replica, JobLogState.of(replica.kept.image))
         self._tokens = 0
-        self._forget_at = now
-        self._gather()
+        self._expire_answers_at = now
+        self._collect_output()
 
     # --- what others read ---------------------------------------------------------------------------------
 
@@ -136,16 +142,16 @@
             log = self.logs.get(message.owner)
             if log is not None and not (isinstance(message, HandBack) and log.jobs_state.open()):
                 log.replica.step(now, message, sender)
-                self._after(now, now_ms, message.owner, log)
+                self._process_replica(now, now_ms, message.owner, log)
         for owner, log in self.logs.items():
             if message is None and log.replica.due() <= now:
                 log.replica.step(now)
-                self._after(now, now_ms, owner, log)
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_PERIOD_NS
-            self._forget(now, now_ms)
+                self._process_replica(now, now_ms, owner, log)
+        if now >= self._expire_answers_at:
+            self._expire_answers_at = now + EXPIRE_PERIOD_NS
+            self._expire_answers(now, now_ms)
             self.logs[self.name].replica.hand_back(now)
-        self._gather()
+        self._collect_output()
 
     def write(self, now: int, now_ms: int, owner: str, records: Sequence[Record]) -> int:
         """Have records kept, in order; the token that `written` will name, or 0 where we may not promise."""
@@ -159,8 +165,8 @@
             return 0
         self._tokens += 1
         log.waiting[number] = self._tokens
-        self._after(now, now_ms, owner, log)
-        self._gather()
+        self._process_replica(now, now_ms, owner, log)
+        self._collect_output()
         return self._tokens
 
     def set_missing_members(self, now: int, missing: set[str]) -> None:
@@ -179,7 +185,7 @@
 
     # --- inside -------------------------------------------------------------------------------------------
 
-    def _after(self, now: int, now_ms: int, owner: str, log: _Log) -> None:
+    def _process_replica(self, now: int, now_ms: int, owner: str, log: _Log) -> None:
         replica = log.replica
         for image in replica.images:
             log.jobs_state = JobLogState.of(image)
@@ -194,7 +200,7 @@
                     )
             if (token := log.waiting.pop(number, 0)) and replica.role is Role.LEADER:
                 self.written.append(RecordWritten(token, True))
-        log.dirty += len(replica.commits)
+        log.entries_since_snapshot += len(replica.commits)
         replica.commits = []
         if replica.role is not Role.LEADER:
             # What we had asked for may be kept or not; whoever leads now decides what becomes of it.
@@ -205,22 +211,24 @@
             log.term = replica.kept.term
             for held in log.jobs_state.open():
                 self.adopted.append(Adopted(owner, held, *next_of(held, self.classes, now_ms)))
-        if log.dirty >= COMPACT_ENTRIES:
-            log.dirty = 0
+        if log.entries_since_snapshot >= COMPACT_ENTRIES:
+            log.entries_since_snapshot = 0
             replica.compact(log.jobs_state.image())
 
-    def _forget(self, now: int, now_ms: int) -> None:
+    def _expire_answers(self, now: int, now_ms: int) -> None:
         for owner, log in self.logs.items():
             if self.can_write(now, owner):
                 old = log.jobs_state.answered_before(now_ms - self._keep_ms)
-                for at in range(0, len(old), FORGET_BATCH):
-                    log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + FORGET_BATCH])))])
+                for at in range(0, len(old), EXPIRE_BATCH):
+                    log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + EXPIRE_BATCH])))])
                 # Nobody waits for these any more, and nobody works on them: an answer was lost with a lead.
-                late = [h.taken.job for h in log.jobs_state.open() if h.taken.until_ms + LATE_MS < now_ms]
+                late = [
+                    h.taken.job for h in log.jobs_state.open() if h.taken.until_ms + ORPHAN_GRACE_MS < now_ms
+                ]
                 if late:
                     log.replica.propose(now, [pack(AnswerRecord(job, "failed", now_ms)) for job in late])
 
-    def _gather(self) -> None:
+    def _collect_output(self) -> None:
         """What the replicas want stored and sent, in that order."""
         for owner, log in self.logs.items():
             replica = log.replica
--- a/hollowusher/scheduler/rules/log_replication/messages.py
+++ b/hollowusher/scheduler/rules/log_replication/messages.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-MOST_ENTRIES = 64  # in one message: a slow copy is caught up piece by piece
+MAX_ENTRIES_PER_APPEND = 64  # in one message: a slow copy is caught up piece by piece
 SNAPSHOT_CHUNK_BYTES = 32 * 1024  # bytes of a snapshot in one message
 
 
--- a/hollowusher/scheduler/rules/log_replication/pace.py
+++ b/hollowusher/scheduler/rules/log_replication/pace.py
@@ -13,16 +13,16 @@
 
     lease_ns: int = 1_000 * MS
     drift: float = 0.01
-    beats: int = 5  # appends, empty ones among them, in a lease
-    resend: int = 2  # beats after which an unanswered append is sent once more
+    heartbeats_per_lease: int = 5  # appends, empty ones among them, in a lease
+    resend_heartbeats: int = 2  # beats after which an unanswered append is sent once more
 
     @property
     def heartbeat_ns(self) -> int:
         """Between two signs of a leader."""
-        return self.lease_ns // self.beats
+        return self.lease_ns // self.heartbeats_per_lease
 
     @property
-    def held_ns(self) -> int:
+    def lease_validity_ns(self) -> int:
         """How long after sending it an append that a majority answered lets a leader promise: shorter than
         any follower's wait, by what two clocks may differ."""
         return round(self.lease_ns * (1 - 2 * self.drift))
--- a/hollowusher/scheduler/rules/log_replication/records.py
+++ b/hollowusher/scheduler/rules/log_replication/records.py
@@ -84,7 +84,7 @@
         return [i for i in self.intents if i.number not in self.never]
 
 
-_images = msgspec.msgpack.Decoder(list[LoggedJob])
+_snapshot_decoder = msgspec.msgpack.Decoder(list[LoggedJob])
 
 
 @dataclass(slots=True)
@@ -131,7 +131,7 @@
     def of(image: bytes) -> JobLogState:
         """A book from its image."""
         state = JobLogState()
-        for held in _images.decode(image) if image else ():
+        for held in _snapshot_decoder.decode(image) if image else ():
             state.jobs[held.taken.job] = held
             state.size += len(held.taken.body) + (len(held.answer.result) if held.answer else 0)
         return state
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -15,7 +15,7 @@
 from enum import Enum
 
 from hollowusher.scheduler.rules.log_replication.messages import (
-    MOST_ENTRIES,
+    MAX_ENTRIES_PER_APPEND,
     SNAPSHOT_CHUNK_BYTES,
     Append,
     Appended,
@@ -92,9 +92,9 @@
     match: int = 0
     sent_at: int = -(1 << 62)
     open: bool = False  # an append is under way
-    vouched: int = -(1 << 62)  # when the last append that it answered had been sent, by our clock
+    acked_sent_at: int = -(1 << 62)  # when the last append that it answered had been sent, by our clock
     lacks: bool = False
-    image_at: int = -1  # how much of an image it has; -1: it is sent entries
+    snapshot_offset: int = -1  # how much of an image it has; -1: it is sent entries
 
 
 class Replica:
@@ -124,14 +124,14 @@
         self.peers: dict[str, ReplicaPeer] = {}
         self.lease_until = -(1 << 62)
         self._led_at = -(1 << 62)  # when a leader was last heard
-        self._ask_at = now
+        self._election_at = now
         self._votes: set[str] = set()
         self._pre_voting = False
-        self._giving = False  # the lead is being given back: nothing new is taken
-        self._given_at = now
+        self._handing_over = False  # the lead is being given back: nothing new is taken
+        self._handover_at = now
         self._first_entry_of_term = 0  # the entry with which this leader began
-        self._missing: set[str] = set()  # whom the view of the members holds dead
-        self._piece = bytearray()
+        self._missing_members: set[str] = set()  # whom the view of the members holds dead
+        self._received_chunks = bytearray()
         # A start: whatever the storage gave back, it may be an old image of it.  So all are asked first.
         self._storage_trusted = self.kept.starts > 0
         self.kept.starts += 1
@@ -140,8 +140,8 @@
         self._learn_replies: dict[str, LearnReply] = {}
         self._required_match = 0  # a learner without storage votes again once it holds all up to here
         self._teacher = ""
-        self._rest_until = now + timing.lease_ns  # what it promised before it forgot has run out by then
-        self._learn_at, self._trust_at = now, now + 3 * timing.heartbeat_ns
+        self._no_vote_until = now + timing.lease_ns  # what it promised before it forgot has run out by then
+        self._learn_at, self._trust_storage_at = now, now + 3 * timing.heartbeat_ns
 
     # --- what others read -------------------------------------------------------------------------------
 
@@ -153,7 +153,7 @@
                 return entry.group
         return self.kept.image_group or self._configured
 
-    def _most(self, group: Sequence[str] | None = None) -> int:
+    def _majority(self, group: Sequence[str] | None = None) -> int:
         return len(group or self.group) // 2 + 1
 
     def can_write(self, now: int) -> bool:
@@ -161,7 +161,7 @@
         before is committed."""
         return (
             self.role is Role.LEADER
-            and not self._giving
+            and not self._handing_over
             and now < self.lease_until
             and self.commit >= self._first_entry_of_term
         )
@@ -177,14 +177,14 @@
                     default=self._led_at + self.timing.heartbeat_ns,
                 )
             case _:
-                return self._ask_at
+                return self._election_at
 
     # --- what drives it ---------------------------------------------------------------------------------
 
     def step(self, now: int, message: Message | None = None, sender: str = "") -> None:
         """Take what has come and do what is due."""
         if message is not None:
-            self._take(now, message, sender)
+            self._handle_message(now, message, sender)
         if now < self.due():
             return
         if self.role is Role.LEARNER:
@@ -192,7 +192,7 @@
         elif self.role is Role.LEADER:
             self._lead(now)
         else:
-            self._try(now)
+            self._start_pre_vote(now)
 
     def propose(self, now: int, data: Sequence[bytes], group: tuple[str, ...] = ()) -> int:
         """Add entries; the last one's number, or 0 where it may not promise."""
@@ -215,10 +215,10 @@
 
     def handle_missing_members(self, now: int, names: set[str]) -> None:
         """Whom the view of the members holds dead: a follower whose leader is among them asks sooner."""
-        self._missing = names
+        self._missing_members = names
         if self.role is Role.FOLLOWER and self.leader in names:
-            self._ask_at = min(
-                self._ask_at,
+            self._election_at = min(
+                self._election_at,
                 max(now, self._led_at + self.timing.lease_ns)
                 + round(self.rng.random() * self.timing.heartbeat_ns),
             )
@@ -243,34 +243,34 @@
 
     # --- messages in ------------------------------------------------------------------------------------
 
-    def _take(self, now: int, message: Message, sender: str) -> None:
+    def _handle_message(self, now: int, message: Message, sender: str) -> None:
         match message:
             case LearnRequest():
                 self._handle_learn_request(message, sender)
             case LearnReply():
-                self._learnt(now, message, sender)
+                self._handle_learn_reply(now, message, sender)
             case Append():
                 if self._accepts_leader(now, message.term, sender):
-                    self._appended(now, message, sender)
+                    self._handle_append(now, message, sender)
                 else:
                     self.sends.append((sender, Appended(self.owner, self.kept.term, False, 0, message.sent)))
             case SnapshotChunk():
                 if self._accepts_leader(now, message.term, sender):
-                    self._imaged(now, message, sender)
+                    self._handle_snapshot_chunk(now, message, sender)
             case Appended() if message.term > self.kept.term and self.role is not Role.LEARNER:
-                self._follow(now, message.term, "")
+                self._become_follower(now, message.term, "")
             case Appended() if message.term == self.kept.term and self.role is Role.LEADER:
-                self._vouched(now, message, sender)
+                self._handle_append_reply(now, message, sender)
             case SnapshotReceived() if message.term == self.kept.term and self.role is Role.LEADER:
-                self._image_held(now, message, sender)
+                self._handle_snapshot_received(now, message, sender)
             case VoteRequest() if self.role is not Role.LEARNER:
-                self._asked(now, message, sender)
+                self._handle_vote_request(now, message, sender)
             case Vote() if self.role is not Role.LEARNER:
-                self._voted(now, message, sender)
+                self._handle_vote(now, message, sender)
             case HandBack() if self.role is Role.LEADER and sender == self.owner:
                 peer = self.peers.get(sender)
                 if peer is not None and not peer.lacks and peer.match == self.kept.last == self.commit:
-                    self._giving, self._given_at = True, now
+                    self._handing_over, self._handover_at = True, now
                     self.sends.append((sender, TakeOver(self.owner, self.kept.term)))
             case TakeOver() if message.term == self.kept.term and self.role is Role.FOLLOWER:
                 self._campaign(now, calls=True)
@@ -287,23 +287,23 @@
             self.leader, self._led_at = sender, now
             return True
         if term > self.kept.term or self.role is not Role.FOLLOWER or self.leader != sender:
-            self._follow(now, term, sender)
+            self._become_follower(now, term, sender)
         self._led_at = now
-        self._ask_at = now + self._wait()
+        self._election_at = now + self._election_timeout_ns()
         return True
 
-    def _appended(self, now: int, m: Append, sender: str) -> None:
+    def _handle_append(self, now: int, m: Append, sender: str) -> None:
         """The leader's entries: those that follow what we hold."""
         kept = self.kept
         if m.prev > kept.last or (m.prev >= kept.first - 1 and kept.term_of(m.prev) != m.prev_term):
             hint = min(kept.last, m.prev - 1)
-            self._answer(sender, False, max(hint, self.commit), m.sent)
+            self._reply_to_append(sender, False, max(hint, self.commit), m.sent)
             return
         for at, entry in enumerate(m.entries, m.prev + 1):
             if at < kept.first or kept.term_of(at) == entry.term:
                 continue
             if at <= kept.last:
-                self._cut(at)
+                self._truncate(at)
             self._extend(m.entries[at - m.prev - 1 :])
             break
         match = m.prev + len(m.entries)
@@ -315,26 +315,28 @@
             and sender == self._teacher
         ):
             self._finish_learning(now)
-        self._answer(sender, True, match, m.sent)
+        self._reply_to_append(sender, True, match, m.sent)
 
-    def _answer(self, sender: str, ok: bool, match: int, sent: int) -> None:
+    def _reply_to_append(self, sender: str, ok: bool, match: int, sent: int) -> None:
         lacks = self.role is Role.LEARNER
         self.sends.append((sender, Appended(self.owner, self.kept.term, ok, match, sent, lacks)))
 
     # --- leading ----------------------------------------------------------------------------------------
 
     def _lead(self, now: int) -> None:
-        if self._giving and now - self._given_at > self.timing.lease_ns:
-            self._giving = False  # it was not taken
+        if self._handing_over and now - self._handover_at > self.timing.lease_ns:
+            self._handing_over = False  # it was not taken
         if self.peers and now - max(self.lease_until, self._led_at) > self.timing.lease_ns:
-            self._follow(now, self.kept.term, "")  # no majority answers: what waits here must not wait on
+            self._become_follower(
+                now, self.kept.term, ""
+            )  # no majority answers: what waits here must not wait on
             return
         if not self.peers:
             self._led_at = now
             self.lease_until = now + self.timing.lease_ns
         for name, peer in self.peers.items():
             if peer.sent_at + self.timing.heartbeat_ns <= now:
-                if now - peer.sent_at >= self.timing.resend * self.timing.heartbeat_ns:
+                if now - peer.sent_at >= self.timing.resend_heartbeats * self.timing.heartbeat_ns:
                     peer.open = False
                 self._append(now, name, heartbeat=True)
 
@@ -343,10 +345,10 @@
         kept, peer = self.kept, self.peers[name]
         if peer.open and not heartbeat:
             return
-        if peer.image_at >= 0 or peer.next < kept.first:
-            self._send_image(now, name, peer)
+        if peer.snapshot_offset >= 0 or peer.next < kept.first:
+            self._send_snapshot_chunk(now, name, peer)
             return
-        entries = () if peer.open else tuple(kept.entries[peer.next - kept.first :][:MOST_ENTRIES])
+        entries = () if peer.open else tuple(kept.entries[peer.next - kept.first :][:MAX_ENTRIES_PER_APPEND])
         if not entries and not heartbeat:
             return
         prev = peer.next - 1
@@ -355,9 +357,9 @@
             (name, Append(self.owner, kept.term, prev, kept.term_of(prev), entries, self.commit, now))
         )
 
-    def _send_image(self, now: int, name: str, peer: ReplicaPeer) -> None:
-        kept, at = self.kept, max(0, peer.image_at)
-        peer.image_at, peer.sent_at, peer.open = at, now, True
+    def _send_snapshot_chunk(self, now: int, name: str, peer: ReplicaPeer) -> None:
+        kept, at = self.kept, max(0, peer.snapshot_offset)
+        peer.snapshot_offset, peer.sent_at, peer.open = at, now, True
         self.sends.append(
             (
                 name,
@@ -375,27 +377,27 @@
             )
         )
 
-    def _image_held(self, now: int, m: SnapshotReceived, sender: str) -> None:
+    def _handle_snapshot_received(self, now: int, m: SnapshotReceived, sender: str) -> None:
         peer = self.peers.get(sender)
-        if peer is None or peer.image_at < 0:
+        if peer is None or peer.snapshot_offset < 0:
             return
         peer.open = False
         if m.last != self.kept.first - 1:
-            peer.image_at = 0  # there is a newer one
+            peer.snapshot_offset = 0  # there is a newer one
         elif m.at >= len(self.kept.image):
-            peer.image_at, peer.next, peer.match = -1, m.last + 1, max(peer.match, m.last)
+            peer.snapshot_offset, peer.next, peer.match = -1, m.last + 1, max(peer.match, m.last)
         else:
-            peer.image_at = m.at
+            peer.snapshot_offset = m.at
         self._append(now, sender, heartbeat=True)
 
-    def _vouched(self, now: int, m: Appended, sender: str) -> None:
+    def _handle_append_reply(self, now: int, m: Appended, sender: str) -> None:
         """A copy holds what it was sent, or says from where on it does not."""
         peer = self.peers.get(sender)
         if peer is None:
             return
         peer.open, peer.lacks = False, m.lacks
         if not m.lacks:
-            peer.vouched = max(peer.vouched, m.sent)
+            peer.acked_sent_at = max(peer.acked_sent_at, m.sent)
         if m.ok:
             peer.match = m.match if m.lacks else max(peer.match, m.match)
             peer.next = max(peer.next, peer.match + 1)
@@ -408,9 +410,13 @@
 
     def _renew(self, now: int) -> None:
         """The lease: from when the appends were sent that a majority has answered."""
-        times = sorted([now, *(p.vouched for n, p in self.peers.items() if n in self.group)], reverse=True)
-        if len(times) >= self._most():
-            self.lease_until = max(self.lease_until, times[self._most() - 1] + self.timing.held_ns)
+        times = sorted(
+            [now, *(p.acked_sent_at for n, p in self.peers.items() if n in self.group)], reverse=True
+        )
+        if len(times) >= self._majority():
+            self.lease_until = max(
+                self.lease_until, times[self._majority() - 1] + self.timing.lease_validity_ns
+            )
 
     def _advance(self) -> None:
         """What a majority holds is committed, once an entry of this term is among it."""
@@ -421,8 +427,8 @@
             ],
             reverse=True,
         )
-        if len(held) >= self._most():
-            number = held[self._most() - 1]
+        if len(held) >= self._majority():
+            number = held[self._majority() - 1]
             if number > self.commit and self._countable(number):
                 self._commit_to(number)
 
@@ -437,14 +443,14 @@
 
     # --- who leads --------------------------------------------------------------------------------------
 
-    def _try(self, now: int) -> None:
+    def _start_pre_vote(self, now: int) -> None:
         """Nothing was heard of a leader for a lease and more: would they follow us?  Nothing changes by the
         question, so that one who merely hears badly brings nobody down."""
-        self._ask_at = now + self._wait()
+        self._election_at = now + self._election_timeout_ns()
         if self.name not in self.group:
             return
         self._votes, self._pre_voting = {self.name}, True
-        if len(self._votes) >= self._most():
+        if len(self._votes) >= self._majority():
             self._campaign(now)
             return
         for name in self._others():
@@ -465,9 +471,9 @@
         self._set_term(self.kept.term + 1, self.name)
         self.role, self.leader, self._pre_voting = Role.CANDIDATE, "", False
         self._votes = {self.name}
-        self._ask_at = now + self._wait()
-        if len(self._votes) >= self._most():
-            self._begin(now)
+        self._election_at = now + self._election_timeout_ns()
+        if len(self._votes) >= self._majority():
+            self._become_leader(now)
             return
         for name in self._others():
             self.sends.append(
@@ -483,7 +489,7 @@
                 )
             )
 
-    def _asked(self, now: int, m: VoteRequest, sender: str) -> None:
+    def _handle_vote_request(self, now: int, m: VoteRequest, sender: str) -> None:
         kept = self.kept
         if self._is_bound_by_lease(now, m, sender):
             # A leader has our word for a lease: whoever asks meanwhile is not answered yes, nor is its term
@@ -496,12 +502,12 @@
             self.sends.append((sender, Vote(self.owner, m.term if yes else kept.term, yes, True)))
             return
         if m.term > kept.term:
-            self._follow(now, m.term, "")
-        yes = complete and m.term == kept.term and kept.voted in ("", sender) and now >= self._rest_until
+            self._become_follower(now, m.term, "")
+        yes = complete and m.term == kept.term and kept.voted in ("", sender) and now >= self._no_vote_until
         if yes and not kept.voted:
             self._set_term(m.term, sender)
         if yes:
-            self._ask_at = now + self._wait()
+            self._election_at = now + self._election_timeout_ns()
         self.sends.append((sender, Vote(self.owner, kept.term, yes)))
 
     def _is_bound_by_lease(self, now: int, m: VoteRequest, sender: str) -> bool:
@@ -516,24 +522,24 @@
         """Whether whoever asks holds all that we do: a majority of such holds all that was committed."""
         return (m.last_term, m.last) >= (self.kept.term_of(self.kept.last), self.kept.last)
 
-    def _voted(self, now: int, m: Vote, sender: str) -> None:
+    def _handle_vote(self, now: int, m: Vote, sender: str) -> None:
         if m.term > self.kept.term and not (m.trial and m.yes):
-            self._follow(now, m.term, "")
+            self._become_follower(now, m.term, "")
             return
         if sender not in self.group or not m.yes:
             return
         if m.trial and self._pre_voting and m.term == self.kept.term + 1:
             self._votes.add(sender)
-            if len(self._votes) >= self._most():
+            if len(self._votes) >= self._majority():
                 self._campaign(now)
         elif not m.trial and self.role is Role.CANDIDATE and m.term == self.kept.term:
             self._votes.add(sender)
-            if len(self._votes) >= self._most():
-                self._begin(now)
+            if len(self._votes) >= self._majority():
+                self._become_leader(now)
 
-    def _begin(self, now: int) -> None:
+    def _become_leader(self, now: int) -> None:
         """We lead.  The first entry says nothing: once it is committed, all before it is."""
-        self.role, self.leader, self._giving, self._led_at = Role.LEADER, self.name, False, now
+        self.role, self.leader, self._handing_over, self._led_at = Role.LEADER, self.name, False, now
         self.lease_until = -(1 << 62)
         self.peers = {}
         self._extend((LogEntry(self.kept.term),))
@@ -546,14 +552,14 @@
     def _set_peers(self, now: int) -> None:
         self.peers = {n: self.peers.get(n) or ReplicaPeer(self.kept.last) for n in self._others()}
 
-    def _follow(self, now: int, term: int, leader: str) -> None:
+    def _become_follower(self, now: int, term: int, leader: str) -> None:
         if self.role is Role.LEADER:
             self.reported.append(f"no longer leads: term {term}")
         if term > self.kept.term:
             self._set_term(term, "")
         self.role, self.leader, self.peers, self._pre_voting = Role.FOLLOWER, leader, {}, False
-        self._piece.clear()
-        self._ask_at = max(self._ask_at, now + self._wait())
+        self._received_chunks.clear()
+        self._election_at = max(self._election_at, now + self._election_timeout_ns())
 
     # --- a start ----------------------------------------------------------------------------------------
 
@@ -600,7 +606,7 @@
             )
         )
 
-    def _learnt(self, now: int, m: LearnReply, sender: str) -> None:
+    def _handle_learn_reply(self, now: int, m: LearnReply, sender: str) -> None:
         if self.role is not Role.LEARNER or m.nonce != self._nonce or sender not in self.group:
             return
         self._learn_replies[sender] = m
@@ -609,9 +615,9 @@
             # Somebody has heard of a later start of ours: what our storage gave back is an old image of it.
             self.reported.append("its storage is an old image: it learns anew")
             self._storage_trusted, self.kept.starts = False, max(t.starts for t in reported) + 1
-            self._lose()
+            self._discard_log()
         full = {n: t for n, t in self._learn_replies.items() if t.standing == VoterStanding.FULL}
-        if len(full) >= self._most():
+        if len(full) >= self._majority():
             newest = max(t.term for t in full.values())
             for name, t in full.items():
                 if t.leads and t.term == newest and name != self._teacher:
@@ -621,8 +627,8 @@
         elif self._storage_trusted:
             # Too few can teach us, so that our storage is needed: all of a group have been restarted, say.
             if (
-                now >= self._trust_at
-                and 1 + sum(t.standing >= VoterStanding.STORED for t in reported) >= self._most()
+                now >= self._trust_storage_at
+                and 1 + sum(t.standing >= VoterStanding.STORED for t in reported) >= self._majority()
             ):
                 self._finish_learning(now)
         elif (
@@ -634,7 +640,7 @@
             self.reported.append("nobody holds anything of this log: it begins anew")
             self._finish_learning(now)
 
-    def _lose(self) -> None:
+    def _discard_log(self) -> None:
         self.kept.entries, self.kept.first, self.kept.before = [], 1, 0
         self.kept.image, self.kept.image_group, self.commit = b"", (), 0
         self.images.append(b"")
@@ -654,21 +660,21 @@
         self.role, self._storage_trusted = Role.FOLLOWER, True
         if self._required_match and not self.kept.voted:
             self._set_term(self.kept.term, "?")  # whom it voted for in this term it cannot know
-        self._ask_at = now + self._wait()
+        self._election_at = now + self._election_timeout_ns()
         self.reported.append("knows all that it must")
 
-    def _imaged(self, now: int, m: SnapshotChunk, sender: str) -> None:
+    def _handle_snapshot_chunk(self, now: int, m: SnapshotChunk, sender: str) -> None:
         """A piece of the state; the whole takes the place of what we hold."""
         kept = self.kept
         if m.last <= self.commit:
             self.sends.append((sender, SnapshotReceived(self.owner, kept.term, m.last, m.complete, m.sent)))
             return
         if m.at == 0:
-            self._piece = bytearray()
-        if m.at == len(self._piece):
-            self._piece += m.piece
-        if len(self._piece) >= m.complete:
-            image = bytes(self._piece)
+            self._received_chunks = bytearray()
+        if m.at == len(self._received_chunks):
+            self._received_chunks += m.piece
+        if len(self._received_chunks) >= m.complete:
+            image = bytes(self._received_chunks)
             if kept.term_of(m.last) == m.last_term:  # what follows it is kept
                 kept.entries = kept.entries[m.last - kept.first + 1 :]
             else:
@@ -678,9 +684,11 @@
             self.stores.append(Store(cut=0 if kept.entries else m.last + 1, image=image, upto=m.last))
             self.images.append(image)
             self.commits.clear()
-        self.sends.append((sender, SnapshotReceived(self.owner, kept.term, m.last, len(self._piece), m.sent)))
+        self.sends.append(
+            (sender, SnapshotReceived(self.owner, kept.term, m.last, len(self._received_chunks), m.sent))
+        )
 
-    def _wait(self) -> int:
+    def _election_timeout_ns(self) -> int:
         """How long from now a silent leader is waited for."""
         return self.timing.wait_ns(self.rng.random(), self.name == self.owner, len(self.group))
 
@@ -697,6 +705,6 @@
         self.stores.append(Store(entries=entries, first=self.kept.last + 1))
         self.kept.entries += entries
 
-    def _cut(self, number: int) -> None:
+    def _truncate(self, number: int) -> None:
         assert number > self.commit, "what is committed is never taken back"
         self.kept.entries = self.kept.entries[: number - self.kept.first]  # those that follow are stored over
--- a/hollowusher/scheduler/rules/log_replication/takeover.py
+++ b/hollowusher/scheduler/rules/log_replication/takeover.py
@@ -9,7 +9,7 @@
 from hollowusher.balancing.interface import Effect, Group, JobClass
 from hollowusher.scheduler.rules.log_replication.records import LoggedJob
 
-SPARE_MS = 50  # less than this before its client gives up, nothing is begun
+MIN_REMAINING_MS = 50  # less than this before its client gives up, nothing is begun
 
 
 class Next(Enum):
@@ -33,7 +33,7 @@
 
     Safe: again.  Keyed: again within its group's window, counted from the first such attempt.  Else never."""
     cls = classes.get(held.taken.job_class)
-    if held.taken.until_ms - now_ms < SPARE_MS:
+    if held.taken.until_ms - now_ms < MIN_REMAINING_MS:
         return Next.LATE, None
     ran = held.may_have_run()
     if not ran or (cls is not None and cls.effect is Effect.SAFE):
@@ -41,7 +41,7 @@
     if cls is None or cls.effect is Effect.UNSAFE:
         return Next.UNKNOWN, None
     until_ms = min(i.at_ms for i in ran) + cls.window_ns // 1_000_000
-    if now_ms + SPARE_MS >= until_ms:
+    if now_ms + MIN_REMAINING_MS >= until_ms:
         return Next.UNKNOWN, None
     return Next.SEND, Bound("" if cls.group is Group.ALL else ran[0].cell, until_ms)
 
