--- a/hollowusher/scheduler/rules/membership/__init__.py
+++ b/hollowusher/scheduler/rules/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership among the schedulers: who is there, as a state machine without I/O or clock of its own."""
+"""Group membership of the schedulers, as a state machine without I/O and without a clock."""
--- a/hollowusher/scheduler/rules/membership/codec.py
+++ b/hollowusher/scheduler/rules/membership/codec.py
@@ -1,6 +1,6 @@
-"""Datagrams to messages and back: MessagePack in an envelope with version, cluster and checksum.
+"""Encodes and decodes membership datagrams: MessagePack after a header with version, cluster and checksum.
 
-What cannot be read is counted by its reason and costs nothing else.
+The decoder drops an invalid datagram and counts it by reason; it raises no error.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
 
 
 class DatagramCodec:
-    """For one cluster.  `bad` counts what came and was skipped, by reason."""
+    """The codec of one cluster.
+
+    `capacity` is the maximum size of a datagram in bytes.  `bad` counts the dropped datagrams by reason.
+    """
 
     def __init__(self, cluster: str, capacity: int = MAX_DATAGRAM_BYTES) -> None:
         self._cluster = xxhash.xxh32_intdigest(cluster.encode())
@@ -30,14 +33,14 @@
         self.bad: Counter[str] = Counter()
 
     def encode(self, message: Message) -> bytes:
-        """The datagram; ValueError where it would be longer than allowed."""
+        """Returns the datagram; raises ValueError if it exceeds the maximum size."""
         body = self._encoder.encode(message)
         if len(body) + HEADER_BYTES > self._capacity:
-            raise ValueError(f"a datagram of {len(body) + HEADER_BYTES} bytes")
+            raise ValueError(f"datagram of {len(body) + HEADER_BYTES} bytes exceeds the maximum size")
         return _HEADER.pack(MAGIC, VERSION, self._cluster, self._sum(body)) + body
 
     def decode(self, data: bytes) -> Message | None:
-        """The message, or None where this is none for us."""
+        """Returns the message, or None if the datagram is invalid or belongs to another cluster."""
         why, message = self._read(data)
         if message is None:
             self.bad[why] += 1
@@ -58,7 +61,7 @@
             return "checksum", None
         try:
             message = self._decoder.decode(body)
-        except (msgspec.DecodeError, RecursionError):  # a kind that we do not know among them
+        except (msgspec.DecodeError, RecursionError):  # includes an unknown message kind
             return "body", None
         if len(message.news) > MAX_UPDATES or len(message.hashes) > MAX_HASHES:
             return "body", None
--- a/hollowusher/scheduler/rules/membership/events.py
+++ b/hollowusher/scheduler/rules/membership/events.py
@@ -1,4 +1,4 @@
-"""What a member tells those who are built on it."""
+"""The events that a member emits to its caller."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 class Change(Enum):
-    """What has changed in a view, or what a member has learnt of itself."""
+    """The kind of an event: a change of another member, or of this member's own state."""
 
-    JOINED = "joined"  # a member is there that was not
-    RESTARTED = "restarted"  # the same name, another process: what it held is lost
+    JOINED = "joined"  # a member became present
+    RESTARTED = "restarted"  # another process runs under the name; the state of the earlier one is lost
     SUSPECTED = "suspected"
-    CLEARED = "cleared"  # it is no longer suspect
+    CLEARED = "cleared"  # a suspect is alive again
     DIED = "died"
     LEFT = "left"
-    TWIN = "twin"  # two processes speak under one name
-    REFUTED = "refuted"  # we were accused, and say that we are here
-    PAUSED = "paused"  # we did not run for a while, and judge nobody by what we missed
-    DEAF = "deaf"  # we hear nobody
-    HEARING = "hearing"  # we hear others again
-    MINORITY = "minority"  # we reach no majority of the configured names
-    MAJORITY = "majority"
+    TWIN = "twin"  # two processes use one name
+    REFUTED = "refuted"  # this member refuted a suspicion or a death of itself
+    PAUSED = "paused"  # this process did not run for a while; messages missed meanwhile are no evidence
+    DEAF = "deaf"  # this member receives no messages
+    HEARING = "hearing"  # this member receives messages again
+    MINORITY = "minority"  # this member is not in contact with a majority of the configured names
+    MAJORITY = "majority"  # this member is in contact with a majority of them again
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """One change, of whom, why, and the number of the view it led to."""
+    """One event: the kind, the member's name, the reason, and the number of the resulting view."""
 
     change: Change
     name: str
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -1,9 +1,13 @@
-"""One member's view of the others: SWIM with Lifeguard's extensions, as a state machine.
+"""Group membership and failure detection for one member: SWIM with the extensions of Lifeguard.
 
-In go times and messages, out come messages and events: no I/O, no clock, and chance is handed in.  Sources:
-Das, Gupta and Motivala, "SWIM" (2002); Dadgar, Phillips and Currey, "Lifeguard" (2018).  What is added here:
-who hears nobody accuses nobody; who was paused judges nobody by what it missed; before a death is declared
-its subject is called once more; a death heard of one who was just heard itself is a suspicion.
+The module is a state machine without I/O and without a clock: the caller passes the time, the received
+messages and a random number generator, and collects messages and events.  Sources: Das, Gupta and Motivala,
+"SWIM" (2002); Dadgar, Phillips and Currey, "Lifeguard" (2018).  This implementation adds four rules:
+
+- A member that receives no messages at all (a deaf member) publishes no suspicions and no deaths.
+- A member that was paused does not count the messages that it missed as evidence against other members.
+- Before a member declares another one dead, it pings that member once more.
+- A reported death of a member that was in contact recently is treated as a suspicion.
 """
 
 from __future__ import annotations
@@ -28,60 +32,60 @@
 )
 from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
-DIGEST_BUCKETS = 12  # parts of a digest: what differs is sent by the part
-MAX_PAGES = 32  # datagrams that answer one digest
-MAX_INDIRECT_PINGS = 64  # pings for others that are under way
-DUPLICATE_NAME_PERIODS = 20  # after which nothing of an earlier process of a name is under way
-MAX_PROCESS_IDS = 4  # earlier processes of a name that are remembered
-JOIN_CONTACTS = 3  # names called in a period, until one has answered
+DIGEST_BUCKETS = 12  # hashes in a digest; a receiver sends all records of each bucket whose hash differs
+MAX_PAGES = 32  # datagrams sent in reply to one digest
+MAX_INDIRECT_PINGS = 64  # pending pings on behalf of other members
+DUPLICATE_NAME_PERIODS = 20  # later, no message of an earlier process with the same name is in flight
+MAX_PROCESS_IDS = 4  # earlier process ids remembered for each name
+JOIN_CONTACTS = 3  # names contacted in each period until the first message arrives
 
 
 @dataclass(slots=True)
 class MemberSuspicion:
-    """A member that does not answer: who says so, and until when it has time to say otherwise."""
+    """A suspicion: its start, the members that reported it, and the state of the final ping."""
 
     since: int
     accusers: set[str]
-    heard_at: int = -1  # a sign of life since, though no refutation
-    called: bool = False  # whether it was called once more
+    heard_at: int = -1  # last contact since the suspicion began, without a refutation; -1: none
+    called: bool = False  # the final ping was sent; `since` is then the time at which the wait for it ends
 
 
 @dataclass(slots=True)
 class Record:
-    """What is known of one member."""
+    """The local record of another member.  All times are in nanoseconds."""
 
     update: MemberUpdate
-    heard_at: int  # when it was heard itself, last
+    heard_at: int  # last direct message, or last acknowledgement that a helper relayed
     changed_at: int
-    notified_at: int  # when it was told that it is held dead, or outdated
-    process_since: int  # since when this process of it is known
-    duplicate_reported: bool = False  # two processes of it were told of
-    tentative: bool = False  # judged while we heard nobody: not told, and taken back once we hear
+    notified_at: int  # when this member last sent it the record that lists it as dead, left or replaced
+    process_since: int  # when its current process id was first seen
+    duplicate_reported: bool = False  # the TWIN event for this name was emitted
+    tentative: bool = False  # set while this member was deaf: not gossiped, reverted at the next contact
     suspicion: MemberSuspicion | None = None
-    process_ids: list[int] = field(default_factory=list)  # earlier ones
+    process_ids: list[int] = field(default_factory=list)  # earlier process ids of this name
 
     @property
     def present(self) -> bool:
-        """Whether it counts as there."""
+        """Whether the member is alive or only suspect."""
         return self.update.standing <= MemberStatus.SUSPECT
 
 
 @dataclass(slots=True)
 class MemberProbe:
-    """The ping under way."""
+    """The pending probe of one member."""
 
     target: str
     seq: int
     ask_at: int
     end_at: int
-    asked: int = -1  # helpers, once they are asked
+    asked: int = -1  # number of helpers asked for an indirect ping; -1: not asked yet
     nacks: int = 0
     acked: bool = False
 
 
 @dataclass(slots=True)
 class IndirectPing:
-    """A ping for another member."""
+    """A pending ping on behalf of another member, `origin`."""
 
     target: str
     origin: str
@@ -91,9 +95,11 @@
 
 
 class SwimMember:
-    """The protocol of one process.  `step` takes the time and at most one message; `due` is when to call it.
+    """The membership protocol of one process.
 
-    `sends` and `reported` gather what is to go out and what has changed; the caller empties them.
+    The caller passes the time and at most one message to `step`, and calls `step` no later than at the time
+    that `due` returns.  The protocol appends outgoing messages to `sends` and events to `reported`; the
+    caller sends or handles them and empties both lists.  All times are in nanoseconds.
     """
 
     def __init__(
@@ -114,35 +120,39 @@
         self.gossip = Gossip()
         self.sends: list[tuple[str, Message]] = []
         self.reported: list[MembershipEvent] = []
+        # `number`: of the current view; `health`: the local health score, 0 is best.
         self.number = self.health = self._seq = 0
+        # `joined`: a message has arrived since the start; `gone`: this member has left.
         self.minority, self.deaf, self.joined, self.gone = len(self.contacts) > 1, True, False, False
         self._heard_at = now
         self._probe: MemberProbe | None = None
         self._indirect_pings: dict[int, IndirectPing] = {}
         self._probe_order: list[str] = []
-        self._suspected: set[str] = set()  # who has a suspicion
-        self._present_names: list[str] | None = None  # the present ones in order, until they change
+        self._suspected: set[str] = set()  # names of the members under suspicion
+        self._present_names: list[str] | None = None  # sorted cache; None: to be rebuilt
         self._probe_at = now + round(rng.random() * timing.period_ns)
         self._contact_absent_at = now
         self._send_digest_at = now + round((1 + rng.random()) * timing.digest_periods * timing.period_ns)
-        self._outbid_incarnations: dict[
-            int, int
-        ] = {}  # another process of our name: the incarnation we answered it with
+        # By id of another process with this name: the incarnation that this process announced against it.
+        self._outbid_incarnations: dict[int, int] = {}
         self._refuted_at = now - 1
         self._duplicate_process: int | None = None
 
-    # --- what others read ---------------------------------------------------------------------------------
+    # --- queries -------------------------------------------------------------------------------------------
 
     def present(self) -> list[str]:
-        """The names that are there, our own among them."""
+        """Returns the sorted names of all present members, including this one."""
         return sorted([self.me.name, *(n for n, r in self.records.items() if r.present)])
 
     def missing(self) -> set[str]:
-        """Configured names that are not there; none, while we hear nobody: it may be us."""
+        """Returns the configured names that are not present.
+
+        The set is empty while this member is deaf, because then this member itself may be cut off.
+        """
         return set() if self.deaf else set(self.contacts) - set(self.present())
 
     def due(self) -> int:
-        """When `step` is to be called at the latest."""
+        """Returns the time of the next timer: the caller must call `step` by then."""
         whens = [self._contact_absent_at, self._send_digest_at, self._probe_at]
         if self._probe is not None:
             whens.append(self._probe.end_at if self._probe.asked >= 0 else self._probe.ask_at)
@@ -151,7 +161,7 @@
         return min(whens)
 
     def frozen(self, now: int) -> tuple[object, ...]:
-        """All that decides what it does next, with times from now on: for a model check."""
+        """Returns the protocol state as a hashable value, with relative times, for the model checker."""
         probe = self._probe
         return (
             self.me,
@@ -190,10 +200,10 @@
             tuple(self._outbid_incarnations.items()),
         )
 
-    # --- what drives it -----------------------------------------------------------------------------------
+    # --- inputs --------------------------------------------------------------------------------------------
 
     def step(self, now: int, message: Message | None = None) -> None:
-        """Take what has come and do what is due."""
+        """Handles one received message, if any, and runs all due timers."""
         if self.gone:
             return
         late = now - self.due()
@@ -204,13 +214,16 @@
         self._run_due_timers(now)
 
     def set_contacts(self, now: int, contacts: Iterable[str]) -> None:
-        """Other names are configured from now on: who is there stays, the majority is of the new ones."""
+        """Replaces the configured names.
+
+        The present members stay; the majority is computed from the new names.
+        """
         self.contacts = frozenset(contacts) | {self.me.name}
         self._contact_absent_at = now
         self._update_majority()
 
     def leave(self, now: int) -> None:
-        """Say that we go, in good order; nothing is said or heard after that."""
+        """Announces that this member leaves.  Later calls of `step` have no effect."""
         self.me = replace(self.me, standing=MemberStatus.LEFT)
         others = self._others(())
         for name in self.rng.sample(others, min(len(others), 2 * self.timing.helpers)):
@@ -246,11 +259,14 @@
             self._remove_expired(now)
         if not self.deaf and now - self._heard_at > self._scaled_periods_ns(self.timing.isolation_periods):
             self.deaf = True
-            self._report(Change.DEAF, self.me.name, "nothing came from anybody")
+            self._report(Change.DEAF, self.me.name, "no message received from any member")
             self._update_majority()
 
     def _handle_pause(self, now: int, late: int) -> None:
-        """We did not run: whom we did not hear meanwhile, we could not hear."""
+        """Extends all pending timeouts after this process was paused for `late` nanoseconds.
+
+        The process could not receive messages during the pause, so missing messages prove nothing.
+        """
         for name in self._suspected:
             if (suspicion := self.records[name].suspicion) is not None:
                 suspicion.since += late
@@ -261,7 +277,7 @@
         self._raise_health_score(1 + late // self.timing.period_ns)
         self._report(Change.PAUSED, self.me.name, f"{late / 1e6:.0f} ms late")
 
-    # --- messages in --------------------------------------------------------------------------------------
+    # --- received messages --------------------------------------------------------------------------------
 
     def _handle_message(self, now: int, message: Message) -> None:
         sender = message.sender
@@ -296,34 +312,36 @@
         if (
             not record.present or record.update.process_id != sender.process_id
         ) and now - record.notified_at >= self.timing.period_ns:
-            # It is held dead or gone, or a process of its name with a younger clock is known: it is told, and
-            # can say otherwise.  Once a period: one that never does would be asked at the network's speed.
+            # The sender is recorded as dead or left, or another process with its name has a higher
+            # incarnation.  This member sends the record back so that the sender can refute it.  It does so
+            # at most once per period: a sender that never refutes would otherwise cause an endless exchange.
             record.notified_at = now
             if (
                 record.update.process_id != sender.process_id
                 and now - record.process_since > DUPLICATE_NAME_PERIODS * self.timing.period_ns
             ):
-                self._report_duplicate_name(record)  # what one that ended had sent has arrived by now
+                # The last message of an ended process would have arrived by now, so both processes run.
+                self._report_duplicate_name(record)
             self._send(sender.name, MessageKind.PING, first=(record.update,))
 
     def _end_isolation(self, now: int, name: str) -> None:
-        """Someone is heard again, or for the first time: what was judged meanwhile is taken back."""
+        """Ends the deaf state when a message arrives, and reverts the tentative suspicions and deaths."""
         self.deaf = False
         for other, record in self.records.items():
             if record.tentative:
                 record.tentative, record.suspicion = False, None
                 self._suspected.discard(other)
                 if not record.present:
-                    self._report(Change.JOINED, other, "judged while we heard nobody")
+                    self._report(Change.JOINED, other, "declared missing while this member was deaf")
                 record.update = replace(record.update, standing=MemberStatus.ALIVE, by="")
         self._present_names = None
-        self._report(Change.HEARING, self.me.name, f"{name} is heard")
+        self._report(Change.HEARING, self.me.name, f"{name} sent a message")
         self.joined = True
         self._send_digest(name, asks=True)
         self._update_majority()
 
     def _note_contact(self, now: int, record: Record) -> None:
-        """A sign of life from the member itself, or brought by a helper."""
+        """Records a contact: a direct message, or an acknowledgement relayed by a helper."""
         record.heard_at = now
         if record.suspicion is not None:
             record.suspicion.heard_at = now
@@ -342,7 +360,7 @@
             self._probe.acked = True
 
     def _handle_ping_request(self, now: int, message: Message) -> None:
-        """Ping a member for another that does not hear it."""
+        """Pings the target on behalf of the sender, which received no acknowledgement from it."""
         if message.target not in self.records or len(self._indirect_pings) >= MAX_INDIRECT_PINGS:
             return
         seq = self._next_seq()
@@ -353,10 +371,10 @@
         )
         self._send(message.target, MessageKind.PING, seq)
 
-    # --- update ---------------------------------------------------------------------------------------------
+    # --- member updates ------------------------------------------------------------------------------------
 
     def _apply_update(self, now: int, update: MemberUpdate) -> None:
-        """Take one piece of update, if it is newer than what is known."""
+        """Applies a member update if it supersedes the record of that member."""
         if update.name == self.me.name:
             self._handle_update_about_self(now, update)
             return
@@ -384,7 +402,8 @@
             and not record.tentative
             and now - record.heard_at < just
         ):
-            # We heard it itself a moment ago: so it is not reached by some, which it gets to know and answer.
+            # This member was in contact with the subject recently, so probably only some members cannot reach
+            # it.  The death becomes a suspicion, which is sent to the subject so that it can refute it.
             update = replace(update, standing=MemberStatus.SUSPECT, by=update.by or "others")
             if not update.supersedes(old):
                 return
@@ -392,7 +411,7 @@
         self._update_record(now, record, update)
 
     def _add_record(self, now: int, update: MemberUpdate) -> None:
-        """Somebody who was not known."""
+        """Adds a record for a member that was not known."""
         record = Record(update, now - self.timing.forget_ns, now, now - self.timing.period_ns, now)
         self.records[update.name] = record
         if update.standing is MemberStatus.SUSPECT:
@@ -402,10 +421,10 @@
         if record.present:
             self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), update.name)
             self.gossip.put(update)
-            self._report_view_change(Change.JOINED, update.name, "first heard of")
+            self._report_view_change(Change.JOINED, update.name, "first update received")
 
     def _update_record(self, now: int, record: Record, update: MemberUpdate, tentative: bool = False) -> None:
-        """What is known of a member changes."""
+        """Stores a superseding update in the record and emits the event for the change."""
         old, was_there = record.update, record.present
         record.update = update = replace(update, address=update.address or old.address)
         record.changed_at, record.tentative = now, tentative
@@ -436,11 +455,13 @@
             self._report_view_change(change, update.name, f"by {update.by}" if update.by else "")
         elif record.present and update.process_id != old.process_id:
             self._report_view_change(
-                Change.RESTARTED, update.name, f"life {update.process_id:08x} after {old.process_id:08x}"
+                Change.RESTARTED, update.name, f"process {update.process_id:08x} after {old.process_id:08x}"
             )
         elif update.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
             self._report(Change.SUSPECTED, update.name, f"by {update.by}")
-            # So many of all ask it next, out of turn: it hears of the suspicion, and three confirm it soon.
+            # With this probability the suspect is probed next, so about 2 * `confirmers` members of the whole
+            # group probe it out of turn: the suspect receives the suspicion early, and `confirmers` of them
+            # can confirm it early.
             if self.rng.random() * len(self.records) < 2 * self.timing.confirmers:
                 self._probe_order.append(update.name)
         elif update.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
@@ -449,10 +470,10 @@
     def _report_duplicate_name(self, record: Record) -> None:
         if not record.duplicate_reported:
             record.duplicate_reported = True
-            self._report(Change.TWIN, record.update.name, "two processes speak under this name")
+            self._report(Change.TWIN, record.update.name, "two processes use this name")
 
     def _handle_update_about_self(self, now: int, update: MemberUpdate) -> None:
-        """Something is said of our own name: we are here, and say so with a higher incarnation."""
+        """Refutes an update about this member's own name by announcing a higher incarnation."""
         if update.incarnation < self.me.incarnation or (
             update.process_id == self.me.process_id and update.standing is MemberStatus.ALIVE
         ):
@@ -464,15 +485,13 @@
                 and update.incarnation > answered
                 and self._duplicate_process != update.process_id
             ):
-                # Whoever ended cannot have answered us: this process is there.
+                # The other process raised its incarnation after this refutation, so it is still running.
                 self._duplicate_process = update.process_id
-                self._report(
-                    Change.TWIN, self.me.name, f"another process, life {update.process_id:08x}, has our name"
-                )
+                self._report(Change.TWIN, self.me.name, f"process {update.process_id:08x} uses the same name")
             if self._duplicate_process is not None and now - self._refuted_at < self._scaled_periods_ns(
                 self.timing.digest_periods
             ):
-                return  # two that outbid each other at once would fill the network with it
+                return  # limits the traffic of two processes that outbid each other
             self._outbid_incarnations[update.process_id] = update.incarnation + 1
             if len(self._outbid_incarnations) > MAX_PROCESS_IDS:
                 del self._outbid_incarnations[next(iter(self._outbid_incarnations))]
@@ -490,7 +509,7 @@
         for name in [*([update.by] if update.by in self.records else []), *reported]:
             self._send(name, MessageKind.PING, first=(self.me,))
 
-    # --- judging ------------------------------------------------------------------------------------------
+    # --- failure detection ---------------------------------------------------------------------------------
 
     def _start_probe(self, now: int) -> None:
         self._probe_at = now + self._scaled_periods_ns(1.0)
@@ -527,14 +546,14 @@
         record = self.records.get(probe.target)
         if record is None or not record.present:
             return
-        if record.suspicion is not None:  # our own word among those that confirm it
+        if record.suspicion is not None:  # this failed probe confirms the suspicion
             self._apply_update(now, replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
         update = replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
         self._update_record(now, record, update, tentative=self.deaf)
 
     def _suspicion_end(self, record: Record) -> int:
-        """When a suspicion runs out; one that has been called has a moment more."""
+        """Returns when the suspicion expires, or when the wait for the final ping ends."""
         suspicion = record.suspicion
         assert suspicion is not None
         if suspicion.called:
@@ -543,9 +562,9 @@
         return suspicion.since + self.timing.suspicion_ns(self._present_count(), confirmed, self.health)
 
     def _expire(self, now: int, name: str, record: Record, suspicion: MemberSuspicion) -> None:
-        """A suspicion has run out: it is called once more, by us and by helpers, and then it is dead."""
+        """Handles an expired suspicion: sends a final ping first, and declares the member dead after that."""
         if not suspicion.called:
-            if suspicion.heard_at >= 0:  # it speaks, though it has not refuted: it may be slow to hear
+            if suspicion.heard_at >= 0:  # in contact but not refuted: the suspicion may reach it late
                 suspicion.since, suspicion.heard_at = now, -1
                 self._send(name, MessageKind.PING)
                 return
@@ -565,7 +584,7 @@
     # --- digests ------------------------------------------------------------------------------------------
 
     def _contact_absent(self, now: int) -> None:
-        """Call at names that are not there: to join, and so that halves that were apart find each other."""
+        """Sends digests to absent names, to join the group and to reunite the parts of a healed partition."""
         absent = sorted(
             {n for n in self.contacts if n != self.me.name and not self._is_present(n)}
             | {n for n, r in self.records.items() if r.update.standing is MemberStatus.DEAD}
@@ -582,11 +601,11 @@
         return record is not None and record.present
 
     def hashes(self) -> tuple[int, ...]:
-        """What is held of all who are there, in parts; the same at two members that hold the same."""
+        """Returns one hash per bucket over the present members; equal views have equal hashes."""
         parts = [0] * DIGEST_BUCKETS
         for update in [self.me, *(r.update for r in self.records.values() if r.present)]:
-            said = f"{update.name}/{update.process_id}/{update.incarnation}"
-            parts[self._bucket(update.name)] ^= zlib.crc32(said.encode())
+            entry = f"{update.name}/{update.process_id}/{update.incarnation}"
+            parts[self._bucket(update.name)] ^= zlib.crc32(entry.encode())
         return tuple(parts)
 
     def _bucket(self, name: str) -> int:
@@ -596,7 +615,7 @@
         self._send(name, MessageKind.DIGEST, int(asks), hashes=self.hashes())
 
     def _answer_digest(self, message: Message) -> None:
-        """Send what differs; and our own digest, so that the other does the same."""
+        """Sends the records of all differing buckets, and a digest if the sender requested one."""
         pairs = zip(self.hashes(), message.hashes, strict=False)
         differ = {at for at, (ours, theirs) in enumerate(pairs) if ours != theirs}
         if not differ:
@@ -618,7 +637,7 @@
                 page.append(update.pop())
             self.sends.append((message.sender.name, replace(empty, news=tuple(page))))
 
-    # --- small things -------------------------------------------------------------------------------------
+    # --- helpers -------------------------------------------------------------------------------------------
 
     def _others(self, excluded: tuple[str, ...]) -> list[str]:
         if self._present_names is None:
@@ -626,7 +645,7 @@
         return [n for n in self._present_names if n not in excluded] if excluded else self._present_names
 
     def _present_count(self) -> int:
-        """Members that are there."""
+        """Returns the number of present members, including this one."""
         return 1 + len(self._others(()))
 
     def _next_seq(self) -> int:
@@ -634,14 +653,14 @@
         return self._seq
 
     def _scaled_periods_ns(self, periods: float) -> int:
-        """So many periods, longer for one that distrusts itself."""
+        """Returns the periods in nanoseconds, scaled up by the local health score."""
         return round(periods * self.timing.period_ns * (1 + self.health))
 
     def _scaled_timeout_ns(self) -> int:
         return self.timing.timeout_ns * (1 + self.health)
 
     def _jittered_periods_ns(self, periods: float) -> int:
-        """So many periods, give or take a quarter: what all do at once, they do not do at once for long."""
+        """Returns the periods in nanoseconds with 25 % jitter, so that members do not act in lockstep."""
         return round(periods * self.timing.period_ns * (0.75 + 0.5 * self.rng.random()))
 
     def _raise_health_score(self, by: int) -> None:
@@ -666,7 +685,10 @@
         first: tuple[MemberUpdate, ...] = (),
         hashes: tuple[int, ...] = (),
     ) -> None:
-        """A message with as much update as fits; what its receiver must hear of itself goes first."""
+        """Queues a message and fills it with updates up to the datagram size.
+
+        An update that the receiver must refute comes first, then `first`, then gossip.
+        """
         record = self.records.get(name)
         if record is not None and record.update.standing is not MemberStatus.ALIVE and not record.tentative:
             first = (record.update, *first)
@@ -684,13 +706,13 @@
             self.gossip.drop(name)
 
     def _report_view_change(self, change: Change, name: str, why: str) -> None:
-        """Who is there has changed: the view gets a higher number than any that was heard of."""
+        """Emits a change of the present members and raises the view number above all numbers seen so far."""
         self.number += 1
         self._report(change, name, why)
         self._update_majority()
 
     def _update_majority(self) -> None:
-        """Whether we reach a majority of the configured names."""
+        """Emits an event when this member gains or loses contact with a majority of the configured names."""
         reached = (
             1 if self.deaf else sum(1 for n in self.contacts if n == self.me.name or self._is_present(n))
         )
--- a/hollowusher/scheduler/rules/membership/messages.py
+++ b/hollowusher/scheduler/rules/membership/messages.py
@@ -1,7 +1,7 @@
-"""What members say to one another, and how large it is on the wire.
+"""The messages between members, and their sizes on the wire.
 
-A member is known by its name.  Its process is known by `process_id`, drawn at each start; `incarnation`
-orders what is said of a name, whichever process says it.
+A member is identified by its name.  Each start of its process draws a random `process_id`.  `incarnation`
+orders all updates about one name, whichever process they describe.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 from msgspec import Meta, Struct
 
-MAX_NAME_BYTES = 32  # bytes of a name, and of an address
-MAX_DATAGRAM_BYTES = 256  # bytes, as the platform allows between schedulers
+MAX_NAME_BYTES = 32  # maximum length of a name and of an address, in bytes
+MAX_DATAGRAM_BYTES = 256  # limit of the platform for datagrams between schedulers
 MAX_PROCESS_ID = 2**32 - 1
-MAX_INCARNATION = 2**53  # seconds of the wall clock at the start, and one more for each answer to an accuser
+MAX_INCARNATION = 2**53  # an incarnation starts at the wall clock in seconds; each refutation adds one
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 ShortText = Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
@@ -23,7 +23,7 @@
 
 
 class MemberStatus(IntEnum):
-    """What is said of a member.  At one incarnation the higher one counts."""
+    """The state of a member.  Of two updates with the same incarnation, the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -32,18 +32,18 @@
 
 
 class MessageKind(IntEnum):
-    """What a message is for."""
+    """The kind of a message."""
 
-    PING = 0  # are you there?
-    ACK = 1  # I am; or, for whom `target` names, it is
-    ASK = 2  # ping `target` for me
-    NACK = 3  # I did, and have no answer yet: so at least I am there
-    DIGEST = 4  # what my view hashes to, part by part; send me what differs
-    PAGE = 5  # what differs
+    PING = 0  # requests an acknowledgement
+    ACK = 1  # acknowledges a ping; with `target`, relays the acknowledgement of that member
+    ASK = 2  # requests an indirect ping of `target`
+    NACK = 3  # a helper is reachable, but `target` has not acknowledged its indirect ping yet
+    DIGEST = 4  # the hashes of the sender's view; requests the records that differ
+    PAGE = 5  # records that differ
 
 
 class MemberUpdate(Struct, frozen=True, array_like=True):
-    """One thing said of one member.  `by` accuses, where it is suspect; `address` where it names one."""
+    """The reported state of one member.  `by`: the reporting member; `address`: of the member, if known."""
 
     name: Name
     process_id: Uint32
@@ -53,8 +53,11 @@
     address: ShortText = ""
 
     def supersedes(self, other: MemberUpdate) -> bool:
-        """Whether this is newer: by incarnation, then by standing, then (two processes of one name that came
-        to the same incarnation) by life, so that all come to the same end."""
+        """Whether this update replaces `other`: by incarnation, then by state, then by process id.
+
+        The process id decides between two processes of one name that reached the same incarnation, so that
+        all members choose the same one.
+        """
         return (self.incarnation, self.standing, self.process_id) > (
             other.incarnation,
             other.standing,
@@ -63,11 +66,11 @@
 
 
 class Message(Struct, frozen=True, array_like=True):
-    """One datagram.  `sender` speaks for itself: that it is alive in this life, at this incarnation."""
+    """The content of one datagram.  `sender` is the sender's own state, process id and incarnation."""
 
     kind: MessageKind
     sender: MemberUpdate
-    number: Count = 0  # of the sender's view
+    number: Count = 0  # number of the sender's view
     seq: Uint32 = 0
     target: ShortText = ""
     news: tuple[MemberUpdate, ...] = ()
@@ -75,18 +78,18 @@
 
 
 def number_bytes(value: int) -> int:
-    """MessagePack's bytes for a whole number from 0 on."""
+    """Returns the MessagePack size in bytes of a non-negative integer."""
     return 1 if value < 128 else 2 if value < 256 else 3 if value < 65_536 else 5 if value < 2**32 else 9
 
 
 def text_bytes(text: str) -> int:
-    """MessagePack's bytes for a short text."""
+    """Returns the MessagePack size in bytes of a short string."""
     length = len(text.encode())
     return length + (1 if length < 32 else 2)
 
 
 def update_bytes(update: MemberUpdate) -> int:
-    """Bytes that this update takes on the wire."""
+    """Returns the size of an update on the wire, in bytes."""
     return (
         2
         + text_bytes(update.name)
@@ -97,11 +100,11 @@
     )
 
 
-HEADER_BYTES = 11  # magic, version, cluster, checksum: see codec.py
+HEADER_BYTES = 11  # magic, version, cluster, checksum; see codec.py
 
 
 def message_bytes(message: Message) -> int:
-    """Bytes of the datagram; each list is counted at its longest head."""
+    """Returns an upper bound of the datagram size in bytes: each list counts with its longest header."""
     return (
         HEADER_BYTES
         + 2
--- a/hollowusher/scheduler/rules/membership/pace.py
+++ b/hollowusher/scheduler/rules/membership/pace.py
@@ -1,4 +1,4 @@
-"""The times and counts of the protocol, and what follows from them.  All spans are nanoseconds."""
+"""The timing parameters of the membership protocol.  All durations are in nanoseconds."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipTiming:
-    """A member pings one other each period.  What is told, and to whom, follows from these figures alone."""
+    """Timing and limits of the protocol.  A member probes one other member in each period."""
 
     period_ns: int = 250 * MS
-    timeout_ns: int = 90 * MS  # of a direct ping; a part of the period, so that helpers can still answer
-    helpers: int = 3  # that are asked to ping whom we do not hear (k of SWIM's section 3.1)
-    min_suspicion_periods: float = (
-        4.0  # from a suspicion to a death at the least; grows by the log of the members
-    )
+    timeout_ns: int = 90 * MS  # of a direct ping; shorter than the period, so that indirect pings fit into it
+    helpers: int = 3  # members asked for an indirect ping (k in section 3.1 of SWIM)
+    min_suspicion_periods: float = 4.0  # minimum suspicion timeout; it grows with the log of the group size
     suspicion_max_factor: float = (
-        4.0  # times the least, while nobody else has confirmed it (beta of Lifeguard)
+        4.0  # times the minimum while no other member confirms it (beta in Lifeguard)
     )
-    confirmers: int = 3  # others whose confirmation brings the time down to the least (K of Lifeguard)
+    confirmers: int = 3  # confirmations that reduce the timeout to its minimum (K in Lifeguard)
     max_health_score: int = (
-        8  # Lifeguard's local health: how much slower one judges that distrusts itself; 0: off
+        8  # limit of the local health score of Lifeguard, which slows a member down; 0: off
     )
-    isolation_periods: float = 4.0  # who hears nobody for so long is cut off itself and accuses nobody
-    digest_periods: float = 10.0  # between two exchanges of digests
-    rejoin_periods: float = 5.0  # between two rounds of calls at those who are not there
-    rejoin_divisor: int = (
-        32  # one of so many is called a round, or one in all: few among many find each other
+    isolation_periods: float = (
+        4.0  # a member without any message for this time is deaf: it may be cut off itself
     )
-    forget_ns: int = 120_000 * MS  # how long the dead and those who left are remembered
+    digest_periods: float = 10.0  # between two digest exchanges
+    rejoin_periods: float = 5.0  # between two rounds of contacts to absent names
+    rejoin_divisor: int = 32  # a round contacts one absent name out of this many, and at least one
+    forget_ns: int = 120_000 * MS  # retention of the records of dead and departed members
     max_members: int = 1024
-    capacity: int = 256  # bytes of a datagram
+    capacity: int = 256  # maximum size of a datagram in bytes
 
     def suspicion_ns(self, members: int, confirmed: int, health: int) -> int:
-        """How long a suspicion lasts: from the most down to the least, by the log of who confirms it
-        (Lifeguard's section IV-B), and longer for one that distrusts itself."""
+        """Returns the suspicion timeout in nanoseconds.
+
+        The timeout falls from its maximum to its minimum with the log of the number of confirmations
+        (section IV-B of Lifeguard), and it rises with the local health score `health`.
+        """
         least = self.period_ns * (self.min_suspicion_periods + math.log2(max(2, members)) / 4)
         most = least * self.suspicion_max_factor
         wanted = min(self.confirmers, max(0, members - 2))
