--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -224,7 +224,7 @@
         while (
             replicas.stores
             or replicas.sends
-            or replication.acts
+            or replication.instructions
             or replication.lookup_messages
             or replicas.reported
         ):
@@ -252,7 +252,7 @@
                     )
             self.reported += [(self.now, p.name, owner, what) for owner, what in replicas.reported]
             replicas.reported = []
-            acts, replication.acts = replication.acts, []
+            acts, replication.instructions = replication.instructions, []
             for act in acts:
                 if p.replication is not replication:
                     return  # it has ended meanwhile
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -155,10 +155,10 @@
 
     def intent(self, now: int, now_ms: int, job: str, number: int, node: str, cell: str, handle: Any) -> None:
         super().intent(now, now_ms, job, number, node, cell, handle)
-        if self._pending and not any(a.handle == handle for a in self.acts):
+        if self._pending and not any(a.handle == handle for a in self.instructions):
             token = max(self._pending)
             self._pending.pop(token)
-            self.acts.append(ReplicationInstruction(ReplicationAction.GO, handle))
+            self.instructions.append(ReplicationInstruction(ReplicationAction.GO, handle))
 
 
 class TellsFirst(JobReplication):
@@ -166,7 +166,7 @@
 
     def answer(self, now: int, now_ms: int, answer: Any, handle: Any, until_ms: int) -> None:
         super().answer(now, now_ms, answer, handle, until_ms)
-        self.acts.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
+        self.instructions.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
 
 
 class TakesTwice(JobReplication):
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -205,11 +205,11 @@
         batch.sends += replicas.sends
         for name, ask in self.replication.lookup_messages:
             batch.sends += [(n, ask) for n in ([name] if name else self._outgoing)]
-        batch.acts += self.replication.acts
+        batch.acts += self.replication.instructions
         for owner, what in replicas.reported:
             self._log.notice("copies-log", what, owner=owner)
         replicas.stores, replicas.sends, replicas.reported = [], [], []
-        self.replication.acts, self.replication.lookup_messages = [], []
+        self.replication.instructions, self.replication.lookup_messages = [], []
         if self._flushing is None:
             self._flush()
         self._arm()
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -103,7 +103,7 @@
         self._search_first_classes = {
             c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE
         }
-        self.acts: list[ReplicationInstruction] = []
+        self.instructions: list[ReplicationInstruction] = []
         self.lookup_messages: list[tuple[str, FindJob | JobFound]] = []
         self._pending: dict[int, tuple[str, str, Hashable]] = {}  # token: what was written, job, handle
         self._owners: dict[str, str] = {}  # jobs that this process works on: whose log they are in
@@ -171,7 +171,7 @@
             if token:
                 self._pending[token] = ("intent", intent.job, handle)
             else:
-                self.acts.append(ReplicationInstruction(ReplicationAction.NOT_SENT, handle))
+                self.instructions.append(ReplicationInstruction(ReplicationAction.NOT_SENT, handle))
 
     def ended(self, now: int, now_ms: int, job: str, number: int, never: bool) -> None:
         """An attempt is over.  Told, and not waited for."""
@@ -206,11 +206,13 @@
             if not search.handles:
                 del self._searches[job]
 
-    def abandon(self, now_ms: int, acts: list[ReplicationInstruction]) -> list[ReplicationInstruction]:
+    def abandon(
+        self, now_ms: int, instructions: list[ReplicationInstruction]
+    ) -> list[ReplicationInstruction]:
         """The storage has failed and all begins anew from what it holds: what every client and attempt here
         is told now.  `acts`: those that had not been let go on, which they are not any more."""
         reported: dict[Hashable, ReplicationInstruction] = {}
-        for act in acts:
+        for act in instructions:
             if act.do is ReplicationAction.GO:
                 reported[act.handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, act.handle)
             elif act.do is ReplicationAction.START and act.handle is not None:
@@ -272,7 +274,7 @@
             late = now_ms - search.since_ms > SEARCH_TIMEOUT_MS and not search.open
             if late or now_ms > search.taken.until_ms - ANSWER_MARGIN_MS:
                 del self._searches[job]
-                self.acts += [
+                self.instructions += [
                     ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in search.handles
                 ]
         self._process_results(now, now_ms)
@@ -296,11 +298,13 @@
             self._pending[token] = ("taken", taken.job, handles[0])
             self._waiting.setdefault(taken.job, []).extend((h, taken.until_ms) for h in handles)
         else:
-            self.acts += [ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in handles]
+            self.instructions += [
+                ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in handles
+            ]
 
     def _wait_for(self, now_ms: int, taken: JobTakenRecord, handle: Hashable, held: LoggedJob) -> None:
         if held.answer is not None:
-            self.acts.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, held.answer))
+            self.instructions.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, held.answer))
         else:
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
 
@@ -318,7 +322,7 @@
             return
         if found.answer is not None:
             del self._searches[job]
-            self.acts += [
+            self.instructions += [
                 ReplicationInstruction(ReplicationAction.ANSWER, handle, found.answer)
                 for handle in search.handles
             ]
@@ -345,11 +349,11 @@
                     if others:
                         self._waiting[job] = others
                     self._owners[job] = self.replicas.name
-                    self.acts.append(ReplicationInstruction(ReplicationAction.START, handle))
+                    self.instructions.append(ReplicationInstruction(ReplicationAction.START, handle))
                 else:  # it may be kept all the same: that shows once somebody leads our log anew
                     self._uncertain_jobs[job] = self.replicas.committed_term(self.replicas.name)
             elif what == "intent":
-                self.acts.append(
+                self.instructions.append(
                     ReplicationInstruction(
                         ReplicationAction.GO if written.kept else ReplicationAction.NOT_SENT, handle
                     )
@@ -365,7 +369,9 @@
                 continue  # our own desk has it still
             if adopted.next is Next.SEND:
                 self._owners[job] = adopted.owner
-                self.acts.append(ReplicationInstruction(ReplicationAction.START, None, adopted=adopted))
+                self.instructions.append(
+                    ReplicationInstruction(ReplicationAction.START, None, adopted=adopted)
+                )
             else:
                 self.replicas.write(now, now_ms, adopted.owner, (AnswerRecord(job, "failed", now_ms),))
         self.replicas.adopted = []
@@ -373,7 +379,7 @@
             if self.replicas.committed_term(self.replicas.name) > term:
                 del self._uncertain_jobs[job]
                 if self.replicas.find(job) is None:  # it never was, and never will be
-                    self.acts += [
+                    self.instructions += [
                         ReplicationInstruction(ReplicationAction.REFUSE, handle)
                         for handle, _ in self._waiting.pop(job, [])
                     ]
@@ -386,9 +392,9 @@
         left: list[tuple[Hashable, int]] = []
         for handle, until_ms in self._waiting[job]:
             if answer is not None:
-                self.acts.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
+                self.instructions.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
             elif now_ms >= until_ms - ANSWER_MARGIN_MS:
-                self.acts.append(
+                self.instructions.append(
                     ReplicationInstruction(
                         ReplicationAction.ANSWER, handle, AnswerRecord(job, "failed", now_ms)
                     )
