--- a/hollowusher/scheduler/rules/log_replication/__init__.py
+++ b/hollowusher/scheduler/rules/log_replication/__init__.py
@@ -1,1 +1,1 @@
-"""What a scheduler holds for others, copied to further schedulers.  No I/O, no clock."""
+"""Replication of each scheduler's job log to other schedulers, without I/O and without a clock."""
--- a/hollowusher/scheduler/rules/log_replication/groups.py
+++ b/hollowusher/scheduler/rules/log_replication/groups.py
@@ -1,4 +1,4 @@
-"""Which schedulers keep whose log: rendezvous hashing over the configured names."""
+"""Assigns the replicas of each log to schedulers by rendezvous hashing over the configured names."""
 
 from __future__ import annotations
 
@@ -7,8 +7,10 @@
 
 
 def group_of(owner: str, names: Iterable[str], size: int) -> tuple[str, ...]:
-    """The owner and those whose hash beside it is highest: a name more or less moves few logs, and each
-    scheduler keeps about as many as any other."""
+    """Returns the schedulers that hold the log of `owner`: the owner and those with the highest hashes.
+
+    Adding or removing a name moves few logs, and all schedulers hold about the same number of logs.
+    """
     others = sorted(
         (n for n in set(names) if n != owner), key=lambda n: (-zlib.crc32(f"{owner}/{n}".encode()), n)
     )
@@ -16,6 +18,6 @@
 
 
 def kept_by(name: str, names: Iterable[str], size: int) -> tuple[str, ...]:
-    """The owners whose logs a scheduler keeps, its own first."""
+    """Returns the owners of the logs that a scheduler holds, itself first."""
     all_names = sorted(set(names))
     return (name, *(o for o in all_names if o != name and name in group_of(o, all_names, size)))
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -1,7 +1,8 @@
-"""Between the fronts, the desk and the route nodes: nothing is promised, sent or told before it is kept.
+"""Replicates the state of jobs: each step of a job waits until its record is committed in a replicated log.
 
-In go a client's job, an attempt that the desk orders, an attempt's end, the desk's answer; out come, once the
-records behind them are kept, what may go on.  It decides nothing about nodes: it only lets through, or not.
+The caller passes in a client's job, an attempt that the dispatcher orders, the end of an attempt, and the
+dispatcher's answer.  Once the record of a step is committed, `JobReplication` issues an instruction that lets
+the step proceed.  It never chooses a node; it only permits or rejects an attempt.
 """
 
 from __future__ import annotations
@@ -24,24 +25,30 @@
 )
 from hollowusher.scheduler.rules.log_replication.takeover import Next
 
-SEARCH_INTERVAL_MS = 200  # between two questions about a job that another scheduler is working on
+SEARCH_INTERVAL_MS = 200  # between two queries for a job that another scheduler is working on
 SEARCH_TIMEOUT_MS = (
-    600  # how long a job that comes again may stay unknown before its client is told to come later
+    600  # a job that no scheduler has found by then is refused, so that its client retries later
 )
-MAX_REPORTED_UNKNOWN = 65_536  # jobs that another was told we do not know; the oldest go first
-INTENT_HOLD_MS = 500  # how long an attempt waits for our promise to come back, before it counts as not sent
-ANSWER_MARGIN_MS = 30  # before its client gives up, one that cannot be told its answer is told that it failed
+MAX_REPORTED_UNKNOWN = (
+    65_536  # jobs reported as unknown to other schedulers; the oldest entries are dropped first
+)
+INTENT_HOLD_MS = 500  # how long an attempt waits until the log can be written, before it counts as not sent
+ANSWER_MARGIN_MS = 30  # a client without an answer receives a failure this long before its deadline
 
 
 class FindJob(Struct, frozen=True, array_like=True, tag="seek"):
-    """Does anybody know this job?  `round` comes back with the answer."""
+    """Asks another scheduler whether it knows a job.  The reply carries the same `round`."""
 
     job: str
     round: int
 
 
 class JobFound(Struct, frozen=True, array_like=True, tag="found"):
-    """What one knows: `open`, or its answer, or nothing; and whose logs it leads: there nothing means no."""
+    """The reply to `FindJob`: the job is open, or has an answer, or is unknown.
+
+    `leads` names the owners of the logs that the sender leads.  If the job is unknown to the sender, it is in
+    none of these logs.
+    """
 
     job: str
     open: bool
@@ -51,18 +58,18 @@
 
 
 class ReplicationAction(Enum):
-    """What may go on now."""
+    """The action that the caller must carry out."""
 
-    START = "start"  # the job goes to the desk
-    REFUSE = "refuse"  # it was not taken: harmless to try again
-    GO = "go"  # the attempt's first byte may go out
-    NOT_SENT = "not-sent"  # it may not: nothing of it went out
-    ANSWER = "tell"  # the client is told this answer
+    START = "start"  # pass the job to the dispatcher
+    REFUSE = "refuse"  # refuse the job; it was not accepted, so the client may safely retry
+    GO = "go"  # send the attempt to the node
+    NOT_SENT = "not-sent"  # do not send the attempt
+    ANSWER = "tell"  # send the answer to the client
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationInstruction:
-    """One thing that may go on; `adopted`: a job of another's log that is to be worked on here."""
+    """One instruction for the caller.  `adopted`: an open job of a log that this scheduler has taken over."""
 
     do: ReplicationAction
     handle: Hashable
@@ -78,17 +85,23 @@
     asked_ms: int
     round: int
     open: bool = False
-    leads: set[str] = field(default_factory=set)  # logs whose leader says no, in this round
-    negative_from: set[str] = field(default_factory=set)  # and who these are
+    leads: set[str] = field(default_factory=set)  # logs whose leader does not know the job (in this round)
+    negative_from: set[str] = field(default_factory=set)  # schedulers that replied so
 
 
 def _was_refused(held: LoggedJob) -> bool:
-    """Whether it was turned away: then it is as new when it comes again."""
+    """Whether the job was refused.  A refused job counts as new when a client sends it again."""
     return held.answer is not None and held.answer.verdict == "refused"
 
 
 class JobReplication:
-    """The caller empties `acts` and `asks` (who: `""` for all others) after each call."""
+    """Accepts jobs, writes their records to the replicated logs, and issues instructions.
+
+    The caller handles and empties `instructions` and `lookup_messages` after each call.  An entry of
+    `lookup_messages` holds the receiver, or `""` for all other schedulers, and the message.  `now` is the
+    monotonic time in nanoseconds, `now_ms` the wall clock in milliseconds.  A `handle` identifies a client or
+    an attempt to the caller and is returned in the instructions.
+    """
 
     def __init__(
         self,
@@ -97,37 +110,41 @@
         classes: Mapping[str, JobClass],
         seek_once: bool = True,
     ) -> None:
-        """`seek_once`: whether a job that must not run twice is looked for at all others before it is taken,
-        even if its client does not say that it has asked before."""
+        """Creates the replication of one scheduler among all schedulers `names`.
+
+        `seek_once`: before accepting a job that must not run twice, search all other schedulers for it, even
+        if the client did not mark it as a repeat.
+        """
         self.replicas, self._names = replicas, names
         self._search_first_classes = {
             c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE
         }
         self.instructions: list[ReplicationInstruction] = []
         self.lookup_messages: list[tuple[str, FindJob | JobFound]] = []
-        self._pending: dict[int, tuple[str, str, Hashable]] = {}  # token: what was written, job, handle
-        self._owners: dict[str, str] = {}  # jobs that this process works on: whose log they are in
-        self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # who waits for a job, until when
+        self._pending: dict[int, tuple[str, str, Hashable]] = {}  # by token: kind of record, job, handle
+        self._owners: dict[str, str] = {}  # by job that this process works on: the owner of its log
+        self._waiting: dict[
+            str, list[tuple[Hashable, int]]
+        ] = {}  # by job: waiting clients and their deadlines
         self._searches: dict[str, _JobSearch] = {}
-        self._held_intents: list[
-            tuple[int, Intent, Hashable]
-        ] = []  # attempts that wait for our promise, until (ms)
-        self._uncertain_jobs: dict[str, int] = {}  # jobs that may be kept: by which term our log was settled
-        self._unwritten_answers: dict[
-            str, tuple[str, AnswerRecord, int]
-        ] = {}  # by job: whose log, what, until (ms)
+        # Attempts that wait until the log can be written: deadline in ms, record, handle.
+        self._held_intents: list[tuple[int, Intent, Hashable]] = []
+        # Jobs whose record may be committed or lost: the last committed term when the write failed.
+        self._uncertain_jobs: dict[str, int] = {}
+        # By job: the owner of its log, the answer, and the deadline in ms.
+        self._unwritten_answers: dict[str, tuple[str, AnswerRecord, int]] = {}
         self._round = 0
-        # Jobs that another scheduler was told we know nothing of, until (ms): it may have taken them since,
-        # so who comes here with one of them after all, late or at the same time, is not taken as new.
+        # Jobs that this scheduler reported as unknown, with an expiry time in ms.  The other scheduler may
+        # have accepted such a job since, so this scheduler searches for it before it accepts it.
         self._reported_unknown: dict[str, int] = {}
         self._longest_ms = max((c.deadline_ns for c in classes.values()), default=0) // 1_000_000
 
-    # --- in -----------------------------------------------------------------------------------------------
+    # --- inputs -------------------------------------------------------------------------------------------
 
     def take(
         self, now: int, now_ms: int, taken: JobTakenRecord, handle: Hashable, again: bool = False
     ) -> None:
-        """A client asks.  `again`: it says that it has asked before, perhaps elsewhere."""
+        """Handles a job from a client.  `again`: the client marked it as a repeat of an earlier request."""
         known = self.replicas.find(taken.job)
         if known is not None and not _was_refused(known[1]):
             self._wait_for(now_ms, taken, handle, known[1])
@@ -154,13 +171,16 @@
     def intent(
         self, now: int, now_ms: int, job: str, number: int, node: str, cell: str, handle: Hashable
     ) -> None:
-        """The desk orders an attempt."""
+        """Handles an attempt that the dispatcher orders: writes its intent before the attempt may be sent."""
         self._held_intents.append((now_ms + INTENT_HOLD_MS, Intent(job, number, node, cell, now_ms), handle))
         self._process_results(now, now_ms)
 
     def _write_intents(self, now: int, now_ms: int) -> None:
-        """Those that may be kept now.  Without our promise they wait a moment: it is lost for as long as a
-        stall lasts, and an attempt that is turned away at once costs the job one of the few it has."""
+        """Writes the intents whose log can be written now.
+
+        The other intents wait up to `INTENT_HOLD_MS`: the lease is often lost only for the time of a stall,
+        and an attempt that is rejected at once uses up one of the few attempts of its job.
+        """
         held, self._held_intents = self._held_intents, []
         for until_ms, intent, handle in held:
             owner = self._owners.get(intent.job)
@@ -174,21 +194,21 @@
                 self.instructions.append(ReplicationInstruction(ReplicationAction.NOT_SENT, handle))
 
     def ended(self, now: int, now_ms: int, job: str, number: int, never: bool) -> None:
-        """An attempt is over.  Told, and not waited for."""
+        """Writes the end of an attempt, without waiting for the commit."""
         if (owner := self._owners.get(job)) is not None:
             self.replicas.write(now, now_ms, owner, (AttemptEndRecord(job, number, never),))
             self._process_results(now, now_ms)
 
     def answer(self, now: int, now_ms: int, answer: AnswerRecord, handle: Hashable, until_ms: int) -> None:
-        """The desk has its answer: the client is told once it is kept."""
-        owner = self._owners.pop(answer.job, None)  # our desk is through with it
+        """Writes the dispatcher's answer; the client receives it once it is committed."""
+        owner = self._owners.pop(answer.job, None)  # the dispatcher has finished this job
         if owner is not None:
             self._unwritten_answers[answer.job] = (owner, answer, until_ms)
         self._waiting.setdefault(answer.job, []).append((handle, until_ms))
         self._process_results(now, now_ms)
 
     def _write_answers(self, now: int, now_ms: int) -> None:
-        """Those that may be kept now; others wait until our promise comes back, or another has answered."""
+        """Writes the answers whose log can be written now; the others wait for that or for another answer."""
         for job, (owner, answer, until_ms) in list(self._unwritten_answers.items()):
             token = self.replicas.write(now, now_ms, owner, (answer,))
             known = self.replicas.find(job)
@@ -198,7 +218,7 @@
                 del self._unwritten_answers[job]
 
     def client_disconnected(self, job: str, handle: Hashable) -> None:
-        """This client waits no more; the job itself goes on, and others may wait for it."""
+        """Removes a client that no longer waits.  The job continues, and other clients may wait for it."""
         if left := [w for w in self._waiting.pop(job, []) if w[0] != handle]:
             self._waiting[job] = left
         if (search := self._searches.get(job)) is not None:
@@ -209,8 +229,11 @@
     def abandon(
         self, now_ms: int, instructions: list[ReplicationInstruction]
     ) -> list[ReplicationInstruction]:
-        """The storage has failed and all begins anew from what it holds: what every client and attempt here
-        is told now.  `acts`: those that had not been let go on, which they are not any more."""
+        """Returns the final instruction for every client and attempt after the storage has failed.
+
+        The caller then restarts from the stored state.  `instructions` holds those that the caller has not
+        carried out yet; none of them may take effect any more.
+        """
         reported: dict[Hashable, ReplicationInstruction] = {}
         for act in instructions:
             if act.do is ReplicationAction.GO:
@@ -240,20 +263,21 @@
         return list(reported.values())
 
     def handle_message(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
-        """Another scheduler asks, or answers."""
+        """Handles a query or a reply about a job from another scheduler."""
         if isinstance(message, FindJob):
             search = self._searches.get(message.job)
             if search is not None and (sender in search.negative_from or self.replicas.name < sender):
-                # Both look for it: whoever has the other's no goes on, else the first by name.
+                # Both schedulers search for the job.  The one that already has a negative reply of the other
+                # proceeds; if neither has, the one with the lower name does.
                 self.lookup_messages.append((sender, JobFound(message.job, True, None, (), message.round)))
                 return
-            if search is not None:  # it goes first: what was said to us before counts no more
+            if search is not None:  # the sender proceeds first: earlier replies to this scheduler are void
                 search.round, search.asked_ms = self._next_round(), now_ms
                 search.leads.clear()
                 search.negative_from.clear()
             found = self._look_up(now, message.job, message.round)
             if not found.open and found.answer is None:
-                self._reported_unknown.pop(message.job, None)  # so that the oldest stand first
+                self._reported_unknown.pop(message.job, None)  # keeps the dict ordered by age
                 self._reported_unknown[message.job] = now_ms + self._longest_ms
                 if len(self._reported_unknown) > MAX_REPORTED_UNKNOWN:
                     del self._reported_unknown[next(iter(self._reported_unknown))]
@@ -263,7 +287,7 @@
             self._process_results(now, now_ms)
 
     def tick(self, now: int, now_ms: int) -> None:
-        """After each step of the keeper, and ten times a second."""
+        """Repeats and times out searches; called after each step of the logs and every 100 ms."""
         for job, search in list(self._searches.items()):
             if now_ms - search.asked_ms >= SEARCH_INTERVAL_MS:
                 search.asked_ms = now_ms
@@ -279,14 +303,14 @@
                 ]
         self._process_results(now, now_ms)
 
-    # --- inside -------------------------------------------------------------------------------------------
+    # --- helpers ------------------------------------------------------------------------------------------
 
     def _next_round(self) -> int:
         self._round += 1
         return self._round
 
     def _is_being_taken(self, job: str) -> bool:
-        """Whether the job is being taken here, and is not kept yet."""
+        """Whether this scheduler has written the job's first record and waits for its commit."""
         return any(what == "taken" and j == job for what, j, _ in self._pending.values())
 
     def _take_new(self, now: int, now_ms: int, taken: JobTakenRecord, handles: list[Hashable]) -> None:
@@ -333,40 +357,39 @@
         elif found.leads:
             search.leads.update(found.leads)
             search.negative_from.add(sender)
-            if search.leads >= set(self._names):  # whoever leads each log says no
+            if search.leads >= set(self._names):  # the leaders of all logs do not know the job
                 del self._searches[job]
                 self._take_new(now, now_ms, search.taken, search.handles)
 
     def _process_results(self, now: int, now_ms: int) -> None:
-        """What the keeper has told, and what may be kept by now."""
+        """Processes the outcome of writes and the adopted jobs, and writes what can be written now."""
         self._write_intents(now, now_ms)
         self._write_answers(now, now_ms)
         for written in self.replicas.written:
             what, job, handle = self._pending.pop(written.token, ("", "", None))
             if what == "taken":
-                if written.kept:
+                if written.committed:
                     others = [w for w in self._waiting.pop(job, []) if w[0] != handle]
                     if others:
                         self._waiting[job] = others
                     self._owners[job] = self.replicas.name
                     self.instructions.append(ReplicationInstruction(ReplicationAction.START, handle))
-                else:  # it may be kept all the same: that shows once somebody leads our log anew
+                else:  # the record may still be committed; the next commit of a later term decides that
                     self._uncertain_jobs[job] = self.replicas.committed_term(self.replicas.name)
             elif what == "intent":
                 self.instructions.append(
                     ReplicationInstruction(
-                        ReplicationAction.GO if written.kept else ReplicationAction.NOT_SENT, handle
+                        ReplicationAction.GO if written.committed else ReplicationAction.NOT_SENT, handle
                     )
                 )
-            elif what == "answer" and not written.kept and isinstance(handle, tuple):
-                self._unwritten_answers[job] = (
-                    handle  # it may be kept or not: once more does no harm, the first counts
-                )
+            elif what == "answer" and not written.committed and isinstance(handle, tuple):
+                # The answer may be committed or lost.  A second write is harmless: the first answer counts.
+                self._unwritten_answers[job] = handle
         self.replicas.written = []
         for adopted in self.replicas.adopted:
             job = adopted.held.taken.job
             if job in self._owners:
-                continue  # our own desk has it still
+                continue  # the local dispatcher still works on the job
             if adopted.next is Next.SEND:
                 self._owners[job] = adopted.owner
                 self.instructions.append(
@@ -378,7 +401,7 @@
         for job, term in list(self._uncertain_jobs.items()):
             if self.replicas.committed_term(self.replicas.name) > term:
                 del self._uncertain_jobs[job]
-                if self.replicas.find(job) is None:  # it never was, and never will be
+                if self.replicas.find(job) is None:  # the record was lost and can no longer be committed
                     self.instructions += [
                         ReplicationInstruction(ReplicationAction.REFUSE, handle)
                         for handle, _ in self._waiting.pop(job, [])
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -1,4 +1,4 @@
-"""All logs that one scheduler keeps, its own and others': what is promised, and what is taken over."""
+"""All log replicas of one scheduler, of its own log and of other logs: writes and takeovers."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
 from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
 
-COMPACT_ENTRIES = 4_096  # beyond this many, a log's entries give way to an image of its book
-EXPIRE_BATCH = 256
+COMPACT_ENTRIES = 4_096  # a log with this many entries since the last snapshot is compacted
+EXPIRE_BATCH = 256  # jobs removed by one entry
 EXPIRE_PERIOD_NS = 1_000_000_000
-ORPHAN_GRACE_MS = 2_000  # after its client gave up, an open job is answered as failed
+ORPHAN_GRACE_MS = 2_000  # after its deadline, an open job is answered as failed
 
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """An open job of a log that we lead from now on, and what becomes of it."""
+    """An open job of a log that this scheduler has taken over, and its next step."""
 
     owner: str
     held: LoggedJob
@@ -43,23 +43,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordWritten:
-    """A record that was asked for is committed (or will never be known to be: we lost the lead)."""
+    """The outcome of a write.
+
+    `committed` is False if this scheduler lost the leadership first; the record may still be committed later.
+    """
 
     token: int
-    kept: bool
+    committed: bool
 
 
 @dataclass(slots=True)
 class _Log:
     replica: Replica
     jobs_state: JobLogState
-    waiting: dict[int, int] = field(default_factory=dict)  # number of the entry: token
-    term: int = 0  # that we lead and have taken over in; 0: none
-    entries_since_snapshot: int = 0  # entries since the last image
+    waiting: dict[int, int] = field(default_factory=dict)  # by entry number: token
+    term: int = 0  # term in which this scheduler leads and has taken over; 0: none
+    entries_since_snapshot: int = 0  # committed entries
 
 
 class LogReplicas:
-    """The caller empties, in this order: `stores`, `sends`, `written`, `adopted`, `reported`."""
+    """The replicas of all logs that one scheduler holds.
+
+    The caller handles and empties the outputs in this order: `stores`, `sends`, `written`, `adopted`,
+    `reported`.  `now` is the monotonic time in nanoseconds, `now_ms` the wall clock in milliseconds.
+    """
 
     def __init__(
         self,
@@ -98,34 +105,38 @@
         self._expire_answers_at = now
         self._collect_output()
 
-    # --- what others read ---------------------------------------------------------------------------------
+    # --- queries ------------------------------------------------------------------------------------------
 
     def due(self) -> int:
-        """When `step` is to be called at the latest."""
+        """Returns the time of the next timer: the caller must call `step` by then."""
         return min(log.replica.due() for log in self.logs.values())
 
     def can_write(self, now: int, owner: str = "") -> bool:
-        """Whether we may promise for a log, our own if none is named, and have taken it over."""
+        """Whether this scheduler leads a log (its own by default), has taken it over, and may write to it."""
         log = self.logs[owner or self.name]
         return log.replica.can_write(now) and log.term == log.replica.kept.term
 
     def is_learning(self) -> bool:
-        """Whether this process does not know yet all that it must of some log."""
+        """Whether any replica of this process is still a learner."""
         return any(log.replica.role is Role.LEARNER for log in self.logs.values())
 
     def committed_term(self, owner: str) -> int:
-        """The term of the last entry that we know to be committed: what an earlier leader had under way when
-        one of a higher term committed something is in the book by now, or nowhere."""
+        """Returns the term of the last committed entry.
+
+        A pending write of a leader of a lower term is either part of the committed log by now or lost.
+        """
         replica = self.logs[owner].replica
         return max(0, replica.kept.term_of(replica.commit))
 
     def has_capacity(self) -> bool:
-        """Whether our own book takes one more job."""
+        """Whether this scheduler's own log may accept one more job."""
         return len(self.logs[self.name].jobs_state.jobs) < self._most_jobs
 
     def find(self, job: str) -> tuple[str, LoggedJob] | None:
-        """A job in any book that we keep, and whose book that is; one that was refused only where no other
-        book has it, since it may have come anew elsewhere."""
+        """Finds a job in the logs held here; returns the owner of the log and the job's state, or None.
+
+        A log in which the job was refused comes last, since another scheduler may have accepted it later.
+        """
         found = [
             (owner, held)
             for owner, log in self.logs.items()
@@ -134,10 +145,10 @@
         found.sort(key=lambda f: f[1].answer is not None and f[1].answer.verdict == "refused")
         return found[0] if found else None
 
-    # --- what drives it -----------------------------------------------------------------------------------
+    # --- inputs -------------------------------------------------------------------------------------------
 
     def step(self, now: int, now_ms: int, message: Message | None = None, sender: str = "") -> None:
-        """Take one message, or do what is due for all logs.  `now_ms`: the wall clock."""
+        """Handles one message from `sender`, or runs the due timers of all logs."""
         if message is not None:
             log = self.logs.get(message.owner)
             if log is not None and not (isinstance(message, HandBack) and log.jobs_state.open()):
@@ -154,7 +165,11 @@
         self._collect_output()
 
     def write(self, now: int, now_ms: int, owner: str, records: Sequence[Record]) -> int:
-        """Have records kept, in order; the token that `written` will name, or 0 where we may not promise."""
+        """Proposes records for a log, in order.
+
+        Returns the token under which `written` reports the outcome, or 0 if this scheduler cannot write to
+        the log or must not send one of the attempts.
+        """
         log = self.logs[owner]
         if not self.can_write(now, owner) or any(
             isinstance(r, Intent) and not self._may_send(log, r, now_ms) for r in records
@@ -170,20 +185,23 @@
         return self._tokens
 
     def set_missing_members(self, now: int, missing: set[str]) -> None:
-        """Whom the members' view holds dead."""
+        """Passes the members that the membership view lacks to all replicas."""
         for log in self.logs.values():
             log.replica.handle_missing_members(now, missing)
 
     def _may_send(self, log: _Log, intent: Intent, now_ms: int) -> bool:
-        """Whether an attempt may go out, by all that is known of the job: who leads knows all that was
-        promised.  Here, and nowhere else, a second run of what must not run twice is kept from happening."""
+        """Whether an attempt may be sent, given the state of its job.
+
+        The leader's state contains all committed records.  This is the only check that prevents a second run
+        of a job that must not run twice.
+        """
         held = log.jobs_state.jobs.get(intent.job)
         if held is None or held.answer is not None:
             return False
         what, bound = next_of(held, self.classes, now_ms)
         return what is Next.SEND and allowed(bound, intent.cell, now_ms)
 
-    # --- inside -------------------------------------------------------------------------------------------
+    # --- helpers ------------------------------------------------------------------------------------------
 
     def _process_replica(self, now: int, now_ms: int, owner: str, log: _Log) -> None:
         replica = log.replica
@@ -196,14 +214,14 @@
                     log.jobs_state.apply(unpack(entry.data))
                 except msgspec.DecodeError:
                     self.reported.append(
-                        (owner, f"entry {number} cannot be read: is another version running?")
+                        (owner, f"entry {number} cannot be decoded: is another version running?")
                     )
             if (token := log.waiting.pop(number, 0)) and replica.role is Role.LEADER:
                 self.written.append(RecordWritten(token, True))
         log.entries_since_snapshot += len(replica.commits)
         replica.commits = []
         if replica.role is not Role.LEADER:
-            # What we had asked for may be kept or not; whoever leads now decides what becomes of it.
+            # Pending writes may be committed or lost; that depends on the log of the new leader.
             self.written += [RecordWritten(token, False) for token in log.waiting.values()]
             log.waiting.clear()
             log.term = 0
@@ -221,7 +239,8 @@
                 old = log.jobs_state.answered_before(now_ms - self._keep_ms)
                 for at in range(0, len(old), EXPIRE_BATCH):
                     log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + EXPIRE_BATCH])))])
-                # Nobody waits for these any more, and nobody works on them: an answer was lost with a lead.
+                # No client waits for these jobs and no scheduler works on them: their answers were lost when
+                # the leader changed.
                 late = [
                     h.taken.job for h in log.jobs_state.open() if h.taken.until_ms + ORPHAN_GRACE_MS < now_ms
                 ]
@@ -229,7 +248,7 @@
                     log.replica.propose(now, [pack(AnswerRecord(job, "failed", now_ms)) for job in late])
 
     def _collect_output(self) -> None:
-        """What the replicas want stored and sent, in that order."""
+        """Collects the outputs of all replicas.  The caller must store `stores` before it sends `sends`."""
         for owner, log in self.logs.items():
             replica = log.replica
             self.stores += [(owner, store) for store in replica.stores]
--- a/hollowusher/scheduler/rules/log_replication/messages.py
+++ b/hollowusher/scheduler/rules/log_replication/messages.py
@@ -1,7 +1,7 @@
-"""What the members of a group say to one another, and what a log holds.
+"""The messages between the replicas of a log, and the log entries.
 
-A log belongs to an `owner`; `term` is its fence: who leads it in a term is the only one that may add to it,
-and whatever comes from a lower term is refused.
+Each log belongs to an `owner`.  `term` is its fencing epoch: only the leader of a term may append to the log,
+and replicas reject messages from lower terms.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 from msgspec import Struct
 
-MAX_ENTRIES_PER_APPEND = 64  # in one message: a slow copy is caught up piece by piece
+MAX_ENTRIES_PER_APPEND = 64  # entries in one message; a lagging replica catches up in several messages
 SNAPSHOT_CHUNK_BYTES = 32 * 1024  # bytes of a snapshot in one message
 
 
 class VoterStanding(IntEnum):
-    """How much the word of one that is asked by a learner is worth."""
+    """How far the state of a replica that replies to a learner is complete."""
 
-    BLANK = 0  # it holds nothing either
-    PART = 1  # it is a learner that holds a part
-    STORED = 2  # it has its storage, and is a learner itself
-    FULL = 3  # it is a full member
+    BLANK = 0  # it holds no state
+    PART = 1  # a learner without trusted storage that holds some entries
+    STORED = 2  # a learner that still has its storage
+    FULL = 3  # a voting replica with state
 
 
 class LogEntry(Struct, frozen=True, array_like=True):
-    """One entry of a log.  `group`: who keeps the log from here on, where this entry changes that."""
+    """One entry of a log.  `group`: the replicas from this entry on, if it changes the group; else empty."""
 
     term: int
     data: bytes = b""
@@ -32,7 +32,7 @@
 
 
 class Append(Struct, frozen=True, array_like=True, tag="a"):
-    """The leader's entries after `prev`, and how far all is committed.  `sent`: by the leader's own clock."""
+    """The leader's entries after `prev`, and its commit index.  `sent`: the time by the leader's clock."""
 
     owner: str
     term: int
@@ -44,8 +44,12 @@
 
 
 class Appended(Struct, frozen=True, array_like=True, tag="b"):
-    """Held up to `match` (or, refused, try from there).  `sent` comes back, for the leader's lease.  `lacks`:
-    it is a learner, whose word counts for no commit until it has learnt all up to the leader's last entry."""
+    """The reply to `Append`: the replica matches the leader up to `match`.
+
+    If the append was rejected, the leader retries from there.  The reply returns `sent`, for the leader's
+    lease.  `lacks`: the replica is a learner; it counts towards no commit until it holds all entries up to
+    the leader's last one.
+    """
 
     owner: str
     term: int
@@ -56,8 +60,11 @@
 
 
 class VoteRequest(Struct, frozen=True, array_like=True, tag="v"):
-    """Will you follow me?  `trial`: would you, if I asked: nothing changes by a trial.  `calls`: the leader
-    has told the one who asks to take over, so its lease is no reason to refuse."""
+    """A candidate's request for a vote.
+
+    `trial`: a pre-vote, which changes no state.  `calls`: the leader has asked the candidate to take over, so
+    the leader's lease does not prevent the vote.
+    """
 
     owner: str
     term: int
@@ -68,7 +75,7 @@
 
 
 class Vote(Struct, frozen=True, array_like=True, tag="w"):
-    """Whether it will."""
+    """The reply to `VoteRequest`."""
 
     owner: str
     term: int
@@ -77,8 +84,11 @@
 
 
 class LearnRequest(Struct, frozen=True, array_like=True, tag="l"):
-    """One that has started: it does not know whether it has forgotten something.  `nonce` is of this start,
-    `starts` counts its starts as far as it knows, 0 where it holds nothing."""
+    """The request of a replica that has started and may have lost state.
+
+    `nonce` identifies this start.  `starts` is the number of its starts that its storage has recorded, or 0
+    if it has no storage.
+    """
 
     owner: str
     nonce: int
@@ -86,8 +96,10 @@
 
 
 class LearnReply(Struct, frozen=True, array_like=True, tag="t"):
-    """What the others know: the term, and the most starts that they have heard of.  `leads`: it leads the
-    log, up to `last`."""
+    """The reply to `LearnRequest`: the sender's term and the number of starts it knows of the learner.
+
+    `leads`: the sender leads the log, whose last entry is `last`.
+    """
 
     owner: str
     nonce: int
@@ -99,7 +111,10 @@
 
 
 class SnapshotChunk(Struct, frozen=True, array_like=True, tag="s"):
-    """A piece of the state up to `last`, for one whose entries are no longer kept."""
+    """A chunk of the snapshot up to entry `last`, for a replica that needs entries the leader has discarded.
+
+    `at` is the offset of `piece` in bytes, `complete` the size of the whole snapshot.
+    """
 
     owner: str
     term: int
@@ -113,7 +128,7 @@
 
 
 class SnapshotReceived(Struct, frozen=True, array_like=True, tag="i"):
-    """Held up to so many bytes of that image."""
+    """The reply to `SnapshotChunk`: the replica holds the first `at` bytes of that snapshot."""
 
     owner: str
     term: int
@@ -123,14 +138,14 @@
 
 
 class TakeOver(Struct, frozen=True, array_like=True, tag="h"):
-    """The leader gives the lead to its owner, who holds all."""
+    """The leader hands the leadership to the owner of the log, which holds all entries."""
 
     owner: str
     term: int
 
 
 class HandBack(Struct, frozen=True, array_like=True, tag="q"):
-    """The owner is back, holds all, and asks for the lead of its log."""
+    """The owner of the log, a follower again after a restart, requests the leadership."""
 
     owner: str
     term: int
--- a/hollowusher/scheduler/rules/log_replication/pace.py
+++ b/hollowusher/scheduler/rules/log_replication/pace.py
@@ -1,4 +1,4 @@
-"""The times of a group, and what follows from them.  All spans are nanoseconds."""
+"""The timing parameters of a replicated log.  All durations are in nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,26 +9,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationTiming:
-    """`lease_ns` is all that is set; clocks may run at rates that differ by `drift` either way."""
+    """The timing of one group, derived from `lease_ns`.  Clock rates may deviate by `drift` either way."""
 
     lease_ns: int = 1_000 * MS
     drift: float = 0.01
-    heartbeats_per_lease: int = 5  # appends, empty ones among them, in a lease
-    resend_heartbeats: int = 2  # beats after which an unanswered append is sent once more
+    heartbeats_per_lease: int = 5  # appends per lease duration, including empty ones
+    resend_heartbeats: int = 2  # heartbeats after which the leader resends an append without a reply
 
     @property
     def heartbeat_ns(self) -> int:
-        """Between two signs of a leader."""
+        """The interval between two heartbeats of a leader."""
         return self.lease_ns // self.heartbeats_per_lease
 
     @property
     def lease_validity_ns(self) -> int:
-        """How long after sending it an append that a majority answered lets a leader promise: shorter than
-        any follower's wait, by what two clocks may differ."""
+        """How long the leader's lease lasts after it sent an append that a majority acknowledged.
+
+        The lease is shorter than the wait of any follower by the possible drift of two clocks.
+        """
         return round(self.lease_ns * (1 - 2 * self.drift))
 
     def wait_ns(self, share: float, owner: bool, members: int) -> int:
-        """How long a follower waits for a silent leader before it asks for the lead: the lease, and then by
-        chance, the more of them the wider, so that two rarely ask at once.  A log's own owner asks first."""
+        """Returns the election timeout of a follower in nanoseconds.
+
+        The timeout is the lease plus a random part, chosen by `share` between 0 and 1.  The random part grows
+        with the number of members, so that two followers rarely start an election at the same time.  The
+        owner of the log has no minimum delay, so it usually starts first.
+        """
         wide = 0.4 if owner else 0.2 * members
         return self.lease_ns + round(((0.0 if owner else 0.15) + wide * share) * self.lease_ns)
--- a/hollowusher/scheduler/rules/log_replication/records.py
+++ b/hollowusher/scheduler/rules/log_replication/records.py
@@ -1,4 +1,4 @@
-"""What is kept of a job, and the book that a log's records make (docs/copies-design.md: their promises)."""
+"""The records of a job in a replicated log, and the state that they build (see docs/copies-design.md)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class JobTakenRecord(Struct, frozen=True, array_like=True, tag="t", omit_defaults=True):
-    """The job is ours and is owed one answer.  `until_ms`: when its client stops waiting (wall clock)."""
+    """The job is accepted and must get one answer.  `until_ms`: the client's deadline (wall clock)."""
 
     job: str
     job_class: str
@@ -24,7 +24,7 @@
 
 
 class Intent(Struct, frozen=True, array_like=True, tag="i"):
-    """An attempt is about to go out: from here on it may have run.  `at_ms`: wall clock."""
+    """An attempt is about to be sent: from this record on it may have run.  `at_ms`: wall clock."""
 
     job: str
     number: int
@@ -34,7 +34,7 @@
 
 
 class AttemptEndRecord(Struct, frozen=True, array_like=True, tag="e"):
-    """An attempt is over; `never`: it is proven that it never ran."""
+    """An attempt has ended.  `never`: it is proven that the attempt did not run."""
 
     job: str
     number: int
@@ -42,7 +42,7 @@
 
 
 class AnswerRecord(Struct, frozen=True, array_like=True, tag="a", omit_defaults=True):
-    """The one answer.  A client may be told it from here on."""
+    """The answer to a job.  It may be sent to the client once this record is committed."""
 
     job: str
     verdict: str
@@ -52,7 +52,7 @@
 
 
 class Forgotten(Struct, frozen=True, array_like=True, tag="f"):
-    """Answers that nobody comes back for any more."""
+    """Jobs whose state is removed, because no client will request their answers any more."""
 
     jobs: tuple[str, ...]
 
@@ -62,25 +62,25 @@
 
 
 def pack(record: Record) -> bytes:
-    """A record as an entry's data."""
+    """Encodes a record as the data of a log entry."""
     return _encoder.encode(record)
 
 
 def unpack(data: bytes) -> Record:
-    """Back again; msgspec.DecodeError where it is none."""
+    """Decodes the data of a log entry; raises msgspec.DecodeError if it is not a record."""
     return _decoder.decode(data)
 
 
 class LoggedJob(Struct, array_like=True):
-    """A job as the book has it."""
+    """The state of one job, as built from its records."""
 
     taken: JobTakenRecord
     intents: list[Intent] = []
-    never: set[int] = set()  # attempts that are proven never to have run
+    never: set[int] = set()  # numbers of the attempts that are proven not to have run
     answer: AnswerRecord | None = None
 
     def may_have_run(self) -> list[Intent]:
-        """Attempts that were to go out and are not known never to have run."""
+        """Returns the intents of all attempts that are not proven not to have run."""
         return [i for i in self.intents if i.number not in self.never]
 
 
@@ -89,13 +89,13 @@
 
 @dataclass(slots=True)
 class JobLogState:
-    """All jobs of one log.  Records of jobs that are not known, or come twice, change nothing."""
+    """The state of all jobs of one log.  Duplicate records and records of unknown jobs have no effect."""
 
     jobs: dict[str, LoggedJob] = field(default_factory=dict)
-    size: int = 0  # bytes of bodies and results
+    size: int = 0  # total bytes of job bodies and results
 
     def apply(self, record: Record) -> None:
-        """Take one committed record."""
+        """Applies one committed record."""
         match record:
             case JobTakenRecord(job) if job not in self.jobs:
                 self.jobs[job] = LoggedJob(record, [], set())
@@ -114,22 +114,22 @@
                 self.size += len(record.result)
 
     def open(self) -> list[LoggedJob]:
-        """Jobs that are owed an answer."""
+        """Returns the jobs without an answer."""
         return [held for held in self.jobs.values() if held.answer is None]
 
     def answered_before(self, at_ms: int) -> list[str]:
-        """Jobs whose answer is older."""
+        """Returns the jobs whose answer is older than `at_ms` (wall clock)."""
         return [
             job for job, held in self.jobs.items() if held.answer is not None and held.answer.at_ms < at_ms
         ]
 
     def image(self) -> bytes:
-        """The whole book."""
+        """Returns a snapshot of the whole state."""
         return msgspec.msgpack.encode(list(self.jobs.values()))
 
     @staticmethod
     def of(image: bytes) -> JobLogState:
-        """A book from its image."""
+        """Restores the state from a snapshot."""
         state = JobLogState()
         for held in _snapshot_decoder.decode(image) if image else ():
             state.jobs[held.taken.job] = held
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -1,10 +1,10 @@
-"""One member's copy of one log: who leads it, what it holds, how far it is committed.
+"""One replica of one log: leader election, replication and commit.
 
-A state machine: times and messages in; messages, things to store, committed entries and events out.
-Sources: Ongaro and Ousterhout, "Raft" (2014), its thesis for the lease, the trial vote and the change of a
-group by one; Liskov and Cowling, "Viewstamped Replication Revisited" (2012), for a member that starts and
-does not know what it has forgotten.  The order that all rests on: what `stores` holds is stored before
-anything of `sends` goes out.
+The module is a state machine: the caller passes times and messages, and collects messages, data to store,
+committed entries and events.  Sources: Ongaro and Ousterhout, "Raft" (2014), and Ongaro's thesis for the
+lease, the pre-vote and group changes by one member; Liskov and Cowling, "Viewstamped Replication Revisited"
+(2012), for the recovery of a replica that may have lost state.  Safety depends on one order: the caller must
+make `stores` durable before it sends anything from `sends`.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 
 
 class Role(Enum):
-    """What a member is in a group just now."""
+    """The role of a replica in its group."""
 
-    LEARNER = "learner"  # it may have forgotten what it said: it votes for nobody and vouches for nothing
+    LEARNER = "learner"  # recovering: it may have lost state, so it neither votes nor counts for commits
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
@@ -45,25 +45,27 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a member holds of a log, and what its storage gives back after a restart."""
+    """The state of a replica that its storage returns after a restart."""
 
     term: int = 0
     voted: str = ""
     starts: int = 0
-    heard: dict[str, tuple[int, int]] = field(default_factory=dict)  # of each other: starts, and the nonce
-    first: int = 1  # the number of the first entry that is kept
-    before: int = 0  # the term of the one before it
+    heard: dict[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # by other replica: the number of its starts, and the nonce of the last
+    first: int = 1  # number of the first entry after the snapshot
+    before: int = 0  # term of the entry before `first`
     entries: list[LogEntry] = field(default_factory=list)
-    image: bytes = b""  # the state up to first - 1
+    image: bytes = b""  # snapshot of the state up to entry `first` - 1
     image_group: tuple[str, ...] = ()
 
     @property
     def last(self) -> int:
-        """The number of the last entry."""
+        """Returns the number of the last entry."""
         return self.first + len(self.entries) - 1
 
     def term_of(self, number: int) -> int:
-        """The term of an entry; -1 where it is not known any more, or not yet."""
+        """Returns the term of an entry, or -1 if the entry was compacted or is not present yet."""
         if number == self.first - 1:
             return self.before
         return self.entries[number - self.first].term if self.first <= number <= self.last else -1
@@ -71,10 +73,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """To be made durable, in order, before what was said in the same step goes out.
+    """A write to storage.
 
-    `meta`: term, vote and starts have changed; `cut`: entries from that number on are void (0: none);
-    `entries`: from number `first` on; `image`: the state up to `upto` takes the place of entries so far."""
+    The caller makes the writes durable in order, before it sends the messages of the same step.  `meta`: the
+    term, the vote or the starts have changed.  `cut`: entries from this number on are void (0: none).
+    `entries`: new entries from number `first` on.  `image`: a snapshot that replaces all entries up to
+    `upto`.
+    """
 
     meta: bool = False
     cut: int = 0
@@ -86,20 +91,26 @@
 
 @dataclass(slots=True)
 class ReplicaPeer:
-    """What a leader knows of one copy."""
+    """The replication state that the leader keeps for another replica."""
 
     next: int
     match: int = 0
     sent_at: int = -(1 << 62)
-    open: bool = False  # an append is under way
-    acked_sent_at: int = -(1 << 62)  # when the last append that it answered had been sent, by our clock
-    lacks: bool = False
-    snapshot_offset: int = -1  # how much of an image it has; -1: it is sent entries
+    open: bool = False  # a message with entries or a snapshot chunk is unacknowledged
+    acked_sent_at: int = -(
+        1 << 62
+    )  # send time of the last append that it acknowledged, by the leader's clock
+    lacks: bool = False  # it is a learner and counts for no commit
+    snapshot_offset: int = -1  # acknowledged bytes of a snapshot; -1: it receives entries
 
 
 class Replica:
-    """`step` takes the time and at most one message; `due` is when to call it.  The caller empties `stores`
-    (first), `sends`, `commits` (number and entry, in order) and `reported` (words for the log)."""
+    """One replica of the log of `owner`.
+
+    The caller passes the time and at most one message to `step`, and calls `step` no later than at the time
+    that `due` returns.  The caller handles and empties the outputs: `stores` first, then `sends`, `commits`
+    (number and entry, in order) and `reported` (texts for the program's log).  Times are in nanoseconds.
+    """
 
     def __init__(
         self,
@@ -119,35 +130,37 @@
         self.sends: list[tuple[str, Message]] = []
         self.stores: list[Store] = []
         self.commits: list[tuple[int, LogEntry]] = []
-        self.images: list[bytes] = []  # states that take the place of what was committed before
+        self.images: list[bytes] = []  # snapshots received from the leader; each replaces the committed state
         self.reported: list[str] = []
         self.peers: dict[str, ReplicaPeer] = {}
         self.lease_until = -(1 << 62)
-        self._led_at = -(1 << 62)  # when a leader was last heard
+        self._led_at = -(1 << 62)  # time of the last message from a leader
         self._election_at = now
         self._votes: set[str] = set()
         self._pre_voting = False
-        self._handing_over = False  # the lead is being given back: nothing new is taken
+        self._handing_over = False  # the leadership is being handed over: no new entries are accepted
         self._handover_at = now
-        self._first_entry_of_term = 0  # the entry with which this leader began
-        self._missing_members: set[str] = set()  # whom the view of the members holds dead
+        self._first_entry_of_term = 0  # number of the first entry of this leader's term
+        self._missing_members: set[str] = set()  # members that the membership view lacks
         self._received_chunks = bytearray()
-        # A start: whatever the storage gave back, it may be an old image of it.  So all are asked first.
+        # The storage may have returned an old image, so a started replica asks all others first.
         self._storage_trusted = self.kept.starts > 0
         self.kept.starts += 1
         self.stores.append(Store(meta=True))
         self._nonce = rng.randrange(1, 1 << 53)
         self._learn_replies: dict[str, LearnReply] = {}
-        self._required_match = 0  # a learner without storage votes again once it holds all up to here
+        self._required_match = (
+            0  # a learner without storage may vote again once it holds all entries up to here
+        )
         self._teacher = ""
-        self._no_vote_until = now + timing.lease_ns  # what it promised before it forgot has run out by then
+        self._no_vote_until = now + timing.lease_ns  # leases granted before the restart have expired by then
         self._learn_at, self._trust_storage_at = now, now + 3 * timing.heartbeat_ns
 
-    # --- what others read -------------------------------------------------------------------------------
+    # --- queries ----------------------------------------------------------------------------------------
 
     @property
     def group(self) -> tuple[str, ...]:
-        """Who keeps this log: what its last entry about that says, committed or not."""
+        """Returns the group according to the last entry that changes it, whether committed or not."""
         for entry in reversed(self.kept.entries):
             if entry.group:
                 return entry.group
@@ -157,8 +170,11 @@
         return len(group or self.group) // 2 + 1
 
     def can_write(self, now: int) -> bool:
-        """Whether it may promise: it leads, a majority has vouched for that a moment ago, and all that led
-        before is committed."""
+        """Whether this replica may accept writes.
+
+        It must lead, hold a lease that a majority has renewed, have committed the first entry of its term and
+        thereby all entries of earlier leaders, and not be handing over the leadership.
+        """
         return (
             self.role is Role.LEADER
             and not self._handing_over
@@ -167,7 +183,7 @@
         )
 
     def due(self) -> int:
-        """When `step` is to be called at the latest."""
+        """Returns the time of the next timer: the caller must call `step` by then."""
         match self.role:
             case Role.LEARNER:
                 return self._learn_at
@@ -179,10 +195,10 @@
             case _:
                 return self._election_at
 
-    # --- what drives it ---------------------------------------------------------------------------------
+    # --- inputs -----------------------------------------------------------------------------------------
 
     def step(self, now: int, message: Message | None = None, sender: str = "") -> None:
-        """Take what has come and do what is due."""
+        """Handles one received message, if any, and runs the timer if it is due."""
         if message is not None:
             self._handle_message(now, message, sender)
         if now < self.due():
@@ -195,7 +211,7 @@
             self._start_pre_vote(now)
 
     def propose(self, now: int, data: Sequence[bytes], group: tuple[str, ...] = ()) -> int:
-        """Add entries; the last one's number, or 0 where it may not promise."""
+        """Appends entries as the leader; returns the number of the last one, or 0 if it may not write."""
         if not self.can_write(now):
             return 0
         entries = tuple(LogEntry(self.kept.term, d) for d in data)
@@ -203,7 +219,7 @@
             gone, new = set(self.group) - set(group), set(group) - set(self.group)
             still = any(e.group for e in self.kept.entries[self.commit - self.kept.first + 1 :])
             if len(gone) + len(new) != 1 or self.name in gone or still:
-                return 0  # one at a time, each committed before the next
+                return 0  # one change at a time, committed before the next one
             entries += (LogEntry(self.kept.term, b"", group),)
         self._extend(entries)
         if group:
@@ -214,7 +230,7 @@
         return self.kept.last
 
     def handle_missing_members(self, now: int, names: set[str]) -> None:
-        """Whom the view of the members holds dead: a follower whose leader is among them asks sooner."""
+        """Stores the members that the membership view lacks; a follower of one of them campaigns early."""
         self._missing_members = names
         if self.role is Role.FOLLOWER and self.leader in names:
             self._election_at = min(
@@ -224,12 +240,12 @@
             )
 
     def hand_back(self, now: int) -> None:
-        """The owner asks for the lead of its log, if another has it."""
+        """Requests the leadership if this replica is the owner of the log and follows another leader."""
         if self.role is Role.FOLLOWER and self.name == self.owner and self.leader not in ("", self.name):
             self.sends.append((self.leader, HandBack(self.owner, self.kept.term)))
 
     def compact(self, image: bytes) -> None:
-        """The state of all that is committed takes the place of the entries."""
+        """Replaces all committed entries by `image`, a snapshot of the committed state."""
         kept, upto = self.kept, self.commit
         if upto < kept.first:
             return
@@ -241,7 +257,7 @@
         kept.first, kept.before, kept.image, kept.image_group = upto + 1, before, image, group
         self.stores.append(Store(image=image, upto=upto))
 
-    # --- messages in ------------------------------------------------------------------------------------
+    # --- received messages ------------------------------------------------------------------------------
 
     def _handle_message(self, now: int, message: Message, sender: str) -> None:
         match message:
@@ -278,7 +294,10 @@
                 pass
 
     def _accepts_leader(self, now: int, term: int, sender: str) -> bool:
-        """Whether a leader's word counts: the fence.  A learner heeds one too, and vouches for nothing."""
+        """Accepts a message of a leader unless its term is lower than the current one (fencing).
+
+        A learner accepts it, too, and stays a learner.
+        """
         if term < self.kept.term:
             return False
         if self.role is Role.LEARNER:
@@ -293,7 +312,7 @@
         return True
 
     def _handle_append(self, now: int, m: Append, sender: str) -> None:
-        """The leader's entries: those that follow what we hold."""
+        """Appends the leader's entries if the log matches at `prev`; otherwise rejects them with a hint."""
         kept = self.kept
         if m.prev > kept.last or (m.prev >= kept.first - 1 and kept.term_of(m.prev) != m.prev_term):
             hint = min(kept.last, m.prev - 1)
@@ -321,15 +340,14 @@
         lacks = self.role is Role.LEARNER
         self.sends.append((sender, Appended(self.owner, self.kept.term, ok, match, sent, lacks)))
 
-    # --- leading ----------------------------------------------------------------------------------------
+    # --- leader -----------------------------------------------------------------------------------------
 
     def _lead(self, now: int) -> None:
         if self._handing_over and now - self._handover_at > self.timing.lease_ns:
-            self._handing_over = False  # it was not taken
+            self._handing_over = False  # the owner did not take over in time
         if self.peers and now - max(self.lease_until, self._led_at) > self.timing.lease_ns:
-            self._become_follower(
-                now, self.kept.term, ""
-            )  # no majority answers: what waits here must not wait on
+            # No majority acknowledges any more: pending writes must fail instead of waiting further.
+            self._become_follower(now, self.kept.term, "")
             return
         if not self.peers:
             self._led_at = now
@@ -341,7 +359,10 @@
                 self._append(now, name, heartbeat=True)
 
     def _append(self, now: int, name: str, heartbeat: bool = False) -> None:
-        """What a copy lacks, one piece at a time; a beat goes out while a piece is under way too."""
+        """Sends a replica its missing entries, one unacknowledged message at a time.
+
+        A heartbeat is sent even while a message is unacknowledged.
+        """
         kept, peer = self.kept, self.peers[name]
         if peer.open and not heartbeat:
             return
@@ -383,7 +404,7 @@
             return
         peer.open = False
         if m.last != self.kept.first - 1:
-            peer.snapshot_offset = 0  # there is a newer one
+            peer.snapshot_offset = 0  # the snapshot was replaced by a newer one
         elif m.at >= len(self.kept.image):
             peer.snapshot_offset, peer.next, peer.match = -1, m.last + 1, max(peer.match, m.last)
         else:
@@ -391,7 +412,7 @@
         self._append(now, sender, heartbeat=True)
 
     def _handle_append_reply(self, now: int, m: Appended, sender: str) -> None:
-        """A copy holds what it was sent, or says from where on it does not."""
+        """Handles an acknowledgement, or a rejection with the number from which to retry."""
         peer = self.peers.get(sender)
         if peer is None:
             return
@@ -409,7 +430,7 @@
         self._append(now, sender)
 
     def _renew(self, now: int) -> None:
-        """The lease: from when the appends were sent that a majority has answered."""
+        """Renews the lease from the send times of the appends that a majority has acknowledged."""
         times = sorted(
             [now, *(p.acked_sent_at for n, p in self.peers.items() if n in self.group)], reverse=True
         )
@@ -419,7 +440,7 @@
             )
 
     def _advance(self) -> None:
-        """What a majority holds is committed, once an entry of this term is among it."""
+        """Commits all entries that a majority holds, if the last of them belongs to the current term."""
         held = sorted(
             [
                 self.kept.last if self.name in self.group else 0,
@@ -441,11 +462,13 @@
             self.commit += 1
             self.commits.append((self.commit, self.kept.entries[self.commit - self.kept.first]))
 
-    # --- who leads --------------------------------------------------------------------------------------
+    # --- elections --------------------------------------------------------------------------------------
 
     def _start_pre_vote(self, now: int) -> None:
-        """Nothing was heard of a leader for a lease and more: would they follow us?  Nothing changes by the
-        question, so that one who merely hears badly brings nobody down."""
+        """Starts a pre-vote after the election timeout.
+
+        A pre-vote changes no state, so a replica that merely loses messages cannot depose a working leader.
+        """
         self._election_at = now + self._election_timeout_ns()
         if self.name not in self.group:
             return
@@ -492,8 +515,8 @@
     def _handle_vote_request(self, now: int, m: VoteRequest, sender: str) -> None:
         kept = self.kept
         if self._is_bound_by_lease(now, m, sender):
-            # A leader has our word for a lease: whoever asks meanwhile is not answered yes, nor is its term
-            # taken up.
+            # The current leader's lease is still valid: the replica rejects the vote and ignores the higher
+            # term.
             self.sends.append((sender, Vote(self.owner, max(kept.term, 0), False, m.trial)))
             return
         complete = self._is_up_to_date(m)
@@ -511,7 +534,7 @@
         self.sends.append((sender, Vote(self.owner, kept.term, yes)))
 
     def _is_bound_by_lease(self, now: int, m: VoteRequest, sender: str) -> bool:
-        """Whether our word to a leader still holds, or we lead and others' word to us does."""
+        """Whether a lease that this replica granted, or its own lease as the leader, is still valid."""
         if m.calls or self.leader in ("", sender):
             return False
         return (
@@ -519,7 +542,10 @@
         )
 
     def _is_up_to_date(self, m: VoteRequest) -> bool:
-        """Whether whoever asks holds all that we do: a majority of such holds all that was committed."""
+        """Whether the candidate's log is at least as up to date as this one.
+
+        A candidate with the votes of a majority therefore holds all committed entries.
+        """
         return (m.last_term, m.last) >= (self.kept.term_of(self.kept.last), self.kept.last)
 
     def _handle_vote(self, now: int, m: Vote, sender: str) -> None:
@@ -538,14 +564,14 @@
                 self._become_leader(now)
 
     def _become_leader(self, now: int) -> None:
-        """We lead.  The first entry says nothing: once it is committed, all before it is."""
+        """Becomes the leader and appends an empty entry; its commit also commits all earlier entries."""
         self.role, self.leader, self._handing_over, self._led_at = Role.LEADER, self.name, False, now
         self.lease_until = -(1 << 62)
         self.peers = {}
         self._extend((LogEntry(self.kept.term),))
         self._first_entry_of_term = self.kept.last
         self._set_peers(now)
-        self.reported.append(f"leads in term {self.kept.term}")
+        self.reported.append(f"is the leader of term {self.kept.term}")
         self._advance()
         self._lead(now)
 
@@ -554,17 +580,17 @@
 
     def _become_follower(self, now: int, term: int, leader: str) -> None:
         if self.role is Role.LEADER:
-            self.reported.append(f"no longer leads: term {term}")
+            self.reported.append(f"is no longer the leader: term {term}")
         if term > self.kept.term:
             self._set_term(term, "")
         self.role, self.leader, self.peers, self._pre_voting = Role.FOLLOWER, leader, {}, False
         self._received_chunks.clear()
         self._election_at = max(self._election_at, now + self._election_timeout_ns())
 
-    # --- a start ----------------------------------------------------------------------------------------
+    # --- recovery after a start -------------------------------------------------------------------------
 
     def _learn(self, now: int) -> None:
-        """Ask all what they know, until enough is known."""
+        """Asks all other replicas for the term and the known starts, until enough of them have replied."""
         self._learn_at = now + self.timing.heartbeat_ns
         self._learn_replies = {n: t for n, t in self._learn_replies.items() if n in self.group}
         if len(self.group) == 1:
@@ -577,20 +603,19 @@
     def _handle_learn_request(self, m: LearnRequest, sender: str) -> None:
         known, nonce = self.kept.heard.get(sender, (0, 0))
         if m.nonce == nonce:
-            known = m.starts - 1  # asked once more in this same start
+            known = m.starts - 1  # a repeated request of the same start
         elif m.starts > known:
             self.kept.heard[sender] = (m.starts, m.nonce)
             self.stores.append(Store(meta=True))
-        # One that holds nothing and has voted for nobody knows no more than one that may have forgotten it.
+        # A replica without entries that never took part in a term knows no more than one that lost its state.
         standing = VoterStanding.BLANK
         if self.role is not Role.LEARNER and (self.kept.term or self.kept.last):
             standing = VoterStanding.FULL
         elif self.role is Role.LEARNER and self._storage_trusted:
             standing = VoterStanding.STORED
         elif self.kept.last:
-            standing = (
-                VoterStanding.PART
-            )  # what it was taught before its teacher was lost: so the log is not void
+            # It received entries before its teacher failed, so the log is not empty.
+            standing = VoterStanding.PART
         self.sends.append(
             (
                 sender,
@@ -612,8 +637,10 @@
         self._learn_replies[sender] = m
         reported = list(self._learn_replies.values())
         if self._storage_trusted and any(t.starts >= self.kept.starts for t in reported):
-            # Somebody has heard of a later start of ours: what our storage gave back is an old image of it.
-            self.reported.append("its storage is an old image: it learns anew")
+            # Another replica knows a later start of this one, so the storage returned an old image.
+            self.reported.append(
+                "its storage is an old image: the replica discards it and recovers from the others"
+            )
             self._storage_trusted, self.kept.starts = False, max(t.starts for t in reported) + 1
             self._discard_log()
         full = {n: t for n, t in self._learn_replies.items() if t.standing == VoterStanding.FULL}
@@ -625,7 +652,8 @@
             if newest > self.kept.term:
                 self._set_term(newest, "")
         elif self._storage_trusted:
-            # Too few can teach us, so that our storage is needed: all of a group have been restarted, say.
+            # Too few full replicas are left to learn from, for example after a restart of the whole group, so
+            # the replica relies on its own storage.
             if (
                 now >= self._trust_storage_at
                 and 1 + sum(t.standing >= VoterStanding.STORED for t in reported) >= self._majority()
@@ -636,7 +664,7 @@
             and not self.kept.last
             and not any(t.standing for t in reported)
         ):
-            # Nobody in the whole group holds anything: the log begins, or all that was promised is lost.
+            # No replica of the group holds any state: the log is new, or all committed entries are lost.
             self.reported.append("nobody holds anything of this log: it begins anew")
             self._finish_learning(now)
 
@@ -648,10 +676,10 @@
         self.stores.append(Store(meta=True, cut=1, image=b"", upto=0))
 
     def _finish_learning(self, now: int) -> None:
-        """From now on it votes and vouches."""
+        """Ends the recovery: from now on the replica votes and counts for commits."""
         if not self._storage_trusted:
-            # The others remember starts from before it lost its storage: it counts on from there and says so,
-            # else its next start would be taken for one with an old image.
+            # The others remember the starts from before this replica lost its storage.  It continues that
+            # count and announces it; otherwise they would take its next start for one with an old image.
             self.kept.starts = max([self.kept.starts, *(t.starts + 1 for t in self._learn_replies.values())])
             self.stores.append(Store(meta=True))
             self.sends += [
@@ -659,12 +687,12 @@
             ]
         self.role, self._storage_trusted = Role.FOLLOWER, True
         if self._required_match and not self.kept.voted:
-            self._set_term(self.kept.term, "?")  # whom it voted for in this term it cannot know
+            self._set_term(self.kept.term, "?")  # its vote in this term is lost, so it must not vote again
         self._election_at = now + self._election_timeout_ns()
-        self.reported.append("knows all that it must")
+        self.reported.append("recovery is complete")
 
     def _handle_snapshot_chunk(self, now: int, m: SnapshotChunk, sender: str) -> None:
-        """A piece of the state; the whole takes the place of what we hold."""
+        """Adds a chunk of a snapshot; the complete snapshot replaces the local state."""
         kept = self.kept
         if m.last <= self.commit:
             self.sends.append((sender, SnapshotReceived(self.owner, kept.term, m.last, m.complete, m.sent)))
@@ -675,7 +703,7 @@
             self._received_chunks += m.piece
         if len(self._received_chunks) >= m.complete:
             image = bytes(self._received_chunks)
-            if kept.term_of(m.last) == m.last_term:  # what follows it is kept
+            if kept.term_of(m.last) == m.last_term:  # the entries after the snapshot stay
                 kept.entries = kept.entries[m.last - kept.first + 1 :]
             else:
                 kept.entries = []
@@ -689,10 +717,10 @@
         )
 
     def _election_timeout_ns(self) -> int:
-        """How long from now a silent leader is waited for."""
+        """Returns a random election timeout in nanoseconds."""
         return self.timing.wait_ns(self.rng.random(), self.name == self.owner, len(self.group))
 
-    # --- small things -----------------------------------------------------------------------------------
+    # --- helpers ----------------------------------------------------------------------------------------
 
     def _others(self) -> list[str]:
         return [n for n in self.group if n != self.name]
@@ -706,5 +734,5 @@
         self.kept.entries += entries
 
     def _truncate(self, number: int) -> None:
-        assert number > self.commit, "what is committed is never taken back"
-        self.kept.entries = self.kept.entries[: number - self.kept.first]  # those that follow are stored over
+        assert number > self.commit, "a committed entry must not be truncated"
+        self.kept.entries = self.kept.entries[: number - self.kept.first]  # storage overwrites the rest
--- a/hollowusher/scheduler/rules/log_replication/takeover.py
+++ b/hollowusher/scheduler/rules/log_replication/takeover.py
@@ -1,4 +1,4 @@
-"""What whoever takes a log over does about each of its open jobs."""
+"""Decides what a scheduler that takes over a log does with each open job."""
 
 from __future__ import annotations
 
@@ -9,29 +9,32 @@
 from hollowusher.balancing.interface import Effect, Group, JobClass
 from hollowusher.scheduler.rules.log_replication.records import LoggedJob
 
-MIN_REMAINING_MS = 50  # less than this before its client gives up, nothing is begun
+MIN_REMAINING_MS = 50  # an attempt starts only if this much time is left until its deadline
 
 
 class Next(Enum):
-    """What becomes of an open job."""
+    """The next step of an open job."""
 
-    SEND = "send"  # it goes to the desk again
-    UNKNOWN = "unknown"  # it may have run and may not run twice: it is answered as failed
-    LATE = "late"  # nobody waits any more: it is answered as failed, so that the book can forget it
+    SEND = "send"  # pass it to the dispatcher again
+    UNKNOWN = "unknown"  # it may have run and must not run twice: answer it as failed
+    LATE = "late"  # its client no longer waits: answer it as failed, so that its state can expire
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """Where a keyed job may go again: to the cell of its first attempt, and until when (wall clock)."""
+    """The limits of a keyed job's next attempt: the cell of its first attempt (empty: any) and a deadline."""
 
     cell: str
     until_ms: int
 
 
 def next_of(held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int) -> tuple[Next, Bound | None]:
-    """An attempt that was intended and is not proven never to have run counts as one that may have run.
+    """Returns the next step of an open job, and the limits of its next attempt if there are any.
 
-    Safe: again.  Keyed: again within its group's window, counted from the first such attempt.  Else never."""
+    An attempt with an intent counts as one that may have run unless it is proven not to have run.  After such
+    an attempt, a safe job is sent again; a keyed job is sent again within the deduplication window of its
+    class, counted from the first such attempt; any other job is never sent again.
+    """
     cls = classes.get(held.taken.job_class)
     if held.taken.until_ms - now_ms < MIN_REMAINING_MS:
         return Next.LATE, None
@@ -47,5 +50,5 @@
 
 
 def allowed(bound: Bound | None, cell: str, now_ms: int) -> bool:
-    """Whether an attempt of a job taken over may go out: a veto, no choice of another node."""
+    """Whether an attempt of an adopted job may be sent to `cell`.  A rejection chooses no other node."""
     return bound is None or (now_ms < bound.until_ms and bound.cell in ("", cell))
