--- a/hollowusher/scheduler/rules/log_replication/groups.py
+++ b/hollowusher/scheduler/rules/log_replication/groups.py
@@ -7,8 +7,9 @@
 
 
 def group_of(owner: str, names: Iterable[str], size: int) -> tuple[str, ...]:
-    """Returns the schedulers that hold the log of `owner`: the owner and those with the highest hashes.
+    """Returns the `size` schedulers that hold the log of `owner`.
 
+    These are the owner and the other schedulers whose hash together with the owner's name is highest.
     Adding or removing a name moves few logs, and all schedulers hold about the same number of logs.
     """
     others = sorted(
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -26,12 +26,8 @@
 from hollowusher.scheduler.rules.log_replication.takeover import Next
 
 SEARCH_INTERVAL_MS = 200  # between two queries for a job that another scheduler is working on
-SEARCH_TIMEOUT_MS = (
-    600  # a job that no scheduler has found by then is refused, so that its client retries later
-)
-MAX_REPORTED_UNKNOWN = (
-    65_536  # jobs reported as unknown to other schedulers; the oldest entries are dropped first
-)
+SEARCH_TIMEOUT_MS = 600  # a job not found by then is refused, so that its client retries later
+MAX_REPORTED_UNKNOWN = 65_536  # jobs reported as unknown to other schedulers; the oldest are dropped first
 INTENT_HOLD_MS = 500  # how long an attempt waits until the log can be written, before it counts as not sent
 ANSWER_MARGIN_MS = 30  # a client without an answer receives a failure this long before its deadline
 
@@ -85,8 +81,8 @@
     asked_ms: int
     round: int
     open: bool = False
-    leads: set[str] = field(default_factory=set)  # logs whose leader does not know the job (in this round)
-    negative_from: set[str] = field(default_factory=set)  # schedulers that replied so
+    leads: set[str] = field(default_factory=set)  # owners of logs whose leader reported the job as unknown
+    negative_from: set[str] = field(default_factory=set)  # schedulers that reported it as unknown
 
 
 def _was_refused(held: LoggedJob) -> bool:
@@ -123,9 +119,7 @@
         self.lookup_messages: list[tuple[str, FindJob | JobFound]] = []
         self._pending: dict[int, tuple[str, str, Hashable]] = {}  # by token: kind of record, job, handle
         self._owners: dict[str, str] = {}  # by job that this process works on: the owner of its log
-        self._waiting: dict[
-            str, list[tuple[Hashable, int]]
-        ] = {}  # by job: waiting clients and their deadlines
+        self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # by job: clients and their deadlines in ms
         self._searches: dict[str, _JobSearch] = {}
         # Attempts that wait until the log can be written: deadline in ms, record, handle.
         self._held_intents: list[tuple[int, Intent, Hashable]] = []
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -26,9 +26,9 @@
 from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
 
 COMPACT_ENTRIES = 4_096  # a log with this many entries since the last snapshot is compacted
-EXPIRE_BATCH = 256  # jobs removed by one entry
+EXPIRE_BATCH = 256  # expired jobs that one log entry removes
 EXPIRE_PERIOD_NS = 1_000_000_000
-ORPHAN_GRACE_MS = 2_000  # after its deadline, an open job is answered as failed
+ORPHAN_GRACE_MS = 2_000  # an open job is answered as failed this long after its deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,12 +58,15 @@
     jobs_state: JobLogState
     waiting: dict[int, int] = field(default_factory=dict)  # by entry number: token
     term: int = 0  # term in which this scheduler leads and has taken over; 0: none
-    entries_since_snapshot: int = 0  # committed entries
+    entries_since_snapshot: int = 0  # committed entries only
 
 
 class LogReplicas:
     """The replicas of all logs that one scheduler holds.
 
+    `size` is the number of replicas of each log, `kept` the stored state by owner, `keep_ms` the retention of
+    answers in milliseconds, and `most_jobs` the limit of jobs in the scheduler's own log.
+
     The caller handles and empties the outputs in this order: `stores`, `sends`, `written`, `adopted`,
     `reported`.  `now` is the monotonic time in nanoseconds, `now_ms` the wall clock in milliseconds.
     """
--- a/hollowusher/scheduler/rules/log_replication/messages.py
+++ b/hollowusher/scheduler/rules/log_replication/messages.py
@@ -15,7 +15,7 @@
 
 
 class VoterStanding(IntEnum):
-    """How far the state of a replica that replies to a learner is complete."""
+    """How complete the state of a replica is when it replies to a learner."""
 
     BLANK = 0  # it holds no state
     PART = 1  # a learner without trusted storage that holds some entries
--- a/hollowusher/scheduler/rules/log_replication/replica.py
+++ b/hollowusher/scheduler/rules/log_replication/replica.py
@@ -97,9 +97,7 @@
     match: int = 0
     sent_at: int = -(1 << 62)
     open: bool = False  # a message with entries or a snapshot chunk is unacknowledged
-    acked_sent_at: int = -(
-        1 << 62
-    )  # send time of the last append that it acknowledged, by the leader's clock
+    acked_sent_at: int = -(1 << 62)  # send time (leader's clock) of the last append that it acknowledged
     lacks: bool = False  # it is a learner and counts for no commit
     snapshot_offset: int = -1  # acknowledged bytes of a snapshot; -1: it receives entries
 
@@ -123,7 +121,7 @@
         kept: PersistentState | None = None,
     ) -> None:
         self.name, self.owner, self.timing, self.rng = name, owner, timing, rng
-        self.kept = kept or PersistentState()
+        self.kept = kept or PersistentState()  # `kept`: the state that the storage returned, if any
         self._configured = tuple(group)
         self.role, self.leader = Role.LEARNER, ""
         self.commit = self.kept.first - 1
@@ -149,10 +147,9 @@
         self.stores.append(Store(meta=True))
         self._nonce = rng.randrange(1, 1 << 53)
         self._learn_replies: dict[str, LearnReply] = {}
-        self._required_match = (
-            0  # a learner without storage may vote again once it holds all entries up to here
-        )
-        self._teacher = ""
+        # A learner without storage may vote again once it holds all entries of `_teacher` up to this number.
+        self._required_match = 0
+        self._teacher = ""  # the leader from which a learner recovers
         self._no_vote_until = now + timing.lease_ns  # leases granted before the restart have expired by then
         self._learn_at, self._trust_storage_at = now, now + 3 * timing.heartbeat_ns
 
@@ -614,7 +611,7 @@
         elif self.role is Role.LEARNER and self._storage_trusted:
             standing = VoterStanding.STORED
         elif self.kept.last:
-            # It received entries before its teacher failed, so the log is not empty.
+            # It received entries before the leader that it recovered from failed, so the log is not empty.
             standing = VoterStanding.PART
         self.sends.append(
             (
@@ -637,7 +634,7 @@
         self._learn_replies[sender] = m
         reported = list(self._learn_replies.values())
         if self._storage_trusted and any(t.starts >= self.kept.starts for t in reported):
-            # Another replica knows a later start of this one, so the storage returned an old image.
+            # Another replica knows of a later start of this one, so the storage returned an old image.
             self.reported.append(
                 "its storage is an old image: the replica discards it and recovers from the others"
             )
