--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -1,4 +1,4 @@
-"""Copies: the protocol under storms and planted faults, the book, groups, takeover, storage, frames."""
+"""Log replication: the protocol under random and planted faults, job state, takeover, storage and frames."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 class Storms(unittest.TestCase):
-    def test_what_is_committed_stays_and_one_leads(self) -> None:
+    def test_committed_entries_survive_and_a_leader_exists(self) -> None:
         for seed in range(4):
             for at, setting in enumerate(SETTINGS):
                 with self.subTest(seed=seed, setting=at):
@@ -88,7 +88,7 @@
             with self.subTest(make.__name__):
                 self.assertTrue(find(make, 20)[0])
 
-    def test_jobs_run_once_and_are_reported_one_thing(self) -> None:
+    def test_jobs_run_once_and_have_one_answer(self) -> None:
         net = JobReplicationNetwork(5, 1)
         jobs_storm(net, 25, 1)
         self.assertEqual(net.faults(), [])
@@ -108,19 +108,19 @@
 
 
 class EveryOrder(unittest.TestCase):
-    def check_from_a_torn_log(self, make: type[Replica], found: bool) -> None:
+    def check_diverging_logs(self, make: type[Replica], found: bool) -> None:
         seen = check(5, make, begin="torn", most_losses=0)
         self.assertEqual(bool(seen.findings), found, make.__name__)
         self.assertGreater(seen.states, 2_000)
 
-    def test_nothing_is_lost_from_a_torn_log(self) -> None:
-        self.check_from_a_torn_log(Replica, False)
+    def test_no_committed_entry_is_lost_with_diverging_logs(self) -> None:
+        self.check_diverging_logs(Replica, False)
 
-    def test_a_commit_by_one_copy_alone_is_found(self) -> None:
-        self.check_from_a_torn_log(copies_check.CommitByOne, True)
+    def test_commit_without_majority_is_found(self) -> None:
+        self.check_diverging_logs(copies_check.CommitByOne, True)
 
-    def test_a_vote_for_anybody_is_found(self) -> None:
-        self.check_from_a_torn_log(copies_check.AnyVote, True)
+    def test_vote_for_outdated_candidate_is_found(self) -> None:
+        self.check_diverging_logs(copies_check.AnyVote, True)
 
 
 class HardCases(unittest.TestCase):
@@ -129,12 +129,12 @@
         net.run(4 * S)
         return net
 
-    def fill(self, net: ReplicationNetwork, many: int = 10) -> None:
-        for number in range(many):
+    def fill(self, net: ReplicationNetwork, count: int = 10) -> None:
+        for number in range(count):
             net.propose(f"e{number}".encode())
             net.run(net.now + S // 20)
 
-    def test_one_alone_stops_promising_within_its_lease_and_another_promises(self) -> None:
+    def test_isolated_leader_loses_its_lease_and_another_takes_over(self) -> None:
         net = self.net()
         lead = net.leader()
         assert lead is not None
@@ -147,9 +147,9 @@
         new = net.leader()
         assert new is not None
         self.assertNotEqual(new.name, lead.name)
-        self.assertIsNot(lead.role, Role.LEADER)  # what waits at the old one must not wait on
+        self.assertIsNot(lead.role, Role.LEADER)  # pending writes of the old leader must fail
 
-    def test_two_of_five_lose_all_and_a_third_restarts_empty(self) -> None:
+    def test_no_leader_after_three_of_five_replicas_lose_their_state(self) -> None:
         net = self.net(5)
         self.fill(net)
         for name in ("n1", "n2", "n3"):
@@ -158,37 +158,35 @@
         for name in ("n1", "n2", "n3"):
             net.start(name)
         net.run(net.now + 20 * S)
-        self.assertIsNone(net.leader())  # it cannot know what was promised, and promises nothing more
-        self.assertEqual(net.began_anew, 5)  # only at the first start
+        self.assertIsNone(net.leader())  # no replica can know all committed entries, so none may lead
+        self.assertEqual(net.began_anew, 5)  # at the first start only, once per replica
 
-    def test_a_log_is_not_void_while_a_learner_holds_a_part_of_it(self) -> None:
+    def test_log_is_not_recreated_while_a_learner_holds_entries(self) -> None:
         net = self.net()
         self.fill(net)
         net.crash("n1")
         net.start("n1")
-        for other in ("n0", "n2"):  # it is taught, and cannot say that it has learnt
+        for other in ("n0", "n2"):  # n1 receives entries but cannot acknowledge them
             net.cut("n1", other, 30 * S)
         net.run(net.now + S // 10)
         net.cuts.clear()
         net.run(net.now + S // 10)
         taught = net.copies["n1"].replica
         assert taught is not None
-        taught.role, taught._storage_trusted = (
-            Role.LEARNER,
-            False,
-        )  # as if its teacher had gone a moment sooner
+        # The state of n1 as if its leader had failed before the recovery ended.
+        taught.role, taught._storage_trusted = Role.LEARNER, False
         for name in ("n0", "n2"):
             net.crash(name)
             net.start(name)
         net.run(net.now + 10 * S)
         self.assertIsNone(net.leader())
-        self.assertEqual(net.began_anew, 3)  # at the first start only
+        self.assertEqual(net.began_anew, 3)  # at the first start only, once per replica
 
-    def test_an_old_image_of_a_disk_is_found_by_the_starts_that_others_know(self) -> None:
+    def test_old_disk_image_is_detected_by_the_start_counts_of_others(self) -> None:
         for make in (Replica, copies_check.ImageTrusted):
             net = self.net(storage=True, make=make)
             net.crash("n1")
-            net.start("n1", "image")  # the image is of its first life
+            net.start("n1", "image")  # saves an image of the disk after the first run
             net.run(net.now + 3 * S)
             net.cut("n0", "n2", 100 * S)
             net.cut("n2", "n0", 100 * S)
@@ -198,13 +196,13 @@
             net.start("n1", "old")
             if make is Replica:
                 net.run(net.now + 10 * S)
-                self.assertIsNone(net.leader())  # the one whole copy that is left cannot promise alone
+                self.assertIsNone(net.leader())  # the only complete replica left has no majority
                 self.assertTrue(any("old image" in what for _, _, what in net.reported))
             else:
                 with self.assertRaises(RuleBroken):
                     net.run(net.now + 10 * S)
 
-    def test_one_that_lost_its_disk_is_not_taken_for_an_old_image_later(self) -> None:
+    def test_lost_disk_is_not_mistaken_for_an_old_image_later(self) -> None:
         net = self.net(storage=True)
         for disk in ("kept", "kept", "kept", "none", "kept", "kept"):
             net.crash("n2")
@@ -216,24 +214,24 @@
             self.assertIsNot(again.role, Role.LEARNER, disk)
         self.assertFalse([what for _, _, what in net.reported if "old image" in what])
 
-    def test_a_group_changes_one_member_at_a_time(self) -> None:
+    def test_group_changes_one_member_at_a_time(self) -> None:
         net = self.net(5)
         lead = net.leader()
         assert lead is not None
         now = net._clock(net.copies[lead.name])
         rest = tuple(n for n in net.names if n != "n4")
-        self.assertEqual(lead.propose(now, [], rest[:-1]), 0)  # two at once
+        self.assertEqual(lead.propose(now, [], rest[:-1]), 0)  # removes two members at once
         self.assertGreater(lead.propose(now, [], rest), 0)
-        self.assertEqual(lead.propose(now, [], (*rest, "n4")), 0)  # the first is not committed yet
+        self.assertEqual(lead.propose(now, [], (*rest, "n4")), 0)  # the first change is not committed yet
         net._after(net.copies[lead.name])
         net.run(net.now + 2 * S)
         groups = {c.replica.group for c in net.copies.values() if c.replica and c.name != "n4"}
         self.assertEqual(groups, {rest})
         net.crash("n3")
         self.fill(net)
-        self.assertEqual(len(net.promised), 10)  # three of four
+        self.assertEqual(len(net.promised), 10)  # three of four replicas are a majority
 
-    def test_a_late_copy_is_caught_up_by_an_image(self) -> None:
+    def test_lagging_replica_catches_up_by_snapshot(self) -> None:
         net = self.net()
         net.crash("n2")
         self.fill(net)
@@ -247,7 +245,7 @@
         assert late is not None
         self.assertEqual((late.commit, len(late.kept.image)), (lead.commit, 100_000))
 
-    def test_the_owner_gets_its_log_back(self) -> None:
+    def test_leadership_returns_to_the_owner(self) -> None:
         net = self.net()
         net.crash("n0")
         net.run(net.now + 4 * S)
@@ -265,8 +263,8 @@
         self.assertEqual(lead and lead.name, "n0")
 
 
-class Kept1(unittest.TestCase):
-    """A keeper of one log with nobody else, so that all is kept at once."""
+class SingleReplica(unittest.TestCase):
+    """A scheduler without others, so that each record is committed at once."""
 
     def setUp(self) -> None:
         self.replicas = LogReplicas("n1", ["n1"], 1, ReplicationTiming(), random.Random(1), 0, CLASSES)
@@ -282,7 +280,7 @@
     def write(self, *records: Record) -> int:
         return self.replicas.write(self.now, self.now // MS, "n1", records)
 
-    def test_an_open_job_is_closed_some_time_after_its_client_left(self) -> None:
+    def test_open_job_fails_some_time_after_its_deadline(self) -> None:
         self.assertTrue(self.write(taken("j", until_ms=5_000)))
         self.to(6 * S)
         self.assertEqual(len(self.replicas.logs["n1"].jobs_state.open()), 1)
@@ -290,18 +288,18 @@
         held = self.replicas.logs["n1"].jobs_state.jobs["j"]
         self.assertEqual(held.answer and held.answer.verdict, "failed")
 
-    def test_an_unsafe_intent_is_refused_where_one_may_have_run(self) -> None:
+    def test_second_intent_of_an_unsafe_job_is_rejected(self) -> None:
         intent = Intent("j", 1, "s1", "0", 3_000)
-        self.assertEqual(self.write(intent), 0)  # the job is not known
+        self.assertEqual(self.write(intent), 0)  # the job is unknown
         self.assertTrue(self.write(taken("j", until_ms=20_000)))
         self.assertTrue(self.write(intent))
         self.assertEqual(self.write(Intent("j", 2, "s2", "0", 3_100)), 0)
-        self.assertTrue(self.write(AttemptEndRecord("j", 1, True)))  # it never ran, after all
+        self.assertTrue(self.write(AttemptEndRecord("j", 1, True)))  # attempt 1 is proven not to have run
         self.assertTrue(self.write(Intent("j", 2, "s2", "0", 3_200)))
         self.assertTrue(self.write(AnswerRecord("j", "served", 3_300)))
         self.assertEqual(self.write(Intent("j", 3, "s2", "0", 3_400)), 0)
 
-    def test_a_job_that_came_anew_goes_before_its_refusal(self) -> None:
+    def test_reaccepted_job_is_found_before_its_refusal(self) -> None:
         self.write(taken("j", until_ms=20_000), AnswerRecord("j", "refused", 3_000))
         other = copy.deepcopy(self.replicas.logs["n1"])
         other.jobs_state = JobLogState()
@@ -316,7 +314,7 @@
 
 
 class Rules(unittest.TestCase):
-    def test_what_a_takeover_does(self) -> None:
+    def test_takeover_decisions(self) -> None:
         out = [Intent("j", 1, "s1", "7", 1_000)]
         for job_class, intents, never, now_ms, wanted in (
             ("settle", [], set(), 2_000, (Next.SEND, None)),
@@ -335,7 +333,7 @@
             self.assertEqual(allowed(Bound("7", 3_000), cell, now_ms), may)
         self.assertTrue(allowed(None, "any", 1 << 50))
 
-    def test_groups_are_even_and_move_little(self) -> None:
+    def test_groups_are_balanced_and_stable(self) -> None:
         names = [f"n{i}" for i in range(40)]
         kept = Counter(m for owner in names for m in group_of(owner, names, 3))
         self.assertTrue(all(n in group_of(n, names, 3) for n in names))
@@ -348,7 +346,7 @@
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 2**31))
-    def test_a_job_log_is_its_image_and_keeps_the_first_answer(self, seed: int) -> None:
+    def test_job_state_survives_a_snapshot_and_keeps_the_first_answer(self, seed: int) -> None:
         chance, jobs_state = random.Random(seed), JobLogState()
         first: dict[str, AnswerRecord] = {}
         for number in range(60):
@@ -380,8 +378,8 @@
         )
 
 
-class Faulty(MemberFiles):
-    """Dies, or fails, at the so-many-th write or sync; a write that dies is done by half."""
+class FaultyFiles(MemberFiles):
+    """Crashes (SystemExit) or raises OSError at write or sync number `at`; that write stores one half."""
 
     def __init__(self, at: int, fails: bool = False) -> None:
         self.left, self._fails = at, fails
@@ -402,14 +400,14 @@
         super().sync(descriptor)
 
 
-class OnDisk(unittest.TestCase):
+class LogFiles(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name)
 
     def scenario(self, folder: Folder) -> tuple[PersistentState, PersistentState]:
-        """Some writes as a replica asks for them; what was synced last, and what was under way."""
+        """Performs writes as a replica requests them; returns the state in memory and the synced state."""
         kept, synced = PersistentState(), PersistentState()
         steps: list[tuple[Store, ...]] = [(Store(meta=True),)]
         steps += [(Store(entries=(LogEntry(1, b"%d" % n),), first=n),) for n in range(1, 6)]
@@ -433,12 +431,12 @@
             pass
         return kept, synced
 
-    def test_a_death_or_a_failure_at_any_write_or_sync_loses_nothing_that_was_synced(self) -> None:
+    def test_crash_or_error_at_any_write_or_sync_loses_no_synced_state(self) -> None:
         for fails in (False, True):
             for at in range(1, 22):
                 for old in self.path.iterdir():
                     old.unlink()
-                folder = Folder(self.path, Faulty(at, fails))
+                folder = Folder(self.path, FaultyFiles(at, fails))
                 kept, synced = self.scenario(folder)
                 if fails and folder.broken:
                     with self.assertRaises(OSError):
@@ -449,9 +447,9 @@
                 got = found.get("n0", PersistentState())
                 self.assertGreaterEqual((got.term, got.last), (synced.term, synced.last), at)
                 self.assertLessEqual(got.last, max(kept.last, synced.last))
-        self.assertEqual(got, kept)  # the last one died nowhere
+        self.assertEqual(got, kept)  # the last run ends before its fault is due
 
-    def test_a_changed_byte_anywhere_is_found(self) -> None:
+    def test_any_corrupted_byte_is_detected(self) -> None:
         self.scenario(Folder(self.path))
         complete = (self.path / "n0.log").read_bytes()
         good = parse(complete)[0]
@@ -462,7 +460,7 @@
                 kept, size = parse(bytes(data))
             except ValueError:
                 continue
-            self.assertLess(size, len(complete), at)  # a length beyond the end: as if torn
+            self.assertLess(size, len(complete), at)  # a length beyond the end looks like a torn write
             self.assertNotEqual(kept, good)
         data[len(MAGIC) + 14] ^= 1
         (self.path / "n0.log").write_bytes(bytes(data))
@@ -470,7 +468,7 @@
         self.assertEqual((found, len(list(self.path.glob("*.damaged")))), ({}, 1))
         self.assertIn("learns anew", reported[0])
 
-    def test_a_file_that_images_have_made_long_is_written_anew(self) -> None:
+    def test_file_that_grew_by_snapshots_is_rewritten(self) -> None:
         folder, kept = Folder(self.path), PersistentState(starts=1)
         for number in range(1, 9):
             kept.entries, kept.first, kept.image = [], number + 1, bytes(1 << 21)
@@ -481,11 +479,11 @@
 
 
 class FailingDisk(unittest.IsolatedAsyncioTestCase):
-    async def next(self, acts: asyncio.Queue[ReplicationInstruction]) -> ReplicationInstruction:
+    async def next(self, instructions: asyncio.Queue[ReplicationInstruction]) -> ReplicationInstruction:
         async with asyncio.timeout(5):
-            return await acts.get()
+            return await instructions.get()
 
-    async def test_whoever_waits_is_reported_at_once_and_jobs_are_taken_again_once_it_writes(self) -> None:
+    async def test_disk_failure_is_answered_at_once_and_jobs_are_accepted_after_recovery(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         config = CopiesConfig(
@@ -497,20 +495,22 @@
             0.2,
             others={"n1": ("127.0.0.1", 1)},
         )
-        acts: asyncio.Queue[ReplicationInstruction] = asyncio.Queue()
-        for fails_at in (3, 5, 7, 9):  # writes and syncs by turns
-            storage = Folder(Path(folder.name), Faulty(fails_at, fails=True))
-            node = CopiesNode(config, CLASSES, 1, acts.put_nowait, LogWriter("n1", per_s=0, burst=0), storage)
+        instructions: asyncio.Queue[ReplicationInstruction] = asyncio.Queue()
+        for fails_at in (3, 5, 7, 9):  # writes and syncs alternate
+            storage = Folder(Path(folder.name), FaultyFiles(fails_at, fails=True))
+            node = CopiesNode(
+                config, CLASSES, 1, instructions.put_nowait, LogWriter("n1", per_s=0, burst=0), storage
+            )
             await node.start()
             try:
                 served, reported = 0, list[ReplicationAction]()
                 for number in range(200):
                     job = f"{fails_at}-{number}"
                     node.take(taken(job, until_ms=int(time.time() * 1000) + 10_000), job, False)
-                    act = await self.next(acts)
-                    while act.handle != job:  # a job of before the failure that goes on
+                    act = await self.next(instructions)
+                    while act.handle != job:  # an adopted job from before the failure
                         self.assertIsNone(act.handle)
-                        act = await self.next(acts)
+                        act = await self.next(instructions)
                     reported.append(act.do)
                     served = served + 1 if act.do is ReplicationAction.START else 0
                     if served == 3 and storage.broken:
@@ -527,7 +527,7 @@
             self.assertTrue(any(isinstance(r, JobTakenRecord) and r.job == job for r in kept))
 
 
-class BeforeTheExecutor(unittest.TestCase):
+class AttemptAdmission(unittest.TestCase):
     def setUp(self) -> None:
         self.posted: list[DispatchEvent] = []
         self.carried: list[Order] = []
@@ -540,7 +540,7 @@
             JobAttempt("job-1", 0, 7), ClientJob("j", "settle", "s", b"", 0, 10**12, print), 0
         )
 
-    def test_an_attempt_waits_for_its_intent(self) -> None:
+    def test_attempt_waits_for_its_intent(self) -> None:
         self.admission.carry_out(self.order)
         self.assertEqual((self.carried, self.posted), ([], []))
         self.admission.act(ReplicationInstruction(ReplicationAction.GO, self.order))
@@ -549,7 +549,7 @@
         self.node.ended.assert_called_once_with("j", mock.ANY, False)
         self.assertEqual(len(self.posted), 1)
 
-    def test_one_that_is_withdrawn_meanwhile_ends_at_once_and_is_never_sent(self) -> None:
+    def test_attempt_withdrawn_before_its_intent_is_never_sent(self) -> None:
         for late, never in ((ReplicationAction.GO, 1), (ReplicationAction.NOT_SENT, 0)):
             self.setUp()
             self.admission.carry_out(self.order)
@@ -560,17 +560,17 @@
             self.assertEqual((self.carried, len(self.posted)), ([], 1))
             self.assertEqual(self.node.ended.call_args_list, [mock.call("j", number, True)] * never)
 
-    def test_no_two_intents_of_one_job_have_one_number(self) -> None:
-        for ticket in ("job-1", "job-2"):  # it came to the desk twice
+    def test_intents_of_one_job_have_distinct_numbers(self) -> None:
+        for ticket in ("job-1", "job-2"):  # the dispatcher received the job twice
             self.admission.carry_out(Dispatch(JobAttempt(ticket, 0, 7), self.order.job, 0))
         numbers = [call.args[1] for call in self.node.intent.call_args_list]
         self.assertEqual(len(set(numbers)), 2)
 
 
-class OnTheWire(unittest.TestCase):
+class FramesAndSettings(unittest.TestCase):
     @settings(max_examples=60, deadline=None)
     @given(st.lists(st.integers(0, 3000), min_size=1, max_size=5), st.integers(1, 900))
-    def test_frames_cut_anywhere_and_bad_ones(self, sizes: list[int], cut: int) -> None:
+    def test_frames_split_anywhere_and_invalid_frames(self, sizes: list[int], cut: int) -> None:
         sent = [Append("n0", 1, 2, 1, (LogEntry(1, bytes(size)),), 0, 5) for size in sizes]
         data, frames = b"".join(map(frame, sent)), Frames()
         got = [m for at in range(0, len(data), cut) for m in frames.feed(data[at : at + cut])]
@@ -582,7 +582,7 @@
         with self.assertRaises(ValueError):
             Frames().feed(b"\xff" * 16)
 
-    def test_settings_that_do_not_hold_together(self) -> None:
+    def test_inconsistent_settings_are_rejected(self) -> None:
         head = "[copies]\nenabled yes\nlisten 127.0.0.1:7\nclasses settle\n"
         three = "".join(f"[copy n{i}]\naddress 127.0.0.1:{i}\n" for i in (1, 2, 3))
         for text, why in (
--- a/tests/scheduler/test_membership_check.py
+++ b/tests/scheduler/test_membership_check.py
@@ -1,4 +1,4 @@
-"""The model check of membership holds to a small depth, and finds each fault planted in the protocol."""
+"""Model checking of the membership protocol, also with protocol faults that the checker must find."""
 
 from __future__ import annotations
 
@@ -11,67 +11,67 @@
 from hollowusher.scheduler.rules.membership.messages import MemberStatus, MemberUpdate
 
 
-class Resigned(SwimMember):
-    """Hears that it is held dead, and believes it."""
+class AcceptsOwnDeath(SwimMember):
+    """Accepts a report of its own death."""
 
-    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
-        if news.standing is MemberStatus.DEAD:
+    def _handle_update_about_self(self, now: int, update: MemberUpdate) -> None:
+        if update.standing is MemberStatus.DEAD:
             self.me = replace(self.me, standing=MemberStatus.DEAD)
 
 
-class Mute(SwimMember):
-    """Never says otherwise."""
+class NeverRefutes(SwimMember):
+    """Never refutes a suspicion or a death."""
 
-    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
+    def _handle_update_about_self(self, now: int, update: MemberUpdate) -> None:
         pass
 
 
-class Meek(SwimMember):
-    """Answers its accuser at the same incarnation, which beats nothing."""
+class RefutesAtSameIncarnation(SwimMember):
+    """Refutes at the same incarnation, which supersedes nothing."""
 
-    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
+    def _handle_update_about_self(self, now: int, update: MemberUpdate) -> None:
         self.gossip.put(self.me)
 
 
-class Backward(SwimMember):
-    """Answers with a lower incarnation than it had."""
+class LowersIncarnation(SwimMember):
+    """Lowers its own incarnation when it refutes."""
 
-    def _handle_update_about_self(self, now: int, news: MemberUpdate) -> None:
-        super()._handle_update_about_self(now, replace(news, incarnation=max(0, news.incarnation - 3)))
-        if news.standing is not MemberStatus.ALIVE:
-            self.me = replace(self.me, incarnation=news.incarnation - 1)
+    def _handle_update_about_self(self, now: int, update: MemberUpdate) -> None:
+        super()._handle_update_about_self(now, replace(update, incarnation=max(0, update.incarnation - 3)))
+        if update.standing is not MemberStatus.ALIVE:
+            self.me = replace(self.me, incarnation=update.incarnation - 1)
 
 
-class Final(SwimMember):
-    """Once dead is dead for good."""
+class DeathIsFinal(SwimMember):
+    """Never revives a member that was declared dead."""
 
-    def _update_record(self, now: int, record: Record, news: MemberUpdate, tentative: bool = False) -> None:
+    def _update_record(self, now: int, record: Record, update: MemberUpdate, tentative: bool = False) -> None:
         if record.update.standing is not MemberStatus.DEAD:
-            super()._update_record(now, record, news, tentative)
+            super()._update_record(now, record, update, tentative)
 
 
-class Spiteful(SwimMember):
-    """Counts whoever accused last as right, whatever the incarnation."""
+class IgnoresRefutations(SwimMember):
+    """Ignores refutations of a death, whatever their incarnation."""
 
-    def _apply_update(self, now: int, news: MemberUpdate) -> None:
-        record = self.records.get(news.name)
+    def _apply_update(self, now: int, update: MemberUpdate) -> None:
+        record = self.records.get(update.name)
         if (
             record is not None
-            and news.standing is MemberStatus.ALIVE
+            and update.standing is MemberStatus.ALIVE
             and record.update.standing is MemberStatus.DEAD
         ):
             return
-        super()._apply_update(now, news)
+        super()._apply_update(now, update)
 
 
 FAULTS = (
-    (Resigned, "dead"),
-    (Mute, "dead"),
-    (Meek, "dead"),
-    (Backward, "doubted"),
-    (Final, "dead"),
-    (Spiteful, "dead"),
-    (Mute, "again"),
+    (AcceptsOwnDeath, "dead"),
+    (NeverRefutes, "dead"),
+    (RefutesAtSameIncarnation, "dead"),
+    (LowersIncarnation, "doubted"),
+    (DeathIsFinal, "dead"),
+    (IgnoresRefutations, "dead"),
+    (NeverRefutes, "again"),
 )
 
 
