--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -24,7 +24,7 @@
     VoteRequest,
 )
 from hollowusher.scheduler.rules.log_replication.replica import Replica, Role
-from hollowusher.scheduler.rules.log_replication.takeover import Next
+from hollowusher.scheduler.rules.log_replication.takeover import NextStep
 
 SETTINGS: tuple[dict[str, Any], ...] = (
     {"size": 3, "storage": False, "disks": ("kept",), "most_down": 1},
@@ -201,7 +201,7 @@
 
     def step(self, *args: Any, **words: Any) -> None:
         super().step(*args, **words)
-        self.adopted = [replace(a, next=Next.SEND) for a in self.adopted]
+        self.adopted = [replace(a, next=NextStep.SEND) for a in self.adopted]
 
 
 def find(make: type[Replica], seeds: int = 30, seconds: int = 30) -> tuple[str, int]:
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -23,7 +23,7 @@
     JobTakenRecord,
     LoggedJob,
 )
-from hollowusher.scheduler.rules.log_replication.takeover import Next
+from hollowusher.scheduler.rules.log_replication.takeover import NextStep
 
 SEARCH_INTERVAL_MS = 200  # between two queries for a job that another scheduler is working on
 SEARCH_TIMEOUT_MS = 600  # a job not found by then is refused, so that its client retries later
@@ -384,7 +384,7 @@
             job = adopted.held.taken.job
             if job in self._owners:
                 continue  # the local dispatcher still works on the job
-            if adopted.next is Next.SEND:
+            if adopted.next is NextStep.SEND:
                 self._owners[job] = adopted.owner
                 self.instructions.append(
                     ReplicationInstruction(ReplicationAction.START, None, adopted=adopted)
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -23,7 +23,7 @@
     unpack,
 )
 from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
-from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
+from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_of
 
 COMPACT_ENTRIES = 4_096  # a log with this many entries since the last snapshot is compacted
 EXPIRE_BATCH = 256  # expired jobs that one log entry removes
@@ -37,7 +37,7 @@
 
     owner: str
     held: LoggedJob
-    next: Next
+    next: NextStep
     bound: Bound | None
 
 
@@ -202,7 +202,7 @@
         if held is None or held.answer is not None:
             return False
         what, bound = next_of(held, self.classes, now_ms)
-        return what is Next.SEND and allowed(bound, intent.cell, now_ms)
+        return what is NextStep.SEND and allowed(bound, intent.cell, now_ms)
 
     # --- helpers ------------------------------------------------------------------------------------------
 
--- a/hollowusher/scheduler/rules/log_replication/takeover.py
+++ b/hollowusher/scheduler/rules/log_replication/takeover.py
@@ -12,7 +12,7 @@
 MIN_REMAINING_MS = 50  # an attempt starts only if this much time is left until its deadline
 
 
-class Next(Enum):
+class NextStep(Enum):
     """The next step of an open job."""
 
     SEND = "send"  # pass it to the dispatcher again
@@ -28,7 +28,7 @@
     until_ms: int
 
 
-def next_of(held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int) -> tuple[Next, Bound | None]:
+def next_of(held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int) -> tuple[NextStep, Bound | None]:
     """Returns the next step of an open job, and the limits of its next attempt if there are any.
 
     An attempt with an intent counts as one that may have run unless it is proven not to have run.  After such
@@ -37,16 +37,16 @@
     """
     cls = classes.get(held.taken.job_class)
     if held.taken.until_ms - now_ms < MIN_REMAINING_MS:
-        return Next.LATE, None
+        return NextStep.LATE, None
     ran = held.may_have_run()
     if not ran or (cls is not None and cls.effect is Effect.SAFE):
-        return Next.SEND, None
+        return NextStep.SEND, None
     if cls is None or cls.effect is Effect.UNSAFE:
-        return Next.UNKNOWN, None
+        return NextStep.UNKNOWN, None
     until_ms = min(i.at_ms for i in ran) + cls.window_ns // 1_000_000
     if now_ms + MIN_REMAINING_MS >= until_ms:
-        return Next.UNKNOWN, None
-    return Next.SEND, Bound("" if cls.group is Group.ALL else ran[0].cell, until_ms)
+        return NextStep.UNKNOWN, None
+    return NextStep.SEND, Bound("" if cls.group is Group.ALL else ran[0].cell, until_ms)
 
 
 def allowed(bound: Bound | None, cell: str, now_ms: int) -> bool:
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -64,7 +64,7 @@
     unpack,
 )
 from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
-from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
+from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_of
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.reader import read_text
 from tests.support.standins import free_port
@@ -317,14 +317,14 @@
     def test_takeover_decisions(self) -> None:
         out = [Intent("j", 1, "s1", "7", 1_000)]
         for job_class, intents, never, now_ms, wanted in (
-            ("settle", [], set(), 2_000, (Next.SEND, None)),
-            ("settle", out, set(), 2_000, (Next.UNKNOWN, None)),
-            ("settle", out, {1}, 2_000, (Next.SEND, None)),
-            ("settle", [], set(), 9_960, (Next.LATE, None)),
-            ("quote", out, set(), 2_000, (Next.SEND, None)),
-            ("assign", out, set(), 2_000, (Next.SEND, Bound("7", 3_000))),
-            ("assign", out, set(), 2_960, (Next.UNKNOWN, None)),
-            ("no such class", out, set(), 2_000, (Next.UNKNOWN, None)),
+            ("settle", [], set(), 2_000, (NextStep.SEND, None)),
+            ("settle", out, set(), 2_000, (NextStep.UNKNOWN, None)),
+            ("settle", out, {1}, 2_000, (NextStep.SEND, None)),
+            ("settle", [], set(), 9_960, (NextStep.LATE, None)),
+            ("quote", out, set(), 2_000, (NextStep.SEND, None)),
+            ("assign", out, set(), 2_000, (NextStep.SEND, Bound("7", 3_000))),
+            ("assign", out, set(), 2_960, (NextStep.UNKNOWN, None)),
+            ("no such class", out, set(), 2_000, (NextStep.UNKNOWN, None)),
         ):
             with self.subTest(job_class, now=now_ms):
                 held = LoggedJob(taken(job_class=job_class), list(intents), set(never))
