--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -23,7 +23,7 @@
     unpack,
 )
 from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
-from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_of
+from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_step
 
 COMPACT_ENTRIES = 4_096  # a log with this many entries since the last snapshot is compacted
 EXPIRE_BATCH = 256  # expired jobs that one log entry removes
@@ -201,7 +201,7 @@
         held = log.jobs_state.jobs.get(intent.job)
         if held is None or held.answer is not None:
             return False
-        what, bound = next_of(held, self.classes, now_ms)
+        what, bound = next_step(held, self.classes, now_ms)
         return what is NextStep.SEND and allowed(bound, intent.cell, now_ms)
 
     # --- helpers ------------------------------------------------------------------------------------------
@@ -231,7 +231,7 @@
         elif log.term != replica.kept.term and replica.can_write(now):
             log.term = replica.kept.term
             for held in log.jobs_state.open():
-                self.adopted.append(Adopted(owner, held, *next_of(held, self.classes, now_ms)))
+                self.adopted.append(Adopted(owner, held, *next_step(held, self.classes, now_ms)))
         if log.entries_since_snapshot >= COMPACT_ENTRIES:
             log.entries_since_snapshot = 0
             replica.compact(log.jobs_state.image())
--- a/hollowusher/scheduler/rules/log_replication/takeover.py
+++ b/hollowusher/scheduler/rules/log_replication/takeover.py
@@ -28,7 +28,7 @@
     until_ms: int
 
 
-def next_of(held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int) -> tuple[NextStep, Bound | None]:
+def next_step(held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int) -> tuple[NextStep, Bound | None]:
     """Returns the next step of an open job, and the limits of its next attempt if there are any.
 
     An attempt with an intent counts as one that may have run unless it is proven not to have run.  After such
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -64,7 +64,7 @@
     unpack,
 )
 from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
-from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_of
+from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_step
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.reader import read_text
 from tests.support.standins import free_port
@@ -328,7 +328,7 @@
         ):
             with self.subTest(job_class, now=now_ms):
                 held = LoggedJob(taken(job_class=job_class), list(intents), set(never))
-                self.assertEqual(next_of(held, CLASSES, now_ms), wanted)
+                self.assertEqual(next_step(held, CLASSES, now_ms), wanted)
         for cell, now_ms, may in (("7", 2_999, True), ("8", 2_999, False), ("7", 3_000, False)):
             self.assertEqual(allowed(Bound("7", 3_000), cell, now_ms), may)
         self.assertTrue(allowed(None, "any", 1 << 50))
