--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -23,7 +23,7 @@
     unpack,
 )
 from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
-from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_step
+from hollowusher.scheduler.rules.log_replication.takeover import AttemptLimits, NextStep, allowed, next_step
 
 COMPACT_ENTRIES = 4_096  # a log with this many entries since the last snapshot is compacted
 EXPIRE_BATCH = 256  # expired jobs that one log entry removes
@@ -38,7 +38,7 @@
     owner: str
     held: LoggedJob
     next: NextStep
-    bound: Bound | None
+    bound: AttemptLimits | None
 
 
 @dataclass(frozen=True, slots=True)
--- a/hollowusher/scheduler/rules/log_replication/takeover.py
+++ b/hollowusher/scheduler/rules/log_replication/takeover.py
@@ -21,14 +21,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class AttemptLimits:
     """The limits of a keyed job's next attempt: the cell of its first attempt (empty: any) and a deadline."""
 
     cell: str
     until_ms: int
 
 
-def next_step(held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int) -> tuple[NextStep, Bound | None]:
+def next_step(
+    held: LoggedJob, classes: Mapping[str, JobClass], now_ms: int
+) -> tuple[NextStep, AttemptLimits | None]:
     """Returns the next step of an open job, and the limits of its next attempt if there are any.
 
     An attempt with an intent counts as one that may have run unless it is proven not to have run.  After such
@@ -46,9 +48,9 @@
     until_ms = min(i.at_ms for i in ran) + cls.window_ns // 1_000_000
     if now_ms + MIN_REMAINING_MS >= until_ms:
         return NextStep.UNKNOWN, None
-    return NextStep.SEND, Bound("" if cls.group is Group.ALL else ran[0].cell, until_ms)
+    return NextStep.SEND, AttemptLimits("" if cls.group is Group.ALL else ran[0].cell, until_ms)
 
 
-def allowed(bound: Bound | None, cell: str, now_ms: int) -> bool:
+def allowed(bound: AttemptLimits | None, cell: str, now_ms: int) -> bool:
     """Whether an attempt of an adopted job may be sent to `cell`.  A rejection chooses no other node."""
     return bound is None or (now_ms < bound.until_ms and bound.cell in ("", cell))
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -64,7 +64,7 @@
     unpack,
 )
 from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
-from hollowusher.scheduler.rules.log_replication.takeover import Bound, NextStep, allowed, next_step
+from hollowusher.scheduler.rules.log_replication.takeover import AttemptLimits, NextStep, allowed, next_step
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.reader import read_text
 from tests.support.standins import free_port
@@ -322,7 +322,7 @@
             ("settle", out, {1}, 2_000, (NextStep.SEND, None)),
             ("settle", [], set(), 9_960, (NextStep.LATE, None)),
             ("quote", out, set(), 2_000, (NextStep.SEND, None)),
-            ("assign", out, set(), 2_000, (NextStep.SEND, Bound("7", 3_000))),
+            ("assign", out, set(), 2_000, (NextStep.SEND, AttemptLimits("7", 3_000))),
             ("assign", out, set(), 2_960, (NextStep.UNKNOWN, None)),
             ("no such class", out, set(), 2_000, (NextStep.UNKNOWN, None)),
         ):
@@ -330,7 +330,7 @@
                 held = LoggedJob(taken(job_class=job_class), list(intents), set(never))
                 self.assertEqual(next_step(held, CLASSES, now_ms), wanted)
         for cell, now_ms, may in (("7", 2_999, True), ("8", 2_999, False), ("7", 3_000, False)):
-            self.assertEqual(allowed(Bound("7", 3_000), cell, now_ms), may)
+            self.assertEqual(allowed(AttemptLimits("7", 3_000), cell, now_ms), may)
         self.assertTrue(allowed(None, "any", 1 << 50))
 
     def test_groups_are_balanced_and_stable(self) -> None:
