--- a/hollowusher/scheduler/rules/log_replication/groups.py
+++ b/hollowusher/scheduler/rules/log_replication/groups.py
@@ -18,7 +18,7 @@
     return (owner, *sorted(others[: size - 1]))
 
 
-def kept_by(name: str, names: Iterable[str], size: int) -> tuple[str, ...]:
+def owners_held_by(name: str, names: Iterable[str], size: int) -> tuple[str, ...]:
     """Returns the owners of the logs that a scheduler holds, itself first."""
     all_names = sorted(set(names))
     return (name, *(o for o in all_names if o != name and name in group_of(o, all_names, size)))
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from hollowusher.balancing.interface import JobClass
-from hollowusher.scheduler.rules.log_replication.groups import group_of, kept_by
+from hollowusher.scheduler.rules.log_replication.groups import group_of, owners_held_by
 from hollowusher.scheduler.rules.log_replication.messages import HandBack, Message
 from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
 from hollowusher.scheduler.rules.log_replication.records import (
@@ -92,7 +92,7 @@
         self.reported: list[tuple[str, str]] = []
         self.logs: dict[str, _Log] = {}
         everyone = sorted({*names, name})
-        for owner in kept_by(name, everyone, size):
+        for owner in owners_held_by(name, everyone, size):
             restored = (kept or {}).get(owner)
             replica = Replica(
                 name,
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -43,7 +43,7 @@
 from hollowusher.scheduler.net.log_replication.settings import COPIES, COPY, CopiesConfig, read_copies
 from hollowusher.scheduler.net.log_replication.storage import MAGIC, Folder, MemberFiles, parse
 from hollowusher.scheduler.net.log_replication.wire import Frames, frame
-from hollowusher.scheduler.rules.log_replication.groups import group_of, kept_by
+from hollowusher.scheduler.rules.log_replication.groups import group_of, owners_held_by
 from hollowusher.scheduler.rules.log_replication.job_replication import (
     ReplicationAction,
     ReplicationInstruction,
@@ -342,7 +342,7 @@
         self.assertLessEqual(moved, 8)
         for name in names:
             owners = {o for o in names if name in group_of(o, names, 3)}
-            self.assertEqual(set(kept_by(name, names, 3)), owners)
+            self.assertEqual(set(owners_held_by(name, names, 3)), owners)
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 2**31))
