--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -64,8 +64,8 @@
 class LogReplicas:
     """The replicas of all logs that one scheduler holds.
 
-    `size` is the number of replicas of each log, `kept` the stored state by owner, `keep_ms` the retention of
-    answers in milliseconds, and `most_jobs` the limit of jobs in the scheduler's own log.
+    `size` is the number of replicas of each log, `kept` the stored state by owner, `retention_ms` the
+    retention of answers, and `most_jobs` the maximum number of jobs in the scheduler's own log.
 
     The caller handles and empties the outputs in this order: `stores`, `sends`, `written`, `adopted`,
     `reported`.  `now` is the monotonic time in nanoseconds, `now_ms` the wall clock in milliseconds.
@@ -81,10 +81,10 @@
         now: int,
         classes: Mapping[str, JobClass],
         kept: Mapping[str, PersistentState] | None = None,
-        keep_ms: int = 120_000,
+        retention_ms: int = 120_000,
         most_jobs: int = 20_000,
     ) -> None:
-        self.name, self.classes, self._keep_ms, self._most_jobs = name, classes, keep_ms, most_jobs
+        self.name, self.classes, self._retention_ms, self._most_jobs = name, classes, retention_ms, most_jobs
         self.stores: list[tuple[str, Store]] = []
         self.sends: list[tuple[str, Message]] = []
         self.written: list[RecordWritten] = []
@@ -239,7 +239,7 @@
     def _expire_answers(self, now: int, now_ms: int) -> None:
         for owner, log in self.logs.items():
             if self.can_write(now, owner):
-                old = log.jobs_state.answered_before(now_ms - self._keep_ms)
+                old = log.jobs_state.answered_before(now_ms - self._retention_ms)
                 for at in range(0, len(old), EXPIRE_BATCH):
                     log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + EXPIRE_BATCH])))])
                 # No client waits for these jobs and no scheduler works on them: their answers were lost when
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -47,7 +47,7 @@
     since: int
     accusers: set[str]
     heard_at: int = -1  # last contact since the suspicion began, without a refutation; -1: none
-    called: bool = False  # the final ping was sent; `since` is then the time at which the wait for it ends
+    final_ping_sent: bool = False  # if set, `since` is the time at which the wait for the reply ends
 
 
 @dataclass(slots=True)
@@ -188,7 +188,7 @@
                             r.suspicion.since - now,
                             frozenset(r.suspicion.accusers),
                             r.suspicion.heard_at >= 0,
-                            r.suspicion.called,
+                            r.suspicion.final_ping_sent,
                         ),
                     )
                     for n, r in self.records.items()
@@ -206,9 +206,9 @@
         """Handles one received message, if any, and runs all due timers."""
         if self.gone:
             return
-        late = now - self.due()
-        if late > self.timing.timeout_ns:
-            self._handle_pause(now, late)
+        late_ns = now - self.due()
+        if late_ns > self.timing.timeout_ns:
+            self._handle_pause(now, late_ns)
         if message is not None:
             self._handle_message(now, message)
         self._run_due_timers(now)
@@ -236,12 +236,12 @@
             if record.suspicion is not None and self._suspicion_end(record) <= now:
                 self._expire(now, name, record, record.suspicion)
         for seq in [s for s, h in self._indirect_pings.items() if h.nack_at <= now]:
-            wanted = self._indirect_pings[seq]
-            if wanted.until <= now:
+            pending = self._indirect_pings[seq]
+            if pending.until <= now:
                 del self._indirect_pings[seq]
             else:
-                self._send(wanted.origin, MessageKind.NACK, wanted.seq, wanted.target)
-                wanted.nack_at = wanted.until
+                self._send(pending.origin, MessageKind.NACK, pending.seq, pending.target)
+                pending.nack_at = pending.until
         probe = self._probe
         if probe is not None and probe.asked < 0 and probe.ask_at <= now:
             self._ask_helpers(probe)
@@ -262,20 +262,20 @@
             self._report(Change.DEAF, self.me.name, "no message received from any member")
             self._update_majority()
 
-    def _handle_pause(self, now: int, late: int) -> None:
-        """Extends all pending timeouts after this process was paused for `late` nanoseconds.
+    def _handle_pause(self, now: int, late_ns: int) -> None:
+        """Extends all pending timeouts after this process was paused for `late_ns` nanoseconds.
 
         The process could not receive messages during the pause, so missing messages prove nothing.
         """
         for name in self._suspected:
             if (suspicion := self.records[name].suspicion) is not None:
-                suspicion.since += late
-                suspicion.called = False
+                suspicion.since += late_ns
+                suspicion.final_ping_sent = False
         self._probe, self._probe_at = None, now + round(self.rng.random() * self.timing.period_ns)
         self._indirect_pings.clear()
-        self._heard_at += late
-        self._raise_health_score(1 + late // self.timing.period_ns)
-        self._report(Change.PAUSED, self.me.name, f"{late / 1e6:.0f} ms late")
+        self._heard_at += late_ns
+        self._raise_health_score(1 + late_ns // self.timing.period_ns)
+        self._report(Change.PAUSED, self.me.name, f"{late_ns / 1e6:.0f} ms late")
 
     # --- received messages --------------------------------------------------------------------------------
 
@@ -348,10 +348,10 @@
 
     def _handle_ack(self, now: int, message: Message) -> None:
         name = message.target or message.sender.name
-        wanted = self._indirect_pings.get(message.seq)
-        if wanted is not None and wanted.target == name:
+        pending = self._indirect_pings.get(message.seq)
+        if pending is not None and pending.target == name:
             del self._indirect_pings[message.seq]
-            self._send(wanted.origin, MessageKind.ACK, wanted.seq, wanted.target)
+            self._send(pending.origin, MessageKind.ACK, pending.seq, pending.target)
             return
         record = self.records.get(name)
         if record is not None and message.target:
@@ -395,12 +395,12 @@
             return
         if not update.supersedes(old):
             return
-        just = self.timing.suspicion_ns(self._present_count(), self.timing.confirmers, 0)
+        recent_ns = self.timing.suspicion_ns(self._present_count(), self.timing.confirmers, 0)
         if (
             update.standing is MemberStatus.DEAD
             and update.process_id == old.process_id
             and not record.tentative
-            and now - record.heard_at < just
+            and now - record.heard_at < recent_ns
         ):
             # This member was in contact with the subject recently, so probably only some members cannot reach
             # it.  The death becomes a suspicion, which is sent to the subject so that it can refute it.
@@ -556,25 +556,25 @@
         """Returns when the suspicion expires, or when the wait for the final ping ends."""
         suspicion = record.suspicion
         assert suspicion is not None
-        if suspicion.called:
+        if suspicion.final_ping_sent:
             return suspicion.since
         confirmed = len(suspicion.accusers) - 1
         return suspicion.since + self.timing.suspicion_ns(self._present_count(), confirmed, self.health)
 
     def _expire(self, now: int, name: str, record: Record, suspicion: MemberSuspicion) -> None:
         """Handles an expired suspicion: sends a final ping first, and declares the member dead after that."""
-        if not suspicion.called:
+        if not suspicion.final_ping_sent:
             if suspicion.heard_at >= 0:  # in contact but not refuted: the suspicion may reach it late
                 suspicion.since, suspicion.heard_at = now, -1
                 self._send(name, MessageKind.PING)
                 return
-            suspicion.called, suspicion.since = True, now + 2 * self.timing.timeout_ns
+            suspicion.final_ping_sent, suspicion.since = True, now + 2 * self.timing.timeout_ns
             self._send(name, MessageKind.PING, self._next_seq())
             others = self._others((name,))
             for other in self.rng.sample(others, min(len(others), self.timing.helpers)):
                 self._send(other, MessageKind.ASK, self._next_seq(), name)
         elif suspicion.heard_at >= 0:
-            suspicion.called, suspicion.since, suspicion.heard_at = False, now, -1
+            suspicion.final_ping_sent, suspicion.since, suspicion.heard_at = False, now, -1
         else:
             by = self.me.name
             self._update_record(
