--- a/hollowusher/scheduler/rules/membership/events.py
+++ b/hollowusher/scheduler/rules/membership/events.py
@@ -11,13 +11,13 @@
 
     JOINED = "joined"  # a member became present
     RESTARTED = "restarted"  # another process runs under the name; the state of the earlier one is lost
-    SUSPECTED = "suspected"
+    SUSPECTED = "suspected"  # a member became suspect
     CLEARED = "cleared"  # a suspect is alive again
-    DIED = "died"
-    LEFT = "left"
+    DIED = "died"  # a member was declared dead
+    LEFT = "left"  # a member left in good order
     TWIN = "twin"  # two processes use one name
     REFUTED = "refuted"  # this member refuted a suspicion or a death of itself
-    PAUSED = "paused"  # this process did not run for a while; messages missed meanwhile are no evidence
+    PAUSED = "paused"  # this process did not run for a while; it has extended its suspicions
     DEAF = "deaf"  # this member receives no messages
     HEARING = "hearing"  # this member receives messages again
     MINORITY = "minority"  # this member is not in contact with a majority of the configured names
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -35,7 +35,7 @@
 DIGEST_BUCKETS = 12  # hashes in a digest; a receiver sends all records of each bucket whose hash differs
 MAX_PAGES = 32  # datagrams sent in reply to one digest
 MAX_INDIRECT_PINGS = 64  # pending pings on behalf of other members
-DUPLICATE_NAME_PERIODS = 20  # later, no message of an earlier process with the same name is in flight
+DUPLICATE_NAME_PERIODS = 20  # later, no message from an earlier process of a name is in flight
 MAX_PROCESS_IDS = 4  # earlier process ids remembered for each name
 JOIN_CONTACTS = 3  # names contacted in each period until the first message arrives
 
@@ -56,7 +56,7 @@
 
     update: MemberUpdate
     heard_at: int  # last direct message, or last acknowledgement that a helper relayed
-    changed_at: int
+    changed_at: int  # when `update` was last replaced
     notified_at: int  # when this member last sent it the record that lists it as dead, left or replaced
     process_since: int  # when its current process id was first seen
     duplicate_reported: bool = False  # the TWIN event for this name was emitted
@@ -76,8 +76,8 @@
 
     target: str
     seq: int
-    ask_at: int
-    end_at: int
+    ask_at: int  # when helpers are asked for indirect pings
+    end_at: int  # when the probe fails without an acknowledgement
     asked: int = -1  # number of helpers asked for an indirect ping; -1: not asked yet
     nacks: int = 0
     acked: bool = False
@@ -90,8 +90,8 @@
     target: str
     origin: str
     seq: int
-    nack_at: int
-    until: int
+    nack_at: int  # when a NACK is sent to `origin`
+    until: int  # when the request is dropped
 
 
 class SwimMember:
@@ -263,9 +263,10 @@
             self._update_majority()
 
     def _handle_pause(self, now: int, late_ns: int) -> None:
-        """Extends all pending timeouts after this process was paused for `late_ns` nanoseconds.
+        """Handles a pause of this process of `late_ns` nanoseconds.
 
-        The process could not receive messages during the pause, so missing messages prove nothing.
+        The process could not receive messages during the pause, so missing messages prove nothing: it extends
+        all suspicions, discards its pending probe and pings, and raises its health score.
         """
         for name in self._suspected:
             if (suspicion := self.records[name].suspicion) is not None:
--- a/hollowusher/scheduler/rules/membership/pace.py
+++ b/hollowusher/scheduler/rules/membership/pace.py
@@ -16,19 +16,13 @@
     timeout_ns: int = 90 * MS  # of a direct ping; shorter than the period, so that indirect pings fit into it
     helpers: int = 3  # members asked for an indirect ping (k in section 3.1 of SWIM)
     min_suspicion_periods: float = 4.0  # minimum suspicion timeout; it grows with the log of the group size
-    suspicion_max_factor: float = (
-        4.0  # times the minimum while no other member confirms it (beta in Lifeguard)
-    )
+    suspicion_max_factor: float = 4.0  # times the minimum, without any confirmation (beta in Lifeguard)
     confirmers: int = 3  # confirmations that reduce the timeout to its minimum (K in Lifeguard)
-    max_health_score: int = (
-        8  # limit of the local health score of Lifeguard, which slows a member down; 0: off
-    )
-    isolation_periods: float = (
-        4.0  # a member without any message for this time is deaf: it may be cut off itself
-    )
-    digest_periods: float = 10.0  # between two digest exchanges
-    rejoin_periods: float = 5.0  # between two rounds of contacts to absent names
-    rejoin_divisor: int = 32  # a round contacts one absent name out of this many, and at least one
+    max_health_score: int = 8  # limit of Lifeguard's local health score, which slows a member down; 0: off
+    isolation_periods: float = 4.0  # a member that receives no message for so long is deaf (see member.py)
+    digest_periods: float = 10.0  # average interval between two digest exchanges
+    rejoin_periods: float = 5.0  # average interval between two attempts to contact absent names
+    rejoin_divisor: int = 32  # an attempt contacts one absent name out of this many, and at least one
     forget_ns: int = 120_000 * MS  # retention of the records of dead and departed members
     max_members: int = 1024
     capacity: int = 256  # maximum size of a datagram in bytes
@@ -37,7 +31,8 @@
         """Returns the suspicion timeout in nanoseconds.
 
         The timeout falls from its maximum to its minimum with the log of the number of confirmations
-        (section IV-B of Lifeguard), and it rises with the local health score `health`.
+        (section IV-B of Lifeguard), and it rises with the local health score `health`.  `members` is the
+        number of present members, `confirmed` the number of confirmations.
         """
         least = self.period_ns * (self.min_suspicion_periods + math.log2(max(2, members)) / 4)
         most = least * self.suspicion_max_factor
