--- a/hollowusher/scheduler/emulator/job_replication.py
+++ b/hollowusher/scheduler/emulator/job_replication.py
@@ -15,14 +15,14 @@
 from hollowusher.balancing.interface import Effect, Group, JobClass
 from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.rules.log_replication.job_replication import (
-    Do,
     JobReplication,
+    ReplicationAction,
     ReplicationInstruction,
 )
 from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
 from hollowusher.scheduler.rules.log_replication.pace import MS, ReplicationTiming
 from hollowusher.scheduler.rules.log_replication.records import AnswerRecord, JobTakenRecord
-from hollowusher.scheduler.rules.log_replication.replica import Kept
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState
 
 S = 1000 * MS
 CLASSES = {
@@ -46,7 +46,7 @@
     rate: float
     replication: JobReplication | None = None
     process_id: int = 0
-    disks: dict[str, Kept] = field(default_factory=dict)
+    disks: dict[str, PersistentState] = field(default_factory=dict)
     paused_until: int = 0
     inbox: list[Callable[[], None]] = field(default_factory=list)
     attempts: Counter[str] = field(default_factory=Counter)  # of the plain desk
@@ -133,7 +133,8 @@
     def complete(self) -> bool:
         """Whether all run, and know all that they must."""
         return all(
-            q.replication is not None and not q.replication.replicas.learns() for q in self.processes.values()
+            q.replication is not None and not q.replication.replicas.is_learning()
+            for q in self.processes.values()
         )
 
     def cut(self, a: str, b: str, span: int) -> None:
@@ -156,7 +157,7 @@
         for name, left in client.asked:  # it has left whom it asked before
             p = self.processes[name]
             if p.replication is not None and p.process_id == left[2]:
-                p.replication.gone(job, left)
+                p.replication.client_disconnected(job, left)
         client.asked = []
         client.tries += 1
         self._ask_one(client, client.tries > 1, 0)
@@ -220,7 +221,13 @@
         replication = p.replication
         assert replication is not None
         replicas = replication.replicas
-        while replicas.stores or replicas.sends or replication.acts or replication.asks or replicas.reported:
+        while (
+            replicas.stores
+            or replicas.sends
+            or replication.instructions
+            or replication.lookup_messages
+            or replicas.reported
+        ):
             for owner in {owner for owner, _ in replicas.stores} if self.storage else ():
                 p.disks[owner] = copy.deepcopy(replicas.logs[owner].replica.kept)
             replicas.stores = []
@@ -233,19 +240,19 @@
                         self._clock(q), self._ms(), m, p.name
                     ),
                 )
-            asks, replication.asks = replication.asks, []
+            asks, replication.lookup_messages = replication.lookup_messages, []
             for name, ask in asks:
                 for other in [name] if name else [n for n in self.names if n != p.name]:
                     self._send(
                         p.name,
                         other,
-                        lambda c, q, m=ask: c.heard(  # type: ignore[misc]
+                        lambda c, q, m=ask: c.handle_message(  # type: ignore[misc]
                             self._clock(q), self._ms(), m, p.name
                         ),
                     )
             self.reported += [(self.now, p.name, owner, what) for owner, what in replicas.reported]
             replicas.reported = []
-            acts, replication.acts = replication.acts, []
+            acts, replication.instructions = replication.instructions, []
             for act in acts:
                 if p.replication is not replication:
                     return  # it has ended meanwhile
@@ -267,15 +274,15 @@
 
     def _act(self, p: SchedulerProcess, replication: JobReplication, act: ReplicationInstruction) -> None:
         match act.do:
-            case Do.START:
+            case ReplicationAction.START:
                 taken = act.adopted.held.taken if act.adopted else self.clients[self._job(act.handle)].taken
                 self.clients[taken.job].begun = True
                 p.work[taken.job] = taken
                 p.handles[taken.job] = act.handle
                 self._dispatch(p, replication, taken.job)
-            case Do.REFUSE:
+            case ReplicationAction.REFUSE:
                 self.clients[self._job(act.handle)].refused += 1
-            case Do.TELL if act.answer is not None and act.handle is not None:
+            case ReplicationAction.ANSWER if act.answer is not None and act.handle is not None:
                 job, tries = self._job(act.handle), self._tries(act.handle)
                 client = self.clients[job]
                 if tries == client.tries:  # else it has left
@@ -283,11 +290,11 @@
                     client.done = True
                     if self.chance.random() < 0.2:  # it comes back for its answer
                         self.at(self.now + round(self.chance.uniform(0.5, 5) * S), lambda: self._again(job))
-            case Do.GO:
+            case ReplicationAction.GO:
                 self._run(p, self._job(act.handle))
                 if self.chance.random() < self.die_at_go and self.complete():
                     self.crash(p.name)  # its last byte went out, and whatever it had not said yet did not
-            case Do.NOT_SENT:
+            case ReplicationAction.NOT_SENT:
                 job = self._job(act.handle)
                 process_id = p.process_id
                 self.at(
--- a/hollowusher/scheduler/emulator/log_replication_check.py
+++ b/hollowusher/scheduler/emulator/log_replication_check.py
@@ -11,9 +11,9 @@
 from hollowusher.scheduler.emulator.job_replication import JobReplicationNetwork, S
 from hollowusher.scheduler.emulator.log_replication import ReplicationNetwork, RuleBroken, storm
 from hollowusher.scheduler.rules.log_replication.job_replication import (
-    Do,
     FindJob,
     JobReplication,
+    ReplicationAction,
     ReplicationInstruction,
 )
 from hollowusher.scheduler.rules.log_replication.log_replicas import LogReplicas
@@ -24,7 +24,7 @@
     VoteRequest,
 )
 from hollowusher.scheduler.rules.log_replication.replica import Replica, Role
-from hollowusher.scheduler.rules.log_replication.takeover import Next
+from hollowusher.scheduler.rules.log_replication.takeover import NextStep
 
 SETTINGS: tuple[dict[str, Any], ...] = (
     {"size": 3, "storage": False, "disks": ("kept",), "most_down": 1},
@@ -56,14 +56,14 @@
         self._led_at = now
         super()._lead(now)
 
-    def _heeds(self, now: int, term: int, sender: str) -> bool:
-        return super()._heeds(now, max(term, self.kept.term), sender)
+    def _accepts_leader(self, now: int, term: int, sender: str) -> bool:
+        return super()._accepts_leader(now, max(term, self.kept.term), sender)
 
 
 class AnyVote(Replica):
     """It votes for whoever asks, however little that one holds."""
 
-    def _complete(self, m: VoteRequest) -> bool:
+    def _is_up_to_date(self, m: VoteRequest) -> bool:
         return True
 
 
@@ -78,14 +78,14 @@
     """One that starts without its storage votes at once."""
 
     def _learn(self, now: int) -> None:
-        self._learnt_all(now)
+        self._finish_learning(now)
 
 
 class LeaseForGood(Replica):
     """Who leads promises, whatever it hears."""
 
-    def promises(self, now: int) -> bool:
-        return self.role is Role.LEADER and self.commit >= self._begun
+    def can_write(self, now: int) -> bool:
+        return self.role is Role.LEADER and self.commit >= self._first_entry_of_term
 
 
 class LeaseTooLong(Replica):
@@ -94,13 +94,13 @@
     def _renew(self, now: int) -> None:
         super()._renew(now)
         if now < self.lease_until:
-            self.lease_until = now + 2 * self.pace.lease_ns
+            self.lease_until = now + 2 * self.timing.lease_ns
 
 
 class WordBroken(Replica):
     """It votes for another while its leader has its word."""
 
-    def _bound(self, now: int, m: VoteRequest, sender: str) -> bool:
+    def _is_bound_by_lease(self, now: int, m: VoteRequest, sender: str) -> bool:
         return False
 
 
@@ -115,8 +115,8 @@
 class ImageTrusted(Replica):
     """Nobody remembers how often another has started."""
 
-    def _teach(self, m: LearnRequest, sender: str) -> None:
-        super()._teach(m, sender)
+    def _handle_learn_request(self, m: LearnRequest, sender: str) -> None:
+        super()._handle_learn_request(m, sender)
         to, t = self.sends.pop()
         assert isinstance(t, LearnReply)
         self.sends.append((to, LearnReply(t.owner, t.nonce, t.term, 0, t.standing, t.leads, t.last)))
@@ -125,7 +125,7 @@
 class EarlyAcknowledgement(Replica):
     """It promises before all that others promised is committed here."""
 
-    def promises(self, now: int) -> bool:
+    def can_write(self, now: int) -> bool:
         return self.role is Role.LEADER and now < self.lease_until
 
     def _advance(self) -> None:
@@ -155,10 +155,10 @@
 
     def intent(self, now: int, now_ms: int, job: str, number: int, node: str, cell: str, handle: Any) -> None:
         super().intent(now, now_ms, job, number, node, cell, handle)
-        if self._pending and not any(a.handle == handle for a in self.acts):
+        if self._pending and not any(a.handle == handle for a in self.instructions):
             token = max(self._pending)
             self._pending.pop(token)
-            self.acts.append(ReplicationInstruction(Do.GO, handle))
+            self.instructions.append(ReplicationInstruction(ReplicationAction.GO, handle))
 
 
 class TellsFirst(JobReplication):
@@ -166,24 +166,24 @@
 
     def answer(self, now: int, now_ms: int, answer: Any, handle: Any, until_ms: int) -> None:
         super().answer(now, now_ms, answer, handle, until_ms)
-        self.acts.append(ReplicationInstruction(Do.TELL, handle, answer))
+        self.instructions.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
 
 
 class TakesTwice(JobReplication):
     """A job that is being taken here is not known yet when it comes once more."""
 
-    def _takes(self, job: str) -> bool:
+    def _is_being_taken(self, job: str) -> bool:
         return False
 
 
 class BothLook(JobReplication):
     """Of two who look for one job at the same time, each tells the other that it knows nothing."""
 
-    def heard(self, now: int, now_ms: int, message: Any, sender: str) -> None:
-        sought = self._sought.pop(message.job, None) if isinstance(message, FindJob) else None
-        super().heard(now, now_ms, message, sender)
+    def handle_message(self, now: int, now_ms: int, message: Any, sender: str) -> None:
+        sought = self._searches.pop(message.job, None) if isinstance(message, FindJob) else None
+        super().handle_message(now, now_ms, message, sender)
         if sought is not None:
-            self._sought[message.job] = sought
+            self._searches[message.job] = sought
 
 
 class NeverLooks(JobReplication):
@@ -196,12 +196,12 @@
 class SendsAgain(LogReplicas):
     """Whatever may have run is sent again."""
 
-    def _harmless(self, log: Any, intent: Any, now_ms: int) -> bool:
+    def _may_send(self, log: Any, intent: Any, now_ms: int) -> bool:
         return True
 
     def step(self, *args: Any, **words: Any) -> None:
         super().step(*args, **words)
-        self.adopted = [replace(a, next=Next.SEND) for a in self.adopted]
+        self.adopted = [replace(a, next=NextStep.SEND) for a in self.adopted]
 
 
 def find(make: type[Replica], seeds: int = 30, seconds: int = 30) -> tuple[str, int]:
@@ -249,7 +249,7 @@
             net.loss = chance.choice((0.0, 0.05, 0.2))
         for name in list(down):
             replication = net.processes[name].replication
-            if replication is not None and not replication.replicas.learns():
+            if replication is not None and not replication.replicas.is_learning():
                 del down[name]
     net.loss = net.die_at_go = 0.0
     net.cuts.clear()
--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -153,9 +153,9 @@
             raise
         exchange.stream, exchange.begun_ns = stream, self._clock()
         if not self._streams:
-            self._pulse.began(exchange.begun_ns)
+            self._pulse.expect_answer(exchange.begun_ns)
         self._streams[stream] = exchange
-        self._budget.earned()
+        self._budget.stream_opened()
         if exchange.body:
             self._bodies[stream] = exchange
             self._push(exchange)
@@ -220,7 +220,7 @@
         """Take bytes; ProtocolError where the connection cannot go on (`parting` says so to the node)."""
         for event in self._h2.receive_data(data):
             self._reported(event)
-        if self._pulse.heard(self._clock()):
+        if self._pulse.frame_received(self._clock()):
             self._owner.quiet(self, False)
         self._drain()
 
@@ -358,7 +358,7 @@
     def heartbeat(self, now: int) -> None:
         """Time has passed: ask for a sign of life, take back what is held up, let go of what does not end."""
         match self._pulse.check(now, bool(self._streams)):
-            case LivenessStep.ASK:
+            case LivenessStep.SEND_PING:
                 self._h2.ping(b"hollowus")
                 self._drain()
                 self._owner.quiet(self, True)
@@ -367,7 +367,7 @@
                 return
         held_up = round(self._config.body_wait_s * 1e9)
         for exchange in [e for e in self._bodies.values() if now - e.begun_ns >= held_up]:
-            self._reset(exchange, ErrorCodes.CANCEL, Cause.HELD_UP)
+            self._reset(exchange, ErrorCodes.CANCEL, Cause.BODY_BLOCKED)
         for exchange in list(self._streams.values()):
             if exchange.ended and not exchange.ended_ns:
                 exchange.ended_ns = now
