--- a/hollowusher/dispatch/dispatcher.py
+++ b/hollowusher/dispatch/dispatcher.py
@@ -45,7 +45,8 @@
 class Dispatcher:
     """Delivers jobs to the pushed workers, and callbacks to the receivers, that this process owns.
 
-    `pull_dispatcher` leases jobs for the pull workers that call this process.
+    `pull_dispatcher` leases jobs for the pull workers that call this process.  `me` is the membership record
+    of this process.  `chance` is the random source for the phases and the jitter of flow control.
     """
 
     def __init__(
--- a/hollowusher/intake/intake_service.py
+++ b/hollowusher/intake/intake_service.py
@@ -51,7 +51,7 @@
 from hollowusher.protocol.leases import ExtendLease, FinishLease, LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.placement import Placement
 
-RESPONSE_MARGIN_S = 0.05  # the response is sent at least this long before the client's deadline
+RESPONSE_MARGIN_S = 0.05  # time from a put's deadline to the client's deadline; less if the wait is short
 REJECT_AFTER_SHARE = 0.4  # share of the client's time after which an unsent message is rejected
 STATUS_TIMEOUT_S = 1.8
 LEASE_CALL_TIMEOUT_S = 1.8
@@ -135,7 +135,7 @@
         self._draining = False
         self._index: RouteIndex | None = None
         self._candidates: dict[str, list[int]] = {}
-        # the placement and configuration that `_candidates` were computed for
+        # The placement and the configuration from which `_candidates` was computed.
         self._candidate_inputs: tuple[Placement | None, Configuration | None] = (None, None)
         self._tasks: set[asyncio.Task[Any]] = set()
 
--- a/hollowusher/intake/server.py
+++ b/hollowusher/intake/server.py
@@ -79,7 +79,9 @@
         self._intake.drain()
 
     async def stop(self, grace_s: float) -> None:
-        """Stop listening, wait up to `grace_s` seconds for requests, then close all connections."""
+        """Stop listening, wait for the requests in progress, then close all connections.
+
+        The wait ends after `grace_s` seconds at the latest."""
         self.drain()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + grace_s
--- a/tests/dispatch/test_fencing_dispatch.py
+++ b/tests/dispatch/test_fencing_dispatch.py
@@ -78,7 +78,7 @@
             await freeze_for(loop, process, frozen_s)
             await asyncio.sleep(1.0)
             assert workers.begun == []
-            assert stores.results() in ({}, {"not_run": 1})  # lost with the call, or released
+            assert stores.results() in ({}, {"not_run": 1})  # the grant is lost, or released
 
         play(work)
 
