--- a/hollowusher/scheduler/fronts/common.py
+++ b/hollowusher/scheduler/fronts/common.py
@@ -1,4 +1,4 @@
-"""What both fronts share: limits on what clients send, how an attempt ended, how a load report is read."""
+"""Code that both fronts share: limits on client input, job ids, attempt results and load report parsing."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 from hollowusher.balancing.interface import Outcome, Reading
 
 PROBE_TIMEOUT_S = 0.5
-FIRST_S = 2.0  # how long a connection may say nothing from its accept on: a client opens one to use it
-REQUEST_S = 2.0  # how long one request or frame may take to come in
+# A new connection must deliver its first byte (HTTP) or its CONNECT frame (STOMP) within this time of its
+# accept.  Clients open a connection to use it at once.
+FIRST_S = 2.0
+REQUEST_S = 2.0  # timeout for receiving one complete request or frame
 MOST_BUDGET_S = 86_400.0
-MOST_CLOSED = 4_096  # closed job ids that are remembered: some minutes' worth, in a megabyte at most
-MOST_NAME = 128  # characters of an id or a key
-TRAVEL_NS = 2_000_000  # a client counts its time from its sending, which is this much before its coming
+MOST_CLOSED = 4_096  # number of closed job ids kept: a few minutes of traffic, at most 1 MB of memory
+MOST_NAME = 128  # maximum length of an id or a key, in characters
+# Allowance for the network delay of a request: a client counts its budget from the moment it sends.
+TRAVEL_NS = 2_000_000
 _MEANINGS = {
     "inflight": "running",
     "concurrent": "running",
@@ -28,27 +31,32 @@
     "eps": "errors_per_s",
     "err_ps": "errors_per_s",
 }
-_SERVICE = ("latency_ms", "mean_ms")  # a node's recent service time without waiting, in milliseconds
+_SERVICE = ("latency_ms", "mean_ms")  # a node's recent service time without queueing time, in milliseconds
 _BUDGET = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 
 
 class JobIds:
-    """The job ids that are open at this scheduler, whichever front took them, and those that were lately.
+    """The job ids of both fronts that are open at this scheduler or were closed recently.
 
-    A node knows a job by its id: a second one under the same id is turned away there, counts against the
-    node, and could have its answer taken for the first one's.  An id is new for every request, so that one
-    seen before is a mistake or worse; a copy of an open request often comes when that was just answered.
+    A node identifies a job by its id.  The node rejects a second job with the same id, the rejection counts
+    as a failure of the node, and the answer to one job could be mistaken for the answer to the other.
+    Clients use a new id for every request, so a repeated id is an error or an attack.  Closed ids are kept
+    because a copy of a request often arrives just after the original was answered.
     """
 
     def __init__(self, most_closed: int = MOST_CLOSED) -> None:
         self._open: set[str] = set()
-        self._closed: dict[str, None] = {}  # the latest last
+        self._closed: dict[str, None] = {}  # ordered from the oldest to the newest
         self._most_closed = most_closed
-        self.elsewhere: Callable[[str], bool] | None = None  # False: another process has or had this id
+        # Returns False if another process of this scheduler has or had the id open.
+        self.elsewhere: Callable[[str], bool] | None = None
 
     def claim(self, job_id: str, again: bool = False) -> bool:
-        """Take an id; False where another job has it open, or had it and ids do not come `again`: those of
-        a named client do, when it was refused and when two clients number alike."""
+        """Mark an id as open and return True, or return False if the id is in use.
+
+        An id is in use if another job has it open or, unless `again` is set, had it open recently.  The STOMP
+        front sets `again`, because its clients are identified by login: a client reuses the id of a refused
+        job, and two clients may choose the same id."""
         if job_id in self._open or (job_id in self._closed and not again):
             return False
         if self.elsewhere is not None and not again and not self.elsewhere(job_id):
@@ -57,16 +65,16 @@
         return True
 
     def known(self) -> list[str]:
-        """All ids that are open or were lately, the latest last."""
+        """Return the recently closed ids, oldest first, followed by the open ids."""
         return [*self._closed, *self._open]
 
     def remember(self, job_ids: Iterable[str]) -> None:
-        """Another process has or had these ids."""
+        """Record ids that another process has or had open as closed here."""
         for job_id in job_ids:
             self._close(job_id)
 
     def free(self, job_id: str) -> None:
-        """The job has its answer, or nobody waits for it."""
+        """Close an id after its job was answered or its client disconnected."""
         self._open.discard(job_id)
         self._close(job_id)
 
@@ -77,22 +85,24 @@
 
 
 def read_budget_ns(text: str) -> int | None:
-    """How long a client waits; None where the text is no plain number of seconds.
+    """Parse a client's time budget; return nanoseconds, or None if the text is no plain number of seconds.
 
-    Python's own float() takes far more: nan, 1_0, 1e9, and digits of other scripts."""
+    Python's float() accepts more than that: nan, 1_0, 1e9 and non-ASCII digits."""
     if not _BUDGET.fullmatch(text) or float(text) > MOST_BUDGET_S:
         return None
     return round(float(text) * 1e9)
 
 
 def printable(text: str, most: int = MOST_NAME) -> bool:
-    """Whether a text may go into other wires' heads: visible ASCII, so that none breaks out of its line."""
+    """Return whether a text has at most `most` characters and consists of visible ASCII only.
+
+    Such a text can be copied into a header of another protocol without ending the header line."""
     return len(text) <= most and all("!" <= c <= "~" for c in text)
 
 
 @dataclass(slots=True)
 class AttemptEnding:
-    """How an attempt ended."""
+    """The result of an attempt: its outcome, the node's load report if any, and the response body."""
 
     outcome: Outcome
     reading: Reading | None = None
@@ -100,7 +110,10 @@
 
 
 def read_load(value: object, meanings: Mapping[str, str]) -> Reading | None:
-    """A load report; fields without a meaning here are skipped, a broken report is none."""
+    """Parse a node's load report, given as a JSON text or a decoded object.
+
+    `meanings` maps field names to fields of `Reading`; unknown fields are skipped.  Returns None if the
+    report is malformed or contains no known field."""
     if isinstance(value, str):
         try:
             value = json.loads(value)
--- a/hollowusher/scheduler/fronts/platform/answers.py
+++ b/hollowusher/scheduler/fronts/platform/answers.py
@@ -1,4 +1,4 @@
-"""A route node's answer to a job, whatever carried it: the lines, and the ending that each of them tells."""
+"""Parsing of a route node's response to a job: status, headers and lines, for HTTP/1.1 and HTTP/2."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from hollowusher.scheduler.dispatch.model import AttemptProgress, AttemptStarted, Dispatch, DispatchEvent
 from hollowusher.scheduler.fronts.common import AttemptEnding, read_load
 
-MOST_LINE = 512 * 1024  # a result of 64 KiB in JSON, each byte escaped
+MOST_LINE = 512 * 1024  # large enough for a result of 64 KiB in JSON with every byte escaped
 
 
 class LineSplitter:
-    """Sets whole lines apart, however their bytes were cut; what is not whole yet is `rest`."""
+    """Splits a byte stream into `lines`; `rest` holds the incomplete last line."""
 
     __slots__ = ("lines", "rest")
 
@@ -24,7 +24,7 @@
         self.rest = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Take bytes."""
+        """Add received bytes and move the complete lines to `lines`."""
         *lines, rest = data.split(b"\n")
         if lines:
             self.lines.append(bytes(self.rest) + lines[0])
@@ -33,7 +33,7 @@
         self.rest += rest
 
     def finish(self) -> None:
-        """No more comes; a last line may lack its end."""
+        """End the stream; a last line without a line end counts as complete."""
         if self.rest:
             self.lines.append(bytes(self.rest))
             self.rest.clear()
@@ -42,7 +42,7 @@
 def ending_of_head(
     status: int, headers: Mapping[str, str], meanings: Mapping[str, str]
 ) -> AttemptEnding | None:
-    """The ending that an answer's head alone tells; None where the lines will tell."""
+    """Return the attempt's result if status and headers determine it, or None if the body must be read."""
     if status == 200:
         return None
     reading = read_load(headers.get("x-load-report"), meanings)
@@ -53,18 +53,22 @@
 def read_line(
     line: bytes, order: Dispatch, meanings: Mapping[str, str], post: Callable[[DispatchEvent], None]
 ) -> AttemptEnding | None:
-    """One line of the answer: the ending, if it is one, and else the desk is told of it.
+    """Parse one line of the response body.
 
-    ConnectionError where it is not about this job: its result must not reach this client."""
+    Returns the attempt's result if the line is final.  Otherwise it returns None and posts the reported start
+    or progress to the dispatcher.
+
+    Raises ConnectionError if the line cannot be parsed or names another job, whose result must not reach this
+    client."""
     if not line.strip():
         return None
     try:
         reported: Any = json.loads(line)
         state = reported["state"]
     except (ValueError, KeyError, TypeError):
-        raise ConnectionError("a line that cannot be read") from None
+        raise ConnectionError("malformed line in the response") from None
     if reported.get("id") != order.job.job_id:
-        raise ConnectionError("a line about another job")
+        raise ConnectionError("response line for another job")
     reading = read_load(reported.get("load"), meanings)
     match state:
         case "started":
--- a/hollowusher/scheduler/fronts/platform/nodes.py
+++ b/hollowusher/scheduler/fronts/platform/nodes.py
@@ -1,4 +1,4 @@
-"""Attempts and probes at route nodes that speak the platform's HTTP, and the outcome each ends with."""
+"""Attempts and probes at route nodes over HTTP/1.1, and the outcome of each."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from hollowusher.scheduler.net.link import Link
 from hollowusher.scheduler.net.pool import Pool, PoolFull
 
-TAIL_TIMEOUT_S = 1.0  # how long the end of an answer may take before its connection is given up
-TAIL_BYTES = 4 * 1024  # and how much it may be: a last chunk, perhaps with trailers
-MOST_REPORT = 64 * 1024  # of a probe's answer
-MOST_BODY = 2 * MOST_LINE  # of a whole answer: a result and the notes before it
+# After the final line of a response, the rest must arrive within this time or the connection is closed.
+TAIL_TIMEOUT_S = 1.0
+TAIL_BYTES = 4 * 1024  # maximum size of that rest: the last chunk, possibly with trailers
+MOST_REPORT = 64 * 1024  # maximum size of a probe response
+MOST_BODY = 2 * MOST_LINE  # maximum size of a response: the result and the progress lines before it
 
 
 def request_head(job_id: str, subject: str, host: str, length: int, left_s: float, key: str) -> bytes:
-    """The head of a job's request to a node."""
+    """Return the request line and headers of a job for a node; `left_s` is the remaining time in seconds."""
     again = f"Idempotency-Key: {key}\r\n" if key else ""
     return (
         f"POST {subject} HTTP/1.1\r\nHost: {host}\r\nX-Call-Id: {job_id}\r\nX-Budget: {left_s:.3f}\r\n"
@@ -54,11 +55,11 @@
         self._figures = figures or SchedulerMetrics()
 
     def follow(self, meanings: Mapping[str, str]) -> None:
-        """Load reports mean this from now on."""
+        """Replace the mapping from load report fields to the fields of `Reading`."""
         self._meanings = meanings
 
     async def attempt(self, order: Dispatch, node: RouteNode) -> None:
-        """One attempt from its connection to its ending, which the desk is told in every case."""
+        """Run one attempt on a pooled connection; always post its result to the dispatcher."""
         attempt, begun = order.attempt, False
         link: Link | None = None
         ending = AttemptEnding(Outcome.RESET)
@@ -71,18 +72,17 @@
                 try:
                     link = await self._pool.take(attempt.node, node.address)
                 except PoolFull as wrong:
-                    ending = AttemptEnding(
-                        Outcome.NOT_SENT
-                    )  # for want of a socket here: the node is not to blame
+                    # This scheduler has no free socket; the failure must not count against the node.
+                    ending = AttemptEnding(Outcome.NOT_SENT)
                     self._log.warning("no-socket", str(wrong), held=self._pool.held)
                     return
                 except OSError as wrong:
-                    self._pool.forget(attempt.node)  # its idle connections lead nowhere either
+                    self._pool.forget(attempt.node)  # assume that its idle connections are broken as well
                     self._log.info("node-unreachable", str(wrong), node=node.name)
                     ending = AttemptEnding(Outcome.UNREACHABLE)
                     return
-                # While the connection came up the list may have told of a drain, the client have left, or
-                # the window of a repeat have run out: nothing new goes there then.
+                # While the connection was opened, the node may have started to drain, the client may have
+                # disconnected, or the time window of a retry may have passed.  The job is not sent then.
                 if not (self._registry.serving(attempt.node) and order.may_begin(time.monotonic_ns())):
                     ending = AttemptEnding(Outcome.NOT_SENT)
                     self._keep(attempt.node, link)
@@ -96,18 +96,18 @@
         except TimeoutError:
             ending = AttemptEnding(Outcome.TIMEOUT if begun else Outcome.UNREACHABLE)
         except asyncio.CancelledError:
-            # A write that is cut short may have written its last byte all the same.
+            # A cancelled write may already have sent its last byte, so the node may have started the job.
             ending = AttemptEnding(Outcome.NOT_SENT if link is None else Outcome.CANCELLED)
         finally:
             self._post(AttemptEnded(attempt, ending.outcome, ending.reading, ending.result))
             if link is not None:
                 if ending.outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
-                    self._pool.drop(link)  # the close is what tells the node to stop
+                    self._pool.drop(link)  # closing the connection makes the node stop the job
                 else:
                     await self._finish(attempt.node, link, reader)
 
     async def probe(self, node: RouteNode) -> None:
-        """Ask a node for its load."""
+        """Request a node's load report; always post the result to the dispatcher."""
         number, ok, reading = node.entry.worker, False, None
         link: Link | None = None
         reader = AnswerReader(MOST_REPORT, MOST_REPORT)
@@ -121,7 +121,7 @@
             reading = read_load(b"".join(reader.lines).decode("utf-8", "replace"), self._meanings)
             reading = reading or read_load(reader.headers.get("x-load-report"), self._meanings)
         except OSError:
-            pass  # a probe without an answer is a result too
+            pass  # reported below as a failed probe
         finally:
             self._post(NodeProbed(number, ok, reading))
             if link is not None:
@@ -131,12 +131,14 @@
                     self._pool.drop(link)
 
     def leaving(self, number: int) -> None:
-        """Close what is idle towards a node: it is on its way out, gone, or another process now."""
+        """Close the idle connections to a node that is draining, gone, or replaced by another process."""
         self._pool.forget(number)
 
     async def _write(self, link: Link, order: Dispatch, node: RouteNode) -> Outcome | None:
-        """Write the request; the outcome where that broke.  Before its last byte it never ran; one that was
-        cut short as its window ran out may have had its last byte written in that moment."""
+        """Write the request; return None on success, otherwise the outcome of the failed write.
+
+        UNREACHABLE: the connection broke before the last byte was written, so the node did not run the job.
+        TIMEOUT: the time window for writing passed; the last byte may have been written at that moment."""
         job = order.job
         left_s = max(0.001, (job.deadline_ns - time.monotonic_ns()) / 1e9)
         if order.timeout_ns > 0:
@@ -155,7 +157,7 @@
         return None
 
     async def _read(self, link: Link, reader: AnswerReader, order: Dispatch) -> AttemptEnding:
-        """Read the answer up to the line that ends the attempt; a break before it is a reset."""
+        """Read the response up to its final line; a connection error before that line is a RESET."""
         try:
             while True:
                 await link.pass_on(reader.feed)
@@ -168,27 +170,27 @@
                     if ending is not None:
                         return ending
                 if reader.complete:
-                    raise ConnectionError("an answer that says nothing")
+                    raise ConnectionError("the response ended without a final state")
         except ConnectionError:
-            reader.spoilt = True  # what it says next could be about anything
+            reader.spoilt = True  # further data cannot be attributed to a request
             return AttemptEnding(Outcome.RESET)
 
     async def _finish(self, node: int, link: Link, reader: AnswerReader) -> None:
-        """Read the end of an answer whose attempt is over, so that its connection can be used again."""
+        """Read the rest of the response after the attempt has ended, so that the connection can be reused."""
         reader.end_within(TAIL_BYTES)
         try:
             async with asyncio.timeout(TAIL_TIMEOUT_S):
                 while reader.head_done and not reader.complete:
                     await link.pass_on(reader.feed)
         except (OSError, asyncio.CancelledError):
-            pass  # the connection is dropped below
+            pass  # the response is incomplete, so the connection is closed below
         if reader.reusable:
             self._keep(node, link)
         else:
             self._pool.drop(link)
 
     def _keep(self, node: int, link: Link) -> None:
-        """Back to the pool, unless the node is on its way out."""
+        """Return the connection to the pool, or close it if the node no longer accepts jobs."""
         if self._registry.serving(node):
             self._pool.give_back(node, link)
         else:
