--- a/hollowusher/scheduler/fronts/platform/__init__.py
+++ b/hollowusher/scheduler/fronts/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's HTTP protocol: clients, route nodes and the node list."""
+"""The platform's HTTP protocol: client connections, route node connections and the node list."""
--- a/hollowusher/scheduler/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -1,4 +1,4 @@
-"""Clients over the platform's HTTP: one task a connection, one job at a time on it."""
+"""HTTP/1.1 server for the platform's clients: one task per connection, one job at a time on each."""
 
 from __future__ import annotations
 
@@ -36,35 +36,40 @@
 from hollowusher.scheduler.net.link import BACKLOG, Link
 from hollowusher.scheduler.net.ring import MOST_BYTES
 
-IDLE_S = 300.0  # an idle connection is kept, since opening one costs the client time
-SEND_S = 10.0  # how long one answer may take to be read
-LINGER_S = 1.0  # how long a client that sent something bad may take to read what is wrong with it
-YOUNG_S = 0.25  # a connection that has said nothing for longer is the first to make room
-MOST_FIGURE = 1e6  # for one of X-Call-Info: larger ones would swamp what the module knows of a node
-DRAIN_LAST_S = 0.1
-DRAIN_SERVE_PART, DRAIN_SPARE_S = 0.486, 0.3  # of the time to the kill; and what is left of it at the end
+IDLE_S = 300.0  # idle connections are kept this long, because a new connection costs the client time
+SEND_S = 10.0  # timeout for writing one response to a client that reads slowly
+LINGER_S = 1.0  # longest lingering close: a client that sent a bad request may read the error meanwhile
+YOUNG_S = 0.25  # after this time without a byte from the client, a new connection is evicted first
+MOST_FIGURE = 1e6  # limit of a number in X-Call-Info: a larger one would dominate a node's load estimate
+DRAIN_LAST_S = 0.1  # minimum time between closing the listener and closing idle connections
+# Share of the time until the kill in which new requests are accepted, and reserve at the end of that time.
+DRAIN_SERVE_PART, DRAIN_SPARE_S = 0.486, 0.3
+# The platform kills the process no sooner than the longest deadline plus the second value; a deadline above
+# the first value counts as the first value.
 MOST_AWAITED_NS, KILL_AFTER_S = 3_000_000_000, 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class DrainTimes:
-    """What a stop leaves time for.  The platform kills no sooner than the longest deadline, or 3 s if that is
-    longer, and 0.7 s after it asks to stop."""
+    """Time limits of a graceful shutdown, in seconds from the stop signal.
 
-    serve_s: float  # clients are served on: the others may be away as well
-    answer_s: float  # by when what is taken meanwhile has its answer
-    linger_s: float  # the longest of a lingering close
+    The platform kills the process no sooner than 0.7 s after the longest deadline of a job class.  A longest
+    deadline above 3 s counts as 3 s."""
+
+    serve_s: float  # new requests are accepted for this long, since the other schedulers may be down
+    answer_s: float  # every accepted job has its response by this time
+    linger_s: float  # longest lingering close during the shutdown
 
     @classmethod
     def of(cls, classes: Iterable[JobClass]) -> DrainTimes:
-        """By the settings."""
+        """Compute the limits from the deadlines of the job classes."""
         longest_ns = max((c.deadline_ns for c in classes), default=MOST_AWAITED_NS)
         killed_s = min(longest_ns, MOST_AWAITED_NS) / 1e9 + KILL_AFTER_S
         return cls(DRAIN_SERVE_PART * killed_s, killed_s - DRAIN_SPARE_S, DRAIN_SPARE_S - 0.05)
 
 
 async def _first(*waited: asyncio.Future[Any], timeout: float | None = None) -> None:
-    """Wait until one of them is done, or for so long."""
+    """Wait until one of the futures is done or `timeout` seconds have passed."""
     await asyncio.wait(waited, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
 
 
@@ -75,27 +80,29 @@
     answer_to: Callable[[JobAnswerBody], None],
     last_ns: int | None = None,
 ) -> ClientJob:
-    """The job that a request asks for; BadInput says what is wrong with it.
+    """Validate a request and convert it into a job.
 
-    Nothing that fails here reaches a node: one would turn it away, or close on it and on what else waits."""
+    `now` is the monotonic time and `last_ns`, if set, the latest time for the response, both in nanoseconds.
+    Raises BadInput if the request is invalid.  Invalid requests must not reach a node: it would reject them
+    or close the connection."""
     headers = request.headers
     if request.target.startswith("/-/"):
         raise BadInput(404, "no such page")
-    if request.method != "POST":  # the path is the job's own: any that is not ours passes on
-        raise BadInput(405, "jobs come by POST")
+    if request.method != "POST":  # the path belongs to the job: every path outside /-/ is forwarded
+        raise BadInput(405, "jobs must be sent with POST")
     job_id, job_class = headers.get("x-call-id", ""), headers.get("x-call-class", "")
     if not job_id or not printable(job_id):
-        raise BadInput(400, "X-Call-Id is missing or cannot be one")
+        raise BadInput(400, "X-Call-Id is missing or invalid")
     if job_class not in classes:
         raise BadInput(400, "X-Call-Class is missing or unknown")
     left_ns = read_budget_ns(headers.get("x-budget", ""))
     if left_ns is None:
-        raise BadInput(400, "X-Budget is missing or no number of seconds")
+        raise BadInput(400, "X-Budget is missing or not a number of seconds")
     repeat_key = headers.get("idempotency-key", "")
     if not printable(repeat_key) or (not repeat_key and classes[job_class].effect is Effect.KEYED):
-        raise BadInput(400, "Idempotency-Key is missing or cannot be one")
+        raise BadInput(400, "Idempotency-Key is missing or invalid")
     info = _figures(headers.get("x-call-info", ""))
-    cost_us = headers.get("x-call-cost", "")  # a guess: one that cannot be read is none, and costs no job
+    cost_us = headers.get("x-call-cost", "")  # only an estimate, so a malformed value is ignored
     hint_ns = int(cost_us) * 1_000 if cost_us.isascii() and cost_us.isdigit() and len(cost_us) < 12 else 0
     left_ns -= now - request.came_ns + TRAVEL_NS
     if last_ns is not None:
@@ -124,13 +131,13 @@
         with contextlib.suppress(ValueError):
             if math.isfinite(number := float(value)) and number >= 0:
                 if number > MOST_FIGURE:
-                    raise BadInput(400, "a figure of X-Call-Info is too large")
+                    raise BadInput(400, "a number in X-Call-Info is too large")
                 figures[name.strip()] = number
     return figures
 
 
 def write_answer(answer: JobAnswerBody, close: bool) -> tuple[bytes, bytes]:
-    """Head and body of a job's final answer."""
+    """Return the head and the body of the HTTP response to a job."""
     match answer.verdict:
         case Verdict.SERVED:
             return answer_head(200, len(answer.result), close), answer.result
@@ -142,29 +149,29 @@
 
 
 class RequestStage(IntEnum):
-    """Where a connection stands.  The lower, the sooner it makes room for another."""
+    """The state of a client connection.  Connections with a lower value are evicted first."""
 
-    LEAVING = 0  # it has been told what was wrong with what it sent
-    SILENT = 1  # nothing has come since its accept, for longer than a client takes
-    IDLE = 2  # between two requests: what crosses our close, its client sends again elsewhere
-    YOUNG = 3  # nothing has come yet
-    SLOW = 4  # a request has come in part
-    BUSY = 5  # it is owed an answer
+    LEAVING = 0  # the connection is being closed, after an error response or an end by either side
+    SILENT = 1  # no byte has arrived since the accept, for longer than YOUNG_S
+    IDLE = 2  # between two requests: a client whose request crosses the close retries elsewhere
+    YOUNG = 3  # no byte has arrived yet, for at most YOUNG_S
+    SLOW = 4  # a request has arrived in part
+    BUSY = 5  # a request is complete and not yet answered
 
 
 class HttpClientSession:
-    """One connection of a client."""
+    """One client connection: reads requests and writes their responses in order."""
 
     def __init__(self, front: PlatformClients, link: Link) -> None:
         self._front, self._link = front, link
         self._reader = RequestReader()
         self._filling: asyncio.Task[int] | None = None
         self._accepted_ns = self._came_ns = time.monotonic_ns()
-        self._known = False  # whether a whole request has come on it
+        self._known = False  # whether the connection has delivered a complete request
         self._stage = RequestStage.YOUNG
-        self._over: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # ask to end when idle
-        self._overrun = False  # more has come behind a request under way than is kept
-        self._gone = False  # the client has ended the connection, or it broke
+        self._over: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # set by end()
+        self._overrun = False  # whether the receive buffer was full and later data is discarded
+        self._gone = False  # whether the client closed the connection or the connection broke
         self.task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -180,7 +187,7 @@
                 await self._complain(bad)
                 await self._part()
         except OSError:
-            pass  # the client is gone, or reads nothing
+            pass  # the client disconnected or did not read its response in time
         finally:
             if self._filling is not None:
                 self._filling.cancel()
@@ -188,8 +195,8 @@
             self._front.ended(self)
 
     async def _part(self) -> None:
-        """The lingering close.  What is received from here on is a request that crossed our end: its client
-        sends it again elsewhere."""
+        """Close with linger.  Data received from here on is discarded: it belongs to a request that crossed
+        the close, which the client retries elsewhere."""
         if self._gone:
             return
         self._stage = RequestStage.LEAVING
@@ -200,12 +207,12 @@
         await self._link.linger(self._front.linger_s)
 
     def end(self) -> None:
-        """End the connection as soon as nothing is owed on it."""
+        """Close the connection as soon as no request on it is unanswered."""
         if not self._over.done():
             self._over.set_result(None)
 
     def stage(self) -> RequestStage:
-        """Where it stands; one on which something waits to be read is busy, whatever is known of it."""
+        """Return the state of the connection; a connection with unread data counts as BUSY."""
         if self._stage in (RequestStage.YOUNG, RequestStage.IDLE):
             come = self._filling is not None and self._filling.done()
             if come or not self._link.fresh():
@@ -215,25 +222,26 @@
         return self._stage
 
     def evict(self, most: RequestStage = RequestStage.IDLE) -> bool:
-        """Close, if it stands no higher than this.
+        """Close the connection if its state is at most `most`; return whether it was closed.
 
-        A connection on which a request has come, read or not, stands higher: to close it would lose that."""
+        By default, a connection that has received a request, read or unread, is not closed, because the
+        request would be lost."""
         if self.task is None or self.task.done() or self.stage() > most:
             return False
         self.task.cancel()
         return True
 
     async def _next(self) -> HttpRequest | None:
-        """The next whole request; None when the client has ended or stays idle for too long."""
+        """Return the next complete request, or None if the client closed the connection or idled too long."""
         ready = self._reader.ready
         while not ready:
             if self._link.inbound.size == 0:
-                if self._overrun:  # what was dropped never ran: to ask again is harmless
-                    raise BadInput(503, "too much came at once; the rest was not taken")
+                if self._overrun:  # the discarded requests never ran, so a retry is safe
+                    raise BadInput(503, "too much data was pipelined; the rest was not processed")
                 if not await self._fill():
                     return None
             self._feed()
-            if self._reader.expects:  # such a sender would hold the body back, and its time would run out
+            if self._reader.expects:  # the client sends the body only after this interim response
                 self._reader.expects = False
                 await self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
         self._known, self._stage = True, RequestStage.BUSY
@@ -245,9 +253,11 @@
         self._link.inbound.taken(len(piece))
 
     async def _fill(self) -> bool:
-        """Whether more has come; BadInput where a request was begun and does not go on.
+        """Wait for data; return whether any arrived.
 
-        One that has begun nothing is closed without a word, unless something comes at the last moment."""
+        Raises BadInput if a partial request is not completed in time.  Without a partial request, a timeout
+        returns False and the connection is closed without a response.  Data that has already arrived when the
+        timeout ends is still received."""
         reader = self._reader
         if reader.begun:
             self._stage, since_ns, most_s = RequestStage.SLOW, reader.begun_ns, REQUEST_S
@@ -264,12 +274,14 @@
         if receiving.done():
             return self._received()
         if reader.begun:
-            raise BadInput(408, "the request did not come in time")
+            raise BadInput(408, "the request was not received in time")
         return False
 
     def _receiving(self) -> asyncio.Task[int]:
-        """The one receive under way: it goes on while a job runs, to notice that its client has gone.
-        Where more comes than is kept, the rest is dropped, and the connection ends after what is kept."""
+        """Return the pending receive operation; start one if there is none.
+
+        The operation stays pending while a job runs, to detect a disconnect of the client.  When the receive
+        buffer is full, further data is discarded and the connection closes after the buffered requests."""
         if self._filling is None:
             self._overrun = self._overrun or not self._link.inbound.writable()
             receive = self._link.skip if self._overrun else self._link.fill
@@ -277,10 +289,11 @@
         return self._filling
 
     def _received(self) -> bool:
-        """Whether the receive under way has brought something; if not, or with an OSError, they have gone.
+        """Return whether the completed receive delivered data; if it did not, the client has disconnected.
 
-        A request may come while the one before it is served: its time counts from now, not from its turn, and
-        that of one behind it from when the first of what is held came."""
+        Raises OSError if the connection broke.  The time budget of a pipelined request counts from the
+        arrival of its data, not from the start of its processing.  If several requests are buffered, the
+        arrival time of the first buffered byte applies to all of them."""
         filling, self._filling, self._gone = self._filling, None, True
         assert filling is not None
         count = filling.result()
@@ -290,11 +303,11 @@
         return not self._gone
 
     def gone(self) -> bool:
-        """Whether the client can be seen to have left; asked right before its job's first byte goes out."""
+        """Return whether the client has disconnected; checked before the job's first byte goes to a node."""
         return self._gone or self._link.ended()
 
     async def _serve(self, request: HttpRequest) -> bool:
-        """Answer one request; whether the connection goes on."""
+        """Answer one request; return whether the connection stays open."""
         keep = request.keep_alive
         if request.target == "/-/ready" and request.method == "GET":
             status = 200 if self._front.ready else 503
@@ -324,25 +337,26 @@
             self._front.figures.in_flight -= 1
 
     async def _run(self, job: ClientJob, answered: asyncio.Future[JobAnswerBody]) -> JobAnswerBody | None:
-        """Hand the desk a job; its answer, or None when its client goes first."""
-        kept = self._front.copied(job)  # such a job may come again, and is known by its id
+        """Pass a job to the dispatcher; return its result, or None if the client disconnects first."""
+        kept = self._front.copied(job)  # a client may retry a replicated job; replication finds it by its id
         if not kept and not self._front.ids.claim(job.job_id):
             self._front.figures.answered(job.job_class, Verdict.FAILED)
-            raise BadInput(409, "another request has or had this X-Call-Id")
+            raise BadInput(409, "another request has used this X-Call-Id")
         try:
             self._front.post(JobTaken(job))
             return await self._wait(answered)
         finally:
             if not kept:
                 self._front.ids.free(job.job_id)
-            if not answered.done():  # its client has gone, or its next bytes show that it was no job
+            if not answered.done():  # the client disconnected, or invalid data followed the request
                 self._front.post(ClientLeft(job))
 
     async def _wait(self, answered: asyncio.Future[JobAnswerBody]) -> JobAnswerBody | None:
-        """The job's answer, or None when its client goes first.
+        """Wait for the job's result; return None if the client disconnects first.
 
-        What comes meanwhile is received at once, however much it is: behind it stands the client's end.
-        Bytes that are no request show that the length of the one before was wrong: it is no job either."""
+        Data that arrives meanwhile is read at once, in any amount, because the end of the connection can only
+        be detected behind it.  If that data is no valid request, the length of the current request was
+        probably wrong, and BadInput cancels its job as well."""
         while not answered.done():
             await _first(answered, self._receiving())
             if not answered.done():
@@ -355,7 +369,7 @@
         return answered.result()
 
     async def _complain(self, bad: BadInput) -> None:
-        """Say what is wrong and end the connection so that it is read: its next bytes cannot be trusted."""
+        """Send an error response; the caller then closes the connection, as the next bytes are unreliable."""
         self._stage = RequestStage.LEAVING
         text = f"{bad.why}\n".encode()
         allow = "Allow: POST\r\n" if bad.status == 405 else ""
@@ -364,12 +378,12 @@
         )
 
     async def _send(self, *parts: bytes) -> None:
-        async with asyncio.timeout(SEND_S):  # one that does not read holds up nobody but itself
+        async with asyncio.timeout(SEND_S):  # a client that does not read blocks only its own session
             await self._link.send(*parts)
 
 
 class PlatformClients:
-    """Accepts clients' connections and keeps their sessions."""
+    """Accepts client connections, limits their number and drains them at shutdown."""
 
     def __init__(
         self,
@@ -382,45 +396,45 @@
         ring: int = MOST_BYTES,
         figures: SchedulerMetrics | None = None,
     ) -> None:
-        """The listener is bound; clients can connect once it listens."""
+        """Create the front for a bound socket; clients can connect after `listen()`."""
         self.figures = figures or SchedulerMetrics(classes)
-        self.replaced = asyncio.Event()  # while another process of this scheduler serves
+        self.replaced = asyncio.Event()  # set while another process of this scheduler accepts clients
         self._listener, self._most, self.ids, self._ring = listener, most, ids, ring
         self.classes, self.post, self.log = classes, post, log
-        self.copied: Callable[[ClientJob], bool] = lambda job: False  # whether others hold it as well
-        self.accepts = True  # whether `accept` goes on
-        self.closing = False  # whether connections end after the answer that is due on them
-        self.last_answer_ns: int | None = None  # once a stop is asked for: by when what is taken is answered
+        self.copied: Callable[[ClientJob], bool] = lambda job: False  # whether other schedulers have a copy
+        self.accepts = True  # False ends the loop in `accept`
+        self.closing = False  # whether each connection is closed after its current response
+        self.last_answer_ns: int | None = None  # during a shutdown: deadline of all responses
         self.drain_times, self.linger_s = DrainTimes.of(classes.values()), LINGER_S
-        self._sessions: dict[HttpClientSession, None] = {}  # the longest idle first
+        self._sessions: dict[HttpClientSession, None] = {}  # ordered from the least recently used
 
     @property
     def ready(self) -> bool:
-        """Whether this scheduler takes clients, be it by another of its processes."""
+        """Whether this scheduler accepts clients, in this process or in the process that replaced it."""
         return self.last_answer_ns is None or self.replaced.is_set()
 
     def follow(self, classes: Mapping[str, JobClass]) -> None:
-        """These classes are taken from now on; jobs that are open keep theirs."""
+        """Replace the job classes for new requests; open jobs keep their class."""
         self.classes, self.drain_times = classes, DrainTimes.of(classes.values())
         self.figures.add_classes(classes)
 
     def limit(self, most: int) -> None:
-        """Hold no more connections than so many from now on, as far as some can be spared."""
+        """Set the maximum number of connections and evict those above it, as far as their state allows."""
         self._most = most
         while len(self._sessions) > most and self._free_connection():
             pass
 
     def listen(self) -> None:
-        """Let clients connect from now on."""
+        """Start listening for client connections."""
         self._listener.listen(BACKLOG)
 
     async def accept(self) -> None:
-        """Accept until cancelled, or as long as `accepts` holds."""
+        """Accept connections until the task is cancelled or `accepts` is False."""
         loop = asyncio.get_running_loop()
         while self.accepts:
             try:
                 sock, _ = await loop.sock_accept(self._listener)
-            except OSError as wrong:  # out of descriptors: those in use will come free
+            except OSError as wrong:  # out of file descriptors: retried after evicting a connection
                 self.log.error("accept-failed", str(wrong))
                 self._free_connection()
                 await asyncio.sleep(0.05)
@@ -428,16 +442,16 @@
             self._admit(sock)
 
     async def _stop_listening(self, accepting: asyncio.Task[None]) -> None:
-        """Accept what the kernel has for us and close the listener.
+        """Accept the connections in the kernel's backlog and close the listener.
 
-        A cancelled `sock_accept` would drop a connection that it has accepted in the same turn of the loop:
-        so nothing new is accepted first, and what has been is handed on within one turn."""
+        Cancelling `sock_accept` would lose a connection that it accepted in the same event loop iteration.
+        The reader is therefore removed first, and one iteration passes before the task is cancelled."""
         self.accepts = False
         asyncio.get_running_loop().remove_reader(self._listener)
         await asyncio.sleep(0)
         accepting.cancel()
         with contextlib.suppress(BlockingIOError):
-            while True:  # those that the kernel has accepted for us are ours
+            while True:  # closing the listener would reset the connections in its backlog
                 self._admit(self._listener.accept()[0])
         self._listener.close()
 
@@ -452,10 +466,11 @@
         session.task = asyncio.create_task(session.run())
 
     def _free_connection(self) -> bool:
-        """Close the connection that can best be spared, of several the longest idle; whether there was one.
+        """Evict the connection with the lowest state, the least recently used one first.
 
-        Hundreds that say nothing must not shut out those who have a job: a young one gives way only when
-        nothing else does, since its first request may be on its way."""
+        Returns False if no connection can be evicted.  Hundreds of silent connections must not keep out
+        clients that have jobs.  A YOUNG connection is evicted only as the last choice, because its first
+        request may be in transit."""
         least, spared = RequestStage.BUSY, None
         for session in self._sessions:
             if (stage := session.stage()) < least:
@@ -468,21 +483,21 @@
         return True
 
     def used(self, session: HttpClientSession) -> None:
-        """A session did some work, so it is the last to make room."""
+        """Move a session that has completed a request to the end of the eviction order."""
         if self._sessions.pop(session, 0) is None:
             self._sessions[session] = None
 
     def ended(self, session: HttpClientSession) -> None:
-        """A session is over."""
+        """Remove a session that has ended."""
         self._sessions.pop(session, None)
 
     async def drain(self, accepting: asyncio.Task[None]) -> None:
-        """Serve on for a moment, then take no more; return when all that was taken is answered.
+        """Shut down gracefully: serve for a while, then close the listener and the idle connections.
 
-        Clients go on using their connections for as long as these stay open.  Closed at once, they would
-        have nowhere to go while the scheduler that was restarted before this one is not yet back.  Where
-        another process has taken over, new connections are all its own, and what is idle stays open for as
-        long, so that no request crosses a close."""
+        Returns when every accepted job is answered.  If the connections were closed at once in a rolling
+        restart, clients would have no scheduler to connect to while the one restarted before is not yet back.
+        If another process has taken over, it accepts all new connections, but idle connections still stay
+        open for the same time, so that fewer requests cross a close."""
         times, loop = self.drain_times, asyncio.get_running_loop()
         self.last_answer_ns = time.monotonic_ns() + round(times.answer_s * 1e9)
         serves_until = loop.time() + times.serve_s
@@ -491,7 +506,7 @@
                 await self.replaced.wait()
         self.closing, self.linger_s = True, times.linger_s
         await self._stop_listening(accepting)
-        # What is written on the last of them is read first.
+        # Requests that clients have just sent on the last accepted connections are read before the close.
         await asyncio.sleep(max(DRAIN_LAST_S, serves_until - loop.time()))
         for session in self._sessions:
             session.end()
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -1,6 +1,7 @@
-"""The node list: a watch on its changes, opened when the desk asks, given up when it falls silent.
+"""Client of the discovery service: keeps a watch (a long-lived HTTP request) on the changes of the node list.
 
-A second watch is open for a moment only while the service moves to another address."""
+A watch without data for too long is closed.  A second watch is open only while a new watch replaces the
+current one."""
 
 from __future__ import annotations
 
@@ -26,14 +27,16 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-SILENT_S = 3.5  # an empty line comes every 2 s: after this the watch is broken, whatever the socket says
-FIRST_LINE_S = 2.5  # the head alone tells nothing: from it on, an empty line is due within 2 s as well
+SILENT_S = 3.5  # the service sends an empty line every 2 s; after this time without one the watch is broken
+FIRST_LINE_S = 2.5  # timeout for the first line after the response headers; it is also due within 2 s
 MOST_LINE = 4 * 1024 * 1024
 CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
 
 
 class NodeListWatch(Plain):
-    """Keeps the roster and the desk told.  The desk decides when to ask again."""
+    """Watches the node list and passes changes to the worker registry and the dispatcher.
+
+    After a watch ends, the dispatcher decides when to open the next one; see `again` for the exception."""
 
     name = "list"
 
@@ -50,8 +53,11 @@
         calls: ListCalls = CALLS,
         chance: Callable[[], float] = random.random,
     ) -> None:
-        """With `again` the list is pushed: the address is an agent of our own machine, which this watch asks
-        by itself; without, the desk says when the one service of all schedulers is asked."""
+        """Create a watch on the list at `address`.
+
+        With `again`, the address belongs to an agent on the same machine that pushes the list, and the watch
+        reconnects on its own after this backoff.  Without `again`, the address belongs to the discovery
+        service that all schedulers share, and the dispatcher decides when to connect."""
         self._address, self._registry, self._post, self._log = address, registry, post, log
         self._changed, self._front = changed, front
         self._again, self._known = again, known or {}
@@ -61,10 +67,10 @@
         self._opening: asyncio.Task[None] | None = None
         self._standing: asyncio.Task[None] | None = None
         self._delivered: tuple[int, list[RouteNode]] | None = None
-        self.heard = asyncio.Event()  # whether the service has told something
+        self.heard = asyncio.Event()  # set after the first data from the service
 
     async def start(self) -> None:
-        """Begin with the list as it was last held; it may be old."""
+        """Load the last known list, which may be outdated; with a local agent, also open the watch."""
         if self._delivered is not None:
             self._version, nodes = self._delivered
             self._post(self._registry.apply_list(ListKind.CACHED, nodes))
@@ -74,12 +80,12 @@
             self.ask()
 
     def hand(self, version: int, nodes: list[RouteNode]) -> None:
-        """Begin with a list that another process of this scheduler held a moment ago."""
+        """Set the list for `start`, as handed over by another process of this scheduler."""
         self._delivered = (version, nodes)
 
     @property
     def version(self) -> int:
-        """Of the list held."""
+        """Version of the current list."""
         return self._version
 
     def _begin_with_known(self) -> None:
@@ -98,14 +104,18 @@
         return read
 
     def ask(self) -> None:
-        """Watch from the version held.  A watch that stands goes on until the new one has told something; a
-        call that is under way goes on too, since to cut it off would put it at the end of the line again."""
+        """Open a watch from the current version.
+
+        An established watch stays open until the new one has delivered a line.  A pending call is not
+        repeated, because the service would queue the new call behind all others."""
         if self._opening is None:
             self._opening = asyncio.create_task(self._watch(self._address, self._version))
 
     def move(self, address: tuple[str, int]) -> None:
-        """The service has another address from now on.  Its versions may count otherwise, so the whole list
-        is asked for; until it comes, what the old address tells still counts."""
+        """Change the address of the service.
+
+        The new address may number versions differently, so the full list is requested.  Until it arrives,
+        updates from the old address are still applied."""
         if address != self._address:
             self._address, self._version = address, 0
             if self._opening is not None:
@@ -113,19 +123,19 @@
                 self._opening = None
             if self._timer is not None:
                 self._timer.cancel()
-            # All schedulers hear of it at once, and the new service takes one call after another; an agent of
-            # our own machine has nobody else to serve.
+            # All schedulers receive the new address at once, and the new service handles one call at a time,
+            # so the calls are spread.  A local agent serves this scheduler only and needs no spread.
             wait_s = self._spread_s * self._chance() if self._again is None else 0.0
             self._timer = asyncio.get_running_loop().call_later(wait_s, self.ask)
 
     async def stop(self) -> None:
-        """End all watching."""
+        """Cancel the watches and the pending call."""
         for task in (self._opening, self._standing, self._timer):
             if task is not None:
                 task.cancel()
 
     def report(self) -> Mapping[str, object]:
-        """The list held, and whether a watch on it stands."""
+        """Return the version of the current list, whether a watch is established, and the service address."""
         return {
             "version": self._version,
             "watched": self._standing is not None,
@@ -134,8 +144,9 @@
 
     async def _watch(self, address: tuple[str, int], version: int) -> None:
         link: Link | None = None
-        # A call that is refused, reset or answered with an error met no service that could tell; one that is
-        # given up, or whose answer cannot be read, shows nothing.
+        # FAILED: the connection was refused or reset, or the response was an error, so no working service was
+        # reached.  SILENT: the call timed out, its response was malformed, or this process had no free
+        # descriptor; none of these shows whether the service works.
         why, kind = "the watch ended", ListKind.SILENT
         lines = NodeListAssembler(MOST_LINE)
         try:
@@ -166,13 +177,13 @@
                         try:
                             await link.pass_on(reader.feed)
                         except ConnectionResetError:
-                            kind = ListKind.FAILED  # up to its end it has told all
+                            kind = ListKind.FAILED  # the watch was current until the connection was reset
                             raise
             else:
                 why, kind = f"status {reader.status}", ListKind.FAILED
         except TimeoutError:
             why = "silence"
-        except Exception as wrong:  # whatever the service sends: a call that never ended would be the last
+        except Exception as wrong:  # no data from the service may stop this task without a call of _ended
             why = str(wrong) or type(wrong).__name__
         finally:
             if link is not None:
@@ -180,7 +191,7 @@
         self._ended(address, why, kind)
 
     def _stands(self) -> None:
-        """The watch under way has told something: the one before it is no longer needed."""
+        """Mark the current watch as established after its first line, and cancel the previous one."""
         task = asyncio.current_task()
         if task is self._opening:
             self._opening = None
@@ -191,7 +202,7 @@
             self._again.reset()
 
     def _ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
-        """A watch broke, or a call failed: the desk asks again."""
+        """Report a broken watch or a failed call to the dispatcher, which decides when to retry."""
         if asyncio.current_task() is self._opening:
             self._opening = None
         else:
@@ -205,13 +216,13 @@
     def _line(self, lines: NodeListAssembler, line: bytes, address: tuple[str, int]) -> None:
         reported = lines.feed(line)
         if not line.strip():
-            if address == self._address:  # nothing has changed: what is held is good until now
+            if address == self._address:  # an empty line confirms that the current list is up to date
                 self.heard.set()
                 self._post(NodeListReceived(ListKind.CHANGES))
             return
         for each in reported:
             if each is None:
-                self._log.warning("list-odd", "a list that stops short; the one after it counts")
+                self._log.warning("list-odd", "a truncated list was discarded; the next one is used")
             else:
                 self._list(each, address)
 
@@ -219,14 +230,15 @@
         read = self._read(reported)
         if address == self._address:
             if read.outdated(self._version):
-                self._log.warning("list-odd", "an older version than is held", version=read.version)
+                self._log.warning("list-odd", "the received version is outdated", version=read.version)
                 return
             self._version = read.version
             self.heard.set()
         if read.full and not read.nodes:
-            self._log.warning("list-odd", "the whole list names no node")
+            self._log.warning("list-odd", "the full list contains no node")
         for node in [*read.nodes, *(self._registry.missing(read.nodes) if read.full else ())]:
             self._changed(node)
         news = self._registry.apply_list(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
-        # What the old address still tells is heeded, but is no watch on the new one: that is asked for on.
+        # Updates from the old address are applied, but they do not count as a watch on the new address, so
+        # the dispatcher keeps requesting one.
         self._post(news if address == self._address else self._registry.cached_list())
--- a/hollowusher/scheduler/fronts/platform/http.py
+++ b/hollowusher/scheduler/fronts/platform/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages, parsed by httptools under limits of our own."""
+"""Readers for HTTP/1.1 requests and responses: httptools parses, this module adds limits and checks."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-# Headers that decide what a request means: two of one kind, and two readers could each take another.
+# Headers that may occur only once: with a repeated one, the scheduler and a node could use different values.
 ONCE = frozenset(
     (
         "host",
@@ -43,7 +43,7 @@
 
 
 class BadInput(Exception):
-    """What came cannot be a request; the status says how it is answered."""
+    """The received data is no valid request; `status` is the HTTP status of the error response."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -52,19 +52,19 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One request that has come whole."""
+    """One complete request."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
     keep_alive: bool
-    came_ns: int = 0  # when its first byte came
+    came_ns: int = 0  # monotonic time at which the first byte arrived
 
 
 @dataclass(slots=True)
 class _Parts:
-    """What has come of a message."""
+    """The received parts of an incomplete message."""
 
     target: bytearray = field(default_factory=bytearray)
     headers: dict[str, str] = field(default_factory=dict)
@@ -75,18 +75,18 @@
 
 
 class RequestReader:
-    """Feeds bytes to the parser, however they are cut; whole requests stand in `ready`.
+    """Incremental request parser; `ready` holds the complete requests.
 
-    With `read_job` this is the one strict check: what passes both means the same to every route node.  The
-    parser itself refuses lengths that are no numbers, two lengths, and a length beside Transfer-Encoding,
-    which could hide a second request in the body.  httptools wraps what its callbacks raise, so they note the
-    fault and `feed` raises it.
+    This class and `read_job` are the only strict validation: every route node interprets a request that
+    passes both in the same way.  httptools itself rejects malformed and repeated lengths, and a length
+    together with Transfer-Encoding, which would allow request smuggling.  httptools wraps exceptions from its
+    callbacks, so the callbacks store the error and `feed` raises it.
     """
 
     def __init__(self) -> None:
         self.ready: deque[HttpRequest] = deque()
-        self.begun = False  # whether a request has come in part
-        self.expects = False  # whether its sender waits for leave to send the body
+        self.begun = False  # whether a request has arrived in part
+        self.expects = False  # whether the client waits for "100 Continue" before it sends the body
         self._parts = _Parts()
         self._bad: BadInput | None = None
         self._now_ns = 0
@@ -94,11 +94,11 @@
 
     @property
     def begun_ns(self) -> int:
-        """When the first byte of the request under way came."""
+        """Arrival time of the first byte of the incomplete request."""
         return self._parts.came_ns
 
     def feed(self, data: memoryview, now_ns: int = 0) -> None:
-        """Take bytes that came just now; BadInput where they break HTTP or a limit."""
+        """Parse data that arrived at `now_ns`.  Raises BadInput if it violates HTTP or a limit."""
         self._now_ns = now_ns
         if not self.begun:
             self._parts.came_ns = now_ns
@@ -112,23 +112,26 @@
         except httptools.HttpParserError:
             raise self._bad or BadInput(400, "not an HTTP/1.1 request") from None
         if not self._parts.head_done and self._parts.head_bytes > MOST_HEAD:
-            raise BadInput(431, "the request's head is too large")
+            raise BadInput(431, "the request header section is too large")
         if self._bad is not None:
             raise self._bad
         if len(self.ready) > MOST_PIPELINED:
-            raise BadInput(400, "too many requests at a time")
+            raise BadInput(400, "too many pipelined requests")
 
     def on_message_begin(self) -> None:
-        """A request begins."""
-        # What has been counted of this head stays: a head without an end must not pass piece by piece.
+        """Start a new request (httptools callback)."""
+        # The byte count of the header section is kept, so that a header section without an end cannot pass
+        # the limit in many small pieces.
         self.begun, self._parts = True, _Parts(head_bytes=self._parts.head_bytes, came_ns=self._now_ns)
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target."""
+        """Append a part of the request target (httptools callback)."""
         self._parts.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A whole header.  One that follows the body is none of ours: it must not change what was checked."""
+        """Store a complete header (httptools callback).
+
+        Trailers are ignored, because they must not change headers that were already checked."""
         if self._parts.head_done:
             return
         key = name.decode("latin-1").lower()
@@ -137,10 +140,12 @@
         self._parts.headers[key] = value.decode("latin-1").strip(" \t")
 
     def on_headers_complete(self) -> None:
-        """The head has come: a length that is over the limit is refused before the body."""
+        """Check the complete header section (httptools callback).
+
+        A length above the limit is rejected before the body arrives."""
         self._parts.head_done = True
         if self._parser.get_http_version() not in ("1.0", "1.1"):
-            self._bad = BadInput(505, "only HTTP/1.1 is spoken here")
+            self._bad = BadInput(505, "only HTTP/1.0 and HTTP/1.1 are supported")
         if not self._parts.target.startswith(b"/") or b"#" in self._parts.target:
             self._bad = BadInput(400, "the target must be a path")
         self.expects = self._parts.headers.get("expect", "").lower() == "100-continue"
@@ -149,14 +154,14 @@
             self._bad = BadInput(413, "a body holds no more than 64 KiB")
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body, which may come in chunks of no stated length."""
+        """Append a part of the body (httptools callback); the limit also holds for chunked bodies."""
         if len(self._parts.body) + len(data) > MOST_BODY:
             self._bad = BadInput(413, "a body holds no more than 64 KiB")
         else:
             self._parts.body += data
 
     def on_message_complete(self) -> None:
-        """A request is whole."""
+        """Add the complete request to `ready` (httptools callback)."""
         parts, self._parts, self.begun, self.expects = self._parts, _Parts(), False, False
         self.ready.append(
             HttpRequest(
@@ -171,16 +176,16 @@
 
 
 class AnswerReader:
-    """The answer of a route node or of the node list's service, line by line as it comes.
+    """Incremental parser of responses from route nodes and the discovery service; splits the body into lines.
 
-    What it holds is bounded: its head, each line, and, with `most_body`, the whole body, which else may go on
-    for as long as its connection."""
+    The sizes of the header section and of each line are limited, and with `most_body` also the size of the
+    whole body.  Without `most_body` the body may last as long as its connection."""
 
     def __init__(self, most_line: int, most_body: int | None = None) -> None:
         self.status = 0
         self.headers: dict[str, str] = {}
         self.head_done = self.complete = False
-        self._kept_alive, self.spoilt = False, False  # spoilt: its connection is out of step for good
+        self._kept_alive, self.spoilt = False, False  # spoilt: the connection is out of sync and unusable
         self._body = LineSplitter()
         self.lines = self._body.lines
         self._most_line, self._most_body = most_line, most_body
@@ -190,13 +195,15 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether its connection may carry another request."""
+        """Whether the connection can be used for another request."""
         return self.complete and self._kept_alive and not self.spoilt
 
     def feed(self, data: memoryview) -> None:
-        """Take bytes; ConnectionError where they cannot be an answer, or come after one that is whole."""
+        """Parse received data.
+
+        Raises ConnectionError if the data is no valid response or follows a complete response."""
         if self.complete:
-            self._wrong = "more than one answer"
+            self._wrong = "more than one response"
         elif not self.head_done:
             self._head_bytes += len(data)
         try:
@@ -204,46 +211,46 @@
                 self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
             if not self.complete:
-                self._wrong = self._wrong or f"not an HTTP answer: {wrong}"
-            self.spoilt = True  # what follows a whole answer is of no use to anybody
+                self._wrong = self._wrong or f"not an HTTP response: {wrong}"
+            self.spoilt = True  # data after a complete response belongs to no request
         if not self.head_done and self._head_bytes > MOST_HEAD:
-            self._wrong = "the head of the answer is too large"
+            self._wrong = "the response header section is too large"
         if self._wrong:
             self.spoilt = True
             raise ConnectionError(self._wrong)
 
     def end_within(self, most: int) -> None:
-        """All that counts has come: so much of the body may follow, and is dropped."""
+        """Discard the rest of the body and limit it to `most` more bytes."""
         self._most_body, self._most_line = self._body_bytes + most, most
         self.lines.clear()
 
     def on_message_begin(self) -> None:
-        """An answer begins; a second one shows that the connection is not in step."""
+        """Start a response (httptools callback); a second one means that the connection is out of sync."""
         if self.complete:
             self.spoilt = True
-            raise ValueError  # which ends the parsing: nothing of it must be taken for the first one's
+            raise ValueError  # stops the parser: the second response must not be merged into the first
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A whole header; none counts that follows the body."""
+        """Store a complete header (httptools callback); trailers are ignored."""
         if not self.head_done:
             self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """The head has come."""
+        """Store the status of the complete header section (httptools callback)."""
         self.status, self.head_done = self._parser.get_status_code(), True
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body; whole lines are set apart."""
+        """Split a part of the body into lines (httptools callback)."""
         self._body_bytes += len(data)
         if self._most_body is not None and self._body_bytes > self._most_body:
-            self._wrong = "the answer is too long"
+            self._wrong = "the response body is too long"
             return
         self._body.feed(data)
         if len(self._body.rest) > self._most_line:
-            self._wrong = "a line of the answer is too long"
+            self._wrong = "a line of the response is too long"
 
     def on_message_complete(self) -> None:
-        """The answer is whole; a last line may lack its end.  An interim one (1xx) is none yet."""
+        """Finish the response (httptools callback); ignore an interim response (1xx)."""
         if 100 <= self.status < 200:
             self.head_done = False
             self.headers.clear()
@@ -253,7 +260,7 @@
 
 
 def answer_head(status: int, length: int, close: bool, extra: str = "") -> bytes:
-    """The head of an answer of ours."""
+    """Return status line and headers of a response; `extra` holds further header lines, each with CRLF."""
     connection = "Connection: close\r\n" if close else ""
     return (
         f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {length}\r\n{extra}{connection}\r\n"
--- a/hollowusher/scheduler/fronts/platform/http2.py
+++ b/hollowusher/scheduler/fronts/platform/http2.py
@@ -1,6 +1,6 @@
-"""Attempts and probes at route nodes that offer HTTP/2: one stream each, many on a connection.
+"""Attempts and probes at route nodes over HTTP/2: one stream for each, with many streams per connection.
 
-Requests, answers' lines and outcomes are the same as over HTTP/1.1; docs/http2.md has what differs.
+Requests, response lines and outcomes are the same as over HTTP/1.1; docs/http2.md lists the differences.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from hollowusher.scheduler.rules.stream_ends import Cause
 from hollowusher.scheduler.rules.streams import RejectReason
 
-TRAILER_S = 0.02  # how long a result may be held for the load report that the head says will follow it
-# A job that is still waiting goes back this long before its time is over: while the desk has it as unsent, it
-# can be refused, which tells its client that to ask again is harmless.
+TRAILER_S = 0.02  # longest wait of a result for the load report that its Trailer header announces
+# A job that still waits for a stream returns to the dispatcher this long before its deadline.  The dispatcher
+# can then reject it as unsent, and the client knows that a retry is safe.
 LAST_MOMENT_NS = 50_000_000
-MOST_REPORT = 64 * 1024
+MOST_REPORT = 64 * 1024  # maximum size of a probe response
 _KEPT = (b":status", b"x-load-report", b"x-rejected", b"trailer")
 
 
@@ -38,9 +38,10 @@
 def request_headers(
     job_id: str, subject: str, host: str, left_s: float, key: str
 ) -> list[tuple[bytes, bytes]]:
-    """The headers of a job's request.
+    """Return the request headers of a job; `left_s` is the remaining time in seconds.
 
-    What differs from job to job stays out of the compression's table: it would push out what does not."""
+    Headers that differ between jobs are never indexed by HPACK: they would evict the constant headers from
+    the dynamic table."""
     own = NeverIndexedHeaderTuple
     headers = [
         (b":method", b"POST"),
@@ -56,7 +57,7 @@
 
 
 class JobAnswer:
-    """A job's answer from its stream."""
+    """Reads the response to a job from its stream; implements `Answer`."""
 
     def __init__(
         self, order: Dispatch, meanings: Mapping[str, str], post: Callable[[DispatchEvent], None]
@@ -64,7 +65,7 @@
         self._order, self._meanings, self._post = order, meanings, post
         self._lines = LineSplitter()
         self._report_follows = False
-        self._ending: AttemptEnding | None = None  # that waits for its report
+        self._ending: AttemptEnding | None = None  # a result that waits for its load report
         self.finish: Callable[[AttemptEnding], None] = lambda ending: None
 
     @property
@@ -85,7 +86,7 @@
             return None
         self._lines.feed(data)
         if len(self._lines.rest) > MOST_LINE:
-            raise ConnectionError("a line of the answer is too long")
+            raise ConnectionError("a line of the response is too long")
         return self._read()
 
     def end(self, trailers: Headers) -> AttemptEnding | None:
@@ -114,7 +115,7 @@
 
 
 class ProbeAnswer:
-    """A probe's answer: whether the node is well, and its load."""
+    """Reads the response to a probe: whether its status is 200, and the load report; implements `Answer`."""
 
     def __init__(self, meanings: Mapping[str, str]) -> None:
         self._meanings, self._body, self._heads = meanings, bytearray(), dict[str, str]()
@@ -133,7 +134,7 @@
         """See `Answer`."""
         self._body += data
         if len(self._body) > MOST_REPORT:
-            raise ConnectionError("a load report is too long")
+            raise ConnectionError("the load report is too long")
         return None
 
     def end(self, trailers: Headers) -> tuple[bool, Reading | None] | None:
@@ -145,7 +146,7 @@
 
 
 class Http2Nodes:
-    """Carries attempts and probes to nodes over shared connections."""
+    """Runs attempts and probes on shared connections; uses HTTP/1.1 for nodes without HTTP/2."""
 
     def __init__(
         self,
@@ -160,7 +161,7 @@
         self._meanings, self._post, self._log = meanings, post, log
 
     async def attempt(self, order: Dispatch, node: RouteNode) -> None:
-        """One attempt from its wait for a stream to its ending, which the desk is told in every case."""
+        """Run one attempt, including its wait for a stream; always post its result to the dispatcher."""
         attempt = order.attempt
         if attempt.number > 0:
             repeats = self._carrier.repeats
@@ -209,7 +210,7 @@
         if how in (RejectReason.FULL, RejectReason.WAITED):
             self._log.warning(
                 "h2-turned-back",
-                "a job went back unsent for want of a stream",
+                "a job was returned unsent because no stream was available",
                 node=node.name,
                 why=how.value,
                 waiting=streams.stream_table.waiting,
@@ -218,7 +219,7 @@
         return AttemptEnding(Outcome.UNREACHABLE if how is RejectReason.UNREACHABLE else Outcome.NOT_SENT)
 
     async def probe(self, node: RouteNode) -> None:
-        """Ask a node for its load."""
+        """Request a node's load report; always post the result to the dispatcher."""
         number = node.entry.worker
         if self._carrier.falls_back(number):
             await self._http1.probe(node)
@@ -240,11 +241,11 @@
             if isinstance(how, tuple):
                 ok, reading = how
         except (TimeoutError, asyncio.CancelledError):
-            streams.withdraw(exchange, Cause.TIMED_OUT)  # a probe without an answer is a result too
+            streams.withdraw(exchange, Cause.TIMED_OUT)  # reported below as a failed probe
         finally:
             self._post(NodeProbed(number, ok, reading))
 
     def leaving(self, number: int) -> None:
-        """Nothing new may go to a node on the connections that lead there now."""
+        """Send no new requests on the current connections to a node."""
         self._carrier.leaving(number)
         self._http1.leaving(number)
