--- a/hollowusher/scheduler/fronts/stomp/__init__.py
+++ b/hollowusher/scheduler/fronts/stomp/__init__.py
@@ -1,1 +1,1 @@
-"""STOMP 1.2: clients as clients, route nodes as servers."""
+"""STOMP 1.2: the scheduler is the server for its clients and a client of the route nodes."""
--- a/hollowusher/scheduler/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -1,7 +1,7 @@
-"""Clients that speak STOMP: they SEND jobs and get answers on their subscription.
+"""STOMP server for clients, which SEND jobs and receive the answers on their subscription.
 
-A RECEIPT means that the job is taken.  Each taken frame gets one final answer, and the ledger sees to it
-that a frame sent again never runs a job again.
+A RECEIPT confirms that the scheduler has accepted the job.  Each accepted frame gets exactly one final
+answer.  The ledger ensures that a resent frame does not run its job a second time.
 """
 
 from __future__ import annotations
@@ -41,21 +41,21 @@
 from hollowusher.scheduler.net.link import Link
 
 JOBS, ANSWERS = "/queue/jobs", "/queue/answers"
-FLUSH_S = 2.0  # how long the last frames to a client may take
-MOST_OPEN = 64  # jobs in flight a session: beyond it, its frames wait unread
-MOST_UNSENT = 64  # answers that wait for a subscription
-MOST_SUBSCRIPTIONS = 16
-MOST_SUBJECT = 1024
-LOOK_S = 0.05  # between two looks at whether a client whose frames wait is still there
-LINGER_S = 1.0  # how long a client may take to read the ERROR that ends its session
-YOUNG_S = 0.25  # one that has not introduced itself for longer makes room for others
-FULL_WAIT_NS = 1_000_000_000  # advice that goes with a refusal for want of room in the ledger
-DRAIN_ACCEPT_S = 0.55
+FLUSH_S = 2.0  # timeout for writing the last frames of a session
+MOST_OPEN = 64  # jobs in flight per session; at this number, the client's next frames are not read
+MOST_UNSENT = 64  # maximum number of answers that wait for a subscription, and of unacknowledged answers
+MOST_SUBSCRIPTIONS = 16  # per session
+MOST_SUBJECT = 1024  # maximum length of a job id, subject, login or repeat-key, in characters
+LOOK_S = 0.05  # interval of the checks for a disconnect while a client's frames are not read
+LINGER_S = 1.0  # longest lingering close: a client may read the ERROR that ends its session meanwhile
+YOUNG_S = 0.25  # a connection without a valid CONNECT frame after this time may be evicted
+FULL_WAIT_NS = 1_000_000_000  # retry-after of a job that is rejected because the ledger is full
+DRAIN_ACCEPT_S = 0.55  # time in a shutdown during which new connections and frames are still accepted
 
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """One taken frame that is owed an answer."""
+    """One accepted frame that waits for an answer."""
 
     session: StompClientSession
     job_id: str
@@ -63,14 +63,16 @@
 
 
 def _printable(frame: Frame, name: str, value: str) -> str:
-    """Texts that go on in other wires' heads: printable ASCII, so that none can break out of its line."""
+    """Check and return a text that is copied into headers of other protocols.
+
+    Raises FrameError if the text is not printable ASCII, as it could end the header line."""
     if not printable(value, MOST_SUBJECT):
         raise FrameError(f"{name} must be printable ASCII without spaces", frame.headers.get("receipt", ""))
     return value
 
 
 class StompClientSession:
-    """One connection of a client."""
+    """One client connection: accepts jobs and sends their answers."""
 
     def __init__(self, front: StompClients, wire: StompLink) -> None:
         self._front, self._wire = front, wire
@@ -81,9 +83,9 @@
         self.waiting: dict[Waiter, JobTableEntry] = {}
         self._has_capacity = asyncio.Event()
         self._has_capacity.set()
-        self._subscriptions: dict[str, str] = {}  # id: ack mode
+        self._subscriptions: dict[str, str] = {}  # subscription id: ack mode
         self._unsent: deque[tuple[Waiter, JobAnswerBody]] = deque()
-        self._to_ack: dict[str, str] = {}  # ack id: subscription
+        self._to_ack: dict[str, str] = {}  # ack id: subscription id
         self.task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -97,15 +99,15 @@
             while going:
                 await self._wait_for_capacity()
                 frame = await self._wire.receive()
-                if self._held:  # not taken: no receipt goes out for it
+                if self._held:  # the frame is not accepted and gets no receipt
                     await self._wait_for_capacity()
                 going = self._take(frame)
         except FrameError as bad:
             self._complain(bad)
         except OSError:
-            lost = True  # the client is gone, or fell silent
+            lost = True  # the client disconnected, or its heart-beats timed out
         except asyncio.CancelledError:
-            pass  # its writer broke, or this program stops
+            pass  # the writer failed, the session was evicted, or the scheduler is stopping
         finally:
             self._front.gone(self)
             self._wire.finish()
@@ -119,11 +121,13 @@
             self._wire.close()
 
     async def _wait_for_capacity(self) -> None:
-        """While frames wait unread, the end of their client stands behind them: it is looked for.  OSError
-        where it has come."""
+        """Wait until the session may read its next frame.
+
+        The connection is checked for a disconnect meanwhile, because reading would detect it only behind the
+        unread frames.  Raises OSError if the client has disconnected."""
         while self._held or not self._has_capacity.is_set():
             if self._wire.left():
-                raise ConnectionResetError("the client has left")
+                raise ConnectionResetError("the client has disconnected")
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LOOK_S):
                     await (asyncio.Event() if self._held else self._has_capacity).wait()
@@ -133,29 +137,31 @@
             self.task.cancel()
 
     def evict(self) -> bool:
-        """Make room for another, where the client has had time to introduce itself and has not."""
+        """Close the session if it had no valid CONNECT frame for YOUNG_S; return whether it was closed."""
         if self._connected or self.task is None or time.monotonic_ns() - self._accepted_ns < YOUNG_S * 1e9:
             return False
         self.task.cancel()
         return True
 
     def hold(self) -> None:
-        """Take no more frames; what is taken is answered still."""
+        """Stop accepting frames; accepted frames are still answered."""
         self._held = True
 
     def stop(self) -> None:
-        """Say that this program stops and end the session."""
-        self._wire.put(Frame("ERROR", {"message": "this scheduler stops; connect again"}))
+        """Send an ERROR that announces the shutdown, and end the session."""
+        self._wire.put(Frame("ERROR", {"message": "the scheduler is shutting down; connect again"}))
         if self.task is not None:
             self.task.cancel()
 
     def answer(self, waiter: Waiter, answer: JobAnswerBody) -> None:
-        """Give one frame its answer."""
+        """Send the answer to a frame, or keep it until the client subscribes."""
         self.waiting.pop(waiter, None)
         if not self._subscriptions:
             self._unsent.append((waiter, answer))
             if len(self._unsent) > MOST_UNSENT:
-                self._complain(FrameError(f"answers wait, but nothing is subscribed to {ANSWERS}"))
+                self._complain(
+                    FrameError(f"too many answers are waiting without a subscription to {ANSWERS}")
+                )
                 if self.task is not None:
                     self.task.cancel()
             return
@@ -175,12 +181,12 @@
         if ack != "auto":
             headers["ack"] = number
             self._to_ack[number] = subscription
-            while len(self._to_ack) > MOST_UNSENT:  # acks are a courtesy: the ledger keeps the answer anyway
+            while len(self._to_ack) > MOST_UNSENT:  # acks have no effect: the ledger keeps the answer anyway
                 del self._to_ack[next(iter(self._to_ack))]
         self._wire.put(Frame("MESSAGE", headers, answer.result))
 
     def counted(self, change: int) -> None:
-        """Jobs in flight: when there are too many, the client's next frames wait unread."""
+        """Change the number of jobs in flight; at MOST_OPEN, the session stops reading frames."""
         self.open_jobs += change
         if self.open_jobs < MOST_OPEN:
             self._has_capacity.set()
@@ -199,7 +205,9 @@
         if frame.command not in ("CONNECT", "STOMP"):
             raise FrameError("CONNECT must come first")
         if "1.2" not in frame.headers.get("accept-version", "1.0").split(","):
-            self._wire.put(Frame("ERROR", {"version": "1.2", "message": "only version 1.2 is spoken here"}))
+            self._wire.put(
+                Frame("ERROR", {"version": "1.2", "message": "only STOMP version 1.2 is supported"})
+            )
             raise ConnectionAbortedError
         frame.need("host")
         self.identity = _printable(frame, "login", frame.need("login"))
@@ -219,20 +227,22 @@
         self._connected = True
 
     def _take(self, frame: Frame) -> bool:
-        """Act on one frame; whether the session goes on."""
+        """Handle one frame; return whether the session continues."""
         receipt, headers = frame.headers.get("receipt", ""), frame.headers
         match frame.command:
             case "SEND":
                 self._send(frame)
-                return True  # its receipt has to come before the answer
+                return True  # _send writes the receipt itself, because the receipt must precede the answer
             case "SUBSCRIBE":
                 if frame.need("destination") != ANSWERS:
-                    raise FrameError(f"there are only answers to subscribe to, at {ANSWERS}", receipt)
+                    raise FrameError(f"the only destination for subscriptions is {ANSWERS}", receipt)
                 name, ack = frame.need("id"), headers.get("ack", "auto")
                 if ack not in ("auto", "client", "client-individual"):
                     raise FrameError("ack must be auto, client or client-individual", receipt)
                 if name in self._subscriptions or len(self._subscriptions) >= MOST_SUBSCRIPTIONS:
-                    raise FrameError("this subscription stands already, or there are too many", receipt)
+                    raise FrameError(
+                        "the subscription id is in use, or there are too many subscriptions", receipt
+                    )
                 self._subscriptions[name] = ack
             case "UNSUBSCRIBE":
                 if self._subscriptions.pop(frame.need("id"), None) is None:
@@ -240,13 +250,13 @@
             case "ACK" | "NACK":
                 subscription = self._to_ack.pop(frame.need("id"), None)
                 if subscription is None:
-                    raise FrameError("nothing waits for this acknowledgement", receipt)
+                    raise FrameError("no message has this ack id", receipt)
             case "DISCONNECT":
                 if receipt:
                     self._wire.put(Frame("RECEIPT", {"receipt-id": receipt}))
                 return False
             case "CONNECT" | "STOMP":
-                raise FrameError("the session is connected already", receipt)
+                raise FrameError("the session is already connected", receipt)
             case _:
                 raise FrameError("transactions are not supported", receipt)
         if receipt:
@@ -258,19 +268,19 @@
     def _send(self, frame: Frame) -> None:
         receipt = frame.headers.get("receipt", "")
         if frame.need("destination") != JOBS:
-            raise FrameError(f"jobs go to {JOBS}", receipt)
+            raise FrameError(f"jobs must be sent to {JOBS}", receipt)
         if "transaction" in frame.headers:
             raise FrameError("transactions are not supported", receipt)
         job_id = _printable(frame, "job-id", frame.need("job-id"))
         name = frame.need("job-class")
         if name not in self._front.classes:
-            raise FrameError("job-class is unknown", receipt)
+            raise FrameError("unknown job-class", receipt)
         subject = _printable(frame, "subject", frame.headers.get("subject", f"/jobs/{job_id}"))
         if not subject.startswith("/"):
             raise FrameError("subject must begin with /", receipt)
         repeat_key = _printable(frame, "repeat-key", frame.headers.get("repeat-key", ""))
         if not repeat_key and self._front.classes[name].effect is Effect.KEYED:
-            raise FrameError("this job-class needs a repeat-key", receipt)
+            raise FrameError("this job-class requires a repeat-key", receipt)
         now = time.monotonic_ns()
         job = ClientJob(
             job_id,
@@ -294,7 +304,7 @@
 
 
 class StompClients:
-    """Accepts clients and keeps the ledger that all their sessions share."""
+    """Accepts client connections and holds the job ledger that all sessions share."""
 
     def __init__(
         self,
@@ -315,23 +325,23 @@
             round(config.unsafe_window_s * 1e9),
             round(config.keep_s * 1e9),
         )
-        self._sessions: dict[StompClientSession, None] = {}  # the oldest first
+        self._sessions: dict[StompClientSession, None] = {}  # ordered from the oldest to the newest
         self._numbers = itertools.count(1)
         self._open: set[JobTableEntry] = set()
         self._none_open = asyncio.Event()
         self._none_open.set()
 
     def next_number(self) -> int:
-        """A number for a message or a session."""
+        """Return a unique number for a message or a session."""
         return next(self._numbers)
 
     async def accept(self) -> None:
-        """Accept until cancelled."""
+        """Accept connections until the task is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             try:
                 sock, _ = await loop.sock_accept(self._listener)
-            except OSError as wrong:  # out of descriptors
+            except OSError as wrong:  # out of file descriptors
                 self.log.error("accept-failed", str(wrong))
                 self._free_connection()
                 await asyncio.sleep(0.05)
@@ -347,7 +357,9 @@
             session.task.add_done_callback(partial(self._over, session))
 
     def _free_connection(self) -> bool:
-        """Those that connect and say nothing must not shut out the clients that have jobs."""
+        """Evict the oldest session without a CONNECT frame; return False if there is none.
+
+        Silent connections must not keep out clients that have jobs."""
         silent = next((s for s in self._sessions if s.evict()), None)
         if silent is not None:
             self._over(silent)
@@ -357,7 +369,10 @@
         self._sessions.pop(session, None)
 
     def take(self, waiter: Waiter, job: ClientJob, resend: bool, taken: Callable[[], None] | None) -> None:
-        """Look a sent job up in the ledger and see that its frame gets one answer."""
+        """Look up a sent job in the ledger and either run it, join the running job, or answer the frame.
+
+        `taken`, if set, sends the receipt and is called before any answer.  Raises FrameError if the job id
+        conflicts with another job."""
         effect = self.classes[job.job_class].effect
         mark = fingerprint(job.job_class, job.subject, job.repeat_key, job.body)
         key = (waiter.session.identity, job.job_id)
@@ -366,7 +381,7 @@
             raise FrameError("this job-id belongs to another job", waiter.receipt)
         if finding is ResendState.NEW and not self._ids.claim(job.job_id, again=True):
             self.job_table.forget(key)
-            raise FrameError("another client has this job-id open", waiter.receipt)
+            raise FrameError("another client has an open job with this job-id", waiter.receipt)
         if taken is not None:
             taken()
         if entry is None:
@@ -381,9 +396,8 @@
         waiter.session.counted(1)
         if finding is ResendState.JOINED:
             return
-        if (
-            finding is ResendState.UNKNOWN
-        ):  # after a restart nobody knows whether it ran: it must not run again
+        # After a restart the ledger cannot show whether the job ran, so the job must not run again.
+        if finding is ResendState.UNKNOWN:
             self.log.notice("resend-unknown", "a resent job is not in the ledger", job=job.job_id)
             self._answered(entry, JobAnswerBody(Verdict.FAILED))
             return
@@ -395,8 +409,10 @@
         self._post(JobTaken(job))
 
     def gone(self, session: StompClientSession) -> None:
-        """A session ended.  Nothing new begins for it.  A job that must not run twice and is out runs on, and
-        its answer waits for the resend."""
+        """Handle the end of a session.
+
+        No new attempts start for its jobs.  A job that must not run twice and is already at a node runs to
+        its end, and the ledger keeps the answer for a resend."""
         for waiter, entry in session.waiting.items():
             entry.waiters.remove(waiter)
             if entry.waiters or entry.job is None:
@@ -424,7 +440,7 @@
             self._none_open.set()
 
     async def drain(self, accepting: asyncio.Task[None]) -> None:
-        """Take what still comes for a moment; then no more frames are read, and what is taken is answered."""
+        """Accept frames for a short time more, then answer the accepted jobs and end all sessions."""
         await asyncio.sleep(DRAIN_ACCEPT_S)
         accepting.cancel()
         self._listener.close()
--- a/hollowusher/scheduler/fronts/stomp/frames.py
+++ b/hollowusher/scheduler/fronts/stomp/frames.py
@@ -1,4 +1,4 @@
-"""STOMP 1.2 frames: parsing however the bytes are cut, and writing, with the escapes of the specification."""
+"""STOMP 1.2 frames: incremental parsing, encoding, and the header escapes of the specification."""
 
 from __future__ import annotations
 
@@ -25,14 +25,16 @@
     )
 )
 FROM_SERVER = frozenset(("CONNECTED", "MESSAGE", "RECEIPT", "ERROR"))
-_BARE = frozenset(("CONNECT", "CONNECTED"))  # not escaped, for the sake of 1.0 peers
+_BARE = frozenset(("CONNECT", "CONNECTED"))  # headers are not escaped, for compatibility with STOMP 1.0
 _WITH_BODY = frozenset(("SEND", "MESSAGE", "ERROR"))
 _ESCAPES = {"\\": "\\\\", "\r": "\\r", "\n": "\\n", ":": "\\c"}
 _MEANT = {"\\": "\\", "r": "\r", "n": "\n", "c": ":"}
 
 
 class FrameError(Exception):
-    """What came is no frame, or a frame that asks for what cannot be; the text goes back in an ERROR."""
+    """The peer sent an invalid frame or an invalid request; the text is sent back in an ERROR frame.
+
+    `receipt` is the receipt header of the frame, if it has one."""
 
     def __init__(self, why: str, receipt: str = "") -> None:
         super().__init__(why)
@@ -41,14 +43,14 @@
 
 @dataclass(slots=True)
 class Frame:
-    """A command, its headers, its body."""
+    """A STOMP frame."""
 
     command: str
     headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     def need(self, header: str) -> str:
-        """A header that must be there."""
+        """Return a required header.  Raises FrameError if it is missing or empty."""
         value = self.headers.get(header, "")
         if not value:
             raise FrameError(f"{self.command} lacks the header {header}", self.headers.get("receipt", ""))
@@ -66,20 +68,20 @@
     for c in characters:
         if c == "\\":
             meant = _MEANT.get(next(characters, ""))
-            if meant is None:  # the specification makes any other escape fatal
-                raise FrameError("an escape that is not defined")
+            if meant is None:  # the specification requires a fatal error for any other escape
+                raise FrameError("undefined escape sequence in a header")
             c = meant
         out.append(c)
     return "".join(out)
 
 
 def encode(frame: Frame) -> bytes:
-    """The frame's head, up to where its body begins; the body and a NUL follow."""
+    """Return the encoded command and headers of a frame, including the blank line before the body."""
     plain = frame.command in _BARE
     lines = [frame.command]
     for name, value in frame.headers.items():
         if plain and ("\n" in value or "\r" in value):
-            raise ValueError("a header of this frame cannot hold a line end")
+            raise ValueError("a header of a CONNECT or CONNECTED frame contains a line end")
         lines.append(f"{name}:{value}" if plain else f"{_escape(name)}:{_escape(value)}")
     if frame.command in _WITH_BODY:
         lines.append(f"content-length:{len(frame.body)}")
@@ -87,28 +89,30 @@
 
 
 class FrameReader:
-    """Takes bytes as they come; whole frames stand in `ready`.  Line ends between frames are heart-beats."""
+    """Incremental frame parser; `ready` holds the complete frames.
+
+    Line ends between frames are heart-beats and are skipped."""
 
     def __init__(self, commands: Collection[str]) -> None:
         self.ready: deque[Frame] = deque()
         self._commands = commands
-        self._held = bytearray()  # of the frame that is coming in, never more than a head and a body
+        self._held = bytearray()  # unparsed data; the limits of header section and body bound its size
         self._head: Frame | None = None
         self._length: int | None = None
 
     @property
     def begun(self) -> bool:
-        """Whether a frame has come in part."""
+        """Whether a frame has arrived in part."""
         return self._head is not None or bool(self._held)
 
     def feed(self, data: memoryview | bytes) -> None:
-        """Take bytes; FrameError where they break the specification or a limit."""
+        """Parse received data.  Raises FrameError if it violates the specification or a limit."""
         self._held += data
         while self._read_head() and self._read_body():
             pass
 
     def _read_head(self) -> bool:
-        """Whether the frame under way has its head."""
+        """Parse the header section of the next frame; return whether it is complete."""
         if self._head is not None:
             return True
         held, start = self._held, 0
@@ -120,9 +124,9 @@
         ends = [(at, at + len(mark)) for mark in (b"\n\n", b"\n\r\n") if (at := held.find(mark)) >= 0]
         end, after = min(ends, default=(len(held), 0))
         if held.find(0, 0, end) >= 0:
-            raise FrameError("a frame ended inside its head")
+            raise FrameError("a frame ended before its header section was complete")
         if end > MOST_HEAD:
-            raise FrameError("the head of a frame is too large")
+            raise FrameError("the header section of a frame is too large")
         if not ends:
             return False
         self._head = self._parse_head(bytes(held[:end]))
@@ -134,19 +138,19 @@
         try:
             lines = [line.removesuffix("\r") for line in head.decode().split("\n")]
         except UnicodeDecodeError:
-            raise FrameError("a head that is not UTF-8") from None
+            raise FrameError("the header section is not valid UTF-8") from None
         command, headers = lines[0], dict[str, str]()
         if command not in self._commands:
-            raise FrameError("a command that is not known here")
+            raise FrameError("unknown command")
         if len(lines) > MOST_HEADERS:
             raise FrameError("too many headers")
         for line in lines[1:]:
             name, sep, value = line.partition(":")
             if not sep or not name or "\r" in line:
-                raise FrameError("a header line that cannot be read")
+                raise FrameError("malformed header line")
             if command not in _BARE:
                 name, value = _unescape(name), _unescape(value)
-            headers.setdefault(name, value)  # where a header is repeated, the first one counts
+            headers.setdefault(name, value)  # the first of repeated headers applies, by the specification
         return Frame(command, headers)
 
     def _read_length(self, head: Frame) -> int | None:
@@ -160,7 +164,7 @@
         return int(text)
 
     def _read_body(self) -> bool:
-        """Whether the frame under way has become whole."""
+        """Read the body of the current frame; return whether the frame is complete."""
         head, held, length = self._head, self._held, self._length
         assert head is not None
         receipt = head.headers.get("receipt", "")
@@ -173,10 +177,10 @@
         elif len(held) <= length:
             return False
         if held[length] != 0:
-            raise FrameError("a body does not end where its content-length says", receipt)
+            raise FrameError("the body does not end at its content-length", receipt)
         head.body = bytes(held[:length])
         if head.body and head.command not in _WITH_BODY:
-            raise FrameError(f"{head.command} has no body", receipt)
+            raise FrameError(f"{head.command} must not have a body", receipt)
         del held[: length + 1]
         self._head = None
         self.ready.append(head)
--- a/hollowusher/scheduler/fronts/stomp/front.py
+++ b/hollowusher/scheduler/fronts/stomp/front.py
@@ -1,4 +1,4 @@
-"""Both halves of the STOMP front, put together; imported only where the settings enable it."""
+"""Sets up the STOMP front for clients and route nodes; imported only if the settings enable it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StompFront:
-    """Both halves of the front, where the settings file enables it."""
+    """The component that runs the STOMP front: the server for clients and the connections to route nodes."""
 
     name = "stomp"
 
@@ -47,7 +47,7 @@
         self.clients = StompClients(listen(stomp.listen), classes, stomp, max_wait_ns, ids, post, log)
 
     def follow(self, classes: Mapping[str, JobClass]) -> None:
-        """These classes are taken from now on; jobs that are open keep theirs."""
+        """Replace the job classes for new jobs; open jobs keep their class."""
         self.clients.classes = classes
 
     async def start(self) -> None:
@@ -56,13 +56,13 @@
         self._accepting = asyncio.create_task(self.clients.accept())
 
     async def drain(self) -> None:
-        """Take what still comes for a moment; return once it is answered."""
+        """Accept frames for a short time more; return when every accepted job is answered."""
         await self.clients.drain(self._accepting)
 
     async def stop(self) -> None:
-        """End the connections to the nodes."""
+        """Close the connections to the nodes."""
         await self.nodes.close()
 
     def report(self) -> Mapping[str, object]:
-        """The route nodes that are reached by STOMP."""
+        """Return the names of the STOMP route nodes."""
         return {"nodes": [node.name for node in self._listed]}
--- a/hollowusher/scheduler/fronts/stomp/job_table.py
+++ b/hollowusher/scheduler/fronts/stomp/job_table.py
@@ -1,7 +1,7 @@
-"""The job ledger: what clients have asked for, so that asking again never runs a job twice.
+"""The job ledger: records the jobs of STOMP clients, so that a resent job never runs twice.
 
-Entries are kept under the client's identity and its job id.  One that protects an unsafe job stays for
-its stated window after the answer, however full the ledger is; when there is no room, new jobs are refused.
+The key of an entry is the client's login and the job id.  The entry of an unsafe job is kept for its
+configured window after the answer, even if the ledger is full.  A full ledger rejects new jobs.
 """
 
 from __future__ import annotations
@@ -15,42 +15,42 @@
 from hollowusher.balancing.interface import Effect
 from hollowusher.scheduler.dispatch.model import ClientJob, JobAnswerBody, Verdict
 
-ENTRY_BYTES = 768  # what an entry takes besides its texts and its answer
+ENTRY_BYTES = 768  # memory of an entry without its key, its job body and its answer
 
 
 class ResendState(Enum):
-    """What the ledger says of a job that is sent."""
+    """Result of looking up a sent job in the ledger."""
 
-    NEW = "new"
-    JOINED = "joined"  # the job is in flight: this frame waits for its answer
-    KEPT = "kept"  # the answer is here
-    CONFLICT = "conflict"  # the id belongs to another job
-    UNKNOWN = "unknown"  # a resend that must not run, since nobody knows whether the first one did
-    FULL = "full"
+    NEW = "new"  # the job is new and was entered
+    JOINED = "joined"  # the job is in flight, and the frame waits for its answer
+    KEPT = "kept"  # the ledger has the answer
+    CONFLICT = "conflict"  # the id belongs to a job with other content
+    UNKNOWN = "unknown"  # a resent unsafe job without an entry: it may have run, so it must not run now
+    FULL = "full"  # the ledger has no room for the job
 
 
 @dataclass(eq=False, slots=True)
 class JobTableEntry:
-    """One job of one client."""
+    """One job of one client, its answer once known, and the frames that wait for the answer."""
 
     key: tuple[str, str]
     fingerprint: bytes
     effect: Effect
-    body_bytes: int  # what the job itself takes while it is open
+    body_bytes: int  # size of the job's body, which is kept while the job is open
     job: ClientJob | None = None
     answer: JobAnswerBody | None = None
     ended_ns: int = 0
-    waiters: list[Any] = field(default_factory=list)  # the frames that are owed this answer
+    waiters: list[Any] = field(default_factory=list)  # the frames that wait for this answer
 
     @property
     def weight(self) -> int:
-        """Bytes that it counts for."""
+        """Bytes that the entry contributes to the size of the ledger."""
         size = ENTRY_BYTES + len(self.key[0]) + len(self.key[1])
         return size + (len(self.answer.result) if self.answer else self.body_bytes)
 
 
 def fingerprint(job_class: str, subject: str, repeat_key: str, body: bytes) -> bytes:
-    """What makes two jobs the same job."""
+    """Return a hash of a job's content; frames with equal fingerprints send the same job."""
     digest = hashlib.sha256()
     for part in (job_class.encode(), subject.encode(), repeat_key.encode(), body):
         digest.update(len(part).to_bytes(8, "big") + part)
@@ -58,7 +58,10 @@
 
 
 class JobTable:
-    """Entries, bounded in count and bytes."""
+    """The entries of the ledger, limited in count and bytes.
+
+    The entry of an answered job expires after `unsafe_window_ns` if its class is unsafe, otherwise after
+    `keep_ns`."""
 
     def __init__(self, most_jobs: int, most_bytes: int, unsafe_window_ns: int, keep_ns: int) -> None:
         self._most_jobs, self._most_bytes = most_jobs, most_bytes
@@ -73,7 +76,10 @@
     def find(
         self, key: tuple[str, str], mark: bytes, effect: Effect, body_bytes: int, resend: bool, now: int
     ) -> tuple[ResendState, JobTableEntry | None]:
-        """Look a job up, and enter it where it is new."""
+        """Look up a job by its key and fingerprint (`mark`), and enter it if it is new and there is room.
+
+        `resend` is the client's flag that it may have sent the job before.  Returns the state and the entry;
+        the entry is None if the state is FULL."""
         self._expire(now)
         entry = self._entries.get(key)
         if entry is not None and entry.fingerprint != mark:
@@ -83,7 +89,7 @@
         if entry is not None and entry.answer is not None:
             if resend or entry.answer.verdict is not Verdict.REFUSED:
                 return ResendState.KEPT, entry
-            # It was refused, so it never ran: asked anew, it is a new job.
+            # The job was rejected and never ran, so a repeated request is a new job.
             self.remove(entry)
         if not self._forget_answered():
             return ResendState.FULL, None
@@ -92,22 +98,22 @@
         return (ResendState.UNKNOWN if resend and effect is Effect.UNSAFE else ResendState.NEW), entry
 
     def answered(self, entry: JobTableEntry, answer: JobAnswerBody, now: int) -> None:
-        """The job has its final answer, which is kept from now on for the window of its class."""
+        """Store the final answer of a job and start the time window of its entry."""
         if self._entries.get(entry.key) is not entry:
-            return  # its client had gone, and it was forgotten before this answer
+            return  # the entry was removed because its client had disconnected
         self.bytes -= entry.weight
         entry.job, entry.answer, entry.ended_ns = None, answer, now
         self.bytes += entry.weight
         self._ended[entry.effect].append(entry)
 
     def remove(self, entry: JobTableEntry) -> None:
-        """Forget an entry."""
+        """Remove an entry if it is still in the ledger."""
         if self._entries.get(entry.key) is entry:
             del self._entries[entry.key]
             self.bytes -= entry.weight
 
     def forget(self, key: tuple[str, str]) -> None:
-        """The job that was just entered is not taken after all."""
+        """Remove the entry of a job that was not accepted after its lookup."""
         self.remove(self._entries[key])
 
     def _expire(self, now: int) -> None:
@@ -116,7 +122,7 @@
                 self.remove(ended.popleft())
 
     def _forget_answered(self) -> bool:
-        """Room for one more entry, if need be at the cost of answers to jobs that are safe to repeat."""
+        """Return whether there is room for one more entry; make room by removing answers of SAFE jobs."""
         safe = self._ended[Effect.SAFE]
         while self._full() and safe:
             self.remove(safe.popleft())
--- a/hollowusher/scheduler/fronts/stomp/nodes.py
+++ b/hollowusher/scheduler/fronts/stomp/nodes.py
@@ -1,7 +1,7 @@
-"""Route nodes that speak STOMP: each is a server that this program connects to and sends jobs.
+"""Attempts and probes at route nodes that run a STOMP server.
 
-One connection a node carries all its jobs; each attempt has a name of its own, under which the node
-reports.  docs/stomp.md has the destinations and headers.
+The scheduler opens one connection to each node for all its jobs.  Each attempt has a unique name, which the
+node repeats in its reports.  docs/stomp.md lists the destinations and headers.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(eq=False, slots=True)
 class _UnderWay:
-    """An attempt at a node and where it stands."""
+    """An attempt at a node: `written` and `withdrawn` are its state, `ending` receives its result."""
 
     order: Dispatch
     ending: asyncio.Future[AttemptEnding]
@@ -47,12 +47,12 @@
     withdrawn: bool = False
 
     def end(self, ending: AttemptEnding) -> None:
-        """The first ending counts."""
+        """Set the result of the attempt; later calls have no effect."""
         if not self.ending.done():
             self.ending.set_result(ending)
 
     def fate(self, fate: Fate) -> None:
-        """What became of its frame: only one that is written to the last byte may have run."""
+        """Handle the final state of the job's frame: the job can have run only if the frame was written."""
         if fate is Fate.WRITTEN:
             self.written = True
         else:
@@ -61,7 +61,7 @@
 
 @dataclass(eq=False, slots=True)
 class _Session:
-    """One connection to a node."""
+    """One connection to a node, with its tasks and the attempts and probes that wait for reports."""
 
     wire: StompLink
     ended: asyncio.Event = field(default_factory=asyncio.Event)
@@ -71,7 +71,7 @@
 
 
 class StompNodes:
-    """Carries attempts and probes to STOMP nodes, and tells the roster of their drains and starts."""
+    """Runs attempts and probes at STOMP nodes; reports their drains and starts to the worker registry."""
 
     def __init__(
         self,
@@ -88,13 +88,12 @@
         self._sessions: dict[int, _Session] = {}
         self._keepers: list[asyncio.Task[None]] = []
         self._opening: dict[int, asyncio.Task[_Session]] = {}
-        liveness = (
-            f"{name}-{time.time_ns():x}"  # a node must not take a new life's attempts for the old one's
-        )
+        # Unique per start of this process: a node must not confuse its attempts with those before a restart.
+        liveness = f"{name}-{time.time_ns():x}"
         self._names = (f"{liveness}-{n}" for n in itertools.count())
 
     def start(self, nodes: Iterable[RouteNode]) -> None:
-        """Keep a connection to each node, so that its drain and its return are heard of."""
+        """Keep a connection to each node, to receive its state reports; reconnect with backoff."""
         self._keepers = [asyncio.create_task(self._keep(node)) for node in nodes]
 
     async def _keep(self, node: RouteNode) -> None:
@@ -108,7 +107,7 @@
             wait_s = min(RECONNECT_MOST_S, 2 * wait_s)
 
     async def attempt(self, order: Dispatch, node: RouteNode) -> None:
-        """One attempt, of which the desk is told the ending in every case."""
+        """Run one attempt; always post its result to the dispatcher."""
         name = next(self._names)
         under_way = _UnderWay(order, asyncio.get_running_loop().create_future())
         left_ns = order.job.deadline_ns - time.monotonic_ns()
@@ -122,9 +121,10 @@
                 session.wire.put_out(
                     OutgoingFrame(
                         self._job_frame(name, order),
-                        # Asked just before the first byte: while the connection came up or other frames were
-                        # written the node may have begun to drain, the desk have withdrawn the attempt, the
-                        # client have left, or the window of a repeat have run out.
+                        # Called just before the first byte: while the connection was opened or other frames
+                        # were written, the node may have started to drain, the dispatcher may have cancelled
+                        # the attempt, the client may have disconnected, or the time window of a retry may
+                        # have passed.
                         lambda: (
                             self._registry.serving(order.attempt.node)
                             and not under_way.withdrawn
@@ -139,7 +139,7 @@
         except (OSError, FrameError) as wrong:
             self._log.info("node-unreachable", str(wrong), node=node.name)
         except asyncio.CancelledError:
-            # Its frame may be half written, and is then finished: it may run all the same.
+            # A partly written frame is still completed, so the node may run the job.
             ending = AttemptEnding(Outcome.CANCELLED if session is not None else Outcome.NOT_SENT)
         under_way.withdrawn = True
         if session is not None:
@@ -149,7 +149,7 @@
         self._post(AttemptEnded(order.attempt, ending.outcome, ending.reading, ending.result))
 
     async def probe(self, node: RouteNode) -> None:
-        """Ask a node for its load."""
+        """Request a node's load report; always post the result to the dispatcher."""
         number, name, answer = node.entry.worker, next(self._names), None
         with contextlib.suppress(OSError, FrameError):
             async with asyncio.timeout(PROBE_TIMEOUT_S):
@@ -164,10 +164,10 @@
         self._post(NodeProbed(number, answer is not None, reading))
 
     def leaving(self, number: int) -> None:
-        """Its one connection stays: on it the node tells of its drain and its return."""
+        """Do nothing: the connection stays open, because the node reports its drain and its return on it."""
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         tasks: list[asyncio.Task[Any]] = [*self._keepers, *self._opening.values()]
         tasks += [s.tasks[1] for s in self._sessions.values()]
         for task in tasks:
@@ -190,7 +190,7 @@
         return Frame("SEND", headers, job.body)
 
     async def _session(self, node: RouteNode) -> _Session:
-        """The connection to a node; those who need it while it comes up share the wait."""
+        """Return the connection to a node and open it if necessary; concurrent callers share one opening."""
         number = node.entry.worker
         if (session := self._sessions.get(number)) is not None:
             return session
@@ -232,7 +232,7 @@
         return session
 
     async def _listen(self, node: RouteNode, session: _Session) -> None:
-        """Take what the node reports until its connection ends, and end what was under way there."""
+        """Handle the node's reports until its connection ends, then end the attempts that are still open."""
         number, why = node.entry.worker, "the connection ended"
         try:
             while True:
@@ -246,7 +246,7 @@
         except OSError as wrong:
             why = str(wrong) or type(wrong).__name__
         except asyncio.CancelledError:
-            pass  # the writer broke, or this program stops
+            pass  # the writer failed, or the scheduler is stopping
         finally:
             if self._sessions.get(number) is session:
                 del self._sessions[number]
@@ -254,13 +254,13 @@
             self._log.warning("node-lost", "the connection to a node broke", node=node.name, why=why)
             session.tasks[0].cancel()
             with contextlib.suppress(asyncio.CancelledError, OSError):
-                await session.tasks[0]  # it tells the frames that it has not written
+                await session.tasks[0]  # the writer reports the frames that it has not written
             session.wire.close()
             for under_way in list(session.attempts.values()):
                 under_way.end(AttemptEnding(Outcome.RESET if under_way.written else Outcome.UNREACHABLE))
 
     def _report(self, number: int, session: _Session, frame: Frame) -> None:
-        """One report: of an attempt, of a probe, or of the node itself."""
+        """Handle one report, which belongs to a probe, to an attempt or to the node itself."""
         headers = frame.headers
         state = headers.get("state", "")
         if (waiting := session.probes.get(headers.get("probe", ""))) is not None:
@@ -269,7 +269,7 @@
         elif "attempt" in headers:
             under_way = session.attempts.get(headers["attempt"])
             if under_way is None:
-                return  # late news of an attempt that is closed
+                return  # a late report of an attempt that has ended
             attempt = under_way.order.attempt
             if state == "started":
                 self._post(AttemptStarted(attempt))
@@ -283,7 +283,9 @@
             self._reported(number, state=_STATES[state])
 
     def _greeted(self, number: int, hello: Frame) -> None:
-        """A node says when it started, so that a cold one is spared, and whether it drains."""
+        """Pass the start time and the state in a node's CONNECTED frame to the worker registry.
+
+        The start time lets the scheduler send less load to a node that is still cold."""
         started_ns = 0
         with contextlib.suppress(ValueError):
             started_ms = float(hello.headers.get("started-ms", "0"))
--- a/hollowusher/scheduler/fronts/stomp/settings.py
+++ b/hollowusher/scheduler/fronts/stomp/settings.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StompNode:
-    """A route node that speaks STOMP, as the file lists it."""
+    """A route node that speaks STOMP, as the settings file defines it."""
 
     name: str
     address: tuple[str, int]
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StompConfig:
-    """The STOMP front: where it listens, its limits, its route nodes."""
+    """The settings of the STOMP front: address, limits and route nodes."""
 
     enabled: bool = False
     listen: tuple[str, int] = ("127.0.0.1", 61613)
@@ -51,51 +51,53 @@
     "The STOMP front (docs/stomp.md). Off on the platform.",
     (
         Directive("enabled", switch(), _BASE.enabled, "whether the front runs"),
-        Directive("listen", address(), _BASE.listen, "where clients connect"),
+        Directive("listen", address(), _BASE.listen, "address on which clients connect"),
         Directive(
             "heart-beat",
             span(0, 600),
             _BASE.heart_beat_ms / 1000,
-            "the longest silence either side promises; 0: none",
+            "heart-beat interval of both directions; 0 disables heart-beats",
         ),
-        Directive("most-clients", count(1, 400), _BASE.most_clients, "clients connected at a time"),
+        Directive("most-clients", count(1, 400), _BASE.most_clients, "maximum number of connected clients"),
         Directive(
             "ledger-jobs",
             count(1, 100_000),
             _BASE.ledger_jobs,
-            "jobs that the ledger remembers; when it is full, new jobs are refused",
+            "maximum number of jobs in the ledger; a full ledger rejects new jobs",
         ),
         Directive(
             "ledger-bytes",
             size(1 << 17, 64 << 20),
             _BASE.ledger_bytes,
-            "bytes of answers and fingerprints that it remembers",
+            "maximum size of the ledger: answers, open jobs and the overhead of each entry",
         ),
         Directive(
             "unsafe-window",
             span(1, 86_400),
             _BASE.unsafe_window_s,
-            "how long the entry of a job that must not run twice is kept after its answer",
+            "how long the ledger keeps a job that must not run twice after its answer",
+        ),
+        Directive(
+            "keep", span(1, 86_400), _BASE.keep_s, "how long the ledger keeps any other job after its answer"
         ),
-        Directive("keep", span(1, 86_400), _BASE.keep_s, "and one of any other class"),
     ),
 )
 STOMP_NODE = Section(
     "stomp-node",
     "A route node that speaks STOMP; the title is its name.",
     (
-        Directive("address", address(), None, "where the node listens", needed=True),
+        Directive("address", address(), None, "address on which the node listens", needed=True),
         Directive("zone", word(), "", "the node's zone"),
         Directive("kind", word(), "", "its machine kind"),
         Directive("cell", count(0, 1_000_000), 0, "its rack"),
-        Directive("size", number(0.001, 1_000_000), 1.0, "its size beside the others'"),
+        Directive("size", number(0.001, 1_000_000), 1.0, "its size relative to the other nodes"),
     ),
     titled=True,
 )
 
 
 def read_stomp(sheet: Sheet) -> StompConfig:
-    """The front's settings."""
+    """Return the settings of the STOMP front from the settings file."""
     own = sheet.one(STOMP)
     return StompConfig(
         enabled=own["enabled"],
--- a/hollowusher/scheduler/fronts/stomp/wire.py
+++ b/hollowusher/scheduler/fronts/stomp/wire.py
@@ -1,4 +1,4 @@
-"""A STOMP connection, whichever side it is of: frames in, frames out in order, heart-beats both ways."""
+"""A STOMP connection for client or server: receives frames, writes a queue of frames, keeps heart-beats."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 from hollowusher.scheduler.fronts.stomp.frames import Frame, FrameError, FrameReader, encode
 from hollowusher.scheduler.net.link import Link
 
-WRITE_S = 10.0  # how long the other side may take to read one frame
-HEARTBEAT_GRACE = 2.0  # times the promised span that the other side may be silent: its beats may come late
+WRITE_S = 10.0  # timeout for writing one frame to a peer that reads slowly
+# A peer times out after this multiple of its heart-beat interval, because heart-beats may arrive late.
+HEARTBEAT_GRACE = 2.0
 
 
 class Fate(Enum):
-    """What became of an outgoing frame."""
+    """The final state of an outgoing frame."""
 
     WRITTEN = "written"  # its last byte is written
     WITHHELD = "withheld"  # no byte of it was written
@@ -24,49 +25,63 @@
 
 @dataclass(slots=True)
 class OutgoingFrame:
-    """A frame on its way out; `may_go` is asked just before its first byte."""
+    """A frame in the write queue.
+
+    `may_go` is called just before the first byte; if it returns False, the frame is dropped.  `tell` is
+    called once with the frame's final state."""
 
     frame: Frame
     may_go: Callable[[], bool] | None = None
     tell: Callable[[Fate], None] | None = None
 
     def reported(self, fate: Fate) -> None:
-        """Tell whoever waits, once."""
+        """Pass the final state to the callback, once."""
         if self.tell is not None:
             tell, self.tell = self.tell, None
             tell(fate)
 
 
 def read_heartbeat(frame: Frame) -> tuple[int, int]:
-    """The heart-beat header: what the other side can do and what it wants, in milliseconds."""
+    """Parse the heart-beat header of CONNECT or CONNECTED.
+
+    Returns the intervals in milliseconds at which the peer can send heart-beats and wants to receive them.
+    Raises FrameError if the header is malformed."""
     text = frame.headers.get("heart-beat", "0,0")
     parts = text.split(",")
     if len(parts) != 2 or not all(p.isascii() and p.isdigit() and len(p) < 10 for p in parts):
-        raise FrameError("heart-beat must be two numbers")
+        raise FrameError("heart-beat must be two integers")
     return int(parts[0]), int(parts[1])
 
 
 class StompLink:
-    """Frames over one connection.  The writer is a task of its own, so a slow reader blocks nobody else."""
+    """Reads and writes frames on one connection.
+
+    `frame_s` is the timeout in seconds for receiving one frame.  `write` runs as a separate task, so that a
+    peer that reads slowly delays only its own connection."""
 
     def __init__(self, link: Link, commands: Collection[str], frame_s: float | None = None) -> None:
         self._link, self._frame_s = link, frame_s
         self._reader = FrameReader(commands)
         self._queue: asyncio.Queue[OutgoingFrame | None] = asyncio.Queue()
-        self._heartbeat_s: float | None = None  # we promise to write something this often
+        self._heartbeat_s: float | None = None  # interval of the heart-beats that this side sends
         self._begun_at = asyncio.get_running_loop().time()
-        self._idle_timeout_s: float | None = None  # and close when nothing comes for this long
+        self._idle_timeout_s: float | None = None  # the connection times out after this time without data
         self.ended = False
 
     def agree(self, ours_ms: int, theirs: tuple[int, int]) -> None:
-        """Settle the heart-beats by the specification: the larger of what one can and the other wants."""
+        """Set the heart-beat intervals by the specification.
+
+        Each direction uses the larger of the interval that the sender offers and the interval that the
+        receiver wants.  `ours_ms` is both for this side; `theirs` comes from `read_heartbeat`."""
         can, want = theirs
         self._heartbeat_s = max(ours_ms, want) / 1000 if ours_ms and want else None
         self._idle_timeout_s = HEARTBEAT_GRACE * max(can, ours_ms) / 1000 if can and ours_ms else None
 
     async def receive(self) -> Frame:
-        """The next frame; an OSError where the other side ended or fell silent, FrameError where one that was
-        begun does not come whole in time: half a frame must not hold a connection."""
+        """Return the next frame.
+
+        Raises OSError if the peer closed the connection or its heart-beats timed out.  Raises FrameError if
+        a frame is invalid or is not completed in time; a partial frame must not keep a connection open."""
         reader, loop = self._reader, asyncio.get_running_loop()
         while not reader.ready:
             patience, left, begun = self._idle_timeout_s, None, reader.begun
@@ -78,38 +93,38 @@
                     await self._link.pass_on(reader.feed)
             except TimeoutError:
                 if left is not None and patience == left:
-                    raise FrameError("the frame did not come in time") from None
+                    raise FrameError("the frame was not received in time") from None
                 raise
             if not begun:
                 self._begun_at = loop.time()
-        self._begun_at = loop.time()  # what has come of the next one may have come just now
+        self._begun_at = loop.time()  # a part of the next frame may just have arrived with this one
         return reader.ready.popleft()
 
     def left(self) -> bool:
-        """Whether the other side has ended the connection, also behind frames that nobody has received."""
+        """Return whether the peer has closed the connection, even if frames before the close are unread."""
         return self._link.ended()
 
     async def linger(self, most_s: float) -> None:
-        """End our sending, and give the other side time to read it."""
+        """Close the sending direction and give the peer up to `most_s` seconds to read the last frames."""
         await self._link.linger(most_s)
 
     def put(self, frame: Frame) -> None:
-        """Write a frame after those before it."""
+        """Add a frame to the write queue."""
         self.put_out(OutgoingFrame(frame))
 
     def put_out(self, out: OutgoingFrame) -> None:
-        """The same, for one whose fate matters."""
+        """Add a frame with callbacks to the write queue."""
         if self.ended:
             out.reported(Fate.BROKEN)
         else:
             self._queue.put_nowait(out)
 
     def finish(self) -> None:
-        """End the writer once all before this is written."""
+        """End `write` after all frames in the queue are written."""
         self._queue.put_nowait(None)
 
     async def write(self) -> None:
-        """Write what is put until told to finish; an OSError where the connection breaks."""
+        """Write queued frames and heart-beats until `finish`.  Raises OSError if the connection breaks."""
         out: OutgoingFrame | None = None
         try:
             while True:
