--- a/hollowusher/scheduler/fronts/common.py
+++ b/hollowusher/scheduler/fronts/common.py
@@ -12,14 +12,14 @@
 PROBE_TIMEOUT_S = 0.5
 # A new connection must deliver its first byte (HTTP) or its CONNECT frame (STOMP) within this time of its
 # accept.  Clients open a connection to use it at once.
-FIRST_S = 2.0
-REQUEST_S = 2.0  # timeout for receiving one complete request or frame
-MOST_BUDGET_S = 86_400.0
-MOST_CLOSED = 4_096  # number of closed job ids kept: a few minutes of traffic, at most 1 MB of memory
-MOST_NAME = 128  # maximum length of an id or a key, in characters
+FIRST_REQUEST_TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0  # timeout for receiving one complete request or frame
+MAX_BUDGET_S = 86_400.0
+MAX_CLOSED_IDS = 4_096  # number of closed job ids kept: a few minutes of traffic, at most 1 MB of memory
+MAX_ID_LENGTH = 128  # maximum length of an id or a key, in characters
 # Allowance for the network delay of a request: a client counts its budget from the moment it sends.
-TRAVEL_NS = 2_000_000
-_MEANINGS = {
+NETWORK_DELAY_NS = 2_000_000
+_DEFAULT_MEANINGS = {
     "inflight": "running",
     "concurrent": "running",
     "queue": "waiting",
@@ -31,8 +31,9 @@
     "eps": "errors_per_s",
     "err_ps": "errors_per_s",
 }
-_SERVICE = ("latency_ms", "mean_ms")  # a node's recent service time without queueing time, in milliseconds
-_BUDGET = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
+# Fields with a node's recent service time, without queueing time, in milliseconds.
+_SERVICE_TIME_FIELDS = ("latency_ms", "mean_ms")
+_BUDGET_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 
 
 class JobIds:
@@ -44,10 +45,10 @@
     because a copy of a request often arrives just after the original was answered.
     """
 
-    def __init__(self, most_closed: int = MOST_CLOSED) -> None:
+    def __init__(self, max_closed: int = MAX_CLOSED_IDS) -> None:
         self._open: set[str] = set()
         self._closed: dict[str, None] = {}  # ordered from the oldest to the newest
-        self._most_closed = most_closed
+        self._max_closed = max_closed
         # Returns False if another process of this scheduler has or had the id open.
         self.elsewhere: Callable[[str], bool] | None = None
 
@@ -80,7 +81,7 @@
 
     def _close(self, job_id: str) -> None:
         self._closed[job_id] = None
-        if len(self._closed) > self._most_closed:
+        if len(self._closed) > self._max_closed:
             del self._closed[next(iter(self._closed))]
 
 
@@ -88,16 +89,16 @@
     """Parse a client's time budget; return nanoseconds, or None if the text is no plain number of seconds.
 
     Python's float() accepts more than that: nan, 1_0, 1e9 and non-ASCII digits."""
-    if not _BUDGET.fullmatch(text) or float(text) > MOST_BUDGET_S:
+    if not _BUDGET_PATTERN.fullmatch(text) or float(text) > MAX_BUDGET_S:
         return None
     return round(float(text) * 1e9)
 
 
-def printable(text: str, most: int = MOST_NAME) -> bool:
-    """Return whether a text has at most `most` characters and consists of visible ASCII only.
+def printable(text: str, max_length: int = MAX_ID_LENGTH) -> bool:
+    """Return whether a text has at most `max_length` characters and consists of visible ASCII only.
 
     Such a text can be copied into a header of another protocol without ending the header line."""
-    return len(text) <= most and all("!" <= c <= "~" for c in text)
+    return len(text) <= max_length and all("!" <= c <= "~" for c in text)
 
 
 @dataclass(slots=True)
@@ -123,10 +124,10 @@
         return None
     values: dict[str, float] = {}
     for name, number in value.items():
-        meaning = meanings.get(name) or _MEANINGS.get(name)
+        meaning = meanings.get(name) or _DEFAULT_MEANINGS.get(name)
         if meaning and isinstance(number, int | float) and not isinstance(number, bool):
             values[meaning] = float(number)
-    service = next((value[n] for n in _SERVICE if type(value.get(n)) in (int, float)), None)
+    service = next((value[n] for n in _SERVICE_TIME_FIELDS if type(value.get(n)) in (int, float)), None)
     service_ns = round(service * 1e6) if service is not None and 0 <= service < 1e9 else None
     if not values and service_ns is None:
         return None
--- a/hollowusher/scheduler/fronts/platform/answers.py
+++ b/hollowusher/scheduler/fronts/platform/answers.py
@@ -11,7 +11,7 @@
 from hollowusher.scheduler.dispatch.model import AttemptProgress, AttemptStarted, Dispatch, DispatchEvent
 from hollowusher.scheduler.fronts.common import AttemptEnding, read_load
 
-MOST_LINE = 512 * 1024  # large enough for a result of 64 KiB in JSON with every byte escaped
+MAX_LINE = 512 * 1024  # large enough for a result of 64 KiB in JSON with every byte escaped
 
 
 class LineSplitter:
--- a/hollowusher/scheduler/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -23,10 +23,10 @@
     Verdict,
 )
 from hollowusher.scheduler.fronts.common import (
-    FIRST_S,
-    MOST_NAME,
-    REQUEST_S,
-    TRAVEL_NS,
+    FIRST_REQUEST_TIMEOUT_S,
+    MAX_ID_LENGTH,
+    NETWORK_DELAY_NS,
+    REQUEST_TIMEOUT_S,
     JobIds,
     printable,
     read_budget_ns,
@@ -36,17 +36,17 @@
 from hollowusher.scheduler.net.link import BACKLOG, Link
 from hollowusher.scheduler.net.ring import MOST_BYTES
 
-IDLE_S = 300.0  # idle connections are kept this long, because a new connection costs the client time
-SEND_S = 10.0  # timeout for writing one response to a client that reads slowly
+IDLE_TIMEOUT_S = 300.0  # connections stay open this long, as opening a new one costs the client time
+SEND_TIMEOUT_S = 10.0  # timeout for writing one response to a client that reads slowly
 LINGER_S = 1.0  # longest lingering close: a client that sent a bad request may read the error meanwhile
-YOUNG_S = 0.25  # after this time without a byte from the client, a new connection is evicted first
-MOST_FIGURE = 1e6  # limit of a number in X-Call-Info: a larger one would dominate a node's load estimate
-DRAIN_LAST_S = 0.1  # minimum time between closing the listener and closing idle connections
+NEW_CONNECTION_GRACE_S = 0.25  # a new connection without any data for longer is evicted first
+MAX_INFO_VALUE = 1e6  # limit of a number in X-Call-Info: a larger one would dominate a node's load estimate
+MIN_DRAIN_READ_S = 0.1  # minimum time between closing the listener and closing idle connections
 # Share of the time until the kill in which new requests are accepted, and reserve at the end of that time.
-DRAIN_SERVE_PART, DRAIN_SPARE_S = 0.486, 0.3
+DRAIN_SERVE_FRACTION, DRAIN_RESERVE_S = 0.486, 0.3
 # The platform kills the process no sooner than the longest deadline plus the second value; a deadline above
 # the first value counts as the first value.
-MOST_AWAITED_NS, KILL_AFTER_S = 3_000_000_000, 0.7
+MAX_AWAITED_NS, KILL_AFTER_S = 3_000_000_000, 0.7
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,12 +63,12 @@
     @classmethod
     def of(cls, classes: Iterable[JobClass]) -> DrainTimes:
         """Compute the limits from the deadlines of the job classes."""
-        longest_ns = max((c.deadline_ns for c in classes), default=MOST_AWAITED_NS)
-        killed_s = min(longest_ns, MOST_AWAITED_NS) / 1e9 + KILL_AFTER_S
-        return cls(DRAIN_SERVE_PART * killed_s, killed_s - DRAIN_SPARE_S, DRAIN_SPARE_S - 0.05)
+        longest_ns = max((c.deadline_ns for c in classes), default=MAX_AWAITED_NS)
+        killed_s = min(longest_ns, MAX_AWAITED_NS) / 1e9 + KILL_AFTER_S
+        return cls(DRAIN_SERVE_FRACTION * killed_s, killed_s - DRAIN_RESERVE_S, DRAIN_RESERVE_S - 0.05)
 
 
-async def _first(*waited: asyncio.Future[Any], timeout: float | None = None) -> None:
+async def _wait_for_first(*waited: asyncio.Future[Any], timeout: float | None = None) -> None:
     """Wait until one of the futures is done or `timeout` seconds have passed."""
     await asyncio.wait(waited, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
 
@@ -101,10 +101,10 @@
     repeat_key = headers.get("idempotency-key", "")
     if not printable(repeat_key) or (not repeat_key and classes[job_class].effect is Effect.KEYED):
         raise BadInput(400, "Idempotency-Key is missing or invalid")
-    info = _figures(headers.get("x-call-info", ""))
+    info = _parse_info(headers.get("x-call-info", ""))
     cost_us = headers.get("x-call-cost", "")  # only an estimate, so a malformed value is ignored
     hint_ns = int(cost_us) * 1_000 if cost_us.isascii() and cost_us.isdigit() and len(cost_us) < 12 else 0
-    left_ns -= now - request.came_ns + TRAVEL_NS
+    left_ns -= now - request.arrived_ns + NETWORK_DELAY_NS
     if last_ns is not None:
         left_ns = min(left_ns, last_ns - now)
     return ClientJob(
@@ -116,7 +116,7 @@
         left_ns,
         answer_to,
         repeat_key=repeat_key,
-        tenant=headers.get("x-caller", "")[:MOST_NAME],
+        tenant=headers.get("x-caller", "")[:MAX_ID_LENGTH],
         hint_ns=hint_ns,
         slots=info.get("slots", 1.0),
         memory=info.get("memory", 0.0),
@@ -124,13 +124,13 @@
     )
 
 
-def _figures(text: str) -> dict[str, float]:
+def _parse_info(text: str) -> dict[str, float]:
     figures: dict[str, float] = {}
     for pair in text.split(",") if text else ():
         name, _, value = pair.partition("=")
         with contextlib.suppress(ValueError):
             if math.isfinite(number := float(value)) and number >= 0:
-                if number > MOST_FIGURE:
+                if number > MAX_INFO_VALUE:
                     raise BadInput(400, "a number in X-Call-Info is too large")
                 figures[name.strip()] = number
     return figures
@@ -148,14 +148,14 @@
             return answer_head(502, 0, close), b""
 
 
-class RequestStage(IntEnum):
-    """The state of a client connection.  Connections with a lower value are evicted first."""
+class ConnectionStage(IntEnum):
+    """The stage of a client connection.  Connections with a lower value are evicted first."""
 
-    LEAVING = 0  # the connection is being closed, after an error response or an end by either side
-    SILENT = 1  # no byte has arrived since the accept, for longer than YOUNG_S
+    CLOSING = 0  # the connection is being closed, after an error response or an end by either side
+    SILENT = 1  # no byte has arrived since the accept, for longer than NEW_CONNECTION_GRACE_S
     IDLE = 2  # between two requests: a client whose request crosses the close retries elsewhere
-    YOUNG = 3  # no byte has arrived yet, for at most YOUNG_S
-    SLOW = 4  # a request has arrived in part
+    NEW = 3  # no byte has arrived yet, for at most NEW_CONNECTION_GRACE_S
+    PARTIAL = 4  # a request has arrived in part
     BUSY = 5  # a request is complete and not yet answered
 
 
@@ -165,11 +165,11 @@
     def __init__(self, front: PlatformClients, link: Link) -> None:
         self._front, self._link = front, link
         self._reader = RequestReader()
-        self._filling: asyncio.Task[int] | None = None
-        self._accepted_ns = self._came_ns = time.monotonic_ns()
-        self._known = False  # whether the connection has delivered a complete request
-        self._stage = RequestStage.YOUNG
-        self._over: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # set by end()
+        self._receive_task: asyncio.Task[int] | None = None
+        self._accepted_ns = self._arrived_ns = time.monotonic_ns()
+        self._has_received_request = False  # whether the connection has delivered a complete request
+        self._stage = ConnectionStage.NEW
+        self._end_requested: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # set by end()
         self._overrun = False  # whether the receive buffer was full and later data is discarded
         self._gone = False  # whether the client closed the connection or the connection broke
         self.task: asyncio.Task[None] | None = None
@@ -180,53 +180,56 @@
             while (request := await self._next()) is not None:
                 if not await self._serve(request):
                     break
-            await self._part()
+            await self._close_with_linger()
         except BadInput as bad:
             self._front.log.info("bad-input", bad.why, status=bad.status)
             with contextlib.suppress(OSError):
-                await self._complain(bad)
-                await self._part()
+                await self._send_error(bad)
+                await self._close_with_linger()
         except OSError:
             pass  # the client disconnected or did not read its response in time
         finally:
-            if self._filling is not None:
-                self._filling.cancel()
+            if self._receive_task is not None:
+                self._receive_task.cancel()
             self._link.close()
             self._front.ended(self)
 
-    async def _part(self) -> None:
+    async def _close_with_linger(self) -> None:
         """Close with linger.  Data received from here on is discarded: it belongs to a request that crossed
         the close, which the client retries elsewhere."""
         if self._gone:
             return
-        self._stage = RequestStage.LEAVING
+        self._stage = ConnectionStage.CLOSING
         self._link.half_close()
-        if self._filling is not None:
-            self._filling.cancel()
-            await asyncio.wait({self._filling})
+        if self._receive_task is not None:
+            self._receive_task.cancel()
+            await asyncio.wait({self._receive_task})
         await self._link.linger(self._front.linger_s)
 
     def end(self) -> None:
         """Close the connection as soon as no request on it is unanswered."""
-        if not self._over.done():
-            self._over.set_result(None)
-
-    def stage(self) -> RequestStage:
-        """Return the state of the connection; a connection with unread data counts as BUSY."""
-        if self._stage in (RequestStage.YOUNG, RequestStage.IDLE):
-            come = self._filling is not None and self._filling.done()
-            if come or not self._link.fresh():
-                return RequestStage.BUSY
-            if self._stage is RequestStage.YOUNG and time.monotonic_ns() - self._accepted_ns > YOUNG_S * 1e9:
-                return RequestStage.SILENT
+        if not self._end_requested.done():
+            self._end_requested.set_result(None)
+
+    def stage(self) -> ConnectionStage:
+        """Return the stage of the connection; a connection with unread data counts as BUSY."""
+        if self._stage in (ConnectionStage.NEW, ConnectionStage.IDLE):
+            has_data = self._receive_task is not None and self._receive_task.done()
+            if has_data or not self._link.fresh():
+                return ConnectionStage.BUSY
+            if (
+                self._stage is ConnectionStage.NEW
+                and time.monotonic_ns() - self._accepted_ns > NEW_CONNECTION_GRACE_S * 1e9
+            ):
+                return ConnectionStage.SILENT
         return self._stage
 
-    def evict(self, most: RequestStage = RequestStage.IDLE) -> bool:
-        """Close the connection if its state is at most `most`; return whether it was closed.
+    def evict(self, max_stage: ConnectionStage = ConnectionStage.IDLE) -> bool:
+        """Close the connection if its stage is at most `max_stage`; return whether it was closed.
 
         By default, a connection that has received a request, read or unread, is not closed, because the
         request would be lost."""
-        if self.task is None or self.task.done() or self.stage() > most:
+        if self.task is None or self.task.done() or self.stage() > max_stage:
             return False
         self.task.cancel()
         return True
@@ -238,21 +241,21 @@
             if self._link.inbound.size == 0:
                 if self._overrun:  # the discarded requests never ran, so a retry is safe
                     raise BadInput(503, "too much data was pipelined; the rest was not processed")
-                if not await self._fill():
+                if not await self._wait_for_data():
                     return None
             self._feed()
             if self._reader.expects:  # the client sends the body only after this interim response
                 self._reader.expects = False
                 await self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
-        self._known, self._stage = True, RequestStage.BUSY
+        self._has_received_request, self._stage = True, ConnectionStage.BUSY
         return ready.popleft()
 
     def _feed(self) -> None:
         piece = self._link.inbound.pending()
-        self._reader.feed(piece, self._came_ns)
+        self._reader.feed(piece, self._arrived_ns)
         self._link.inbound.taken(len(piece))
 
-    async def _fill(self) -> bool:
+    async def _wait_for_data(self) -> bool:
         """Wait for data; return whether any arrived.
 
         Raises BadInput if a partial request is not completed in time.  Without a partial request, a timeout
@@ -260,45 +263,45 @@
         timeout ends is still received."""
         reader = self._reader
         if reader.begun:
-            self._stage, since_ns, most_s = RequestStage.SLOW, reader.begun_ns, REQUEST_S
-        elif self._known:
-            self._stage, since_ns, most_s = RequestStage.IDLE, time.monotonic_ns(), IDLE_S
+            self._stage, since_ns, limit_s = ConnectionStage.PARTIAL, reader.begun_ns, REQUEST_TIMEOUT_S
+        elif self._has_received_request:
+            self._stage, since_ns, limit_s = ConnectionStage.IDLE, time.monotonic_ns(), IDLE_TIMEOUT_S
         else:
-            self._stage, since_ns, most_s = RequestStage.YOUNG, self._accepted_ns, FIRST_S
-        patience = max(0.0, most_s - (time.monotonic_ns() - since_ns) / 1e9)
-        receiving = self._receiving()
-        ends: set[asyncio.Future[None]] = set() if reader.begun else {self._over}
-        await _first(receiving, *ends, timeout=patience)
+            self._stage, since_ns, limit_s = ConnectionStage.NEW, self._accepted_ns, FIRST_REQUEST_TIMEOUT_S
+        timeout_s = max(0.0, limit_s - (time.monotonic_ns() - since_ns) / 1e9)
+        receiving = self._pending_receive()
+        ends: set[asyncio.Future[None]] = set() if reader.begun else {self._end_requested}
+        await _wait_for_first(receiving, *ends, timeout=timeout_s)
         if not receiving.done() and not reader.begun and not self._link.fresh():
-            await asyncio.wait({receiving}, timeout=REQUEST_S)
+            await asyncio.wait({receiving}, timeout=REQUEST_TIMEOUT_S)
         if receiving.done():
-            return self._received()
+            return self._finish_receive()
         if reader.begun:
             raise BadInput(408, "the request was not received in time")
         return False
 
-    def _receiving(self) -> asyncio.Task[int]:
+    def _pending_receive(self) -> asyncio.Task[int]:
         """Return the pending receive operation; start one if there is none.
 
         The operation stays pending while a job runs, to detect a disconnect of the client.  When the receive
         buffer is full, further data is discarded and the connection closes after the buffered requests."""
-        if self._filling is None:
+        if self._receive_task is None:
             self._overrun = self._overrun or not self._link.inbound.writable()
             receive = self._link.skip if self._overrun else self._link.fill
-            self._filling = asyncio.create_task(receive())
-        return self._filling
+            self._receive_task = asyncio.create_task(receive())
+        return self._receive_task
 
-    def _received(self) -> bool:
+    def _finish_receive(self) -> bool:
         """Return whether the completed receive delivered data; if it did not, the client has disconnected.
 
         Raises OSError if the connection broke.  The time budget of a pipelined request counts from the
         arrival of its data, not from the start of its processing.  If several requests are buffered, the
         arrival time of the first buffered byte applies to all of them."""
-        filling, self._filling, self._gone = self._filling, None, True
-        assert filling is not None
-        count = filling.result()
+        finished, self._receive_task, self._gone = self._receive_task, None, True
+        assert finished is not None
+        count = finished.result()
         if not self._overrun and self._link.inbound.size <= count:
-            self._came_ns = time.monotonic_ns()
+            self._arrived_ns = time.monotonic_ns()
         self._gone = count == 0
         return not self._gone
 
@@ -338,15 +341,17 @@
 
     async def _run(self, job: ClientJob, answered: asyncio.Future[JobAnswerBody]) -> JobAnswerBody | None:
         """Pass a job to the dispatcher; return its result, or None if the client disconnects first."""
-        kept = self._front.copied(job)  # a client may retry a replicated job; replication finds it by its id
-        if not kept and not self._front.ids.claim(job.job_id):
+        is_replicated = self._front.copied(
+            job
+        )  # a client may retry a replicated job; replication finds it by its id
+        if not is_replicated and not self._front.ids.claim(job.job_id):
             self._front.figures.answered(job.job_class, Verdict.FAILED)
             raise BadInput(409, "another request has used this X-Call-Id")
         try:
             self._front.post(JobTaken(job))
             return await self._wait(answered)
         finally:
-            if not kept:
+            if not is_replicated:
                 self._front.ids.free(job.job_id)
             if not answered.done():  # the client disconnected, or invalid data followed the request
                 self._front.post(ClientLeft(job))
@@ -358,19 +363,19 @@
         be detected behind it.  If that data is no valid request, the length of the current request was
         probably wrong, and BadInput cancels its job as well."""
         while not answered.done():
-            await _first(answered, self._receiving())
+            await _wait_for_first(answered, self._pending_receive())
             if not answered.done():
                 with contextlib.suppress(OSError):
-                    self._received()
+                    self._finish_receive()
                 if self._gone or (self._overrun and self._link.ended()):
                     return None
                 while self._link.inbound.size and not self._reader.ready:
                     self._feed()
         return answered.result()
 
-    async def _complain(self, bad: BadInput) -> None:
+    async def _send_error(self, bad: BadInput) -> None:
         """Send an error response; the caller then closes the connection, as the next bytes are unreliable."""
-        self._stage = RequestStage.LEAVING
+        self._stage = ConnectionStage.CLOSING
         text = f"{bad.why}\n".encode()
         allow = "Allow: POST\r\n" if bad.status == 405 else ""
         await self._send(
@@ -378,7 +383,7 @@
         )
 
     async def _send(self, *parts: bytes) -> None:
-        async with asyncio.timeout(SEND_S):  # a client that does not read blocks only its own session
+        async with asyncio.timeout(SEND_TIMEOUT_S):  # a client that does not read blocks only its own session
             await self._link.send(*parts)
 
 
@@ -419,7 +424,7 @@
         self.figures.add_classes(classes)
 
     def limit(self, most: int) -> None:
-        """Set the maximum number of connections and evict those above it, as far as their state allows."""
+        """Set the maximum number of connections and evict those above it, as far as their stage allows."""
         self._most = most
         while len(self._sessions) > most and self._free_connection():
             pass
@@ -466,20 +471,20 @@
         session.task = asyncio.create_task(session.run())
 
     def _free_connection(self) -> bool:
-        """Evict the connection with the lowest state, the least recently used one first.
+        """Evict the connection with the lowest stage, the least recently used one first.
 
         Returns False if no connection can be evicted.  Hundreds of silent connections must not keep out
-        clients that have jobs.  A YOUNG connection is evicted only as the last choice, because its first
+        clients that have jobs.  A NEW connection is evicted only as the last choice, because its first
         request may be in transit."""
-        least, spared = RequestStage.BUSY, None
+        lowest_stage, candidate = ConnectionStage.BUSY, None
         for session in self._sessions:
-            if (stage := session.stage()) < least:
-                least, spared = stage, session
-                if stage <= RequestStage.SILENT:
+            if (stage := session.stage()) < lowest_stage:
+                lowest_stage, candidate = stage, session
+                if stage <= ConnectionStage.SILENT:
                     break
-        if spared is None or not spared.evict(least):
+        if candidate is None or not candidate.evict(lowest_stage):
             return False
-        self.ended(spared)
+        self.ended(candidate)
         return True
 
     def used(self, session: HttpClientSession) -> None:
@@ -507,7 +512,7 @@
         self.closing, self.linger_s = True, times.linger_s
         await self._stop_listening(accepting)
         # Requests that clients have just sent on the last accepted connections are read before the close.
-        await asyncio.sleep(max(DRAIN_LAST_S, serves_until - loop.time()))
+        await asyncio.sleep(max(MIN_DRAIN_READ_S, serves_until - loop.time()))
         for session in self._sessions:
             session.end()
         while tasks := [s.task for s in self._sessions if s.task is not None]:
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -27,10 +27,10 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-SILENT_S = 3.5  # the service sends an empty line every 2 s; after this time without one the watch is broken
-FIRST_LINE_S = 2.5  # timeout for the first line after the response headers; it is also due within 2 s
-MOST_LINE = 4 * 1024 * 1024
-CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
+SILENCE_TIMEOUT_S = 3.5  # a watch without any line for this long is broken: an empty line comes every 2 s
+FIRST_LINE_TIMEOUT_S = 2.5  # timeout for the first line after the response headers; it is also due within 2 s
+MAX_LINE = 4 * 1024 * 1024
+DEFAULT_CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
 
 
 class NodeListWatch(Plain):
@@ -50,7 +50,7 @@
         front: Callable[[str, str], str] = default_front,
         again: NodeListBackoff | None = None,
         known: Mapping[str, Any] | None = None,
-        calls: ListCalls = CALLS,
+        calls: ListCalls = DEFAULT_CALLS,
         chance: Callable[[], float] = random.random,
     ) -> None:
         """Create a watch on the list at `address`.
@@ -60,37 +60,41 @@
         service that all schedulers share, and the dispatcher decides when to connect."""
         self._address, self._registry, self._post, self._log = address, registry, post, log
         self._changed, self._front = changed, front
-        self._again, self._known = again, known or {}
-        self._call_s, self._spread_s, self._chance = calls.timeout_ns / 1e9, calls.spread_ns / 1e9, chance
+        self._backoff, self._cached_list = again, known or {}
+        self._call_timeout_s, self._spread_s, self._random = (
+            calls.timeout_ns / 1e9,
+            calls.spread_ns / 1e9,
+            chance,
+        )
         self._timer: asyncio.TimerHandle | None = None
         self._version = 0
-        self._opening: asyncio.Task[None] | None = None
-        self._standing: asyncio.Task[None] | None = None
-        self._delivered: tuple[int, list[RouteNode]] | None = None
+        self._pending: asyncio.Task[None] | None = None
+        self._established: asyncio.Task[None] | None = None
+        self._handed_over: tuple[int, list[RouteNode]] | None = None
         self.heard = asyncio.Event()  # set after the first data from the service
 
     async def start(self) -> None:
         """Load the last known list, which may be outdated; with a local agent, also open the watch."""
-        if self._delivered is not None:
-            self._version, nodes = self._delivered
+        if self._handed_over is not None:
+            self._version, nodes = self._handed_over
             self._post(self._registry.apply_list(ListKind.CACHED, nodes))
         else:
-            self._begin_with_known()
-        if self._again is not None:
+            self._load_cached()
+        if self._backoff is not None:
             self.ask()
 
     def hand(self, version: int, nodes: list[RouteNode]) -> None:
         """Set the list for `start`, as handed over by another process of this scheduler."""
-        self._delivered = (version, nodes)
+        self._handed_over = (version, nodes)
 
     @property
     def version(self) -> int:
         """Version of the current list."""
         return self._version
 
-    def _begin_with_known(self) -> None:
+    def _load_cached(self) -> None:
         try:
-            read = self._read(dict(self._known) or {"servers": []})
+            read = self._read(dict(self._cached_list) or {"servers": []})
         except ValueError as wrong:
             self._log.warning("list-unreadable", str(wrong))
             read = ParsedNodeList(0, True)
@@ -108,8 +112,8 @@
 
         An established watch stays open until the new one has delivered a line.  A pending call is not
         repeated, because the service would queue the new call behind all others."""
-        if self._opening is None:
-            self._opening = asyncio.create_task(self._watch(self._address, self._version))
+        if self._pending is None:
+            self._pending = asyncio.create_task(self._watch(self._address, self._version))
 
     def move(self, address: tuple[str, int]) -> None:
         """Change the address of the service.
@@ -118,19 +122,19 @@
         updates from the old address are still applied."""
         if address != self._address:
             self._address, self._version = address, 0
-            if self._opening is not None:
-                self._opening.cancel()
-                self._opening = None
+            if self._pending is not None:
+                self._pending.cancel()
+                self._pending = None
             if self._timer is not None:
                 self._timer.cancel()
             # All schedulers receive the new address at once, and the new service handles one call at a time,
             # so the calls are spread.  A local agent serves this scheduler only and needs no spread.
-            wait_s = self._spread_s * self._chance() if self._again is None else 0.0
+            wait_s = self._spread_s * self._random() if self._backoff is None else 0.0
             self._timer = asyncio.get_running_loop().call_later(wait_s, self.ask)
 
     async def stop(self) -> None:
         """Cancel the watches and the pending call."""
-        for task in (self._opening, self._standing, self._timer):
+        for task in (self._pending, self._established, self._timer):
             if task is not None:
                 task.cancel()
 
@@ -138,7 +142,7 @@
         """Return the version of the current list, whether a watch is established, and the service address."""
         return {
             "version": self._version,
-            "watched": self._standing is not None,
+            "watched": self._established is not None,
             "service": f"{self._address[0]}:{self._address[1]}",
         }
 
@@ -148,28 +152,28 @@
         # reached.  SILENT: the call timed out, its response was malformed, or this process had no free
         # descriptor; none of these shows whether the service works.
         why, kind = "the watch ended", ListKind.SILENT
-        lines = NodeListAssembler(MOST_LINE)
+        lines = NodeListAssembler(MAX_LINE)
         try:
-            reader = AnswerReader(MOST_LINE)
+            reader = AnswerReader(MAX_LINE)
             path = f"/api/targets?watch=1&from={version}"
             host = f"{address[0]}:{address[1]}"
-            async with asyncio.timeout(self._call_s):
+            async with asyncio.timeout(self._call_timeout_s):
                 try:
-                    link = await connect(address, min(CONNECT_TIMEOUT_S, self._call_s))
+                    link = await connect(address, min(CONNECT_TIMEOUT_S, self._call_timeout_s))
                     await link.send(f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
                     while not reader.head_done:
                         await link.pass_on(reader.feed)
                 except OSError as wrong:
-                    if not (reader.spoilt or out_of_descriptors(wrong)):
+                    if not (reader.out_of_sync or out_of_descriptors(wrong)):
                         kind = ListKind.FAILED
                     raise
             if reader.status == 200:
-                patience_s = FIRST_LINE_S
+                patience_s = FIRST_LINE_TIMEOUT_S
                 while True:
                     while reader.lines:
-                        self._line(lines, reader.lines.popleft(), address)
-                        self._stands()
-                        patience_s = SILENT_S
+                        self._handle_line(lines, reader.lines.popleft(), address)
+                        self._mark_established()
+                        patience_s = SILENCE_TIMEOUT_S
                     if reader.complete:
                         kind = ListKind.FAILED
                         break
@@ -183,37 +187,37 @@
                 why, kind = f"status {reader.status}", ListKind.FAILED
         except TimeoutError:
             why = "silence"
-        except Exception as wrong:  # no data from the service may stop this task without a call of _ended
+        except Exception as wrong:  # _watch_ended must run whatever the service sends
             why = str(wrong) or type(wrong).__name__
         finally:
             if link is not None:
                 link.close()
-        self._ended(address, why, kind)
+        self._watch_ended(address, why, kind)
 
-    def _stands(self) -> None:
+    def _mark_established(self) -> None:
         """Mark the current watch as established after its first line, and cancel the previous one."""
         task = asyncio.current_task()
-        if task is self._opening:
-            self._opening = None
-            if self._standing is not None:
-                self._standing.cancel()
-            self._standing = task
-        if self._again is not None:
-            self._again.reset()
-
-    def _ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
+        if task is self._pending:
+            self._pending = None
+            if self._established is not None:
+                self._established.cancel()
+            self._established = task
+        if self._backoff is not None:
+            self._backoff.reset()
+
+    def _watch_ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
         """Report a broken watch or a failed call to the dispatcher, which decides when to retry."""
-        if asyncio.current_task() is self._opening:
-            self._opening = None
+        if asyncio.current_task() is self._pending:
+            self._pending = None
         else:
-            self._standing = None
+            self._established = None
         where = f"{address[0]}:{address[1]}"
         self._log.warning("list-broken", "the watch on the node list broke", why=why, service=where)
-        if self._again is not None:
-            self._timer = asyncio.get_running_loop().call_later(self._again.wait_s(), self.ask)
+        if self._backoff is not None:
+            self._timer = asyncio.get_running_loop().call_later(self._backoff.wait_s(), self.ask)
         self._post(NodeListReceived(kind))
 
-    def _line(self, lines: NodeListAssembler, line: bytes, address: tuple[str, int]) -> None:
+    def _handle_line(self, lines: NodeListAssembler, line: bytes, address: tuple[str, int]) -> None:
         reported = lines.feed(line)
         if not line.strip():
             if address == self._address:  # an empty line confirms that the current list is up to date
@@ -224,9 +228,9 @@
             if each is None:
                 self._log.warning("list-odd", "a truncated list was discarded; the next one is used")
             else:
-                self._list(each, address)
+                self._apply(each, address)
 
-    def _list(self, reported: object, address: tuple[str, int]) -> None:
+    def _apply(self, reported: object, address: tuple[str, int]) -> None:
         read = self._read(reported)
         if address == self._address:
             if read.outdated(self._version):
--- a/hollowusher/scheduler/fronts/platform/http.py
+++ b/hollowusher/scheduler/fronts/platform/http.py
@@ -9,9 +9,9 @@
 
 from hollowusher.scheduler.fronts.platform.answers import LineSplitter
 
-MOST_BODY = 64 * 1024
-MOST_HEAD = 16 * 1024
-MOST_PIPELINED = 16
+MAX_BODY = 64 * 1024
+MAX_HEAD = 16 * 1024
+MAX_PIPELINED = 16
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -26,7 +26,7 @@
     505: "HTTP Version Not Supported",
 }
 # Headers that may occur only once: with a repeated one, the scheduler and a node could use different values.
-ONCE = frozenset(
+UNIQUE_HEADERS = frozenset(
     (
         "host",
         "content-length",
@@ -59,7 +59,7 @@
     headers: dict[str, str]
     body: bytes
     keep_alive: bool
-    came_ns: int = 0  # monotonic time at which the first byte arrived
+    arrived_ns: int = 0  # monotonic time at which the first byte arrived
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
     body: bytearray = field(default_factory=bytearray)
     head_bytes: int = 0
     head_done: bool = False
-    came_ns: int = 0
+    arrived_ns: int = 0
 
 
 class RequestReader:
@@ -88,20 +88,20 @@
         self.begun = False  # whether a request has arrived in part
         self.expects = False  # whether the client waits for "100 Continue" before it sends the body
         self._parts = _Parts()
-        self._bad: BadInput | None = None
+        self._bad_input: BadInput | None = None
         self._now_ns = 0
         self._parser = httptools.HttpRequestParser(self)
 
     @property
     def begun_ns(self) -> int:
         """Arrival time of the first byte of the incomplete request."""
-        return self._parts.came_ns
+        return self._parts.arrived_ns
 
     def feed(self, data: memoryview, now_ns: int = 0) -> None:
         """Parse data that arrived at `now_ns`.  Raises BadInput if it violates HTTP or a limit."""
         self._now_ns = now_ns
         if not self.begun:
-            self._parts.came_ns = now_ns
+            self._parts.arrived_ns = now_ns
         if not self._parts.head_done:
             self.begun = True
             self._parts.head_bytes += len(data)
@@ -110,19 +110,19 @@
         except httptools.HttpParserUpgrade:
             raise BadInput(400, "upgrades are not supported") from None
         except httptools.HttpParserError:
-            raise self._bad or BadInput(400, "not an HTTP/1.1 request") from None
-        if not self._parts.head_done and self._parts.head_bytes > MOST_HEAD:
+            raise self._bad_input or BadInput(400, "not an HTTP/1.1 request") from None
+        if not self._parts.head_done and self._parts.head_bytes > MAX_HEAD:
             raise BadInput(431, "the request header section is too large")
-        if self._bad is not None:
-            raise self._bad
-        if len(self.ready) > MOST_PIPELINED:
+        if self._bad_input is not None:
+            raise self._bad_input
+        if len(self.ready) > MAX_PIPELINED:
             raise BadInput(400, "too many pipelined requests")
 
     def on_message_begin(self) -> None:
         """Start a new request (httptools callback)."""
         # The byte count of the header section is kept, so that a header section without an end cannot pass
         # the limit in many small pieces.
-        self.begun, self._parts = True, _Parts(head_bytes=self._parts.head_bytes, came_ns=self._now_ns)
+        self.begun, self._parts = True, _Parts(head_bytes=self._parts.head_bytes, arrived_ns=self._now_ns)
 
     def on_url(self, url: bytes) -> None:
         """Append a part of the request target (httptools callback)."""
@@ -135,8 +135,8 @@
         if self._parts.head_done:
             return
         key = name.decode("latin-1").lower()
-        if key in ONCE and key in self._parts.headers:
-            self._bad = BadInput(400, f"more than one {key}")
+        if key in UNIQUE_HEADERS and key in self._parts.headers:
+            self._bad_input = BadInput(400, f"more than one {key}")
         self._parts.headers[key] = value.decode("latin-1").strip(" \t")
 
     def on_headers_complete(self) -> None:
@@ -145,18 +145,18 @@
         A length above the limit is rejected before the body arrives."""
         self._parts.head_done = True
         if self._parser.get_http_version() not in ("1.0", "1.1"):
-            self._bad = BadInput(505, "only HTTP/1.0 and HTTP/1.1 are supported")
+            self._bad_input = BadInput(505, "only HTTP/1.0 and HTTP/1.1 are supported")
         if not self._parts.target.startswith(b"/") or b"#" in self._parts.target:
-            self._bad = BadInput(400, "the target must be a path")
+            self._bad_input = BadInput(400, "the target must be a path")
         self.expects = self._parts.headers.get("expect", "").lower() == "100-continue"
         length = self._parts.headers.get("content-length", "0")
-        if length.isdigit() and int(length) > MOST_BODY:
-            self._bad = BadInput(413, "a body holds no more than 64 KiB")
+        if length.isdigit() and int(length) > MAX_BODY:
+            self._bad_input = BadInput(413, "a body holds no more than 64 KiB")
 
     def on_body(self, data: bytes) -> None:
         """Append a part of the body (httptools callback); the limit also holds for chunked bodies."""
-        if len(self._parts.body) + len(data) > MOST_BODY:
-            self._bad = BadInput(413, "a body holds no more than 64 KiB")
+        if len(self._parts.body) + len(data) > MAX_BODY:
+            self._bad_input = BadInput(413, "a body holds no more than 64 KiB")
         else:
             self._parts.body += data
 
@@ -170,7 +170,7 @@
                 parts.headers,
                 bytes(parts.body),
                 self._parser.should_keep_alive(),
-                parts.came_ns,
+                parts.arrived_ns,
             )
         )
 
@@ -178,56 +178,56 @@
 class AnswerReader:
     """Incremental parser of responses from route nodes and the discovery service; splits the body into lines.
 
-    The sizes of the header section and of each line are limited, and with `most_body` also the size of the
-    whole body.  Without `most_body` the body may last as long as its connection."""
+    The sizes of the header section and of each line are limited, and with `max_body` also the size of the
+    whole body.  Without `max_body` the body may last as long as its connection."""
 
-    def __init__(self, most_line: int, most_body: int | None = None) -> None:
+    def __init__(self, max_line: int, max_body: int | None = None) -> None:
         self.status = 0
         self.headers: dict[str, str] = {}
         self.head_done = self.complete = False
-        self._kept_alive, self.spoilt = False, False  # spoilt: the connection is out of sync and unusable
+        self._kept_alive, self.out_of_sync = False, False  # an out-of-sync connection is never reused
         self._body = LineSplitter()
         self.lines = self._body.lines
-        self._most_line, self._most_body = most_line, most_body
+        self._max_line, self._max_body = max_line, max_body
         self._parser = httptools.HttpResponseParser(self)
         self._head_bytes = self._body_bytes = 0
-        self._wrong = ""
+        self._error = ""
 
     @property
     def reusable(self) -> bool:
         """Whether the connection can be used for another request."""
-        return self.complete and self._kept_alive and not self.spoilt
+        return self.complete and self._kept_alive and not self.out_of_sync
 
     def feed(self, data: memoryview) -> None:
         """Parse received data.
 
         Raises ConnectionError if the data is no valid response or follows a complete response."""
         if self.complete:
-            self._wrong = "more than one response"
+            self._error = "more than one response"
         elif not self.head_done:
             self._head_bytes += len(data)
         try:
-            if not self._wrong:
+            if not self._error:
                 self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
             if not self.complete:
-                self._wrong = self._wrong or f"not an HTTP response: {wrong}"
-            self.spoilt = True  # data after a complete response belongs to no request
-        if not self.head_done and self._head_bytes > MOST_HEAD:
-            self._wrong = "the response header section is too large"
-        if self._wrong:
-            self.spoilt = True
-            raise ConnectionError(self._wrong)
-
-    def end_within(self, most: int) -> None:
+                self._error = self._error or f"not an HTTP response: {wrong}"
+            self.out_of_sync = True  # data after a complete response belongs to no request
+        if not self.head_done and self._head_bytes > MAX_HEAD:
+            self._error = "the response header section is too large"
+        if self._error:
+            self.out_of_sync = True
+            raise ConnectionError(self._error)
+
+    def limit_rest(self, most: int) -> None:
         """Discard the rest of the body and limit it to `most` more bytes."""
-        self._most_body, self._most_line = self._body_bytes + most, most
+        self._max_body, self._max_line = self._body_bytes + most, most
         self.lines.clear()
 
     def on_message_begin(self) -> None:
         """Start a response (httptools callback); a second one means that the connection is out of sync."""
         if self.complete:
-            self.spoilt = True
+            self.out_of_sync = True
             raise ValueError  # stops the parser: the second response must not be merged into the first
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -242,12 +242,12 @@
     def on_body(self, data: bytes) -> None:
         """Split a part of the body into lines (httptools callback)."""
         self._body_bytes += len(data)
-        if self._most_body is not None and self._body_bytes > self._most_body:
-            self._wrong = "the response body is too long"
+        if self._max_body is not None and self._body_bytes > self._max_body:
+            self._error = "the response body is too long"
             return
         self._body.feed(data)
-        if len(self._body.rest) > self._most_line:
-            self._wrong = "a line of the response is too long"
+        if len(self._body.rest) > self._max_line:
+            self._error = "a line of the response is too long"
 
     def on_message_complete(self) -> None:
         """Finish the response (httptools callback); ignore an interim response (1xx)."""
--- a/hollowusher/scheduler/fronts/platform/http2.py
+++ b/hollowusher/scheduler/fronts/platform/http2.py
@@ -15,7 +15,7 @@
 from hollowusher.scheduler.dispatch.model import AttemptEnded, Dispatch, DispatchEvent, NodeProbed
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, AttemptEnding, read_load
-from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, LineSplitter, ending_of_head, read_line
+from hollowusher.scheduler.fronts.platform.answers import MAX_LINE, LineSplitter, ending_of_head, read_line
 from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.http2.exchange import Headers, StreamExchange
@@ -23,16 +23,16 @@
 from hollowusher.scheduler.rules.stream_ends import Cause
 from hollowusher.scheduler.rules.streams import RejectReason
 
-TRAILER_S = 0.02  # longest wait of a result for the load report that its Trailer header announces
+TRAILER_TIMEOUT_S = 0.02  # longest wait of a result for the load report that its Trailer header announces
 # A job that still waits for a stream returns to the dispatcher this long before its deadline.  The dispatcher
 # can then reject it as unsent, and the client knows that a retry is safe.
-LAST_MOMENT_NS = 50_000_000
-MOST_REPORT = 64 * 1024  # maximum size of a probe response
-_KEPT = (b":status", b"x-load-report", b"x-rejected", b"trailer")
+RETURN_MARGIN_NS = 50_000_000
+MAX_REPORT = 64 * 1024  # maximum size of a probe response
+_RELEVANT_HEADERS = (b":status", b"x-load-report", b"x-rejected", b"trailer")
 
 
-def _heads(headers: Headers) -> dict[str, str]:
-    return {k.decode("latin-1"): v.decode("latin-1") for k, v in headers if k in _KEPT}
+def _relevant_headers(headers: Headers) -> dict[str, str]:
+    return {k.decode("latin-1"): v.decode("latin-1") for k, v in headers if k in _RELEVANT_HEADERS}
 
 
 def request_headers(
@@ -42,17 +42,17 @@
 
     Headers that differ between jobs are never indexed by HPACK: they would evict the constant headers from
     the dynamic table."""
-    own = NeverIndexedHeaderTuple
+    never_indexed = NeverIndexedHeaderTuple
     headers = [
         (b":method", b"POST"),
         (b":scheme", b"http"),
         (b":authority", host.encode("latin-1")),
-        own(b":path", subject.encode("latin-1")),
-        own(b"x-call-id", job_id.encode("latin-1")),
-        own(b"x-budget", b"%.3f" % left_s),
+        never_indexed(b":path", subject.encode("latin-1")),
+        never_indexed(b"x-call-id", job_id.encode("latin-1")),
+        never_indexed(b"x-budget", b"%.3f" % left_s),
     ]
     if key:
-        headers.append(own(b"idempotency-key", key.encode("latin-1")))
+        headers.append(never_indexed(b"idempotency-key", key.encode("latin-1")))
     return headers
 
 
@@ -75,7 +75,7 @@
 
     def head(self, headers: Headers) -> AttemptEnding | None:
         """See `Answer`."""
-        heads = _heads(headers)
+        heads = _relevant_headers(headers)
         self._report_follows = "x-load-report" in heads.get("trailer", "").lower()
         status = heads.get(":status", "")
         return ending_of_head(int(status) if status.isdigit() else 0, heads, self._meanings)
@@ -85,7 +85,7 @@
         if self._ending is not None:
             return None
         self._lines.feed(data)
-        if len(self._lines.rest) > MOST_LINE:
+        if len(self._lines.rest) > MAX_LINE:
             raise ConnectionError("a line of the response is too long")
         return self._read()
 
@@ -98,7 +98,7 @@
             return None
         ending = ending or self._ending
         if ending is not None and ending.reading is None:
-            ending.reading = read_load(_heads(trailers).get("x-load-report"), self._meanings)
+            ending.reading = read_load(_relevant_headers(trailers).get("x-load-report"), self._meanings)
         return ending
 
     def _read(self) -> AttemptEnding | None:
@@ -107,7 +107,7 @@
             ending = read_line(line, self._order, self._meanings, self._post)
             if ending is not None and ending.reading is None and self._report_follows:
                 self._ending = ending
-                asyncio.get_running_loop().call_later(TRAILER_S, self.finish, ending)
+                asyncio.get_running_loop().call_later(TRAILER_TIMEOUT_S, self.finish, ending)
                 return None
             if ending is not None:
                 return ending
@@ -118,7 +118,7 @@
     """Reads the response to a probe: whether its status is 200, and the load report; implements `Answer`."""
 
     def __init__(self, meanings: Mapping[str, str]) -> None:
-        self._meanings, self._body, self._heads = meanings, bytearray(), dict[str, str]()
+        self._meanings, self._body, self._relevant_headers = meanings, bytearray(), dict[str, str]()
 
     @property
     def held(self) -> int:
@@ -127,22 +127,22 @@
 
     def head(self, headers: Headers) -> tuple[bool, Reading | None] | None:
         """See `Answer`."""
-        self._heads = _heads(headers)
+        self._relevant_headers = _relevant_headers(headers)
         return None
 
     def piece(self, data: bytes) -> tuple[bool, Reading | None] | None:
         """See `Answer`."""
         self._body += data
-        if len(self._body) > MOST_REPORT:
+        if len(self._body) > MAX_REPORT:
             raise ConnectionError("the load report is too long")
         return None
 
     def end(self, trailers: Headers) -> tuple[bool, Reading | None] | None:
         """See `Answer`."""
         reading = read_load(self._body.decode("utf-8", "replace"), self._meanings)
-        heads = {**self._heads, **_heads(trailers)}
+        heads = {**self._relevant_headers, **_relevant_headers(trailers)}
         reading = reading or read_load(heads.get("x-load-report"), self._meanings)
-        return self._heads.get(":status") == "200", reading
+        return self._relevant_headers.get(":status") == "200", reading
 
 
 class Http2Nodes:
@@ -169,8 +169,8 @@
         ending = None
         if not self._carrier.falls_back(attempt.node):
             ending = await self._stream(order, node)
-            fallen = ending.outcome is Outcome.UNREACHABLE and self._carrier.falls_back(attempt.node)
-        if ending is None or (fallen and self._registry.serving(attempt.node)):
+            fell_back = ending.outcome is Outcome.UNREACHABLE and self._carrier.falls_back(attempt.node)
+        if ending is None or (fell_back and self._registry.serving(attempt.node)):
             await self._http1.attempt(order, node)
         else:
             self._post(AttemptEnded(attempt, ending.outcome, ending.reading, ending.result))
@@ -191,7 +191,7 @@
             headers,
             job.body,
             answer,
-            until_ns - LAST_MOMENT_NS,
+            until_ns - RETURN_MARGIN_NS,
             lambda: self._registry.serving(number) and order.may_begin(time.monotonic_ns()),
         )
         answer.finish = exchange.finish
--- a/hollowusher/scheduler/fronts/platform/nodes.py
+++ b/hollowusher/scheduler/fronts/platform/nodes.py
@@ -11,7 +11,7 @@
 from hollowusher.scheduler.dispatch.model import AttemptEnded, Dispatch, DispatchEvent, NodeProbed
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, AttemptEnding, read_load
-from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, ending_of_head, read_line
+from hollowusher.scheduler.fronts.platform.answers import MAX_LINE, ending_of_head, read_line
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import Link
@@ -20,8 +20,8 @@
 # After the final line of a response, the rest must arrive within this time or the connection is closed.
 TAIL_TIMEOUT_S = 1.0
 TAIL_BYTES = 4 * 1024  # maximum size of that rest: the last chunk, possibly with trailers
-MOST_REPORT = 64 * 1024  # maximum size of a probe response
-MOST_BODY = 2 * MOST_LINE  # maximum size of a response: the result and the progress lines before it
+MAX_REPORT = 64 * 1024  # maximum size of a probe response
+MAX_BODY = 2 * MAX_LINE  # maximum size of a response: the result and the progress lines before it
 
 
 def request_head(job_id: str, subject: str, host: str, length: int, left_s: float, key: str) -> bytes:
@@ -63,7 +63,7 @@
         attempt, begun = order.attempt, False
         link: Link | None = None
         ending = AttemptEnding(Outcome.RESET)
-        reader = AnswerReader(MOST_LINE, MOST_BODY)
+        reader = AnswerReader(MAX_LINE, MAX_BODY)
         left_ns = order.job.deadline_ns - time.monotonic_ns()
         if order.timeout_ns > 0:
             left_ns = min(left_ns, order.timeout_ns)
@@ -110,7 +110,7 @@
         """Request a node's load report; always post the result to the dispatcher."""
         number, ok, reading = node.entry.worker, False, None
         link: Link | None = None
-        reader = AnswerReader(MOST_REPORT, MOST_REPORT)
+        reader = AnswerReader(MAX_REPORT, MAX_REPORT)
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 link = await self._pool.take(number, node.address)
@@ -172,12 +172,12 @@
                 if reader.complete:
                     raise ConnectionError("the response ended without a final state")
         except ConnectionError:
-            reader.spoilt = True  # further data cannot be attributed to a request
+            reader.out_of_sync = True  # further data cannot be attributed to a request
             return AttemptEnding(Outcome.RESET)
 
     async def _finish(self, node: int, link: Link, reader: AnswerReader) -> None:
         """Read the rest of the response after the attempt has ended, so that the connection can be reused."""
-        reader.end_within(TAIL_BYTES)
+        reader.limit_rest(TAIL_BYTES)
         try:
             async with asyncio.timeout(TAIL_TIMEOUT_S):
                 while reader.head_done and not reader.complete:
--- a/hollowusher/scheduler/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -26,9 +26,9 @@
     Verdict,
 )
 from hollowusher.scheduler.fronts.common import (
-    FIRST_S,
-    REQUEST_S,
-    TRAVEL_NS,
+    FIRST_REQUEST_TIMEOUT_S,
+    NETWORK_DELAY_NS,
+    REQUEST_TIMEOUT_S,
     JobIds,
     printable,
     read_budget_ns,
@@ -41,15 +41,15 @@
 from hollowusher.scheduler.net.link import Link
 
 JOBS, ANSWERS = "/queue/jobs", "/queue/answers"
-FLUSH_S = 2.0  # timeout for writing the last frames of a session
-MOST_OPEN = 64  # jobs in flight per session; at this number, the client's next frames are not read
-MOST_UNSENT = 64  # maximum number of answers that wait for a subscription, and of unacknowledged answers
-MOST_SUBSCRIPTIONS = 16  # per session
-MOST_SUBJECT = 1024  # maximum length of a job id, subject, login or repeat-key, in characters
-LOOK_S = 0.05  # interval of the checks for a disconnect while a client's frames are not read
+FLUSH_TIMEOUT_S = 2.0  # timeout for writing the last frames of a session
+MAX_OPEN_JOBS = 64  # jobs in flight per session; at this number, the client's next frames are not read
+MAX_UNSENT = 64  # maximum number of answers that wait for a subscription, and of unacknowledged answers
+MAX_SUBSCRIPTIONS = 16  # per session
+MAX_TEXT_LENGTH = 1024  # maximum length of a job id, subject, login or repeat-key, in characters
+DISCONNECT_CHECK_INTERVAL_S = 0.05  # used while the session does not read the client's frames
 LINGER_S = 1.0  # longest lingering close: a client may read the ERROR that ends its session meanwhile
-YOUNG_S = 0.25  # a connection without a valid CONNECT frame after this time may be evicted
-FULL_WAIT_NS = 1_000_000_000  # retry-after of a job that is rejected because the ledger is full
+NEW_CONNECTION_GRACE_S = 0.25  # a connection without a valid CONNECT frame after this time may be evicted
+LEDGER_FULL_WAIT_NS = 1_000_000_000  # retry-after of a job that is rejected because the ledger is full
 DRAIN_ACCEPT_S = 0.55  # time in a shutdown during which new connections and frames are still accepted
 
 
@@ -66,7 +66,7 @@
     """Check and return a text that is copied into headers of other protocols.
 
     Raises FrameError if the text is not printable ASCII, as it could end the header line."""
-    if not printable(value, MOST_SUBJECT):
+    if not printable(value, MAX_TEXT_LENGTH):
         raise FrameError(f"{name} must be printable ASCII without spaces", frame.headers.get("receipt", ""))
     return value
 
@@ -78,7 +78,7 @@
         self._front, self._wire = front, wire
         self.identity = ""
         self.open_jobs = 0
-        self._held = self._connected = False
+        self._paused = self._connected = False
         self._accepted_ns = time.monotonic_ns()
         self.waiting: dict[Waiter, JobTableEntry] = {}
         self._has_capacity = asyncio.Event()
@@ -93,17 +93,17 @@
         writer, lost = asyncio.create_task(self._wire.write()), False
         writer.add_done_callback(self._writer_broke)
         try:
-            async with asyncio.timeout(FIRST_S):
+            async with asyncio.timeout(FIRST_REQUEST_TIMEOUT_S):
                 await self._connect()
             going = True
             while going:
                 await self._wait_for_capacity()
                 frame = await self._wire.receive()
-                if self._held:  # the frame is not accepted and gets no receipt
+                if self._paused:  # the frame is not accepted and gets no receipt
                     await self._wait_for_capacity()
                 going = self._take(frame)
         except FrameError as bad:
-            self._complain(bad)
+            self._send_error(bad)
         except OSError:
             lost = True  # the client disconnected, or its heart-beats timed out
         except asyncio.CancelledError:
@@ -112,7 +112,7 @@
             self._front.gone(self)
             self._wire.finish()
             writer.remove_done_callback(self._writer_broke)
-            await asyncio.wait({writer}, timeout=FLUSH_S)
+            await asyncio.wait({writer}, timeout=FLUSH_TIMEOUT_S)
             writer.cancel()
             with contextlib.suppress(asyncio.CancelledError, OSError):
                 await writer
@@ -125,27 +125,31 @@
 
         The connection is checked for a disconnect meanwhile, because reading would detect it only behind the
         unread frames.  Raises OSError if the client has disconnected."""
-        while self._held or not self._has_capacity.is_set():
+        while self._paused or not self._has_capacity.is_set():
             if self._wire.left():
                 raise ConnectionResetError("the client has disconnected")
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S):
-                    await (asyncio.Event() if self._held else self._has_capacity).wait()
+                async with asyncio.timeout(DISCONNECT_CHECK_INTERVAL_S):
+                    await (asyncio.Event() if self._paused else self._has_capacity).wait()
 
     def _writer_broke(self, _: asyncio.Task[None]) -> None:
         if self.task is not None:
             self.task.cancel()
 
     def evict(self) -> bool:
-        """Close the session if it had no valid CONNECT frame for YOUNG_S; return whether it was closed."""
-        if self._connected or self.task is None or time.monotonic_ns() - self._accepted_ns < YOUNG_S * 1e9:
+        """Close the session if it had no valid CONNECT frame in time; return whether it was closed."""
+        if (
+            self._connected
+            or self.task is None
+            or time.monotonic_ns() - self._accepted_ns < NEW_CONNECTION_GRACE_S * 1e9
+        ):
             return False
         self.task.cancel()
         return True
 
     def hold(self) -> None:
         """Stop accepting frames; accepted frames are still answered."""
-        self._held = True
+        self._paused = True
 
     def stop(self) -> None:
         """Send an ERROR that announces the shutdown, and end the session."""
@@ -158,8 +162,8 @@
         self.waiting.pop(waiter, None)
         if not self._subscriptions:
             self._unsent.append((waiter, answer))
-            if len(self._unsent) > MOST_UNSENT:
-                self._complain(
+            if len(self._unsent) > MAX_UNSENT:
+                self._send_error(
                     FrameError(f"too many answers are waiting without a subscription to {ANSWERS}")
                 )
                 if self.task is not None:
@@ -181,19 +185,19 @@
         if ack != "auto":
             headers["ack"] = number
             self._to_ack[number] = subscription
-            while len(self._to_ack) > MOST_UNSENT:  # acks have no effect: the ledger keeps the answer anyway
+            while len(self._to_ack) > MAX_UNSENT:  # acks have no effect: the ledger keeps the answer anyway
                 del self._to_ack[next(iter(self._to_ack))]
         self._wire.put(Frame("MESSAGE", headers, answer.result))
 
     def counted(self, change: int) -> None:
-        """Change the number of jobs in flight; at MOST_OPEN, the session stops reading frames."""
+        """Change the number of jobs in flight; at MAX_OPEN_JOBS, the session stops reading frames."""
         self.open_jobs += change
-        if self.open_jobs < MOST_OPEN:
+        if self.open_jobs < MAX_OPEN_JOBS:
             self._has_capacity.set()
         else:
             self._has_capacity.clear()
 
-    def _complain(self, bad: FrameError) -> None:
+    def _send_error(self, bad: FrameError) -> None:
         self._front.log.info("bad-frame", bad.why, client=self.identity)
         headers = {"message": bad.why, "content-type": "text/plain"}
         if bad.receipt:
@@ -223,7 +227,7 @@
                 },
             )
         )
-        self._wire.agree(ours, theirs)
+        self._wire.negotiate_heartbeats(ours, theirs)
         self._connected = True
 
     def _take(self, frame: Frame) -> bool:
@@ -239,7 +243,7 @@
                 name, ack = frame.need("id"), headers.get("ack", "auto")
                 if ack not in ("auto", "client", "client-individual"):
                     raise FrameError("ack must be auto, client or client-individual", receipt)
-                if name in self._subscriptions or len(self._subscriptions) >= MOST_SUBSCRIPTIONS:
+                if name in self._subscriptions or len(self._subscriptions) >= MAX_SUBSCRIPTIONS:
                     raise FrameError(
                         "the subscription id is in use, or there are too many subscriptions", receipt
                     )
@@ -288,7 +292,7 @@
             subject,
             frame.body,
             now,
-            self._budget_ns(frame) - TRAVEL_NS,
+            self._budget_ns(frame) - NETWORK_DELAY_NS,
             lambda answer: None,
             repeat_key,
         )
@@ -317,7 +321,7 @@
         log: LogWriter,
     ) -> None:
         self._listener, self.classes, self.config = listener, classes, config
-        self._full_wait_ns = min(FULL_WAIT_NS, max_wait_ns)
+        self._full_wait_ns = min(LEDGER_FULL_WAIT_NS, max_wait_ns)
         self._ids, self._post, self.log = ids, post, log
         self.job_table = JobTable(
             config.ledger_jobs,
@@ -351,7 +355,7 @@
                 self.log.warning("clients-full", "no connection to spare for a client")
                 sock.close()
                 continue
-            session = StompClientSession(self, StompLink(Link(sock), FROM_CLIENT, REQUEST_S))
+            session = StompClientSession(self, StompLink(Link(sock), FROM_CLIENT, REQUEST_TIMEOUT_S))
             self._sessions[session] = None
             session.task = asyncio.create_task(session.run())
             session.task.add_done_callback(partial(self._over, session))
--- a/hollowusher/scheduler/fronts/stomp/frames.py
+++ b/hollowusher/scheduler/fronts/stomp/frames.py
@@ -6,9 +6,9 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-MOST_HEAD = 8 * 1024
-MOST_HEADERS = 64
-MOST_BODY = 64 * 1024
+MAX_HEAD = 8 * 1024
+MAX_HEADERS = 64
+MAX_BODY = 64 * 1024
 FROM_CLIENT = frozenset(
     (
         "CONNECT",
@@ -25,10 +25,10 @@
     )
 )
 FROM_SERVER = frozenset(("CONNECTED", "MESSAGE", "RECEIPT", "ERROR"))
-_BARE = frozenset(("CONNECT", "CONNECTED"))  # headers are not escaped, for compatibility with STOMP 1.0
+_UNESCAPED = frozenset(("CONNECT", "CONNECTED"))  # headers are not escaped, for compatibility with STOMP 1.0
 _WITH_BODY = frozenset(("SEND", "MESSAGE", "ERROR"))
 _ESCAPES = {"\\": "\\\\", "\r": "\\r", "\n": "\\n", ":": "\\c"}
-_MEANT = {"\\": "\\", "r": "\r", "n": "\n", "c": ":"}
+_UNESCAPES = {"\\": "\\", "r": "\r", "n": "\n", "c": ":"}
 
 
 class FrameError(Exception):
@@ -67,7 +67,7 @@
     out, characters = [], iter(text)
     for c in characters:
         if c == "\\":
-            meant = _MEANT.get(next(characters, ""))
+            meant = _UNESCAPES.get(next(characters, ""))
             if meant is None:  # the specification requires a fatal error for any other escape
                 raise FrameError("undefined escape sequence in a header")
             c = meant
@@ -77,7 +77,7 @@
 
 def encode(frame: Frame) -> bytes:
     """Return the encoded command and headers of a frame, including the blank line before the body."""
-    plain = frame.command in _BARE
+    plain = frame.command in _UNESCAPED
     lines = [frame.command]
     for name, value in frame.headers.items():
         if plain and ("\n" in value or "\r" in value):
@@ -125,7 +125,7 @@
         end, after = min(ends, default=(len(held), 0))
         if held.find(0, 0, end) >= 0:
             raise FrameError("a frame ended before its header section was complete")
-        if end > MOST_HEAD:
+        if end > MAX_HEAD:
             raise FrameError("the header section of a frame is too large")
         if not ends:
             return False
@@ -142,13 +142,13 @@
         command, headers = lines[0], dict[str, str]()
         if command not in self._commands:
             raise FrameError("unknown command")
-        if len(lines) > MOST_HEADERS:
+        if len(lines) > MAX_HEADERS:
             raise FrameError("too many headers")
         for line in lines[1:]:
             name, sep, value = line.partition(":")
             if not sep or not name or "\r" in line:
                 raise FrameError("malformed header line")
-            if command not in _BARE:
+            if command not in _UNESCAPED:
                 name, value = _unescape(name), _unescape(value)
             headers.setdefault(name, value)  # the first of repeated headers applies, by the specification
         return Frame(command, headers)
@@ -159,7 +159,7 @@
             return None
         if not (text.isascii() and text.isdigit()):
             raise FrameError("content-length is not a number", head.headers.get("receipt", ""))
-        if len(text) > 9 or int(text) > MOST_BODY:
+        if len(text) > 9 or int(text) > MAX_BODY:
             raise FrameError("a body holds no more than 64 KiB", head.headers.get("receipt", ""))
         return int(text)
 
@@ -170,7 +170,7 @@
         receipt = head.headers.get("receipt", "")
         if length is None:
             length = held.find(0)
-            if max(length, len(held) if length < 0 else 0) > MOST_BODY:
+            if max(length, len(held) if length < 0 else 0) > MAX_BODY:
                 raise FrameError("a body holds no more than 64 KiB", receipt)
             if length < 0:
                 return False
--- a/hollowusher/scheduler/fronts/stomp/job_table.py
+++ b/hollowusher/scheduler/fronts/stomp/job_table.py
@@ -63,8 +63,8 @@
     The entry of an answered job expires after `unsafe_window_ns` if its class is unsafe, otherwise after
     `keep_ns`."""
 
-    def __init__(self, most_jobs: int, most_bytes: int, unsafe_window_ns: int, keep_ns: int) -> None:
-        self._most_jobs, self._most_bytes = most_jobs, most_bytes
+    def __init__(self, max_jobs: int, max_bytes: int, unsafe_window_ns: int, keep_ns: int) -> None:
+        self._max_jobs, self._max_bytes = max_jobs, max_bytes
         self._windows = {Effect.UNSAFE: unsafe_window_ns, Effect.KEYED: keep_ns, Effect.SAFE: keep_ns}
         self._entries: dict[tuple[str, str], JobTableEntry] = {}
         self._ended: dict[Effect, deque[JobTableEntry]] = {effect: deque() for effect in Effect}
@@ -129,4 +129,4 @@
         return not self._full()
 
     def _full(self) -> bool:
-        return len(self._entries) >= self._most_jobs or self.bytes >= self._most_bytes
+        return len(self._entries) >= self._max_jobs or self.bytes >= self._max_bytes
--- a/hollowusher/scheduler/fronts/stomp/nodes.py
+++ b/hollowusher/scheduler/fronts/stomp/nodes.py
@@ -26,19 +26,19 @@
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, AttemptEnding, read_load
 from hollowusher.scheduler.fronts.stomp.frames import FROM_SERVER, Frame, FrameError
-from hollowusher.scheduler.fronts.stomp.wire import Fate, OutgoingFrame, StompLink, read_heartbeat
+from hollowusher.scheduler.fronts.stomp.wire import OutgoingFrame, StompLink, WriteResult, read_heartbeat
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.link import connect
 
 NODE_JOBS, NODE_WITHDRAWN, NODE_LOAD = "/queue/jobs", "/queue/withdrawn", "/queue/load"
 NODE_REPORTS = "/queue/reports"
-RECONNECT_FIRST_S, RECONNECT_MOST_S = 0.25, 4.0
+RECONNECT_MIN_S, RECONNECT_MAX_S = 0.25, 4.0
 _STATES = {"draining": State.DRAINING, "serving": State.READY, "gone": State.GONE}
 _OUTCOMES = {"done": Outcome.OK, "failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 
 
 @dataclass(eq=False, slots=True)
-class _UnderWay:
+class _OpenAttempt:
     """An attempt at a node: `written` and `withdrawn` are its state, `ending` receives its result."""
 
     order: Dispatch
@@ -51,12 +51,14 @@
         if not self.ending.done():
             self.ending.set_result(ending)
 
-    def fate(self, fate: Fate) -> None:
-        """Handle the final state of the job's frame: the job can have run only if the frame was written."""
-        if fate is Fate.WRITTEN:
+    def handle_write_result(self, result: WriteResult) -> None:
+        """End the attempt if its job frame was not written completely; the node cannot have run it then."""
+        if result is WriteResult.WRITTEN:
             self.written = True
         else:
-            self.end(AttemptEnding(Outcome.NOT_SENT if fate is Fate.WITHHELD else Outcome.UNREACHABLE))
+            self.end(
+                AttemptEnding(Outcome.NOT_SENT if result is WriteResult.WITHHELD else Outcome.UNREACHABLE)
+            )
 
 
 @dataclass(eq=False, slots=True)
@@ -66,7 +68,7 @@
     wire: StompLink
     ended: asyncio.Event = field(default_factory=asyncio.Event)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
-    attempts: dict[str, _UnderWay] = field(default_factory=dict)
+    attempts: dict[str, _OpenAttempt] = field(default_factory=dict)
     probes: dict[str, asyncio.Future[Frame]] = field(default_factory=dict)
 
 
@@ -86,30 +88,30 @@
         self._registry, self._meanings, self._post, self._log = registry, meanings, post, log
         self._name, self._heartbeat_ms, self._connect_timeout_s = name, heart_beat_ms, connect_timeout_s
         self._sessions: dict[int, _Session] = {}
-        self._keepers: list[asyncio.Task[None]] = []
+        self._reconnect_tasks: list[asyncio.Task[None]] = []
         self._opening: dict[int, asyncio.Task[_Session]] = {}
         # Unique per start of this process: a node must not confuse its attempts with those before a restart.
-        liveness = f"{name}-{time.time_ns():x}"
-        self._names = (f"{liveness}-{n}" for n in itertools.count())
+        run_id = f"{name}-{time.time_ns():x}"
+        self._names = (f"{run_id}-{n}" for n in itertools.count())
 
     def start(self, nodes: Iterable[RouteNode]) -> None:
         """Keep a connection to each node, to receive its state reports; reconnect with backoff."""
-        self._keepers = [asyncio.create_task(self._keep(node)) for node in nodes]
+        self._reconnect_tasks = [asyncio.create_task(self._keep_connected(node)) for node in nodes]
 
-    async def _keep(self, node: RouteNode) -> None:
-        wait_s = RECONNECT_FIRST_S
+    async def _keep_connected(self, node: RouteNode) -> None:
+        wait_s = RECONNECT_MIN_S
         while True:
             with contextlib.suppress(OSError, FrameError):
                 session = await self._session(node)
-                wait_s = RECONNECT_FIRST_S
+                wait_s = RECONNECT_MIN_S
                 await session.ended.wait()
             await asyncio.sleep(wait_s)
-            wait_s = min(RECONNECT_MOST_S, 2 * wait_s)
+            wait_s = min(RECONNECT_MAX_S, 2 * wait_s)
 
     async def attempt(self, order: Dispatch, node: RouteNode) -> None:
         """Run one attempt; always post its result to the dispatcher."""
         name = next(self._names)
-        under_way = _UnderWay(order, asyncio.get_running_loop().create_future())
+        open_attempt = _OpenAttempt(order, asyncio.get_running_loop().create_future())
         left_ns = order.job.deadline_ns - time.monotonic_ns()
         if order.timeout_ns > 0:
             left_ns = min(left_ns, order.timeout_ns)
@@ -117,8 +119,8 @@
         try:
             async with asyncio.timeout(max(0.0, left_ns / 1e9)):
                 session = await self._session(node)
-                session.attempts[name] = under_way
-                session.wire.put_out(
+                session.attempts[name] = open_attempt
+                session.wire.put_outgoing(
                     OutgoingFrame(
                         self._job_frame(name, order),
                         # Called just before the first byte: while the connection was opened or other frames
@@ -127,21 +129,21 @@
                         # have passed.
                         lambda: (
                             self._registry.serving(order.attempt.node)
-                            and not under_way.withdrawn
+                            and not open_attempt.withdrawn
                             and order.may_begin(time.monotonic_ns())
                         ),
-                        under_way.fate,
+                        open_attempt.handle_write_result,
                     )
                 )
-                ending = await under_way.ending
+                ending = await open_attempt.ending
         except TimeoutError:
-            ending = AttemptEnding(Outcome.TIMEOUT if under_way.written else Outcome.UNREACHABLE)
+            ending = AttemptEnding(Outcome.TIMEOUT if open_attempt.written else Outcome.UNREACHABLE)
         except (OSError, FrameError) as wrong:
             self._log.info("node-unreachable", str(wrong), node=node.name)
         except asyncio.CancelledError:
             # A partly written frame is still completed, so the node may run the job.
             ending = AttemptEnding(Outcome.CANCELLED if session is not None else Outcome.NOT_SENT)
-        under_way.withdrawn = True
+        open_attempt.withdrawn = True
         if session is not None:
             session.attempts.pop(name, None)
             if ending.outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
@@ -168,7 +170,7 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        tasks: list[asyncio.Task[Any]] = [*self._keepers, *self._opening.values()]
+        tasks: list[asyncio.Task[Any]] = [*self._reconnect_tasks, *self._opening.values()]
         tasks += [s.tasks[1] for s in self._sessions.values()]
         for task in tasks:
             task.cancel()
@@ -218,7 +220,7 @@
                 hello = await wire.receive()
             if hello.command != "CONNECTED" or hello.headers.get("version") != "1.2":
                 raise ConnectionAbortedError(f"{node.name} does not speak STOMP 1.2")
-            wire.agree(self._heartbeat_ms, read_heartbeat(hello))
+            wire.negotiate_heartbeats(self._heartbeat_ms, read_heartbeat(hello))
         except BaseException:
             writer.cancel()
             wire.close()
@@ -226,7 +228,7 @@
         wire.put(Frame("SUBSCRIBE", {"id": "reports", "destination": NODE_REPORTS}))
         session = _Session(wire)
         self._sessions[node.entry.worker] = session
-        self._greeted(node.entry.worker, hello)
+        self._handle_connected(node.entry.worker, hello)
         session.tasks = [writer, asyncio.create_task(self._listen(node, session))]
         writer.add_done_callback(lambda _: session.tasks[1].cancel())
         return session
@@ -256,8 +258,10 @@
             with contextlib.suppress(asyncio.CancelledError, OSError):
                 await session.tasks[0]  # the writer reports the frames that it has not written
             session.wire.close()
-            for under_way in list(session.attempts.values()):
-                under_way.end(AttemptEnding(Outcome.RESET if under_way.written else Outcome.UNREACHABLE))
+            for open_attempt in list(session.attempts.values()):
+                open_attempt.end(
+                    AttemptEnding(Outcome.RESET if open_attempt.written else Outcome.UNREACHABLE)
+                )
 
     def _report(self, number: int, session: _Session, frame: Frame) -> None:
         """Handle one report, which belongs to a probe, to an attempt or to the node itself."""
@@ -267,10 +271,10 @@
             if not waiting.done():
                 waiting.set_result(frame)
         elif "attempt" in headers:
-            under_way = session.attempts.get(headers["attempt"])
-            if under_way is None:
+            open_attempt = session.attempts.get(headers["attempt"])
+            if open_attempt is None:
                 return  # a late report of an attempt that has ended
-            attempt = under_way.order.attempt
+            attempt = open_attempt.order.attempt
             if state == "started":
                 self._post(AttemptStarted(attempt))
             elif state == "progress":
@@ -278,11 +282,11 @@
                     self._post(AttemptProgress(attempt, float(headers.get("share", "0"))))
             elif state in _OUTCOMES:
                 reading = read_load(headers.get("load"), self._meanings)
-                under_way.end(AttemptEnding(_OUTCOMES[state], reading, frame.body))
+                open_attempt.end(AttemptEnding(_OUTCOMES[state], reading, frame.body))
         elif state in _STATES:
-            self._reported(number, state=_STATES[state])
+            self._update_node(number, state=_STATES[state])
 
-    def _greeted(self, number: int, hello: Frame) -> None:
+    def _handle_connected(self, number: int, hello: Frame) -> None:
         """Pass the start time and the state in a node's CONNECTED frame to the worker registry.
 
         The start time lets the scheduler send less load to a node that is still cold."""
@@ -292,9 +296,9 @@
             if 0 < started_ms < 1e15:
                 started_ns = time.monotonic_ns() - round((time.time() * 1000 - started_ms) * 1e6)
         state = _STATES.get(hello.headers.get("state", ""), State.READY)
-        self._reported(number, state=state, started_ns=started_ns)
+        self._update_node(number, state=state, started_ns=started_ns)
 
-    def _reported(self, number: int, **changes: State | int) -> None:
+    def _update_node(self, number: int, **changes: State | int) -> None:
         reported = self._registry.update_node(number, **changes)
         if reported is not None:
             self._post(reported)
--- a/hollowusher/scheduler/fronts/stomp/wire.py
+++ b/hollowusher/scheduler/fronts/stomp/wire.py
@@ -10,12 +10,12 @@
 from hollowusher.scheduler.fronts.stomp.frames import Frame, FrameError, FrameReader, encode
 from hollowusher.scheduler.net.link import Link
 
-WRITE_S = 10.0  # timeout for writing one frame to a peer that reads slowly
+WRITE_TIMEOUT_S = 10.0  # timeout for writing one frame to a peer that reads slowly
 # A peer times out after this multiple of its heart-beat interval, because heart-beats may arrive late.
 HEARTBEAT_GRACE = 2.0
 
 
-class Fate(Enum):
+class WriteResult(Enum):
     """The final state of an outgoing frame."""
 
     WRITTEN = "written"  # its last byte is written
@@ -27,18 +27,18 @@
 class OutgoingFrame:
     """A frame in the write queue.
 
-    `may_go` is called just before the first byte; if it returns False, the frame is dropped.  `tell` is
-    called once with the frame's final state."""
+    `may_write` is called just before the first byte; if it returns False, the frame is dropped.
+    `on_result` is called once with the frame's final state."""
 
     frame: Frame
-    may_go: Callable[[], bool] | None = None
-    tell: Callable[[Fate], None] | None = None
+    may_write: Callable[[], bool] | None = None
+    on_result: Callable[[WriteResult], None] | None = None
 
-    def reported(self, fate: Fate) -> None:
+    def report(self, result: WriteResult) -> None:
         """Pass the final state to the callback, once."""
-        if self.tell is not None:
-            tell, self.tell = self.tell, None
-            tell(fate)
+        if self.on_result is not None:
+            on_result, self.on_result = self.on_result, None
+            on_result(result)
 
 
 def read_heartbeat(frame: Frame) -> tuple[int, int]:
@@ -56,11 +56,11 @@
 class StompLink:
     """Reads and writes frames on one connection.
 
-    `frame_s` is the timeout in seconds for receiving one frame.  `write` runs as a separate task, so that a
-    peer that reads slowly delays only its own connection."""
+    `frame_timeout_s` is the timeout in seconds for receiving one frame.  `write` runs as a separate task, so
+    that a peer that reads slowly delays only its own connection."""
 
-    def __init__(self, link: Link, commands: Collection[str], frame_s: float | None = None) -> None:
-        self._link, self._frame_s = link, frame_s
+    def __init__(self, link: Link, commands: Collection[str], frame_timeout_s: float | None = None) -> None:
+        self._link, self._frame_timeout_s = link, frame_timeout_s
         self._reader = FrameReader(commands)
         self._queue: asyncio.Queue[OutgoingFrame | None] = asyncio.Queue()
         self._heartbeat_s: float | None = None  # interval of the heart-beats that this side sends
@@ -68,7 +68,7 @@
         self._idle_timeout_s: float | None = None  # the connection times out after this time without data
         self.ended = False
 
-    def agree(self, ours_ms: int, theirs: tuple[int, int]) -> None:
+    def negotiate_heartbeats(self, ours_ms: int, theirs: tuple[int, int]) -> None:
         """Set the heart-beat intervals by the specification.
 
         Each direction uses the larger of the interval that the sender offers and the interval that the
@@ -84,15 +84,15 @@
         a frame is invalid or is not completed in time; a partial frame must not keep a connection open."""
         reader, loop = self._reader, asyncio.get_running_loop()
         while not reader.ready:
-            patience, left, begun = self._idle_timeout_s, None, reader.begun
-            if begun and self._frame_s is not None:
-                left = self._begun_at + self._frame_s - loop.time()
-                patience = left if patience is None else min(left, patience)
+            timeout_s, left, begun = self._idle_timeout_s, None, reader.begun
+            if begun and self._frame_timeout_s is not None:
+                left = self._begun_at + self._frame_timeout_s - loop.time()
+                timeout_s = left if timeout_s is None else min(left, timeout_s)
             try:
-                async with asyncio.timeout(patience):
+                async with asyncio.timeout(timeout_s):
                     await self._link.pass_on(reader.feed)
             except TimeoutError:
-                if left is not None and patience == left:
+                if left is not None and timeout_s == left:
                     raise FrameError("the frame was not received in time") from None
                 raise
             if not begun:
@@ -110,12 +110,12 @@
 
     def put(self, frame: Frame) -> None:
         """Add a frame to the write queue."""
-        self.put_out(OutgoingFrame(frame))
+        self.put_outgoing(OutgoingFrame(frame))
 
-    def put_out(self, out: OutgoingFrame) -> None:
+    def put_outgoing(self, out: OutgoingFrame) -> None:
         """Add a frame with callbacks to the write queue."""
         if self.ended:
-            out.reported(Fate.BROKEN)
+            out.report(WriteResult.BROKEN)
         else:
             self._queue.put_nowait(out)
 
@@ -136,21 +136,21 @@
                     continue
                 if out is None:
                     return
-                if out.may_go is not None and not out.may_go():
-                    out.reported(Fate.WITHHELD)
+                if out.may_write is not None and not out.may_write():
+                    out.report(WriteResult.WITHHELD)
                     continue
                 await self._send(encode(out.frame), out.frame.body, b"\0")
-                out.reported(Fate.WRITTEN)
+                out.report(WriteResult.WRITTEN)
         finally:
             self.ended = True
             if out is not None:
-                out.reported(Fate.BROKEN)
+                out.report(WriteResult.BROKEN)
             while not self._queue.empty():
                 if (out := self._queue.get_nowait()) is not None:
-                    out.reported(Fate.BROKEN)
+                    out.report(WriteResult.BROKEN)
 
     async def _send(self, *parts: bytes) -> None:
-        async with asyncio.timeout(WRITE_S):
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
             await self._link.send(*parts)
 
     def close(self) -> None:
--- a/tests/scheduler/test_bad_clients.py
+++ b/tests/scheduler/test_bad_clients.py
@@ -90,7 +90,7 @@
             self.assertFalse(printable(text), text)
 
     def test_ids_are_open_once_and_the_closed_are_remembered_to_a_limit(self) -> None:
-        ids = JobIds(most_closed=2)
+        ids = JobIds(max_closed=2)
         self.assertTrue(ids.claim("a"))
         self.assertFalse(ids.claim("a") or ids.claim("a", again=True))
         ids.free("a")
@@ -149,7 +149,10 @@
 
     async def test_half_a_request_and_no_answer_end_in_time_from_the_accept_on(self) -> None:
         await self.run_program(HttpNode())
-        with mock.patch.object(clients, "FIRST_S", 0.2), mock.patch.object(clients, "REQUEST_S", 0.2):
+        with (
+            mock.patch.object(clients, "FIRST_REQUEST_TIMEOUT_S", 0.2),
+            mock.patch.object(clients, "REQUEST_TIMEOUT_S", 0.2),
+        ):
             half, half_writer = await self.client()
             half_writer.write(JOB + b"Content-Length: 9\r\n\r\nhalf")
             slow, slow_writer = await self.client()
@@ -165,7 +168,10 @@
 
     async def test_connection_that_served_a_job_is_kept_though_idle(self) -> None:
         await self.run_program(HttpNode())
-        with mock.patch.object(clients, "FIRST_S", 0.05), mock.patch.object(clients, "REQUEST_S", 0.05):
+        with (
+            mock.patch.object(clients, "FIRST_REQUEST_TIMEOUT_S", 0.05),
+            mock.patch.object(clients, "REQUEST_TIMEOUT_S", 0.05),
+        ):
             reader, writer = await self.client()
             writer.write(post("j"))
             await self.within(read_http(reader))
@@ -176,7 +182,7 @@
     async def test_silent_crowd_shuts_nobody_out_and_takes_no_nodes_descriptors(self) -> None:
         with (
             mock.patch("hollowusher.scheduler.app.SPARE_SOCKETS", 310),
-            mock.patch.object(clients, "YOUNG_S", 0.0),
+            mock.patch.object(clients, "NEW_CONNECTION_GRACE_S", 0.0),
         ):
             await self.run_program(HttpNode())
             kept, kept_writer = await self.client()
@@ -221,8 +227,8 @@
 
     async def test_half_a_frame_and_no_answer_end_in_time(self) -> None:
         with (
-            mock.patch.object(stomp_clients, "FIRST_S", 0.2),
-            mock.patch.object(stomp_clients, "REQUEST_S", 0.2),
+            mock.patch.object(stomp_clients, "FIRST_REQUEST_TIMEOUT_S", 0.2),
+            mock.patch.object(stomp_clients, "REQUEST_TIMEOUT_S", 0.2),
         ):
             await self.run_program(stomp_nodes=(StompNodeStandIn(),))
             session = await self.stomp_client()
@@ -232,7 +238,7 @@
             self.assertEqual(await self.within(silent.read()), b"")
 
     async def test_silent_crowd_frees_a_connection(self) -> None:
-        with mock.patch.object(stomp_clients, "YOUNG_S", 0.0):
+        with mock.patch.object(stomp_clients, "NEW_CONNECTION_GRACE_S", 0.0):
             await self.run_program(stomp_nodes=(StompNodeStandIn(),), most_clients=4)
             crowd = [await asyncio.open_connection("127.0.0.1", self.stomp_port) for _ in range(6)]
             session = await self.stomp_client()
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -202,7 +202,7 @@
         sock.sendall(post("a").replace(b"Host: h", b"Connection: close\r\nHost: h"))
         (await self.taken()).answer_to(JobAnswerBody(Verdict.SERVED, b"result"))
         (session,) = self.front._sessions
-        await until(lambda: session._stage is clients.RequestStage.LEAVING)
+        await until(lambda: session._stage is clients.ConnectionStage.CLOSING)
         sock.sendall(post("b"))  # it is written to a connection that we have shut
         for _ in range(20):
             await asyncio.sleep(0.001)
@@ -220,7 +220,7 @@
         with mock.patch.object(self.front, "drain_times", DrainTimes(0.0, 1.0, 0.5)):
             draining = asyncio.create_task(self.front.drain(self.accepting))
             await until(
-                lambda: [s._stage for s in self.front._sessions] == [clients.RequestStage.LEAVING] * 2
+                lambda: [s._stage for s in self.front._sessions] == [clients.ConnectionStage.CLOSING] * 2
             )
             sock.sendall(post("b"))  # crosses it
             self.assertTrue((await self.read(sock)).endswith(b"result"))
@@ -250,7 +250,7 @@
         owed.sendall(post("a"))
         job = await self.taken()
         idle = [self.client() for _ in range(7)]
-        with mock.patch.object(clients, "YOUNG_S", 0.0):
+        with mock.patch.object(clients, "NEW_CONNECTION_GRACE_S", 0.0):
             await until(lambda: len(self.front._sessions) >= 8)
             late = self.client()
             late.sendall(post("late"))
@@ -442,7 +442,7 @@
     async def test_what_follows_an_answer_is_read_to_a_bound(self) -> None:
         reader = AnswerReader(1 << 20, 1 << 20)
         reader.feed(memoryview(HEAD + DONE))
-        reader.end_within(TAIL_BYTES)
+        reader.limit_rest(TAIL_BYTES)
         with self.assertRaises(ConnectionError):
             for _ in range(TAIL_BYTES // 100 + 1):
                 reader.feed(memoryview(chunk("x" * 100)))
@@ -547,7 +547,7 @@
     async def test_a_client_whose_frames_wait_unread_is_seen_to_leave(self) -> None:
         for leave in ("reset", "close"):
             node = StompNodeStandIn("hold")
-            with mock.patch("hollowusher.scheduler.fronts.stomp.clients.MOST_OPEN", 2):
+            with mock.patch("hollowusher.scheduler.fronts.stomp.clients.MAX_OPEN_JOBS", 2):
                 await self.run_program(stomp_nodes=(node,))
                 session = await self.stomp_client()
                 for number in range(6):
--- a/tests/scheduler/test_platform_sockets.py
+++ b/tests/scheduler/test_platform_sockets.py
@@ -232,7 +232,7 @@
 
     async def test_slow_input_ends_in_408_and_slow_readers_block_nobody(self) -> None:
         await self.run_program(HttpNode())
-        with mock.patch.object(clients, "REQUEST_S", 0.1):
+        with mock.patch.object(clients, "REQUEST_TIMEOUT_S", 0.1):
             self.assertEqual((await self.ask(b"POST /x HTTP/1.1\r\n"))[0], "HTTP/1.1 408 Request Timeout")
         deaf = socket.create_connection(("127.0.0.1", self.port))
         self.addCleanup(deaf.close)
@@ -337,7 +337,7 @@
         self.assertGreaterEqual(len(spare.runs), 5)
 
     async def test_watch_is_opened_again_when_the_list_fails_breaks_or_falls_silent(self) -> None:
-        with mock.patch.object(discovery, "SILENT_S", 0.2):
+        with mock.patch.object(discovery, "SILENCE_TIMEOUT_S", 0.2):
             await self.run_program(HttpNode())  # it falls silent for longer than that between its beats
             self.assertIn("from=1", await self.within(self.list.asked.get()))
             self.list.status = 503
--- a/tests/scheduler/test_reload.py
+++ b/tests/scheduler/test_reload.py
@@ -221,7 +221,7 @@
                 self.assertIs(event.kind, kind)
 
         self.list.beats = False
-        with mock.patch("hollowusher.scheduler.fronts.platform.discovery.SILENT_S", 0.3):
+        with mock.patch("hollowusher.scheduler.fronts.platform.discovery.SILENCE_TIMEOUT_S", 0.3):
             watch.ask()
             watch.ask()  # one is under way: cut off, it would stand at the end of the line again
             await hears(ListKind.FULL)
