--- a/tests/scheduler/test_bad_clients.py
+++ b/tests/scheduler/test_bad_clients.py
@@ -1,4 +1,4 @@
-"""Bad clients: each gets an error or a close in time, and spoils nothing for the others."""
+"""Misbehaving clients get an error response or a close in time, and do not affect other clients."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Checks(unittest.TestCase):
-    def test_what_two_readers_could_read_differently_is_no_request(self) -> None:
+    def test_ambiguous_requests_are_rejected(self) -> None:
         cases = {
             JOB + b"X-Call-Id: k\r\n\r\n": 400,
             JOB + b"X-Budget: 4\r\n\r\n": 400,
@@ -50,12 +50,12 @@
                 RequestReader().feed(memoryview(data))
             self.assertEqual(caught.exception.status, status, data)
 
-    def test_header_after_the_body_changes_nothing(self) -> None:
+    def test_trailers_are_ignored(self) -> None:
         reader = RequestReader()
         reader.feed(memoryview(JOB + b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-Extra: z\r\n\r\n"))
         self.assertNotIn("x-extra", reader.ready[0].headers)
 
-    def test_jobs_that_a_node_would_turn_away(self) -> None:
+    def test_jobs_that_a_node_would_reject_are_rejected(self) -> None:
         classes = {c.name: c for c in CLASSES}
         good = JOB + b"\r\n"
         keyed = good.replace(b"eta-quote", b"assign-rider")
@@ -89,7 +89,7 @@
         for text in ("a b", "a\r\nb", "\x7f", "é", "x" * 129):
             self.assertFalse(printable(text), text)
 
-    def test_ids_are_open_once_and_the_closed_are_remembered_to_a_limit(self) -> None:
+    def test_an_id_is_open_once_and_a_limited_number_of_closed_ids_is_kept(self) -> None:
         ids = JobIds(max_closed=2)
         self.assertTrue(ids.claim("a"))
         self.assertFalse(ids.claim("a") or ids.claim("a", again=True))
@@ -107,7 +107,7 @@
     async def status(self, data: bytes) -> str:
         return (await self.ask(data))[0].split()[1]
 
-    async def test_id_of_anothers_request_never_reaches_a_node(self) -> None:
+    async def test_request_with_the_id_of_another_request_never_reaches_a_node(self) -> None:
         node = HttpNode("hold")
         await self.run_program(node)
         reader, writer = await self.client()
@@ -116,11 +116,11 @@
         self.assertEqual(await self.status(post("j")), "409")
         node.go.set()
         self.assertEqual((await self.within(read_http(reader)))[2], b"r:j")
-        self.assertEqual(await self.status(post("j")), "409")  # and it is known when it was just answered
+        self.assertEqual(await self.status(post("j")), "409")  # also just after the first job was answered
         self.assertEqual(await self.status(post("k")), "200")
         self.assertEqual(node.runs, ["j", "k"])
 
-    async def test_bytes_that_are_no_request_show_that_the_job_before_was_none(self) -> None:
+    async def test_invalid_data_after_a_request_cancels_its_job(self) -> None:
         node = HttpNode("hold")
         await self.run_program(node)
         reader, writer = await self.client()
@@ -130,24 +130,24 @@
         self.assertIn("400", (await self.within(read_http(reader)))[0])
         self.assertEqual(await self.within(node.ended.get()), "j")
 
-    async def test_large_body_is_refused_early_and_the_answer_survives(self) -> None:
+    async def test_large_body_is_rejected_early_and_the_client_can_read_the_response(self) -> None:
         await self.run_program(HttpNode())
         reader, writer = await self.client()
         writer.write(post("j", body=b"").replace(b"Length: 0", b"Length: 60000000"))
         answer = asyncio.create_task(read_http(reader))
         sent = 0
         with contextlib.suppress(ConnectionError):
-            while not answer.done() and sent < 60_000_000:  # at full speed, until it has been told
+            while not answer.done() and sent < 60_000_000:  # sends without waiting until the response arrives
                 writer.write(b"x" * 65_536)
                 sent += 65_536
                 await writer.drain()
                 await asyncio.sleep(0)
         self.assertIn("413", (await self.within(answer))[0])
         self.assertLess(sent, 60_000_000)
-        writer.write(b"x" * 65_536)  # what crosses the answer does not reset the connection at once
+        writer.write(b"x" * 65_536)  # data that crosses the response does not reset the connection
         self.assertEqual(await self.within(reader.read()), b"")
 
-    async def test_half_a_request_and_no_answer_end_in_time_from_the_accept_on(self) -> None:
+    async def test_partial_requests_and_silent_connections_time_out(self) -> None:
         await self.run_program(HttpNode())
         with (
             mock.patch.object(clients, "FIRST_REQUEST_TIMEOUT_S", 0.2),
@@ -158,7 +158,7 @@
             slow, slow_writer = await self.client()
             silent, _ = await self.client()
             start = time.monotonic()
-            for letter in JOB[:8]:  # a head that goes on for ever, a byte at a time, gains no time by it
+            for letter in JOB[:8]:  # further bytes of a header section do not extend the timeout
                 slow_writer.write(bytes([letter]))
                 await asyncio.sleep(0.05)
             for reader, expected in ((half, "408"), (slow, "408")):
@@ -166,7 +166,7 @@
             self.assertEqual(await self.within(silent.read()), b"")
             self.assertLess(time.monotonic() - start, 2.0)
 
-    async def test_connection_that_served_a_job_is_kept_though_idle(self) -> None:
+    async def test_idle_connection_that_served_a_job_stays_open(self) -> None:
         await self.run_program(HttpNode())
         with (
             mock.patch.object(clients, "FIRST_REQUEST_TIMEOUT_S", 0.05),
@@ -179,7 +179,7 @@
             writer.write(post("k"))
             self.assertEqual((await self.within(read_http(reader)))[2], b"r:k")
 
-    async def test_silent_crowd_shuts_nobody_out_and_takes_no_nodes_descriptors(self) -> None:
+    async def test_silent_connections_do_not_keep_clients_out_or_exhaust_descriptors(self) -> None:
         with (
             mock.patch("hollowusher.scheduler.app.SPARE_SOCKETS", 310),
             mock.patch.object(clients, "NEW_CONNECTION_GRACE_S", 0.0),
@@ -191,13 +191,13 @@
             crowd = [await self.client() for _ in range(60)]
             for number in range(5):
                 self.assertEqual(await self.status(post(f"j{number}")), "200")
-            self.assertEqual(await self.within(crowd[0][0].read()), b"")  # the oldest silent one made room
-            kept_writer.write(post("last"))  # and not the client that has shown what it is
+            self.assertEqual(await self.within(crowd[0][0].read()), b"")  # the oldest was evicted
+            kept_writer.write(post("last"))  # the client with an earlier request was not evicted
             self.assertEqual((await self.within(read_http(kept)))[2], b"r:last")
 
 
 class BadStomp(SocketCase):
-    async def test_id_that_another_client_has_open_is_an_error(self) -> None:
+    async def test_job_id_that_another_client_has_open_is_an_error(self) -> None:
         node = StompNodeStandIn("hold")
         await self.run_program(stomp_nodes=(node,))
         session, other = await self.stomp_client(), await self.stomp_client("depot-2")
@@ -205,12 +205,13 @@
         held = await self.within(node.got.get())
         other.job("pay-1")
         self.assertEqual((await other.next())[0], "ERROR")
-        self.assertIn("409", (await self.ask(post("pay-1", "settle-shift")))[0])  # either front's ids are one
+        # Both fronts share the open ids.
+        self.assertIn("409", (await self.ask(post("pay-1", "settle-shift")))[0])
         node.finish(held)
         self.assertEqual(await session.answer(), ("pay-1", "served", b"r:pay-1"))
         self.assertEqual(node.runs, ["pay-1"])
 
-    async def test_bad_frames_end_in_an_error_that_can_be_read(self) -> None:
+    async def test_invalid_frames_get_an_error_that_the_client_can_read(self) -> None:
         await self.run_program(stomp_nodes=(StompNodeStandIn(),))
         fields = {"destination": "/queue/jobs", "job_id": "j", "job_class": "eta-quote", "budget": "5"}
         for changes in (
@@ -225,7 +226,7 @@
             session.writer.write(stomp("SEND", b"x", **{**fields, **changes}) + b"x" * 300_000)
             self.assertEqual((await session.next())[0], "ERROR", changes)
 
-    async def test_half_a_frame_and_no_answer_end_in_time(self) -> None:
+    async def test_partial_frames_and_silent_connections_time_out(self) -> None:
         with (
             mock.patch.object(stomp_clients, "FIRST_REQUEST_TIMEOUT_S", 0.2),
             mock.patch.object(stomp_clients, "REQUEST_TIMEOUT_S", 0.2),
@@ -237,7 +238,7 @@
             silent, _ = await asyncio.open_connection("127.0.0.1", self.stomp_port)
             self.assertEqual(await self.within(silent.read()), b"")
 
-    async def test_silent_crowd_frees_a_connection(self) -> None:
+    async def test_a_silent_connection_is_evicted_for_a_new_client(self) -> None:
         with mock.patch.object(stomp_clients, "NEW_CONNECTION_GRACE_S", 0.0):
             await self.run_program(stomp_nodes=(StompNodeStandIn(),), most_clients=4)
             crowd = [await asyncio.open_connection("127.0.0.1", self.stomp_port) for _ in range(6)]
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -1,4 +1,4 @@
-"""Endings on real sockets, each with its crossing forced: the rows of docs/endings.md."""
+"""Ends of connections, attempts and jobs on real sockets, with each race forced (docs/endings.md)."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 
 def shows(sock: socket.socket, text: bytes) -> bool:
-    """Whether it has come, unread as it is."""
+    """Return whether the unread data of a socket contains `text`."""
     try:
         return text in sock.recv(65536, socket.MSG_PEEK)
     except BlockingIOError:
@@ -84,7 +84,7 @@
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Wait for what the other tasks of this loop will bring about."""
+    """Wait up to 5 s until other tasks of the event loop have made the condition true."""
     async with asyncio.timeout(5.0):
         while not holds():
             await asyncio.sleep(0.001)
@@ -96,11 +96,11 @@
     sock.close()
 
 
-class Front(unittest.IsolatedAsyncioTestCase):
-    """The front of HTTP clients alone: the test is the desk."""
+class HttpClientFront(unittest.IsolatedAsyncioTestCase):
+    """The HTTP client front alone: the test takes the place of the dispatcher."""
 
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # which costs more than what is measured
+        asyncio.get_running_loop().set_debug(False)  # debug mode would distort the measured times
         self.reported: asyncio.Queue[DispatchEvent] = asyncio.Queue()
         self.listener = listen(("127.0.0.1", free_port()))
         self.front = PlatformClients(
@@ -112,7 +112,7 @@
         self.addCleanup(self.listener.close)
 
     def client(self) -> socket.socket:
-        """A socket used without the loop: what it does is done when the call returns."""
+        """Return a socket used without the event loop, so that its calls are complete when they return."""
         sock = socket.create_connection(self.listener.getsockname(), 5.0)
         self.addCleanup(sock.close)
         sock.setblocking(False)
@@ -125,8 +125,9 @@
         return event.job
 
     async def gone(self) -> float:
-        """How long until the desk is told that a client has left: what this process spends and the pauses
-        that it makes of its own, whatever else the machine has to do."""
+        """Wait until the front posts ClientLeft; return the seconds of CPU time and of its own pauses.
+
+        The load of the machine does not affect this result."""
         start, skips, skip = time.process_time(), list[Link](), Link.skip
 
         async def counted(link: Link) -> int:
@@ -140,7 +141,7 @@
         return time.process_time() - start + len(skips) * LINGER_PACE_S
 
     async def read(self, sock: socket.socket) -> bytes:
-        """All up to the end of the connection."""
+        """Return all data up to the end of the connection."""
         data = b""
         sock.setblocking(False)
         async with asyncio.timeout(5.0):
@@ -148,7 +149,7 @@
                 data += piece
         return data
 
-    async def test_a_client_that_leaves_is_noticed_whatever_stands_behind_its_request(self) -> None:
+    async def test_a_disconnect_is_detected_behind_any_pipelined_data(self) -> None:
         behind = {
             "nothing": b"",
             "half a request": post("b")[:40],
@@ -173,7 +174,7 @@
                     sock.close()
                     self.front.ids = JobIds()
 
-    async def test_what_is_kept_behind_a_request_is_answered_and_the_rest_refused(self) -> None:
+    async def test_buffered_pipelined_requests_are_answered_and_the_rest_rejected(self) -> None:
         sock = self.client()
         sock.sendall(post("a"))
         first = await self.taken()
@@ -193,26 +194,26 @@
                 served += 1
                 got.job.answer_to(JobAnswerBody(Verdict.SERVED, b"more"))
         reported = await reading
-        self.assertLess(served, 10)  # a ring's worth
+        self.assertLess(served, 10)  # as many as the receive buffer holds
         self.assertEqual(reported.count(b" 200 OK"), 1 + served)
         self.assertEqual((reported.count(b" 503 "), reported.count(b"Connection: close")), (1, 1))
 
-    async def test_a_request_that_crosses_our_close_does_not_reset_the_answer_away(self) -> None:
+    async def test_a_request_that_crosses_the_close_does_not_discard_the_response(self) -> None:
         sock = self.client()
         sock.sendall(post("a").replace(b"Host: h", b"Connection: close\r\nHost: h"))
         (await self.taken()).answer_to(JobAnswerBody(Verdict.SERVED, b"result"))
         (session,) = self.front._sessions
         await until(lambda: session._stage is clients.ConnectionStage.CLOSING)
-        sock.sendall(post("b"))  # it is written to a connection that we have shut
+        sock.sendall(post("b"))  # the front has already shut down its sending direction
         for _ in range(20):
             await asyncio.sleep(0.001)
         self.assertTrue((await self.read(sock)).endswith(b"result"))
-        sock.sendall(b"x")  # no reset has come: an answer may lie unread at the other side for longer
-        self.assertTrue(self.reported.empty())  # nor was it taken
+        sock.sendall(b"x")  # no reset has arrived, which could discard an unread response
+        self.assertTrue(self.reported.empty())  # the second request was not accepted
         sock.close()
         await asyncio.wait({session.task} if session.task else set(), timeout=5.0)
 
-    async def test_a_resting_connection_is_reported_of_the_end_and_not_reset(self) -> None:
+    async def test_an_idle_connection_is_closed_without_a_reset(self) -> None:
         sock, young = self.client(), self.client()
         sock.sendall(post("a"))
         (await self.taken()).answer_to(JobAnswerBody(Verdict.SERVED, b"result"))
@@ -222,7 +223,7 @@
             await until(
                 lambda: [s._stage for s in self.front._sessions] == [clients.ConnectionStage.CLOSING] * 2
             )
-            sock.sendall(post("b"))  # crosses it
+            sock.sendall(post("b"))  # crosses the close
             self.assertTrue((await self.read(sock)).endswith(b"result"))
             self.assertEqual(await self.read(young), b"")
             self.assertTrue(self.reported.empty())
@@ -231,13 +232,13 @@
             async with asyncio.timeout(5.0):
                 await draining
 
-    async def test_a_request_that_came_just_before_the_end_is_served(self) -> None:
+    async def test_a_request_that_arrived_just_before_the_close_is_served(self) -> None:
         sock = self.client()
         sock.sendall(post("a"))
         (await self.taken()).answer_to(JobAnswerBody(Verdict.SERVED, b"result"))
         await until(lambda: shows(sock, b"result"))
         (session,) = self.front._sessions
-        sock.sendall(post("b"))  # it lies in the kernel as the session is told
+        sock.sendall(post("b"))  # unread in the kernel when the session is asked to end
         self.front.closing = True
         session.end()
         (await self.taken()).answer_to(JobAnswerBody(Verdict.SERVED, b"second"))
@@ -245,7 +246,7 @@
         self.assertTrue(reported.endswith(b"second"))
         self.assertIn(b"Connection: close", reported)
 
-    async def test_no_capacity_left_closes_the_longest_idle_and_never_one_that_is_owed(self) -> None:
+    async def test_a_full_front_evicts_the_longest_idle_and_no_busy_connection(self) -> None:
         owed = self.client()
         owed.sendall(post("a"))
         job = await self.taken()
@@ -259,19 +260,19 @@
         job.answer_to(JobAnswerBody(Verdict.SERVED, b"owed"))
         await until(lambda: shows(owed, b"owed"))
 
-    async def test_a_resting_connection_with_a_request_unread_is_not_evicted(self) -> None:
+    async def test_an_idle_connection_with_an_unread_request_is_not_evicted(self) -> None:
         sock = self.client()
         sock.sendall(post("a"))
         (await self.taken()).answer_to(JobAnswerBody(Verdict.SERVED, b"result"))
         await until(lambda: shows(sock, b"result"))
         (session,) = self.front._sessions
-        sock.sendall(post("b"))  # it lies in the kernel as room is wanted
+        sock.sendall(post("b"))  # unread in the kernel when a connection is to be evicted
         self.assertFalse(session.evict())
         (await self.taken()).answer_to(JobAnswerBody(Verdict.SERVED, b"second"))
         await until(lambda: shows(sock, b"second"))
         self.assertTrue(session.evict())
 
-    async def test_small_writes_are_not_held_back(self) -> None:
+    async def test_small_writes_are_sent_without_delay(self) -> None:
         sock = self.client()
         await until(lambda: bool(self.front._sessions))
         (session,) = self.front._sessions
@@ -282,17 +283,17 @@
         sock.close()
 
 
-class TimesOfAStop(unittest.TestCase):
-    def test_they_follow_from_the_longest_deadline(self) -> None:
+class DrainTimesTest(unittest.TestCase):
+    def test_drain_times_follow_from_the_longest_deadline(self) -> None:
         for deadlines_s, killed_s in (((5, 20), 3.7), ((3,), 3.7), ((1.5, 0.9), 2.2), ((0.5,), 1.2)):
             times = DrainTimes.of(JobClass(str(d), 100 * MS, round(d * S)) for d in deadlines_s)
             self.assertLess(times.serve_s, times.answer_s)
             self.assertLess(times.answer_s + times.linger_s, killed_s)
-            self.assertGreater(times.serve_s, 0.4)  # new connections come for so long
+            self.assertGreater(times.serve_s, 0.4)  # new connections are accepted for at least this long
 
 
 class Attempts(SocketCase):
-    """One attempt at a node of HTTP."""
+    """Single attempts at an HTTP node."""
 
     def nodes_for(self, port: int, pool: Pool | None = None) -> PlatformNodes:
         self.reported: list[object] = []
@@ -310,7 +311,7 @@
         self.reported.clear()
         return ended.outcome
 
-    async def test_a_late_connection_carries_no_dead_request_and_no_repeat_past_its_window(self) -> None:
+    async def test_nothing_is_sent_after_a_disconnect_or_after_the_retry_window(self) -> None:
         node = HttpNode()
         await self.started(node)
         for what in ("left", "window"):
@@ -325,9 +326,9 @@
             pool.go.set()
             await self.within(attempt)
             self.assertEqual((self.outcome(), node.runs), (Outcome.NOT_SENT, []), what)
-            self.assertEqual(pool.held, 1)  # it is kept for the next job
+            self.assertEqual(pool.held, 1)  # the unused connection is kept for the next job
 
-    async def test_a_connection_that_never_comes_up_gives_its_place_back(self) -> None:
+    async def test_a_failed_connect_frees_its_place_in_the_pool(self) -> None:
         never = asyncio.Event()
 
         async def dial(*_: Any) -> None:
@@ -338,7 +339,7 @@
             await self.within(nodes.attempt(self.order(), self.node))
         self.assertEqual((self.outcome(), self.pool.held), (Outcome.UNREACHABLE, 0))
 
-    async def test_a_repeat_is_not_written_on_past_its_window(self) -> None:
+    async def test_the_write_of_a_retry_ends_with_its_window(self) -> None:
         class Deaf(StandIn):
             async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await asyncio.Event().wait()
@@ -351,15 +352,15 @@
         self.assertLess(time.monotonic() - start, 1.0)
         self.assertIs(self.outcome(), Outcome.TIMEOUT)
 
-    async def test_want_of_descriptors_is_not_the_nodes_fault(self) -> None:
+    async def test_lack_of_descriptors_does_not_count_against_the_node(self) -> None:
         nodes = self.nodes_for(free_port())
         with mock.patch("socket.socket", side_effect=OSError(24, "Too many open files")):
             await self.within(nodes.attempt(self.order(), self.node))
         self.assertIs(self.outcome(), Outcome.NOT_SENT)
 
 
-class Spoilt(StandIn):
-    """A node that answers with what the test says."""
+class InvalidResponseNode(StandIn):
+    """A node that sends the given pieces, then `flood` without end if it is set."""
 
     def __init__(self, *pieces: bytes, flood: bytes = b"", ends: bool = False) -> None:
         super().__init__()
@@ -390,29 +391,38 @@
 LAST = b"0\r\n\r\n"
 
 
-class SpoiltAnswers(Attempts):
-    async def test_each_ends_bounded_and_nothing_is_passed_on_that_no_node_made(self) -> None:
+class InvalidResponses(Attempts):
+    async def test_invalid_responses_are_bounded_and_never_forwarded(self) -> None:
         other = chunk('{"id":"j2","state":"done","result":"other"}\n')
         note = chunk('{"id":"j1","state":"running","share":0.1}\n')
-        cases: dict[str, tuple[Spoilt, Outcome]] = {
-            "half a line": (Spoilt(HEAD, chunk('{"id":"j1","state":"do'), ends=True), Outcome.RESET),
-            "half a line that ends": (Spoilt(HEAD, chunk('{"id":"j1","state":"do'), LAST), Outcome.RESET),
-            "half a chunk": (Spoilt(HEAD, DONE[:-9], ends=True), Outcome.RESET),
-            "another's": (Spoilt(HEAD, other, LAST), Outcome.RESET),
-            "no JSON": (Spoilt(HEAD, chunk("done\n"), LAST), Outcome.RESET),
-            "no HTTP": (Spoilt(b"done\r\n\r\n"), Outcome.RESET),
-            "nothing in it": (Spoilt(HEAD, LAST), Outcome.RESET),
-            "a line without end": (Spoilt(HEAD, flood=chunk("x" * 60_000)), Outcome.RESET),
-            "notes without end": (Spoilt(HEAD, flood=note * 500), Outcome.RESET),
+        cases: dict[str, tuple[InvalidResponseNode, Outcome]] = {
+            "half a line": (
+                InvalidResponseNode(HEAD, chunk('{"id":"j1","state":"do'), ends=True),
+                Outcome.RESET,
+            ),
+            "half a line that ends": (
+                InvalidResponseNode(HEAD, chunk('{"id":"j1","state":"do'), LAST),
+                Outcome.RESET,
+            ),
+            "half a chunk": (InvalidResponseNode(HEAD, DONE[:-9], ends=True), Outcome.RESET),
+            "another's": (InvalidResponseNode(HEAD, other, LAST), Outcome.RESET),
+            "no JSON": (InvalidResponseNode(HEAD, chunk("done\n"), LAST), Outcome.RESET),
+            "no HTTP": (InvalidResponseNode(b"done\r\n\r\n"), Outcome.RESET),
+            "nothing in it": (InvalidResponseNode(HEAD, LAST), Outcome.RESET),
+            "a line without end": (InvalidResponseNode(HEAD, flood=chunk("x" * 60_000)), Outcome.RESET),
+            "notes without end": (InvalidResponseNode(HEAD, flood=note * 500), Outcome.RESET),
             "a head without end": (
-                Spoilt(b"HTTP/1.1 200 OK\r\n", flood=b"X: " + b"y" * 900 + b"\r\n"),
+                InvalidResponseNode(b"HTTP/1.1 200 OK\r\n", flood=b"X: " + b"y" * 900 + b"\r\n"),
+                Outcome.RESET,
+            ),
+            "a header without end": (
+                InvalidResponseNode(b"HTTP/1.1 200 OK\r\nX: ", flood=b"y" * 9000),
                 Outcome.RESET,
             ),
-            "a header without end": (Spoilt(b"HTTP/1.1 200 OK\r\nX: ", flood=b"y" * 9000), Outcome.RESET),
-            "twice in one": (Spoilt(HEAD + DONE + DONE + LAST), Outcome.OK),
-            "two answers": (Spoilt((HEAD + DONE + LAST) * 2), Outcome.OK),
-            "an answer and half of one": (Spoilt(HEAD + DONE + LAST + HEAD[:9]), Outcome.OK),
-            "no end after it": (Spoilt(HEAD + DONE, flood=chunk("x\n" * 9000)), Outcome.OK),
+            "twice in one": (InvalidResponseNode(HEAD + DONE + DONE + LAST), Outcome.OK),
+            "two answers": (InvalidResponseNode((HEAD + DONE + LAST) * 2), Outcome.OK),
+            "an answer and half of one": (InvalidResponseNode(HEAD + DONE + LAST + HEAD[:9]), Outcome.OK),
+            "no end after it": (InvalidResponseNode(HEAD + DONE, flood=chunk("x\n" * 9000)), Outcome.OK),
         }
         for what, (node, expected) in cases.items():
             with self.subTest(what=what):
@@ -423,11 +433,11 @@
                 self.assertIs(self.outcome(), expected)
                 self.assertLess(time.monotonic() - start, 2.0)
                 if expected is not Outcome.OK or what != "twice in one":
-                    self.assertEqual(self.pool.held, 0)  # no connection that is out of step is used again
+                    self.assertEqual(self.pool.held, 0)  # a connection that is out of sync is not reused
                 await node.close()
 
-    async def test_a_second_answer_that_comes_later_takes_no_other_jobs_place(self) -> None:
-        node = Spoilt(HEAD + DONE + LAST, HEAD + DONE + LAST)
+    async def test_a_late_second_response_is_not_taken_for_the_next_job(self) -> None:
+        node = InvalidResponseNode(HEAD + DONE + LAST, HEAD + DONE + LAST)
         await self.started(node)
         nodes = self.nodes_for(node.port)
         await nodes.attempt(self.order(), self.node)
@@ -439,7 +449,7 @@
         self.assertIs(self.outcome(), Outcome.OK)
         self.assertEqual(node.accepted, 2)
 
-    async def test_what_follows_an_answer_is_read_to_a_bound(self) -> None:
+    async def test_data_after_the_final_line_is_limited(self) -> None:
         reader = AnswerReader(1 << 20, 1 << 20)
         reader.feed(memoryview(HEAD + DONE))
         reader.limit_rest(TAIL_BYTES)
@@ -449,9 +459,9 @@
         self.assertFalse(reader.complete or reader.reusable)
 
 
-class InTheExecutor(unittest.IsolatedAsyncioTestCase):
-    async def test_an_attempt_withdrawn_before_its_first_turn_is_reported_and_nothing_is_left(self) -> None:
-        # The desk's task may order a send and its withdrawal without a turn for any other task in between.
+class CancelBeforeStart(unittest.IsolatedAsyncioTestCase):
+    async def test_an_attempt_cancelled_before_its_task_runs_is_reported(self) -> None:
+        # The dispatcher may start and cancel an attempt before any other task runs.
         registry, reported, ran = WorkerRegistry(), list[DispatchEvent](), list[JobAttempt]()
         registry.apply_list(ListKind.FULL, [RouteNode("s-1", ("127.0.0.1", 9), Listed(1))])
 
@@ -471,13 +481,13 @@
         await asyncio.sleep(0.01)
         self.assertEqual(reported, [AttemptEnded(order.attempt, Outcome.NOT_SENT)])
         self.assertEqual((ran, executor._attempts, executor._others), ([], {}, set()))
-        order.job.gone = lambda: True  # nor does one begin whose client can be seen to have left
+        order.job.gone = lambda: True  # an attempt whose client has disconnected does not start either
         executor.carry_out(order)
         self.assertEqual(reported, [AttemptEnded(order.attempt, Outcome.NOT_SENT)] * 2)
 
 
-class AtTheDispatcher(unittest.TestCase):
-    """What is still owed as a client leaves whose answer is kept for its return."""
+class KeptJobsInTheDispatcher(unittest.TestCase):
+    """Jobs of a disconnected client whose answer is kept for a resend."""
 
     def setUp(self) -> None:
         with mock.patch("hollowusher.scheduler.dispatch.dispatcher.Balancer") as module:
@@ -493,13 +503,13 @@
     def heard(self) -> list[Event]:
         return list(self.module.step.call_args.args[1])
 
-    def test_one_that_is_not_out_is_refused_and_never_sent(self) -> None:
+    def test_a_job_that_was_not_sent_is_rejected(self) -> None:
         self.work(JobTaken(self.job))
         orders = self.work(ClientLeft(self.job, kept=True))
         self.assertEqual(self.heard(), [ClientGone(self.job.ticket)])
         self.assertEqual(orders, [ReplyToClient(self.job, JobAnswerBody(Verdict.REFUSED))])
 
-    def test_one_that_is_out_ends_as_it_does(self) -> None:
+    def test_a_job_that_was_sent_ends_with_its_attempt(self) -> None:
         for outcome, verdict in (
             (Outcome.OK, Verdict.SERVED),
             (Outcome.RESET, Verdict.FAILED),
@@ -512,8 +522,8 @@
             (dispatch,) = self.work(other, Send(ticket, 1, 0))
             assert isinstance(dispatch, Dispatch)
             orders = self.work(ClientLeft(self.job, kept=True), Cancel(ticket, 0))
-            self.assertEqual(orders, [])  # neither withdrawn nor answered
-            self.assertEqual(self.work(ClientLeft(self.job, kept=True)), [])  # once is enough
+            self.assertEqual(orders, [])  # neither cancelled nor answered
+            self.assertEqual(self.work(ClientLeft(self.job, kept=True)), [])  # a second event changes nothing
             (reply,) = self.work(AttemptEnded(dispatch.attempt, outcome, Reading(), b"r"))
             assert isinstance(reply, ReplyToClient)
             self.assertIs(reply.answer.verdict, verdict)
@@ -522,20 +532,20 @@
 
 
 class StompEndings(SocketCase):
-    async def test_nothing_begins_for_a_client_that_has_left(self) -> None:
+    async def test_no_attempt_starts_for_a_disconnected_client(self) -> None:
         node = StompNodeStandIn("hold")
         await self.run_program(stomp_nodes=(node,))
         node.report(state="draining")
         probe = await self.stomp_client()
         probe.job("probe", "eta-quote", budget="0.3")
-        self.assertEqual((await probe.answer())[1], "refused")  # the drain is known
+        self.assertEqual((await probe.answer())[1], "refused")  # the scheduler has processed the drain
         first, again = await self.stomp_client(), await self.stomp_client()
-        first.job("pay-1", budget="30")  # it would wait for a node for longer than this test does
+        first.job("pay-1", budget="30")  # its budget exceeds the duration of this test
         self.assertEqual((await first.next())[0], "RECEIPT")
         first.reset()
         probe.job("later", "eta-quote", budget="0.3")
-        self.assertEqual((await probe.answer())[1], "refused")  # by now the reset has been read as well
-        again.job("pay-1", budget="30", resend="true")  # it is told what became of it, once that is known
+        self.assertEqual((await probe.answer())[1], "refused")  # the reset has been processed by now
+        again.job("pay-1", budget="30", resend="true")  # the resend receives the result
         self.assertEqual(await again.answer(), ("pay-1", "refused", b""))
         node.report(state="serving")
         again.job("pay-2")
@@ -544,14 +554,15 @@
         node.finish(sent)
         self.assertEqual((await again.answer())[1], "served")
 
-    async def test_a_client_whose_frames_wait_unread_is_seen_to_leave(self) -> None:
+    async def test_a_disconnect_is_detected_behind_unread_frames(self) -> None:
         for leave in ("reset", "close"):
             node = StompNodeStandIn("hold")
             with mock.patch("hollowusher.scheduler.fronts.stomp.clients.MAX_OPEN_JOBS", 2):
                 await self.run_program(stomp_nodes=(node,))
                 session = await self.stomp_client()
                 for number in range(6):
-                    session.job(f"q-{number}", "eta-quote", budget="30")  # nor does time end it
+                    # No deadline ends the jobs during the test.
+                    session.job(f"q-{number}", "eta-quote", budget="30")
                 sent = await self.within(node.got.get())
                 if leave == "reset":
                     session.reset()
@@ -560,7 +571,7 @@
                 self.assertEqual(await self.within(node.withdrawn.get()), sent["attempt"], leave)
             await self.end_program()
 
-    async def test_a_frame_that_crosses_the_end_of_a_session_does_not_reset_it(self) -> None:
+    async def test_a_frame_that_crosses_the_end_of_a_session_causes_no_reset(self) -> None:
         await self.run_program(stomp_nodes=(StompNodeStandIn(),))
         session = await self.stomp_client()
         session.put("DISCONNECT", receipt="bye")
@@ -571,9 +582,9 @@
 
 
 class Descriptors(Process):
-    """A low limit of the system's own, with the node list's service away."""
+    """A low limit of file descriptors while the discovery service is down."""
 
-    async def test_idle_clients_take_none_that_discovery_nodes_and_accept_need(self) -> None:
+    async def test_idle_clients_leave_descriptors_for_discovery_nodes_and_accept(self) -> None:
         self.assertEqual(descriptors(10**9) <= 10**9, True)
         await self.list.close()
         limits = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -585,7 +596,7 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, limits)
         crowd = [await self.client() for _ in range(3 * most)]
         for _, writer in crowd[::2]:
-            writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")  # these have shown themselves, and rest now
+            writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")  # these have sent a request and are idle now
         await self.list.start()
         await self.within(self.list.asked.get())
         self.node.mode = "done"
@@ -596,7 +607,7 @@
         process.send_signal(signal.SIGTERM)
         self.assertEqual(await self.within(process.wait()), 0)
 
-    async def test_being_out_of_them_is_survived(self) -> None:
+    async def test_accept_recovers_from_a_lack_of_descriptors(self) -> None:
         reported: list[str] = []
         front = PlatformClients(listen(("127.0.0.1", free_port())), {}, 8, JobIds(), print, QUIET)
         self.addCleanup(front._listener.close)
@@ -622,7 +633,7 @@
         self.assertEqual((reported, makes_room.call_count), (["accept-failed"] * 2, 2))
 
 
-class ListLinesAreRead(unittest.TestCase):
+class NodeListLines(unittest.TestCase):
     def read(self, text: str, most: int = 1 << 20) -> list[object]:
         lines, reported = NodeListAssembler(most), list[object]()
         for line in text.split("\n"):
@@ -645,10 +656,10 @@
             self.read("{\n" + '"a": [1,\n' * 1000, most=1000)
 
 
-class ShortWindow(unittest.TestCase):
-    """A keyed request whose window is shorter than its deadline."""
+class ShortRetryWindow(unittest.TestCase):
+    """A keyed job whose retry window is shorter than its deadline."""
 
-    def test_it_goes_out_again_inside_its_window_only_and_ends_as_failed_in_time(self) -> None:
+    def test_a_keyed_job_is_retried_only_inside_its_window(self) -> None:
         cls = JobClass("keyed", 200 * MS, 5 * S, effect=Effect.KEYED, group=Group.ALL, window_ns=S)
         for after, again in ((200 * MS, True), (940 * MS, True), (960 * MS, False), (1100 * MS, False)):
             node = Node(only(cls), workers(1, 2), free={1: 2.0, 2: 2.0})
@@ -665,7 +676,7 @@
             else:
                 self.assertEqual([type(a) for a in actions if isinstance(a, Fail | Refuse)], [Fail])
 
-    def test_one_that_waits_past_its_window_is_failed_then(self) -> None:
+    def test_a_waiting_keyed_job_fails_at_the_end_of_its_window(self) -> None:
         cls = JobClass("keyed", 200 * MS, 5 * S, effect=Effect.KEYED, group=Group.CELL, window_ns=S)
         node = Node(only(cls), workers(1), free={1: 2.0})
         node.arrive("r", "keyed")
--- a/tests/scheduler/test_platform_sockets.py
+++ b/tests/scheduler/test_platform_sockets.py
@@ -1,4 +1,4 @@
-"""The platform's front on real sockets: one test for each rule."""
+"""The platform's HTTP front on real sockets: attempts at nodes, clients, the node list and the shutdown."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
     read_http,
 )
 
-SLACK_S = 0.05  # what the platform allows on every time limit
+SLACK_S = 0.05  # tolerance of the platform on every time limit
 QUIET = LogWriter("test", per_s=0, burst=0)
 
 
 class SlowPool(Pool):
-    """A pool whose connections come up when the test says so."""
+    """A pool that opens connections only after the test sets `go`."""
 
     def __init__(self) -> None:
         super().__init__(0.25, 30.0, 8)
@@ -64,7 +64,7 @@
 
 
 class Attempts(SocketCase):
-    """Outcomes, one attempt at a time."""
+    """The outcome of single attempts at an HTTP node."""
 
     def nodes_for(self, port: int, pool: Pool | None = None) -> PlatformNodes:
         self.reported: list[object] = []
@@ -112,22 +112,22 @@
                 self.assertEqual(ended.reading.free_slots, 2.0)
                 self.assertIn(AttemptStarted(ended.attempt), self.reported)
 
-    async def test_refused_connection_never_ran(self) -> None:
+    async def test_refused_connection_is_unreachable(self) -> None:
         await self.nodes_for(free_port()).attempt(self.order(), self.node)
         self.assertEqual(self.outcome().outcome, Outcome.UNREACHABLE)
 
-    async def test_break_before_the_last_byte_never_ran(self) -> None:
+    async def test_reset_before_the_last_byte_is_unreachable(self) -> None:
         class Early(StandIn):
             async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 writer.transport.abort()
 
         node = Early()
         await self.started(node)
-        # Far more than the buffers of both sides hold, so that the break comes while it is being written.
+        # The body is larger than the socket buffers of both sides, so the connection breaks during the write.
         await self.nodes_for(node.port).attempt(self.order(body=b"x" * (32 << 20)), self.node)
         self.assertEqual(self.outcome().outcome, Outcome.UNREACHABLE)
 
-    async def test_drain_reported_while_the_connection_comes_up(self) -> None:
+    async def test_drain_during_connect_sends_nothing(self) -> None:
         node, pool = HttpNode(), SlowPool()
         await self.started(node)
         attempt = asyncio.create_task(self.nodes_for(node.port, pool).attempt(self.order(), self.node))
@@ -138,7 +138,7 @@
         await self.within(attempt)
         self.assertEqual((self.outcome().outcome, node.runs), (Outcome.NOT_SENT, []))
 
-    async def test_withdrawn_before_its_first_byte_never_ran(self) -> None:
+    async def test_attempt_cancelled_during_connect_is_not_sent(self) -> None:
         node, pool = HttpNode(), SlowPool()
         await self.started(node)
         attempt = asyncio.create_task(self.nodes_for(node.port, pool).attempt(self.order(), self.node))
@@ -153,13 +153,13 @@
         nodes = self.nodes_for(node.port)
         await nodes.attempt(self.order(), self.node)
         self.assertEqual(self.pool.held, 1)
-        for writer in list(node.writers):  # the node closes it while it is idle
+        for writer in list(node.writers):  # the node closes the idle connection
             writer.close()
             await self.within(writer.wait_closed())
         self.reported.clear()
         await nodes.attempt(self.order(name="j2"), self.node)
         self.assertEqual((self.outcome().outcome, node.accepted), (Outcome.OK, 2))
-        node.mode = "reset"  # a break after the last byte, on a pooled connection
+        node.mode = "reset"  # the node resets a pooled connection after the last byte of the request
         self.reported.clear()
         await nodes.attempt(self.order(name="j3"), self.node)
         self.assertEqual((self.outcome().outcome, node.runs), (Outcome.RESET, ["j1", "j2", "j3"]))
@@ -176,7 +176,7 @@
         await self.within(node.got.get())
         await self.within(node.got.get())
         self.reported.clear()
-        await nodes.attempt(self.order(name="j2"), self.node)  # no socket is left: the node is not to blame
+        await nodes.attempt(self.order(name="j2"), self.node)  # the pool is full
         self.assertEqual(self.outcome().outcome, Outcome.NOT_SENT)
         node.go.set()
         await self.within(first)
@@ -188,7 +188,7 @@
         await self.run_program(node)
         reader, writer = await self.client()
         data = post("a", body=bytes(range(256))) + post("b")
-        for cut in range(0, len(data), 7):  # slow and split
+        for cut in range(0, len(data), 7):  # the requests arrive in small pieces
             writer.write(data[cut : cut + 7])
             await writer.drain()
         for name in ("a", "b"):
@@ -198,7 +198,7 @@
             )
         self.assertEqual(node.bodies, [bytes(range(256)), b"parcel"])
 
-    async def test_sender_that_waits_for_leave_gets_it(self) -> None:
+    async def test_expect_100_continue_gets_the_interim_response(self) -> None:
         await self.run_program(HttpNode())
         reader, writer = await self.client()
         head, _, body = post("j").partition(b"\r\n\r\n")
@@ -207,7 +207,7 @@
         writer.write(body)
         self.assertEqual((await self.within(read_http(reader)))[0], "HTTP/1.1 200 OK")
 
-    async def test_what_is_no_job_gets_a_clear_status(self) -> None:
+    async def test_invalid_requests_get_their_status(self) -> None:
         await self.run_program(HttpNode())
         cases = {
             b"nonsense\r\n\r\n": 400,
@@ -230,7 +230,7 @@
                 self.assertEqual(int(first.split()[1]), status)
         self.assertEqual((await self.ask(post("j", body=b"x" * 64 * 1024)))[0], "HTTP/1.1 200 OK")
 
-    async def test_slow_input_ends_in_408_and_slow_readers_block_nobody(self) -> None:
+    async def test_slow_requests_get_408_and_slow_readers_block_no_other_client(self) -> None:
         await self.run_program(HttpNode())
         with mock.patch.object(clients, "REQUEST_TIMEOUT_S", 0.1):
             self.assertEqual((await self.ask(b"POST /x HTTP/1.1\r\n"))[0], "HTTP/1.1 408 Request Timeout")
@@ -239,15 +239,15 @@
         deaf.sendall(post("deaf") * 14)
         self.assertEqual((await self.ask(post("j")))[0], "HTTP/1.1 200 OK")
 
-    async def test_deadline_is_kept_when_a_node_says_nothing(self) -> None:
+    async def test_deadline_holds_when_a_node_does_not_answer(self) -> None:
         node = HttpNode("hold")
         await self.run_program(node)
         start = time.monotonic()
         self.assertEqual((await self.ask(post("j", "settle-shift", "0.5")))[0], "HTTP/1.1 502 Bad Gateway")
         self.assertLess(time.monotonic() - start, 0.5 + SLACK_S)
-        self.assertEqual(await self.within(node.ended.get()), "j")  # the attempt was given up by closing it
+        self.assertEqual(await self.within(node.ended.get()), "j")  # closing the connection ended the attempt
 
-    async def test_gone_client_ends_its_attempt(self) -> None:
+    async def test_client_disconnect_ends_its_attempt(self) -> None:
         node = HttpNode("hold")
         await self.run_program(node)
         _, writer = await self.client()
@@ -256,13 +256,13 @@
         writer.close()
         self.assertEqual(await self.within(node.ended.get()), "j")
 
-    async def test_what_may_have_run_is_failed_once_and_not_sent_again(self) -> None:
+    async def test_unsafe_job_that_may_have_run_fails_without_a_retry(self) -> None:
         first, second = HttpNode("reset"), HttpNode("reset")
         await self.run_program(first, second)
         self.assertEqual((await self.ask(post("j", "settle-shift")))[0], "HTTP/1.1 502 Bad Gateway")
         self.assertEqual(first.runs + second.runs, ["j"])
 
-    async def test_what_was_turned_away_is_refused_at_once(self) -> None:
+    async def test_job_returned_by_all_attempts_is_rejected_before_its_deadline(self) -> None:
         node = HttpNode("returned")
         await self.run_program(node)
         start = time.monotonic()
@@ -271,7 +271,7 @@
         self.assertLess(time.monotonic() - start, 5.0)
         self.assertEqual(node.runs, ["j"] * 3)
 
-    async def test_connection_with_a_request_unread_is_not_closed_as_idle(self) -> None:
+    async def test_connection_with_an_unread_request_is_not_evicted(self) -> None:
         reported: asyncio.Queue[object] = asyncio.Queue()
         listener = listen(("127.0.0.1", free_port()))
         self.addCleanup(listener.close)
@@ -283,12 +283,12 @@
             front._admit(sock)
             (session,) = front._sessions
             client.sendall(post("j"))
-            self.assertFalse(session.evict())  # it has come, though nobody has read it yet
+            self.assertFalse(session.evict())  # the request has arrived but is unread
             self.assertIsInstance(await self.within(reported.get()), JobTaken)
             self.assertFalse(session.evict())
         self.assertIsInstance(await self.within(reported.get()), ClientLeft)
 
-    async def test_time_of_a_request_that_waits_its_turn_counts_from_its_coming(self) -> None:
+    async def test_budget_of_a_pipelined_request_counts_from_its_arrival(self) -> None:
         node = HttpNode("hold")
         await self.run_program(node)
         reader, writer = await self.client()
@@ -303,7 +303,7 @@
         await self.within(read_http(reader))
         self.assertLess(time.monotonic() - sent, 0.5 + SLACK_S)
 
-    async def test_longest_idle_connection_frees_a_connection(self) -> None:
+    async def test_longest_idle_connection_is_evicted(self) -> None:
         with mock.patch("hollowusher.scheduler.app.SPARE_SOCKETS", 512 - 202):
             await self.run_program(HttpNode())
         idle = [await self.client() for _ in range(10)]
@@ -312,7 +312,7 @@
 
 
 class Lists(SocketCase):
-    async def test_drain_reported_by_the_list_ends_new_work(self) -> None:
+    async def test_no_new_jobs_go_to_a_node_that_the_list_reports_as_draining(self) -> None:
         first, second = HttpNode("hold"), HttpNode("hold")
         await self.run_program(first, second)
         reader, writer = await self.client()
@@ -328,7 +328,7 @@
         second.go.set()
         await self.within(read_http(reader))
         reported, numbers = asyncio.get_running_loop().time(), itertools.count()
-        while asyncio.get_running_loop().time() - reported < 0.25:  # the grace that the rule gives
+        while asyncio.get_running_loop().time() - reported < 0.25:  # grace period after a drain is announced
             await self.ask(post(f"k{next(numbers)}"))
         before = len(node.runs)
         for number in range(5):
@@ -336,9 +336,9 @@
         self.assertEqual(len(node.runs), before)
         self.assertGreaterEqual(len(spare.runs), 5)
 
-    async def test_watch_is_opened_again_when_the_list_fails_breaks_or_falls_silent(self) -> None:
+    async def test_watch_is_reopened_after_errors_disconnects_and_timeouts(self) -> None:
         with mock.patch.object(discovery, "SILENCE_TIMEOUT_S", 0.2):
-            await self.run_program(HttpNode())  # it falls silent for longer than that between its beats
+            await self.run_program(HttpNode())  # the service sends empty lines less often than that
             self.assertIn("from=1", await self.within(self.list.asked.get()))
             self.list.status = 503
             await self.within(self.list.asked.get())
@@ -351,7 +351,7 @@
 
 
 class Stop(SocketCase):
-    async def test_sigterm_answers_what_is_taken_and_ends(self) -> None:
+    async def test_sigterm_answers_accepted_jobs_and_ends_the_process(self) -> None:
         node = HttpNode("hold")
         await self.started(node)
         self.list.add("s-1", node.port)
@@ -394,7 +394,8 @@
             await self.within(node.got.get())
             process.send_signal(signal.SIGTERM)
             self.assertIn(b"asked to stop", await self.within(process.stderr.readline()))
-            late = asyncio.create_task(self.ask(post("late", "settle-shift", "8")))  # connections still come
+            # New connections are still accepted.
+            late = asyncio.create_task(self.ask(post("late", "settle-shift", "8")))
             ready = await self.ask(b"GET /-/ready HTTP/1.1\r\n\r\n")
             self.assertEqual(ready[0], "HTTP/1.1 503 Service Unavailable")
             self.assertEqual(await self.within(idle.read()), b"")
--- a/tests/scheduler/test_stomp_sockets.py
+++ b/tests/scheduler/test_stomp_sockets.py
@@ -1,4 +1,4 @@
-"""The STOMP front on real sockets: one final answer for each taken frame, and no settle-shift run twice."""
+"""The STOMP front on real sockets: one answer per accepted frame; an unsafe job (settle-shift) runs once."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 
 class OneAnswerEach(SocketCase):
     async def ran(self, session: Stomp, node: StompNodeStandIn) -> list[str]:
-        """What the node has run.  One more job goes through first: the queue is served in order, so a second
-        run that waits there would come before it."""
+        """Return the jobs that the node has run.
+
+        One more job runs first: the node works in order, so a queued second run would precede it."""
         node.mode = "done"
         session.job("last")
         self.assertEqual(await session.answer(), ("last", "served", b"r:last"))
         self.assertEqual(node.runs[-1], "last")
         return node.runs[:-1]
 
-    async def test_a_job_is_taken_run_and_answered_once(self) -> None:
+    async def test_a_job_is_accepted_run_and_answered_once(self) -> None:
         node = StompNodeStandIn()
         await self.run_program(stomp_nodes=(node,))
         session = await self.stomp_client()
@@ -31,11 +32,11 @@
         self.assertEqual((await session.next())[:2], ("RECEIPT", {"receipt-id": "taken-j1"}))
         self.assertEqual(await session.answer(), ("j1", "served", b"r:j1"))
         session.put("DISCONNECT", receipt="bye")
-        # The receipt comes after all that was written before it: there is no second answer.
+        # Frames arrive in order: a second answer would precede the receipt.
         self.assertEqual((await session.next())[:2], ("RECEIPT", {"receipt-id": "bye"}))
         self.assertEqual(node.runs, ["j1"])
 
-    async def test_either_fronts_jobs_go_to_either_kind_of_node(self) -> None:
+    async def test_stomp_job_on_an_http_node(self) -> None:
         http = HttpNode()
         await self.run_program(http)
         session = await self.stomp_client()
@@ -55,14 +56,14 @@
         first.job("pay-1")
         sent = await self.within(node.got.get())
         first.reset()
-        node.finish(sent)  # it runs on though nobody listens
+        node.finish(sent)  # the job runs to its end without a connected client
         again = await self.stomp_client()
         again.job("pay-1", resend="true")
         self.assertEqual(await again.answer(), ("pay-1", "served", b"r:pay-1"))
         self.assertEqual(await self.ran(again, node), ["pay-1"])
 
     async def test_resend_joins_the_job_in_flight(self) -> None:
-        # A lost receipt: the client asks again on a new connection before the job is done.
+        # After a lost receipt, the client resends the job on a new connection before the job is done.
         node = StompNodeStandIn("hold")
         await self.run_program(stomp_nodes=(node,))
         first, again = await self.stomp_client(), await self.stomp_client()
@@ -71,19 +72,19 @@
         again.job("pay-1")
         self.assertEqual((await again.next())[0], "RECEIPT")
         node.finish(sent)
-        for session in (first, again):  # one answer for each taken frame
+        for session in (first, again):  # one answer for each accepted frame
             self.assertEqual(await session.answer(), ("pay-1", "served", b"r:pay-1"))
         again.job("pay-1")
         self.assertEqual(await again.answer(), ("pay-1", "served", b"r:pay-1"))
         self.assertEqual(await self.ran(again, node), ["pay-1"])
 
-    async def test_resend_after_a_restart_is_failed_not_run(self) -> None:
+    async def test_resent_unsafe_job_fails_after_a_restart(self) -> None:
         node = StompNodeStandIn()
         await self.run_program(stomp_nodes=(node,))
         session = await self.stomp_client()
         session.job("pay-1", resend="true")
         self.assertEqual(await session.answer(), ("pay-1", "failed", b""))
-        session.job("q-1", "eta-quote", resend="true")  # harmless, so it runs
+        session.job("q-1", "eta-quote", resend="true")  # eta-quote is safe to repeat, so it runs
         self.assertEqual(await session.answer(), ("q-1", "served", b"r:q-1"))
         self.assertEqual(await self.ran(session, node), ["q-1"])
 
@@ -98,19 +99,20 @@
         session.job("pay-1", "settle-shift", b"more")
         command, headers, _ = await session.next()
         self.assertEqual((command, headers["receipt-id"]), ("ERROR", "taken-pay-1"))
-        self.assertEqual(await self.ran(other, node), ["pay-1", "pay-1"])  # one of each client
+        self.assertEqual(await self.ran(other, node), ["pay-1", "pay-1"])  # one job of each client
 
-    async def test_deadline_is_kept(self) -> None:
+    async def test_deadline_holds(self) -> None:
         node = StompNodeStandIn("silent")
         await self.run_program(stomp_nodes=(node,))
         session = await self.stomp_client()
         sent = asyncio.get_running_loop().time()
         session.job("pay-1", budget="0.6")
         self.assertEqual(await session.answer(), ("pay-1", "failed", b""))
-        self.assertLess(asyncio.get_running_loop().time() - sent, 0.65)  # the rules give 50 ms
+        # The rules allow 50 ms after the deadline.
+        self.assertLess(asyncio.get_running_loop().time() - sent, 0.65)
         await self.within(node.withdrawn.get())
 
-    async def test_client_left_withdraws_what_is_safe_to_repeat(self) -> None:
+    async def test_client_disconnect_withdraws_a_safe_job(self) -> None:
         node = StompNodeStandIn("hold")
         await self.run_program(stomp_nodes=(node,))
         session = await self.stomp_client()
@@ -129,8 +131,8 @@
         self.assertEqual(await session.answer(), ("pay-1", "served", b"r:pay-1"))
 
 
-class Early(StompNodeStandIn):
-    """Dies while a job is being written to it."""
+class ResettingNode(StompNodeStandIn):
+    """A node that resets the connection while a job is written to it."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\0")
@@ -141,7 +143,7 @@
 
 
 class Attempts(SocketCase):
-    """Outcomes, one attempt at a time."""
+    """The outcome of single attempts at a STOMP node."""
 
     async def outcome(
         self,
@@ -163,18 +165,18 @@
         (ended,) = [e for e in reported if isinstance(e, AttemptEnded)]
         return ended.outcome
 
-    async def test_drain_reported_while_the_connection_comes_up(self) -> None:
+    async def test_drain_during_connect_sends_nothing(self) -> None:
         node = StompNodeStandIn()
         node.hello = {"state": "draining"}
         self.assertEqual((await self.outcome(node), node.runs), (Outcome.NOT_SENT, []))
 
-    async def test_nothing_goes_out_for_a_client_that_left_or_past_a_repeats_window(self) -> None:
+    async def test_nothing_is_sent_after_a_disconnect_or_after_the_retry_window(self) -> None:
         for case in ({"gone": True}, {"write_by_ns": time.monotonic_ns() - 1}):
             node = StompNodeStandIn()
             self.assertEqual((await self.outcome(node, **case), node.runs), (Outcome.NOT_SENT, []), case)
 
-    async def test_break_before_the_last_byte_never_ran(self) -> None:
-        self.assertEqual(await self.outcome(Early(), b"x" * (32 << 20)), Outcome.UNREACHABLE)
+    async def test_reset_before_the_last_byte_is_unreachable(self) -> None:
+        self.assertEqual(await self.outcome(ResettingNode(), b"x" * (32 << 20)), Outcome.UNREACHABLE)
 
     async def test_each_ending_has_its_outcome(self) -> None:
         cases = {
@@ -188,25 +190,25 @@
             self.assertEqual(await self.outcome(StompNodeStandIn(mode)), expected, mode)
 
 
-class NodesThatFail(SocketCase):
-    async def test_lost_before_the_last_byte_never_ran(self) -> None:
+class FailingNodes(SocketCase):
+    async def test_job_for_an_unreachable_node_is_rejected(self) -> None:
         node = StompNodeStandIn()
         await self.run_program(stomp_nodes=(node,))
         await node.close()
         session = await self.stomp_client()
         session.job("pay-1", budget="1")
-        self.assertEqual(await session.answer(), ("pay-1", "refused", b""))  # proved never to have run
+        self.assertEqual(await session.answer(), ("pay-1", "refused", b""))  # the job certainly never ran
         self.assertEqual(node.runs, [])
 
-    async def test_lost_after_the_last_byte_may_have_run(self) -> None:
+    async def test_unsafe_job_fails_after_a_disconnect_behind_its_last_byte(self) -> None:
         node, spare = StompNodeStandIn("cut"), StompNodeStandIn("cut")
         await self.run_program(stomp_nodes=(node, spare))
         session = await self.stomp_client()
         session.job("pay-1")
         self.assertEqual(await session.answer(), ("pay-1", "failed", b""))
-        self.assertEqual(node.runs + spare.runs, ["pay-1"])  # no second run anywhere
+        self.assertEqual(node.runs + spare.runs, ["pay-1"])  # neither node ran it a second time
 
-    async def test_returned_goes_out_again_and_lost_does_not(self) -> None:
+    async def test_returned_jobs_are_retried_and_lost_jobs_are_not(self) -> None:
         cases = (("returned", "refused", 3), ("lost", "failed", 1), ("failed", "failed", 1))
         for state, verdict, runs in cases:
             node = StompNodeStandIn(state)
@@ -217,7 +219,7 @@
             self.assertEqual(len(node.runs), runs, state)
             await self.end_program()
 
-    async def test_drain_sends_nothing_new(self) -> None:
+    async def test_draining_node_gets_no_new_jobs(self) -> None:
         nodes = StompNodeStandIn("hold"), StompNodeStandIn("hold")
         await self.run_program(stomp_nodes=nodes)
         session = await self.stomp_client()
@@ -229,14 +231,14 @@
         next(w for w in waits if not w.done()).cancel()
         spare.mode = "done"
         node.report(state="draining")
-        node.finish(sent)  # the answer shows that the drain, told before it, is known
+        node.finish(sent)  # the node reported the drain before this answer
         self.assertEqual((await session.answer())[1], "served")
         for number in range(6):
             session.job(f"pay-{number}")
             self.assertEqual((await session.answer())[1], "served")
         self.assertEqual((len(node.runs), len(spare.runs)), (1, 6))
 
-    async def test_node_that_starts_again_is_served_again(self) -> None:
+    async def test_restarted_node_gets_jobs_again(self) -> None:
         node = StompNodeStandIn()
         await self.run_program(stomp_nodes=(node,))
         node.report(state="draining")
@@ -250,8 +252,8 @@
         self.assertEqual((await session.answer())[1], "served")
 
 
-class ClientsThatMisbehave(SocketCase):
-    async def test_overload_is_refused_while_what_is_kept_stays(self) -> None:
+class MisbehavingClients(SocketCase):
+    async def test_full_ledger_rejects_new_jobs_and_keeps_its_answers(self) -> None:
         node = StompNodeStandIn()
         await self.run_program(stomp_nodes=(node,), ledger_jobs=1)
         session = await self.stomp_client()
@@ -261,9 +263,9 @@
         self.assertEqual(await session.answer(), ("pay-2", "refused", b""))
         session.job("pay-1")
         self.assertEqual((await session.answer())[1], "served")
-        self.assertEqual(node.runs, ["pay-1"])  # a second run would have had no room in the ledger
+        self.assertEqual(node.runs, ["pay-1"])  # the ledger is full, so a second run would be rejected
 
-    async def test_malformed_frames_get_an_error_and_harm_no_one(self) -> None:
+    async def test_malformed_frames_get_an_error_and_affect_no_other_client(self) -> None:
         await self.run_program(stomp_nodes=(StompNodeStandIn(),))
         good = await self.stomp_client()
         bad_sends: tuple[dict[str, str], ...] = (
@@ -310,16 +312,17 @@
             writer.write(stomp("CONNECT", b"", **headers))
             self.assertTrue((await self.within(reader.read())).startswith(b"ERROR\n"), headers)
 
-    async def test_heart_beats_come_and_their_absence_ends_the_session(self) -> None:
+    async def test_heart_beats_are_sent_and_missing_ones_end_the_session(self) -> None:
         await self.run_program(stomp_nodes=(StompNodeStandIn(),), heart_beat_ms=50)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.stomp_port)
         self.addCleanup(writer.close)
         writer.write(b"CONNECT\naccept-version:1.2\nhost:h\nlogin:d\nheart-beat:50,50\n\n\0")
-        head, _, rest = (await self.within(reader.read())).partition(b"\0")  # it ends: we write nothing
+        # The session times out, because the client sends no heart-beats.
+        head, _, rest = (await self.within(reader.read())).partition(b"\0")
         self.assertIn(b"heart-beat:50,50", head)
         self.assertIn(b"\n", rest)
 
-    async def test_stop_answers_what_is_taken_and_then_ends(self) -> None:
+    async def test_shutdown_answers_accepted_jobs_and_ends_sessions(self) -> None:
         node = StompNodeStandIn("hold")
         await self.run_program(stomp_nodes=(node,))
         session = await self.stomp_client()
