--- a/hollowusher/scheduler/fronts/common.py
+++ b/hollowusher/scheduler/fronts/common.py
@@ -9,12 +9,12 @@
 
 from hollowusher.balancing.interface import Outcome, Reading
 
-PROBE_TIMEOUT_S = 0.5
+PROBE_TIMEOUT_S = 0.5  # timeout for a load report that the scheduler requests from a node
 # A new connection must deliver its first byte (HTTP) or its CONNECT frame (STOMP) within this time of its
 # accept.  Clients open a connection to use it at once.
 FIRST_REQUEST_TIMEOUT_S = 2.0
 REQUEST_TIMEOUT_S = 2.0  # timeout for receiving one complete request or frame
-MAX_BUDGET_S = 86_400.0
+MAX_BUDGET_S = 86_400.0  # longest time budget that a client may give
 MAX_CLOSED_IDS = 4_096  # number of closed job ids kept: a few minutes of traffic, at most 1 MB of memory
 MAX_ID_LENGTH = 128  # maximum length of an id or a key, in characters
 # Allowance for the network delay of a request: a client counts its budget from the moment it sends.
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class AttemptEnding:
-    """The result of an attempt: its outcome, the node's load report if any, and the response body."""
+    """How an attempt ended: its outcome, the node's load report if any, and the job's result."""
 
     outcome: Outcome
     reading: Reading | None = None
--- a/hollowusher/scheduler/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -44,8 +44,8 @@
 MIN_DRAIN_READ_S = 0.1  # minimum time between closing the listener and closing idle connections
 # Share of the time until the kill in which new requests are accepted, and reserve at the end of that time.
 DRAIN_SERVE_FRACTION, DRAIN_RESERVE_S = 0.486, 0.3
-# The platform kills the process no sooner than the longest deadline plus the second value; a deadline above
-# the first value counts as the first value.
+# After the stop signal, the platform waits for the longest deadline, but at most for MAX_AWAITED_NS, and for
+# another KILL_AFTER_S.  It does not kill the process earlier.
 MAX_AWAITED_NS, KILL_AFTER_S = 3_000_000_000, 0.7
 
 
@@ -341,9 +341,7 @@
 
     async def _run(self, job: ClientJob, answered: asyncio.Future[JobAnswerBody]) -> JobAnswerBody | None:
         """Pass a job to the dispatcher; return its result, or None if the client disconnects first."""
-        is_replicated = self._front.copied(
-            job
-        )  # a client may retry a replicated job; replication finds it by its id
+        is_replicated = self._front.copied(job)  # its id may repeat: replication detects a resent job by it
         if not is_replicated and not self._front.ids.claim(job.job_id):
             self._front.figures.answered(job.job_class, Verdict.FAILED)
             raise BadInput(409, "another request has used this X-Call-Id")
@@ -463,7 +461,9 @@
     def _admit(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         if len(self._sessions) >= self._most and not self._free_connection():
-            self.log.warning("clients-full", "no connection to spare for a client", most=self._most)
+            self.log.warning(
+                "clients-full", "the connection limit is reached; a client was rejected", most=self._most
+            )
             sock.close()
             return
         session = HttpClientSession(self, Link(sock, self._ring))
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -27,8 +27,12 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-SILENCE_TIMEOUT_S = 3.5  # a watch without any line for this long is broken: an empty line comes every 2 s
-FIRST_LINE_TIMEOUT_S = 2.5  # timeout for the first line after the response headers; it is also due within 2 s
+# The service sends at least an empty line every 2 s.  After this time without a line the watch counts as
+# broken, even if its socket is still open.
+SILENCE_TIMEOUT_S = 3.5
+# Timeout for the first line after the response headers.  The headers alone do not confirm the list, and the
+# first line is also due within 2 s.
+FIRST_LINE_TIMEOUT_S = 2.5
 MAX_LINE = 4 * 1024 * 1024
 DEFAULT_CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
 
@@ -206,7 +210,9 @@
             self._backoff.reset()
 
     def _watch_ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
-        """Report a broken watch or a failed call to the dispatcher, which decides when to retry."""
+        """Report a broken watch or a failed call to the dispatcher, which decides when to retry.
+
+        A watch on a local agent schedules its retry itself, after its backoff."""
         if asyncio.current_task() is self._pending:
             self._pending = None
         else:
--- a/hollowusher/scheduler/fronts/platform/nodes.py
+++ b/hollowusher/scheduler/fronts/platform/nodes.py
@@ -34,7 +34,7 @@
 
 
 class PlatformNodes:
-    """Carries attempts and probes to nodes over pooled connections."""
+    """Runs attempts and probes at nodes on pooled connections."""
 
     def __init__(
         self,
--- a/hollowusher/scheduler/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -99,9 +99,9 @@
             while going:
                 await self._wait_for_capacity()
                 frame = await self._wire.receive()
-                if self._paused:  # the frame is not accepted and gets no receipt
+                if self._paused:  # waits until stop(); the frame is not accepted and gets no receipt
                     await self._wait_for_capacity()
-                going = self._take(frame)
+                going = self._handle_frame(frame)
         except FrameError as bad:
             self._send_error(bad)
         except OSError:
@@ -109,7 +109,7 @@
         except asyncio.CancelledError:
             pass  # the writer failed, the session was evicted, or the scheduler is stopping
         finally:
-            self._front.gone(self)
+            self._front.session_ended(self)
             self._wire.finish()
             writer.remove_done_callback(self._writer_broke)
             await asyncio.wait({writer}, timeout=FLUSH_TIMEOUT_S)
@@ -126,7 +126,7 @@
         The connection is checked for a disconnect meanwhile, because reading would detect it only behind the
         unread frames.  Raises OSError if the client has disconnected."""
         while self._paused or not self._has_capacity.is_set():
-            if self._wire.left():
+            if self._wire.peer_closed():
                 raise ConnectionResetError("the client has disconnected")
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(DISCONNECT_CHECK_INTERVAL_S):
@@ -147,7 +147,7 @@
         self.task.cancel()
         return True
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Stop accepting frames; accepted frames are still answered."""
         self._paused = True
 
@@ -189,7 +189,7 @@
                 del self._to_ack[next(iter(self._to_ack))]
         self._wire.put(Frame("MESSAGE", headers, answer.result))
 
-    def counted(self, change: int) -> None:
+    def change_open_jobs(self, change: int) -> None:
         """Change the number of jobs in flight; at MAX_OPEN_JOBS, the session stops reading frames."""
         self.open_jobs += change
         if self.open_jobs < MAX_OPEN_JOBS:
@@ -230,7 +230,7 @@
         self._wire.negotiate_heartbeats(ours, theirs)
         self._connected = True
 
-    def _take(self, frame: Frame) -> bool:
+    def _handle_frame(self, frame: Frame) -> bool:
         """Handle one frame; return whether the session continues."""
         receipt, headers = frame.headers.get("receipt", ""), frame.headers
         match frame.command:
@@ -297,8 +297,8 @@
             repeat_key,
         )
         waiter = Waiter(self, job_id, receipt)
-        taken = (lambda: self._wire.put(Frame("RECEIPT", {"receipt-id": receipt}))) if receipt else None
-        self._front.take(waiter, job, frame.headers.get("resend") == "true", taken)
+        on_accepted = (lambda: self._wire.put(Frame("RECEIPT", {"receipt-id": receipt}))) if receipt else None
+        self._front.submit(waiter, job, frame.headers.get("resend") == "true", on_accepted)
 
     def _budget_ns(self, frame: Frame) -> int:
         budget_ns = read_budget_ns(frame.need("budget"))
@@ -352,13 +352,13 @@
                 continue
             sock.setblocking(False)
             if len(self._sessions) >= self.config.most_clients and not self._free_connection():
-                self.log.warning("clients-full", "no connection to spare for a client")
+                self.log.warning("clients-full", "the connection limit is reached; a client was rejected")
                 sock.close()
                 continue
             session = StompClientSession(self, StompLink(Link(sock), FROM_CLIENT, REQUEST_TIMEOUT_S))
             self._sessions[session] = None
             session.task = asyncio.create_task(session.run())
-            session.task.add_done_callback(partial(self._over, session))
+            session.task.add_done_callback(partial(self._remove, session))
 
     def _free_connection(self) -> bool:
         """Evict the oldest session without a CONNECT frame; return False if there is none.
@@ -366,42 +366,46 @@
         Silent connections must not keep out clients that have jobs."""
         silent = next((s for s in self._sessions if s.evict()), None)
         if silent is not None:
-            self._over(silent)
+            self._remove(silent)
         return silent is not None
 
-    def _over(self, session: StompClientSession, _: asyncio.Task[None] | None = None) -> None:
+    def _remove(self, session: StompClientSession, _: asyncio.Task[None] | None = None) -> None:
         self._sessions.pop(session, None)
 
-    def take(self, waiter: Waiter, job: ClientJob, resend: bool, taken: Callable[[], None] | None) -> None:
+    def submit(
+        self, waiter: Waiter, job: ClientJob, resend: bool, on_accepted: Callable[[], None] | None
+    ) -> None:
         """Look up a sent job in the ledger and either run it, join the running job, or answer the frame.
 
-        `taken`, if set, sends the receipt and is called before any answer.  Raises FrameError if the job id
-        conflicts with another job."""
+        `on_accepted`, if set, sends the receipt and is called before any answer.  Raises FrameError if the
+        job id conflicts with another job."""
         effect = self.classes[job.job_class].effect
         mark = fingerprint(job.job_class, job.subject, job.repeat_key, job.body)
         key = (waiter.session.identity, job.job_id)
-        finding, entry = self.job_table.find(key, mark, effect, len(job.body), resend, job.taken_ns)
-        if finding is ResendState.CONFLICT:
+        state, entry = self.job_table.find(key, mark, effect, len(job.body), resend, job.taken_ns)
+        if state is ResendState.CONFLICT:
             raise FrameError("this job-id belongs to another job", waiter.receipt)
-        if finding is ResendState.NEW and not self._ids.claim(job.job_id, again=True):
+        if state is ResendState.NEW and not self._ids.claim(job.job_id, again=True):
             self.job_table.forget(key)
             raise FrameError("another client has an open job with this job-id", waiter.receipt)
-        if taken is not None:
-            taken()
+        if on_accepted is not None:
+            on_accepted()
         if entry is None:
-            self.log.warning("ledger-full", "a job was refused", jobs=len(self.job_table))
+            self.log.warning(
+                "ledger-full", "the ledger is full; a job was rejected", jobs=len(self.job_table)
+            )
             waiter.session.answer(waiter, JobAnswerBody(Verdict.REFUSED, wait_ns=self._full_wait_ns))
             return
-        if finding is ResendState.KEPT and entry.answer is not None:
+        if state is ResendState.KEPT and entry.answer is not None:
             waiter.session.answer(waiter, entry.answer)
             return
         entry.waiters.append(waiter)
         waiter.session.waiting[waiter] = entry
-        waiter.session.counted(1)
-        if finding is ResendState.JOINED:
+        waiter.session.change_open_jobs(1)
+        if state is ResendState.JOINED:
             return
         # After a restart the ledger cannot show whether the job ran, so the job must not run again.
-        if finding is ResendState.UNKNOWN:
+        if state is ResendState.UNKNOWN:
             self.log.notice("resend-unknown", "a resent job is not in the ledger", job=job.job_id)
             self._answered(entry, JobAnswerBody(Verdict.FAILED))
             return
@@ -412,7 +416,7 @@
         self._none_open.clear()
         self._post(JobTaken(job))
 
-    def gone(self, session: StompClientSession) -> None:
+    def session_ended(self, session: StompClientSession) -> None:
         """Handle the end of a session.
 
         No new attempts start for its jobs.  A job that must not run twice and is already at a node runs to
@@ -432,7 +436,7 @@
         self.job_table.answered(entry, answer, time.monotonic_ns())
         waiters, entry.waiters = entry.waiters, []
         for waiter in waiters:
-            waiter.session.counted(-1)
+            waiter.session.change_open_jobs(-1)
             waiter.session.answer(waiter, answer)
         self._closed(entry)
 
@@ -449,7 +453,7 @@
         accepting.cancel()
         self._listener.close()
         for session in self._sessions:
-            session.hold()
+            session.pause()
         await self._none_open.wait()
         tasks = [s.task for s in self._sessions if s.task is not None]
         for session in list(self._sessions):
--- a/hollowusher/scheduler/fronts/stomp/wire.py
+++ b/hollowusher/scheduler/fronts/stomp/wire.py
@@ -100,7 +100,7 @@
         self._begun_at = loop.time()  # a part of the next frame may just have arrived with this one
         return reader.ready.popleft()
 
-    def left(self) -> bool:
+    def peer_closed(self) -> bool:
         """Return whether the peer has closed the connection, even if frames before the close are unread."""
         return self._link.ended()
 
