--- a/hollowusher/storage/identity.py
+++ b/hollowusher/storage/identity.py
@@ -14,7 +14,7 @@
 RANDOM_BITS = 16  # of an incarnation without a disk
 
 
-def disk_identity(folder: Path, chance: Random, files: Files | None = None) -> tuple[str, bool]:
+def disk_identity(folder: Path, rng: Random, files: Files | None = None) -> tuple[str, bool]:
     """The id of the disk that holds `folder`, and whether it was given just now (an empty disk)."""
     system: Files = SystemFiles() if files is None else files
     try:
@@ -23,7 +23,7 @@
         if known is not None:
             system.sync_folder(folder)  # the process that gave it may have died before it did this
             return _check_identity(folder, known), False
-        identity = f"{chance.getrandbits(IDENTITY_BITS):016x}"
+        identity = f"{rng.getrandbits(IDENTITY_BITS):016x}"
         _write_durably(system, folder, identity.encode())
     except OSError as error:
         raise StorageError("identity", str(folder), error.strerror or str(error)) from error
@@ -48,19 +48,19 @@
     system.sync_folder(folder)
 
 
-def next_incarnation(now_wall_ms: int, stored: int | None, chance: Random) -> int:
+def next_incarnation(now_wall_ms: int, stored: int | None, rng: Random) -> int:
     """The number of a new life, greater than the `stored` one of the life before.
 
     It is the time of day in milliseconds, with random bits below: two lives without a stored number in the
     same millisecond hardly get the same."""
-    by_time = now_wall_ms << RANDOM_BITS | chance.getrandbits(RANDOM_BITS)
+    by_time = now_wall_ms << RANDOM_BITS | rng.getrandbits(RANDOM_BITS)
     return by_time if stored is None else max(by_time, stored + 1)
 
 
-async def claim_incarnation(slot: Slot, now_wall_ms: int, chance: Random) -> int:
+async def claim_incarnation(slot: Slot, now_wall_ms: int, rng: Random) -> int:
     """The number of this life of a process with a disk; it is durable before it is used."""
     value = slot.load()
     stored = int.from_bytes(value, "big") if value else None
-    incarnation = next_incarnation(now_wall_ms, stored, chance)
+    incarnation = next_incarnation(now_wall_ms, stored, rng)
     await slot.save(incarnation.to_bytes(8, "big"))
     return incarnation
--- a/hollowusher/storage/memory.py
+++ b/hollowusher/storage/memory.py
@@ -10,7 +10,7 @@
 from hollowusher.storage.interface import MoveRecord, Position, StorageError
 
 FRAME_BYTES = 12  # what a record costs beyond its own bytes, as on disk
-LIVE_SHARE = 0.75
+MAX_LIVE_FRACTION = 0.75
 SPARE_SEGMENTS = 3
 
 
@@ -100,7 +100,7 @@
 
     def free_bytes(self) -> int:
         """Room for further live records."""
-        usable = (self._segments_allowed - SPARE_SEGMENTS - 1) * self._segment_bytes * LIVE_SHARE
+        usable = (self._segments_allowed - SPARE_SEGMENTS - 1) * self._segment_bytes * MAX_LIVE_FRACTION
         return max(0, int(usable) - self._live_bytes)
 
     def stalled(self, now: float) -> bool:
@@ -110,13 +110,13 @@
     def close(self) -> None:
         """Nothing to release."""
 
-    def crash(self, chance: Random, in_order: bool = False) -> MemoryLog:
+    def crash(self, rng: Random, in_order: bool = False) -> MemoryLog:
         """The log that a loss of power leaves: all that was synced, and any of the rest.
 
         A torn record does not check and so is missing.  `in_order`: the rest is cut at some record, as
         the ring log cuts it; else any subset of it survives."""
         after = MemoryLog(self._segment_bytes, self._segments_allowed, self.sync_s, self._stall_s)
-        lost = self._lost_records(chance, in_order)
+        lost = self._lost_records(rng, in_order)
         after._segments = {}
         for segment in self._segments.values():
             records = {
@@ -128,11 +128,11 @@
         after._adopt(_Segment(max(self._segments) + 1))  # a torn tail never stands before newer records
         return after
 
-    def _lost_records(self, chance: Random, in_order: bool) -> set[tuple[int, int]]:
+    def _lost_records(self, rng: Random, in_order: bool) -> set[tuple[int, int]]:
         unsynced = [(position.segment, position.offset) for position in self._unsynced]
         if in_order:
-            return set(unsynced[chance.randint(0, len(unsynced)) :])
-        return {key for key in unsynced if chance.random() < 0.5}
+            return set(unsynced[rng.randint(0, len(unsynced)) :])
+        return {key for key in unsynced if rng.random() < 0.5}
 
     def _adopt(self, segment: _Segment) -> None:
         segment.live = {offset: len(record) for offset, record in segment.records.items()}
@@ -209,9 +209,9 @@
             self._value = value
             self.saves += 1
 
-    def crash(self, chance: Random) -> MemorySlot:
+    def crash(self, rng: Random) -> MemorySlot:
         """The slot that a loss of power leaves: the old value, or the one being saved."""
         value = self._value
-        if self._saving is not None and chance.random() < 0.5:
+        if self._saving is not None and rng.random() < 0.5:
             value = self._saving
         return MemorySlot(value, self.save_s)
--- a/hollowusher/storage/ring_batch.py
+++ b/hollowusher/storage/ring_batch.py
@@ -41,7 +41,7 @@
     failure: Failure | None
 
 
-def perform(writes: Sequence[Write], files: SegmentFiles, io: Files) -> Outcome:
+def perform_batch(writes: Sequence[Write], files: SegmentFiles, io: Files) -> Outcome:
     """In the writing thread: write and sync, one file after the other."""
     for index, write in enumerate(writes):
         step = "open"
--- a/hollowusher/storage/ring_log.py
+++ b/hollowusher/storage/ring_log.py
@@ -28,11 +28,11 @@
 from hollowusher.storage.disk_thread import DiskWorker, shared_disk_thread
 from hollowusher.storage.files import NO_SPACE, Files, SystemFiles
 from hollowusher.storage.interface import MoveRecord, Position, StorageError
-from hollowusher.storage.ring_batch import Failure, Outcome, Write, perform
+from hollowusher.storage.ring_batch import Failure, Outcome, Write, perform_batch
 from hollowusher.storage.ring_segments import (
     EXTRA_FILES,
-    LEAST_SEGMENTS,
     MEBIBYTE,
+    MIN_SEGMENTS,
     Part,
     RingSize,
     Segment,
@@ -52,13 +52,13 @@
 
 __all__ = ["MOVED_PER_BATCH", "RingLog", "RingSize", "ring_size"]
 
-CLEAN_BELOW = 3  # segments left free when live records of the oldest one begin to move
-LIVE_SHARE = 0.75  # of the ring may be live: the rest keeps the cost of moving bounded
-MOVED_PER_APPENDED = 4  # bytes moved for each byte appended while segments are short
-MOVED_AT_LEAST = 4 * 1024
+MIN_FREE_SEGMENTS = 3  # segments left free when live records of the oldest one begin to move
+MAX_LIVE_FRACTION = 0.75  # of the ring may be live: the rest keeps the cost of moving bounded
+MOVED_BYTES_PER_APPENDED_BYTE = 4  # bytes moved for each byte appended while segments are short
+MIN_MOVED_BYTES = 4 * 1024
 MOVED_PER_BATCH = 256 * 1024
-MOST_UNSYNCED_BYTES = 8 * 1024 * 1024
-TRIES_PER_SYNC = 2
+MAX_UNSYNCED_BYTES = 8 * 1024 * 1024
+ATTEMPTS_PER_SYNC = 2
 
 
 class RingLog:
@@ -75,10 +75,10 @@
         stall_s: float = 2.0,
         files: Files | None = None,
         worker: DiskWorker | None = None,
-        chance: Random | None = None,
+        rng: Random | None = None,
     ) -> None:
-        if segments < LEAST_SEGMENTS:
-            raise ValueError(f"a ring needs at least {LEAST_SEGMENTS} segments, not {segments}")
+        if segments < MIN_SEGMENTS:
+            raise ValueError(f"a ring needs at least {MIN_SEGMENTS} segments, not {segments}")
         self.syncs = 0
         self.failed_batches = 0
         self.moved_records = 0
@@ -86,11 +86,11 @@
         self._folder = folder
         self._segment_bytes = segment_bytes
         self._segments_allowed = segments
-        self._most_files = segments + EXTRA_FILES
+        self._max_files = segments + EXTRA_FILES
         self._stall_s = stall_s
         self._io: Files = SystemFiles() if files is None else files
         self._worker: DiskWorker = shared_disk_thread() if worker is None else worker
-        self._chance: Random = SystemRandom() if chance is None else chance
+        self._rng: Random = SystemRandom() if rng is None else rng
         self._move: MoveRecord | None = None
         self._moving = False
         self._move_budget = 0  # bytes that may still be moved without a further append of the owner
@@ -112,7 +112,7 @@
         self._batch_running = False
         self._batch_started = 0.0
         self._batch_writes: list[Write] = []
-        self._tries = 0
+        self._attempts = 0
         self._replay_begun = False
         self._replayed = False
         try:
@@ -140,7 +140,7 @@
         found = self._files.open()
         for header, file in found:
             self._add_found(header, file)
-        self._most_files = max(self._most_files, len(found) + 1)  # a larger ring can be moved into this one
+        self._max_files = max(self._max_files, len(found) + 1)  # a larger ring can be moved into this one
         self._replayed = not found
 
     def _add_found(self, header: SegmentHeader, file: SegmentFile) -> None:
@@ -204,8 +204,8 @@
         self._appended += 1
         if not self._moving:
             self._move_budget = self._segments_allowed * self._segment_bytes
-            if self._segments_left() < CLEAN_BELOW:
-                self._clean(MOVED_PER_APPENDED * size + MOVED_AT_LEAST)
+            if self._available_segments() < MIN_FREE_SEGMENTS:
+                self._clean(MOVED_BYTES_PER_APPENDED_BYTE * size + MIN_MOVED_BYTES)
         return position
 
     def _check_room(self, size: int) -> None:
@@ -213,7 +213,7 @@
             raise self._error("append", "the log is closed")
         if size > self.free_bytes():
             raise self._error("append", "the ring is full")
-        if self._unsynced_bytes + size > MOST_UNSYNCED_BYTES:
+        if self._unsynced_bytes + size > MAX_UNSYNCED_BYTES:
             raise self._error("append", "too much waits for the disk")
 
     def _roll(self, size: int) -> Segment:
@@ -224,7 +224,7 @@
         if size > capacity:
             raise self._error("append", f"a record of {size} bytes is larger than a segment")
         self._files.free_retired(self._synced)
-        if self._files.left(self._most_files if self._moving else self._segments_allowed) <= 0:
+        if self._files.available_files(self._max_files if self._moving else self._segments_allowed) <= 0:
             self._clean_in_background()
             raise self._error("append", "no segment is free yet")
         if self._active is not None:
@@ -239,7 +239,7 @@
         return segment
 
     def _new_nonce(self) -> int:
-        return self._chance.getrandbits(64)
+        return self._rng.getrandbits(64)
 
     def _error(self, step: str, reason: str) -> StorageError:
         return StorageError(step, str(self._folder), reason)
@@ -252,7 +252,7 @@
             raise self._error("sync", "the log is closed")
         done = self._waiters.add(self._appended)
         if not self._batch_running:
-            self._tries = 0
+            self._attempts = 0
             self._start_batch()
         await done
 
@@ -272,7 +272,9 @@
             return
         self._batch_started = asyncio.get_running_loop().time()
         self._batch_running = True
-        self._worker.submit(partial(perform, self._batch_writes, self._files, self._io), self._finish_batch)
+        self._worker.submit(
+            partial(perform_batch, self._batch_writes, self._files, self._io), self._finish_batch
+        )
 
     def _plan_writes(self) -> None:
         self._batch_writes = []
@@ -291,7 +293,7 @@
             self._replace_part(segment)
         part = segment.parts[-1]
         if part.file is None:
-            part.file = self._files.take(self._most_files)
+            part.file = self._files.take(self._max_files)
             if part.file is None:
                 raise self._error("sync", "no segment is free for what a failed sync left unwritten")
             self._files.wanted -= 1
@@ -327,17 +329,17 @@
             self._files.close()
             return
         for write in self._batch_writes[: outcome.written]:
-            self._take_written(write)
+            self._mark_written(write)
         self._batch_writes, failed = [], self._batch_writes[outcome.written :]
         self._files.free_retired(self._synced)
-        self._waiters.answer(self._synced)
+        self._waiters.resolve(self._synced)
         if outcome.failure is None:
             self.syncs += 1
-            self._tries = 0
+            self._attempts = 0
             self._clean_after_batch()
         else:
             self._return_files(failed)
-            self._take_failure(outcome.failure, failed[0])
+            self._handle_failure(outcome.failure, failed[0])
         if self._batch_running:
             return
         if self._waiters:
@@ -345,7 +347,7 @@
         else:
             self._prepare_file()
 
-    def _take_written(self, write: Write) -> None:
+    def _mark_written(self, write: Write) -> None:
         write.segment.synced = write.end
         for position in write.positions:
             del self._writing[position]
@@ -353,16 +355,16 @@
         self._unsynced_bytes -= write.end - write.offset
         self._retire_empty()
 
-    def _take_failure(self, failure: Failure, write: Write) -> None:
+    def _handle_failure(self, failure: Failure, write: Write) -> None:
         """The failed write counts as unwritten.  A sync that failed is tried again at once, in another file;
         where the disk is full, those who wait are told."""
         self.failed_batches += 1
-        self._tries += 1
+        self._attempts += 1
         full = isinstance(failure.error, OSError) and failure.error.errno in NO_SPACE
         if failure.step == "sync" or not full:
             write.segment.part_failed = True
-        if full or self._tries >= TRIES_PER_SYNC:
-            self._tries = 0
+        if full or self._attempts >= ATTEMPTS_PER_SYNC:
+            self._attempts = 0
             self._waiters.fail(
                 self._synced + len(self._writing), _storage_error(failure.step, failure.file, failure.error)
             )
@@ -413,13 +415,13 @@
 
     def free_bytes(self) -> int:
         """Room for further live records."""
-        segments = self._segments_allowed - CLEAN_BELOW - 1
-        usable = int(segments * (self._segment_bytes - HEADER_BYTES) * LIVE_SHARE)
+        segments = self._segments_allowed - MIN_FREE_SEGMENTS - 1
+        usable = int(segments * (self._segment_bytes - HEADER_BYTES) * MAX_LIVE_FRACTION)
         return max(0, usable - self._live_bytes)
 
-    def _segments_left(self) -> int:
+    def _available_segments(self) -> int:
         """Segments that can still be begun, those included that wait for a sync."""
-        return self._files.left(self._segments_allowed) + self._files.retired
+        return self._files.available_files(self._segments_allowed) + self._files.retired
 
     def _retire_empty(self) -> None:
         """Set aside the oldest segments as long as nothing in them is live."""
@@ -439,7 +441,7 @@
         self._moving = True
         before = self._move_budget
         try:
-            while before - self._move_budget < budget and self._segments_left() < CLEAN_BELOW:
+            while before - self._move_budget < budget and self._available_segments() < MIN_FREE_SEGMENTS:
                 position = self._oldest_live()
                 if position is None:
                     break
@@ -470,7 +472,7 @@
 
     def _clean_after_batch(self) -> None:
         """Go on with moving when nobody appends; its records are written by a batch of their own."""
-        if self._segments_left() >= CLEAN_BELOW or self._move_budget <= 0:
+        if self._available_segments() >= MIN_FREE_SEGMENTS or self._move_budget <= 0:
             return
         if self._clean(MOVED_PER_BATCH):
             self._start_batch()
--- a/hollowusher/storage/ring_segments.py
+++ b/hollowusher/storage/ring_segments.py
@@ -8,10 +8,10 @@
 from hollowusher.storage.interface import StorageError
 from hollowusher.storage.segment_files import SegmentFile
 
-LEAST_SEGMENTS = 6
+MIN_SEGMENTS = 6
 EXTRA_FILES = 3  # beyond the ring: for moved records and for parts after a failed sync
 MEBIBYTE = 1024 * 1024
-LEAST_SEGMENT_BYTES = MEBIBYTE // 2
+MIN_SEGMENT_BYTES = MEBIBYTE // 2
 
 
 class RingSize(NamedTuple):
@@ -24,8 +24,8 @@
 def ring_size(disk_mb: int, share: float = 0.6) -> RingSize:
     """A ring that takes `share` of a disk, its extra files included."""
     total = int(disk_mb * MEBIBYTE * share)
-    segment_bytes = min(16 * MEBIBYTE, max(LEAST_SEGMENT_BYTES, total // 24))
-    return RingSize(segment_bytes, max(LEAST_SEGMENTS, total // segment_bytes - EXTRA_FILES))
+    segment_bytes = min(16 * MEBIBYTE, max(MIN_SEGMENT_BYTES, total // 24))
+    return RingSize(segment_bytes, max(MIN_SEGMENTS, total // segment_bytes - EXTRA_FILES))
 
 
 @dataclass(slots=True)
--- a/hollowusher/storage/segment_files.py
+++ b/hollowusher/storage/segment_files.py
@@ -74,10 +74,10 @@
             with suppress(OSError):  # it is done before the file is written
                 self.make_ready(file)
 
-    def left(self, most_files: int) -> int:
+    def available_files(self, max_files: int) -> int:
         """How many further parts can get a file while there may be `most_files` in all."""
         prepared = 0 if self._preparing is None else 1
-        to_create = max(0, most_files - len(self._all))
+        to_create = max(0, max_files - len(self._all))
         return len(self._free) + prepared + to_create - self.wanted
 
     @property
@@ -85,14 +85,14 @@
         """How many segments' files wait to become free."""
         return len(self._retired)
 
-    def take(self, most_files: int) -> SegmentFile | None:
+    def take(self, max_files: int) -> SegmentFile | None:
         """The file for the next write: the free one with the oldest contents, or a new one."""
         if self._preparing is not None:  # older than the free ones; the thread makes it ready first
             file, self._preparing = self._preparing, None
             return file
         if self._free:
             return self._free.popleft()
-        if len(self._all) >= most_files:
+        if len(self._all) >= max_files:
             return None
         return self._new_file()
 
@@ -128,16 +128,16 @@
             file.listed = True
         file.ready = True
 
-    def prepare_next(self, most_files: int) -> None:
+    def prepare_next(self, max_files: int) -> None:
         """Have the disk thread make the next file ready ahead of its use."""
         if self._prepare_running or (self._free and self._free[0].ready):
             return
-        file = self.take(most_files)
+        file = self.take(max_files)
         if file is None:
             return
         self._preparing = file
         self._prepare_running = True
-        self._worker.submit(partial(self.make_ready, file), self._take_prepared)
+        self._worker.submit(partial(self.make_ready, file), self._finish_prepare)
 
     def close(self) -> None:
         """Close all files, once the thread has done with them."""
@@ -149,7 +149,7 @@
                 self._io.close(file.descriptor)
                 file.descriptor = -1
 
-    def _take_prepared(self, _: Exception | None) -> None:
+    def _finish_prepare(self, _: Exception | None) -> None:
         """A file that could not be made ready is so before it is written."""
         self._prepare_running = False
         if self._preparing is not None:
--- a/hollowusher/storage/sync_waiters.py
+++ b/hollowusher/storage/sync_waiters.py
@@ -22,7 +22,7 @@
         self._waiters.append((target, done))
         return done
 
-    def answer(self, synced: int) -> None:
+    def resolve(self, synced: int) -> None:
         """So many records are durable."""
         waiting = []
         for target, done in self._waiters:
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -18,9 +18,9 @@
 from hollowusher.protocol.view import View
 
 UNKNOWN = Identity("", "", 0)
-OF_VOTERS = (Addressee.VOTER, Addressee.VOTER_DISK)
-OF_A_DISK = (Addressee.VOTER_DISK, Addressee.STORE)
-MOST_TOLD = 100  # pairs of caller and meant process that are reported once each
+VOTER_ADDRESSEES = (Addressee.VOTER, Addressee.VOTER_DISK)
+DISK_ADDRESSEES = (Addressee.VOTER_DISK, Addressee.STORE)
+MAX_REPORTED_PAIRS = 100  # pairs of caller and meant process that are reported once each
 
 
 @attrs.define
@@ -43,9 +43,9 @@
         self._registered: dict[str, Member] = {}  # address -> its registration
         self._addresses: dict[str, str] = {}  # member's name -> its address
         self._voters: dict[str, Identity] = {}
-        self._anybody = UNKNOWN  # nothing but the cluster
+        self._any_process = UNKNOWN  # nothing but the cluster
         self._view: View | None = None
-        self._told: set[tuple[str, str]] = set()
+        self._reported_pairs: set[tuple[str, str]] = set()
 
     def identify(self, identity: Identity) -> None:
         """Say who this process is; the cluster may become known later."""
@@ -61,14 +61,14 @@
         member = self._members.get(address)
         voter = self._voters.get(address)
         if voter is None or voter is member:  # by far the most calls
-            return member or self._anybody
+            return member or self._any_process
         if member is None or (
-            call_rule_of(message).addressee in OF_VOTERS and not self._reused(address, voter)
+            call_rule_of(message).addressee in VOTER_ADDRESSEES and not self._is_reused(address, voter)
         ):
             return voter
         return member
 
-    def _reused(self, address: str, voter: Identity) -> bool:
+    def _is_reused(self, address: str, voter: Identity) -> bool:
         """Whether another process lives at a voter's address by now.  What it is sent as that voter's
         successor is harmless: votes count by name and disk."""
         registered = self._registered.get(address)
@@ -77,7 +77,7 @@
     def learn_member(self, member: Member) -> None:
         """A registration: of two processes at one address the living one counts, then the later one."""
         known = self._registered.get(member.address)
-        if known is not None and known.name != member.name and _counts_before(known, member):
+        if known is not None and known.name != member.name and _takes_precedence(known, member):
             return
         before = self._addresses.pop(member.name, "")
         if before in self._registered and self._registered[before].name == member.name:
@@ -86,18 +86,18 @@
         self._registered[member.address] = member
         identity = Identity(self.own.cluster, member.name, member.incarnation, member.disk_id)
         self._members[member.address] = identity
-        self._name_voters()
+        self._update_voters()
 
     def learn_view(self, view: View) -> None:
         """A newer decided view: its voters, and the cluster's id."""
         self._view = view
         if view.cluster and view.cluster != self.own.cluster:
             self.own = evolve(self.own, cluster=view.cluster)
-            self._anybody = Identity(view.cluster, "", 0)
+            self._any_process = Identity(view.cluster, "", 0)
             self._members = {
                 address: evolve(identity, cluster=view.cluster) for address, identity in self._members.items()
             }
-        self._name_voters()
+        self._update_voters()
 
     def refusal(self, hello: Hello, message: Any) -> str:
         """Why a message that came after this greeting is not for this process, empty where it is."""
@@ -109,7 +109,7 @@
             return ""
         if own.name != meant.name:
             return "another process"
-        if addressee in OF_A_DISK and meant.disk_id and own.disk_id != meant.disk_id:
+        if addressee in DISK_ADDRESSEES and meant.disk_id and own.disk_id != meant.disk_id:
             return "another disk"
         return ""
 
@@ -117,13 +117,13 @@
         """Count a message that was not handed on; report each pair of processes once."""
         self.figures.refused += 1
         pair = (hello.caller.name, hello.meant.name)
-        if pair in self._told or len(self._told) >= MOST_TOLD:
+        if pair in self._reported_pairs or len(self._reported_pairs) >= MAX_REPORTED_PAIRS:
             return
-        self._told.add(pair)
+        self._reported_pairs.add(pair)
         if self.on_refused is not None:
             self.on_refused(hello.caller, hello.meant, reason)
 
-    def _name_voters(self) -> None:
+    def _update_voters(self) -> None:
         """The voters by address; a voter that is the member there is known with its life."""
         self._voters = {}
         for voter in [] if self._view is None else self._view.voters:
@@ -133,7 +133,7 @@
             self._voters[voter.address] = member
 
 
-def names_exactly(meant: Identity, own: Identity) -> bool:
+def matches_exactly(meant: Identity, own: Identity) -> bool:
     """Whether no message that means the one could be refused by the other."""
     return (meant.cluster, meant.name, meant.disk_id) == (own.cluster, own.name, own.disk_id)
 
@@ -142,6 +142,6 @@
     return bool(one) and bool(other) and one != other
 
 
-def _counts_before(known: Member, member: Member) -> bool:
+def _takes_precedence(known: Member, member: Member) -> bool:
     """Whether the known registration of an address stays, against one of another process."""
     return (known.alive, known.incarnation) > (member.alive, member.incarnation)
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -23,12 +23,12 @@
 from hollowusher.protocol.codec import MAX_TAG, DecodeError, decode, encode, tag_of
 from hollowusher.protocol.identity import Hello, Identity
 from hollowusher.transport.interface import Handler, PeerError, WrongPeer, fail_call
-from hollowusher.transport.peers import PeerDirectory, names_exactly
+from hollowusher.transport.peers import PeerDirectory, matches_exactly
 
 ONE_WAY, REQUEST, ANSWER, FAILURE, HELLO, REFUSED = range(6)
 LENGTH = struct.Struct(">I")
-MOST_FRAME_BYTES = 32 * 1024 * 1024
-MOST_UNSENT_BYTES = 16 * 1024 * 1024
+MAX_FRAME_BYTES = 32 * 1024 * 1024
+MAX_UNSENT_BYTES = 16 * 1024 * 1024
 CONNECT_TIMEOUT_S = 1.0
 USER_TIMEOUT_MS = 3_000
 
@@ -49,7 +49,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
-        _tune(transport.get_extra_info("socket"))
+        _set_socket_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         self.bytes_received += len(data)
@@ -58,7 +58,7 @@
         start = 0
         while len(buffer) - start >= LENGTH.size:
             (length,) = LENGTH.unpack_from(buffer, start)
-            if length > MOST_FRAME_BYTES:
+            if length > MAX_FRAME_BYTES:
                 self._drop()
                 return
             end = start + LENGTH.size + length
@@ -118,11 +118,11 @@
             else:
                 self._hello = message
                 own = self._owner.peers.own
-                self._meant_here = own if names_exactly(message.meant, own) else None
-        elif kind in (ONE_WAY, REQUEST) and not self._refuses(number, message):
+                self._meant_here = own if matches_exactly(message.meant, own) else None
+        elif kind in (ONE_WAY, REQUEST) and not self._reject_misdirected(number, message):
             self._owner.run(self._handle(number, kind, message))
 
-    def _refuses(self, number: int, message: Any) -> bool:
+    def _reject_misdirected(self, number: int, message: Any) -> bool:
         """Whether a message is meant for another process; its caller is told."""
         hello, peers = self._hello, self._owner.peers
         if hello is None or self._meant_here is peers.own:
@@ -194,7 +194,7 @@
 
     def frame_received(self, number: int, kind: int, message: Any) -> None:
         if kind == REFUSED and isinstance(message, Identity):
-            self._refused(number, message)
+            self._handle_rejection(number, message)
             return
         future = self.waiting.pop(number, None)
         if future is None or future.done():
@@ -204,7 +204,7 @@
         else:
             fail_call(future, PeerError("call", self.peer, f"peer failed: {message}"))
 
-    def _refused(self, number: int, found: Identity) -> None:
+    def _handle_rejection(self, number: int, found: Identity) -> None:
         """Another process is there; calls it has taken before may still be answered."""
         self._directory.figures.misdirected += 1
         self.misdirected = True
@@ -277,7 +277,7 @@
             connection = await self._connect(address, step, timeout)
         if connection.transport is None:
             raise PeerError(step, address, "connection lost", sent=False)
-        if connection.transport.get_write_buffer_size() > MOST_UNSENT_BYTES:
+        if connection.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             raise PeerError(step, address, "too much unsent", sent=False)
         number = next(self._numbers) * (MAX_TAG + 1) + tag_of(message)
         future: asyncio.Future[Any] = loop.create_future()
@@ -339,7 +339,7 @@
         return connection
 
 
-def _tune(sock: socket.socket | None) -> None:
+def _set_socket_options(sock: socket.socket | None) -> None:
     """No delay, and an end for connections whose peer has gone silent with bytes unacknowledged."""
     if sock is None:
         return
--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -268,7 +268,7 @@
 
 def open_ring(folder: Path, segment_bytes: int, segments: int, chance: Random) -> RingLog:
     """A log on disk whose nonces come from `chance`."""
-    return RingLog(folder, segment_bytes, segments, chance=chance)
+    return RingLog(folder, segment_bytes, segments, rng=chance)
 
 
 async def append_records(ring: RingLog, records: Sequence[bytes]) -> None:
--- a/tests/storage/test_ring_log.py
+++ b/tests/storage/test_ring_log.py
@@ -34,7 +34,7 @@
 
 def open_log(
     disk: SimulatedDisk,
-    chance: Random | None = None,
+    rng: Random | None = None,
     worker: InlineWorker | None = None,
     segment_bytes: int = SEGMENT_BYTES,
     segments: int = SEGMENTS,
@@ -45,7 +45,7 @@
         segments,
         files=disk,
         worker=worker or InlineWorker(),
-        chance=chance or Random(7),
+        rng=rng or Random(7),
     )
 
 
@@ -135,8 +135,8 @@
             assert self.log.read(position) == record
 
 
-def check_power_loss(disk: SimulatedDisk, model: PlainModel, chance: Random) -> None:
-    left = open_log(disk.power_loss(chance))
+def check_power_loss(disk: SimulatedDisk, model: PlainModel, rng: Random) -> None:
+    left = open_log(disk.power_loss(rng))
     model.check(list(left.replay()))
     assert left.damaged_records == 0
 
@@ -145,7 +145,7 @@
     """A random sequence of uses and faults of one log, over several lives of its process."""
 
     def __init__(self, seed: int, check_each_change: bool) -> None:
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.check_each_change = check_each_change
         self.disk = SimulatedDisk()
         self.forgotten: set[bytes] = set()
@@ -160,7 +160,7 @@
     def start(self) -> None:
         self.lives += 1
         self.worker = InlineWorker()
-        self.log = open_log(self.disk, self.chance, self.worker)
+        self.log = open_log(self.disk, self.rng, self.worker)
         self.model = PlainModel(self.log)
         self.model.replay(self.forgotten)
         assert self.log.damaged_records == 0
@@ -169,35 +169,35 @@
 
     def check_change(self) -> None:
         try:
-            check_power_loss(self.disk, self.model, self.chance)
+            check_power_loss(self.disk, self.model, self.rng)
         except AssertionError as error:  # raised here, it would end in the event loop's log
             self.failures.append(error)
 
     async def step(self) -> None:
         actions = [self.append] * 6 + [self.release] * 4 + [self.sync] * 3 + [self.hold, self.work, self.work]
-        actions += [self.fail] if self.chance.random() < 0.3 else []
-        actions += [self.crash] if self.chance.random() < 0.2 else []
-        await self.chance.choice(actions)()
+        actions += [self.fail] if self.rng.random() < 0.3 else []
+        actions += [self.crash] if self.rng.random() < 0.2 else []
+        await self.rng.choice(actions)()
         for failure in self.failures:
             raise failure
 
     async def append(self) -> None:
-        for _ in range(self.chance.randint(1, 5)):
+        for _ in range(self.rng.randint(1, 5)):
             self.count += 1
-            record = b"%d:" % self.count + bytes(self.chance.randint(0, 70))
+            record = b"%d:" % self.count + bytes(self.rng.randint(0, 70))
             try:
                 self.model.append(record)
             except StorageError:
                 return
 
     async def release(self) -> None:
-        long_lived = self.chance.randint(0, 8)  # the oldest ones stay, so that they have to be moved
+        long_lived = self.rng.randint(0, 8)  # the oldest ones stay, so that they have to be moved
         for position in list(self.model.live)[long_lived:]:
-            if self.chance.random() < 0.5:
+            if self.rng.random() < 0.5:
                 self.forgotten.add(self.model.release(position))
 
     async def sync(self) -> None:
-        self.tasks += [asyncio.ensure_future(self._sync()) for _ in range(self.chance.randint(1, 3))]
+        self.tasks += [asyncio.ensure_future(self._sync()) for _ in range(self.rng.randint(1, 3))]
         await finish_saves()
 
     async def _sync(self) -> None:
@@ -214,15 +214,15 @@
         while self.worker.waiting:
             self.worker.run_next()
             await finish_saves()
-        self.worker.held = self.chance.random() < 0.5
-        self.disk.full = self.disk.full and self.chance.random() < 0.5
+        self.worker.held = self.rng.random() < 0.5
+        self.disk.full = self.disk.full and self.rng.random() < 0.5
 
     async def fail(self) -> None:
-        kind = self.chance.randrange(4)
+        kind = self.rng.randrange(4)
         if kind == 0:
-            self.disk.failing_syncs = self.chance.randint(1, 3)
+            self.disk.failing_syncs = self.rng.randint(1, 3)
         elif kind == 1:
-            self.disk.failing_writes = self.chance.randint(1, 3)
+            self.disk.failing_writes = self.rng.randint(1, 3)
         else:
             self.disk.full = True
 
@@ -233,8 +233,8 @@
         self.tasks = []
         self.moved += self.log.moved_records
         self.failed += self.log.failed_batches
-        if self.chance.random() < 0.5:
-            self.disk = self.disk.power_loss(self.chance)
+        if self.rng.random() < 0.5:
+            self.disk = self.disk.power_loss(self.rng)
         self.disk.kill()
         self.disk.full = False
         model = self.model
@@ -296,9 +296,9 @@
         model = PlainModel(log)
         while log.free_bytes() > 200:
             model.append(b"first %04d" % len(model.written))
-        chance = Random(3)
+        rng = Random(3)
         for number in range(600):
-            model.release(chance.choice(list(model.live)))
+            model.release(rng.choice(list(model.live)))
             model.append(b"again %04d" % number)
             await model.sync()
             await finish_saves()
@@ -877,19 +877,19 @@
 @given(seed=st.integers(0, 2**32), in_order=st.booleans())
 def test_the_log_in_memory_keeps_what_was_synced(seed: int, in_order: bool) -> None:
     async def scenario() -> None:
-        chance = Random(seed)
+        rng = Random(seed)
         log = MemoryLog(segment_bytes=300, segments=10)
         model = PlainModel(log)
         for number in range(150):
             try:
-                model.append(b"%d" % number + bytes(chance.randint(0, 40)))
+                model.append(b"%d" % number + bytes(rng.randint(0, 40)))
             except StorageError:
                 assert log.free_bytes() < 100
-            if chance.random() < 0.7:
-                model.release(chance.choice(list(model.live)))
-            if chance.random() < 0.3:
+            if rng.random() < 0.7:
+                model.release(rng.choice(list(model.live)))
+            if rng.random() < 0.3:
                 await model.sync()
-        after = log.crash(chance, in_order)
+        after = log.crash(rng, in_order)
         replayed = list(after.replay())
         survived = {record for _, record in replayed}
         assert {record for record in model.live.values() if record in model.once_durable} <= survived
--- a/tests/storage/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -65,27 +65,27 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_power_loss_after_any_change_leaves_the_old_or_the_new_value(seed: int) -> None:
     async def scenario() -> None:
-        chance = Random(seed)
+        rng = Random(seed)
         disk = SimulatedDisk()
         allowed: list[bytes | None] = [None]
         seen: list[bytes | None] = []
 
         def check() -> None:
-            seen.append(open_slot(disk.power_loss(chance)).load())
+            seen.append(open_slot(disk.power_loss(rng)).load())
             wrong.extend(value for value in seen[-1:] if value not in allowed)
 
         wrong: list[bytes | None] = []
         for number in range(40):
-            if chance.random() < 0.3:
-                disk = disk.power_loss(chance)
+            if rng.random() < 0.3:
+                disk = disk.power_loss(rng)
             disk.kill()
             slot = open_slot(disk)
             value = slot.load()
             assert value in allowed
-            new = b"%d:" % number + bytes(chance.randint(0, 200))
+            new = b"%d:" % number + bytes(rng.randint(0, 200))
             allowed = [value, new]
             disk.on_change = check
-            disk.failing_syncs = int(chance.random() < 0.2)
+            disk.failing_syncs = int(rng.random() < 0.2)
             try:
                 await slot.save(new)
                 allowed = [new]
@@ -216,23 +216,23 @@
 
 
 def test_a_disk_keeps_its_identity_and_an_empty_one_gets_another() -> None:
-    disk, chance = SimulatedDisk(), Random(1)
-    first, fresh = disk_identity(FOLDER, chance, disk)
+    disk, rng = SimulatedDisk(), Random(1)
+    first, fresh = disk_identity(FOLDER, rng, disk)
     assert fresh and len(first) == 16
-    assert disk_identity(FOLDER, chance, disk) == (first, False)
-    assert disk_identity(FOLDER, chance, SimulatedDisk())[0] != first
+    assert disk_identity(FOLDER, rng, disk) == (first, False)
+    assert disk_identity(FOLDER, rng, SimulatedDisk())[0] != first
 
 
 def test_an_identity_that_was_returned_survives_any_power_loss() -> None:
-    chance = Random(1)
+    rng = Random(1)
     for seed in range(50):
         disk = SimulatedDisk()
-        identity, _ = disk_identity(FOLDER, chance, disk)
-        assert disk_identity(FOLDER, chance, disk.power_loss(Random(seed))) == (identity, False)
+        identity, _ = disk_identity(FOLDER, rng, disk)
+        assert disk_identity(FOLDER, rng, disk.power_loss(Random(seed))) == (identity, False)
 
 
 def test_a_power_loss_while_the_identity_is_written_leaves_a_disk_that_can_be_used() -> None:
-    chance = Random(2)
+    rng = Random(2)
     for seed in range(20):
         disk = SimulatedDisk()
         left: list[SimulatedDisk] = []
@@ -241,22 +241,22 @@
             left.append(disk.power_loss(Random(seed)))
 
         disk.on_change = record
-        identity, _ = disk_identity(FOLDER, chance, disk)
+        identity, _ = disk_identity(FOLDER, rng, disk)
         assert len(left) >= 5
         for after in left:
-            known, fresh = disk_identity(FOLDER, chance, after)
+            known, fresh = disk_identity(FOLDER, rng, after)
             assert len(known) == 16 and fresh == (known != identity)
 
 
 def test_an_identity_read_after_a_kill_is_durable() -> None:
-    chance = Random(3)
+    rng = Random(3)
     disk = SimulatedDisk()
     killed: list[SimulatedDisk] = []
-    identity, _ = disk_identity(FOLDER, chance, disk)
+    identity, _ = disk_identity(FOLDER, rng, disk)
     disk.renamed.add(FOLDER / "disk-id")  # as if killed between the rename and the sync of the folder
-    assert disk_identity(FOLDER, chance, disk) == (identity, False)
+    assert disk_identity(FOLDER, rng, disk) == (identity, False)
     killed = [disk.power_loss(Random(seed)) for seed in range(20)]
-    assert {disk_identity(FOLDER, chance, after) for after in killed} == {(identity, False)}
+    assert {disk_identity(FOLDER, rng, after) for after in killed} == {(identity, False)}
 
 
 def test_a_damaged_identity_is_an_error_and_not_a_new_disk() -> None:
@@ -275,24 +275,24 @@
 
 
 def test_incarnations_grow_with_time_and_beyond_the_stored_one() -> None:
-    chance = Random(1)
+    rng = Random(1)
     now = 1_790_000_000_000
-    first = next_incarnation(now, None, chance)
-    assert next_incarnation(now + 1, None, chance) > first
-    assert next_incarnation(now - 3_600_000, first, chance) == first + 1
-    assert next_incarnation(now + 1, first, chance) > first + 1
+    first = next_incarnation(now, None, rng)
+    assert next_incarnation(now + 1, None, rng) > first
+    assert next_incarnation(now - 3_600_000, first, rng) == first + 1
+    assert next_incarnation(now + 1, first, rng) > first + 1
     assert first < 2**63  # fits a MessagePack integer
 
 
 def test_a_process_with_a_disk_never_uses_an_incarnation_twice_although_its_clock_steps_back() -> None:
     async def scenario() -> None:
-        chance = Random(1)
+        rng = Random(1)
         disk = SimulatedDisk()
         last = 0
         for life in range(30):
-            incarnation = await claim_incarnation(open_slot(disk), 1_000_000 - 50 * life, chance)
+            incarnation = await claim_incarnation(open_slot(disk), 1_000_000 - 50 * life, rng)
             assert incarnation > last
             last = incarnation
-            disk = disk.power_loss(chance)
+            disk = disk.power_loss(rng)
 
     run(scenario)
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize(
     "data",
     [
-        LENGTH.pack(tcp.MOST_FRAME_BYTES + 1),
+        LENGTH.pack(tcp.MAX_FRAME_BYTES + 1),
         LENGTH.pack(1) + b"\xc1",
         LENGTH.pack(0),
         LENGTH.pack(1) + encode(7),
@@ -268,7 +268,7 @@
 def test_a_peer_that_does_not_read_is_not_written_to_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(pair: Pair) -> None:
         await pair.call(Acknowledgement())
-        monkeypatch.setattr(tcp, "MOST_UNSENT_BYTES", -1)
+        monkeypatch.setattr(tcp, "MAX_UNSENT_BYTES", -1)
         error = await error_of(pair.call(Acknowledgement()))
         assert (error.reason, error.sent) == ("too much unsent", False)
 
