--- a/hollowusher/transport/__init__.py
+++ b/hollowusher/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections between the processes of one system: framing, calls with answers, one-way messages."""
+"""Transport between the processes of a cluster: framing, request-response calls, one-way messages."""
--- a/hollowusher/transport/fenced_transport.py
+++ b/hollowusher/transport/fenced_transport.py
@@ -1,8 +1,8 @@
-"""A transport that sends nothing on a matter on which this process has been fenced.
+"""A transport that rejects requests under an epoch that a peer has fenced.
 
-Each role wraps its transport once.  An answer that names a higher epoch is recorded before its caller sees
-it, and the role steps down on that matter (`on_fenced`).  From then on a request under the old epoch is not
-sent: the call raises `FencedError`, whoever makes it and however it retries.
+Each role wraps its transport once.  The wrapper records a higher epoch in a response before it returns the
+response to the caller, and calls `on_fenced`, so that the role steps down on that matter.  From then on the
+wrapper does not send requests under the old epoch: every such call, retries included, raises `FencedError`.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 from hollowusher.protocol.fencing import FencingToken, Matter, fencing_tokens, rejecting_tokens
 from hollowusher.transport.interface import Handler, PeerError, Transport
 
-OnFenced = Callable[[FencingToken, str], None]  # the higher epoch, and the address of the peer that named it
+OnFenced = Callable[
+    [FencingToken, str], None
+]  # the higher epoch, and the address of the peer that returned it
 
 
 class FencedError(PeerError):
-    """A request that was not sent, because a peer has named a higher epoch on its matter.
+    """A request was not sent, because a peer has returned a higher epoch for its matter.
 
     Attributes
     ----------
     token : FencingToken
-        The highest epoch that a peer has named.
+        The highest epoch that any peer has returned for the matter.
     """
 
     def __init__(self, step: str, peer: str, token: FencingToken) -> None:
@@ -31,7 +33,7 @@
 
 
 class FenceTable:
-    """The highest epoch that peers have named on each matter.  No I/O, no clock.
+    """The highest epoch that peers have returned for each matter.  It performs no I/O and reads no clock.
 
     Invariant: no entry ever decreases.
     """
@@ -40,20 +42,23 @@
         self._highest: dict[Matter, int] = {}
 
     def record(self, token: FencingToken) -> bool:
-        """Record an epoch that a peer has named; return whether it is higher than those before."""
+        """Record an epoch that a peer has returned; return whether it is higher than all earlier ones."""
         if token.epoch <= self._highest.get(token.matter, 0):
             return False
         self._highest[token.matter] = token.epoch
         return True
 
     def fence_of(self, token: FencingToken) -> FencingToken | None:
-        """Return the higher epoch that fences this one, None if there is none."""
+        """Return the token of the higher epoch that fences `token`, None if `token` is not fenced."""
         highest = self._highest.get(token.matter, 0)
         return FencingToken(token.matter, highest) if highest > token.epoch else None
 
 
 class FencedTransport(Transport):
-    """See the module; `fences` tells the role on which matters it has been fenced."""
+    """A `Transport` that raises `FencedError` for fenced requests.
+
+    The role reads the fenced matters from `fences`.
+    """
 
     def __init__(self, transport: Transport, on_fenced: OnFenced) -> None:
         self.address = transport.address
@@ -62,14 +67,14 @@
         self._on_fenced = on_fenced
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """Return the answer of the process there.
+        """Send a request to the process at `address` and return its response.
 
         Raises
         ------
         FencedError
-            If a peer has named a higher epoch on a matter of the message; nothing is sent.
+            If a peer has returned a higher epoch for a matter of the message; nothing is sent.
         PeerError
-            If no answer came within `timeout` seconds.
+            If no response arrived within `timeout` seconds.
         """
         for token in fencing_tokens(message):
             fence = self.fences.fence_of(token)
@@ -82,11 +87,11 @@
         return answer
 
     def send(self, address: str, message: Any) -> None:
-        """Send without an answer: such messages act under no epoch."""
+        """Send a one-way message; one-way messages carry no epoch, so they are never fenced."""
         self._transport.send(address, message)
 
     async def start(self, handler: Handler) -> None:
-        """Listen, and give each message that comes to `handler`."""
+        """Listen, and pass each received message to `handler`."""
         await self._transport.start(handler)
 
     async def close(self) -> None:
--- a/hollowusher/transport/interface.py
+++ b/hollowusher/transport/interface.py
@@ -1,4 +1,4 @@
-"""What the roles need of a network: calls that are answered, and one-way messages."""
+"""The network interface of the roles: request-response calls and one-way messages."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 
 from hollowusher.protocol.identity import Identity
 
-Handler = Callable[[Any], Awaitable[Any]]  # takes a message; the answer, or None for one-way messages
+# Takes a message and returns the response, None for a one-way message.
+Handler = Callable[[Any], Awaitable[Any]]
 
 
 class PeerError(Exception):
-    """A call that got no answer: the step that was under way, the peer's address, and the reason.
+    """A call failed before a response arrived.
 
-    `sent` is False where it is certain that the peer never saw the call."""
+    `step` is the operation under way, usually the type name of the message; `peer` is the peer's address.
+    `sent` is False only if the peer certainly never processed the call.
+    """
 
     def __init__(self, step: str, peer: str, reason: str, sent: bool = True) -> None:
         super().__init__(f"{step} at {peer}: {reason}")
@@ -25,34 +28,45 @@
 
 
 class WrongPeer(PeerError):
-    """The process at the address is not the one that was meant; it has not taken the message."""
+    """The process at the address is not the intended one; it has rejected the message unprocessed."""
 
     def __init__(self, step: str, peer: str, found: Identity) -> None:
-        super().__init__(step, peer, f"another process is there: {found.name or 'unknown'}", sent=False)
+        super().__init__(
+            step, peer, f"another process is at this address: {found.name or 'unknown'}", sent=False
+        )
         self.found = found
 
 
 def fail_call(waiting: asyncio.Future[Any], error: PeerError) -> None:
-    """End a call that waits for its answer.  Its caller may be ending in the same moment: nobody then reads
-    the failure, which is no fault."""
+    """Fail a pending call.
+
+    The caller may be cancelled at the same time and never retrieve the exception.  Reading the exception
+    here keeps asyncio from logging it as "never retrieved".
+    """
     if not waiting.done():
         waiting.set_exception(error)
         waiting.exception()
 
 
 class Transport(Protocol):
-    """One process's access to the others, by internal address "ip:port"."""
+    """Access of one process to its peers, which are addressed by their internal "ip:port"."""
 
     address: str
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """The answer of the process there; `PeerError` where none came within `timeout` seconds."""
+        """Send a request to the process at `address` and return its response.
+
+        Raises
+        ------
+        PeerError
+            If no response arrived within `timeout` seconds.
+        """
 
     def send(self, address: str, message: Any) -> None:
-        """Send without an answer; lost where the peer cannot be reached."""
+        """Send a one-way message; it is lost if the peer cannot be reached."""
 
     async def start(self, handler: Handler) -> None:
-        """Listen, and give each message that comes to `handler`."""
+        """Listen, and pass each received message to `handler`."""
 
     async def close(self) -> None:
         """Stop listening and drop all connections."""
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -1,7 +1,8 @@
-"""Who is meant by a call, and whether the process that is called is the one: no I/O.
+"""Identities of peers by address, and the check that a message has reached the intended process.  No I/O.
 
-Addresses are used again, so a call names the process that it is meant for.  The caller knows names by the
-addresses in the view and in the members' registrations; the process called compares them with its own.
+Addresses are reused, so each connection names the process that the caller intends to reach.  The caller
+takes the identity at an address from the view and from the members' registrations; the receiver compares it
+with its own identity and rejects the message if they differ.
 """
 
 from __future__ import annotations
@@ -20,47 +21,49 @@
 UNKNOWN = Identity("", "", 0)
 VOTER_ADDRESSEES = (Addressee.VOTER, Addressee.VOTER_DISK)
 DISK_ADDRESSEES = (Addressee.VOTER_DISK, Addressee.STORE)
-MAX_REPORTED_PAIRS = 100  # pairs of caller and meant process that are reported once each
+MAX_REPORTED_PAIRS = 100  # limit of distinct pairs of caller and intended process that are reported
 
 
 @attrs.define
 class CallFigures:
-    """What a transport has counted since its start."""
+    """Counters of a transport since its start."""
 
-    refused: int = 0  # frames meant for another process, not handed on
-    misdirected: int = 0  # calls of this process that another one refused
-    answers_dropped: int = 0  # answers that no call waits for: too late, repeated, or to another question
+    refused: int = 0  # received messages that were meant for another process
+    misdirected: int = 0  # messages sent by this process that an unintended receiver rejected
+    answers_dropped: int = 0  # responses without a pending call: late, repeated, or of another call
 
 
 class PeerDirectory:
-    """This process's own identity, and the processes it knows by address."""
+    """The identity of this process, and the identities of its peers by address."""
 
     def __init__(self) -> None:
         self.own = UNKNOWN
         self.figures = CallFigures()
-        self.on_refused: Callable[[Identity, Identity, str], None] | None = None  # caller, meant, reason
-        self._members: dict[str, Identity] = {}  # address -> member there
-        self._registered: dict[str, Member] = {}  # address -> its registration
-        self._addresses: dict[str, str] = {}  # member's name -> its address
+        self.on_refused: Callable[[Identity, Identity, str], None] | None = (
+            None  # called with caller, intended process, reason
+        )
+        self._members: dict[str, Identity] = {}  # address -> identity of the member there
+        self._registered: dict[str, Member] = {}  # address -> registration of the member there
+        self._addresses: dict[str, str] = {}  # name of a member -> its address
         self._voters: dict[str, Identity] = {}
-        self._any_process = UNKNOWN  # nothing but the cluster
+        self._any_process = UNKNOWN  # only the cluster is set: any process of it may answer
         self._view: View | None = None
         self._reported_pairs: set[tuple[str, str]] = set()
 
     def identify(self, identity: Identity) -> None:
-        """Say who this process is; the cluster may become known later."""
+        """Set the identity of this process; its cluster may be empty until the first view arrives."""
         self.own = evolve(identity, cluster=identity.cluster or self.own.cluster)
 
     def name_of(self, address: str) -> str:
-        """The name of the process at an address, empty where it is not known."""
+        """Return the name of the process at an address, empty if it is unknown."""
         known = self._members.get(address) or self._voters.get(address)
         return "" if known is None else known.name
 
     def meant(self, address: str, message: Any) -> Identity:
-        """The process that a message to this address is meant for."""
+        """Return the identity of the process that a message to this address is intended for."""
         member = self._members.get(address)
         voter = self._voters.get(address)
-        if voter is None or voter is member:  # by far the most calls
+        if voter is None or voter is member:  # fast path: by far the most calls take it
             return member or self._any_process
         if member is None or (
             call_rule_of(message).addressee in VOTER_ADDRESSEES and not self._is_reused(address, voter)
@@ -69,13 +72,19 @@
         return member
 
     def _is_reused(self, address: str, voter: Identity) -> bool:
-        """Whether another process lives at a voter's address by now.  What it is sent as that voter's
-        successor is harmless: votes count by name and disk."""
+        """Return whether a living member with another name has registered a voter's address.
+
+        Sending a message of the vote to that member is harmless, because votes are counted by name and disk.
+        """
         registered = self._registered.get(address)
         return registered is not None and registered.alive and registered.name != voter.name
 
     def learn_member(self, member: Member) -> None:
-        """A registration: of two processes at one address the living one counts, then the later one."""
+        """Record a member's registration.
+
+        Of two members at one address the living one takes precedence, then the one with the greater
+        incarnation.
+        """
         known = self._registered.get(member.address)
         if known is not None and known.name != member.name and _takes_precedence(known, member):
             return
@@ -89,7 +98,7 @@
         self._update_voters()
 
     def learn_view(self, view: View) -> None:
-        """A newer decided view: its voters, and the cluster's id."""
+        """Record the voters and the cluster id of a newer decided view."""
         self._view = view
         if view.cluster and view.cluster != self.own.cluster:
             self.own = evolve(self.own, cluster=view.cluster)
@@ -100,7 +109,7 @@
         self._update_voters()
 
     def refusal(self, hello: Hello, message: Any) -> str:
-        """Why a message that came after this greeting is not for this process, empty where it is."""
+        """Return the reason to reject a message that was received after `hello`, empty to accept it."""
         own, meant = self.own, hello.meant
         if _differ(own.cluster, meant.cluster):
             return "another cluster"
@@ -114,7 +123,7 @@
         return ""
 
     def refuse(self, hello: Hello, reason: str) -> None:
-        """Count a message that was not handed on; report each pair of processes once."""
+        """Count a rejected message; report each pair of caller and intended process once."""
         self.figures.refused += 1
         pair = (hello.caller.name, hello.meant.name)
         if pair in self._reported_pairs or len(self._reported_pairs) >= MAX_REPORTED_PAIRS:
@@ -124,7 +133,11 @@
             self.on_refused(hello.caller, hello.meant, reason)
 
     def _update_voters(self) -> None:
-        """The voters by address; a voter that is the member there is known with its life."""
+        """Rebuild the voters by address.
+
+        A voter that is also the registered member at its address gets the member's identity, which includes
+        the incarnation.
+        """
         self._voters = {}
         for voter in [] if self._view is None else self._view.voters:
             member = self._members.get(voter.address)
@@ -134,7 +147,7 @@
 
 
 def matches_exactly(meant: Identity, own: Identity) -> bool:
-    """Whether no message that means the one could be refused by the other."""
+    """Return whether a process with identity `own` accepts every message intended for `meant`."""
     return (meant.cluster, meant.name, meant.disk_id) == (own.cluster, own.name, own.disk_id)
 
 
@@ -143,5 +156,5 @@
 
 
 def _takes_precedence(known: Member, member: Member) -> bool:
-    """Whether the known registration of an address stays, against one of another process."""
+    """Return whether the known registration of an address takes precedence over a new one."""
     return (known.alive, known.incarnation) > (member.alive, member.incarnation)
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -1,14 +1,16 @@
-"""The transport over TCP: frames of a length and a MessagePack array [call number, kind, message].
+"""The transport over TCP.  A frame is a length and a MessagePack array [call number, kind, message].
 
-One connection is opened to each peer that is called; the answers come back on it.  A connection on which a
-call ran out of time without any byte received is dropped, so that the next call tries a new one.
+A process opens one connection to each peer that it calls and receives the responses on the same connection.
+If a call times out and no byte has arrived on its connection since the call was sent, the caller drops the
+connection, so that the next call opens a new one.
 
-The first frame on a connection is a `Hello`: who calls, and which process is meant.  It is sent again, before
-the next message, when the caller has learnt another name for the address.  What comes after a `Hello` that
-means another process is not handed on: the answer says so, and the caller gives the connection up.
+The first frame on a connection is a `Hello` with the identities of the caller and of the intended receiver.
+The caller sends another `Hello` before the next message when it has learnt another identity for the address.
+If the `Hello` names another process than the receiver, the receiver rejects the messages after it with a
+`REFUSED` frame, and the caller stops using the connection.
 
-An answer belongs to the call of its number on its connection.  The number's low bits are the tag of the
-message asked, so that an answer to another kind of question belongs to none.
+A response is matched to the pending call with its number on its connection.  The low bits of the number are
+the tag of the request's type, so a response to a request of another type matches no call.
 """
 
 from __future__ import annotations
@@ -34,13 +36,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of "host:port"."""
+    """Return host and port of an address "host:port"."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class _FrameProtocol(asyncio.Protocol):
-    """Cuts the stream into frames and decodes them; a frame that cannot be read ends the connection."""
+    """Splits the byte stream into frames and decodes them; a malformed frame closes the connection."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -48,7 +50,7 @@
         self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+        self.transport = cast(asyncio.Transport, transport)  # the transport class of uvloop is not a subclass
         _set_socket_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
@@ -74,11 +76,11 @@
         del buffer[:start]
 
     def frame_received(self, number: int, kind: int, message: Any) -> None:
-        """Take one frame."""
+        """Process one received frame."""
         raise NotImplementedError
 
     def write_frame(self, number: int, kind: int, message: Any) -> None:
-        """Send one frame, if the connection stands."""
+        """Send one frame if the connection is open."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -87,7 +89,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the connection stands and is not being closed."""
+        """Whether the connection is open and not closing."""
         return self.transport is not None and not self.transport.is_closing()
 
     def _drop(self) -> None:
@@ -101,8 +103,8 @@
     def __init__(self, owner: TcpTransport) -> None:
         super().__init__()
         self._owner = owner
-        self._hello: Hello | None = None  # None: the caller means whoever is here
-        self._meant_here: Identity | None = None  # this process's identity, where the greeting names just it
+        self._hello: Hello | None = None  # None: the caller accepts any process
+        self._exact_identity: Identity | None = None  # own identity if `Hello` named exactly it, else None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -118,14 +120,14 @@
             else:
                 self._hello = message
                 own = self._owner.peers.own
-                self._meant_here = own if matches_exactly(message.meant, own) else None
+                self._exact_identity = own if matches_exactly(message.meant, own) else None
         elif kind in (ONE_WAY, REQUEST) and not self._reject_misdirected(number, message):
             self._owner.run(self._handle(number, kind, message))
 
     def _reject_misdirected(self, number: int, message: Any) -> bool:
-        """Whether a message is meant for another process; its caller is told."""
+        """Reject a message that is intended for another process; return whether it was rejected."""
         hello, peers = self._hello, self._owner.peers
-        if hello is None or self._meant_here is peers.own:
+        if hello is None or self._exact_identity is peers.own:
             return False
         reason = peers.refusal(hello, message)
         if not reason:
@@ -151,23 +153,23 @@
 
 
 class _ClientConnection(_FrameProtocol):
-    """A connection to a peer, with the calls that wait for their answers."""
+    """A connection to a peer, with the pending calls on it."""
 
     def __init__(self, peer: str, directory: PeerDirectory) -> None:
         super().__init__()
         self.peer = peer
         self.waiting: dict[int, asyncio.Future[Any]] = {}
-        self.misdirected = False  # another process than the one meant is there
+        self.misdirected = False  # the peer is not the intended process
         self._directory = directory
-        self._greeted: tuple[Identity, Identity] | None = None  # who greeted, and whom it meant
+        self._greeted: tuple[Identity, Identity] | None = None  # caller and intended peer of the last `Hello`
 
     @property
     def usable(self) -> bool:
-        """Whether the connection stands, is not being closed, and leads to the process meant."""
+        """Whether the connection is open, not closing, and leads to the intended process."""
         return super().usable and not self.misdirected
 
     def send_message(self, number: int, kind: int, message: Any) -> None:
-        """Send a message, after a greeting where the peer does not know yet which process is meant."""
+        """Send a message, preceded by a `Hello` if the intended peer has changed since the last one."""
         directory = self._directory
         meant = directory.meant(self.peer, message)
         greeted = self._greeted
@@ -177,11 +179,11 @@
         self.write_frame(number, kind, message)
 
     def give_up(self) -> None:
-        """The peer is silent: no further call is to use this connection."""
+        """Abort the connection because the peer is silent; further calls open a new one."""
         self._drop()
 
     def call_ended(self, number: int) -> None:
-        """Nobody waits for this answer any more."""
+        """Remove a call that has ended; close a misdirected connection after its last call."""
         self.waiting.pop(number, None)
         if self.misdirected and not self.waiting:
             self._drop()
@@ -205,7 +207,10 @@
             fail_call(future, PeerError("call", self.peer, f"peer failed: {message}"))
 
     def _handle_rejection(self, number: int, found: Identity) -> None:
-        """Another process is there; calls it has taken before may still be answered."""
+        """Fail a call that the peer rejected.
+
+        The connection stays open until the calls that the peer accepted before have ended.
+        """
         self._directory.figures.misdirected += 1
         self.misdirected = True
         future = self.waiting.pop(number, None)
@@ -216,7 +221,7 @@
 
 
 class TcpTransport:
-    """The transport of one process, listening at `address` ("ip:port")."""
+    """The transport of one process, which listens on `address` ("ip:port")."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -232,7 +237,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, handler: Handler) -> None:
-        """Listen, and give each message that comes to `handler`."""
+        """Listen, and pass each received message to `handler`."""
         self.handler = handler
         host, port = split_address(self.address)
         loop = asyncio.get_running_loop()
@@ -252,23 +257,31 @@
             task.cancel()
 
     def run(self, work: Any) -> None:
-        """Run a coroutine, holding on to its task."""
+        """Run a coroutine as a task; the reference held here keeps it from being garbage-collected."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def report_failure(self, message: Any, error: Exception) -> None:
-        """Tell the owner that a handler raised."""
+        """Call `on_failure` with the exception that a handler raised."""
         if self.on_failure is not None:
             self.on_failure(message, error)
 
     def connected(self, address: str) -> bool:
-        """Whether a connection to the peer stands."""
+        """Return whether a usable connection to the peer is open."""
         connection = self._connections.get(address)
         return connection is not None and connection.usable
 
     async def call(self, address: str, message: Any, timeout: float) -> Any:
-        """The answer of the process at `address`; `PeerError` where none came in time."""
+        """Send a request to the process at `address` and return its response.
+
+        Raises
+        ------
+        WrongPeer
+            If another process than the intended one is at the address.
+        PeerError
+            If no response arrived within `timeout` seconds or the handler failed.
+        """
         step = type(message).__name__
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
@@ -278,7 +291,7 @@
         if connection.transport is None:
             raise PeerError(step, address, "connection lost", sent=False)
         if connection.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            raise PeerError(step, address, "too much unsent", sent=False)
+            raise PeerError(step, address, "too many unsent bytes", sent=False)
         number = next(self._numbers) * (MAX_TAG + 1) + tag_of(message)
         future: asyncio.Future[Any] = loop.create_future()
         connection.waiting[number] = future
@@ -289,7 +302,7 @@
                 return await future
         except TimeoutError:
             if future.done() and not future.cancelled() and future.exception() is None:
-                return future.result()  # it was read in the moment in which the time ran out
+                return future.result()  # the response arrived in the same event loop turn as the timeout
             if connection.bytes_received == received:
                 connection.give_up()
             raise PeerError(step, address, f"no answer in {timeout:.3g} s") from None
@@ -301,7 +314,7 @@
             connection.call_ended(number)
 
     def send(self, address: str, message: Any) -> None:
-        """Send without an answer; lost where the peer cannot be reached."""
+        """Send a one-way message; it is lost if the peer cannot be reached."""
         connection = self._connections.get(address)
         if connection is not None and connection.usable:
             connection.send_message(0, ONE_WAY, message)
@@ -340,7 +353,7 @@
 
 
 def _set_socket_options(sock: socket.socket | None) -> None:
-    """No delay, and an end for connections whose peer has gone silent with bytes unacknowledged."""
+    """Disable Nagle's algorithm, and bound the time that sent bytes may stay unacknowledged."""
     if sock is None:
         return
     with suppress(OSError):
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -1,4 +1,4 @@
-"""Whom a call is meant for: another process at a reused address takes nothing, and says who it is."""
+"""A process at a reused address rejects messages intended for another process and returns its identity."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tests.support.calls import message, store_member
 from tests.support.standins import free_port
 
-WITHIN_S = 20.0  # only a test that hangs takes this long
+WITHIN_S = 20.0  # only a hanging test reaches this timeout
 OWN = Identity("c1", "store-2", 7, "d2")
 PUT = PutRequest(0, message("m1"))
 
@@ -39,12 +39,12 @@
 
 
 def hello_to(**meant: Any) -> Hello:
-    """A greeting to store-2 that differs in some fields."""
+    """Return a `Hello` to store-2 with the given fields of `meant` replaced."""
     return Hello(Identity("c1", "edge-1", 1), evolve(Identity("c1", "store-2", 7), **meant))
 
 
 @pytest.mark.parametrize(
-    ("meant", "asked", "reason"),
+    ("meant", "received", "reason"),
     [
         ({}, PUT, ""),
         ({"name": "store-1"}, PUT, "another process"),
@@ -60,18 +60,18 @@
     ],
 )
 def test_a_message_for_another_cluster_process_or_disk_is_refused(
-    meant: dict[str, Any], asked: Any, reason: str
+    meant: dict[str, Any], received: Any, reason: str
 ) -> None:
-    assert directory_of(OWN).refusal(hello_to(**meant), asked) == reason
+    assert directory_of(OWN).refusal(hello_to(**meant), received) == reason
 
 
 def test_a_refused_pair_is_reported_once_and_counted_each_time() -> None:
     directory = directory_of(OWN)
-    told: list[tuple[str, str, str]] = []
-    directory.on_refused = lambda caller, meant, reason: told.append((caller.name, meant.name, reason))
+    reported: list[tuple[str, str, str]] = []
+    directory.on_refused = lambda caller, meant, reason: reported.append((caller.name, meant.name, reason))
     for _ in range(3):
         directory.refuse(hello_to(name="store-1"), "another process")
-    assert told == [("edge-1", "store-1", "another process")]
+    assert reported == [("edge-1", "store-1", "another process")]
     assert directory.figures.refused == 3
 
 
@@ -114,24 +114,24 @@
 
 
 class Pair:
-    """A caller that believes `store-1` to be at the server's address, and the process that is there."""
+    """A client whose directory has `store-1` at the server's address, and the server with the name `own`."""
 
     def __init__(self, own: str) -> None:
         self.server = TcpTransport(f"127.0.0.1:{free_port()}")
         self.client = TcpTransport(f"127.0.0.1:{free_port()}")
         self.server.peers.identify(Identity("c1", own, 1, "d"))
         self.client.peers.identify(Identity("c1", "edge-1", 1))
-        self.believe("store-1", 1)
+        self.expect_server("store-1", 1)
 
-    def believe(self, name: str, incarnation: int) -> None:
+    def expect_server(self, name: str, incarnation: int) -> None:
         self.client.peers.learn_member(store_member(name, self.server.address, incarnation))
 
-    async def call(self, asked: Any, timeout: float = WITHIN_S) -> Any:
-        return await self.client.call(self.server.address, asked, timeout)
+    async def call(self, request: Any, timeout: float = WITHIN_S) -> Any:
+        return await self.client.call(self.server.address, request, timeout)
 
 
 def play(own: str, handler: Handler, scene: Callable[[Pair], Awaitable[None]]) -> None:
-    """Run a scene with two processes over sockets, and end both."""
+    """Run a scene with two processes over sockets, then close both."""
 
     async def run() -> None:
         pair = Pair(own)
@@ -146,16 +146,16 @@
     asyncio.run(run())
 
 
-async def echo(asked: Any) -> Any:
-    return asked
+async def echo(request: Any) -> Any:
+    return request
 
 
-def test_a_process_at_a_reused_address_takes_no_call_for_the_one_before() -> None:
+def test_a_process_at_a_reused_address_rejects_calls_for_its_predecessor() -> None:
     taken: list[Any] = []
 
-    async def handler(asked: Any) -> Any:
-        taken.append(asked)
-        return asked
+    async def handler(request: Any) -> Any:
+        taken.append(request)
+        return request
 
     async def scene(pair: Pair) -> None:
         with pytest.raises(WrongPeer) as caught:
@@ -169,7 +169,7 @@
         assert taken == []
         assert pair.server.peers.figures.refused == 1
         assert pair.client.peers.figures.misdirected == 1
-        pair.believe("store-9", 2)  # the caller learns who is there
+        pair.expect_server("store-9", 2)  # the directory now has the correct name
         assert await pair.call(PUT) == PUT
 
     play("store-9", handler, scene)
@@ -178,8 +178,8 @@
 def test_a_one_way_message_for_another_process_is_dropped_and_ends_the_connection() -> None:
     taken: list[Any] = []
 
-    async def handler(asked: Any) -> None:
-        taken.append(asked)
+    async def handler(request: Any) -> None:
+        taken.append(request)
 
     async def scene(pair: Pair) -> None:
         pair.client.send(pair.server.address, MessageStatusRequest("0-1-1"))
@@ -191,11 +191,11 @@
     play("store-9", handler, scene)
 
 
-def test_a_name_learnt_later_is_reported_on_the_connection_that_stands() -> None:
+def test_a_name_learnt_later_is_sent_on_the_open_connection() -> None:
     async def scene(pair: Pair) -> None:
         assert await pair.call(PUT) == PUT
         (connection,) = pair.server.accepted
-        pair.believe("store-1", 2)  # the same process, a later life: nothing is wrong
+        pair.expect_server("store-1", 2)  # the same process with a later incarnation is accepted
         assert await pair.call(PUT) == PUT
         assert pair.server.accepted == {connection}
         pair.client.peers.learn_member(store_member("store-7", pair.server.address, 3))
@@ -205,16 +205,16 @@
     play("store-1", echo, scene)
 
 
-def test_calls_that_the_process_has_taken_are_answered_after_a_refusal_on_their_connection() -> None:
-    async def handler(asked: Any) -> Any:
-        if isinstance(asked, RegisterMember):
+def test_calls_accepted_before_a_rejection_on_their_connection_are_answered() -> None:
+    async def handler(request: Any) -> Any:
+        if isinstance(request, RegisterMember):
             await release.wait()
         return Acknowledgement()
 
     async def scene(pair: Pair) -> None:
         slow = asyncio.ensure_future(pair.call(RegisterMember(store_member("x", "10.0.0.5:7780", 1))))
         await asyncio.sleep(0.01)
-        pair.believe("store-7", 3)
+        pair.expect_server("store-7", 3)
         with pytest.raises(WrongPeer):
             await pair.call(PUT)
         release.set()
@@ -229,13 +229,13 @@
     return LENGTH.pack(len(data)) + data
 
 
-def test_answers_that_no_call_waits_for_go_nowhere_and_are_counted() -> None:
-    """A peer that answers the question before, another kind of question, twice, and too late."""
+def test_responses_without_a_pending_call_are_dropped_and_counted() -> None:
+    """The peer sends a response with an earlier call number, one of another type, and one twice."""
 
     async def scene() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(1 << 16)
-            number = (MAX_TAG + 1) + tag_of(PUT)  # of the first call, which is a put
+            number = (MAX_TAG + 1) + tag_of(PUT)  # number of the first call, a `PutRequest`
             other = (MAX_TAG + 1) + tag_of(MessageStatusRequest(""))
             writer.write(frame(number - (MAX_TAG + 1), ANSWER, "before") + frame(other, ANSWER, "other kind"))
             writer.write(frame(number, ANSWER, "right") + frame(number, ANSWER, "again"))
@@ -258,16 +258,16 @@
     asyncio.run(limited())
 
 
-def test_an_answer_after_the_time_out_goes_to_no_other_call() -> None:
-    async def handler(asked: Any) -> Any:
-        if isinstance(asked, MessageStatusRequest):
+def test_a_response_after_the_timeout_resolves_no_other_call() -> None:
+    async def handler(request: Any) -> Any:
+        if isinstance(request, MessageStatusRequest):
             await release.wait()
-        return asked
+        return request
 
     async def scene(pair: Pair) -> None:
         late = asyncio.ensure_future(pair.call(MessageStatusRequest("0-1-1"), 0.05))
         await asyncio.sleep(0.01)
-        assert await pair.call(PUT) == PUT  # so the connection stays
+        assert await pair.call(PUT) == PUT  # a received byte keeps the connection open
         with pytest.raises(PeerError):
             await late
         release.set()
@@ -293,9 +293,9 @@
         server.peers.identify(Identity("c1", "store-9", 1, "d"))
         taken: list[Any] = []
 
-        async def handler(asked: Any) -> Any:
-            taken.append(asked)
-            return asked
+        async def handler(request: Any) -> Any:
+            taken.append(request)
+            return request
 
         await server.start(handler)
         with pytest.raises(WrongPeer):
--- a/tests/transport/test_calls_late.py
+++ b/tests/transport/test_calls_late.py
@@ -1,4 +1,4 @@
-"""An answer that has been read is not thrown away because its time-out was due in the same moment."""
+"""A response that has been received is returned even if the timeout of its call is due at the same time."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 FROZEN_S = 8.0
 
 
-class LeapingLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock can leap, as it does for a process that stood still."""
+class JumpingClockLoop(asyncio.SelectorEventLoop):
+    """An event loop whose clock can jump forward, as after a suspension of the process."""
 
-    leapt_s = 0.0
+    jumped_s = 0.0
 
     def time(self) -> float:
-        return super().time() + self.leapt_s
+        return super().time() + self.jumped_s
 
 
-def test_an_answer_read_after_a_standstill_is_taken() -> None:
-    loop = LeapingLoop()
+def test_a_response_read_after_a_suspension_is_returned() -> None:
+    loop = JumpingClockLoop()
 
     async def scene() -> None:
         server = TcpTransport(f"127.0.0.1:{free_port()}")
         client = TcpTransport(f"127.0.0.1:{free_port()}")
 
-        async def handler(asked: Any) -> Any:
-            loop.leapt_s = FROZEN_S  # the answer is written in this turn; the time-out is due in the next one
+        async def handler(request: Any) -> Any:
+            loop.jumped_s = FROZEN_S  # the response is sent in this loop turn, the timeout fires in the next
             return Acknowledgement()
 
         await server.start(handler)
@@ -50,7 +50,7 @@
         loop.close()
 
 
-def test_an_answer_that_came_to_a_frozen_process_is_taken_when_it_goes_on() -> None:
+def test_a_response_to_a_suspended_process_is_returned_when_it_resumes() -> None:
     loop = VirtualTimeLoop()
 
     async def scene() -> None:
@@ -61,7 +61,7 @@
         for host in ("10.0.0.1", "10.0.0.2"):
             network.power_on(host)
 
-        async def handler(asked: Any) -> Any:
+        async def handler(request: Any) -> Any:
             loop.freeze(caller)
             loop.call_outside(FROZEN_S, loop.thaw, caller)
             return Acknowledgement()
@@ -75,8 +75,8 @@
         loop.shut()
 
 
-def test_a_failed_call_that_nobody_waits_for_any_more_is_no_fault() -> None:
-    """Its process may have been ended in the moment in which it failed."""
+def test_a_failed_call_without_a_waiting_caller_logs_no_error() -> None:
+    """The calling process may end at the same time as the call fails."""
     loop = VirtualTimeLoop()
 
     async def scene() -> None:
--- a/tests/transport/test_fenced_transport.py
+++ b/tests/transport/test_fenced_transport.py
@@ -1,4 +1,4 @@
-"""A process that has been fenced on a matter sends nothing more on it under an older epoch."""
+"""A process that has been fenced on a matter sends no more requests on it under an older epoch."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 NO_REJECTIONS = [
     (WRITE, ChainWritten(True, 5)),
     (WRITE, ChainWritten(False, 5, unreachable="c")),
-    (WRITE, ChainWritten(False, 4)),  # the receiver is behind
-    (WRITE, ChainWritten(False, 0)),  # of another cluster
+    (WRITE, ChainWritten(False, 4)),  # the receiver has an older epoch
+    (WRITE, ChainWritten(False, 0)),  # the receiver belongs to another cluster
     (ConfirmEpoch(5), EpochConfirmed(True, 5)),
     (REPLICATE, ReplicateResponse({})),
     (REPLICATE, ReplicateResponse({1: 4, 2: 9})),
@@ -51,7 +51,7 @@
 
 
 class Peer:
-    """A transport whose peer gives these answers, one after the other."""
+    """A transport that returns the given responses in order."""
 
     address = "10.0.0.1:1"
 
@@ -105,19 +105,19 @@
     asyncio.run(play())
 
 
-def test_an_older_rejection_that_comes_late_lowers_nothing() -> None:
+def test_a_late_rejection_with_an_older_epoch_does_not_lower_the_fence() -> None:
     transport = FencedTransport(Peer(), lambda token, address: None)  # type: ignore[arg-type]
     assert transport.fences.record(FencingToken(CONTROL_CHAIN, 9))
     assert not transport.fences.record(FencingToken(CONTROL_CHAIN, 7))
     assert transport.fences.fence_of(FencingToken(CONTROL_CHAIN, 8)) == FencingToken(CONTROL_CHAIN, 9)
 
 
-def test_the_judge_finds_a_caller_that_goes_on() -> None:
+def test_the_judge_reports_a_caller_that_continues_after_its_rejection() -> None:
     judge = FencingJudge()
     judge.on_request("store-1#1", REPLICATE, 1.0)
     judge.on_answer("store-1#1", REPLICATE, ReplicateResponse({1: 6}), 1.1)
     judge.on_request("store-1#1", REPLICATE, 1.1 + STEP_DOWN_S)
-    judge.on_request("store-1#2", REPLICATE, 9.0)  # a later life has not been told
+    judge.on_request("store-1#2", REPLICATE, 9.0)  # a later incarnation has not seen the rejection
     assert judge.found == []
     judge.on_request("store-1#1", REPLICATE, 1.2 + STEP_DOWN_S)
     (found,) = judge.found
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -18,7 +18,7 @@
 from hollowusher.transport.tcp import ANSWER, LENGTH, ONE_WAY, REQUEST, TcpTransport, split_address
 from tests.support.standins import free_port
 
-WITHIN_S = 20.0  # only a test that hangs takes this long
+WITHIN_S = 20.0  # only a hanging test reaches this timeout
 SHORT_S = 0.05
 
 
@@ -36,13 +36,13 @@
     async def call(self, message: Any, timeout: float = WITHIN_S) -> Any:
         return await self.client.call(self.server.address, message, timeout)
 
-    async def raw(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection of somebody who may say anything."""
+    async def open_raw_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Open a raw connection to the server that can send arbitrary bytes."""
         return await asyncio.open_connection(*split_address(self.server.address))
 
 
 def play(handler: Handler, scene: Callable[[Pair], Awaitable[None]]) -> None:
-    """Run a scene with two processes, and end both."""
+    """Run a scene with two processes, then close both."""
 
     async def run() -> None:
         pair = Pair()
@@ -73,7 +73,7 @@
 
 
 async def ended(reader: asyncio.StreamReader) -> bool:
-    """Whether the peer has ended the connection without a byte."""
+    """Return whether the peer has closed the connection without sending a byte."""
     try:
         return await reader.read() == b""
     except ConnectionResetError:
@@ -107,7 +107,7 @@
     play(handler, scene)
 
 
-def test_large_messages_come_complete() -> None:
+def test_large_messages_arrive_complete() -> None:
     async def scene(pair: Pair) -> None:
         body = bytes(3 * 1024 * 1024)
         assert await pair.call([MemberRegistered(1), body]) == [MemberRegistered(1), body]
@@ -129,22 +129,22 @@
     play(handler, scene)
 
 
-def test_one_way_messages_come_and_get_no_answer() -> None:
+def test_one_way_messages_arrive_without_a_response() -> None:
     async def scene(pair: Pair) -> None:
         pair.client.send(pair.server.address, MemberRegistered(1))
-        assert await came.get() == MemberRegistered(1)
+        assert await received.get() == MemberRegistered(1)
         pair.client.send(pair.server.address, MemberRegistered(2))
-        assert await came.get() == MemberRegistered(2)
-        pair.client.send("127.0.0.1:1", MemberRegistered(3))  # nobody is there: nothing happens
+        assert await received.get() == MemberRegistered(2)
+        pair.client.send("127.0.0.1:1", MemberRegistered(3))  # no process listens there: no error is raised
 
     async def handler(message: Any) -> Any:
-        came.put_nowait(message)
+        received.put_nowait(message)
 
-    came: asyncio.Queue[Any] = asyncio.Queue()
+    received: asyncio.Queue[Any] = asyncio.Queue()
     play(handler, scene)
 
 
-def test_nobody_there_is_known_never_to_have_seen_the_call() -> None:
+def test_a_refused_connection_marks_the_call_as_not_sent() -> None:
     async def scene(pair: Pair) -> None:
         error = await error_of(pair.client.call(f"127.0.0.1:{free_port()}", ReadView(), WITHIN_S))
         assert not error.sent
@@ -179,7 +179,7 @@
     play(silent_to_read_view, scene)
 
 
-def test_a_connection_on_which_other_answers_come_stays() -> None:
+def test_a_connection_that_receives_other_responses_stays_open() -> None:
     async def scene(pair: Pair) -> None:
         await pair.call(Acknowledgement())
         (connection,) = pair.server.accepted
@@ -192,7 +192,7 @@
     play(silent_to_read_view, scene)
 
 
-def test_a_peer_that_goes_ends_its_calls_at_once() -> None:
+def test_a_closed_connection_fails_its_pending_calls_at_once() -> None:
     async def scene(pair: Pair) -> None:
         waiting = [asyncio.ensure_future(pair.call(message)) for message in (ReadView(), ReadControlState())]
         await reached.wait()
@@ -222,10 +222,10 @@
     ],
     ids=["too long", "unreadable", "empty", "a number", "too few", "HTTP"],
 )
-def test_a_bad_frame_ends_its_connection_and_touches_nobody_else(data: bytes) -> None:
+def test_a_malformed_frame_closes_only_its_own_connection(data: bytes) -> None:
     async def scene(pair: Pair) -> None:
         assert await pair.call(MemberRegistered(1)) == MemberRegistered(1)
-        reader, writer = await pair.raw()
+        reader, writer = await pair.open_raw_connection()
         writer.write(data)
         assert await ended(reader)
         writer.close()
@@ -235,9 +235,9 @@
     play(echo, scene)
 
 
-def test_frames_may_come_byte_by_byte_and_several_at_once() -> None:
+def test_frames_are_decoded_byte_by_byte_and_several_at_once() -> None:
     async def scene(pair: Pair) -> None:
-        reader, writer = await pair.raw()
+        reader, writer = await pair.open_raw_connection()
         first, others = frame(1, REQUEST, MemberRegistered(1)), frame(2, REQUEST, MemberRegistered(2)) * 2
         for place in range(len(first)):
             writer.write(first[place : place + 1])
@@ -250,9 +250,9 @@
     play(echo, scene)
 
 
-def test_an_answer_nobody_asked_for_is_nothing() -> None:
+def test_a_response_without_a_pending_call_is_ignored() -> None:
     async def scene(pair: Pair) -> None:
-        reader, writer = await pair.raw()
+        reader, writer = await pair.open_raw_connection()
         writer.write(
             frame(1, ANSWER, Acknowledgement())
             + frame(2, 77, Acknowledgement())
@@ -265,11 +265,11 @@
     play(echo, scene)
 
 
-def test_a_peer_that_does_not_read_is_not_written_to_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_is_rejected_above_the_limit_of_unsent_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(pair: Pair) -> None:
         await pair.call(Acknowledgement())
         monkeypatch.setattr(tcp, "MAX_UNSENT_BYTES", -1)
         error = await error_of(pair.call(Acknowledgement()))
-        assert (error.reason, error.sent) == ("too much unsent", False)
+        assert (error.reason, error.sent) == ("too many unsent bytes", False)
 
     play(echo, scene)
