--- a/hollowusher/storage/disk_thread.py
+++ b/hollowusher/storage/disk_thread.py
@@ -1,6 +1,7 @@
-"""The one thread of a process that writes and syncs, so that a slow disk never holds up the event loop.
+"""The disk thread of a process: it writes and syncs, so that a slow disk never blocks the event loop.
 
-An executor of the standard library costs several times as much for each job: two futures and their locks.
+An executor of the standard library costs several times as much per job, because it creates two futures with
+their locks.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 from typing import Any, Protocol
 
 Job = Callable[[], Any]
-Done = Callable[[Any], None]  # takes what the job returned, or the `Exception` that it raised
+Done = Callable[[Any], None]  # takes the result of the job, or the `Exception` that it raised
 
 
 class DiskWorker(Protocol):
-    """Runs jobs one after the other, in the order given."""
+    """Runs jobs one after the other, in the order of submission."""
 
     def submit(self, job: Job, done: Done) -> None:
         """Run `job`, then call `done` with its result in the running event loop."""
 
 
 class DiskThread:
-    """A `DiskWorker` with a thread, started at the first job.  It does not keep the process from ending."""
+    """A `DiskWorker` with a daemon thread, which starts with the first job."""
 
     def __init__(self) -> None:
         self._jobs: SimpleQueue[tuple[asyncio.AbstractEventLoop, Job, Done]] = SimpleQueue()
@@ -41,13 +42,13 @@
         while True:
             loop, job, done = self._jobs.get()
             result = run_job(job)
-            with suppress(RuntimeError):  # the loop was closed meanwhile
+            with suppress(RuntimeError):  # the event loop has been closed in the meantime
                 loop.call_soon_threadsafe(done, result)
-            del loop, job, done, result  # nothing is held while the thread waits
+            del loop, job, done, result  # the thread holds no references while it waits for the next job
 
 
 def run_job(job: Job) -> Any:
-    """What a job returns, or the exception that it raises."""
+    """Run a job and return its result, or the exception that it raised."""
     try:
         return job()
     except Exception as error:
@@ -58,5 +59,5 @@
 
 
 def shared_disk_thread() -> DiskThread:
-    """The thread that all logs and slots of a process share."""
+    """Return the disk thread that all logs and slots of a process share."""
     return _shared
--- a/hollowusher/storage/files.py
+++ b/hollowusher/storage/files.py
@@ -1,4 +1,4 @@
-"""The file operations that storage needs, as an interface, and the operating system's version of it."""
+"""Interface of the file operations that the storage uses, and its implementation on the operating system."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Protocol
 
-NO_SPACE = frozenset({errno.ENOSPC, errno.EFBIG, errno.EDQUOT})  # errors that end when room is made
+NO_SPACE = frozenset({errno.ENOSPC, errno.EFBIG, errno.EDQUOT})  # errors that end once space is freed
 
 
 class Files(Protocol):
@@ -17,57 +17,58 @@
         """Create a folder and its parents unless they exist."""
 
     def names(self, folder: Path) -> list[str]:
-        """Names of the entries of a folder."""
+        """Return the names of the entries of a folder."""
 
     def open(self, path: Path, create: bool) -> int:
-        """Open a file to read and write; its descriptor."""
+        """Open a file for reading and writing; return its descriptor."""
 
     def size(self, descriptor: int) -> int:
-        """The length of an open file."""
+        """Return the length of an open file in bytes."""
 
     def set_size(self, descriptor: int, size: int) -> None:
         """Set the length of an open file."""
 
     def read(self, descriptor: int, length: int, offset: int) -> bytes:
-        """Up to `length` bytes from `offset` on; fewer only at the end of the file."""
+        """Return `length` bytes from `offset` on, fewer only at the end of the file."""
 
     def write(self, descriptor: int, data: bytes, offset: int) -> None:
         """Write all bytes at `offset`."""
 
     def sync(self, descriptor: int) -> None:
-        """Return once the contents (and the length) are durable."""
+        """Return once the contents and the length are durable."""
 
     def rename(self, old: Path, new: Path) -> None:
         """Rename a file, replacing an existing one."""
 
     def sync_folder(self, folder: Path) -> None:
-        """Return once the names in a folder are durable."""
+        """Return once the entries of a folder are durable."""
 
     def close(self, descriptor: int) -> None:
         """Close a file."""
 
 
 class SystemFiles:
-    """The operating system's files.
+    """`Files` on the file system of the operating system.
 
-    The length is set by `ftruncate`: `posix_fallocate` is emulated by one write for each block where the
-    file system lacks it."""
+    `set_size` uses `ftruncate` instead of `posix_fallocate`, because `posix_fallocate` writes to each block
+    on file systems that do not support it.
+    """
 
     def make_folder(self, folder: Path) -> None:
         """Create a folder and its parents unless they exist."""
         folder.mkdir(parents=True, exist_ok=True)
 
     def names(self, folder: Path) -> list[str]:
-        """Names of the entries of a folder."""
+        """Return the names of the entries of a folder."""
         return os.listdir(folder)
 
     def open(self, path: Path, create: bool) -> int:
-        """Open a file to read and write; its descriptor."""
+        """Open a file for reading and writing; return its descriptor."""
         flags = os.O_RDWR | (os.O_CREAT if create else 0)
         return os.open(path, flags, 0o644)
 
     def size(self, descriptor: int) -> int:
-        """The length of an open file."""
+        """Return the length of an open file in bytes."""
         return os.fstat(descriptor).st_size
 
     def set_size(self, descriptor: int, size: int) -> None:
@@ -75,7 +76,7 @@
         os.ftruncate(descriptor, size)
 
     def read(self, descriptor: int, length: int, offset: int) -> bytes:
-        """Up to `length` bytes from `offset` on; fewer only at the end of the file."""
+        """Return `length` bytes from `offset` on, fewer only at the end of the file."""
         data = os.pread(descriptor, length, offset)
         while data and len(data) < length:
             more = os.pread(descriptor, length - len(data), offset + len(data))
@@ -91,7 +92,7 @@
             written += os.pwrite(descriptor, memoryview(data)[written:], offset + written)
 
     def sync(self, descriptor: int) -> None:
-        """Return once the contents (and the length) are durable."""
+        """Return once the contents and the length are durable."""
         os.fdatasync(descriptor)
 
     def rename(self, old: Path, new: Path) -> None:
@@ -99,7 +100,7 @@
         os.rename(old, new)
 
     def sync_folder(self, folder: Path) -> None:
-        """Return once the names in a folder are durable."""
+        """Return once the entries of a folder are durable."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -112,7 +113,7 @@
 
 
 def read_whole(files: Files, path: Path) -> bytes | None:
-    """All bytes of a file, None where it does not exist."""
+    """Return all bytes of a file, None if it does not exist."""
     try:
         descriptor = files.open(path, create=False)
     except FileNotFoundError:
--- a/hollowusher/storage/interface.py
+++ b/hollowusher/storage/interface.py
@@ -1,4 +1,4 @@
-"""What the state machines need of a disk: an append-only log with reclaiming, and small replaced values."""
+"""Storage interfaces of the state machines: an append-only log with space reclamation, and value slots."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 
 
 class StorageError(Exception):
-    """A disk that failed, is full or answers nothing: the step, the file, and the reason."""
+    """A storage operation failed, for example because the disk is full or a file is damaged.
+
+    `step` is the operation, `file` its file or folder, `reason` the error of the operating system or of the
+    check that failed.
+    """
 
     def __init__(self, step: str, file: str, reason: str) -> None:
         super().__init__(f"{step} {file}: {reason}")
@@ -17,7 +21,7 @@
 
 
 class Position(NamedTuple):
-    """Where a record stands: the sequence number of its segment, the offset in it, its length."""
+    """Position of a record: the sequence number of its segment, its offset there, and its length in bytes."""
 
     segment: int
     offset: int
@@ -28,52 +32,67 @@
 
 
 class Log(Protocol):
-    """A log over a ring of preallocated files.  Records that are no longer needed are released; when a
-    segment is to be used again, `move` is called with each of its records that are still live, and the
-    owner appends them anew.
+    """A log over a ring of preallocated files.
+
+    The owner of the log releases records that it no longer needs.  Before the log reuses a segment, it calls
+    `move` with each record of the segment that is still live, and the owner appends these records again.
 
-    Segments are used again strictly from the oldest on, and only after everything appended up to then is
-    durable.  So a record that replaces another may be relied on to outlive it, if it is appended before
-    the other is released.  Released records may come back at a replay until their segment is used again."""
+    The log reuses segments strictly from the oldest on, and only after all records appended up to then are
+    durable.  So a record outlives the record that it replaces, if the owner appends it before it releases
+    the replaced one.  A replay may yield released records until their segment is reused.
+    """
 
     def replay(self) -> Iterator[tuple[Position, bytes]]:
-        """All records that survived, oldest first.  To be used up before the first append.  Each one counts
-        as live until it is released (this may be done during the replay)."""
+        """Yield all records that survived, oldest first.
+
+        The iterator must be exhausted before the first append.  Each record is live until it is released,
+        which is allowed during the replay.
+        """
 
     def append(self, record: bytes) -> Position:
-        """Add a record in memory; durable after a later `sync`.  `StorageError` where there is no room."""
+        """Add a record in memory and return its position; the next `sync` makes it durable.
+
+        Raises
+        ------
+        StorageError
+            If there is no space for the record.
+        """
 
     async def sync(self) -> None:
-        """Return once all that was appended before is durable; calls at the same time share one sync.
+        """Return once all records appended before this call are durable; concurrent calls share one sync.
 
-        After a `StorageError` the records stay in memory, in order: a later sync writes them, so whether
-        they survive a crash is unknown."""
+        After a `StorageError` the records stay in memory in their order, and a later sync writes them.  Until
+        then it is unknown whether they survive a crash.
+        """
 
     def read(self, position: Position) -> bytes:
-        """A record's bytes again."""
+        """Return the bytes of the record at `position`."""
 
     def release(self, position: Position) -> None:
-        """This record is no longer needed.  Released twice, or after it was moved, it is ignored."""
+        """Mark a record as no longer needed; a second release or one after a move is ignored."""
 
     def set_move(self, move: MoveRecord) -> None:
-        """Who re-appends live records of a segment that is to be used again.  `move` is called within
-        `append` or from the event loop; when it returns, the old position is released."""
+        """Set the function that re-appends the live records of a segment before the segment is reused.
+
+        The log calls `move` from within `append` or from the event loop, and releases the old position when
+        `move` returns.
+        """
 
     def free_bytes(self) -> int:
-        """Room for further live records."""
+        """Return how many bytes of further live records fit."""
 
     def stalled(self, now: float) -> bool:
-        """Whether a sync has been under way too long at `now`, in the event loop's time."""
+        """Return whether the running sync takes too long at `now`, the event loop's time in seconds."""
 
     def close(self) -> None:
-        """Release the files."""
+        """Close the files."""
 
 
 class Slot(Protocol):
-    """One small value that is replaced as a whole: after a crash the old or the new one is there."""
+    """One small value that is replaced atomically: a crash leaves either the old or the new value."""
 
     def load(self) -> bytes | None:
-        """The value saved last, None where there is none."""
+        """Return the value saved last, None if there is none."""
 
     async def save(self, value: bytes) -> None:
         """Replace the value durably."""
--- a/hollowusher/storage/memory.py
+++ b/hollowusher/storage/memory.py
@@ -1,4 +1,4 @@
-"""A log and a slot in memory, with the semantics of the ones on disk, for tests and simulations."""
+"""A log and a slot in memory with the semantics of those on disk, for tests and simulations."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from hollowusher.storage.interface import MoveRecord, Position, StorageError
 
-FRAME_BYTES = 12  # what a record costs beyond its own bytes, as on disk
-MAX_LIVE_FRACTION = 0.75
-SPARE_SEGMENTS = 3
+FRAME_BYTES = 12  # overhead of each record, as on disk
+MAX_LIVE_FRACTION = 0.75  # limit of live bytes in the ring, as on disk
+SPARE_SEGMENTS = 3  # with fewer free segments, live records of the oldest segment are moved
 
 
 @dataclass(slots=True)
@@ -23,13 +23,13 @@
 
 
 class MemoryLog:
-    """A log in memory.  `sync_s` is how long a sync takes; `failing` makes syncs and appends fail."""
+    """A `Log` in memory.  Syncs take `sync_s` seconds; a non-empty `failing` makes syncs and appends fail."""
 
     def __init__(
         self, segment_bytes: int = 64 * 1024, segments: int = 64, sync_s: float = 0.0, stall_s: float = 2.0
     ) -> None:
         self.sync_s = sync_s
-        self.failing = ""  # the reason, empty: works
+        self.failing = ""  # reason of the injected failure; empty: no failure
         self.syncs = 0
         self._segment_bytes = segment_bytes
         self._segments_allowed = segments
@@ -45,13 +45,13 @@
         self._moving = False
 
     def replay(self) -> Iterator[tuple[Position, bytes]]:
-        """All records that survived, oldest first."""
+        """Yield all records that survived, oldest first."""
         for segment in list(self._segments.values()):
             for offset, record in list(segment.records.items()):
                 yield Position(segment.sequence, offset, len(record)), record
 
     def append(self, record: bytes) -> Position:
-        """Add a record in memory."""
+        """Add a record in memory and return its position."""
         size = FRAME_BYTES + len(record)
         if self.failing:
             raise StorageError("append", "memory", self.failing)
@@ -72,7 +72,7 @@
         return position
 
     async def sync(self) -> None:
-        """Return once all that was appended before is durable."""
+        """Return once all records appended before this call are durable."""
         target = self._appended
         while self._synced < target:
             if self._sync_task is None:
@@ -80,7 +80,7 @@
             await asyncio.shield(self._sync_task)
 
     def read(self, position: Position) -> bytes:
-        """A record's bytes again."""
+        """Return the bytes of the record at `position`."""
         segment = self._segments.get(position.segment)
         record = segment.records.get(position.offset) if segment is not None else None
         if record is None:
@@ -88,33 +88,34 @@
         return record
 
     def release(self, position: Position) -> None:
-        """This record is no longer needed."""
+        """Mark a record as no longer needed."""
         segment = self._segments.get(position.segment)
         if segment is None or segment.live.pop(position.offset, None) is None:
             return
         self._live_bytes -= FRAME_BYTES + position.length
 
     def set_move(self, move: MoveRecord) -> None:
-        """Who re-appends live records of a segment that is to be used again."""
+        """Set the function that re-appends the live records of a segment before the segment is reused."""
         self._move = move
 
     def free_bytes(self) -> int:
-        """Room for further live records."""
+        """Return how many bytes of further live records fit."""
         usable = (self._segments_allowed - SPARE_SEGMENTS - 1) * self._segment_bytes * MAX_LIVE_FRACTION
         return max(0, int(usable) - self._live_bytes)
 
     def stalled(self, now: float) -> bool:
-        """Whether a sync has been under way too long."""
+        """Return whether the running sync has lasted longer than `stall_s` at `now`."""
         return self._sync_started is not None and now - self._sync_started > self._stall_s
 
     def close(self) -> None:
-        """Nothing to release."""
+        """Do nothing: a log in memory has no files to close."""
 
     def crash(self, rng: Random, in_order: bool = False) -> MemoryLog:
-        """The log that a loss of power leaves: all that was synced, and any of the rest.
+        """Return the log after a power loss: all synced records, and a random part of the unsynced ones.
 
-        A torn record does not check and so is missing.  `in_order`: the rest is cut at some record, as
-        the ring log cuts it; else any subset of it survives."""
+        A torn record fails its checksum, so it is missing.  With `in_order` a prefix of the unsynced records
+        survives, as in the ring log; otherwise a random subset survives.
+        """
         after = MemoryLog(self._segment_bytes, self._segments_allowed, self.sync_s, self._stall_s)
         lost = self._lost_records(rng, in_order)
         after._segments = {}
@@ -125,7 +126,7 @@
                 if (segment.sequence, offset) not in lost
             }
             after._adopt(_Segment(segment.sequence, records, end=segment.end))
-        after._adopt(_Segment(max(self._segments) + 1))  # a torn tail never stands before newer records
+        after._adopt(_Segment(max(self._segments) + 1))  # as on disk, no record is appended after a torn one
         return after
 
     def _lost_records(self, rng: Random, in_order: bool) -> set[tuple[int, int]]:
@@ -159,7 +160,7 @@
         self._drop_oldest()
 
     def _reclaim(self) -> None:
-        """Have the live records of the oldest segment moved when segments run short."""
+        """Move the live records of the oldest segment when few segments are free."""
         if self._moving or self._move is None:
             return
         if len(self._segments) <= self._segments_allowed - SPARE_SEGMENTS:
@@ -175,7 +176,7 @@
             self._moving = False
 
     def _drop_oldest(self) -> None:
-        """Use emptied segments again: all that replaced their records is durable now."""
+        """Delete the oldest segments without live records once all records are durable."""
         while len(self._segments) > self._segments_allowed - SPARE_SEGMENTS and not self._unsynced:
             oldest = self._segments[min(self._segments)]
             if oldest.live:
@@ -184,7 +185,7 @@
 
 
 class MemorySlot:
-    """A slot in memory; `save_s` is how long a save takes, `failing` makes saves fail."""
+    """A `Slot` in memory.  A save takes `save_s` seconds; a non-empty `failing` makes saves fail."""
 
     def __init__(self, value: bytes | None = None, save_s: float = 0.0) -> None:
         self.save_s = save_s
@@ -195,7 +196,7 @@
         self._lock = asyncio.Lock()
 
     def load(self) -> bytes | None:
-        """The value saved last, None where there is none."""
+        """Return the value saved last, None if there is none."""
         return self._value
 
     async def save(self, value: bytes) -> None:
@@ -210,7 +211,7 @@
             self.saves += 1
 
     def crash(self, rng: Random) -> MemorySlot:
-        """The slot that a loss of power leaves: the old value, or the one being saved."""
+        """Return the slot after a power loss: it holds the old value, or the one being saved."""
         value = self._value
         if self._saving is not None and rng.random() < 0.5:
             value = self._saving
--- a/hollowusher/storage/ring_batch.py
+++ b/hollowusher/storage/ring_batch.py
@@ -1,4 +1,4 @@
-"""One batch of writes to a ring's files, and what the writing thread does with it."""
+"""One batch of writes to the files of a ring, and its execution in the disk thread."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     segment: Segment
     part: Part
     file: SegmentFile
-    offset: int  # the segment's offset of the first record
-    end: int
+    offset: int  # offset of the first record in the segment
+    end: int  # offset in the segment after the last record
     positions: list[Position]
     chunks: list[bytes]
 
 
 class Failure(NamedTuple):
-    """The step that failed, and at which file."""
+    """The step that failed, the file, and the error."""
 
     step: str
     file: str
@@ -35,14 +35,14 @@
 
 
 class Outcome(NamedTuple):
-    """What the writing thread achieved: the first `written` writes are durable."""
+    """Result of a batch: the first `written` writes are durable; `failure` is the error of the next one."""
 
     written: int
     failure: Failure | None
 
 
 def perform_batch(writes: Sequence[Write], files: SegmentFiles, io: Files) -> Outcome:
-    """In the writing thread: write and sync, one file after the other."""
+    """Write and sync one file after the other.  The disk thread runs this function."""
     for index, write in enumerate(writes):
         step = "open"
         file = write.file
@@ -54,6 +54,6 @@
             io.write(file.descriptor, b"".join(write.chunks), start)
             step = "sync"
             io.sync(file.descriptor)
-        except Exception as error:  # whatever it was: nothing may be taken for written
+        except Exception as error:  # after any error the write counts as not durable
             return Outcome(index, Failure(step, str(file.path), error))
     return Outcome(len(writes), None)
--- a/hollowusher/storage/ring_log.py
+++ b/hollowusher/storage/ring_log.py
@@ -1,20 +1,21 @@
-"""The log on disk: a ring of preallocated segment files, written in batches by one thread.
-
-Appending assigns a position and keeps the record in memory; a sync writes everything that waits, file by
-file, each synced before the next is touched.  All state belongs to the event loop's thread; the writing
-thread is handed bytes and offsets, and opens, writes and syncs.
-
-Why nothing promised is lost:
-
-* A torn write can only hit the batch under way, at the end of the newest segment.  A started process never
-  appends to an old segment, so a torn end never stands before newer records.
-* A file is used again only if its segment was the oldest, nothing in it was live, and everything appended
-  up to then is durable.  Files are taken and their old headers erased in that order, one synced before the
-  next is touched: old records vanish at once, and never the replacement of a record before the record.
-* After a failed sync the batch counts as unwritten, whatever the file shows: the segment goes on in another
-  file (a new part) from its last durable offset, so that positions given out stay valid.
-* What a replay reads at the end of the newest segment is written and synced again: after a kill, or after a
-  failed sync, it may stand in the system's cache alone.
+"""The log on disk: a ring of preallocated segment files, written in batches by the disk thread.
+
+An append assigns a position and keeps the record in memory.  A sync writes all buffered records file by file,
+and syncs each file before it writes the next.  Only the event loop's thread accesses the state of the log;
+the disk thread gets bytes and offsets, and opens, writes and syncs files.
+
+A record that a sync has confirmed is not lost, for these reasons:
+
+* A torn write can only hit the batch under way, at the end of the newest segment.  A restarted process never
+  appends to an old segment, so a torn record is never followed by newer records.
+* A file is reused only if its segment was the oldest, none of its records was live, and all records appended
+  up to then are durable.  Files are reused, and their old headers erased, in the order of their segments, and
+  each is synced before the next is written.  So the records of a file disappear together, and the
+  replacement of a record never disappears before the record.
+* After a failed sync the batch counts as unwritten, whatever the file contains.  The segment continues in
+  another file (a new part) from its last durable offset, so that assigned positions stay valid.
+* A replay writes and syncs the records at the end of the newest segment again: after a kill or a failed sync
+  they may exist only in the page cache.
 """
 
 from __future__ import annotations
@@ -52,9 +53,9 @@
 
 __all__ = ["MOVED_PER_BATCH", "RingLog", "RingSize", "ring_size"]
 
-MIN_FREE_SEGMENTS = 3  # segments left free when live records of the oldest one begin to move
-MAX_LIVE_FRACTION = 0.75  # of the ring may be live: the rest keeps the cost of moving bounded
-MOVED_BYTES_PER_APPENDED_BYTE = 4  # bytes moved for each byte appended while segments are short
+MIN_FREE_SEGMENTS = 3  # with fewer free segments, live records of the oldest segment are moved
+MAX_LIVE_FRACTION = 0.75  # limit of live bytes in the ring, which bounds the cost of moving records
+MOVED_BYTES_PER_APPENDED_BYTE = 4  # while too few segments are free
 MIN_MOVED_BYTES = 4 * 1024
 MOVED_PER_BATCH = 256 * 1024
 MAX_UNSYNCED_BYTES = 8 * 1024 * 1024
@@ -64,8 +65,10 @@
 class RingLog:
     """A `Log` in the files `ring-NNNN.log` of `folder`.
 
-    `files`, `worker` and `chance` are there for tests.  Counters: `syncs`, `failed_batches`,
-    `moved_records`, `damaged_records`."""
+    The ring has `segments` segments of `segment_bytes` bytes.  `stalled` reports a sync that lasts longer
+    than `stall_s` seconds.  Tests replace `files`, `worker` and `rng`.  Counters: `syncs`, `failed_batches`,
+    `moved_records`, `damaged_records`.
+    """
 
     def __init__(
         self,
@@ -93,7 +96,7 @@
         self._rng: Random = SystemRandom() if rng is None else rng
         self._move: MoveRecord | None = None
         self._moving = False
-        self._move_budget = 0  # bytes that may still be moved without a further append of the owner
+        self._move_budget = 0  # bytes that may be moved before the owner's next append
         self._closed = False
         self._live_bytes = 0
         # Files and segments
@@ -104,7 +107,7 @@
         self._last_end = UNKNOWN_END
         # Records that are not durable yet
         self._buffered: dict[Position, bytes] = {}
-        self._writing: dict[Position, bytes] = {}  # the batch under way, or one that failed
+        self._writing: dict[Position, bytes] = {}  # the batch under way, or a failed batch
         self._unsynced_bytes = 0
         self._appended = 0
         self._synced = 0
@@ -121,9 +124,9 @@
             raise _storage_error("open", str(folder), error) from error
 
     def replay(self) -> Iterator[tuple[Position, bytes]]:
-        """All records that survived, oldest first."""
+        """Yield all records that survived, oldest first."""
         if self._replay_begun:
-            raise RuntimeError("the log was replayed before")
+            raise RuntimeError("replay() has already been called")
         self._replay_begun = True
         self._files.erase_free()
         try:
@@ -140,11 +143,11 @@
         found = self._files.open()
         for header, file in found:
             self._add_found(header, file)
-        self._max_files = max(self._max_files, len(found) + 1)  # a larger ring can be moved into this one
+        self._max_files = max(self._max_files, len(found) + 1)  # a larger ring can be shrunk to this size
         self._replayed = not found
 
     def _add_found(self, header: SegmentHeader, file: SegmentFile) -> None:
-        """Register a file of an earlier life of the process."""
+        """Add the part in a file that an earlier incarnation of the process has written."""
         segment = self._segments.get(header.sequence)
         if segment is None:
             segment = Segment(header.sequence, 0, header.previous_end, [])
@@ -177,7 +180,7 @@
             self._write_again(file, data[: HEADER_BYTES + scan.position - part.base])
 
     def _write_again(self, file: SegmentFile, data: bytes) -> None:
-        """Make durable what was read.  On a full disk the sync alone has to do."""
+        """Write and sync the bytes that were read; a write that fails on a full disk is ignored."""
         try:
             self._io.write(file.descriptor, data, 0)
         except OSError as error:
@@ -186,7 +189,7 @@
         self._io.sync(file.descriptor)
 
     def append(self, record: bytes) -> Position:
-        """Add a record in memory; durable after a later `sync`."""
+        """Add a record in memory and return its position; the next `sync` makes it durable."""
         length = len(record)
         size = FRAME_BYTES + length
         if not self._moving:
@@ -214,12 +217,12 @@
         if size > self.free_bytes():
             raise self._error("append", "the ring is full")
         if self._unsynced_bytes + size > MAX_UNSYNCED_BYTES:
-            raise self._error("append", "too much waits for the disk")
+            raise self._error("append", "the limit of unsynced bytes is reached")
 
     def _roll(self, size: int) -> Segment:
-        """Begin a new segment."""
+        """Begin a new segment for a record of `size` bytes."""
         if not self._replayed:
-            raise RuntimeError("replay() must be used up before the first append")
+            raise RuntimeError("replay() must be exhausted before the first append")
         capacity = self._segment_bytes - HEADER_BYTES
         if size > capacity:
             raise self._error("append", f"a record of {size} bytes is larger than a segment")
@@ -245,7 +248,7 @@
         return StorageError(step, str(self._folder), reason)
 
     async def sync(self) -> None:
-        """Return once all that was appended before is durable."""
+        """Return once all records appended before this call are durable."""
         if self._synced == self._appended:
             return
         if self._closed:
@@ -257,11 +260,11 @@
         await done
 
     def stalled(self, now: float) -> bool:
-        """Whether the sync under way has lasted longer than `stall_s`."""
+        """Return whether the running sync has lasted longer than `stall_s` at `now`."""
         return self._batch_running and now - self._batch_started > self._stall_s
 
     def _start_batch(self) -> None:
-        """Hand all that waits to the writing thread."""
+        """Submit all records that are not durable yet to the disk thread."""
         self._writing.update(self._buffered)
         self._buffered = {}
         try:
@@ -295,7 +298,7 @@
         if part.file is None:
             part.file = self._files.take(self._max_files)
             if part.file is None:
-                raise self._error("sync", "no segment is free for what a failed sync left unwritten")
+                raise self._error("sync", "no segment file is free for the records of a failed sync")
             self._files.wanted -= 1
         write = Write(segment, part, part.file, offset, offset, [], [])
         if offset == part.base:
@@ -304,18 +307,17 @@
         return write
 
     def _replace_part(self, segment: Segment) -> None:
-        """Go on in another part after a failed sync, from the last durable offset."""
+        """Continue a segment in another part after a failed sync, from the last durable offset."""
         last = segment.parts[-1]
         if last.base == segment.synced:
-            segment.parts.pop()  # nothing durable in it; its file was returned
+            segment.parts.pop()  # it holds no durable record, and its file was returned
         else:
             self._files.wanted += 1
         segment.parts.append(Part(last.number + 1, segment.synced, self._new_nonce()))
         segment.part_failed = False
 
     def _return_files(self, unwritten: list[Write]) -> None:
-        """Give back the files of parts in which nothing is durable; the next batch takes them again, in the
-        same order."""
+        """Return the files of parts without durable records; the next batch takes them in the same order."""
         for write in reversed(unwritten):
             if write.offset == write.part.base:
                 self._files.give_back(write.file)
@@ -323,7 +325,7 @@
                 self._files.wanted += 1
 
     def _finish_batch(self, outcome: Outcome) -> None:
-        """Take the writing thread's result, answer those who wait, and go on."""
+        """Process the result of a batch, complete waiting syncs, and start the next batch if needed."""
         self._batch_running = False
         if self._closed:
             self._files.close()
@@ -356,8 +358,11 @@
         self._retire_empty()
 
     def _handle_failure(self, failure: Failure, write: Write) -> None:
-        """The failed write counts as unwritten.  A sync that failed is tried again at once, in another file;
-        where the disk is full, those who wait are told."""
+        """Process a failed write, which counts as unwritten.
+
+        The next batch retries it at once, in another file unless a write failed on a full disk.  Waiting
+        syncs fail at once on a full disk, otherwise after `ATTEMPTS_PER_SYNC` attempts.
+        """
         self.failed_batches += 1
         self._attempts += 1
         full = isinstance(failure.error, OSError) and failure.error.errno in NO_SPACE
@@ -370,24 +375,24 @@
             )
 
     def _prepare_file(self) -> None:
-        """Make the next file ready ahead of its use."""
+        """Prepare the next file once the active segment is half full."""
         active = self._active
         if active is not None and active.end * 2 >= active.capacity:
             self._files.prepare_next(self._segments_allowed)
 
     def read(self, position: Position) -> bytes:
-        """A record's bytes again."""
+        """Return the bytes of the record at `position`."""
         record = self._buffered.get(position)
         if record is None:
             record = self._writing.get(position)
         if record is None:
             record = self._read_durable(position)
         if record is None:
-            raise self._error("read", f"the record at {position} does not check")
+            raise self._error("read", f"the record at {position} has a wrong checksum")
         return record
 
     def _read_durable(self, position: Position) -> bytes | None:
-        """A record from its file, None where it does not check."""
+        """Return a record from its file, None if its checksum is wrong."""
         segment = self._segments.get(position.segment)
         if segment is None or position.offset >= segment.synced:
             raise self._error("read", f"no record at {position}")
@@ -401,7 +406,7 @@
         return decode_record(data, part.nonce, position.offset)
 
     def release(self, position: Position) -> None:
-        """This record is no longer needed."""
+        """Mark a record as no longer needed."""
         segment = self._segments.get(position.segment)
         if segment is None or segment.live.pop(position.offset, None) is None:
             return
@@ -410,21 +415,21 @@
             self._retire_empty()
 
     def set_move(self, move: MoveRecord) -> None:
-        """Who re-appends live records of a segment that is to be used again."""
+        """Set the function that re-appends the live records of a segment before the segment is reused."""
         self._move = move
 
     def free_bytes(self) -> int:
-        """Room for further live records."""
+        """Return how many bytes of further live records fit."""
         segments = self._segments_allowed - MIN_FREE_SEGMENTS - 1
         usable = int(segments * (self._segment_bytes - HEADER_BYTES) * MAX_LIVE_FRACTION)
         return max(0, usable - self._live_bytes)
 
     def _available_segments(self) -> int:
-        """Segments that can still be begun, those included that wait for a sync."""
+        """Return how many segments can still begin, including those that become free after a sync."""
         return self._files.available_files(self._segments_allowed) + self._files.retired
 
     def _retire_empty(self) -> None:
-        """Set aside the oldest segments as long as nothing in them is live."""
+        """Retire the oldest segments up to the first one with live or unsynced records."""
         if not self._replayed:
             return
         while self._segments:
@@ -435,7 +440,7 @@
             self._files.retire([part.file for part in oldest.parts if part.file], self._appended)
 
     def _clean(self, budget: int) -> bool:
-        """Have about `budget` bytes of live records of the oldest segments moved; whether any were."""
+        """Move about `budget` bytes of live records out of the oldest segments; return whether any moved."""
         if self._move is None or self._moving:
             return False
         self._moving = True
@@ -447,13 +452,13 @@
                     break
                 self._move_record(self._move, position)
         except StorageError:
-            pass  # no room to move to, or a file that cannot be read now: the record stays
+            pass  # no space, or the file is unreadable now: the record stays where it is
         finally:
             self._moving = False
         return self._move_budget < before
 
     def _oldest_live(self) -> Position | None:
-        """The oldest live record, None if it stands in a segment that is still being written."""
+        """Return the position of the oldest live record, None if its segment is still being written."""
         oldest = next(iter(self._segments.values()), None)
         if oldest is None or oldest is self._active or oldest.synced < oldest.end or not oldest.live:
             return None
@@ -471,21 +476,21 @@
         self._move_budget -= FRAME_BYTES + position.length
 
     def _clean_after_batch(self) -> None:
-        """Go on with moving when nobody appends; its records are written by a batch of their own."""
+        """Continue to move records without further appends; a batch of their own writes them."""
         if self._available_segments() >= MIN_FREE_SEGMENTS or self._move_budget <= 0:
             return
         if self._clean(MOVED_PER_BATCH):
             self._start_batch()
 
     def _clean_in_background(self) -> None:
-        """Make room after an append was refused."""
+        """Move records to free a segment after an append was rejected."""
         self._move_budget = self._segments_allowed * self._segment_bytes
         self._clean(MOVED_PER_BATCH)
         if self._unsynced_bytes and not self._batch_running:
             self._start_batch()
 
     def close(self) -> None:
-        """Release the files, once a write under way has ended.  What was not synced may be lost."""
+        """Close the files, after the running write has ended.  Unsynced records may be lost."""
         if self._closed:
             return
         self._closed = True
--- a/hollowusher/storage/segment_files.py
+++ b/hollowusher/storage/segment_files.py
@@ -1,8 +1,8 @@
-"""The files of a ring: which are free, in what order they are used again, and how one is made ready.
+"""The files of a ring: the free files, the order of their reuse, and their preparation for writing.
 
-Files go round strictly by the age of their contents.  A file is handed out only for the next write, and
-given back if nothing in it became durable; its old header is erased durably before the next file is
-touched.  So old records vanish oldest first, whatever fails.
+Files are reused strictly in the order of the age of their contents.  A file is taken only for the next
+write, and returned if none of its new contents became durable.  Its old header is erased durably before the
+next file is written.  So old records disappear oldest first, even if a write or sync fails.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 
 @dataclass(slots=True)
 class SegmentFile:
-    """One file of the ring.  The disk thread opens it and makes it ready."""
+    """One file of the ring, which the disk thread opens and prepares for writing."""
 
     path: Path
     descriptor: int = -1  # -1: not open yet
     size: int = 0
-    listed: bool = False  # its name is durable
-    ready: bool = False  # of full length, and without the header of an earlier use
+    listed: bool = False  # its directory entry is durable
+    ready: bool = False  # it has its full length, and its old header is erased
 
 
 class SegmentFiles:
-    """All files `ring-NNNN.log` of a folder.  `wanted` counts parts of segments that still need a file."""
+    """All files `ring-NNNN.log` of a folder.  `wanted` counts the segment parts that still need a file."""
 
     def __init__(self, folder: Path, segment_bytes: int, files: Files, worker: DiskWorker) -> None:
         self.wanted = 0
@@ -43,13 +43,14 @@
         self._worker = worker
         self._all: list[SegmentFile] = []
         self._free: deque[SegmentFile] = deque()  # oldest contents first
-        self._retired: deque[tuple[int, list[SegmentFile]]] = deque()  # free once so much is synced
-        self._preparing: SegmentFile | None = None  # not among the free ones meanwhile
+        # Files of retired segments, with the count of durable records from which on they are free.
+        self._retired: deque[tuple[int, list[SegmentFile]]] = deque()
+        self._preparing: SegmentFile | None = None  # the disk thread prepares it; not in `_free`
         self._prepare_running = False
         self._closing = False
 
     def open(self) -> list[tuple[SegmentHeader, SegmentFile]]:
-        """Open what the folder holds; the files with a valid header, oldest first."""
+        """Open all files of the folder; return those with a valid header, oldest first."""
         self._io.make_folder(self._folder)
         found: list[tuple[SegmentHeader, SegmentFile]] = []
         for name in sorted(self._io.names(self._folder)):
@@ -68,26 +69,34 @@
         return found
 
     def erase_free(self) -> None:
-        """Erase the headers of free files again: after a kill, or after a failed sync, that may stand in the
-        system's cache alone, and old records would come back when the power goes."""
+        """Erase the headers of free files again.
+
+        If the process was killed or a sync failed, an earlier erasure may exist only in the page cache; a
+        power loss would then bring old records back.
+        """
         for file in self._free:
-            with suppress(OSError):  # it is done before the file is written
+            with suppress(OSError):  # `make_ready` runs again before the file is written
                 self.make_ready(file)
 
     def available_files(self, max_files: int) -> int:
-        """How many further parts can get a file while there may be `most_files` in all."""
+        """Return how many further parts can get a file if the ring has at most `max_files` files."""
         prepared = 0 if self._preparing is None else 1
         to_create = max(0, max_files - len(self._all))
         return len(self._free) + prepared + to_create - self.wanted
 
     @property
     def retired(self) -> int:
-        """How many segments' files wait to become free."""
+        """The number of segments whose files become free after a later sync."""
         return len(self._retired)
 
     def take(self, max_files: int) -> SegmentFile | None:
-        """The file for the next write: the free one with the oldest contents, or a new one."""
-        if self._preparing is not None:  # older than the free ones; the thread makes it ready first
+        """Return the file for the next write: the free one with the oldest contents, or a new one.
+
+        The result is None if no file is free and `max_files` files exist.
+        """
+        if (
+            self._preparing is not None
+        ):  # its contents are older; the disk thread finishes it before the write
             file, self._preparing = self._preparing, None
             return file
         if self._free:
@@ -97,23 +106,23 @@
         return self._new_file()
 
     def give_back(self, file: SegmentFile) -> None:
-        """Take back a file in which nothing is durable; the one handed out last comes back first."""
+        """Return a file without durable contents to the free ones, in reverse order of `take`."""
         file.ready = False
         self._free.appendleft(file)
 
     def retire(self, files: list[SegmentFile], synced: int) -> None:
-        """Free the files of the oldest segment as soon as `synced` records are durable."""
+        """Schedule the files of the oldest segment to become free once `synced` records are durable."""
         self._retired.append((synced, files))
 
     def free_retired(self, synced: int) -> None:
-        """Free what was retired, now that `synced` records are durable."""
+        """Free the retired files that waited for at most `synced` records to become durable."""
         while self._retired and self._retired[0][0] <= synced:
             for file in self._retired.popleft()[1]:
                 file.ready = False
                 self._free.append(file)
 
     def make_ready(self, file: SegmentFile) -> None:
-        """Open a file, creating it if it is new, give it its full length, and erase its old header."""
+        """Open or create a file, set its full length, and erase its old header durably."""
         if file.ready:
             return
         if file.descriptor < 0:
@@ -129,7 +138,7 @@
         file.ready = True
 
     def prepare_next(self, max_files: int) -> None:
-        """Have the disk thread make the next file ready ahead of its use."""
+        """Prepare the next file in the disk thread before it is needed."""
         if self._prepare_running or (self._free and self._free[0].ready):
             return
         file = self.take(max_files)
@@ -140,7 +149,7 @@
         self._worker.submit(partial(self.make_ready, file), self._finish_prepare)
 
     def close(self) -> None:
-        """Close all files, once the thread has done with them."""
+        """Close all files, after the disk thread has finished the running preparation."""
         self._closing = True
         if self._prepare_running:
             return
@@ -150,7 +159,7 @@
                 file.descriptor = -1
 
     def _finish_prepare(self, _: Exception | None) -> None:
-        """A file that could not be made ready is so before it is written."""
+        """Return the prepared file to the free ones; a failed preparation is repeated before the write."""
         self._prepare_running = False
         if self._preparing is not None:
             self._free.appendleft(self._preparing)
--- a/hollowusher/storage/segment_format.py
+++ b/hollowusher/storage/segment_format.py
@@ -1,11 +1,11 @@
-"""The bytes of a segment file: one header, then records framed by length and checksum.
+"""Format of a segment file: one header, then records framed by length and checksum.
 
-A segment is a range of offsets.  It usually stands in one file.  If a sync fails, the segment's rest goes
-on in another file: a further part with the offset where it begins (`base`), and what an earlier part holds
-from there on does not count.
+A segment is a range of offsets, usually in one file.  If a sync fails, the segment continues in another
+file, which holds a further part that begins at the offset `base`; bytes of an earlier part from that offset
+on are ignored.
 
-Each use of a file draws a new random `nonce`, which enters the checksum of every record together with the
-record's offset: bytes left from an earlier use never read as records.
+Each use of a file draws a new random `nonce`.  The checksum of every record includes the nonce and the offset
+of the record, so bytes left from an earlier use of the file never pass as records.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 
 class SegmentHeader(NamedTuple):
-    """What stands at the start of a segment file."""
+    """Header at the start of a segment file."""
 
     sequence: int
     part: int
-    base: int  # the segment's offset at which this file's records begin
+    base: int  # offset in the segment of the first record of this file
     nonce: int
-    previous_end: int  # where the records of segment `sequence - 1` end: all of them were durable
+    previous_end: int  # end offset of segment `sequence - 1`, whose records were all durable
 
     def encode(self) -> bytes:
-        """The header's bytes."""
+        """Return the header as bytes, with a checksum."""
         data = _HEADER.pack(
             MAGIC, FORMAT_VERSION, self.part, self.sequence, self.nonce, self.base, self.previous_end
         )
@@ -46,7 +46,7 @@
 
 
 def decode_header(data: bytes) -> SegmentHeader | None:
-    """The header in a file's first bytes, None where there is no valid one."""
+    """Return the header from the first bytes of a file, None if it is not valid."""
     if len(data) < HEADER_BYTES:
         return None
     fields = data[: _HEADER.size]
@@ -60,12 +60,12 @@
 
 
 def encode_frame(record: bytes, nonce: int, offset: int) -> bytes:
-    """What stands before a record at `offset` of its segment."""
+    """Return the frame header, length and checksum, of a record at `offset` of its segment."""
     return _FRAME.pack(len(record), xxhash.xxh64_intdigest(record, (nonce + offset) & MASK_64))
 
 
 def decode_record(data: bytes, nonce: int, offset: int) -> bytes | None:
-    """The record of a frame and payload, None where they do not match."""
+    """Return the record in a frame, None if its length or checksum is wrong."""
     if len(data) < FRAME_BYTES:
         return None
     length, checksum = _FRAME.unpack_from(data)
@@ -78,19 +78,21 @@
 class RecordScan:
     """Reads the records of one part.
 
-    `end` is the offset up to which the records are known to have been durable, None for the newest part:
-    there the first record that does not check ends the scan, since it was never promised.  Before a known
-    end it is damage: it is counted, and skipped if its length leads on."""
+    `end` is the offset up to which the records are known to have been durable, None for the newest part.  In
+    the newest part the first record with a wrong checksum ends the scan, because no sync has confirmed it.
+    Before a known end such a record is damaged: the scan counts it in `damaged` and continues after it, or
+    skips the rest of the part if the length of the record is not plausible.
+    """
 
     def __init__(self, data: bytes | memoryview, header: SegmentHeader, end: int | None) -> None:
         self.damaged = 0
-        self.position = header.base  # where the records read so far end
-        self._data = data  # the part's bytes after its header
+        self.position = header.base  # end offset of the records read so far
+        self._data = data  # bytes of the part after its header
         self._header = header
         self._end = end
 
     def records(self) -> Iterator[tuple[int, bytes]]:
-        """Offsets and records, in order."""
+        """Yield the offsets and records in order."""
         view = memoryview(self._data)
         base, nonce = self._header.base, self._header.nonce
         limit = base + len(view)
--- a/hollowusher/storage/slots.py
+++ b/hollowusher/storage/slots.py
@@ -1,7 +1,7 @@
-"""A small value on disk that is replaced as a whole: two files that are written in turn.
+"""A small value on disk that is replaced atomically, in two files that are written in turn.
 
-Each holds a sequence number, a length, a checksum and the value.  A save writes the file with the older
-value, so a torn write leaves the newer one as it was.
+Each file holds a sequence number, a length, a checksum and the value.  A save overwrites the file with the
+older value, so a torn write leaves the newer value intact.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 def encode_value(sequence: int, value: bytes) -> bytes:
-    """The contents of a slot's file."""
+    """Return the contents of a slot file."""
     return _HEADER.pack(MAGIC, sequence, len(value), xxhash.xxh64_intdigest(value, sequence)) + value
 
 
 def decode_value(data: bytes) -> tuple[int, bytes] | None:
-    """Sequence and value of such contents, None where they are not whole."""
+    """Return the sequence number and value from the contents of a slot file, None if they are not valid."""
     if len(data) < _HEADER.size:
         return None
     magic, sequence, length, checksum = _HEADER.unpack_from(data)
@@ -41,15 +41,16 @@
 class SlotFile:
     """A `Slot` in the files `PATH.0` and `PATH.1`.
 
-    Saves at the same time are written as one: the newest value, which
-    answers for those before it."""
+    Saves that wait during a running write are combined: only the newest value is written, and its result
+    completes all of them.
+    """
 
     def __init__(self, path: Path, files: Files | None = None, worker: DiskWorker | None = None) -> None:
         self._path = path
         self._io: Files = SystemFiles() if files is None else files
         self._worker: DiskWorker = shared_disk_thread() if worker is None else worker
         self._descriptors: list[int] = []
-        self._sequence = 0  # of the newest value known to be durable
+        self._sequence = 0  # sequence number of the newest value known to be durable
         self._newest_side = 1
         self._value: bytes | None = None
         self._waiting: tuple[bytes, asyncio.Future[None]] | None = None
@@ -57,7 +58,7 @@
         self._closed = False
 
     def load(self) -> bytes | None:
-        """The value saved last, None where there is none."""
+        """Return the value saved last, None if there is none."""
         try:
             self._open()
         except OSError as error:
@@ -78,7 +79,7 @@
         await asyncio.shield(done)
 
     def close(self) -> None:
-        """Release the files, once a write under way has ended."""
+        """Close the files, after the running write has ended; saves that still wait fail."""
         if self._closed:
             return
         self._closed = True
@@ -89,7 +90,7 @@
             self._close_files()
 
     def _open(self) -> None:
-        """Open both files and read the newest value, once."""
+        """Open both files and read the newest value, unless this has been done."""
         if self._descriptors:
             return
         self._io.make_folder(self._path.parent)
@@ -107,8 +108,11 @@
         self._descriptors = descriptors
 
     def _write_again(self, descriptor: int, data: bytes) -> None:
-        """Make the value that was read durable: after a kill, or after a failed sync, it may stand in the
-        system's cache alone.  On a full disk the sync alone has to do."""
+        """Write and sync the value that was read.
+
+        After a kill or a failed sync the value may exist only in the page cache.  A write that fails on a
+        full disk is ignored.
+        """
         try:
             self._io.write(descriptor, data, 0)
         except OSError as error:
@@ -127,7 +131,7 @@
         self._worker.submit(partial(self._write, value), partial(self._finish_write, value, done))
 
     def _write(self, value: bytes) -> None:
-        """In the writing thread: write the file with the older value."""
+        """Overwrite the file with the older value.  The disk thread runs this method."""
         self._open()
         descriptor = self._descriptors[1 - self._newest_side]
         self._io.write(descriptor, encode_value(self._sequence + 1, value), 0)
--- a/hollowusher/storage/sync_waiters.py
+++ b/hollowusher/storage/sync_waiters.py
@@ -1,4 +1,4 @@
-"""Those who wait until what was appended before is durable."""
+"""The callers that wait for records to become durable."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SyncWaiters:
-    """Waiters with the count of records that has to be durable first, in the order they came."""
+    """Futures of waiting callers in order of arrival, each with the count of records to make durable."""
 
     def __init__(self) -> None:
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
@@ -17,13 +17,13 @@
         return bool(self._waiters)
 
     def add(self, target: int) -> asyncio.Future[None]:
-        """A future that is done once `target` records are durable."""
+        """Return a future that completes once `target` records are durable."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append((target, done))
         return done
 
     def resolve(self, synced: int) -> None:
-        """So many records are durable."""
+        """Complete the futures that wait for at most `synced` durable records."""
         waiting = []
         for target, done in self._waiters:
             if target > synced:
@@ -33,7 +33,7 @@
         self._waiters = waiting
 
     def fail(self, up_to: int, error: StorageError) -> None:
-        """Tell those who wait for no more than `up_to` records that these could not be written."""
+        """Fail the futures that wait for at most `up_to` durable records."""
         waiting = []
         for target, done in self._waiters:
             if target > up_to:
@@ -43,7 +43,7 @@
         self._waiters = waiting
 
     def fail_all(self, error: StorageError) -> None:
-        """Tell everyone."""
+        """Fail all futures."""
         for _, done in self._waiters:
             if not done.done():
                 done.set_exception(StorageError(error.step, error.file, error.reason))
--- a/tests/storage/test_ring_log.py
+++ b/tests/storage/test_ring_log.py
@@ -1,4 +1,4 @@
-"""The ring log against a plain list of what was appended, over a simulated disk and over real files."""
+"""The ring log compared with a list of the appended records, on a simulated disk and on real files."""
 
 from __future__ import annotations
 
@@ -56,27 +56,28 @@
     asyncio.run(wrapped())
 
 
-async def finish_saves() -> None:
-    """Let callbacks of finished jobs run."""
+async def run_pending_callbacks() -> None:
+    """Let the event loop run the callbacks of finished jobs."""
     for _ in range(6):
         await asyncio.sleep(0)
 
 
-class PlainModel:
-    """The slow plain model: a list of all records in order, which of them are live, how many durable.
+class ReferenceModel:
+    """Reference model of a log: a list of all records in order, the live ones, and the count of durable ones.
 
-    It owns the log as a state machine would: records carry a key, and a moved one is appended anew."""
+    The model owns the log as a state machine does: it releases records, and appends moved ones again.
+    """
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.written: list[tuple[Position, bytes]] = []
         self.live: dict[Position, bytes] = {}
         self.once_durable: set[bytes] = set()
-        self.durable = 0  # how many of `written` a sync has confirmed
+        self.durable = 0  # count of records in `written` that a sync has confirmed
         log.set_move(self.move)
 
     def replay(self, forgotten: set[bytes]) -> None:
-        """Read a log as its owner does: of each record the newest place counts, released ones go again."""
+        """Replay the log as its owner does: keep the newest position of each record, release the rest."""
         newest: dict[bytes, Position] = {}
         for position, record in self.log.replay():
             self.written.append((position, record))
@@ -92,7 +93,7 @@
 
     def append(self, record: bytes) -> Position:
         position = self.log.append(record)
-        insort(self.written, (position, record))  # records moved by this append stand after it
+        insort(self.written, (position, record))  # records that this append moved have later positions
         self.live[position] = record
         return position
 
@@ -117,8 +118,11 @@
         self.durable = max(self.durable, appended)
 
     def check(self, replayed: list[tuple[Position, bytes]]) -> None:
-        """What a replay after a crash at this moment may yield: one stretch of what was appended, in order,
-        with everything that is durable and live."""
+        """Check the result of a replay after a crash at this moment.
+
+        It must be a contiguous range of the appended records in order, with every record that is durable and
+        live.
+        """
         places = {position: index for index, (position, _) in enumerate(self.written)}
         indexes = [places[position] for position, _ in replayed]
         if indexes:
@@ -135,14 +139,14 @@
             assert self.log.read(position) == record
 
 
-def check_power_loss(disk: SimulatedDisk, model: PlainModel, rng: Random) -> None:
+def check_power_loss(disk: SimulatedDisk, model: ReferenceModel, rng: Random) -> None:
     left = open_log(disk.power_loss(rng))
     model.check(list(left.replay()))
     assert left.damaged_records == 0
 
 
-class RandomUse:
-    """A random sequence of uses and faults of one log, over several lives of its process."""
+class RandomRun:
+    """A random sequence of operations and faults of one log, over several incarnations of its process."""
 
     def __init__(self, seed: int, check_each_change: bool) -> None:
         self.rng = Random(seed)
@@ -150,7 +154,7 @@
         self.disk = SimulatedDisk()
         self.forgotten: set[bytes] = set()
         self.count = 0
-        self.lives = 0
+        self.incarnations = 0
         self.moved = 0
         self.failed = 0
         self.tasks: list[asyncio.Task[None]] = []
@@ -158,10 +162,10 @@
         self.start()
 
     def start(self) -> None:
-        self.lives += 1
+        self.incarnations += 1
         self.worker = InlineWorker()
         self.log = open_log(self.disk, self.rng, self.worker)
-        self.model = PlainModel(self.log)
+        self.model = ReferenceModel(self.log)
         self.model.replay(self.forgotten)
         assert self.log.damaged_records == 0
         if self.check_each_change:
@@ -170,7 +174,7 @@
     def check_change(self) -> None:
         try:
             check_power_loss(self.disk, self.model, self.rng)
-        except AssertionError as error:  # raised here, it would end in the event loop's log
+        except AssertionError as error:  # the event loop would only log an exception that is raised here
             self.failures.append(error)
 
     async def step(self) -> None:
@@ -191,14 +195,14 @@
                 return
 
     async def release(self) -> None:
-        long_lived = self.rng.randint(0, 8)  # the oldest ones stay, so that they have to be moved
+        long_lived = self.rng.randint(0, 8)  # the oldest records stay live, so that the log has to move them
         for position in list(self.model.live)[long_lived:]:
             if self.rng.random() < 0.5:
                 self.forgotten.add(self.model.release(position))
 
     async def sync(self) -> None:
         self.tasks += [asyncio.ensure_future(self._sync()) for _ in range(self.rng.randint(1, 3))]
-        await finish_saves()
+        await run_pending_callbacks()
 
     async def _sync(self) -> None:
         try:
@@ -213,7 +217,7 @@
     async def work(self) -> None:
         while self.worker.waiting:
             self.worker.run_next()
-            await finish_saves()
+            await run_pending_callbacks()
         self.worker.held = self.rng.random() < 0.5
         self.disk.full = self.disk.full and self.rng.random() < 0.5
 
@@ -229,7 +233,7 @@
     async def crash(self) -> None:
         for task in self.tasks:
             task.cancel()
-        await finish_saves()
+        await run_pending_callbacks()
         self.tasks = []
         self.moved += self.log.moved_records
         self.failed += self.log.failed_batches
@@ -242,8 +246,8 @@
         model.check(self.model.written)
 
 
-async def use_at_random(seed: int, steps: int, check_each_change: bool) -> RandomUse:
-    use = RandomUse(seed, check_each_change)
+async def run_random_operations(seed: int, steps: int, check_each_change: bool) -> RandomRun:
+    use = RandomRun(seed, check_each_change)
     for _ in range(steps):
         await use.step()
     await use.crash()
@@ -252,28 +256,28 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_power_loss_after_any_change_of_the_disk_loses_nothing_synced(seed: int) -> None:
-    asyncio.run(use_at_random(seed, steps=120, check_each_change=True))
+def test_a_power_loss_after_any_disk_change_loses_no_synced_record(seed: int) -> None:
+    asyncio.run(run_random_operations(seed, steps=120, check_each_change=True))
 
 
 @settings(max_examples=25, deadline=None)
 @given(seed=st.integers(0, 2**32))
-def test_random_uses_faults_and_crashes_agree_with_the_plain_model(seed: int) -> None:
-    asyncio.run(use_at_random(seed, steps=150, check_each_change=False))
+def test_random_operations_faults_and_crashes_agree_with_the_reference_model(seed: int) -> None:
+    asyncio.run(run_random_operations(seed, steps=150, check_each_change=False))
 
 
-def test_random_uses_reach_crashes_moves_and_failures() -> None:
-    uses = [asyncio.run(use_at_random(seed, steps=200, check_each_change=False)) for seed in range(8)]
-    assert sum(use.lives for use in uses) > 8
+def test_random_operations_reach_crashes_moves_and_failures() -> None:
+    uses = [asyncio.run(run_random_operations(seed, steps=200, check_each_change=False)) for seed in range(8)]
+    assert sum(use.incarnations for use in uses) > 8
     assert sum(use.moved for use in uses) > 50
     assert sum(use.failed for use in uses) > 20
 
 
-def test_the_ring_wraps_with_long_lived_records_and_refuses_none() -> None:
+def test_the_ring_wraps_with_long_lived_records_and_rejects_no_append() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         kept = [model.append(b"kept %d" % number) for number in range(20)]
         for number in range(1500):
             position = model.append(b"passing %d" % number)
@@ -290,10 +294,10 @@
     run(scenario)
 
 
-def test_as_much_as_may_be_live_can_be_replaced_again_and_again() -> None:
+def test_records_at_the_limit_of_live_bytes_can_be_replaced_repeatedly() -> None:
     async def scenario() -> None:
         log = open_log(SimulatedDisk())
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         while log.free_bytes() > 200:
             model.append(b"first %04d" % len(model.written))
         rng = Random(3)
@@ -301,17 +305,17 @@
             model.release(rng.choice(list(model.live)))
             model.append(b"again %04d" % number)
             await model.sync()
-            await finish_saves()
+            await run_pending_callbacks()
         model.check_reads()
         assert log.moved_records > 100
 
     run(scenario)
 
 
-def test_a_ring_full_of_live_records_refuses_and_recovers() -> None:
+def test_a_ring_full_of_live_records_rejects_appends_and_recovers() -> None:
     async def scenario() -> None:
         log = open_log(SimulatedDisk())
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         with pytest.raises(StorageError, match="full"):
             while True:
                 model.append(bytes(60))
@@ -325,13 +329,13 @@
     run(scenario)
 
 
-def test_a_record_larger_than_a_segment_is_refused() -> None:
+def test_a_record_larger_than_a_segment_is_rejected() -> None:
     log = open_log(SimulatedDisk(), segment_bytes=100)
     with pytest.raises(StorageError, match="larger than a segment"):
         log.append(bytes(100))
 
 
-def test_one_sync_serves_all_that_wait_for_it() -> None:
+def test_one_sync_completes_all_waiting_syncs() -> None:
     async def scenario() -> None:
         disk, worker = SimulatedDisk(), InlineWorker()
         log = open_log(disk, worker=worker)
@@ -341,36 +345,36 @@
         before = log.syncs
         log.append(b"first")
         first = asyncio.ensure_future(log.sync())
-        await finish_saves()
+        await run_pending_callbacks()
         later = []
         for number in range(20):
             log.append(b"%d" % number)
             later.append(asyncio.ensure_future(log.sync()))
-        await finish_saves()
+        await run_pending_callbacks()
         assert len(worker.waiting) == 1
         worker.run_next()
-        await finish_saves()
+        await run_pending_callbacks()
         assert first.done() and not any(task.done() for task in later)
         assert len(worker.waiting) == 1
         worker.run_next()
-        await finish_saves()
+        await run_pending_callbacks()
         assert all(task.done() for task in later)
         assert log.syncs == before + 2
 
     run(scenario)
 
 
-def test_a_cancelled_wait_leaves_the_records_to_the_others() -> None:
+def test_a_cancelled_sync_does_not_affect_other_waiting_syncs() -> None:
     async def scenario() -> None:
         disk, worker = SimulatedDisk(), InlineWorker()
         log = open_log(disk, worker=worker)
         worker.held = True
         log.append(b"one")
         cancelled, waits = asyncio.ensure_future(log.sync()), asyncio.ensure_future(log.sync())
-        await finish_saves()
+        await run_pending_callbacks()
         cancelled.cancel()
         worker.run_next()
-        await finish_saves()
+        await run_pending_callbacks()
         assert cancelled.cancelled() and waits.done()
 
     run(scenario)
@@ -385,7 +389,7 @@
         worker.held = True
         log.append(b"one")
         waits = asyncio.ensure_future(log.sync())
-        await finish_saves()
+        await run_pending_callbacks()
         assert not log.stalled(now + 1)
         assert log.stalled(now + 100)
         log.append(b"two")
@@ -405,7 +409,7 @@
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         model.append(b"before")
         await model.sync()
         disk.failing_syncs = 1
@@ -428,7 +432,7 @@
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         model.append(b"before")
         await model.sync()
         disk.failing_syncs = 6
@@ -445,7 +449,7 @@
     run(scenario)
 
 
-def test_what_a_failed_sync_left_in_the_cache_is_made_durable_at_the_next_start() -> None:
+def test_a_replay_makes_cached_records_of_a_failed_sync_durable() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
@@ -463,11 +467,11 @@
     run(scenario)
 
 
-def test_a_full_disk_is_reported_and_all_is_written_when_there_is_capacity() -> None:
+def test_a_full_disk_is_reported_and_all_records_are_written_once_space_is_freed() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         model.append(b"before")
         await model.sync()
         disk.full = True
@@ -490,7 +494,7 @@
         disk = SimulatedDisk()
         disk.full = True
         log = open_log(disk)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         model.append(b"waits")
         with pytest.raises(StorageError, match="No space"):
             await model.sync()
@@ -501,26 +505,26 @@
     run(scenario)
 
 
-def test_too_much_unsynced_is_refused() -> None:
+def test_appends_above_the_limit_of_unsynced_bytes_are_rejected() -> None:
     log = open_log(SimulatedDisk(), segment_bytes=4 * 1024 * 1024, segments=40)
-    with pytest.raises(StorageError, match="waits for the disk"):
+    with pytest.raises(StorageError, match="limit of unsynced bytes"):
         for _ in range(20):
             log.append(bytes(1024 * 1024))
 
 
-def test_stale_bytes_of_an_earlier_use_never_read_as_records() -> None:
+def test_stale_bytes_of_an_earlier_use_never_pass_as_records() -> None:
     header = SegmentHeader(sequence=5, part=0, base=0, nonce=111, previous_end=0)
     stale = encode_frame(b"old", 222, 0) + b"old"
     assert list(RecordScan(stale + bytes(50), header, None).records()) == []
     own = encode_frame(b"new", 111, 0) + b"new"
-    shifted = own + own  # the same record once more, at another offset
+    shifted = own + own  # the second copy has the checksum of another offset
     assert list(RecordScan(shifted, header, None).records()) == [(0, b"new")]
 
 
-def test_records_of_one_size_leave_no_stale_ones_behind_in_a_reused_file() -> None:
+def test_a_reused_file_yields_no_stale_records_of_the_same_size() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
-        model = PlainModel(open_log(disk))
+        model = ReferenceModel(open_log(disk))
         for number in range(200):
             model.release(model.append(b"%050d" % number))
             await model.sync()
@@ -530,15 +534,15 @@
 
 
 @pytest.mark.parametrize("before", range(16))
-def test_an_erased_segment_does_not_come_back_after_a_start_saw_it_gone(before: int) -> None:
+def test_a_segment_that_a_replay_found_erased_stays_erased(before: int) -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
-        model = PlainModel(open_log(disk))
+        model = ReferenceModel(open_log(disk))
         for number in range(before):
             model.release(model.append(b"%0120d" % number))
             await model.sync()
-        disk.passing_syncs = 1  # the record's
-        disk.failing_syncs = 1  # of the next file's erased header, if one is made ready now
+        disk.passing_syncs = 1  # the sync of the record
+        disk.failing_syncs = 1  # the sync of the next file's erased header, if the log prepares one now
         model.append(b"last" + bytes(116))
         await model.sync()
         disk.kill()
@@ -552,7 +556,7 @@
 def test_a_file_that_could_not_be_prepared_is_still_erased_before_younger_ones() -> None:
     async def scenario() -> None:
         disk, worker = SimulatedDisk(), InlineWorker()
-        model = PlainModel(open_log(disk, worker=worker))
+        model = ReferenceModel(open_log(disk, worker=worker))
         lost: list[AssertionError] = []
 
         def check() -> None:
@@ -567,20 +571,20 @@
         for number in range(150):
             model.release(model.append(b"%090d" % number))
             waits = asyncio.ensure_future(model.sync())
-            await finish_saves()
+            await run_pending_callbacks()
             worker.run_next()
-            await finish_saves()
+            await run_pending_callbacks()
             assert waits.done()
-            if worker.waiting:  # the next file is being made ready
+            if worker.waiting:  # the disk thread prepares the next file
                 prepared += 1
                 disk.failing_syncs = 1
                 for more in range(4):
                     model.release(model.append(b"more %d %080d" % (more, number)))
                 waits = asyncio.ensure_future(model.sync())
-                await finish_saves()
+                await run_pending_callbacks()
                 while worker.waiting:
                     worker.run_next()
-                    await finish_saves()
+                    await run_pending_callbacks()
                 assert waits.done()
         assert prepared > 5
         assert lost == []
@@ -588,12 +592,14 @@
     run(scenario)
 
 
-def test_a_refused_append_gets_its_capacity_without_further_appends() -> None:
+def test_a_rejected_append_frees_space_without_further_appends() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk, segment_bytes=1024 * 1024)
         forgotten: set[bytes] = set()
-        with pytest.raises(StorageError, match="no segment is free"):  # nobody moves records in this life
+        with pytest.raises(
+            StorageError, match="no segment is free"
+        ):  # this incarnation sets no function that moves records
             for number in range(2000):
                 record = b"%06d" % number + bytes(8000)
                 position = log.append(record)
@@ -605,14 +611,14 @@
         await log.sync()
         disk.kill()
         log = open_log(disk, segment_bytes=1024 * 1024)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         model.replay(forgotten)
         with pytest.raises(StorageError, match="no segment is free"):
             model.append(b"refused")
         for _ in range(100):
-            await finish_saves()
+            await run_pending_callbacks()
         assert log.moved_records * 8000 > 2 * MOVED_PER_BATCH
-        for number in range(150):  # more than a segment holds
+        for number in range(150):  # more records than fit in one segment
             model.release(model.append(b"%06d again" % number + bytes(8000)))
         await model.sync()
         model.check_reads()
@@ -620,7 +626,7 @@
     run(scenario)
 
 
-def test_a_ring_opened_with_fewer_segments_is_moved_into_them() -> None:
+def test_a_ring_opened_with_fewer_segments_shrinks_to_them() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk, segments=20)
@@ -632,14 +638,14 @@
         assert len(disk.files) == 20
         disk.kill()
         log = open_log(disk, segments=8)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         model.replay(forgotten={b"%0100d" % number for number in range(60) if number % 10})
         kept = set(model.live.values())
         assert len(kept) == 6
         for _ in range(20):
             with suppress(StorageError):
                 model.release(model.append(b"passing"))
-            await finish_saves()
+            await run_pending_callbacks()
         model.release(model.append(b"passing"))
         await model.sync()
         assert kept == set(model.live.values())
@@ -659,7 +665,7 @@
         assert positions[-1].segment > damaged.segment
         file = disk.files[FOLDER / "ring-0000.log"]
         file.current[HEADER_BYTES + damaged.offset + FRAME_BYTES] ^= 0xFF
-        with pytest.raises(StorageError, match="does not check"):
+        with pytest.raises(StorageError, match="wrong checksum"):
             log.read(damaged)
         disk.kill()
         again = open_log(disk)
@@ -670,11 +676,11 @@
     run(scenario)
 
 
-def test_a_damaged_record_does_not_hold_up_the_reuse_of_its_segment() -> None:
+def test_a_damaged_record_does_not_block_the_reuse_of_its_segment() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         damaged = model.append(b"damaged")
         await model.sync()
         disk.files[FOLDER / "ring-0000.log"].current[HEADER_BYTES + damaged.offset + FRAME_BYTES] ^= 0xFF
@@ -687,7 +693,7 @@
     run(scenario)
 
 
-def test_a_torn_header_is_no_header() -> None:
+def test_a_torn_header_is_rejected() -> None:
     data = SegmentHeader(sequence=5, part=0, base=0, nonce=111, previous_end=9).encode()
     assert decode_header(data) == SegmentHeader(5, 0, 0, 111, 9)
     for length in range(HEADER_BYTES):
@@ -716,7 +722,7 @@
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         old = model.append(b"old")
         await model.sync()
         model.release(old)
@@ -734,7 +740,7 @@
         segments = set()
         for _ in range(40):
             log = open_log(disk)
-            model = PlainModel(log)
+            model = ReferenceModel(log)
             model.replay({b"x"})
             segments.add(model.append(b"x").segment)
             await model.sync()
@@ -748,18 +754,18 @@
 def test_restarts_with_live_records_do_not_use_up_the_ring() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
-        for life in range(60):
-            model = PlainModel(open_log(disk))
+        for run_number in range(60):
+            model = ReferenceModel(open_log(disk))
             model.replay(set())
-            assert set(model.live.values()) == {b"%d" % number for number in range(life)}
-            model.append(b"%d" % life)
+            assert set(model.live.values()) == {b"%d" % number for number in range(run_number)}
+            model.append(b"%d" % run_number)
             await model.sync()
             disk.kill()
 
     run(scenario)
 
 
-def test_an_append_before_the_replay_is_refused() -> None:
+def test_an_append_before_the_replay_is_rejected() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
@@ -772,7 +778,7 @@
     run(scenario)
 
 
-def test_a_release_is_taken_once() -> None:
+def test_a_repeated_release_is_ignored() -> None:
     log = open_log(SimulatedDisk())
     before = log.free_bytes()
     position = log.append(b"one")
@@ -782,19 +788,19 @@
     assert log.free_bytes() == before
 
 
-def test_closing_fails_those_who_wait_and_waits_for_the_thread() -> None:
+def test_closing_fails_waiting_syncs_and_waits_for_the_disk_thread() -> None:
     async def scenario() -> None:
         disk, worker = SimulatedDisk(), InlineWorker()
         log = open_log(disk, worker=worker)
         log.append(b"one")
         worker.held = True
         waits = asyncio.ensure_future(log.sync())
-        await finish_saves()
+        await run_pending_callbacks()
         log.close()
         with pytest.raises(StorageError, match="closed"):
             await waits
         worker.run_next()
-        await finish_saves()
+        await run_pending_callbacks()
         assert disk.open_files == {}
         with pytest.raises(StorageError, match="closed"):
             log.append(b"two")
@@ -808,7 +814,7 @@
         (tmp_path / "notes.txt").write_bytes(b"foreign")
         log = RingLog(tmp_path / "log", 4096, 8)
         assert list(log.replay()) == []
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         for number in range(400):
             model.append(b"record %d" % number)
             if number % 10 == 0:
@@ -859,7 +865,7 @@
     assert size.segments >= 6
 
 
-def test_errors_name_step_file_and_reason() -> None:
+def test_errors_contain_step_file_and_reason() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         disk.failing_writes = 2
@@ -875,11 +881,11 @@
 
 @settings(max_examples=40, deadline=None)
 @given(seed=st.integers(0, 2**32), in_order=st.booleans())
-def test_the_log_in_memory_keeps_what_was_synced(seed: int, in_order: bool) -> None:
+def test_the_log_in_memory_keeps_synced_records(seed: int, in_order: bool) -> None:
     async def scenario() -> None:
         rng = Random(seed)
         log = MemoryLog(segment_bytes=300, segments=10)
-        model = PlainModel(log)
+        model = ReferenceModel(log)
         for number in range(150):
             try:
                 model.append(b"%d" % number + bytes(rng.randint(0, 40)))
--- a/tests/storage/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -1,4 +1,4 @@
-"""Values that are replaced as a whole, disk identities and incarnations."""
+"""Slots, disk identities and incarnation numbers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     asyncio.run(wrapped())
 
 
-async def finish_saves() -> None:
+async def run_pending_callbacks() -> None:
     for _ in range(6):
         await asyncio.sleep(0)
 
@@ -52,7 +52,7 @@
     run(scenario)
 
 
-def test_a_save_without_a_load_replaces_what_was_there() -> None:
+def test_a_save_without_a_load_replaces_the_stored_value() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         for number in range(6):
@@ -68,11 +68,11 @@
         rng = Random(seed)
         disk = SimulatedDisk()
         allowed: list[bytes | None] = [None]
-        seen: list[bytes | None] = []
+        loaded: list[bytes | None] = []
 
         def check() -> None:
-            seen.append(open_slot(disk.power_loss(rng)).load())
-            wrong.extend(value for value in seen[-1:] if value not in allowed)
+            loaded.append(open_slot(disk.power_loss(rng)).load())
+            wrong.extend(value for value in loaded[-1:] if value not in allowed)
 
         wrong: list[bytes | None] = []
         for number in range(40):
@@ -93,7 +93,7 @@
                 assert slot.load() == value
             check()
         assert wrong == []
-        assert len(seen) > 100
+        assert len(loaded) > 100
 
     run(scenario)
 
@@ -111,7 +111,7 @@
     run(scenario)
 
 
-def test_contents_that_are_not_complete_have_no_value() -> None:
+def test_incomplete_or_damaged_contents_have_no_value() -> None:
     data = encode_value(7, b"value")
     assert decode_value(data) == (7, b"value")
     assert decode_value(data + b"left from a longer value") == (7, b"value")
@@ -138,20 +138,20 @@
     run(scenario)
 
 
-def test_saves_during_a_save_are_written_as_one() -> None:
+def test_saves_during_a_running_save_are_combined() -> None:
     async def scenario() -> None:
         disk, worker = SimulatedDisk(), InlineWorker()
         slot = open_slot(disk, worker)
         slot.load()
         worker.held = True
         tasks = [asyncio.ensure_future(slot.save(b"%d" % number)) for number in range(10)]
-        await finish_saves()
+        await run_pending_callbacks()
         tasks[3].cancel()
         worker.run_next()
-        await finish_saves()
+        await run_pending_callbacks()
         assert tasks[0].done() and not tasks[9].done()
         worker.run_next()
-        await finish_saves()
+        await run_pending_callbacks()
         assert all(task.done() for task in tasks)
         assert worker.waiting == []
         assert open_slot(disk.power_loss(Random(1))).load() == b"9"
@@ -159,13 +159,13 @@
     run(scenario)
 
 
-def test_closing_fails_the_saves_that_wait() -> None:
+def test_closing_fails_waiting_saves() -> None:
     async def scenario() -> None:
         disk, worker = SimulatedDisk(), InlineWorker()
         slot = open_slot(disk, worker)
         worker.held = True
         first, second = (asyncio.ensure_future(slot.save(value)) for value in (b"1", b"2"))
-        await finish_saves()
+        await run_pending_callbacks()
         slot.close()
         with pytest.raises(StorageError, match="closed"):
             await second
@@ -231,7 +231,7 @@
         assert disk_identity(FOLDER, rng, disk.power_loss(Random(seed))) == (identity, False)
 
 
-def test_a_power_loss_while_the_identity_is_written_leaves_a_disk_that_can_be_used() -> None:
+def test_a_power_loss_while_the_identity_is_written_leaves_a_usable_disk() -> None:
     rng = Random(2)
     for seed in range(20):
         disk = SimulatedDisk()
@@ -253,7 +253,7 @@
     disk = SimulatedDisk()
     killed: list[SimulatedDisk] = []
     identity, _ = disk_identity(FOLDER, rng, disk)
-    disk.renamed.add(FOLDER / "disk-id")  # as if killed between the rename and the sync of the folder
+    disk.renamed.add(FOLDER / "disk-id")  # the process was killed between the rename and the folder sync
     assert disk_identity(FOLDER, rng, disk) == (identity, False)
     killed = [disk.power_loss(Random(seed)) for seed in range(20)]
     assert {disk_identity(FOLDER, rng, after) for after in killed} == {(identity, False)}
@@ -263,7 +263,7 @@
     disk = SimulatedDisk()
     disk_identity(FOLDER, Random(1), disk)
     disk.files[FOLDER / "disk-id"].current = bytearray(b"?")
-    with pytest.raises(StorageError, match="does not hold an id"):
+    with pytest.raises(StorageError, match="does not hold a valid disk id"):
         disk_identity(FOLDER, Random(1), disk)
 
 
@@ -281,16 +281,16 @@
     assert next_incarnation(now + 1, None, rng) > first
     assert next_incarnation(now - 3_600_000, first, rng) == first + 1
     assert next_incarnation(now + 1, first, rng) > first + 1
-    assert first < 2**63  # fits a MessagePack integer
+    assert first < 2**63  # it fits in a MessagePack integer
 
 
-def test_a_process_with_a_disk_never_uses_an_incarnation_twice_although_its_clock_steps_back() -> None:
+def test_incarnations_never_repeat_when_the_clock_steps_back() -> None:
     async def scenario() -> None:
         rng = Random(1)
         disk = SimulatedDisk()
         last = 0
-        for life in range(30):
-            incarnation = await claim_incarnation(open_slot(disk), 1_000_000 - 50 * life, rng)
+        for run_number in range(30):
+            incarnation = await claim_incarnation(open_slot(disk), 1_000_000 - 50 * run_number, rng)
             assert incarnation > last
             last = incarnation
             disk = disk.power_loss(rng)
