--- a/hollowusher/protocol/__init__.py
+++ b/hollowusher/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The typed messages that the processes of one system exchange, and their encoding."""
+"""The typed messages that the processes of a cluster exchange, and their encoding."""
--- a/hollowusher/protocol/acknowledgement.py
+++ b/hollowusher/protocol/acknowledgement.py
@@ -1,4 +1,4 @@
-"""The answer to messages that only need to be acknowledged."""
+"""The response to messages that need no other response."""
 
 from __future__ import annotations
 
@@ -7,4 +7,4 @@
 
 @message(7)
 class Acknowledgement:
-    """Acknowledgement of a message that has no other answer."""
+    """Response that only acknowledges a message."""
--- a/hollowusher/protocol/call_rules.py
+++ b/hollowusher/protocol/call_rules.py
@@ -1,8 +1,8 @@
-"""Rules of calls: for each message type the process it is meant for, and whether it may be sent again.
+"""Call rules: for each message type its intended receiver, and whether a sender may retry it.
 
-A message may be sent again after a timeout or a reset only where it is idempotent: it changes nothing,
-or an id, a version, a ballot or an epoch in it gives the second arrival the same effect as the first.
-docs/control-safety/calls.md says which process repeats which message, and to whom.
+A sender may retry a message after a timeout or a connection reset only if the message is idempotent: either
+it changes nothing, or it carries an id, a version, a ballot or an epoch, so that the second arrival has the
+same effect as the first.  docs/control-safety/calls.md lists the senders, their retries and the receivers.
 """
 
 from __future__ import annotations
@@ -36,45 +36,45 @@
 
 
 class Addressee(enum.Enum):
-    """How exactly the receiver has to match the process that the caller means."""
+    """The process that may accept a message: the fields of its identity that must match."""
 
-    ANYBODY = "any process: the caller is still looking for the cluster"
-    VOTER = "the voter of that name"
-    VOTER_DISK = "the voter of that name, with the disk that votes"
-    MEMBER = "the member of that name"
-    STORE = "the store of that name, with the disk that holds the replicas"
+    ANYBODY = "any process, because the caller does not know the cluster yet"
+    VOTER = "the voter with the intended name"
+    VOTER_DISK = "the voter with the intended name and the disk that holds its votes"
+    MEMBER = "the member with the intended name"
+    STORE = "the store with the intended name and the disk that holds its replicas"
 
 
 class Idempotence(enum.Enum):
-    """Why a second arrival of a message is harmless."""
+    """The reason why a second arrival of a message is harmless, or that it is not."""
 
-    READ = "it changes nothing"
-    BY_ID = "an id in it: the second arrival finds the first one's result"
-    BY_VERSION = "a version, epoch or ballot in it: an older or equal one changes nothing"
-    LATEST = "it reports the present state: the next report replaces it"
-    LEASED_TWICE = "it asks for more: leases granted in a lost response are returned or expire"
-    NEVER = "a second arrival may have another effect than the first: it is sent once"
+    READ = "the message changes nothing"
+    BY_ID = "the message carries an id, and the second arrival returns the result of the first"
+    BY_VERSION = "the message carries a version, epoch or ballot; an older or equal one changes nothing"
+    LATEST = "the message reports the current state, and the next report replaces it"
+    LEASED_TWICE = "a retry leases further jobs; the leases in a lost response are returned or expire"
+    NEVER = "a second arrival may have another effect than the first, so the message is sent only once"
 
 
 @attrs.frozen
 class CallRule:
-    """How messages of one type may be sent."""
+    """The intended receiver of the messages of one type, and the reason why they may be retried."""
 
     addressee: Addressee
     idempotence: Idempotence
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether the same message may be sent again while the outcome of the first is unknown."""
+        """Whether a sender may retry a message while the outcome of its first attempt is unknown."""
         return self.idempotence is not Idempotence.NEVER
 
 
 CALL_RULES: dict[type, CallRule] = {
-    # finding the system
+    # discovery of the cluster
     ReadView: CallRule(Addressee.ANYBODY, Idempotence.READ),
     AnnounceController: CallRule(Addressee.ANYBODY, Idempotence.LATEST),
     OfferView: CallRule(Addressee.ANYBODY, Idempotence.BY_VERSION),
-    # agreement and chain
+    # consensus and control chain
     Prepare: CallRule(Addressee.VOTER_DISK, Idempotence.BY_VERSION),
     Accept: CallRule(Addressee.VOTER_DISK, Idempotence.BY_VERSION),
     ConfirmEpoch: CallRule(Addressee.VOTER_DISK, Idempotence.READ),
@@ -91,7 +91,7 @@
     PullUpdates: CallRule(Addressee.VOTER, Idempotence.READ),
     ReadRepair: CallRule(Addressee.VOTER, Idempotence.BY_VERSION),
     ReadControlState: CallRule(Addressee.VOTER, Idempotence.READ),
-    # the operator, forwarded
+    # forwarded requests of the operator
     ChangeConfiguration: CallRule(Addressee.VOTER, Idempotence.NEVER),
     RetireStore: CallRule(Addressee.VOTER, Idempotence.NEVER),
     RecoverPartition: CallRule(Addressee.VOTER, Idempotence.NEVER),
@@ -110,9 +110,9 @@
     LearnerReady: CallRule(Addressee.VOTER, Idempotence.LATEST),
     LearnerLost: CallRule(Addressee.VOTER, Idempotence.LATEST),
 }
-DEFAULT_RULE = CallRule(Addressee.MEMBER, Idempotence.NEVER)  # of a message type that has no rule
+DEFAULT_RULE = CallRule(Addressee.MEMBER, Idempotence.NEVER)  # for message types without an entry
 
 
 def call_rule_of(message: object) -> CallRule:
-    """Return the rule of a message, `DEFAULT_RULE` for a type that has none."""
+    """Return the rule of a message, `DEFAULT_RULE` if its type has none."""
     return CALL_RULES.get(type(message), DEFAULT_RULE)
--- a/hollowusher/protocol/control_chain.py
+++ b/hollowusher/protocol/control_chain.py
@@ -1,8 +1,9 @@
-"""The control state, its replication along the control chain, and reads of it.
+"""Messages for the control state, its replication along the control chain, and its reads.
 
-The head sends each state towards the tail; every member syncs it before it passes it on (chain replication,
-van Renesse and Schneider 2004).  The large part of the state, the *state record* (configuration document and
-order history), travels apart from it under its digest.  See docs/control-safety/snapshots.md.
+The head sends each state towards the tail; every member syncs the state before it forwards it (chain
+replication, van Renesse and Schneider 2004).  The large part of the state is the *state record*
+(configuration document and order history).  It is transferred separately and identified by its digest.  See
+docs/control-safety/snapshots.md.
 """
 
 from __future__ import annotations
@@ -17,55 +18,56 @@
 
 @message(22)
 class ControlState:
-    """All that the control chain keeps.  States compare by the pair (epoch, sequence)."""
+    """The state that the control chain replicates.  The pair (epoch, sequence) orders states."""
 
     sequence: int
-    generation: int  # 0: no configuration has been taken yet
+    generation: int  # of the configuration; 0: no configuration has been committed yet
     document: bytes  # the configuration in force, canonical JSON
-    history: list[list[Any]]  # [generation, digest of the order] of changes taken, oldest first
+    history: list[list[Any]]  # [generation, digest of the order] of committed changes, oldest first
     placement: Placement | None = None
     retiring: dict[str, str] = attrs.Factory(dict)  # store name -> "running" | "completed"
 
 
 @message(23)
 class ChainWrite:
-    """Request to sync a state, pass it on towards the tail, then answer.
+    """Request to sync a state and forward it towards the tail before responding.
 
-    A state record that the receiver holds, or that is too large for one message, is left out of `state` and
-    named by `record`.  A receiver that lacks it fetches it with `ReadStateRecord`.
+    If the receiver already holds the state record, or the record is too large for one message, the sender
+    omits it from `state` and puts its digest into `record`.  A receiver without the record fetches it with
+    `ReadStateRecord`.
     """
 
     epoch: int
     state: ControlState
-    record: bytes = b""  # digest of the document and history that `state` lacks; empty: `state` is complete
+    record: bytes = b""  # digest of the state record that `state` omits; empty: `state` is complete
     cluster: str = ""
-    sender: str = ""  # the chain member before the receiver
+    sender: str = ""  # the predecessor of the receiver in the chain
     receiver_disk: str = ""
 
 
 @message(24)
 class ChainWritten:
-    """Response to `ChainWrite`: `ok` once the tail has synced the state.
+    """Response to `ChainWrite`: `ok` if the tail has synced the state.
 
-    Otherwise `epoch` is the newest one that the rejecting member knows.
+    Otherwise `epoch` is the newest epoch that the rejecting member has.
     """
 
     ok: bool
     epoch: int = 0
-    unreachable: str = ""  # the chain member that gave no answer
-    lacking: str = ""  # the chain member that is still fetching the document and history
+    unreachable: str = ""  # name of the chain member that did not respond
+    lacking: str = ""  # name of the chain member that is still fetching the state record
 
 
 @message(29)
 class ReadControlState:
-    """Request to the chain's tail for the control state, by a process that starts."""
+    """Request of a starting process to the chain's tail for the control state."""
 
     forwarded: bool = False
 
 
 @message(30)
 class ControlStateResponse:
-    """The committed control state, None where it could not be confirmed."""
+    """Response to `ReadControlState`: the committed control state, None if it could not be confirmed."""
 
     state: ControlState | None
     epoch: int = 0
@@ -73,16 +75,16 @@
 
 @message(108)
 class ReadStateRecord:
-    """Request for a chunk of the state record with this digest."""
+    """Request for a chunk of the state record with the digest `digest`."""
 
-    digest: bytes  # empty: those of the newest state that the controller holds
+    digest: bytes  # empty: the record of the newest state that the controller holds
     offset: int
     cluster: str = ""
 
 
 @message(109)
 class StateRecordChunk:
-    """Response to `ReadStateRecord`; `digest` is empty where the controller does not hold the record."""
+    """Response to `ReadStateRecord`; `digest` is empty if the controller does not hold the record."""
 
     digest: bytes
     size: int  # of the complete record, in bytes
--- a/hollowusher/protocol/control_status.py
+++ b/hollowusher/protocol/control_status.py
@@ -1,6 +1,6 @@
-"""The state of the control plane as an operator is shown it.
+"""The state of the control plane for operators.
 
-`GET /status` and the command line print these messages with their field names: the names are an interface.
+`GET /status` and the command line output these messages by field name, so the field names are an interface.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 @message(80)
 class ReadControlStatus:
-    """Request for the state of consensus, chain and placement; the head knows most."""
+    """Request for the state of consensus, chain and placement; the head has the most complete state."""
 
     forwarded: bool = False
 
 
 @message(81)
 class VoterStatus:
-    """One voter as the answering controller sees it."""
+    """State of one voter, as observed by the responding controller."""
 
     name: str
     disk_id: str
-    heard: bool  # it has answered lately
+    heard: bool  # it has responded recently
     in_chain: bool
     complete: bool  # it holds every committed state
     state_version: list[int] = attrs.Factory(list)  # [epoch, sequence] of the newest state on its disk
@@ -31,20 +31,20 @@
 
 @message(82)
 class PartitionStatus:
-    """One partition as the head sees it."""
+    """State of one partition, as observed by the head."""
 
     partition: int
     epoch: int
     primary: str
-    living: int  # replicas whose process and disk are there
+    living: int  # number of replicas whose process is alive with its disk
     replicas: int
-    learners: list[str] = attrs.Factory(list)  # catching up
-    lost: bool = False  # fewer living replicas than a takeover needs: only an operator can bring it back
+    learners: list[str] = attrs.Factory(list)  # store ids of the learners, which are still catching up
+    lost: bool = False  # too few living replicas for a takeover: only an operator can recover the partition
 
 
 @message(83)
 class ControlStatus:
-    """State of the control plane from one controller's own knowledge."""
+    """State of the control plane, as observed by one controller."""
 
     answered_by: str
     epoch: int
@@ -52,11 +52,11 @@
     generation: int
     head: str
     tail: str
-    leads: bool  # the answering controller is the head and hears a majority
+    leads: bool  # the responding controller is the head and is in contact with a majority
     majority: int
     voters: list[VoterStatus]
-    spare_controllers: list[str]  # controllers that may take a voter's place
-    controller_losses_borne: int  # how many further losses leave a majority and a complete chain member
-    store_losses_borne: int  # the same for the worst partition; -1: a partition cannot serve now
+    spare_controllers: list[str]  # controllers that may replace a voter
+    controller_losses_borne: int  # further losses after which a majority and a complete chain member remain
+    store_losses_borne: int  # further losses that the worst partition survives; -1: a partition cannot serve
     partitions: list[PartitionStatus] = attrs.Factory(list)
-    worker_list_age_s: float = -1.0  # since the head last read the platform's whole list; -1: not the head
+    worker_list_age_s: float = -1.0  # seconds since the head last read the complete list; -1: not the head
--- a/hollowusher/protocol/distribution.py
+++ b/hollowusher/protocol/distribution.py
@@ -1,7 +1,7 @@
 """Distribution of published values from the controllers to every process.
 
-Controllers publish items; every process pulls those beyond its version vector from one controller, by long
-poll.  A version vector gives for each origin the greatest counter received.
+Controllers publish items.  Every process pulls the items beyond its version vector from one controller by
+long polling.  A version vector holds the greatest received counter of each origin.
 """
 
 from __future__ import annotations
@@ -13,18 +13,21 @@
 
 @message(31)
 class DistributedItem:
-    """One distributed value; of two items with one key the one with the greater `version` is current."""
+    """One distributed value; of two items with the same key the one with the greater `version` is current."""
 
     key: str  # "configuration" | "placement" | "view" | "member/NAME" | "workers"
     version: list[int]
     origin: str  # "name/incarnation" of the controller that published it
-    counter: int  # position among its origin's items
+    counter: int  # sequence number among the items of its origin
     value: Any
 
 
 @message(32)
 class PullUpdates:
-    """Request for the items beyond the reader's version vector; it may wait up to `wait_ms` for one."""
+    """Request for the items beyond the reader's version vector `have`.
+
+    The controller may delay the response for up to `wait_ms` until there is such an item.
+    """
 
     reader: str
     have: dict[str, int]  # origin -> counter
@@ -35,7 +38,8 @@
 class UpdatesResponse:
     """Response to `PullUpdates`.
 
-    `connected` is false where the controller has lost most of the others, so that its items may be old.
+    If `connected` is false, the controller has lost contact with most other controllers, so its items may be
+    stale.
     """
 
     items: list[DistributedItem]
@@ -46,9 +50,9 @@
 
 @message(46)
 class ReadRepair:
-    """One-way message of a reader to the controller that it pulls from, with items that this one lacks.
+    """One-way message of a reader to the controller that it pulls from, with items that the controller lacks.
 
-    That happens where the publisher of the items ended before any other controller had pulled them.
+    A controller lacks items if their publisher stopped before any other controller had pulled them.
     """
 
     items: list[DistributedItem]
--- a/hollowusher/protocol/fencing.py
+++ b/hollowusher/protocol/fencing.py
@@ -1,8 +1,9 @@
-"""Fencing tokens: the epoch under which a request acts, and the higher epoch that an answer names.
+"""Fencing tokens: the epoch of a request, and the higher epoch in a response that rejects it.
 
-A request carries the epoch of whoever sends it on some matter.  A peer that has promised a higher epoch on
-that matter rejects it and names that epoch; the sender is deposed from then on.  The two tables here are all
-that is needed to see both on the wire.  docs/control-safety/fencing.md lists the requests and who steps down.
+A request carries the sender's epoch for a matter, which is the control chain or one partition.  A peer that
+has promised a higher epoch for that matter rejects the request and returns the higher epoch; from then on the
+sender is deposed.  The two tables at the end of this module extract the epochs from requests and responses.
+docs/control-safety/fencing.md lists the requests and the roles that step down.
 
 Source: Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
 consistency" (1989); Lamport, Malkhi and Zhou, "Vertical Paxos and primary-backup replication" (2009).
@@ -25,19 +26,19 @@
     ReplicateResponse,
 )
 
-STALE = "stale"  # the status of a `ReplicaDifference` that rejects the asker's epoch
+STALE = "stale"  # status of a `ReplicaDifference` that rejects the epoch of the requester
 
 
 class Domain(enum.Enum):
-    """Over what an epoch rules."""
+    """The scope of an epoch."""
 
-    CONTROL = "the control chain, by the epoch of the view"
-    PARTITION = "one partition of messages, by the epoch of its placement"
+    CONTROL = "the control chain; its epoch is that of the view"
+    PARTITION = "one partition of messages; its epoch is that of its placement"
 
 
 @attrs.frozen
 class Matter:
-    """What at most one process acts on: the control chain, or one partition."""
+    """A resource that at most one process may act on per epoch: the control chain, or one partition."""
 
     domain: Domain
     partition: int = 0
@@ -45,7 +46,7 @@
 
 @attrs.frozen
 class FencingToken:
-    """An epoch on a matter."""
+    """An epoch of a matter."""
 
     matter: Matter
     epoch: int
@@ -55,62 +56,62 @@
 
 
 def partition_matter(partition: int) -> Matter:
-    """Return the matter of one partition."""
+    """Return the matter for one partition."""
     return Matter(Domain.PARTITION, partition)
 
 
 def fencing_tokens(message: object) -> Iterable[FencingToken]:
-    """Return the tokens under which a request acts; none for requests without an epoch."""
-    read = _REQUESTS.get(type(message))
-    return read(message) if read is not None else ()
+    """Return the fencing tokens of a request; none for a request without an epoch."""
+    extract_tokens = _REQUEST_TOKENS.get(type(message))
+    return extract_tokens(message) if extract_tokens is not None else ()
 
 
 def rejecting_tokens(message: object, answer: object) -> list[FencingToken]:
-    """Return the higher epochs that an answer names for matters of the request."""
-    read = _ANSWERS.get(type(answer))
-    if read is None:
+    """Return the tokens of a response whose epochs are higher than those of the request."""
+    extract_tokens = _RESPONSE_TOKENS.get(type(answer))
+    if extract_tokens is None:
         return []
-    named = {token.matter: token for token in read(message, answer)}
-    own = [token for token in fencing_tokens(message) if token.matter in named]
-    return [named[token.matter] for token in own if named[token.matter].epoch > token.epoch]
+    returned = {token.matter: token for token in extract_tokens(message, answer)}
+    own = [token for token in fencing_tokens(message) if token.matter in returned]
+    return [returned[token.matter] for token in own if returned[token.matter].epoch > token.epoch]
 
 
-def _of_view(message: ChainWrite | ConfirmEpoch) -> tuple[FencingToken]:
+def _control_tokens(message: ChainWrite | ConfirmEpoch) -> tuple[FencingToken]:
     return (FencingToken(CONTROL_CHAIN, message.epoch),)
 
 
-def _of_batches(message: ReplicateRequest) -> list[FencingToken]:
+def _batch_tokens(message: ReplicateRequest) -> list[FencingToken]:
     return [FencingToken(partition_matter(batch.partition), batch.epoch) for batch in message.batches]
 
 
-def _of_summary(message: ReplicaSummary) -> tuple[FencingToken]:
+def _summary_tokens(message: ReplicaSummary) -> tuple[FencingToken]:
     return (FencingToken(partition_matter(message.partition), message.epoch),)
 
 
-def _named_by_chain(_message: object, answer: ChainWritten | EpochConfirmed) -> list[FencingToken]:
+def _chain_rejections(_message: object, answer: ChainWritten | EpochConfirmed) -> list[FencingToken]:
     return [] if answer.ok else [FencingToken(CONTROL_CHAIN, answer.epoch)]
 
 
-def _named_by_replica(_message: object, answer: ReplicateResponse) -> list[FencingToken]:
+def _replica_rejections(_message: object, answer: ReplicateResponse) -> list[FencingToken]:
     return [FencingToken(partition_matter(partition), epoch) for partition, epoch in answer.refused.items()]
 
 
-def _named_by_difference(message: ReplicaSummary, answer: ReplicaDifference) -> list[FencingToken]:
+def _difference_rejections(message: ReplicaSummary, answer: ReplicaDifference) -> list[FencingToken]:
     if answer.status != STALE:
         return []
     return [FencingToken(partition_matter(message.partition), answer.epoch)]
 
 
-_REQUESTS: dict[type, Callable[[Any], Iterable[FencingToken]]] = {
-    ChainWrite: _of_view,
-    ConfirmEpoch: _of_view,
-    ReplicateRequest: _of_batches,
-    ReplicaSummary: _of_summary,
+_REQUEST_TOKENS: dict[type, Callable[[Any], Iterable[FencingToken]]] = {
+    ChainWrite: _control_tokens,
+    ConfirmEpoch: _control_tokens,
+    ReplicateRequest: _batch_tokens,
+    ReplicaSummary: _summary_tokens,
 }
 
-_ANSWERS: dict[type, Callable[[Any, Any], list[FencingToken]]] = {
-    ChainWritten: _named_by_chain,
-    EpochConfirmed: _named_by_chain,
-    ReplicateResponse: _named_by_replica,
-    ReplicaDifference: _named_by_difference,
+_RESPONSE_TOKENS: dict[type, Callable[[Any, Any], list[FencingToken]]] = {
+    ChainWritten: _chain_rejections,
+    EpochConfirmed: _chain_rejections,
+    ReplicateResponse: _replica_rejections,
+    ReplicaDifference: _difference_rejections,
 }
--- a/hollowusher/protocol/identity.py
+++ b/hollowusher/protocol/identity.py
@@ -1,7 +1,7 @@
-"""Identities: which process speaks on a connection, and which one the caller means to reach.
+"""Identities of the caller and of the intended receiver of a connection.
 
-Addresses are used again.  Neither a name nor an address alone says who answers; cluster, name and incarnation
-together do.
+Addresses are reused, so neither a name nor an address alone identifies a process; cluster, name and
+incarnation together identify it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 class Identity:
     """Identity of one incarnation of one process of one cluster."""
 
-    cluster: str  # `View.cluster`, empty while the process has not learnt it
+    cluster: str  # `View.cluster`, empty until the process has received a view
     name: str
     incarnation: int
     disk_id: str = ""
@@ -21,9 +21,10 @@
 
 @message(116)
 class Hello:
-    """First frame on a connection: the caller's identity and that of the process it means to reach.
+    """First frame on a connection: the identities of the caller and of the intended receiver.
 
-    The caller sends it again once it has learnt more.  Empty fields of `meant` are not known to the caller.
+    The caller sends another `Hello` when either identity changes.  Fields of `meant` that the caller does not
+    have are empty.
     """
 
     caller: Identity
--- a/hollowusher/protocol/leases.py
+++ b/hollowusher/protocol/leases.py
@@ -1,6 +1,6 @@
-"""Leases of jobs that a partition's primary grants to dispatchers, and the ends of these leases.
+"""Messages to lease jobs from a partition's primary to dispatchers, and to finish or extend the leases.
 
-A lease id is "PARTITION-EPOCH-SEQUENCE-NUMBER": the message's reference and the number of the lease.
+A lease id is "PARTITION-EPOCH-SEQUENCE-NUMBER": the reference of the message and the number of the lease.
 """
 
 from __future__ import annotations
@@ -13,8 +13,9 @@
 class LeaseRequest:
     """Request of a dispatcher to a store for up to `most` jobs of a service.
 
-    The store may wait up to `wait_ms` for one to come.  Pull leases last `visibility_ms` after the worker's
-    last call; push leases as long as their dispatcher lives, bounded by the delivery's timeout.
+    The store may delay the response for up to `wait_ms` until there is a job.  A pull lease expires
+    `visibility_ms` after the last call of its worker.  A push lease ends with its dispatcher's process, and
+    at the latest after the timeout of the delivery.
     """
 
     dispatcher: str
@@ -24,52 +25,54 @@
     wait_ms: int
     pull: bool = False
     visibility_ms: int = 0
-    number: int = 0  # grows with each request of the dispatcher; 0: it declares none lost
-    lost: int = 0  # the request whose answer never came: what it granted is not begun and goes back
+    number: int = 0  # increases with each request of the dispatcher; 0: it reports no lost responses
+    lost: int = 0  # number of a request without a response: its leases were not started and are returned
 
 
 @message(54)
 class LeasedJob:
-    """A leased job; `attempt` counts earlier deliveries of the message."""
+    """A leased job; `attempt` is the count of earlier deliveries of the message."""
 
     lease: str
     message: NewMessage
     attempt: int
-    start_within_ms: int  # the delivery has to begin within this time, else the lease goes back unrun
-    state: str = ""  # for call-backs: the end to report
-    signature: str = ""  # for call-backs
+    start_within_ms: int  # the delivery must begin within this time, else the lease is returned unrun
+    state: str = ""  # for call-backs: the final state to report
+    signature: str = ""  # for call-backs: the signature to report
 
 
 @message(55)
 class LeaseResponse:
     """Response to `LeaseRequest`.
 
-    `leased_after_ms` is the time from the request's arrival to the grant, so that the dispatcher knows the
-    greatest age of the leases, whichever process stood still meanwhile.
+    `leased_after_ms` is the time from the arrival of the request to the grant.  The dispatcher derives from
+    it an upper bound of the age of the leases, which holds even if one of the processes was suspended
+    meanwhile.
     """
 
     jobs: list[LeasedJob]
-    next_ms: int = 0  # until a rate limit or delay lets more jobs go, 0: unknown
+    next_ms: int = 0  # time until a rate limit or a delay permits further jobs; 0: unknown
     leased_after_ms: int = 0
 
 
 @message(56)
 class FinishLease:
-    """The end of a lease; it is sent again until it is answered.
+    """Report of the result of a lease; the dispatcher retries it until it gets a response.
 
-    `result` is "success" (with signature), "failed" (the worker answered 500), "refused" (422: never again),
-    "not_run" (given back, rejected as not run, or no connection) or "unknown" (reset, silence, timeout).
+    `result` is "success" (with signature), "failed" (the worker returned 500), "refused" (the worker returned
+    422: no retry), "not_run" (lease returned, rejected by the worker as not run, or no connection) or
+    "unknown" (connection reset, no response, timeout).
     """
 
     lease: str
     result: str
     signature: str = ""
-    retry_ms: int = 0  # wait asked for before the next lease
+    retry_ms: int = 0  # requested delay before the next lease of the job
 
 
 @message(57)
 class ExtendLease:
-    """Request of a pull worker for more time."""
+    """Request of a pull worker to extend its lease."""
 
     lease: str
 
@@ -78,8 +81,7 @@
 class LeaseUpdateResponse:
     """Response to `FinishLease` and `ExtendLease`.
 
-    "taken": the change is durable, and a repeated request gets the same answer.  "gone": the lease is not
-    valid any more.
+    "taken": the change is durable, and a retry gets the same response.  "gone": the lease is no longer valid.
     """
 
     status: str  # "taken" | "gone" | "not_primary" | "unavailable"
@@ -87,7 +89,7 @@
 
 @message(61)
 class JobsWaiting:
-    """One-way notice of a store to dispatchers: jobs of this service wait here and nobody asks for them."""
+    """One-way notice of a store to dispatchers: jobs of `service` wait, and no lease request is pending."""
 
     service: str
     store: str
--- a/hollowusher/protocol/membership.py
+++ b/hollowusher/protocol/membership.py
@@ -1,8 +1,8 @@
 """Messages about the members of the cluster: registration, heartbeats, suspicion, departure.
 
-A node is known by its `nodeName`.  An incarnation is the number of one run of its process; it only grows.  A
-disk id is written to a new, empty data directory and names that disk for good, so that a machine that lost
-its disk is not taken for the one that had it.
+A node is identified by its `nodeName`.  An incarnation is the number of one run of its process; it only
+grows.  A disk id is written once to a new, empty data directory and identifies that disk permanently, so that
+a machine with a replaced disk is not mistaken for the machine with the lost disk.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 @message(1)
 class Member:
-    """One process of the cluster as the other processes know it.
+    """The registration of one process of the cluster.
 
-    `status` grows within an incarnation; even numbers mean alive, odd ones dead or departing.
+    `status` grows within an incarnation; even numbers mean alive, odd numbers dead or departing.
     """
 
     name: str
@@ -23,21 +23,21 @@
     zone: str
     region: str
     incarnation: int
-    disk_id: str = ""  # empty without a data folder
-    counts: bool = False  # countsForQuorum: its loss is limited by faultTolerance
-    controller: bool = False  # takes part in the control chain: serves control_plane, has a disk
+    disk_id: str = ""  # empty if the process has no data directory
+    counts: bool = False  # setting countsForQuorum: faultTolerance limits the loss of such members
+    controller: bool = False  # it may join the control chain: it serves control_plane and has a disk
     admin: str = ""  # operator address "ip:port"
     status: int = 0
-    leaving: bool = False  # not alive because it stops: it ends its own work
+    leaving: bool = False  # it is not alive because it is shutting down, and finishes its own work
 
     @property
     def alive(self) -> bool:
-        """Whether the member is present and takes work."""
+        """Whether the member is present and accepts work."""
         return self.status % 2 == 0
 
     @property
     def store_id(self) -> str:
-        """The name and disk id that replica sets refer to, as "name/disk id"."""
+        """The id "name/disk id", by which placements refer to the store."""
         return f"{self.name}/{self.disk_id}"
 
 
@@ -45,7 +45,7 @@
 class RegisterMember:
     """Request of a process to a controller to be registered as a member.
 
-    A member that was declared dead by mistake refutes it by registering with a greater `status`.
+    A member that was wrongly declared dead refutes this by registering with a greater `status`.
     """
 
     member: Member
@@ -55,12 +55,12 @@
 class MemberRegistered:
     """Response to `RegisterMember`."""
 
-    epoch: int  # of the newest view that the controller knows, 0 for none
+    epoch: int  # of the newest view that the controller has, 0 for none
 
 
 @message(4)
 class Heartbeat:
-    """One-way sign of life from a member to each of its monitors."""
+    """One-way heartbeat of a member to each of its monitors."""
 
     name: str
     incarnation: int
@@ -87,8 +87,8 @@
 class CheckIncarnation:
     """Health check of one incarnation of a process.
 
-    That incarnation answers with `Acknowledgement`, a later one not at all.  Another process at the address
-    refuses the call.
+    That incarnation responds with `Acknowledgement`, a later one does not respond.  Another process at the
+    address rejects the call.
     """
 
     name: str
--- a/hollowusher/protocol/messages.py
+++ b/hollowusher/protocol/messages.py
@@ -1,6 +1,6 @@
-"""Messages of clients on their way to a store: storing them, and reading their status.
+"""Requests to store the messages of clients and to read their status.
 
-A message's reference is "PARTITION-EPOCH-SEQUENCE".
+The reference of a stored message is "PARTITION-EPOCH-SEQUENCE".
 """
 
 from __future__ import annotations
@@ -9,36 +9,36 @@
 
 from hollowusher.protocol.codec import message
 
-CALLBACK_PREFIX = "callback:"  # the pseudo service of call-backs owed to one receiver: callback:HOST:PORT
+CALLBACK_PREFIX = "callback:"  # of the pseudo services callback:HOST:PORT, one per receiver of call-backs
 
 
 @message(50)
 class NewMessage:
-    """A message as a client sent it."""
+    """A message from a client."""
 
     id: str  # X-Attempt-Id
     route: str  # the route's name
-    service: str  # upstream at the time it was accepted
+    service: str  # upstream of the route when the edge process accepted the message
     method: str
-    path: str  # path and query, unchanged
+    path: str  # path and query of the request, unchanged
     host: str
     body: bytes
     content_type: str = ""
     ordering_key: str = ""  # empty: unordered
-    delay_ms: int = 0  # still to wait when the edge process sends it to the store
+    delay_ms: int = 0  # remaining delay when the edge process sends the message to the store
     callback_url: str = ""
     max_attempts: int = 1
     retention_ms: int = 0
     timeout_ms: int = 0
     priority: int = 0
     target_start_ms: int = 0
-    headers: list[list[str]] = attrs.Factory(list)  # further headers that a delivery repeats
-    generation: int = 0  # of the configuration that the edge process accepted it under, 0: unknown
+    headers: list[list[str]] = attrs.Factory(list)  # further [name, value] headers of each delivery
+    generation: int = 0  # of the configuration that was in force when the message was accepted; 0: unknown
 
 
 @message(51)
 class PutRequest:
-    """Request to store a message in a partition; a message id that comes again is stored once."""
+    """Request to store a message in a partition; repeated requests with the same message id store it once."""
 
     partition: int
     message: NewMessage
@@ -48,8 +48,8 @@
 class PutResponse:
     """Response to `PutRequest`.
 
-    "stored": a quorum has synced it.  "not_primary": nothing was stored.  "unavailable": nothing was stored
-    and nothing will be.  "unknown": it may have been stored.
+    "stored": a quorum has synced the message.  "not_primary": the message was not stored.  "unavailable": the
+    message was not stored and will not be.  "unknown": the message may have been stored.
     """
 
     status: str  # "stored" | "not_primary" | "unavailable" | "unknown"
@@ -58,7 +58,7 @@
 
 @message(59)
 class MessageStatusRequest:
-    """Request for the state of a message, with its body if wanted."""
+    """Request for the state of a message, with its body if `want_body` is set."""
 
     reference: str
     want_body: bool = False
--- a/hollowusher/protocol/operator_orders.py
+++ b/hollowusher/protocol/operator_orders.py
@@ -1,6 +1,6 @@
 """Orders of an operator that controllers forward to the head of the chain, and the response.
 
-`forwarded` is true on an order that a controller passed on; it is not passed on again.
+`forwarded` is true on an order that a controller has forwarded; no controller forwards it again.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     method: str
     if_match: int | None
     body: bytes
-    forwarded: bool = False  # a controller passed it on: it is not passed on again
+    forwarded: bool = False  # a controller has forwarded it, so it is not forwarded again
 
 
 @message(26)
@@ -27,7 +27,7 @@
 
 @message(27)
 class OperatorResponse:
-    """HTTP response to an operator: 503 where the outcome cannot be confirmed."""
+    """HTTP response to an operator; `status` is 503 if the outcome cannot be confirmed."""
 
     status: int
     body: bytes = b""
@@ -35,7 +35,7 @@
 
 @message(28)
 class RetireStore:
-    """Order to empty a store's machine; with `duration_s` None a question about its progress."""
+    """Order to move all replicas off a store; with `duration_s` None, a request for the progress only."""
 
     name: str
     duration_s: float | None
@@ -43,11 +43,11 @@
 
 @message(84)
 class RecoverPartition:
-    """Order to go on with the remaining replicas of a partition whose majority is lost for good.
+    """Order to continue with the remaining replicas of a partition whose majority is permanently lost.
 
-    What only the lost replicas held is lost with them.
+    Records that only the lost replicas held are lost.
     """
 
     partition: int
-    accept_loss_of: list[str]  # the store ids given up; all replicas that do not live have to be named
+    accept_loss_of: list[str]  # store ids of the lost replicas; must include every replica that is not alive
     forwarded: bool = False
--- a/hollowusher/protocol/placement.py
+++ b/hollowusher/protocol/placement.py
@@ -1,7 +1,7 @@
-"""Placement of partitions on stores, and what primaries report about their learners.
+"""Placement of partitions on stores, and the reports of primaries about their learners.
 
-The control chain keeps the placement; only its head changes it (`hollowusher.coordination.placement`).  A
-store is named by its store id, "name/disk id".
+The control chain replicates the placement, and only its head changes it
+(`hollowusher.coordination.placement`).  A store is identified by its store id, "name/disk id".
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class PartitionPlacement:
     """Replicas of one partition, and which of them is its primary.
 
-    Learners receive records but count for no quorum until they have caught up and become replicas.
+    Learners receive records but do not count for a quorum until they have caught up and become replicas.
     """
 
     partition: int
@@ -23,7 +23,7 @@
     primary: str
     replicas: list[str]
     learners: list[str] = attrs.Factory(list)
-    primary_incarnation: int = 0  # the life of the primary's process that may serve this epoch; 0: any
+    primary_incarnation: int = 0  # incarnation of the primary's process that may serve this epoch; 0: any
 
 
 @message(21)
@@ -36,11 +36,11 @@
 
 @message(45)
 class LearnerReady:
-    """Report of a primary to the head: this learner holds every committed record.
+    """Report of a primary to the head: the learner holds every committed record.
 
-    It is sent again until the placement has changed.  From the first report until the new placement is in
-    force the primary commits with the learner's acknowledgement besides those of f+1 replicas; else a record
-    that is on the primary and on the replaced replica alone would be lost together with the primary.
+    The primary repeats the report until the placement has changed.  From the first report until the new
+    placement is in force, a commit needs the acknowledgement of the learner in addition to f+1 replicas.
+    Otherwise a record that only the primary and the replaced replica hold would be lost with the primary.
     """
 
     partition: int
@@ -50,10 +50,10 @@
 
 @message(104)
 class LearnerLost:
-    """Report of a primary to the head: a learner that was reported ready does not answer any more.
+    """Report of a primary to the head: a learner that was reported ready no longer responds.
 
-    Commits wait for the learner until a placement without it is in force, whose greater epoch voids all
-    earlier reports.  It is sent again until then.
+    Commits wait for the learner until a placement without it is in force, whose greater epoch invalidates all
+    earlier reports.  Until then the primary repeats the report.
     """
 
     partition: int
--- a/hollowusher/protocol/replication.py
+++ b/hollowusher/protocol/replication.py
@@ -1,7 +1,7 @@
 """Replication of records from a partition's primary to its replicas, and the comparison of replicas.
 
-A primary commits a record when a quorum of the partition's replicas has synced it; nothing is acknowledged to
-a client before.  Replicas merge records by version, so they may come in any order and more than once.
+A primary commits a record when a quorum of the partition's replicas has synced it, and only then acknowledges
+it to the client.  Replicas merge records by version, so records may arrive in any order and more than once.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @message(62)
 class RecordBatch:
-    """Records of one partition from its primary, in the order it made them."""
+    """Records of one partition from its primary, in the order in which the primary created them."""
 
     partition: int
     epoch: int
@@ -26,7 +26,7 @@
 class ReplicateRequest:
     """Request of a primary to a replica to store batches.
 
-    It is answered once they are synced (`durable`) or in memory.
+    The replica responds once the batches are synced if `durable` is set, otherwise once they are in memory.
     """
 
     sender: str  # store id
@@ -36,7 +36,7 @@
 
 @message(64)
 class ReplicateResponse:
-    """Response to `ReplicateRequest`: the partitions rejected, with the newer epoch known for each."""
+    """Response to `ReplicateRequest`: the rejected partitions, each with the newer epoch of the replica."""
 
     refused: dict[int, int]
 
@@ -45,14 +45,14 @@
 class ReplicaSummary:
     """Summary of a replica, for a new primary, a learner or the scrub to compare (anti-entropy).
 
-    It holds a digest for each bucket of the partition, or the versions held in some buckets.  With `fence`
-    set the answering store rejects all older epochs from then on.
+    The summary has either a digest for each bucket of the partition, or the record versions in some buckets.
+    If `fence` is set, the receiving store rejects all older epochs from then on.
     """
 
     partition: int
     epoch: int
     asker: str
-    buckets: list[int]  # digests, one a bucket; empty: `versions` are meant
+    buckets: list[int]  # one digest per bucket; empty: `versions` are compared
     versions: dict[int, dict[str, list[int]]] = attrs.Factory(dict)  # bucket -> reference -> version
     fence: bool = False
 
@@ -61,9 +61,9 @@
 class ReplicaDifference:
     """Response to `ReplicaSummary`: the buckets that differ, or the records that the requester lacks."""
 
-    status: str  # "ok" | "stale" (a newer epoch is known)
+    status: str  # "ok" | "stale" (the store has a newer epoch)
     epoch: int
     buckets: list[int] = attrs.Factory(list)
     records: list[bytes] = attrs.Factory(list)
-    wanted: list[str] = attrs.Factory(list)  # references that the answerer lacks or has older
-    extra: Any = None  # unused; it keeps the length of the array on the wire
+    wanted: list[str] = attrs.Factory(list)  # references that the responding store lacks or has older
+    extra: Any = None  # unused; the wire format keeps this element of the array
--- a/hollowusher/protocol/view.py
+++ b/hollowusher/protocol/view.py
@@ -1,7 +1,7 @@
-"""The agreed view, and the messages by which processes learn of it.
+"""The agreed view, and the messages that distribute it to processes.
 
-A view names the voters of the next view and the control chain from head to tail.  Views are decided one after
-the other by `hollowusher.coordination.consensus`; see docs/control-safety/voting.md.
+A view contains the voters that decide the next view, and the control chain from head to tail.
+`hollowusher.coordination.consensus` decides views one after the other; see docs/control-safety/voting.md.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @message(10)
 class Voter:
-    """A member of the group that decides on the next view; name and disk id together identify it."""
+    """A member of the group that decides the next view; name and disk id together identify the voter."""
 
     name: str
     disk_id: str
@@ -23,22 +23,22 @@
 
 @message(11)
 class View:
-    """Agreed view: the voters on the next view, and the control chain from head to tail."""
+    """Agreed view: the voters that decide the next view, and the control chain from head to tail."""
 
     epoch: int
     voters: list[Voter]
     chain: list[str]
-    since: dict[str, int] = attrs.Factory(dict)  # chain member -> epoch from which on every chain holds it
-    cluster: str = ""  # drawn once with the first view: tells this system from every other one
+    since: dict[str, int] = attrs.Factory(dict)  # chain member -> epoch since which it is in every chain
+    cluster: str = ""  # random id of the cluster, generated with the first view
 
     @property
     def head(self) -> str:
-        """The first member of the chain: it takes writes and holds the singleton roles."""
+        """The first member of the chain, which accepts writes and runs the singleton roles."""
         return self.chain[0]
 
     @property
     def tail(self) -> str:
-        """The last member of the chain: it answers reads."""
+        """The last member of the chain, which serves reads."""
         return self.chain[-1]
 
 
@@ -49,7 +49,7 @@
 
 @message(13)
 class ViewResponse:
-    """The newest decided view that the answering process knows, None where it knows none."""
+    """The newest decided view that the responding process has, None if it has none."""
 
     view: View | None
 
@@ -58,19 +58,20 @@
 class AnnounceController:
     """Announcement of a controller that is not a voter; the response is a `ViewResponse`.
 
-    It goes to the seeds while the cluster starts for the first time (`bootstrap`), later to the voters.
+    During the first start of the cluster (`bootstrap`) the controller sends it to the seeds, later to the
+    voters.
     """
 
     voter: Voter
     bootstrap: bool = False
-    cluster: str = ""  # empty while the sender has not learnt it
+    cluster: str = ""  # empty until the sender has received a view
 
 
 @message(100)
 class OfferView:
-    """A decided view, offered to a seed by a process that holds it.
+    """Offer of a decided view to a seed, by a process that has the view.
 
-    The response is a `ViewResponse` with the newest view that the seed knows after it.
+    The response is a `ViewResponse` with the newest view that the seed has after processing the offer.
     """
 
     view: View
--- a/hollowusher/protocol/worker_list.py
+++ b/hollowusher/protocol/worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers as the platform gives it, read by the head and distributed to every process."""
+"""The worker list of the platform, which the head reads and distributes to every process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @message(34)
 class PlatformWorker:
-    """One worker of the platform's list."""
+    """One worker in the list of the platform."""
 
     id: str
     service: str
@@ -15,12 +15,12 @@
     zone: str
     capacity: int
     state: str  # "ready" | "draining"
-    warm_in_ms: int = 0  # how much longer it stays slow
+    warm_in_ms: int = 0  # remaining warm-up time, during which the worker is slow
     generation: str = ""
 
 
 @message(35)
 class PlatformWorkerList:
-    """The complete list as the head read it."""
+    """The complete worker list of the platform at the time of a read by the head."""
 
     workers: list[PlatformWorker]
--- a/tests/protocol/test_calls_rules.py
+++ b/tests/protocol/test_calls_rules.py
@@ -1,4 +1,4 @@
-"""Every type of message is marked: whom it is for, and whether it may be sent again."""
+"""Every message type has a call rule: its intended receiver, and whether a sender may retry it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from hollowusher.protocol.view import AnnounceController, OfferView, ReadView, View, ViewResponse, Voter
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
-ANSWERS = {
+RESPONSES = {
     MemberRegistered,
     Acknowledgement,
     ViewResponse,
@@ -52,7 +52,7 @@
     ReplicateResponse,
     ReplicaDifference,
 }
-PARTS = {  # only sent inside others
+NESTED_TYPES = {  # message types that are only sent inside other messages
     identity.Identity,
     Hello,
     Member,
@@ -74,26 +74,26 @@
 
 
 def production_types() -> list[type]:
-    """The registered types of the program; tests may have registered others."""
+    """Return the message types of the program; tests may have registered further types."""
     return [kind for kind in codec.registered_types().values() if kind.__module__.startswith("hollowusher.")]
 
 
 @pytest.mark.parametrize("kind", production_types(), ids=lambda kind: str(kind.__name__))
-def test_every_message_has_a_rule_or_is_an_answer_or_a_part(kind: type) -> None:
-    assert (kind in CALL_RULES) + (kind in ANSWERS) + (kind in PARTS) == 1
+def test_every_message_has_a_rule_or_is_a_response_or_nested(kind: type) -> None:
+    assert (kind in CALL_RULES) + (kind in RESPONSES) + (kind in NESTED_TYPES) == 1
 
 
-def test_only_an_operators_orders_are_never_repeated_by_the_program() -> None:
+def test_only_operator_orders_are_never_retried() -> None:
     never = {kind for kind, rule in CALL_RULES.items() if not rule.is_idempotent}
     assert never == ORDERS
 
 
-def test_only_those_that_look_for_the_system_mean_whoever_is_there() -> None:
+def test_only_discovery_messages_address_any_process() -> None:
     anybody = {kind for kind, rule in CALL_RULES.items() if rule.addressee is Addressee.ANYBODY}
     assert anybody == {ReadView, AnnounceController, OfferView}
 
 
-def test_a_message_without_a_rule_is_held_to_the_strictest() -> None:
+def test_a_message_without_a_rule_gets_the_strictest_rule() -> None:
     assert call_rule_of([1, 2]) is DEFAULT_RULE
     assert not DEFAULT_RULE.is_idempotent and DEFAULT_RULE.addressee is Addressee.MEMBER
 
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize(
     "kind", [kind for kind, rule in CALL_RULES.items() if rule.idempotence is Idempotence.BY_ID]
 )
-def test_a_message_that_is_harmless_by_an_id_carries_one(kind: type) -> None:
+def test_a_message_that_is_idempotent_by_id_carries_an_id(kind: type) -> None:
     fields = {field.name for field in kind.__attrs_attrs__}  # type: ignore[attr-defined]
     assert fields & {"lease", "message"}
 
@@ -109,6 +109,6 @@
 @pytest.mark.parametrize(
     "kind", [kind for kind, rule in CALL_RULES.items() if rule.idempotence is Idempotence.BY_VERSION]
 )
-def test_a_message_that_is_harmless_by_a_version_carries_one(kind: type) -> None:
+def test_a_message_that_is_idempotent_by_version_carries_a_version(kind: type) -> None:
     fields = {field.name for field in kind.__attrs_attrs__}  # type: ignore[attr-defined]
     assert fields & {"epoch", "view", "member", "incarnation", "items", "batches", "ballot"}
--- a/tests/protocol/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -1,4 +1,4 @@
-"""The encoding of messages between processes."""
+"""Encoding and decoding of messages between processes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from hollowusher.protocol.replication import ReplicateResponse
 from hollowusher.protocol.view import View, Voter
 
-TAGS: dict[ModuleType, set[int]] = {  # the tag numbers of the messages that each module defines
+TAGS: dict[ModuleType, set[int]] = {  # the tags of the messages that each module defines
     acknowledgement: {7},
     consensus: {14, 15, 16, 17, 18, 39, 40, 41, 42},
     control_chain: {22, 23, 24, 29, 30, 108, 109},
@@ -56,7 +56,7 @@
 
 
 def messages_of(module: ModuleType) -> list[type]:
-    """The message types that a module defines."""
+    """Return the message types that a module defines."""
     return [
         each
         for _, each in inspect.getmembers(module, inspect.isclass)
@@ -82,7 +82,7 @@
 
 
 def sample(annotation: str) -> Any:
-    """A value of a field's annotation."""
+    """Return a sample value for the annotation of a field."""
     choice = annotation.removesuffix(" | None")
     outer, _, inner = choice.partition("[")
     inner = inner.removesuffix("]")
@@ -94,23 +94,23 @@
     if outer in VALUES:
         return VALUES[outer]
     nested = next(each for each in ALL if each.__name__ == outer)
-    return built(nested)
+    return make_message(nested)
 
 
-def built(kind: type) -> Any:
-    """A message of this type with all fields set."""
+def make_message(kind: type) -> Any:
+    """Return a message of the given type with all fields set."""
     return kind(*(sample(str(field.type)) for field in attrs.fields(kind)))
 
 
 @pytest.mark.parametrize("kind", ALL, ids=lambda kind: str(kind.__name__))
-def test_every_message_comes_back_as_it_was(kind: type) -> None:
-    made = built(kind)
+def test_every_message_is_decoded_as_it_was_encoded(kind: type) -> None:
+    made = make_message(kind)
     assert decode(encode(made)) == made
     assert decode(encode([1, 0, made])) == [1, 0, made]
 
 
 @pytest.mark.parametrize("kind", ALL, ids=lambda kind: str(kind.__name__))
-def test_an_older_process_may_leave_out_fields_with_defaults(kind: type) -> None:
+def test_an_older_process_may_omit_fields_with_defaults(kind: type) -> None:
     fields = attrs.fields(kind)
     needed = [field for field in fields if field.default is attrs.NOTHING]
     assert list(fields[: len(needed)]) == needed, "fields with defaults come last"
@@ -121,13 +121,13 @@
     assert decode(ormsgpack.packb(short)) == made
 
 
-def test_each_module_defines_exactly_the_messages_of_its_numbers() -> None:
+def test_each_module_defines_exactly_the_messages_of_its_tags() -> None:
     for module, tags in TAGS.items():
         assert {codec._tags[kind] for kind in messages_of(module)} == tags, module.__name__
     assert sum(len(tags) for tags in TAGS.values()) == len({tag for tags in TAGS.values() for tag in tags})
 
 
-def test_a_number_is_given_once() -> None:
+def test_a_tag_is_registered_only_once() -> None:
     class Another:
         value: int
 
@@ -136,7 +136,7 @@
             message(number)(Another)
 
 
-def test_messages_do_not_change() -> None:
+def test_messages_are_immutable() -> None:
     done = MemberRegistered(3)
     with pytest.raises(attrs.exceptions.FrozenInstanceError):
         done.epoch = 4  # type: ignore[misc]
@@ -144,12 +144,12 @@
     assert done == MemberRegistered(3)
 
 
-def test_only_registered_types_are_sent() -> None:
+def test_only_registered_types_are_encoded() -> None:
     with pytest.raises(TypeError):
         encode(object())
 
 
-def test_keys_of_maps_may_be_numbers() -> None:
+def test_dictionary_keys_may_be_numbers() -> None:
     assert decode(encode(ReplicateResponse({3: 9}))) == ReplicateResponse({3: 9})
 
 
@@ -167,13 +167,13 @@
     ],
     ids=["empty", "unused byte", "cut", "unknown", "too few", "too many", "broken", "no list"],
 )
-def test_what_is_no_message_is_refused(data: bytes) -> None:
+def test_invalid_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(DecodeError):
         decode(data)
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_rejected(data: bytes) -> None:
     try:
         decode(data)
     except DecodeError:
@@ -181,8 +181,8 @@
 
 
 @given(st.sampled_from(ALL), st.integers(0, 400), st.integers(0, 255))
-def test_a_damaged_message_is_read_or_refused(kind: type, place: int, byte: int) -> None:
-    data = bytearray(encode([1, 1, built(kind)]))
+def test_a_damaged_message_is_decoded_or_rejected(kind: type, place: int, byte: int) -> None:
+    data = bytearray(encode([1, 1, make_message(kind)]))
     data[place % len(data)] = byte
     try:
         decode(bytes(data))
--- a/tests/protocol/test_handlers.py
+++ b/tests/protocol/test_handlers.py
@@ -1,4 +1,4 @@
-"""Dispatch of messages by their type."""
+"""Dispatch of messages to handlers by message type."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert asyncio.run(make_table().handle(ReadView())) == "view for ReadView"
 
 
-def test_unregistered_type_has_no_answer() -> None:
+def test_unregistered_type_has_no_response() -> None:
     table = make_table()
     assert not table.handles("no message")
     assert asyncio.run(table.handle("no message")) is None
@@ -37,7 +37,7 @@
     assert Ping not in table.types
 
 
-def test_second_handler_of_a_type_is_refused() -> None:
+def test_second_handler_of_a_type_is_rejected() -> None:
     async def other(message: ReadView) -> None:
         pass
 
