--- a/hollowusher/simulation/connection.py
+++ b/hollowusher/simulation/connection.py
@@ -129,7 +129,7 @@
     def send_request(self, number: int, kind: int, message: object) -> None:
         """Send from the client's end, with the greeting that is in force on the connection."""
         peers = self.client.peers
-        hello = Hello(peers.own, peers.meant(self.server.address, message))
+        hello = Hello(peers.own, peers.intended_peer(self.server.address, message))
         self._outbound.send(encode([number, kind, message, hello]))
 
     def _to_server(self, frame: bytes) -> None:
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -59,7 +59,7 @@
         known = self._members.get(address) or self._voters.get(address)
         return "" if known is None else known.name
 
-    def meant(self, address: str, message: Any) -> Identity:
+    def intended_peer(self, address: str, message: Any) -> Identity:
         """Return the identity of the process that a message to this address is intended for."""
         member = self._members.get(address)
         voter = self._voters.get(address)
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -171,7 +171,7 @@
     def send_message(self, number: int, kind: int, message: Any) -> None:
         """Send a message, preceded by a `Hello` if the intended peer has changed since the last one."""
         directory = self._directory
-        meant = directory.meant(self.peer, message)
+        meant = directory.intended_peer(self.peer, message)
         greeted = self._greeted
         if greeted is None or greeted[1] is not meant or greeted[0] is not directory.own:
             self._greeted = (directory.own, meant)
--- a/tests/coordination/consensus/test_calls_reused_voter.py
+++ b/tests/coordination/consensus/test_calls_reused_voter.py
@@ -29,16 +29,16 @@
 def test_a_ping_to_a_reused_address_names_the_current_process() -> None:
     peers = caller()
     peers.learn_member(controller("edge-7", 5))
-    assert peers.meant(ADDRESS, Ping("edge-2", 4)).name == "edge-7"
+    assert peers.intended_peer(ADDRESS, Ping("edge-2", 4)).name == "edge-7"
 
 
 def test_a_ping_names_the_voter_if_the_other_process_is_dead() -> None:
     peers = caller()
     peers.learn_member(controller("edge-7", 5, status=1))
-    assert peers.meant(ADDRESS, Ping("edge-2", 4)).name == "edge-1"
+    assert peers.intended_peer(ADDRESS, Ping("edge-2", 4)).name == "edge-1"
 
 
 def test_a_ping_to_a_wiped_voter_names_the_disk_with_the_vote() -> None:
     peers = caller()
     peers.learn_member(controller("edge-1", 5))
-    assert peers.meant(ADDRESS, Ping("edge-2", 4)).disk_id == "d1"
+    assert peers.intended_peer(ADDRESS, Ping("edge-2", 4)).disk_id == "d1"
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -172,7 +172,7 @@
         view = self.view_of()
         if view is not None:
             self.peers.learn_view(view)
-        return Hello(self.peers.own, self.peers.meant(address, message))
+        return Hello(self.peers.own, self.peers.intended_peer(address, message))
 
     def refuses(self, hello: Hello, message: Any) -> bool:
         """Whether a message that has arrived is meant for another process."""
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -92,8 +92,8 @@
     address = "10.0.0.1:7780"
     directory.learn_member(Member("a", "edge", address, "z", "r", 8, "new-disk"))
     directory.learn_view(View(3, [Voter("a", "old-disk", address)], ["a"], cluster="c1"))
-    assert directory.meant(address, ConfirmEpoch(3)).disk_id == "old-disk"
-    assert directory.meant(address, PUT) == Identity("c1", "a", 8, "new-disk")
+    assert directory.intended_peer(address, ConfirmEpoch(3)).disk_id == "old-disk"
+    assert directory.intended_peer(address, PUT) == Identity("c1", "a", 8, "new-disk")
 
 
 def test_the_directory_follows_the_distributed_values() -> None:
@@ -109,7 +109,7 @@
         {},
     )
     assert directory.own == Identity("c1", "edge-1", 4, "d9")
-    assert directory.meant(member.address, PUT) == Identity("c1", "store-1", 5, "d")
+    assert directory.intended_peer(member.address, PUT) == Identity("c1", "store-1", 5, "d")
     assert directory.name_of("10.0.0.3:7780") == "a"
 
 
