--- a/hollowusher/simulation/connection.py
+++ b/hollowusher/simulation/connection.py
@@ -137,7 +137,7 @@
             self.reset()
             return
         number, kind, message, hello = decode(frame)
-        reason = self.server.peers.refusal(hello, message)
+        reason = self.server.peers.rejection_reason(hello, message)
         if reason:
             self.server.peers.refuse(hello, reason)
             self._inbound.send(encode([number, REFUSED, self.server.peers.own]))
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -108,7 +108,7 @@
             }
         self._update_voters()
 
-    def refusal(self, hello: Hello, message: Any) -> str:
+    def rejection_reason(self, hello: Hello, message: Any) -> str:
         """Return the reason to reject a message that was received after `hello`, empty to accept it."""
         own, meant = self.own, hello.meant
         if _differ(own.cluster, meant.cluster):
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -129,7 +129,7 @@
         hello, peers = self._hello, self._owner.peers
         if hello is None or self._exact_identity is peers.own:
             return False
-        reason = peers.refusal(hello, message)
+        reason = peers.rejection_reason(hello, message)
         if not reason:
             return False
         peers.refuse(hello, reason)
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -176,7 +176,7 @@
 
     def refuses(self, hello: Hello, message: Any) -> bool:
         """Whether a message that has arrived is meant for another process."""
-        reason = self.peers.refusal(hello, message)
+        reason = self.peers.rejection_reason(hello, message)
         if reason:
             self.peers.refuse(hello, reason)
         return bool(reason)
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -62,7 +62,7 @@
 def test_a_message_for_another_cluster_process_or_disk_is_refused(
     meant: dict[str, Any], received: Any, reason: str
 ) -> None:
-    assert directory_of(OWN).refusal(hello_to(**meant), received) == reason
+    assert directory_of(OWN).rejection_reason(hello_to(**meant), received) == reason
 
 
 def test_a_refused_pair_is_reported_once_and_counted_each_time() -> None:
