--- a/hollowusher/simulation/connection.py
+++ b/hollowusher/simulation/connection.py
@@ -139,7 +139,7 @@
         number, kind, message, hello = decode(frame)
         reason = self.server.peers.rejection_reason(hello, message)
         if reason:
-            self.server.peers.refuse(hello, reason)
+            self.server.peers.record_rejection(hello, reason)
             self._inbound.send(encode([number, REFUSED, self.server.peers.own]))
             return
         if self.network.observer is not None:
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -122,7 +122,7 @@
             return "another disk"
         return ""
 
-    def refuse(self, hello: Hello, reason: str) -> None:
+    def record_rejection(self, hello: Hello, reason: str) -> None:
         """Count a rejected message; report each pair of caller and intended process once."""
         self.figures.refused += 1
         pair = (hello.caller.name, hello.meant.name)
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -132,7 +132,7 @@
         reason = peers.rejection_reason(hello, message)
         if not reason:
             return False
-        peers.refuse(hello, reason)
+        peers.record_rejection(hello, reason)
         self.write_frame(number, REFUSED, peers.own)
         return True
 
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -178,7 +178,7 @@
         """Whether a message that has arrived is meant for another process."""
         reason = self.peers.rejection_reason(hello, message)
         if reason:
-            self.peers.refuse(hello, reason)
+            self.peers.record_rejection(hello, reason)
         return bool(reason)
 
     def take(self, data: bytes) -> asyncio.Task[Any]:
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -70,7 +70,7 @@
     reported: list[tuple[str, str, str]] = []
     directory.on_refused = lambda caller, meant, reason: reported.append((caller.name, meant.name, reason))
     for _ in range(3):
-        directory.refuse(hello_to(name="store-1"), "another process")
+        directory.record_rejection(hello_to(name="store-1"), "another process")
     assert reported == [("edge-1", "store-1", "another process")]
     assert directory.figures.refused == 3
 
