--- a/hollowusher/storage/memory.py
+++ b/hollowusher/storage/memory.py
@@ -10,7 +10,7 @@
 from hollowusher.storage.interface import MoveRecord, Position, StorageError
 
 FRAME_BYTES = 12  # overhead of each record, as on disk
-MAX_LIVE_FRACTION = 0.75  # limit of live bytes in the ring, as on disk
+MAX_LIVE_FRACTION = 0.75  # live fraction of the ring, as on disk
 SPARE_SEGMENTS = 3  # with fewer free segments, live records of the oldest segment are moved
 
 
--- a/hollowusher/storage/ring_log.py
+++ b/hollowusher/storage/ring_log.py
@@ -54,7 +54,7 @@
 __all__ = ["MOVED_PER_BATCH", "RingLog", "RingSize", "ring_size"]
 
 MIN_FREE_SEGMENTS = 3  # with fewer free segments, live records of the oldest segment are moved
-MAX_LIVE_FRACTION = 0.75  # limit of live bytes in the ring, which bounds the cost of moving records
+MAX_LIVE_FRACTION = 0.75  # live fraction of the ring; the limit bounds the cost of moving records
 MOVED_BYTES_PER_APPENDED_BYTE = 4  # while too few segments are free
 MIN_MOVED_BYTES = 4 * 1024
 MOVED_PER_BATCH = 256 * 1024
@@ -104,13 +104,13 @@
         self._segments: dict[int, Segment] = {}  # by sequence, oldest first
         self._active: Segment | None = None
         self._last_sequence = 0
-        self._last_end = UNKNOWN_END
+        self._last_end = UNKNOWN_END  # end offset of the segment before the active one
         # Records that are not durable yet
         self._buffered: dict[Position, bytes] = {}
         self._writing: dict[Position, bytes] = {}  # the batch under way, or a failed batch
         self._unsynced_bytes = 0
-        self._appended = 0
-        self._synced = 0
+        self._appended = 0  # count of appended records
+        self._synced = 0  # count of durable records
         self._waiters = SyncWaiters()
         self._batch_running = False
         self._batch_started = 0.0
@@ -180,7 +180,10 @@
             self._write_again(file, data[: HEADER_BYTES + scan.position - part.base])
 
     def _write_again(self, file: SegmentFile, data: bytes) -> None:
-        """Write and sync the bytes that were read; a write that fails on a full disk is ignored."""
+        """Write and sync the bytes that a replay has read, which may exist only in the page cache.
+
+        A write that fails on a full disk is ignored.
+        """
         try:
             self._io.write(file.descriptor, data, 0)
         except OSError as error:
@@ -193,7 +196,7 @@
         length = len(record)
         size = FRAME_BYTES + length
         if not self._moving:
-            self._check_room(size)
+            self._check_space(size)
         segment = self._active
         if segment is None or segment.end + size > segment.capacity:
             segment = self._roll(size)
@@ -211,7 +214,7 @@
                 self._clean(MOVED_BYTES_PER_APPENDED_BYTE * size + MIN_MOVED_BYTES)
         return position
 
-    def _check_room(self, size: int) -> None:
+    def _check_space(self, size: int) -> None:
         if self._closed:
             raise self._error("append", "the log is closed")
         if size > self.free_bytes():
@@ -388,11 +391,11 @@
         if record is None:
             record = self._read_durable(position)
         if record is None:
-            raise self._error("read", f"the record at {position} has a wrong checksum")
+            raise self._error("read", f"the record at {position} has a wrong length or checksum")
         return record
 
     def _read_durable(self, position: Position) -> bytes | None:
-        """Return a record from its file, None if its checksum is wrong."""
+        """Return a record from its file, None if its length or checksum is wrong."""
         segment = self._segments.get(position.segment)
         if segment is None or position.offset >= segment.synced:
             raise self._error("read", f"no record at {position}")
--- a/hollowusher/storage/segment_files.py
+++ b/hollowusher/storage/segment_files.py
@@ -43,7 +43,7 @@
         self._worker = worker
         self._all: list[SegmentFile] = []
         self._free: deque[SegmentFile] = deque()  # oldest contents first
-        # Files of retired segments, with the count of durable records from which on they are free.
+        # Files of retired segments, with the count of durable records after which they are free.
         self._retired: deque[tuple[int, list[SegmentFile]]] = deque()
         self._preparing: SegmentFile | None = None  # the disk thread prepares it; not in `_free`
         self._prepare_running = False
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -18,10 +18,10 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.protocol.view import View
 
-UNKNOWN = Identity("", "", 0)
+UNKNOWN = Identity("", "", 0)  # the identity of a process before `identify`
 VOTER_ADDRESSEES = (Addressee.VOTER, Addressee.VOTER_DISK)
 DISK_ADDRESSEES = (Addressee.VOTER_DISK, Addressee.STORE)
-MAX_REPORTED_PAIRS = 100  # limit of distinct pairs of caller and intended process that are reported
+MAX_REPORTED_PAIRS = 100  # at most so many pairs of caller and intended process are reported
 
 
 @attrs.define
@@ -39,9 +39,8 @@
     def __init__(self) -> None:
         self.own = UNKNOWN
         self.figures = CallFigures()
-        self.on_refused: Callable[[Identity, Identity, str], None] | None = (
-            None  # called with caller, intended process, reason
-        )
+        # Called with the caller, the intended process and the reason of a rejected message.
+        self.on_refused: Callable[[Identity, Identity, str], None] | None = None
         self._members: dict[str, Identity] = {}  # address -> identity of the member there
         self._registered: dict[str, Member] = {}  # address -> registration of the member there
         self._addresses: dict[str, str] = {}  # name of a member -> its address
@@ -88,9 +87,9 @@
         known = self._registered.get(member.address)
         if known is not None and known.name != member.name and _takes_precedence(known, member):
             return
-        before = self._addresses.pop(member.name, "")
-        if before in self._registered and self._registered[before].name == member.name:
-            del self._registered[before], self._members[before]
+        previous_address = self._addresses.pop(member.name, "")
+        if previous_address in self._registered and self._registered[previous_address].name == member.name:
+            del self._registered[previous_address], self._members[previous_address]
         self._addresses[member.name] = member.address
         self._registered[member.address] = member
         identity = Identity(self.own.cluster, member.name, member.incarnation, member.disk_id)
@@ -152,6 +151,7 @@
 
 
 def _differ(one: str, other: str) -> bool:
+    """Return whether two values differ and both are known, that is not empty."""
     return bool(one) and bool(other) and one != other
 
 
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -169,7 +169,7 @@
         return super().usable and not self.misdirected
 
     def send_message(self, number: int, kind: int, message: Any) -> None:
-        """Send a message, preceded by a `Hello` if the intended peer has changed since the last one."""
+        """Send a message, preceded by a `Hello` if an identity has changed since the last `Hello`."""
         directory = self._directory
         meant = directory.intended_peer(self.peer, message)
         greeted = self._greeted
--- a/tests/storage/test_ring_log.py
+++ b/tests/storage/test_ring_log.py
@@ -247,12 +247,12 @@
 
 
 async def run_random_operations(seed: int, steps: int, check_each_change: bool) -> RandomRun:
-    use = RandomRun(seed, check_each_change)
+    random_run = RandomRun(seed, check_each_change)
     for _ in range(steps):
-        await use.step()
-    await use.crash()
-    use.model.check_reads()
-    return use
+        await random_run.step()
+    await random_run.crash()
+    random_run.model.check_reads()
+    return random_run
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -267,10 +267,10 @@
 
 
 def test_random_operations_reach_crashes_moves_and_failures() -> None:
-    uses = [asyncio.run(run_random_operations(seed, steps=200, check_each_change=False)) for seed in range(8)]
-    assert sum(use.incarnations for use in uses) > 8
-    assert sum(use.moved for use in uses) > 50
-    assert sum(use.failed for use in uses) > 20
+    runs = [asyncio.run(run_random_operations(seed, steps=200, check_each_change=False)) for seed in range(8)]
+    assert sum(random_run.incarnations for random_run in runs) > 8
+    assert sum(random_run.moved for random_run in runs) > 50
+    assert sum(random_run.failed for random_run in runs) > 20
 
 
 def test_the_ring_wraps_with_long_lived_records_and_rejects_no_append() -> None:
@@ -370,12 +370,12 @@
         log = open_log(disk, worker=worker)
         worker.held = True
         log.append(b"one")
-        cancelled, waits = asyncio.ensure_future(log.sync()), asyncio.ensure_future(log.sync())
+        cancelled, waiting_sync = asyncio.ensure_future(log.sync()), asyncio.ensure_future(log.sync())
         await run_pending_callbacks()
         cancelled.cancel()
         worker.run_next()
         await run_pending_callbacks()
-        assert cancelled.cancelled() and waits.done()
+        assert cancelled.cancelled() and waiting_sync.done()
 
     run(scenario)
 
@@ -388,7 +388,7 @@
         assert not log.stalled(now + 100)
         worker.held = True
         log.append(b"one")
-        waits = asyncio.ensure_future(log.sync())
+        waiting_sync = asyncio.ensure_future(log.sync())
         await run_pending_callbacks()
         assert not log.stalled(now + 1)
         assert log.stalled(now + 100)
@@ -396,7 +396,7 @@
         assert log.read(log.append(b"three")) == b"three"
         worker.run_next()
         worker.held = False
-        await waits
+        await waiting_sync
         await log.sync()
         assert not log.stalled(now + 100)
         again = open_log(disk.power_loss(Random(1)))
@@ -428,7 +428,7 @@
     run(scenario)
 
 
-def test_syncs_that_keep_failing_are_reported_and_a_later_one_writes_all() -> None:
+def test_repeatedly_failing_syncs_are_reported_and_a_later_one_writes_all_records() -> None:
     async def scenario() -> None:
         disk = SimulatedDisk()
         log = open_log(disk)
@@ -553,7 +553,7 @@
     run(scenario)
 
 
-def test_a_file_that_could_not_be_prepared_is_still_erased_before_younger_ones() -> None:
+def test_a_file_whose_preparation_failed_is_erased_before_younger_files() -> None:
     async def scenario() -> None:
         disk, worker = SimulatedDisk(), InlineWorker()
         model = ReferenceModel(open_log(disk, worker=worker))
@@ -570,22 +570,22 @@
         prepared = 0
         for number in range(150):
             model.release(model.append(b"%090d" % number))
-            waits = asyncio.ensure_future(model.sync())
+            waiting_sync = asyncio.ensure_future(model.sync())
             await run_pending_callbacks()
             worker.run_next()
             await run_pending_callbacks()
-            assert waits.done()
+            assert waiting_sync.done()
             if worker.waiting:  # the disk thread prepares the next file
                 prepared += 1
                 disk.failing_syncs = 1
                 for more in range(4):
                     model.release(model.append(b"more %d %080d" % (more, number)))
-                waits = asyncio.ensure_future(model.sync())
+                waiting_sync = asyncio.ensure_future(model.sync())
                 await run_pending_callbacks()
                 while worker.waiting:
                     worker.run_next()
                     await run_pending_callbacks()
-                assert waits.done()
+                assert waiting_sync.done()
         assert prepared > 5
         assert lost == []
 
@@ -665,7 +665,7 @@
         assert positions[-1].segment > damaged.segment
         file = disk.files[FOLDER / "ring-0000.log"]
         file.current[HEADER_BYTES + damaged.offset + FRAME_BYTES] ^= 0xFF
-        with pytest.raises(StorageError, match="wrong checksum"):
+        with pytest.raises(StorageError, match="wrong length or checksum"):
             log.read(damaged)
         disk.kill()
         again = open_log(disk)
@@ -794,11 +794,11 @@
         log = open_log(disk, worker=worker)
         log.append(b"one")
         worker.held = True
-        waits = asyncio.ensure_future(log.sync())
+        waiting_sync = asyncio.ensure_future(log.sync())
         await run_pending_callbacks()
         log.close()
         with pytest.raises(StorageError, match="closed"):
-            await waits
+            await waiting_sync
         worker.run_next()
         await run_pending_callbacks()
         assert disk.open_files == {}
@@ -850,7 +850,7 @@
     run(scenario)
 
 
-def test_a_folder_that_cannot_be_used_is_a_storage_error(tmp_path: Path) -> None:
+def test_an_unusable_folder_raises_a_storage_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_bytes(b"")
     with pytest.raises(StorageError) as raised:
         RingLog(tmp_path / "file" / "log", 4096, 8)
@@ -916,11 +916,11 @@
         with pytest.raises(StorageError, match="no disk"):
             log.append(b"two")
         log.failing = ""
-        waits = asyncio.ensure_future(log.sync())
+        waiting_sync = asyncio.ensure_future(log.sync())
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert log.stalled(asyncio.get_running_loop().time() + 100)
-        await waits
+        await waiting_sync
         assert [record for _, record in log.crash(Random(1)).replay()] == [b"one"]
 
     run(scenario)
--- a/tests/storage/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -192,7 +192,7 @@
     run(scenario)
 
 
-def test_a_folder_that_cannot_be_used_is_a_storage_error(tmp_path: Path) -> None:
+def test_an_unusable_folder_raises_a_storage_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_bytes(b"")
     with pytest.raises(StorageError) as raised:
         SlotFile(tmp_path / "file" / "state").load()
@@ -259,7 +259,7 @@
     assert {disk_identity(FOLDER, rng, after) for after in killed} == {(identity, False)}
 
 
-def test_a_damaged_identity_is_an_error_and_not_a_new_disk() -> None:
+def test_a_damaged_identity_raises_an_error() -> None:
     disk = SimulatedDisk()
     disk_identity(FOLDER, Random(1), disk)
     disk.files[FOLDER / "disk-id"].current = bytearray(b"?")
--- a/tests/transport/test_calls_identity.py
+++ b/tests/transport/test_calls_identity.py
@@ -27,7 +27,7 @@
 from tests.support.calls import message, store_member
 from tests.support.standins import free_port
 
-WITHIN_S = 20.0  # only a hanging test reaches this timeout
+TEST_TIMEOUT_S = 20.0  # only a hanging test reaches this timeout
 OWN = Identity("c1", "store-2", 7, "d2")
 PUT = PutRequest(0, message("m1"))
 
@@ -59,13 +59,13 @@
         ({"cluster": "c2"}, ReadView(), "another cluster"),
     ],
 )
-def test_a_message_for_another_cluster_process_or_disk_is_refused(
+def test_a_message_for_another_cluster_process_or_disk_is_rejected(
     meant: dict[str, Any], received: Any, reason: str
 ) -> None:
     assert directory_of(OWN).rejection_reason(hello_to(**meant), received) == reason
 
 
-def test_a_refused_pair_is_reported_once_and_counted_each_time() -> None:
+def test_a_rejected_pair_is_reported_once_and_counted_each_time() -> None:
     directory = directory_of(OWN)
     reported: list[tuple[str, str, str]] = []
     directory.on_refused = lambda caller, meant, reason: reported.append((caller.name, meant.name, reason))
@@ -75,7 +75,7 @@
     assert directory.figures.refused == 3
 
 
-def test_the_later_living_registration_of_an_address_counts() -> None:
+def test_the_later_registration_of_a_living_member_takes_precedence() -> None:
     directory = directory_of(OWN)
     first = store_member("store-1", "10.0.0.1:7780", 5)
     directory.learn_member(first)
@@ -87,7 +87,7 @@
     assert directory.name_of("10.0.0.1:7780") == ""
 
 
-def test_a_vote_is_meant_for_the_voters_disk_and_a_put_for_the_members() -> None:
+def test_a_vote_is_intended_for_the_disk_of_the_voter_and_a_put_for_that_of_the_member() -> None:
     directory = directory_of(OWN)
     address = "10.0.0.1:7780"
     directory.learn_member(Member("a", "edge", address, "z", "r", 8, "new-disk"))
@@ -126,19 +126,19 @@
     def expect_server(self, name: str, incarnation: int) -> None:
         self.client.peers.learn_member(store_member(name, self.server.address, incarnation))
 
-    async def call(self, request: Any, timeout: float = WITHIN_S) -> Any:
+    async def call(self, request: Any, timeout: float = TEST_TIMEOUT_S) -> Any:
         return await self.client.call(self.server.address, request, timeout)
 
 
-def play(own: str, handler: Handler, scene: Callable[[Pair], Awaitable[None]]) -> None:
-    """Run a scene with two processes over sockets, then close both."""
+def run_scenario(own: str, handler: Handler, scenario: Callable[[Pair], Awaitable[None]]) -> None:
+    """Run a scenario with two processes over sockets, then close both."""
 
     async def run() -> None:
         pair = Pair(own)
         await pair.server.start(handler)
         try:
-            async with asyncio.timeout(WITHIN_S):
-                await scene(pair)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await scenario(pair)
         finally:
             await pair.client.close()
             await pair.server.close()
@@ -157,7 +157,7 @@
         taken.append(request)
         return request
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         with pytest.raises(WrongPeer) as caught:
             await pair.call(PUT)
         assert (caught.value.sent, caught.value.found.name, caught.value.step) == (
@@ -172,27 +172,27 @@
         pair.expect_server("store-9", 2)  # the directory now has the correct name
         assert await pair.call(PUT) == PUT
 
-    play("store-9", handler, scene)
+    run_scenario("store-9", handler, scenario)
 
 
-def test_a_one_way_message_for_another_process_is_dropped_and_ends_the_connection() -> None:
+def test_a_one_way_message_for_another_process_is_dropped_and_closes_the_connection() -> None:
     taken: list[Any] = []
 
     async def handler(request: Any) -> None:
         taken.append(request)
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         pair.client.send(pair.server.address, MessageStatusRequest("0-1-1"))
         while pair.client.peers.figures.misdirected == 0:
             await asyncio.sleep(0)
         assert not pair.client.connected(pair.server.address)
         assert taken == []
 
-    play("store-9", handler, scene)
+    run_scenario("store-9", handler, scenario)
 
 
 def test_a_name_learnt_later_is_sent_on_the_open_connection() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         assert await pair.call(PUT) == PUT
         (connection,) = pair.server.accepted
         pair.expect_server("store-1", 2)  # the same process with a later incarnation is accepted
@@ -202,7 +202,7 @@
         with pytest.raises(WrongPeer):
             await pair.call(PUT)
 
-    play("store-1", echo, scene)
+    run_scenario("store-1", echo, scenario)
 
 
 def test_calls_accepted_before_a_rejection_on_their_connection_are_answered() -> None:
@@ -211,7 +211,7 @@
             await release.wait()
         return Acknowledgement()
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         slow = asyncio.ensure_future(pair.call(RegisterMember(store_member("x", "10.0.0.5:7780", 1))))
         await asyncio.sleep(0.01)
         pair.expect_server("store-7", 3)
@@ -221,7 +221,7 @@
         assert await slow == Acknowledgement()
 
     release = asyncio.Event()
-    play("store-1", handler, scene)
+    run_scenario("store-1", handler, scenario)
 
 
 def frame(number: int, kind: int, content: Any) -> bytes:
@@ -232,7 +232,7 @@
 def test_responses_without_a_pending_call_are_dropped_and_counted() -> None:
     """The peer sends a response with an earlier call number, one of another type, and one twice."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(1 << 16)
             number = (MAX_TAG + 1) + tag_of(PUT)  # number of the first call, a `PutRequest`
@@ -245,15 +245,15 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()[:2]
         client = TcpTransport(f"127.0.0.1:{free_port()}")
-        assert await client.call(f"{host}:{port}", PUT, WITHIN_S) == "right"
+        assert await client.call(f"{host}:{port}", PUT, TEST_TIMEOUT_S) == "right"
         while client.peers.figures.answers_dropped < 3:
             await asyncio.sleep(0)
         await client.close()
         server.close()
 
     async def limited() -> None:
-        async with asyncio.timeout(WITHIN_S):
-            await scene()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await scenario()
 
     asyncio.run(limited())
 
@@ -264,7 +264,7 @@
             await release.wait()
         return request
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         late = asyncio.ensure_future(pair.call(MessageStatusRequest("0-1-1"), 0.05))
         await asyncio.sleep(0.01)
         assert await pair.call(PUT) == PUT  # a received byte keeps the connection open
@@ -276,13 +276,13 @@
             await asyncio.sleep(0)
 
     release = asyncio.Event()
-    play("store-1", handler, scene)
+    run_scenario("store-1", handler, scenario)
 
 
-def test_the_simulated_network_refuses_like_the_real_one() -> None:
+def test_the_simulated_network_rejects_like_the_real_one() -> None:
     loop = VirtualTimeLoop()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         network = SimulatedNetwork(loop, random.Random(3))
         for host in ("10.0.0.1", "10.0.0.2"):
             network.power_on(host)
@@ -305,4 +305,4 @@
         client.peers.learn_member(store_member("store-9", server.address, 2))
         assert await client.call(server.address, PUT, 1.0) == PUT
 
-    loop.run_until_complete(scene())
+    loop.run_until_complete(scenario())
--- a/tests/transport/test_calls_late.py
+++ b/tests/transport/test_calls_late.py
@@ -16,7 +16,7 @@
 from tests.support.standins import free_port
 
 TIMEOUT_S = 5.0
-FROZEN_S = 8.0
+SUSPENSION_S = 8.0
 
 
 class JumpingClockLoop(asyncio.SelectorEventLoop):
@@ -31,12 +31,12 @@
 def test_a_response_read_after_a_suspension_is_returned() -> None:
     loop = JumpingClockLoop()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         server = TcpTransport(f"127.0.0.1:{free_port()}")
         client = TcpTransport(f"127.0.0.1:{free_port()}")
 
         async def handler(request: Any) -> Any:
-            loop.jumped_s = FROZEN_S  # the response is sent in this loop turn, the timeout fires in the next
+            loop.jumped_s = SUSPENSION_S  # the response is sent in this turn, the timeout is due in the next
             return Acknowledgement()
 
         await server.start(handler)
@@ -45,7 +45,7 @@
         await server.close()
 
     try:
-        loop.run_until_complete(scene())
+        loop.run_until_complete(scenario())
     finally:
         loop.close()
 
@@ -53,7 +53,7 @@
 def test_a_response_to_a_suspended_process_is_returned_when_it_resumes() -> None:
     loop = VirtualTimeLoop()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         network = SimulatedNetwork(loop, random.Random(3))
         caller = SimulatedProcess("edge-1")
         client = network.transport(caller, "10.0.0.1:7780")
@@ -63,14 +63,14 @@
 
         async def handler(request: Any) -> Any:
             loop.freeze(caller)
-            loop.call_outside(FROZEN_S, loop.thaw, caller)
+            loop.call_outside(SUSPENSION_S, loop.thaw, caller)
             return Acknowledgement()
 
         await server.start(handler)
         assert await caller.run(client.call(server.address, ReadView(), TIMEOUT_S)) == Acknowledgement()
 
     try:
-        loop.play(scene())
+        loop.play(scenario())
     finally:
         loop.shut()
 
@@ -79,7 +79,7 @@
     """The calling process may end at the same time as the call fails."""
     loop = VirtualTimeLoop()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         future: asyncio.Future[Any] = loop.create_future()
         fail_call(future, PeerError("call", "10.0.0.2:7780", "connection reset"))
         fail_call(future, PeerError("call", "10.0.0.2:7780", "again"))
@@ -90,7 +90,7 @@
         gc.collect()
 
     try:
-        loop.play(scene())
+        loop.play(scenario())
         assert loop.failures == []
     finally:
         loop.shut()
--- a/tests/transport/test_fenced_transport.py
+++ b/tests/transport/test_fenced_transport.py
@@ -65,18 +65,18 @@
 
 
 @pytest.mark.parametrize(("message", "answer", "tokens"), REJECTIONS)
-def test_an_answer_that_names_a_higher_epoch_is_seen(message: Any, answer: Any, tokens: Any) -> None:
+def test_a_response_with_a_higher_epoch_is_recognized(message: Any, answer: Any, tokens: Any) -> None:
     assert rejecting_tokens(message, answer) == tokens
 
 
 @pytest.mark.parametrize(("message", "answer"), NO_REJECTIONS)
-def test_no_other_answer_fences(message: Any, answer: Any) -> None:
+def test_other_responses_do_not_fence(message: Any, answer: Any) -> None:
     assert rejecting_tokens(message, answer) == []
 
 
 @pytest.mark.parametrize(("message", "answer", "tokens"), REJECTIONS)
-def test_nothing_is_sent_after_a_rejection(message: Any, answer: Any, tokens: Any) -> None:
-    async def play() -> None:
+def test_no_request_is_sent_after_a_rejection(message: Any, answer: Any, tokens: Any) -> None:
+    async def run_scenario() -> None:
         fenced: list[tuple[FencingToken, str]] = []
         peer = Peer(answer)
         transport = FencedTransport(peer, lambda token, address: fenced.append((token, address)))  # type: ignore[arg-type]
@@ -89,11 +89,11 @@
             assert not caught.value.sent
         assert len(peer.sent) == 1
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_the_epoch_that_fenced_may_be_used_and_other_matters_go_on() -> None:
-    async def play() -> None:
+def test_requests_with_the_fencing_epoch_or_on_other_matters_are_sent() -> None:
+    async def run_scenario() -> None:
         done = ChainWritten(True, 6)
         peer = Peer(ChainWritten(False, 6), done, ReplicateResponse({}))
         transport = FencedTransport(peer, lambda token, address: None)  # type: ignore[arg-type]
@@ -102,7 +102,7 @@
         await transport.call("10.0.0.2:1", REPLICATE, 1.0)
         assert len(peer.sent) == 3
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_a_late_rejection_with_an_older_epoch_does_not_lower_the_fence() -> None:
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -18,8 +18,8 @@
 from hollowusher.transport.tcp import ANSWER, LENGTH, ONE_WAY, REQUEST, TcpTransport, split_address
 from tests.support.standins import free_port
 
-WITHIN_S = 20.0  # only a hanging test reaches this timeout
-SHORT_S = 0.05
+TEST_TIMEOUT_S = 20.0  # only a hanging test reaches this timeout
+SHORT_TIMEOUT_S = 0.05
 
 
 class Pair:
@@ -33,7 +33,7 @@
             (type(message).__name__, str(error))
         )
 
-    async def call(self, message: Any, timeout: float = WITHIN_S) -> Any:
+    async def call(self, message: Any, timeout: float = TEST_TIMEOUT_S) -> Any:
         return await self.client.call(self.server.address, message, timeout)
 
     async def open_raw_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -41,15 +41,15 @@
         return await asyncio.open_connection(*split_address(self.server.address))
 
 
-def play(handler: Handler, scene: Callable[[Pair], Awaitable[None]]) -> None:
-    """Run a scene with two processes, then close both."""
+def run_scenario(handler: Handler, scenario: Callable[[Pair], Awaitable[None]]) -> None:
+    """Run a scenario with two processes, then close both."""
 
     async def run() -> None:
         pair = Pair()
         await pair.server.start(handler)
         try:
-            async with asyncio.timeout(WITHIN_S):
-                await scene(pair)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await scenario(pair)
         finally:
             await pair.client.close()
             await pair.server.close()
@@ -81,17 +81,17 @@
 
 
 def test_calls_share_a_connection_and_get_their_own_answers() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         answers = await asyncio.gather(*(pair.call(MemberRegistered(number)) for number in range(50)))
         assert answers == [MemberRegistered(number) for number in range(50)]
         assert len(pair.server.accepted) == 1
         assert pair.client.connected(pair.server.address)
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
-def test_an_answer_does_not_wait_for_an_earlier_call() -> None:
-    async def scene(pair: Pair) -> None:
+def test_a_response_does_not_wait_for_an_earlier_call() -> None:
+    async def scenario(pair: Pair) -> None:
         slow = asyncio.ensure_future(pair.call(MemberRegistered(1)))
         assert await pair.call(MemberRegistered(2)) == MemberRegistered(2)
         assert not slow.done()
@@ -104,33 +104,33 @@
         return message
 
     release = asyncio.Event()
-    play(handler, scene)
+    run_scenario(handler, scenario)
 
 
 def test_large_messages_arrive_complete() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         body = bytes(3 * 1024 * 1024)
         assert await pair.call([MemberRegistered(1), body]) == [MemberRegistered(1), body]
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
 def test_a_handler_that_fails_is_reported_to_both_sides() -> None:
     async def handler(message: Any) -> Any:
         raise RuntimeError("out of order")
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         error = await error_of(pair.call(ReadView()))
         assert (error.step, error.peer, error.sent) == ("ReadView", pair.server.address, True)
         assert "RuntimeError: out of order" in error.reason
         assert pair.failures == [("ReadView", "out of order")]
         assert pair.server.failed_handlers == 1
 
-    play(handler, scene)
+    run_scenario(handler, scenario)
 
 
 def test_one_way_messages_arrive_without_a_response() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         pair.client.send(pair.server.address, MemberRegistered(1))
         assert await received.get() == MemberRegistered(1)
         pair.client.send(pair.server.address, MemberRegistered(2))
@@ -141,16 +141,16 @@
         received.put_nowait(message)
 
     received: asyncio.Queue[Any] = asyncio.Queue()
-    play(handler, scene)
+    run_scenario(handler, scenario)
 
 
 def test_a_refused_connection_marks_the_call_as_not_sent() -> None:
-    async def scene(pair: Pair) -> None:
-        error = await error_of(pair.client.call(f"127.0.0.1:{free_port()}", ReadView(), WITHIN_S))
+    async def scenario(pair: Pair) -> None:
+        error = await error_of(pair.client.call(f"127.0.0.1:{free_port()}", ReadView(), TEST_TIMEOUT_S))
         assert not error.sent
         assert error.reason.startswith("no connection")
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
 async def silent_to_read_view(message: Any) -> Any:
@@ -159,41 +159,41 @@
     return message
 
 
-def test_a_silent_peers_connection_is_given_up() -> None:
-    async def scene(pair: Pair) -> None:
-        error = await error_of(pair.call(ReadView(), SHORT_S))
+def test_the_connection_of_a_silent_peer_is_closed() -> None:
+    async def scenario(pair: Pair) -> None:
+        error = await error_of(pair.call(ReadView(), SHORT_TIMEOUT_S))
         assert error.sent
         assert error.reason == "no answer in 0.05 s"
         while pair.client.connected(pair.server.address):
             await asyncio.sleep(0)
         assert await pair.call(Acknowledgement()) == Acknowledgement()
 
-    play(silent_to_read_view, scene)
+    run_scenario(silent_to_read_view, scenario)
 
 
-def test_a_call_right_after_one_that_was_given_up_opens_another_connection() -> None:
-    async def scene(pair: Pair) -> None:
-        await error_of(pair.call(ReadView(), SHORT_S))
+def test_a_call_right_after_a_timeout_opens_another_connection() -> None:
+    async def scenario(pair: Pair) -> None:
+        await error_of(pair.call(ReadView(), SHORT_TIMEOUT_S))
         assert await pair.call(Acknowledgement()) == Acknowledgement()
 
-    play(silent_to_read_view, scene)
+    run_scenario(silent_to_read_view, scenario)
 
 
 def test_a_connection_that_receives_other_responses_stays_open() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.call(Acknowledgement())
         (connection,) = pair.server.accepted
-        late = asyncio.ensure_future(pair.call(ReadView(), 2 * SHORT_S))
+        late = asyncio.ensure_future(pair.call(ReadView(), 2 * SHORT_TIMEOUT_S))
         await asyncio.sleep(0)
         assert await pair.call(Acknowledgement()) == Acknowledgement()
         await error_of(late)
         assert pair.server.accepted == {connection}
 
-    play(silent_to_read_view, scene)
+    run_scenario(silent_to_read_view, scenario)
 
 
 def test_a_closed_connection_fails_its_pending_calls_at_once() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         waiting = [asyncio.ensure_future(pair.call(message)) for message in (ReadView(), ReadControlState())]
         await reached.wait()
         await pair.server.close()
@@ -207,7 +207,7 @@
         await asyncio.Event().wait()
 
     reached = asyncio.Event()
-    play(handler, scene)
+    run_scenario(handler, scenario)
 
 
 @pytest.mark.parametrize(
@@ -223,7 +223,7 @@
     ids=["too long", "unreadable", "empty", "a number", "too few", "HTTP"],
 )
 def test_a_malformed_frame_closes_only_its_own_connection(data: bytes) -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         assert await pair.call(MemberRegistered(1)) == MemberRegistered(1)
         reader, writer = await pair.open_raw_connection()
         writer.write(data)
@@ -232,11 +232,11 @@
         assert await pair.call(MemberRegistered(2)) == MemberRegistered(2)
         assert len(pair.server.accepted) == 1
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
 def test_frames_are_decoded_byte_by_byte_and_several_at_once() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         reader, writer = await pair.open_raw_connection()
         first, others = frame(1, REQUEST, MemberRegistered(1)), frame(2, REQUEST, MemberRegistered(2)) * 2
         for place in range(len(first)):
@@ -247,11 +247,11 @@
         assert await reader.readexactly(len(wanted)) == wanted
         writer.close()
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
 def test_a_response_without_a_pending_call_is_ignored() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         reader, writer = await pair.open_raw_connection()
         writer.write(
             frame(1, ANSWER, Acknowledgement())
@@ -262,14 +262,14 @@
         assert await reader.readexactly(len(wanted)) == wanted
         writer.close()
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
 def test_a_call_is_rejected_above_the_limit_of_unsent_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.call(Acknowledgement())
         monkeypatch.setattr(tcp, "MAX_UNSENT_BYTES", -1)
         error = await error_of(pair.call(Acknowledgement()))
         assert (error.reason, error.sent) == ("too many unsent bytes", False)
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
