--- a/hollowusher/protocol/call_rules.py
+++ b/hollowusher/protocol/call_rules.py
@@ -46,7 +46,7 @@
 
 
 class Idempotence(enum.Enum):
-    """The reason why a second arrival of a message is harmless, or that it is not."""
+    """Classification of messages by the effect of a second arrival at the receiver."""
 
     READ = "the message changes nothing"
     BY_ID = "the message carries an id, and the second arrival returns the result of the first"
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class CallRule:
-    """The intended receiver of the messages of one type, and the reason why they may be retried."""
+    """The intended receiver of the messages of one type, and whether and why they may be retried."""
 
     addressee: Addressee
     idempotence: Idempotence
--- a/hollowusher/protocol/leases.py
+++ b/hollowusher/protocol/leases.py
@@ -14,8 +14,8 @@
     """Request of a dispatcher to a store for up to `most` jobs of a service.
 
     The store may delay the response for up to `wait_ms` until there is a job.  A pull lease expires
-    `visibility_ms` after the last call of its worker.  A push lease ends with its dispatcher's process, and
-    at the latest after the timeout of the delivery.
+    `visibility_ms` after the last call of its worker.  A push lease is valid while its dispatcher's process
+    lives, but no longer than the timeout of the delivery.
     """
 
     dispatcher: str
--- a/hollowusher/storage/segment_files.py
+++ b/hollowusher/storage/segment_files.py
@@ -94,9 +94,7 @@
 
         The result is None if no file is free and `max_files` files exist.
         """
-        if (
-            self._preparing is not None
-        ):  # its contents are older; the disk thread finishes it before the write
+        if self._preparing is not None:  # older than the free files; the disk thread finishes it first
             file, self._preparing = self._preparing, None
             return file
         if self._free:
--- a/hollowusher/transport/fenced_transport.py
+++ b/hollowusher/transport/fenced_transport.py
@@ -13,9 +13,8 @@
 from hollowusher.protocol.fencing import FencingToken, Matter, fencing_tokens, rejecting_tokens
 from hollowusher.transport.interface import Handler, PeerError, Transport
 
-OnFenced = Callable[
-    [FencingToken, str], None
-]  # the higher epoch, and the address of the peer that returned it
+# Called with the higher epoch and the address of the peer that returned it.
+OnFenced = Callable[[FencingToken, str], None]
 
 
 class FencedError(PeerError):
--- a/hollowusher/transport/tcp.py
+++ b/hollowusher/transport/tcp.py
@@ -6,8 +6,8 @@
 
 The first frame on a connection is a `Hello` with the identities of the caller and of the intended receiver.
 The caller sends another `Hello` before the next message when it has learnt another identity for the address.
-If the `Hello` names another process than the receiver, the receiver rejects the messages after it with a
-`REFUSED` frame, and the caller stops using the connection.
+If the `Hello` is addressed to another process, the receiver rejects the messages after it with a `REFUSED`
+frame, except messages that any process may accept, and the caller stops using the connection.
 
 A response is matched to the pending call with its number on its connection.  The low bits of the number are
 the tag of the request's type, so a response to a request of another type matches no call.
@@ -104,7 +104,7 @@
         super().__init__()
         self._owner = owner
         self._hello: Hello | None = None  # None: the caller accepts any process
-        self._exact_identity: Identity | None = None  # own identity if `Hello` named exactly it, else None
+        self._exact_identity: Identity | None = None  # own identity if `Hello.meant` matches it, else None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
