--- a/hollowusher/messages/errors.py
+++ b/hollowusher/messages/errors.py
@@ -1,15 +1,18 @@
-"""The errors of the message store; errors of the disk and of connections are those of their packages."""
+"""The errors of the message store.
+
+The packages `hollowusher.storage` and `hollowusher.transport` define the errors of disks and connections.
+"""
 
 from __future__ import annotations
 
 
 class MessageStoreError(Exception):
-    """Root of the errors that the message store raises."""
+    """Base class of the errors that the message store raises."""
 
 
 class InvalidRecordError(MessageStoreError, ValueError):
-    """Bytes that are no record of the log."""
+    """The bytes are too short for the header of a record."""
 
     def __init__(self, size: int, min_size: int) -> None:
-        super().__init__(f"unpack record: {size} bytes, a header has {min_size}")
+        super().__init__(f"cannot unpack record: {size} bytes are too short for the {min_size}-byte header")
         self.size = size
--- a/hollowusher/messages/job_waiters.py
+++ b/hollowusher/messages/job_waiters.py
@@ -1,4 +1,4 @@
-"""Long polls of dispatchers for jobs of this store, and notifications to dispatchers that do not poll."""
+"""Long polls of dispatchers for jobs of this store, and notifications if no dispatcher polls."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class JobWaiters:
-    """Waiting lease requests by service, oldest first.
+    """The waiting lease requests of each service, oldest first.
 
-    `has_ready` returns whether a job of a service could be leased now.
+    `has_ready` takes the name of a service and returns whether one of its jobs can be leased now.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._requested_at[service] = self._now()
 
     async def wait(self, service: str, until: float) -> None:
-        """Wait until jobs of a service may be ready, at most until the given loop time."""
+        """Wait until jobs of a service may be ready, or until the event loop's clock reaches `until`."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         queue = self._waiting.setdefault(service, deque())
         queue.append(waiter)
@@ -57,7 +57,11 @@
                 del self._waiting[service]
 
     def wake(self, service: str) -> None:
-        """Wake one waiting request, because jobs may be ready; it wakes the next one if jobs remain."""
+        """Wake the oldest waiting request if a job of the service is ready.
+
+        The request that wakes up calls `wake` again, so the next one wakes if jobs remain.  If no request
+        waits, schedule a notification to the dispatchers.
+        """
         if not self._has_ready(service):
             return
         for waiter in self._waiting.get(service, ()):
@@ -67,7 +71,7 @@
         self._notify_later(service, NOTIFY_DELAY_S)
 
     def wake_all(self, service: str) -> None:
-        """Wake all waiting requests: one of them may have nothing to wait for any more."""
+        """Wake all waiting requests, so that a request that its dispatcher has given up can return."""
         for waiter in self._waiting.get(service, ()):
             if not waiter.done():
                 waiter.set_result(None)
--- a/hollowusher/messages/lease_service.py
+++ b/hollowusher/messages/lease_service.py
@@ -1,4 +1,4 @@
-"""Leases as dispatchers ask for them, over all partitions of a store: long polls, ends and extensions."""
+"""Handlers of the lease requests of dispatchers: long polls for jobs, lease results and lease extensions."""
 
 from __future__ import annotations
 
@@ -26,23 +26,24 @@
 )
 from hollowusher.storage.interface import StorageError
 
-DEAD_DISPATCHER_PAUSE_S = 0.3  # before an empty answer to a dispatcher that may not lease
+DEAD_DISPATCHER_PAUSE_S = 0.3  # delay of the empty response to a dispatcher that may not lease jobs
 
 UNAVAILABLE = LeaseUpdateResponse("unavailable")
 GONE = LeaseUpdateResponse("gone")
 
 
 class LocalGrant(NamedTuple):
-    """A grant and the partition that granted it."""
+    """A grant and the local replica whose primary made it."""
 
     replica: PartitionReplica
     grant: LeaseGrant
 
 
 class LeaseService:
-    """The lease requests of one store.
+    """Grants, finishes and extends leases over all partitions that one store serves.
 
-    `may_be_alive` returns whether a dispatcher's incarnation may still finish its leases.
+    `may_be_alive` takes the name and the incarnation of a dispatcher and returns whether it may still finish
+    its leases.
     """
 
     def __init__(
@@ -61,14 +62,14 @@
         self._is_stopped = False
 
     def stop(self) -> None:
-        """Answer the requests that wait at once, and later ones without waiting."""
+        """Answer all waiting requests at once, and later requests without waiting."""
         self._is_stopped = True
         self._waiters.close()
 
     # Granting
 
     async def lease(self, request: LeaseRequest) -> LeaseResponse:
-        """Answer with leases on ready jobs, or with none after the time that the request waits at most."""
+        """Return leases on ready jobs, or an empty response once the request's `wait_ms` have passed."""
         service = request.service
         asked_at = self._replicator.now()
         deadline = asked_at + request.wait_ms / 1000
@@ -91,11 +92,11 @@
                 await asyncio.sleep(min(DEAD_DISPATCHER_PAUSE_S, deadline - now))
                 return LeaseResponse([])
             await self._waiters.wait(service, deadline if token_at is None else min(deadline, token_at))
-        self._waiters.wake(service)  # the event that woke this request may be for another one
+        self._waiters.wake(service)  # the wake-up may have been meant for another waiting request
         return LeaseResponse([])
 
     def _return_lost_grants(self, request: LeaseRequest) -> None:
-        """Return the leases of an answer that its dispatcher has not received and will not start."""
+        """Requeue the jobs of a response that the dispatcher has not received and so will not start."""
         self._return_unrun(self._grants.take_lost(request))
         self._waiters.wake_all(request.service)
 
@@ -106,7 +107,7 @@
             replica = None if lease is None else self._replicator.replicas.get(lease.partition)
             if lease is None or replica is None or replica.primary is None:
                 continue
-            with suppress(StorageError):  # then the lease expires
+            with suppress(StorageError):  # on a disk error the job stays leased until the lease expires
                 replica.primary.finish(lease, FinishLease(name, "not_run"), now, wall_ms)
             self._access.process_effects(replica)
 
@@ -119,7 +120,7 @@
         return request.pull or self._may_be_alive(request.dispatcher, request.incarnation)
 
     def _lease_from_primaries(self, request: LeaseRequest) -> list[LocalGrant]:
-        """Lease ready jobs from the partitions served here."""
+        """Lease ready jobs from the primaries of this store."""
         now, wall_ms = self._replicator.now(), self._wall_ms()
         outcome: list[LocalGrant] = []
         if not self._can_lease(request):
@@ -136,7 +137,7 @@
         return outcome
 
     async def _confirmed_jobs(self, outcome: list[LocalGrant]) -> list[LeasedJob]:
-        """Return the jobs whose leases are committed; the other leases are cancelled."""
+        """Return the jobs whose leases are committed, and cancel the other leases."""
         jobs = []
         for replica, grant in outcome:
             committed = await self._is_committed(replica, grant)
@@ -149,7 +150,7 @@
         return jobs
 
     def _cancel_grant(self, replica: PartitionReplica, primary: PartitionPrimary, grant: LeaseGrant) -> None:
-        """Cancel a grant that is not sent; a call-back is queued again after a backoff."""
+        """Cancel a grant that was not sent; a call-back is requeued with a backoff."""
         now, wall_ms = self._replicator.now(), self._wall_ms()
         lease = records.parse_lease_id(grant.job.lease)
         if lease is not None and lease.is_callback:
@@ -159,13 +160,17 @@
         self._access.process_effects(replica)
 
     async def _is_committed(self, replica: PartitionReplica, grant: LeaseGrant) -> bool:
-        """Return whether a lease is committed; for a call-back's, whether a quorum follows the primary."""
+        """Return whether a grant may be sent.
+
+        The lease of a message must be committed.  The lease of a call-back has no record; for that one, a
+        quorum must still follow the primary.
+        """
         if grant.proposal is not None:
             return await self._access.wait_for_commit(grant.proposal)
         return replica.primary is not None and await self._access.has_quorum(replica, replica.primary)
 
     async def finish(self, finish: FinishLease) -> LeaseUpdateResponse:
-        """Finish a lease with the outcome that its holder reports."""
+        """Finish a lease with the result that its holder reports."""
         lease = records.parse_lease_id(finish.lease)
         if lease is None:
             return GONE
@@ -201,10 +206,10 @@
     async def _lease_answer(
         self, replica: PartitionReplica, primary: PartitionPrimary, outcome: Proposal | LeaseUpdateResponse
     ) -> LeaseUpdateResponse:
-        """Return the answer once it is certain.
+        """Return the response to a lease holder once this store may send it.
 
-        A proposal has to be committed; a lease is gone only if this store was still the primary when it was
-        asked.
+        A proposal must be committed first.  The response "gone" requires a confirmation by a quorum, made
+        after the request arrived, that this store is still the primary.
         """
         if isinstance(outcome, Proposal):
             return (
--- a/hollowusher/messages/partition/__init__.py
+++ b/hollowusher/messages/partition/__init__.py
@@ -1,1 +1,1 @@
-"""State machines of one partition without I/O: records, queue, leases, call-backs."""
+"""The state machines of one partition, without I/O: records, queue, leases and call-backs."""
--- a/hollowusher/messages/partition/active_messages.py
+++ b/hollowusher/messages/partition/active_messages.py
@@ -1,4 +1,4 @@
-"""Messages and call-backs as the primary of their partition holds them, and the leases it grants on them."""
+"""Data types for the unfinished messages and pending call-backs of a primary, and for leases on them."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 from hollowusher.protocol.leases import LeasedJob, LeaseUpdateResponse
 from hollowusher.protocol.messages import CALLBACK_PREFIX
 
-START_WITHIN_MS = 500  # after a dispatcher has received a lease; later it returns the lease
+# A dispatcher that cannot start a job within this time after it received the lease returns the lease.
+START_WITHIN_MS = 500
 TAKEN = LeaseUpdateResponse("taken")
 GONE = LeaseUpdateResponse("gone")
 RESULT_PRECEDENCE = {"not_run": 0, "unknown": 0, "failed": 1, "refused": 2, "success": 2}
-MAX_EARLIER_RESULTS = 4  # kept of each message: a holder repeats the outcome of its lease only for a while
+MAX_EARLIER_RESULTS = 4  # per message; a lease holder repeats its report only for a limited time
 PUBLIC_STATES = {
     MessageStatus.QUEUED: "queued",
     MessageStatus.LEASED: "queued",
@@ -29,15 +30,15 @@
 
 @attrs.define(slots=True, eq=False, kw_only=True)
 class LeasableJob(QueuedMessage):
-    """A queued item that can be leased."""
+    """A message or call-back that can be leased."""
 
-    lease: int = 0  # number of the current lease, 0: none
-    expires_at: float = 0.0  # monotonic clock
+    lease: int = 0  # number of the current lease; 0 if there is none
+    expires_at: float = 0.0  # monotonic time when the lease expires
 
 
 @attrs.define(slots=True, eq=False, kw_only=True)
 class ActiveMessage(LeasableJob):
-    """A message that has not ended, at its primary."""
+    """An unfinished message in the memory of its primary."""
 
     id: str
     route: str
@@ -45,14 +46,14 @@
     max_attempts: int
     timeout_ms: int
     callback_url: str
-    retained_until: float  # monotonic clock
-    consecutive_not_run: int = 0  # times in a row that its lease was returned unused
-    is_ending: bool = False
+    retained_until: float  # monotonic time when the retention ends
+    consecutive_not_run: int = 0  # number of leases in a row that were returned unused
+    is_ending: bool = False  # the record of the end is proposed, but not committed yet
 
 
 @attrs.define(slots=True, eq=False, kw_only=True)
 class CallbackJob(LeasableJob):
-    """A pending call-back."""
+    """A pending call-back of a message that has ended."""
 
     id: str
     callback_url: str
@@ -64,22 +65,28 @@
 
 
 class LeaseGrant(NamedTuple):
-    """One leased job; it may be sent to the dispatcher once its proposal (None: at once) is committed."""
+    """One leased job.
+
+    The store may send the job to the dispatcher once `proposal` is committed, or at once if it is None.
+    """
 
     job: LeasedJob
     proposal: Proposal | None
 
 
 class LeaseOutcome(NamedTuple):
-    """The outcome of a lease, as its holder reported it."""
+    """The outcome of a lease that its holder has reported."""
 
     lease: int
     result: str
     signature: str
-    min_retry_delay_s: float = 0.0  # asked for by the worker
+    min_retry_delay_s: float = 0.0  # requested by the worker
 
     def is_repeat(self, state: MessageState) -> bool:
-        """Return whether the state has this outcome, or one of the same lease that takes precedence."""
+        """Return whether the state already contains this outcome.
+
+        It does also if it contains an outcome of the same lease that takes precedence over this one.
+        """
         if state.last_lease != self.lease:
             return [self.lease, self.result] in state.earlier_results
         is_superseded = (
@@ -89,7 +96,7 @@
         return state.last_result == self.result or is_superseded
 
     def record_in(self, state: MessageState) -> None:
-        """Write the outcome into the message's state."""
+        """Update the state of the message with this outcome."""
         if state.last_lease and state.last_lease != self.lease:
             results = [*state.earlier_results, [state.last_lease, state.last_result]]
             state.earlier_results = results[-MAX_EARLIER_RESULTS:]
@@ -101,12 +108,12 @@
 
 
 def last_finished_lease(entry: MessageEntry) -> int:
-    """Return the number of the lease that finished last, 0 if none has."""
+    """Return the number of the lease that finished last, or 0 if no lease has finished."""
     return entry.state.last_lease if entry.state is not None else 0
 
 
 def callback_service_name(url: str) -> str:
-    """Return the pseudo service of a call-back address, empty if the URL has no host."""
+    """Return the name of the pseudo service for a call-back URL, or "" if the URL has no valid host."""
     try:
         parts = urlsplit(url)
         port = parts.port or 80
--- a/hollowusher/messages/partition/callback_jobs.py
+++ b/hollowusher/messages/partition/callback_jobs.py
@@ -1,6 +1,8 @@
-"""Pending call-backs: jobs of a pseudo service for each receiver, leased until the receiver has answered.
+"""The queue of pending call-backs of one partition.
 
-The leases of call-backs are not replicated: after a takeover a call-back is sent again.
+Each receiver (host and port) has a pseudo service, and its call-backs are jobs of that service.  A dispatcher
+leases a call-back until the receiver has answered.  The leases of call-backs are not replicated, so after a
+takeover the new primary sends the pending call-backs again.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
 
 
 class CallbackJobs:
-    """The pending call-backs of one partition.  Only the primary knows their leases."""
+    """The pending call-backs of one partition and their leases, which only the primary stores."""
 
     def __init__(self, context: PartitionContext, lease_numbers: Iterator[int]) -> None:
         self._table = context.table
@@ -42,7 +44,7 @@
         self._jobs: dict[MessageKey, CallbackJob] = {}
 
     def add(self, key: MessageKey, state: MessageState, now: float) -> None:
-        """Queue the call-back of a message that has ended."""
+        """Queue the call-back of a message that has ended, unless it is queued or its URL is invalid."""
         service = callback_service_name(state.callback_url)
         if key in self._jobs or not service:
             return
@@ -60,10 +62,10 @@
         self._queue.add(callback)
         self._queue.release(callback, now, now)
 
-    def lease(self, request: LeaseRequest, most: int, now: float) -> list[LeaseGrant]:
-        """Grant leases on up to `most` call-backs of the receiver."""
+    def lease(self, request: LeaseRequest, max_jobs: int, now: float) -> list[LeaseGrant]:
+        """Grant leases on up to `max_jobs` call-backs of the receiver."""
         grants: list[LeaseGrant] = []
-        while len(grants) < most:
+        while len(grants) < max_jobs:
             callback = self._queue.lease_next(request.service)
             if callback is None:
                 break
@@ -79,7 +81,9 @@
     ) -> Proposal | LeaseUpdateResponse:
         """Finish the lease of a call-back.
 
-        A proposal stands for the answer `taken` once it is committed.
+        Returns
+        -------
+        The response, or a proposal; once the proposal is committed, the response is `taken`.
         """
         entry = self._table.entries.get(lease.key)
         if entry is None or entry.state is None or not entry.state.callback_pending:
@@ -98,13 +102,13 @@
         return TAKEN
 
     def requeue(self, callback: CallbackJob, wait_s: float, now: float) -> None:
-        """Queue a call-back for another attempt."""
+        """Clear the lease of a call-back and make it ready again after `wait_s` seconds."""
         callback.lease = 0
         callback.expires_at = 0.0
         self._queue.release(callback, now + wait_s, now)
 
     def postpone_leases(self, seconds: float) -> None:
-        """Let all leases last for longer."""
+        """Extend all leases by this many seconds."""
         for callback in self._jobs.values():
             if callback.lease:
                 callback.expires_at += seconds
@@ -116,7 +120,7 @@
                 self.requeue(callback, 0.0, now)
 
     def forget(self, keys: Iterable[MessageKey]) -> None:
-        """Drop the call-backs of messages that the table has dropped."""
+        """Remove the call-backs of messages that the table has dropped."""
         for key in keys:
             callback = self._jobs.pop(key, None)
             if callback is not None:
--- a/hollowusher/messages/partition/message_deadlines.py
+++ b/hollowusher/messages/partition/message_deadlines.py
@@ -1,4 +1,4 @@
-"""Expiry times of leases and ends of retentions, earliest first.  No clock of its own."""
+"""Heaps of lease expiries and retention ends, earliest first.  Callers pass the time in."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     """The expiry times of one partition's leases and the ends of its messages' retentions."""
 
     def __init__(self, numbers: Iterator[int]) -> None:
-        self._numbers = numbers  # order of entries with the same time
+        self._numbers = numbers  # tie-breaker for entries with the same time
         self._lease_expiries: list[_LeaseExpiry] = []
         self._retention_ends: list[_RetentionEnd] = []
 
     def schedule_lease_expiry(self, message: ActiveMessage | CallbackJob, expires_at: float) -> None:
         """Schedule the expiry of a new lease.
 
-        A lease has one heap item.  If the lease was extended meanwhile, the item is scheduled again when it
-        comes first.
+        Each lease has one heap item.  An extension of the lease leaves the item in place; when the item
+        becomes due, `expire_leases` pushes it again with the extended expiry time.
         """
         message.expires_at = expires_at
         self._push_expiry(message)
@@ -44,12 +44,12 @@
         heapq.heappush(self._retention_ends, _RetentionEnd(until, next(self._numbers), message))
 
     def next_event_time(self) -> float | None:
-        """Return when the next item is due, None for never."""
+        """Return when the next item is due, or None if there is none."""
         times = [heap[0][0] for heap in (self._lease_expiries, self._retention_ends) if heap]
         return min(times, default=None)
 
     def expire_leases(self, now: float) -> Iterator[ActiveMessage | CallbackJob]:
-        """Yield the messages whose current lease has expired; new leases may be scheduled meanwhile."""
+        """Yield the messages whose current lease has expired; callers may schedule leases while iterating."""
         while self._lease_expiries and self._lease_expiries[0].expires_at <= now:
             expiry = heapq.heappop(self._lease_expiries)
             message = expiry.message
--- a/hollowusher/messages/partition/message_leases.py
+++ b/hollowusher/messages/partition/message_leases.py
@@ -1,9 +1,9 @@
-"""Leases of messages at their primary: granted, extended, finished by their holder, or expired.
+"""Grants, extensions, results and expiry of the leases on the messages of one partition.
 
 Leases follow Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism" (SOSP 1989): a holder may act
-until its lease expires, and a primary that took over honours the leases it finds in the records.  The number
-of a lease is the sequence number of its record, so a later lease of a message has a greater number: the
-number is the fencing token of the lease.  No I/O: the clocks are passed in.
+until its lease expires, and a new primary honours the leases that it finds in the records.  The number of a
+lease is the sequence number of its record, so a later lease of a message has a greater number, and the number
+serves as the fencing token of the lease.  There is no I/O; callers pass the clock readings in.
 """
 
 from __future__ import annotations
@@ -34,22 +34,23 @@
 from hollowusher.protocol.leases import FinishLease, LeasedJob, LeaseRequest, LeaseUpdateResponse
 from hollowusher.storage.interface import StorageError
 
-PULL_GRACE_S = 0.3  # for the way of the worker's last request to the store
-PULL_DELIVERY_ALLOWANCE_S = 0.7  # beyond it: a job may reach its worker up to a second after it was leased
-PUSH_GRACE_S = 4.0 + START_WITHIN_MS / 1000  # beyond the delivery's timeout
+PULL_GRACE_S = 0.3  # added to the visibility timeout: transit time of the worker's last request to the store
+# Added to PULL_GRACE_S for a new lease: a job may reach its worker up to one second after it was leased.
+PULL_DELIVERY_ALLOWANCE_S = 0.7
+PUSH_GRACE_S = 4.0 + START_WITHIN_MS / 1000  # added to the timeout of the delivery
 FAILED_BACKOFF_MIN_S, FAILED_BACKOFF_MAX_S, FAILED_BACKOFF_FACTOR = 0.1, 2.0, 2.0
 NOT_RUN_BACKOFF_MIN_S, NOT_RUN_BACKOFF_MAX_S, NOT_RUN_BACKOFF_FACTOR = 0.05, 1.0, 1.5
 UNKNOWN_BACKOFF_S = 0.2
-MAX_BACKOFF_STEPS = 16  # keeps the power small; the maximum is reached long before
+MAX_BACKOFF_STEPS = 16  # bounds the exponent; the backoff reaches its maximum after fewer steps
 JITTER_MIN, JITTER_SPREAD = 0.75, 0.5
 
 
 @attrs.frozen
 class LeaseOptions:
-    """Settings of leases: how long a pull lease lasts by default, and the source of backoff jitter."""
+    """Default visibility timeout of pull leases, and the source of backoff jitter."""
 
     visibility_ms: int
-    random_source: Callable[[], float]  # uniform in [0, 1)
+    random_source: Callable[[], float]  # returns uniform numbers in [0, 1)
 
 
 class MessageLeases:
@@ -67,13 +68,13 @@
 
     # Granting
 
-    def lease(self, request: LeaseRequest, most: int, now: float, wall_ms: int) -> list[LeaseGrant]:
-        """Grant leases on up to `most` ready jobs of the service, within its rate limit."""
+    def lease(self, request: LeaseRequest, max_jobs: int, now: float, wall_ms: int) -> list[LeaseGrant]:
+        """Grant leases on up to `max_jobs` ready jobs of the service, within its rate limit."""
         bucket = self._routing.bucket(request.service)
         if bucket is not None:
-            most = min(most, bucket.available(now))
+            max_jobs = min(max_jobs, bucket.available(now))
         grants: list[LeaseGrant] = []
-        while len(grants) < most:
+        while len(grants) < max_jobs:
             message = self._queue.lease_next(request.service)
             if message is None:
                 break
@@ -91,21 +92,21 @@
         return grants
 
     def is_grant_valid(self, grant: LeaseGrant) -> bool:
-        """Return whether a grant is still valid: its lease may expire before its record is committed."""
+        """Return whether the lease of a grant is still current; it may expire before its record commits."""
         lease = records.parse_lease_id(grant.job.lease)
         if lease is None or lease.is_callback:
             return True
         return self._leased_message(lease) is not None
 
     def cancel_grant(self, grant: LeaseGrant, now: float, wall_ms: int) -> None:
-        """Requeue the message of a lease that never reached its dispatcher."""
+        """Requeue the message of a lease that was not sent to its dispatcher."""
         lease = records.parse_lease_id(grant.job.lease)
         active = self._leased_message(lease) if lease is not None else None
         if active is not None:
             self._try_requeue(active, now, wall_ms)
 
     def restore(self, active: ActiveMessage, entry: MessageEntry, now: float) -> None:
-        """Honour a lease that is known from its record alone; it lasts its full time from now."""
+        """Honour a lease that was restored from its record; its full duration starts now."""
         state = entry.state
         assert state is not None
         if active.is_ending or active.lease == state.lease:
@@ -114,7 +115,7 @@
         self._lifecycle.mark_leased(active, state.lease, now + self.lease_duration_s(active, state))
 
     def lease_duration_s(self, active: ActiveMessage, state: MessageState) -> float:
-        """Return how many seconds a lease lasts."""
+        """Return the duration of a lease in seconds."""
         if state.pull:
             visible_s = (state.visibility_ms or self._visibility_ms) / 1000
             return visible_s + PULL_GRACE_S + PULL_DELIVERY_ALLOWANCE_S
@@ -125,9 +126,11 @@
     def finish(
         self, lease: LeaseId, finish: FinishLease, now: float, wall_ms: int
     ) -> Proposal | LeaseUpdateResponse:
-        """Finish a lease.
+        """Finish a lease with the result that its holder reports.
 
-        A proposal stands for the answer `taken` once it is committed.
+        Returns
+        -------
+        The response, or a proposal; once the proposal is committed, the response is `taken`.
         """
         entry = self._table.entries.get(lease.key)
         if entry is None or finish.result not in RESULT_PRECEDENCE:
@@ -143,7 +146,9 @@
     def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseUpdateResponse:
         """Extend a pull lease.
 
-        A proposal stands for the answer `taken` once it is committed.
+        Returns
+        -------
+        The response, or a proposal; once the proposal is committed, the response is `taken`.
         """
         active = self._lifecycle.active.get(lease.key)
         entry = self._table.entries.get(lease.key)
@@ -160,20 +165,20 @@
     # Expiry and lost holders
 
     def expire(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
-        """Requeue a message whose lease has expired."""
+        """Requeue a message whose lease has expired; after a disk error, try again later."""
         try:
             self._lifecycle.requeue(active, now, now, wall_ms)
         except StorageError:
             self._deadlines.schedule_lease_expiry(active, now + STORAGE_RETRY_S)
 
     def postpone(self, seconds: float) -> None:
-        """Let all leases last for longer."""
+        """Extend all leases by this many seconds."""
         for active in self._lifecycle.leased.values():
             if active.lease:
                 active.expires_at += seconds
 
     def release_dispatchers(self, alive: Callable[[str, int], bool], now: float, wall_ms: int) -> None:
-        """Requeue the push leases of dispatchers that are not alive."""
+        """Requeue the messages whose push leases belong to dispatchers that are not alive."""
         for active in list(self._lifecycle.leased.values()):
             state = self._table.entries[active.key].state
             if state is not None and not state.pull and not alive(state.dispatcher, state.incarnation):
@@ -182,7 +187,7 @@
     # Transitions
 
     def _leased_message(self, lease: LeaseId) -> ActiveMessage | None:
-        """Return the message whose current lease this is, if any."""
+        """Return the message that currently has this lease, or None if the lease is not current."""
         active = self._lifecycle.leased.get(lease.key)
         return active if active is not None and active.lease == lease.number else None
 
@@ -190,7 +195,7 @@
         self, active: ActiveMessage, request: LeaseRequest, now: float, wall_ms: int
     ) -> LeaseGrant | None:
         accepted = self._table.read_accepted(self._table.entries[active.key])
-        if accepted is None:  # cannot be: an active message has its PUT record
+        if accepted is None:  # unreachable: each active message has its PUT record in the table
             self._queue.suspend(active)
             return None
         state = self._writer.copy_without_lease(active.key)
@@ -209,16 +214,17 @@
     def _on_grant_committed(
         active: ActiveMessage, lease: int, duration_s: float, now: float, _wall_ms: int
     ) -> None:
-        """Count a lease's time from its commit, because it goes out only now."""
+        """Restart the duration of a lease at its commit, because the store sends the lease only then."""
         if active.lease == lease:
             active.expires_at = max(active.expires_at, now + duration_s)
 
     @staticmethod
     def _can_end_with(active: ActiveMessage, entry: MessageEntry, number: int) -> bool:
-        """Return whether this lease may end the message.
+        """Return whether the holder of lease `number` may still finish or extend it.
 
-        It may if it is the current one, or if the message has no lease and no later lease has finished: then
-        the record of this lease was lost, it has expired, or it was returned by mistake.
+        It may if the lease is current, or if the message has no lease and no later lease has finished.  In
+        the second case the record of this lease was lost, the lease has expired, or it was returned by
+        mistake.
         """
         if active.lease:
             return active.lease == number
@@ -227,7 +233,7 @@
     def _apply_outcome(
         self, active: ActiveMessage, entry: MessageEntry, outcome: LeaseOutcome, now: float, wall_ms: int
     ) -> Proposal:
-        """End the message or requeue it, as the outcome of its lease says."""
+        """End or requeue the message, depending on the outcome of its lease."""
         result = outcome.result
         if result == "success":
             return self._lifecycle.end(active, MessageStatus.COMPLETED, now, wall_ms, outcome)
@@ -242,7 +248,7 @@
         return self._lifecycle.requeue(active, now + delay_s, now, wall_ms, outcome)
 
     def _backoff_s(self, active: ActiveMessage, result: str, attempts: int) -> float:
-        """Return how long the message waits for its next lease, with jitter."""
+        """Return the backoff in seconds before the message may be leased again, with jitter."""
         jitter = JITTER_MIN + JITTER_SPREAD * self._random_source()
         if result == "not_run":
             active.consecutive_not_run += 1
@@ -259,7 +265,7 @@
     def _reinstate(
         self, active: ActiveMessage, entry: MessageEntry, number: int, now: float, wall_ms: int
     ) -> Proposal:
-        """Accept the lease of a pull worker whose record was lost."""
+        """Accept the lease of a pull worker although the record of the lease was lost."""
         state = self._writer.copy_without_lease(active.key)
         state.status = MessageStatus.LEASED
         state.lease = number
@@ -270,6 +276,6 @@
         return proposal
 
     def _try_requeue(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
-        """Requeue a message; if the disk accepts no record now, its lease expires later."""
+        """Requeue a message; after a disk error the message stays leased until its lease expires."""
         with suppress(StorageError):
             self._lifecycle.requeue(active, now, now, wall_ms)
--- a/hollowusher/messages/partition/message_lifecycle.py
+++ b/hollowusher/messages/partition/message_lifecycle.py
@@ -1,6 +1,7 @@
 """The lifecycle of a message at its primary: activated, released, leased, requeued, ended.
 
-Owns the active messages of one partition, those that have not ended.  No I/O: the clocks are passed in.
+`MessageLifecycle` owns the active messages of one partition, which are those that have not ended.  There is
+no I/O; callers pass the clock readings in.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from hollowusher.protocol.messages import NewMessage
 from hollowusher.storage.interface import StorageError
 
-STORAGE_RETRY_S = 1.0  # after the disk accepted no record
+STORAGE_RETRY_S = 1.0  # delay before a transition is tried again after the disk rejected its record
 
 
 def _start_target_s(message: NewMessage) -> float:
-    """Return how soon a message is to start, infinity if its route has no latency target."""
+    """Return the start target of a message in seconds, or infinity if its route has no latency target."""
     return message.target_start_ms / 1000 if message.target_start_ms > 0 else NO_START_TARGET
 
 
@@ -30,7 +31,7 @@
     def __init__(self, context: PartitionContext, callbacks: CallbackJobs) -> None:
         self.active: dict[MessageKey, ActiveMessage] = {}
         self.leased: dict[MessageKey, ActiveMessage] = {}
-        self.keys_by_id: dict[str, MessageKey] = {}  # of ended messages, too, until the table drops them
+        self.keys_by_id: dict[str, MessageKey] = {}  # includes ended messages until the table drops them
         self._table = context.table
         self._writer = context.writer
         self._queue = context.queue
@@ -39,7 +40,7 @@
         self._callbacks = callbacks
 
     def activate(self, key: MessageKey, accepted: AcceptedMessage, retained_until: float) -> ActiveMessage:
-        """Make a message active; it stays suspended until it is released."""
+        """Create the active message of a PUT record; it stays suspended until `release` is called."""
         message = accepted.message
         active = ActiveMessage(
             key=key,
@@ -66,7 +67,10 @@
         return active
 
     def release(self, active: ActiveMessage, ready_at: float, now: float, wall_ms: int) -> None:
-        """Let a message be leased from `ready_at` on, unless it has ended meanwhile."""
+        """Allow leases of a message from `ready_at` on, unless it is ending.
+
+        A message whose retention is over or whose route was removed is ended as a dead letter instead.
+        """
         if active.stage not in (QueueStage.SUSPENDED, QueueStage.LEASED) or active.is_ending:
             return
         if active.retained_until <= now or self._routing.is_route_removed(active):
@@ -84,7 +88,7 @@
         wall_ms: int,
         outcome: LeaseOutcome | None = None,
     ) -> Proposal:
-        """Clear a message's lease and let it be leased again from `ready_at` on."""
+        """Clear the lease of a message and allow the next lease from `ready_at` on; return the proposal."""
         state = self._writer.copy_without_lease(active.key)
         if outcome is not None:
             outcome.record_in(state)
@@ -103,7 +107,7 @@
         wall_ms: int,
         outcome: LeaseOutcome | None = None,
     ) -> Proposal:
-        """End a message; it leaves the queue once its end is committed."""
+        """Propose the end of a message; the message leaves the queue once the proposal is committed."""
         state = self._writer.copy_without_lease(active.key)
         state.status = status
         if outcome is not None:
@@ -123,7 +127,7 @@
         return proposal
 
     def end_or_retry(self, active: ActiveMessage, now: float, wall_ms: int) -> None:
-        """End a message as a dead letter; try again later if the disk accepts no record now."""
+        """End a message as a dead letter; after a disk error, try again later."""
         try:
             self.end(active, MessageStatus.DEAD_LETTER, now, wall_ms)
         except StorageError:
@@ -133,13 +137,17 @@
             self._queue.release(active, now + 2 * STORAGE_RETRY_S, now)
 
     def end_expired(self, now: float, wall_ms: int) -> None:
-        """End the messages without a lease whose retention has expired."""
+        """End the messages whose retention has expired, except those that are leased."""
         for message in self._deadlines.expired_retentions(now):
             if message.stage in (QueueStage.WAITING, QueueStage.READY):
                 self.end_or_retry(message, now, wall_ms)
 
     def apply_routing(self, now: float, wall_ms: int) -> None:
-        """Apply a new configuration: end messages of removed routes, move those of another service."""
+        """Apply a new configuration.
+
+        Messages of removed routes end as dead letters; messages whose service has changed move to the queue
+        of the new service.
+        """
         for active in list(self.active.values()):
             if active.stage not in (QueueStage.WAITING, QueueStage.READY):
                 continue
@@ -155,24 +163,24 @@
         self._deadlines.schedule_lease_expiry(active, expires_at)
 
     def clear_lease(self, active: ActiveMessage) -> None:
-        """Record that a message has no lease."""
+        """Record that a message has no lease any more."""
         active.lease = 0
         active.expires_at = 0.0
         self.leased.pop(active.key, None)
 
     def discard(self, active: ActiveMessage, now: float) -> None:
-        """Drop an active message that has ended at another primary."""
+        """Drop an active message that another primary has ended."""
         del self.active[active.key]
         self.clear_lease(active)
         self._queue.remove(active, now)
 
     def forget(self, keys: list[MessageKey]) -> None:
-        """Forget the ids of messages that the table has dropped."""
+        """Remove the ids of messages that the table has dropped."""
         dropped = set(keys)
         self.keys_by_id = {known: key for known, key in self.keys_by_id.items() if key not in dropped}
 
     def _on_end_committed(self, active: ActiveMessage, now: float, _wall_ms: int) -> None:
-        """Remove a message whose end is committed; its call-back is due now."""
+        """Remove a message whose end is committed, and queue its call-back if it has one."""
         self.active.pop(active.key, None)
         self._queue.remove(active, now)
         entry = self._table.entries.get(active.key)
--- a/hollowusher/messages/partition/message_queue.py
+++ b/hollowusher/messages/partition/message_queue.py
@@ -1,10 +1,10 @@
-"""The order in which the messages of one partition may be leased.  No clock of its own: times are passed in.
+"""The queue of one partition, which determines the order of leases.  Callers pass the time in.
 
 Ready messages of a service are leased by priority, then by due time, then in the order of acceptance.
-Messages that can still start within their latency target are leased before those that are late: after an
-outage new messages are served in time at once, and the backlog gets the rest, at least one lease in
-`LATE_LEASE_INTERVAL`.  Of the messages with one ordering key only the oldest may be leased until it has
-ended, whatever it waits for.
+Messages that can still start within their latency target are leased before those that are late.  So new
+messages are served in time right after an outage, and the backlog gets the remaining leases, but at least one
+in `LATE_LEASE_INTERVAL`.  Of the messages with the same ordering key only the oldest may be leased until it
+has ended, even while it waits for a delay or a backoff.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from hollowusher.messages.records import MessageKey
 
 OrderingGroup = tuple[str, str]  # service and ordering key
-LATE_LEASE_INTERVAL = 5  # at least one lease in so many is of a late message
-DISPATCH_ALLOWANCE_S = 0.1  # subtracted from the target, for the way from the lease to the worker
+LATE_LEASE_INTERVAL = 5  # at least one in this many leases goes to a late message, if there is one
+DISPATCH_ALLOWANCE_S = 0.1  # time from the lease to the start at the worker; subtracted from the start target
 NO_START_TARGET = float("inf")
 
 
 class QueueStage(Enum):
     """State of a message within the queue."""
 
-    SUSPENDED = 1  # its put or its end is not committed yet
-    WAITING = 2  # for a time, or for earlier messages of its ordering key
+    SUSPENDED = 1  # the put or the end of the message is not committed yet
+    WAITING = 2  # the message waits until `ready_at`, or for earlier messages of its ordering key
     READY = 3
     LEASED = 4
     REMOVED = 5
@@ -37,22 +37,24 @@
 
 @attrs.define(slots=True, eq=False)
 class QueuedMessage:
-    """A message that has not ended, as the queue sees it."""
+    """The properties of a message or call-back that the queue uses."""
 
     key: MessageKey
     service: str
     priority: int
-    due_wall_ms: int  # wall clock, for the order only
+    due_wall_ms: int  # wall clock; used for the order only
     ordering_key: str = ""
-    start_target_s: float = NO_START_TARGET  # after it is ready for the first time; late beyond it
-    late_at: float | None = None  # monotonic clock; known from its first release on
+    start_target_s: float = NO_START_TARGET  # counted from the first time the message is ready
+    late_at: float | None = (
+        None  # monotonic time from which the message is late; None before its first release
+    )
     stage: QueueStage = QueueStage.SUSPENDED
-    ready_at: float = 0.0  # monotonic clock
-    revision: int = 0  # counts its moves; heap items with an older revision are void
+    ready_at: float = 0.0  # monotonic time
+    revision: int = 0  # incremented by each change of the stage; heap items with an older revision are void
 
     @property
     def sort_key(self) -> tuple[int, int, MessageKey]:
-        """The order among the ready messages of its service."""
+        """The sort key among the ready messages of the same service."""
         return self.priority, self.due_wall_ms, self.key
 
 
@@ -63,7 +65,7 @@
 
 
 class _ReadyHeap:
-    """Ready messages in order; items of messages that have moved on are dropped when they come first."""
+    """Heap of ready messages; an item whose message has changed its stage is dropped when it comes first."""
 
     def __init__(self) -> None:
         self._items: list[_ReadyItem] = []
@@ -73,7 +75,7 @@
         heapq.heappush(self._items, _ReadyItem(message.sort_key, message.revision, message))
 
     def first(self) -> QueuedMessage | None:
-        """Return the first message, None if there is none."""
+        """Return the first message, or None if the heap is empty."""
         while self._items:
             item = self._items[0]
             if item.revision == item.message.revision:
@@ -87,15 +89,15 @@
 
 
 class _ReadyService:
-    """The ready messages of one service: those in time, and those that are late."""
+    """The ready messages of one service, split into those in time and those that are late."""
 
     def __init__(self) -> None:
         self.in_time = _ReadyHeap()
         self.late = _ReadyHeap()
-        self.leases_since_late = 0  # leases of messages in time since the last late one
+        self.leases_since_late = 0  # number of leases of messages in time since the last lease of a late one
 
     def next_heap(self, now: float) -> _ReadyHeap | None:
-        """Return the heap whose first message is leased next, None if both are empty."""
+        """Return the heap whose first message is to be leased next, or None if both heaps are empty."""
         while (message := self.in_time.first()) is not None and _is_late(message, now):
             self.in_time.pop()
             self.late.push(message)
@@ -118,18 +120,18 @@
 
 
 class MessageQueue:
-    """The messages of one partition that have not ended."""
+    """The queue of the unfinished messages and pending call-backs of one partition."""
 
     def __init__(self) -> None:
         self.newly_ready_services: set[str] = set()  # services with newly ready messages; the owner clears it
         self._ready: dict[str, _ReadyService] = {}
-        self._now = 0.0  # of the last call that passed it
+        self._now = 0.0  # time passed to the last call of `release` or `advance`
         self._timers: list[_ReadyTimer] = []
         self._numbers = itertools.count()
         self._ordering_groups: dict[OrderingGroup, list[QueuedMessage]] = {}
 
     def add(self, message: QueuedMessage) -> None:
-        """Add a message, suspended; it has its place in its ordering group from now on."""
+        """Add a suspended message and reserve its place in its ordering group."""
         if not message.ordering_key:
             return
         group = self._ordering_groups.setdefault((message.service, message.ordering_key), [])
@@ -141,7 +143,7 @@
             group.append(message)
 
     def release(self, message: QueuedMessage, ready_at: float, now: float) -> None:
-        """Let a message be leased from `ready_at` on: after its commit, or after a lease."""
+        """Allow leases of a message from `ready_at` on, after its put has committed or a lease has ended."""
         if message.stage is QueueStage.REMOVED:
             return
         self._now = now
@@ -153,7 +155,7 @@
             self._schedule(message, now)
 
     def lease_next(self, service: str) -> QueuedMessage | None:
-        """Remove the first ready message of a service for a lease, None if there is none."""
+        """Mark the first ready message of a service as leased and return it, or None if there is none."""
         ready = self._ready.get(service)
         heap = None if ready is None else ready.next_heap(self._now)
         message = None if heap is None else heap.first()
@@ -166,7 +168,7 @@
         return message
 
     def peek(self, service: str) -> QueuedMessage | None:
-        """Return the first ready message of a service, None if there is none."""
+        """Return the first ready message of a service, or None if there is none."""
         ready = self._ready.get(service)
         heap = None if ready is None else ready.next_heap(self._now)
         if heap is None:
@@ -175,15 +177,15 @@
         return heap.first()
 
     def mark_leased(self, message: QueuedMessage) -> None:
-        """Mark a message as leased whose lease was learned from its record."""
+        """Mark a message as leased after its lease was restored from its record."""
         self._move(message, QueueStage.LEASED)
 
     def suspend(self, message: QueuedMessage) -> None:
-        """Suspend a message, while its end is being committed; it keeps its place in its ordering group."""
+        """Suspend a message, for example until its end commits; it keeps its place in its ordering group."""
         self._move(message, QueueStage.SUSPENDED)
 
     def remove(self, message: QueuedMessage, now: float) -> None:
-        """Remove a message that has ended; the next one of its ordering key may be leased."""
+        """Remove a message that has ended, and release the next message of its ordering key."""
         if message.stage is QueueStage.REMOVED:
             return
         was_first = self._is_first(message)
@@ -199,7 +201,7 @@
             self._schedule(group[0], now)
 
     def advance(self, now: float) -> None:
-        """Make due messages ready."""
+        """Make all messages ready whose `ready_at` has come."""
         self._now = now
         while self._timers and self._timers[0].ready_at <= now:
             timer = heapq.heappop(self._timers)
@@ -207,7 +209,7 @@
                 self._make_ready(timer.message)
 
     def next_event_time(self) -> float | None:
-        """Return when `advance` has something to do next, None for never."""
+        """Return when `advance` must be called next, or None if no message is waiting."""
         while self._timers and self._timers[0].revision != self._timers[0].message.revision:
             heapq.heappop(self._timers)
         return self._timers[0].ready_at if self._timers else None
--- a/hollowusher/messages/partition/message_restorer.py
+++ b/hollowusher/messages/partition/message_restorer.py
@@ -1,4 +1,4 @@
-"""Restoring of messages from records: after a takeover, from the log, or learned from another replica."""
+"""Restoring of active messages from records, at a takeover and when a peer supplies newer records."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from hollowusher.messages.records import AcceptedMessage, MessageKey, MessageStatus
 from hollowusher.storage.interface import StorageError
 
-RETENTION_MARGIN_S = 5.0  # wall clocks of machines differ: never too early after a takeover
+# Wall clocks of machines differ; the margin keeps a new primary from ending a message before its retention.
+RETENTION_MARGIN_S = 5.0
 
 
 class MessageRestorer:
-    """Restorer of the queue, leases and call-backs of one partition from its records."""
+    """Restores the queue, leases and call-backs of one partition from its records."""
 
     def __init__(
         self,
@@ -29,11 +30,11 @@
         self._lifecycle = lifecycle
         self._leases = leases
         self._callbacks = callbacks
-        self._refused: set[MessageKey] = set()  # the disk refused a record that their restoring needs
-        self.retry_at: float | None = None  # monotonic clock: when those are tried again
+        self._refused: set[MessageKey] = set()  # messages whose restoring failed with a disk error
+        self.retry_at: float | None = None  # monotonic time when `retry_refused` tries those messages again
 
     def restore(self, key: MessageKey, now: float, wall_ms: int) -> None:
-        """Bring the state of one message in memory to what its records say; later, if the disk fails."""
+        """Update the state of one message in memory from its records; after a disk error, try again later."""
         try:
             self._restore(key, now, wall_ms)
         except StorageError:
@@ -41,7 +42,7 @@
             self.retry_at = now + STORAGE_RETRY_S
 
     def retry_refused(self, now: float, wall_ms: int) -> None:
-        """Restore again the messages that the disk refused, once their time has come."""
+        """Try again to restore the messages that failed with a disk error, once `retry_at` has passed."""
         if self.retry_at is None or self.retry_at > now:
             return
         refused, self._refused = self._refused, set()
@@ -72,7 +73,7 @@
             self._lifecycle.release(active, ready_at, now, wall_ms)
 
     def restore_ended(self, entry: MessageEntry, now: float, wall_ms: int) -> None:
-        """Restore a message that has ended: its id is known, and its call-back may be pending."""
+        """Restore a message that has ended: register its id, and queue its call-back if it is pending."""
         state = entry.state
         assert state is not None
         if state.id:
@@ -85,14 +86,14 @@
             self._callbacks.add(entry.key, state, now)
 
     def _delay_left_s(self, entry: MessageEntry, wall_ms: int) -> float:
-        """Return how many seconds of the message's delay are left."""
+        """Return the remaining delay of the message in seconds."""
         due_at_ms = self._table.due_at_ms(entry)
         return 0.0 if due_at_ms is None else max(0, due_at_ms - wall_ms) / 1000
 
     def _is_duplicate(self, key: MessageKey, message_id: str, now: float, wall_ms: int) -> bool:
-        """Return whether the message was put again under a later key: then this put was never acknowledged.
+        """Return whether the same message is stored under a later key, and end the earlier of the two puts.
 
-        The earlier one of the two puts is ended.
+        The earlier put was never acknowledged, because otherwise the message would not have been put again.
         """
         known = self._lifecycle.keys_by_id.get(message_id)
         if known is None or known == key:
@@ -106,7 +107,7 @@
         return False
 
     def _end_earlier_put(self, key: MessageKey, message_id: str, now: float, wall_ms: int) -> None:
-        """End the same message under an earlier key, whose put was never acknowledged; `key` replaces it."""
+        """End the put of the same message under an earlier key; that put was never acknowledged."""
         known = self._lifecycle.keys_by_id.get(message_id)
         active = self._lifecycle.active.get(known) if known is not None and known < key else None
         if active is None or active.is_ending:
--- a/hollowusher/messages/partition/partition_context.py
+++ b/hollowusher/messages/partition/partition_context.py
@@ -1,4 +1,4 @@
-"""The parts that the state machines of one partition's primary share."""
+"""The objects that the state machines of one primary share."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen(eq=False)
 class PartitionContext:
-    """The shared parts of one primary.  `PartitionPrimary` creates them and owns them."""
+    """The shared objects of one primary; `PartitionPrimary` creates and owns them."""
 
     table: PartitionTable
     writer: RecordWriter
--- a/hollowusher/messages/partition/partition_primary.py
+++ b/hollowusher/messages/partition/partition_primary.py
@@ -1,12 +1,12 @@
-"""The primary of one partition: accepts messages, grants leases, accepts their outcomes.
+"""The primary of one partition, which accepts messages, grants leases and accepts their results.
 
-A state machine without I/O: clocks and randomness are passed in.  `now` is the monotonic clock in seconds,
-`wall_ms` the wall clock in milliseconds.  Every change is a `Proposal` in `outbox`; the owner replicates it
-and calls `commit` once a quorum has acknowledged it (primary-backup replication, as in Oki and Liskov,
-"Viewstamped Replication", PODC 1988).
+The primary is a state machine without I/O; callers pass clock readings and randomness in.  `now` is the
+monotonic clock in seconds, `wall_ms` the wall clock in milliseconds.  Each change of a message is a
+`Proposal` in `outbox`; the owner replicates it and calls `commit` once a quorum has acknowledged it
+(primary-backup replication, as in Oki and Liskov, "Viewstamped Replication", PODC 1988).
 
 The primary delegates to `MessageLifecycle` (messages that have not ended), `MessageLeases`, `CallbackJobs`,
-`MessageRestorer` (records learned from elsewhere) and `RecordWriter` (versions and proposals).
+`MessageRestorer` (records from the log or from other replicas) and `RecordWriter` (versions and proposals).
 """
 
 from __future__ import annotations
@@ -43,16 +43,16 @@
 
 @attrs.frozen
 class PrimaryOptions:
-    """What a primary starts with: the configuration (None: not known yet) and the settings of leases."""
+    """Options of a new primary: the configuration, or None before this store has one, and lease settings."""
 
     configuration: Configuration | None
     leases: LeaseOptions
 
 
 class PartitionPrimary:
-    """The queue and the leases of one partition, for one epoch or several in a row.
+    """The queue and the leases of one partition during one or several consecutive epochs.
 
-    `queue` and `table` are public for reading.  The owner clears `outbox` and `queue.newly_ready_services`.
+    Callers may read `queue` and `table`.  The owner empties `outbox` and `queue.newly_ready_services`.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch that new records carry."""
+        """The epoch in the versions of new records."""
         return self._writer.epoch
 
     @epoch.setter
@@ -94,7 +94,7 @@
 
     @property
     def outbox(self) -> list[Proposal]:
-        """Proposals to replicate, in the order they were made; the owner takes them out."""
+        """The proposals to replicate, oldest first; the owner removes them."""
         return self._writer.outbox
 
     @outbox.setter
@@ -106,28 +106,30 @@
         self._writer.commit(proposal, now, wall_ms)
 
     def propose_confirmation(self, now: float) -> Proposal:
-        """Propose an empty record: its commit shows that a quorum still follows this primary."""
+        """Propose an empty record, whose commit confirms that a quorum still follows this primary."""
         return self._writer.propose_confirmation(now)
 
     def uncommitted_proposal(self, key: MessageKey) -> Proposal | None:
-        """Return the newest proposal of a message, if it is not committed yet."""
+        """Return the newest proposal of a message, or None if all its proposals are committed."""
         return self._writer.pending.get(key)
 
     def restore(self, key: MessageKey, now: float, wall_ms: int) -> None:
-        """Restore a message whose records were learned from another replica or from the log."""
+        """Restore a message after the table has received its records from the log or from another replica."""
         self._restorer.restore(key, now, wall_ms)
 
     def forget(self, keys: list[MessageKey]) -> None:
-        """Forget messages that the table has dropped."""
+        """Remove messages that the table has dropped."""
         self._callbacks.forget(keys)
         self._lifecycle.forget(keys)
 
     # Accepting messages
 
     def put(self, message: NewMessage, now: float, wall_ms: int) -> Proposal | PutResponse:
-        """Accept a message, each id once.
+        """Accept a message, unless a message with the same id is already stored.
 
-        A proposal stands for the answer `stored` once it is committed.
+        Returns
+        -------
+        The response, or a proposal; once the proposal is committed, the response is `stored`.
         """
         known = self._lifecycle.keys_by_id.get(message.id)
         if known is not None:
@@ -144,22 +146,22 @@
 
     # Leasing
 
-    def lease(self, request: LeaseRequest, most: int, now: float, wall_ms: int) -> list[LeaseGrant]:
-        """Grant leases on up to `most` ready jobs of the service."""
+    def lease(self, request: LeaseRequest, max_jobs: int, now: float, wall_ms: int) -> list[LeaseGrant]:
+        """Grant leases on up to `max_jobs` ready jobs of the service."""
         self.queue.advance(now)
         if request.service.startswith(CALLBACK_PREFIX):
-            return self._callbacks.lease(request, most, now)
-        return self._leases.lease(request, most, now, wall_ms)
+            return self._callbacks.lease(request, max_jobs, now)
+        return self._leases.lease(request, max_jobs, now, wall_ms)
 
     def has_ready(self, service: str, now: float) -> bool:
-        """Return whether a job of the service could be leased now."""
+        """Return whether a job of the service can be leased now."""
         if self.queue.peek(service) is None:
             return False
         bucket = self._routing.bucket(service)
         return bucket is None or bucket.available(now) >= 1
 
     def next_token_time(self, service: str, now: float) -> float | None:
-        """Return when the rate limit lets the next ready job go, None if the limit delays no job."""
+        """Return when the rate limit allows the next lease, or None if the limit delays no ready job."""
         bucket = self._routing.bucket(service)
         if bucket is None or self.queue.peek(service) is None or bucket.available(now) >= 1:
             return None
@@ -168,33 +170,37 @@
     def finish(
         self, lease: LeaseId, finish: FinishLease, now: float, wall_ms: int
     ) -> Proposal | LeaseUpdateResponse:
-        """Finish a lease.
+        """Finish a lease with the result that its holder reports.
 
-        A proposal stands for the answer `taken` once it is committed.
+        Returns
+        -------
+        The response, or a proposal; once the proposal is committed, the response is `taken`.
         """
         if lease.is_callback:
             return self._callbacks.finish(lease, finish, now, wall_ms)
         return self._leases.finish(lease, finish, now, wall_ms)
 
     def is_grant_valid(self, grant: LeaseGrant) -> bool:
-        """Return whether a grant is still valid: its lease may expire before its record is committed."""
+        """Return whether the lease of a grant is still current; it may expire before its record commits."""
         return self._leases.is_grant_valid(grant)
 
     def cancel_grant(self, grant: LeaseGrant, now: float, wall_ms: int) -> None:
-        """Requeue the message of a lease that never reached its dispatcher."""
+        """Requeue the message of a lease that was not sent to its dispatcher."""
         self._leases.cancel_grant(grant, now, wall_ms)
 
     def extend(self, lease: LeaseId, now: float, wall_ms: int) -> Proposal | LeaseUpdateResponse:
         """Extend a pull lease.
 
-        A proposal stands for the answer `taken` once it is committed.
+        Returns
+        -------
+        The response, or a proposal; once the proposal is committed, the response is `taken`.
         """
         return self._leases.extend(lease, now, wall_ms)
 
     # Time
 
     def next_event_time(self) -> float | None:
-        """Return when `advance` has something to do next, None for never."""
+        """Return when `advance` must be called next, or None if nothing is scheduled."""
         times = [
             self._deadlines.next_event_time(),
             self.queue.next_event_time(),
@@ -203,7 +209,7 @@
         return min((time for time in times if time is not None), default=None)
 
     def advance(self, now: float, wall_ms: int) -> None:
-        """Let time pass: messages become ready, leases and retentions expire."""
+        """Process all timers that are due: messages become ready, leases and retentions expire."""
         for message in self._deadlines.expire_leases(now):
             if isinstance(message, CallbackJob):
                 self._callbacks.requeue(message, 0.0, now)
@@ -214,27 +220,27 @@
         self.queue.advance(now)
 
     def postpone_leases(self, seconds: float) -> None:
-        """Postpone the expiry of all leases after a pause of this process.
+        """Postpone the expiry of all leases by this many seconds after a pause of this process.
 
-        Requests of lease holders that arrived during the pause may still be unread.
+        Requests that lease holders sent during the pause may still be unread.
         """
         self._leases.postpone(seconds)
         self._callbacks.postpone_leases(seconds)
 
     def release_dispatchers(self, alive: Callable[[str, int], bool], now: float, wall_ms: int) -> None:
-        """Requeue the push leases of dispatchers that are not alive."""
+        """Requeue the jobs that are leased to dispatchers that are not alive, except those of pull leases."""
         self._leases.release_dispatchers(alive, now, wall_ms)
         self._callbacks.release_dispatchers(alive, now)
 
     def configure(self, configuration: Configuration, now: float, wall_ms: int) -> None:
-        """Apply a newer configuration: rate limits, removed routes, routes that moved to another service."""
+        """Apply the rate limits, removed routes and changed services of a newer configuration."""
         self._routing.configure(configuration, now)
         self._lifecycle.apply_routing(now, wall_ms)
 
     # Reading
 
     def queue_summary(self, now: float) -> QueueSummary:
-        """Return how many messages have not ended, by stage."""
+        """Return the number of unfinished messages by stage."""
         active = self._lifecycle.active
         without_put = sum(
             entry.put_position is None and not entry.status.has_ended and key not in active
@@ -243,7 +249,7 @@
         return summarize_queue(active.values(), without_put, now)
 
     def status(self, key: MessageKey, *, want_body: bool) -> MessageStatusResponse:
-        """Return the state of a message, with its body if wanted and not completed."""
+        """Return the state of a message; with `want_body` also the body, unless the message is completed."""
         entry = self.table.entries.get(key)
         if entry is None:
             return MessageStatusResponse("unknown")
--- a/hollowusher/messages/partition/partition_table.py
+++ b/hollowusher/messages/partition/partition_table.py
@@ -1,8 +1,8 @@
 """The messages of one partition at one replica.
 
-The table merges records by version, so that replicas may receive them in any order and repeatedly, and knows
-the position of each in the log.  It caches the PUT records of messages that have not ended while the cache
-of the process has capacity, and reads them from the log otherwise.
+The table merges records by version, so a replica may receive them in any order and repeatedly.  It stores the
+position of each record in the log.  PUT records of unfinished messages are cached while the cache of the
+process has capacity; other PUT records are read from the log.
 
 Invariant: each position in the table is live in the log; the table releases a position exactly when no entry
 refers to it any more.
@@ -28,19 +28,19 @@
 from hollowusher.storage.interface import Log, Position
 
 BUCKET_COUNT = 64
-CLOCK_SKEW_MARGIN_MS = 200  # how much sooner another machine's wall clock may say that a delay is over
-CLOCK_MARGIN_MS = 15_000  # wall clocks may be stepped: no message is forgotten too early
+CLOCK_SKEW_MARGIN_MS = 200  # another machine's wall clock may end a delay this much earlier
+CLOCK_MARGIN_MS = 15_000  # added to the retention of ended messages, because wall clocks may be stepped
 PENDING_CALLBACK_RETENTION_MS = (
-    3_600_000  # a message whose call-back was never accepted is forgotten after this
+    3_600_000  # retention of an ended message whose call-back the receiver has not accepted
 )
-MAX_DIFFERENCE_BYTES = 512 * 1024  # of the records in one answer, about
+MAX_DIFFERENCE_BYTES = 512 * 1024  # approximate limit for the records in one response
 
 
 class RecordCache:
-    """Accounting of the PUT records that one process caches, in bytes."""
+    """Byte count of the PUT records that the tables of one process cache, and its limit."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self.capacity_bytes = most_bytes
+    def __init__(self, max_bytes: int) -> None:
+        self.capacity_bytes = max_bytes
         self.used_bytes = 0
 
 
@@ -50,34 +50,38 @@
 
     key: MessageKey
     put_position: Position | None = None
-    read_put_record: bytes | None = None  # cached
-    # When it was accepted, by this process's wall clock; None: known by the accepting machine's clock alone.
+    cached_put_record: bytes | None = None
+    # Wall time of this process when the message was accepted.  None if the message was replayed from the log,
+    # where only the accepting machine's wall time is stored.
     accepted_at_ms: int | None = None
     state: MessageState | None = None
     state_position: Position | None = None
 
     @property
     def version(self) -> RecordVersion:
-        """The version of the newest record."""
+        """The version of the newest record of the message."""
         return self.state.version if self.state is not None else self.key
 
     @property
     def status(self) -> MessageStatus:
-        """The state of the message."""
+        """The status of the message."""
         return self.state.status if self.state is not None else MessageStatus.QUEUED
 
     @property
     def is_complete(self) -> bool:
-        """Whether no record is missing: the PUT record may, once the message is completed."""
+        """Whether this replica has all records of the message; a completed message needs no PUT record."""
         return self.put_position is not None or self.status is MessageStatus.COMPLETED
 
     def version_summary(self) -> list[int]:
-        """Return what replicas compare: epoch, sequence, completeness."""
+        """Return the [epoch, sequence, completeness] that replicas compare in anti-entropy."""
         return [*self.version, int(self.is_complete)]
 
 
 class PartitionTable:
-    """All messages of one partition."""
+    """All messages of one partition at one replica.
+
+    `status_ms` is the retention in milliseconds of messages that have ended.
+    """
 
     def __init__(self, partition: int, log: Log, cache: RecordCache, status_ms: int) -> None:
         self.partition = partition
@@ -93,7 +97,12 @@
     # Merging
 
     def apply(self, record: bytes, wall_ms: int) -> MessageKey | None:
-        """Merge a record and append it to the log if it is newer; return the key of the changed message."""
+        """Merge a record, and append it to the log if it is new.
+
+        Returns
+        -------
+        The key of the changed message, or None if the record changed no message.
+        """
         header = records.unpack_header(record)
         if header.kind == RecordKind.PUT:
             return self._merge_put(record, header.version, wall_ms, None)
@@ -106,7 +115,7 @@
         return None
 
     def replay(self, record: bytes, header: records.RecordHeader, position: Position, wall_ms: int) -> None:
-        """Merge a record that was read from the log at the start of the process."""
+        """Merge a record that was read from the log at the start of the process, or release its position."""
         taken = False
         if header.kind == RecordKind.PUT:
             taken = self._merge_put(record, header.version, wall_ms, position) is not None
@@ -118,9 +127,10 @@
             self._log.release(position)
 
     def drop_outdated_messages(self, wall_ms: int) -> None:
-        """Drop messages so old that they must have ended and been forgotten, after a replay.
+        """Drop messages that are so old that they must have ended and been dropped before the replay.
 
-        The log may still have the PUT record of a forgotten message, relocated to a position after its end.
+        The log may still contain the PUT record of such a message, because it may have been relocated to a
+        position after the record of the message's end.
         """
         for entry in [entry for entry in self.entries.values() if entry.state is None]:
             put = self.read_accepted(entry)
@@ -130,12 +140,12 @@
                 self._forget(entry.key)
 
     def fence_older_epochs(self, epoch: int) -> None:
-        """Reject records of primaries of older epochs from now on; durable after the next sync."""
+        """Raise the minimum epoch, below which this replica rejects records; durable after the next sync."""
         if epoch > self.minimum_epoch:
             self._merge_epoch(epoch, self._log.append(records.pack_epoch(self.partition, epoch)))
 
     def relocate(self, position: Position, record: bytes) -> None:
-        """Append a live record again, because the log is about to reuse its segment."""
+        """Append a live record to the log again, because the log is about to reuse the record's segment."""
         header = records.unpack_header(record)
         if header.kind == RecordKind.EPOCH:
             if self._epoch_position == position:
@@ -208,23 +218,23 @@
     # Reading
 
     def read_put_record(self, entry: MessageEntry) -> bytes | None:
-        """Return the PUT record of a message, None if it is not stored here."""
-        if entry.read_put_record is not None:
-            return entry.read_put_record
+        """Return the PUT record of a message, or None if this replica does not have it."""
+        if entry.cached_put_record is not None:
+            return entry.cached_put_record
         return None if entry.put_position is None else self._log.read(entry.put_position)
 
     def read_accepted(self, entry: MessageEntry) -> AcceptedMessage | None:
-        """Return the message as it was accepted, None if its PUT record is not stored here."""
+        """Return the content of a message's PUT record, or None if this replica does not have it."""
         record = self.read_put_record(entry)
         return None if record is None else records.unpack_put(record)
 
     # Delays
 
     def due_at_ms(self, entry: MessageEntry) -> int | None:
-        """Return when the delay of a message is over, by this process's wall clock; None if it has none.
+        """Return the wall time of this process at which the delay of a message ends, or None without a delay.
 
-        Wall clocks differ between machines.  A message that is known by the clock of the machine that
-        accepted it alone, because it was read back from the log, gets a margin for that.
+        Wall clocks differ between machines.  If only the wall time of the accepting machine is available,
+        because the message was replayed from the log, `CLOCK_SKEW_MARGIN_MS` is added.
         """
         accepted = self.read_accepted(entry)
         if accepted is None or accepted.due_wall_ms <= accepted.accepted_wall_ms:
@@ -233,7 +243,10 @@
         return self._accepted_at_ms(entry, accepted) + delay_ms
 
     def acceptance_age_ms(self, key: MessageKey, wall_ms: int) -> int | None:
-        """Return how long ago a delayed message was accepted, None if it has no delay or has ended."""
+        """Return the milliseconds since a delayed message was accepted.
+
+        The result is None if the message is unknown, has no delay, has ended, or has no PUT record here.
+        """
         entry = self.entries.get(key)
         if entry is None or entry.status.has_ended:
             return None
@@ -251,7 +264,7 @@
     # Forgetting
 
     def forget_expired(self, wall_ms: int) -> list[MessageKey]:
-        """Drop the messages that ended long enough ago and return their keys."""
+        """Drop the ended messages whose retention is over, and return their keys."""
         expired = [
             entry.key
             for entry in self.entries.values()
@@ -262,7 +275,7 @@
         return expired
 
     def release_all(self) -> None:
-        """Release all records, because this store no longer has the partition."""
+        """Release all records in the log, after this store has ceased to be a replica of the partition."""
         for key in list(self.entries):
             self._forget(key)
         if self._epoch_position is not None:
@@ -290,18 +303,18 @@
 
     def _cache_record(self, entry: MessageEntry, record: bytes) -> None:
         if self._cache.used_bytes + len(record) <= self._cache.capacity_bytes:
-            entry.read_put_record = record
+            entry.cached_put_record = record
             self._cache.used_bytes += len(record)
 
     def _drop_cached(self, entry: MessageEntry) -> None:
-        if entry.read_put_record is not None:
-            self._cache.used_bytes -= len(entry.read_put_record)
-            entry.read_put_record = None
+        if entry.cached_put_record is not None:
+            self._cache.used_bytes -= len(entry.cached_put_record)
+            entry.cached_put_record = None
 
     # Comparing with other replicas
 
     def bucket_digests(self) -> list[int]:
-        """Return one digest for each bucket; equal digests mean equal content."""
+        """Return one digest per bucket; two replicas with equal digests have the same records."""
         totals = [0] * BUCKET_COUNT
         for entry in self.entries.values():
             text = b"%d %d %d %d %d" % (*entry.key, *entry.version, entry.is_complete)
@@ -309,7 +322,7 @@
         return totals
 
     def differing_buckets(self, digests: list[int]) -> list[int]:
-        """Return the buckets whose content differs from that of the digests."""
+        """Return the buckets whose digests differ from these digests of another replica."""
         return [
             bucket
             for bucket, (mine, other) in enumerate(zip(self.bucket_digests(), digests, strict=True))
@@ -317,7 +330,7 @@
         ]
 
     def bucket_versions(self, buckets: Iterable[int]) -> dict[int, dict[str, list[int]]]:
-        """Return the content of some buckets: bucket -> reference -> version summary."""
+        """Return the version summaries of all messages in some buckets, by bucket and reference."""
         contents: dict[int, dict[str, list[int]]] = {bucket: {} for bucket in buckets}
         for entry in self.entries.values():
             bucket = entry.key[1] % BUCKET_COUNT
@@ -328,7 +341,10 @@
         return contents
 
     def records_newer_than(self, versions: dict[int, dict[str, list[int]]]) -> tuple[list[bytes], bool]:
-        """Return records that a replica with these versions lacks, and whether there are more."""
+        """Return the records that a replica with these versions lacks, and whether more remain.
+
+        The result is cut off after about `MAX_DIFFERENCE_BYTES`.
+        """
         found: list[bytes] = []
         size = 0
         for entry in self._in_buckets(versions):
@@ -345,11 +361,12 @@
         return found, False
 
     def references_older_than(self, versions: dict[int, dict[str, list[int]]]) -> tuple[list[str], list[str]]:
-        """Compare these versions with the table.
+        """Compare these versions of another replica with the table.
 
         Returns
         -------
-        The references that the table lacks or has older, and those among them whose PUT record it lacks.
+        The references of messages for which the table lacks a record or has an older one, and those among
+        them whose PUT record the table lacks.
         """
         wanted, incomplete = [], []
         for bucket in versions.values():
@@ -364,7 +381,10 @@
         return wanted, incomplete
 
     def requested_records(self, wanted: Iterable[str], incomplete: Iterable[str]) -> Iterator[bytes]:
-        """Yield the records that another replica requested by the results of its `references_older_than`."""
+        """Yield the records that another replica requests.
+
+        `wanted` and `incomplete` are the results of `references_older_than` at that replica.
+        """
         without_put = set(incomplete)
         for reference in wanted:
             parsed = records.parse_reference(reference)
@@ -373,7 +393,10 @@
                 yield from self.missing_records(entry, None if reference in without_put else [0, 0, 1])
 
     def missing_records(self, entry: MessageEntry, other: list[int] | None) -> list[bytes]:
-        """Return the records of a message that a replica with this summary (None: no record) lacks."""
+        """Return the records of a message that another replica lacks.
+
+        `other` is the version summary of the message at that replica, or None if it has no record of it.
+        """
         missing = []
         if (other is None or not other[2]) and entry.put_position is not None:
             record = self.read_put_record(entry)
--- a/hollowusher/messages/partition/queue_summary.py
+++ b/hollowusher/messages/partition/queue_summary.py
@@ -1,7 +1,7 @@
-"""Figures of one partition's queue: how many messages wait, for how long, and what a takeover found.
+"""Statistics of one partition's queue: the number of messages in each stage, and the longest wait.
 
-A message that has been accepted and does not run is in one of these stages; operators tell a delay that has
-not passed, a lease that nobody finishes and a dispatcher that does not ask apart by them.
+Each accepted message that has not ended is in one of these stages.  By the stages operators can distinguish
+a delay that has not passed, a lease that its holder does not finish, and a dispatcher that requests no jobs.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 @attrs.frozen
 class QueueSummary:
-    """The messages of one partition that have not ended, by stage."""
+    """The number of unfinished messages by stage, in one partition or in several."""
 
-    waiting: int = 0  # for a time, or for earlier messages of their ordering key
-    ready: int = 0  # a dispatcher may lease them now
+    waiting: int = 0  # messages that wait until `ready_at`, or for earlier messages of their ordering key
+    ready: int = 0  # messages that a dispatcher may lease now
     leased: int = 0
-    suspended: int = 0  # their put or their end is not committed yet
-    longest_wait_s: float = 0.0  # until the last of the waiting ones is ready
-    without_put: int = 0  # records of messages whose PUT record is missing here
+    suspended: int = 0  # messages whose put or end is not committed yet
+    longest_wait_s: float = 0.0  # longest remaining time until `ready_at`, over all waiting messages
+    without_put: int = 0  # unfinished messages whose PUT record is missing on this replica
 
     def __add__(self, other: QueueSummary) -> QueueSummary:
-        """Return the summary of both queues."""
+        """Return the combined summary of two queues."""
         return QueueSummary(
             self.waiting + other.waiting,
             self.ready + other.ready,
@@ -43,7 +43,7 @@
 
 
 def summarize_queue(active: Iterable[ActiveMessage], without_put: int, now: float) -> QueueSummary:
-    """Return the summary of the messages that have not ended."""
+    """Return the summary of these messages; `without_put` is the number of those without a PUT record."""
     counts = dict.fromkeys(QueueStage, 0)
     longest_wait_s = 0.0
     for message in active:
--- a/hollowusher/messages/partition/record_writer.py
+++ b/hollowusher/messages/partition/record_writer.py
@@ -1,4 +1,4 @@
-"""Writing of one partition's records at its primary: versions, the table, and proposals to the replicas."""
+"""Creation of new records at the primary of a partition: versions, the local table and proposals."""
 
 from __future__ import annotations
 
@@ -11,30 +11,32 @@
 from hollowusher.messages.partition.proposal import NO_KEY, Proposal
 from hollowusher.messages.records import AcceptedMessage, MessageKey, MessageState, MessageStatus
 
-OnCommit = Callable[[float, int], None]  # called with steady and wall clock
+OnCommit = Callable[[float, int], None]  # called with (now, wall_ms)
 
 
 class RecordWriter:
-    """Writer of one partition's records; keeps the proposals that wait for a quorum.
+    """Writes the records of one partition, and keeps the uncommitted proposals.
 
-    Versions only grow: the first one lies beyond all versions of the table and beyond the wall clock in
-    microseconds, so that a new primary never uses a version of a former one again.
+    Sequence numbers only increase.  The first one is greater than all sequence numbers in the table and than
+    the wall clock in microseconds, so that a new primary never reuses a version of a former primary.
     """
 
     def __init__(self, table: PartitionTable, epoch: int, wall_ms: int) -> None:
         self.epoch = epoch
-        self.outbox: list[Proposal] = []  # in the order they were made; the owner replicates and clears them
+        self.outbox: list[
+            Proposal
+        ] = []  # oldest first; the owner replicates the proposals and clears the list
         self.pending: dict[MessageKey, Proposal] = {}  # the newest uncommitted proposal of each message
         self._table = table
         self._sequence = max(table.greatest_sequence, wall_ms * 1000)
 
     def next_version(self) -> records.RecordVersion:
-        """Return a version greater than all before."""
+        """Return a new version, greater than all earlier ones of this writer."""
         self._sequence += 1
         return self.epoch, self._sequence
 
     def propose_put(self, key: MessageKey, put: AcceptedMessage, now: float, wall_ms: int) -> Proposal:
-        """Keep a new message in the table and propose its record."""
+        """Store a new message in the local table and propose its PUT record."""
         record = records.pack_put(self._table.partition, key, put)
         self._table.apply(record, wall_ms)
         is_delayed = put.due_wall_ms > put.accepted_wall_ms
@@ -51,7 +53,7 @@
         wall_ms: int,
         on_commit: OnCommit | None = None,
     ) -> Proposal:
-        """Propose a message's new state; replicas acknowledge it once they hold it in memory."""
+        """Propose a new state of a message; replicas acknowledge it once it is in their memory."""
         proposal = self._state_proposal(key, state, now, wall_ms)
         proposal.on_commit = on_commit
         return self._propose(proposal)
@@ -64,14 +66,14 @@
         wall_ms: int,
         on_commit: OnCommit | None = None,
     ) -> Proposal:
-        """Propose a message's new state; replicas acknowledge it once it is on their disk."""
+        """Propose a new state of a message; replicas acknowledge it once it is on their disk."""
         proposal = self._state_proposal(key, state, now, wall_ms)
         proposal.on_commit = on_commit
         proposal.needs_sync = True
         return self._propose(proposal)
 
     def copy_without_lease(self, key: MessageKey) -> MessageState:
-        """Return a copy of a message's state with a new version and without a lease."""
+        """Return a copy of a message's state with a new version, status QUEUED and no lease."""
         state = self._table.entries[key].state
         version = self.next_version()
         if state is None:
@@ -88,7 +90,7 @@
         )
 
     def propose_confirmation(self, now: float) -> Proposal:
-        """Propose an empty record: its commit shows that a quorum still follows this primary."""
+        """Propose an empty record, whose commit confirms that a quorum still follows this primary."""
         proposal = Proposal(NO_KEY, b"", needs_sync=False, created_at=now)
         self.outbox.append(proposal)
         return proposal
@@ -103,7 +105,7 @@
         proposal.resolve_waiters(committed=True)
 
     def _state_proposal(self, key: MessageKey, state: MessageState, now: float, wall_ms: int) -> Proposal:
-        """Keep a message's new state in the table and return its record as a proposal."""
+        """Store a new state of a message in the local table and return the proposal of its STATE record."""
         record = records.pack_state(self._table.partition, key, state)
         self._table.apply(record, wall_ms)
         completes_message = state.status is MessageStatus.COMPLETED
--- a/hollowusher/messages/partition/service_routing.py
+++ b/hollowusher/messages/partition/service_routing.py
@@ -1,4 +1,4 @@
-"""The configuration as one partition's primary uses it: routes, services and their rate limits."""
+"""The part of the configuration that a primary uses: routes, services and rate limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class ServiceRouting:
-    """Routes, services and rate limits.  Without a configuration no route is removed and no rate limited."""
+    """Routes, services and rate limits of the newest configuration.
+
+    Before the first configuration no route counts as removed and no service has a rate limit.
+    """
 
     def __init__(self) -> None:
         self._configuration: Configuration | None = None
@@ -30,15 +33,15 @@
 
     @property
     def generation(self) -> int:
-        """The generation of the configuration, 0 where there is none."""
+        """The generation of the configuration, or 0 before the first one."""
         return self._configuration.generation if self._configuration else 0
 
     def bucket(self, service: str) -> TokenBucket | None:
-        """Return the token bucket of a service, None if it has no rate limit."""
+        """Return the token bucket of a service, or None if the service has no rate limit."""
         return self._buckets.get(service)
 
     def is_route_removed(self, active: ActiveMessage) -> bool:
-        """Return whether the configuration is newer than the message's and does not have its route."""
+        """Return whether a configuration newer than the message's own has removed the message's route."""
         configuration = self._configuration
         return (
             configuration is not None
@@ -47,11 +50,11 @@
         )
 
     def service_for(self, route: str, service: str) -> str:
-        """Return the service of a message: as accepted, or the route's service if that one was removed."""
+        """Return `service`, or the current service of the route if `service` is not configured any more."""
         return service if service in self._services else self._upstreams.get(route, service)
 
     def has_changed_service(self, active: ActiveMessage) -> bool:
-        """Return whether the message now belongs to another service."""
+        """Return whether the message has to move to the queue of another service."""
         return self.service_for(active.route, active.service) != active.service
 
     def _set_rate_limits(self, rates: dict[str, float], now: float) -> None:
--- a/hollowusher/messages/partition/token_bucket.py
+++ b/hollowusher/messages/partition/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: the rate limit of one service at one primary.  No clock of its own: times are passed in."""
+"""A token bucket that limits the rate of one service at one primary.  Callers pass the time in."""
 
 from __future__ import annotations
 
@@ -6,10 +6,13 @@
 
 
 class TokenBucket:
-    """Rate limit for the leases of a service: slightly below its rate, with a short burst.  Starts empty."""
+    """Rate limit for the leases of a service.
 
-    RATE_FRACTION = 0.97  # of the configured rate, because clocks and batches are inexact
-    BURST_S = 0.15
+    The bucket fills slightly more slowly than the configured rate, holds a short burst, and starts empty.
+    """
+
+    RATE_FRACTION = 0.97  # fraction of the configured rate; allows for inexact clocks and for batches
+    BURST_S = 0.15  # the bucket holds the tokens of this many seconds, but at least one token
 
     def __init__(self, rate_per_s: float, now: float) -> None:
         self.rate = rate_per_s * self.RATE_FRACTION
@@ -18,13 +21,13 @@
         self._filled_at = now
 
     def change_rate(self, rate_per_s: float, now: float) -> None:
-        """Use another rate from now on."""
+        """Change the rate and the burst from `now` on."""
         self._fill(now)
         self.rate = rate_per_s * self.RATE_FRACTION
         self.burst = max(1.0, rate_per_s * self.BURST_S)
 
     def available(self, now: float) -> int:
-        """Return how many tokens are available now."""
+        """Return the number of whole tokens in the bucket."""
         self._fill(now)
         return int(self._tokens + ROUNDING_TOLERANCE)
 
@@ -33,7 +36,7 @@
         self._tokens -= 1.0
 
     def next_token_at(self, now: float) -> float:
-        """Return when the next token is available."""
+        """Return when the bucket contains a whole token."""
         self._fill(now)
         return now + max(0.0, 1.0 - self._tokens) / self.rate
 
--- a/hollowusher/messages/records.py
+++ b/hollowusher/messages/records.py
@@ -1,9 +1,9 @@
-"""The records that stores keep and replicate, and their packing.
+"""The records that stores write to disk and replicate, and their binary encoding.
 
-A record is a fixed header (kind, partition, version) and a MessagePack array.  A message is named, within
-its partition, by the version of the record that put it: its `MessageKey`.  Versions are (epoch, sequence); of
-two records about the same message the one with the greater version counts, so replicas merge records in any
-order.
+A record consists of a fixed header (kind, partition, version) and a MessagePack value.  The `MessageKey` that
+identifies a message within its partition is the version of the message's PUT record.  A version is a pair
+(epoch, sequence).  The STATE record with the greatest version replaces the older states of its message, so
+replicas can merge records in any order.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from hollowusher.protocol.messages import NewMessage
 
 RecordVersion = tuple[int, int]  # (epoch, sequence)
-MessageKey = RecordVersion  # the version of the record that put the message
+MessageKey = RecordVersion  # the version of the message's PUT record
 
 _HEADER = struct.Struct("<BHIQ")
 _NEW_MESSAGE_FIELDS = tuple(field.name for field in attrs.fields(cast(Any, NewMessage)))
@@ -34,9 +34,12 @@
 
 
 class TransientRecordKind(IntEnum):
-    """Kind of a record that stores send to one another and never write down; older processes ignore it."""
+    """Kind of a record that stores send to one another and never write to disk.
 
-    ACCEPTANCE_AGE = 128  # how long ago the message of the next PUT record was accepted
+    Processes of older versions ignore these records.
+    """
+
+    ACCEPTANCE_AGE = 128  # milliseconds since the primary accepted the message of the next PUT record
 
 
 class MessageStatus(IntEnum):
@@ -49,12 +52,12 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the message is not delivered any more."""
+        """Whether the message is completed or a dead letter, and so is not delivered any more."""
         return self >= MessageStatus.COMPLETED
 
 
 class RecordHeader(NamedTuple):
-    """Header of a record."""
+    """Header of a record; `epoch` and `sequence` form its version."""
 
     kind: int
     partition: int
@@ -69,40 +72,40 @@
 
 @attrs.define(slots=True)
 class AcceptedMessage:
-    """Content of a PUT record: a message as its primary accepted it."""
+    """Content of a PUT record: a message and when its primary accepted it."""
 
-    accepted_wall_ms: int  # wall clock of the primary that accepted it
-    due_wall_ms: int  # wall clock: not delivered earlier
-    generation: int  # of the configuration that accepted it
+    accepted_wall_ms: int  # wall clock of the primary that accepted the message
+    due_wall_ms: int  # wall clock of the same primary; the message is not delivered earlier
+    generation: int  # generation of the configuration under which the message was accepted
     message: NewMessage
 
 
 @attrs.define(slots=True)
 class MessageState:
-    """Content of a STATE record: everything about a message that changes.
+    """Content of a STATE record: all mutable properties of a message.
 
-    `id` and `callback_url` are set once the message has ended, because the PUT record of a completed message
-    is dropped.
+    `id` and `callback_url` are set when the message ends, because replicas drop the PUT record of a completed
+    message.
     """
 
     version: RecordVersion
     status: MessageStatus = MessageStatus.QUEUED
-    attempts: int = 0  # deliveries that the worker answered with a failure
-    lease: int = 0  # number of the current lease
+    attempts: int = 0  # number of deliveries for which the worker reported a failure
+    lease: int = 0  # number of the current lease; 0 if the message is not leased
     dispatcher: str = ""
     incarnation: int = 0
     pull: bool = False
     visibility_ms: int = 0
-    last_lease: int = 0  # the lease that finished last: its outcome may be reported again
-    last_result: str = ""  # and its outcome
+    last_lease: int = 0  # number of the lease that finished last; its holder may report the result again
+    last_result: str = ""  # result of the lease `last_lease`
     signature: str = ""
     callback_pending: bool = False
-    ended_wall_ms: int = 0  # wall clock
+    ended_wall_ms: int = 0  # wall clock of the primary that ended the message
     id: str = ""
     callback_url: str = ""
     earlier_results: list[list[Any]] = attrs.Factory(
         list
-    )  # [lease, result] of those before the last, newest last
+    )  # [lease, result] of the leases that finished before `last_lease`, newest last
 
 
 def unpack_header(record: bytes) -> RecordHeader:
@@ -119,7 +122,7 @@
 
 
 def pack_put(partition: int, key: MessageKey, accepted: AcceptedMessage) -> bytes:
-    """Return a PUT record; the key of the message is the version of the record."""
+    """Return the PUT record of a message; the record's version is the key of the message."""
     message = accepted.message
     values = [getattr(message, name) for name in _NEW_MESSAGE_FIELDS]
     return _HEADER.pack(RecordKind.PUT, partition, *key) + ormsgpack.packb(
@@ -157,40 +160,40 @@
 
 
 def unpack_state(record: bytes, version: RecordVersion) -> tuple[MessageKey, MessageState]:
-    """Return the key of the message and the content of a STATE record with this version."""
+    """Return the key of the message and the content of a STATE record whose header has this version."""
     epoch, sequence, status, *values = ormsgpack.unpackb(memoryview(record)[_HEADER.size :])
     return (epoch, sequence), MessageState(version, MessageStatus(status), *values)
 
 
 def pack_epoch(partition: int, epoch: int) -> bytes:
-    """Return an EPOCH record."""
+    """Return an EPOCH record, which fences the epochs before `epoch`."""
     return _HEADER.pack(RecordKind.EPOCH, partition, epoch, 0)
 
 
 def pack_acceptance_age(partition: int, key: MessageKey, age_ms: int) -> bytes:
-    """Return an ACCEPTANCE_AGE record of the message `key`."""
+    """Return an ACCEPTANCE_AGE record: `age_ms` milliseconds have passed since message `key` was accepted."""
     return _HEADER.pack(TransientRecordKind.ACCEPTANCE_AGE, partition, *key) + ormsgpack.packb(age_ms)
 
 
 def unpack_acceptance_age(record: bytes) -> int:
-    """Return the age in milliseconds that an ACCEPTANCE_AGE record tells."""
+    """Return the age in milliseconds from an ACCEPTANCE_AGE record."""
     return int(ormsgpack.unpackb(memoryview(record)[_HEADER.size :]))
 
 
 def format_reference(partition: int, key: MessageKey) -> str:
-    """Return the public name of a message."""
+    """Return the public reference of a message."""
     return f"{partition}-{key[0]}-{key[1]}"
 
 
 def parse_reference(reference: str) -> tuple[int, MessageKey] | None:
-    """Return partition and key of a reference, None if the text is not a reference."""
+    """Return the partition and the message key of a reference, or None if the text is not a reference."""
     parts = reference.split("-")
     if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
         return None
     return int(parts[0]), (int(parts[1]), int(parts[2]))
 
 
-CALLBACK_LEASE_MARKER = "c"  # precedes the number of a lease for a call-back
+CALLBACK_LEASE_MARKER = "c"  # precedes the lease number in the id of a call-back lease
 
 
 class LeaseId(NamedTuple):
@@ -203,12 +206,12 @@
 
 
 def format_lease_id(partition: int, key: MessageKey, number: int, *, is_callback: bool = False) -> str:
-    """Return the public name of a lease."""
+    """Return the public id of a lease."""
     return f"{partition}-{key[0]}-{key[1]}-{CALLBACK_LEASE_MARKER if is_callback else ''}{number}"
 
 
 def parse_lease_id(lease: str) -> LeaseId | None:
-    """Return the parts of a lease id, None if the text is not a lease id."""
+    """Return the parts of a lease id, or None if the text is not a lease id."""
     reference, _, number = lease.rpartition("-")
     parsed = parse_reference(reference)
     callback = number.startswith(CALLBACK_LEASE_MARKER)
--- a/hollowusher/messages/replication/__init__.py
+++ b/hollowusher/messages/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replication of partitions among stores: quorums, streams to peers, anti-entropy, recovery."""
+"""Replication of partitions among stores: quorums, streams to peers, anti-entropy and recovery."""
--- a/hollowusher/messages/replication/acceptance_age.py
+++ b/hollowusher/messages/replication/acceptance_age.py
@@ -1,9 +1,9 @@
-"""Ages of delayed messages, told beside their PUT records when one store sends them to another.
+"""Ages of delayed messages, which stores send along with the PUT records of these messages.
 
-A delay is counted from the acceptance of its message, which may be long before its record reaches a replica:
-a learner gets the record when it is filled, a store that was away when it comes back.  Wall clocks of
-machines differ, so the sender tells how long ago the message was accepted, and the receiver subtracts that
-from its own clock.  A record that is sent at once needs no age.
+The delay of a message starts when the message is accepted.  Its record may reach a replica much later: a
+learner receives it while it catches up, and a store that was down receives it after its restart.  Wall clocks
+of machines differ, so the sender transmits the time since the acceptance, and the receiver subtracts it from
+its own clock.  A record that is sent right after the acceptance needs no age.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from hollowusher.messages.partition.partition_table import PartitionTable
 from hollowusher.messages.records import RecordKind
 
-MIN_AGE_MS = 100  # smaller ages are not told: the delay may end later by so much
+MIN_AGE_MS = 100  # smaller ages are not sent; at the receiver the delay may end later by up to this much
 
 
 def with_ages(
     table: PartitionTable, found: Iterable[bytes], read_wall_ms: Callable[[], int]
 ) -> Iterator[bytes]:
-    """Yield these records of a table, each PUT record of a delayed message preceded by its age."""
+    """Yield these records of a table, with an age record before the PUT record of each delayed message."""
     for record in found:
         header = records.unpack_header(record)
         if header.kind == RecordKind.PUT:
--- a/hollowusher/messages/replication/anti_entropy.py
+++ b/hollowusher/messages/replication/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: comparison of one partition with one peer until both have the same records.
+"""Anti-entropy: comparison of one partition with one peer until both replicas have the same records.
 
-Both sides exchange digests of buckets, then the versions of the buckets that differ, then records (Demers et
-al., "Epidemic algorithms for replicated database maintenance", PODC 1987).
+Both sides exchange the digests of buckets, then the versions of the messages in the buckets that differ, then
+the missing records (Demers et al., "Epidemic algorithms for replicated database maintenance", PODC 1987).
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 ANSWER_TIMEOUT_S = 1.5
 BUCKETS_PER_REQUEST = 8
 CHUNK_BYTES = 256 * 1024
-PACED_BYTES_PER_S = 3 * 1024 * 1024  # of one partition with one peer
+PACED_BYTES_PER_S = 3 * 1024 * 1024  # rate limit for a paced comparison of one partition with one peer
 
 
 class AntiEntropySession:
-    """One comparison: fetches records that the peer has newer and sends records that it lacks."""
+    """One comparison, which fetches newer records from the peer and sends it the records that it lacks."""
 
     def __init__(
         self, store: StoreDependencies, table: PartitionTable, epoch: int, address: str, *, paced: bool
     ) -> None:
-        self.changed_keys: list[MessageKey] = []  # messages of which the peer had a newer record
+        self.changed_keys: list[MessageKey] = []  # messages for which the peer had a newer record
         self._table = table
         self._epoch = epoch
         self._store_id = store.store_id
@@ -52,7 +52,7 @@
         Raises
         ------
         PeerError
-            If the peer does not answer, or not as expected.
+            If the peer does not answer in time, or with a message of another type.
         FencedError
             If the peer follows a newer epoch.
         """
@@ -71,24 +71,24 @@
             answer = await self._request_difference(
                 ReplicaSummary(partition, self._epoch, self._store_id, [], versions, fence=True)
             )
-            learned = self._merge(answer.records)
-            if learned:
+            has_changes = self._merge(answer.records)
+            if has_changes:
                 await self._log.sync()
             more, incomplete = answer.extra
             await self._push(self._table.requested_records(answer.wanted, incomplete))
             if self._paced:
                 await self._pause(sum(map(len, answer.records)))
-            if not more or not learned:
+            if not more or not has_changes:
                 return
 
     def _merge(self, found: Iterable[bytes]) -> bool:
-        learned = False
+        has_changes = False
         for record in found:
             key = self._table.apply(record, self._wall_ms())
             if key is not None:
                 self.changed_keys.append(key)
-                learned = True
-        return learned
+                has_changes = True
+        return has_changes
 
     async def _push(self, found: Iterator[bytes]) -> None:
         for chunk in _chunks(with_ages(self._table, found, self._wall_ms)):
@@ -120,7 +120,7 @@
 
 
 def compare_with_summary(table: PartitionTable, summary: ReplicaSummary) -> ReplicaDifference:
-    """Return a replica's answer to a comparison."""
+    """Return the response of a replica to a summary: differing buckets, or missing and wanted records."""
     if summary.buckets:
         return ReplicaDifference("ok", table.minimum_epoch, table.differing_buckets(summary.buckets))
     found, more = table.records_newer_than(summary.versions)
--- a/hollowusher/messages/replication/outgoing_record.py
+++ b/hollowusher/messages/replication/outgoing_record.py
@@ -1,4 +1,4 @@
-"""One record on its way to another replica."""
+"""The record type of replication streams."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OutgoingRecord(NamedTuple):
-    """One record to send."""
+    """A proposal and the partition whose replicas receive its record."""
 
     partition: int
     proposal: Proposal
--- a/hollowusher/messages/replication/partition_replica.py
+++ b/hollowusher/messages/replication/partition_replica.py
@@ -1,7 +1,7 @@
-"""One partition at one store: its table and, while this store is its primary, the quorum of its records.
+"""One partition at one store: its table, its placement and, at the primary, the progress of its peers.
 
 Epochs follow Vertical Paxos (Lamport, Malkhi, Zhou, PODC 2009): the placement assigns each epoch to one
-primary; a new primary reads from a quorum that intersects all commit quorums before it serves.
+primary, and a new primary reads from a quorum that intersects all commit quorums before it serves.
 """
 
 from __future__ import annotations
@@ -18,22 +18,23 @@
 
 @attrs.define(slots=True, eq=False)
 class PeerProgress:
-    """Progress of one other replica or learner, as the primary of its partition knows it."""
+    """Progress of one other replica or learner, tracked by the primary of the partition."""
 
-    is_streaming: bool = False  # new records are sent to it
-    is_caught_up: bool = False  # it has all older records, too, and this store has all of the peer's
+    is_streaming: bool = False  # the primary sends new records to the peer
+    is_caught_up: bool = False  # the peer also has all older records, and the primary has all of the peer's
     needs_comparison: bool = (
-        False  # an older record was learned from another peer since the last comparison began
+        False  # another peer has supplied an older record since the last comparison began
     )
-    confirmed_at: float = -1.0  # monotonic send time of the newest batch that it acknowledged
-    lost_at: float = 0.0  # monotonic time when it last stopped answering
+    confirmed_at: float = -1.0  # monotonic send time of the newest batch that the peer acknowledged
+    lost_at: float = 0.0  # monotonic time when the peer last stopped answering
 
 
 class PartitionReplica:
     """State of one partition at this store.
 
-    Invariants: `epoch` is not 0 only while this store is the primary or takes over; no epoch is led twice
-    (`last_led_epoch`); `primary` is set only after the epoch is durable here (`is_epoch_durable`).
+    Invariants: `epoch` is nonzero only while this store is the primary or is taking over; a store leads each
+    epoch at most once (`last_led_epoch`); `primary` is set only after the epoch is on this store's disk
+    (`is_epoch_durable`).
     """
 
     def __init__(self, me: str, table: PartitionTable) -> None:
@@ -41,26 +42,26 @@
         self.table = table
         self.partition = table.partition
         self.placement: PartitionPlacement | None = None
-        self.former_replicas: list[str] = []  # of the previous placement: they may have committed records
-        self.epoch = 0  # for which this store is the primary, else 0
+        self.former_replicas: list[str] = []  # replicas of the previous placement; may have committed records
+        self.epoch = 0  # the epoch that this store leads, or 0 if it is not the primary
         self.last_led_epoch = 0  # the newest epoch that this incarnation has led
         self.fenced_epoch = 0  # the highest epoch with which a peer has rejected this store
         self.is_epoch_durable = False  # the minimum epoch of the table is on this store's disk
-        self.has_takeover_failed = False  # the disk refused the epoch: it is to be tried again
+        self.has_takeover_failed = False  # the disk failed to store the epoch; the takeover is retried
         self.primary: PartitionPrimary | None = None
         self.peer_progress: dict[str, PeerProgress] = {}
-        self.outstanding: dict[Proposal, None] = {}  # in the order they were made
-        self.drop_at = 0.0  # monotonic time when the table is to be dropped, 0: never
+        self.outstanding: dict[Proposal, None] = {}  # uncommitted proposals, oldest first
+        self.drop_at = 0.0  # monotonic time when the table is to be dropped; 0 for never
         self.required_learners: set[str] = (
             set()
-        )  # learners reported ready in this epoch: each commit needs their acknowledgement
+        )  # learners that were reported ready in this epoch; each commit needs their acknowledgement
         self._leading_since = 0.0
-        self.commit_quorum = 1  # how many replicas, this one among them, must have a record
+        self.commit_quorum = 1  # number of replicas, including this one, that must have a record
 
     # Placement
 
     def is_current(self, placement: PartitionPlacement) -> bool:
-        """Return whether a placement is no older than the known one."""
+        """Return whether a placement is at least as new as the current one."""
         return self.placement is None or placement.epoch >= self.placement.epoch
 
     def apply_placement(
@@ -70,17 +71,20 @@
 
         Returns
         -------
-        Whether a takeover begins: its epoch has to be durable here before any other replica is asked.
+        Whether a takeover begins.  The caller must make its epoch durable on this store before it sends a
+        request to any other replica.
         """
-        known = self.placement
-        unbroken = known is not None and self.epoch == known.epoch and placement.epoch <= known.epoch + 1
+        previous = self.placement
+        can_continue = (
+            previous is not None and self.epoch == previous.epoch and placement.epoch <= previous.epoch + 1
+        )
         self.set_placement(placement, tolerated)
         if not self._is_led_by(incarnation):
             if self.epoch < placement.epoch:
                 self.resign()
         elif placement.epoch < max(self.table.minimum_epoch, self.fenced_epoch):
             self.resign()
-        elif self.primary is not None and unbroken:
+        elif self.primary is not None and can_continue:
             self.continue_leading(placement.epoch)
             self.table.fence_older_epochs(placement.epoch)
         elif self.epoch != placement.epoch and self.last_led_epoch < placement.epoch:
@@ -89,10 +93,10 @@
         return False
 
     def _is_led_by(self, incarnation: int) -> bool:
-        """Return whether this incarnation leads the placement's epoch.
+        """Return whether this incarnation may lead the placement's epoch.
 
-        An epoch assigned to an earlier incarnation is over: other replicas may have its last proposals under
-        versions that this incarnation would use again.
+        It may not lead an epoch that was assigned to an earlier incarnation: other replicas may have the last
+        proposals of that incarnation, with versions that this incarnation would reuse.
         """
         assert self.placement is not None
         if self.placement.primary != self.me:
@@ -100,7 +104,7 @@
         return self.placement.primary_incarnation == 0 or self.placement.primary_incarnation >= incarnation
 
     def set_placement(self, placement: PartitionPlacement, tolerated: int) -> None:
-        """Set a newer placement and the quorums that follow from it."""
+        """Store a newer placement and update the former replicas and the commit quorum."""
         if self.placement is not None and set(self.placement.replicas) != set(placement.replicas):
             self.former_replicas = [
                 store_id for store_id in self.placement.replicas if store_id not in placement.replicas
@@ -109,7 +113,7 @@
         self.commit_quorum = min(tolerated + 1, max(1, len(placement.replicas)))
 
     def start_leading(self, epoch: int, now: float) -> None:
-        """Begin to lead an epoch; a takeover quorum has to be compared before this store serves."""
+        """Begin a takeover; this store serves only after it has compared a takeover quorum of replicas."""
         self.resign()
         self.epoch = self.last_led_epoch = epoch
         self._leading_since = now
@@ -117,14 +121,14 @@
         self.refresh_links()
 
     def continue_leading(self, epoch: int) -> None:
-        """Remain the primary through a change of the placement."""
+        """Remain the primary in the next epoch after a change of the placement."""
         self.epoch = self.last_led_epoch = epoch
         if self.primary is not None:
             self.primary.epoch = epoch
         self.refresh_links()
 
     def resign(self) -> None:
-        """Cease to be the primary; waiters learn that the outcome of their proposal is unknown."""
+        """Cease to be the primary; waiters of uncommitted proposals are resolved as not committed."""
         self.epoch = 0
         self.has_takeover_failed = False
         self.primary = None
@@ -135,13 +139,13 @@
             proposal.resolve_waiters(committed=False)
 
     def on_fenced(self, epoch: int) -> None:
-        """Handle the rejection by a peer that follows this higher epoch: no lower one is led any more."""
+        """Resign from any lower epoch, because a peer that follows `epoch` has rejected this store."""
         self.fenced_epoch = max(self.fenced_epoch, epoch)
         if 0 < self.epoch < epoch:
             self.resign()
 
     def refresh_links(self) -> None:
-        """Track the progress of each other replica, learner and former replica."""
+        """Update the set of peers whose progress is tracked: replicas, learners and former replicas."""
         assert self.placement is not None
         wanted = [*self.placement.replicas, *self.placement.learners]
         if self.primary is None:
@@ -158,9 +162,9 @@
 
     @property
     def is_needed_here(self) -> bool:
-        """Whether a store that stops has to wait.
+        """Whether this store must not stop yet.
 
-        It is the primary, or a replica whose replacement is still catching up.
+        That is the case while it is the primary, or a replica whose replacement is still catching up.
         """
         if self.placement is None:
             return False
@@ -177,14 +181,17 @@
 
     @property
     def takeover_quorum(self) -> int:
-        """The number of replicas, this one included, that must have been compared before this one serves.
+        """The number of replicas, including this one, that a takeover must compare before this store serves.
 
-        The quorum intersects every commit quorum, so at least one of its members has each committed record.
+        The quorum intersects every commit quorum, so each committed record is on at least one of its members.
         """
         return max(self.commit_quorum, len(self.replica_ids) - self.commit_quorum + 1)
 
     def may_serve(self, now: float) -> bool:
-        """Return whether enough replicas have been compared; former ones are awaited for a short time."""
+        """Return whether this store has compared enough replicas to serve.
+
+        For the first `FORMER_REPLICA_WAIT_S` of a takeover it also waits for the former replicas.
+        """
         if not self.is_epoch_durable:
             return False
         former = [
@@ -211,11 +218,11 @@
         return self._commit_if_replicated(proposal)
 
     def take_committed(self) -> list[Proposal]:
-        """Return the proposals that are committed because the placement now needs fewer replicas."""
+        """Remove and return the proposals that now commit, because the quorum has become smaller."""
         return [proposal for proposal in list(self.outstanding) if self._commit_if_replicated(proposal)]
 
     def has_recent_quorum(self, now: float, within_s: float) -> bool:
-        """Return whether a quorum has followed this primary within the last `within_s` seconds."""
+        """Return whether a quorum has confirmed this primary within the last `within_s` seconds."""
         all_progress = [
             self.peer_progress[store_id] for store_id in self.replica_ids if store_id in self.peer_progress
         ]
--- a/hollowusher/messages/replication/partition_replicator.py
+++ b/hollowusher/messages/replication/partition_replicator.py
@@ -1,7 +1,8 @@
-"""Replication of all partitions of one store: quorums, streams to the peers, epochs, placements.
+"""Replication of all partitions of one store: quorums, streams to the peers, epochs and placements.
 
-For primaries here it sends what they propose and commits what a quorum has acknowledged; as a replica it
-accepts records from other primaries and rejects those of older epochs (fencing).
+For the primaries of this store, the replicator sends their proposals to the replicas and commits those that a
+quorum has acknowledged.  For the other replicas of this store, it accepts records from the primaries of other
+stores and rejects records of older epochs (fencing).
 """
 
 from __future__ import annotations
@@ -38,36 +39,40 @@
 from hollowusher.storage.interface import Position, StorageError
 from hollowusher.transport.fenced_transport import FencedTransport
 
-MOVED_PARTITION_RETENTION_S = 30.0  # a partition that has moved away is kept for so long, for takeovers
+MOVED_PARTITION_RETENTION_S = 30.0  # how long a store keeps a partition that moved away, for takeovers
 CACHE_BYTES = 48 * 1024 * 1024
-# A store of the own zone is waited for although one of another zone answers so much sooner: one slow sync.
+# Added to the latency of stores in other zones when the primary chooses its commit quorum.  It prefers a
+# store of its own zone unless that store is slower by more than this, which is the time of one slow sync.
 OTHER_ZONE_PENALTY_S = 0.02
 
 
 @attrs.frozen
 class ReplicationOptions:
-    """Settings of replication and the identity of the process."""
+    """Settings of replication, and the incarnation of the process."""
 
-    tolerated: int  # failed machines
-    ended_retention_ms: int  # of messages that have ended
+    tolerated: int  # number of failed machines that the deployment tolerates
+    ended_retention_ms: int  # retention of messages that have ended
     incarnation: int = 0
 
 
 def ignore_replica(_replica: PartitionReplica) -> None:
-    """Do nothing: the handler of an event until its owner sets one."""
+    """Do nothing; the default handler of replica events."""
 
 
 def report_to_event_loop(error: BaseException) -> None:
-    """Report the error of a task to the event loop's handler, as of one that nobody awaits."""
+    """Report the error of a background task to the exception handler of the event loop."""
     asyncio.get_running_loop().call_exception_handler({"message": "task failed", "exception": error})
 
 
 class PartitionReplicator(StreamOwner):
-    """The partitions of one store and their replication.
+    """The replicas of one store and their replication.
 
-    The owner sets `on_primary_changed` (called after a primary has changed), `on_takeover_ready` (a primary
-    is to be made), `on_peers_behind` (peers lack records) and `on_task_failed` (a defect ended a task: what
-    it did is done by nobody any more).
+    The owner sets these event handlers:
+
+    - `on_primary_changed`, called after the state of a primary has changed;
+    - `on_takeover_ready`, called when a replica has compared enough peers and needs a primary;
+    - `on_peers_behind`, called when peers lack records;
+    - `on_task_failed`, called with the error of a failed background task, which is not restarted.
     """
 
     def __init__(self, dependencies: StoreDependencies, options: ReplicationOptions) -> None:
@@ -78,7 +83,7 @@
         self.state = dependencies.state
         self.wall_ms = dependencies.wall_ms
         self.replicas: dict[int, PartitionReplica] = {}
-        self.storage_error: StorageError | None = None  # set while the disk fails
+        self.storage_error: StorageError | None = None  # the last error; None while the disk works
         self.on_primary_changed: Callable[[PartitionReplica], None] = ignore_replica
         self.on_takeover_ready: Callable[[PartitionReplica], None] = ignore_replica
         self.on_peers_behind: Callable[[], None] = lambda: None
@@ -105,7 +110,7 @@
             replica.table.drop_outdated_messages(wall_ms)
 
     def close(self) -> None:
-        """Stop all streams and tasks at once."""
+        """Resign from all partitions, close all streams and cancel all tasks."""
         for replica in self.replicas.values():
             replica.resign()
         for stream in self._streams.values():
@@ -125,11 +130,11 @@
             self.on_task_failed(error)
 
     def now(self) -> float:
-        """Return the monotonic clock of the event loop, in seconds."""
+        """Return the monotonic time of the event loop in seconds."""
         return self.clock()
 
     def replica(self, partition: int) -> PartitionReplica:
-        """Return the replica of a partition, created if there is none yet."""
+        """Return the local replica of a partition, and create it if there is none yet."""
         replica = self.replicas.get(partition)
         if replica is None:
             table = PartitionTable(partition, self.log, self._cache, self._options.ended_retention_ms)
@@ -137,11 +142,11 @@
         return replica
 
     def serving_replicas(self) -> list[PartitionReplica]:
-        """Return the replicas that are serving primaries."""
+        """Return the local replicas that have a serving primary."""
         return [replica for replica in self.replicas.values() if replica.primary is not None]
 
     def drop_moved_partitions(self, now: float) -> None:
-        """Drop the partitions that moved away a while ago."""
+        """Drop the partitions that moved away at least `MOVED_PARTITION_RETENTION_S` ago."""
         for replica in list(self.replicas.values()):
             if replica.drop_at and now >= replica.drop_at and not replica.epoch:
                 replica.table.release_all()
@@ -153,13 +158,17 @@
     # Proposing and committing
 
     def propose(self, replica: PartitionReplica, proposal: Proposal) -> None:
-        """Send a proposal to the replicas of its partition; this store's log has it already."""
+        """Send a proposal to the replicas of its partition.
+
+        The record must already be in the log of this store.  The preferred peers receive it at once, the
+        others later.
+        """
         replica.outstanding[proposal] = None
         outgoing = OutgoingRecord(replica.partition, proposal)
-        joined = replica.streaming_peers()
-        first = self._preferred_peers(replica, joined)
-        for peer in joined:
-            if peer in first:
+        streaming = replica.streaming_peers()
+        preferred = self._preferred_peers(replica, streaming)
+        for peer in streaming:
+            if peer in preferred:
                 self.stream(peer).send_newest(outgoing)
             else:
                 self.stream(peer).defer(outgoing)
@@ -169,13 +178,14 @@
         elif replica.acknowledge(proposal, self.store_id):
             self._commit(replica, proposal)
 
-    def _preferred_peers(self, replica: PartitionReplica, joined: list[str]) -> list[str]:
-        """Return the peers to wait for: the best ones that make a quorum, and required learners.
+    def _preferred_peers(self, replica: PartitionReplica, streaming: list[str]) -> list[str]:
+        """Return the peers that receive new records at once: a commit quorum and the required learners.
 
-        Those are the fastest ones, where each byte between zones counts as a longer way.
+        The quorum consists of the peers with the lowest expected latency.  To save traffic between zones,
+        `OTHER_ZONE_PENALTY_S` is added to the latency of peers in other zones.
         """
         needed = replica.commit_quorum - 1
-        counting = [peer for peer in joined if peer in replica.replica_ids]
+        counting = [peer for peer in streaming if peer in replica.replica_ids]
         if len(counting) > needed:
             now = self.now()
             counting.sort(
@@ -188,7 +198,7 @@
         return [*counting[:needed], *replica.required_learners]
 
     def _is_in_own_zone(self, peer: str) -> bool:
-        """Return whether another store is in the zone of this one, as far as is known."""
+        """Return whether another store is in the zone of this store; False if either zone is unknown."""
         members = self.state.members
         mine, other = members.get(store_name(self.store_id)), members.get(store_name(peer))
         return mine is not None and other is not None and mine.zone == other.zone
@@ -199,7 +209,7 @@
             self.on_primary_changed(replica)
 
     async def _sync(self) -> None:
-        """Sync what was proposed until nothing is left; after a failure `retry_storage` goes on."""
+        """Sync the log until no unsynced proposal is left; after a disk error `retry_storage` resumes."""
         synced: list[OutgoingRecord] = []
         try:
             while self._unsynced or self.storage_error is not None:
@@ -220,7 +230,7 @@
             self.start_task(self._sync())
 
     def retry_storage(self) -> None:
-        """Try again what the disk refused: syncs, and the first record of takeovers."""
+        """Retry syncs that failed, and takeovers whose epoch the disk failed to store."""
         if self.storage_error is not None:
             self._start_sync()
         for replica in self.replicas.values():
@@ -235,12 +245,15 @@
                 self._commit(replica, proposal)
 
     def commit_replicated(self, replica: PartitionReplica) -> None:
-        """Commit proposals that need fewer acknowledgements than before."""
+        """Commit the proposals that have enough acknowledgements under the current placement."""
         for proposal in replica.take_committed():
             self._commit(replica, proposal)
 
     def time_out_waiters(self, now: float, durable_s: float, memory_s: float) -> None:
-        """Resolve waiters of old proposals as not committed; the records may still be committed later."""
+        """Resolve the waiters of old proposals as not committed; the proposals may still commit later.
+
+        `durable_s` is the timeout of proposals that need a sync, `memory_s` that of the others.
+        """
         for replica in self.replicas.values():
             for proposal in list(replica.outstanding):
                 allowed_s = durable_s if proposal.needs_sync else memory_s
@@ -250,7 +263,7 @@
     # Streams
 
     def stream(self, peer: str) -> ReplicationStream:
-        """Return the stream to another store, created if there is none yet."""
+        """Return the stream to another store, and create it if there is none yet."""
         stream = self._streams.get(peer)
         if stream is None:
             stream = ReplicationStream(self.store_id, peer, self, self.transport, self.start_task)
@@ -258,16 +271,16 @@
         return stream
 
     def address_of(self, store_id: str) -> str | None:
-        """Return the internal address of another store, None if it is unknown."""
+        """Return the internal address of another store, or None if it is unknown."""
         return self.state.store_address(store_id)
 
     def epoch_of(self, partition: int) -> int:
-        """Return the epoch for which this store is the primary, else 0."""
+        """Return the epoch of the partition that this store leads, or 0 if it is not the primary."""
         replica = self.replicas.get(partition)
         return replica.epoch if replica is not None else 0
 
     def on_acknowledged(self, store_id: str, sent: Iterable[OutgoingRecord], sent_at: float) -> None:
-        """Count the acknowledgement of these records by a peer."""
+        """Record that a peer has acknowledged these records, which were sent at `sent_at`."""
         sent = list(sent)
         for partition in {outgoing.partition for outgoing in sent}:
             progress = self._progress(partition, store_id)
@@ -276,10 +289,10 @@
         self._acknowledge(store_id, sent)
 
     def on_rejected(self, store_id: str, partition: int, epoch: int) -> None:
-        """Handle a rejection by a replica that follows a newer epoch.
+        """Handle the rejection of records by a peer that follows `epoch`.
 
-        Either this store is no longer the primary, or the records were sent for an epoch before this store's
-        current one and have to be sent again.
+        Either this store is no longer the primary, or it sent the records for an epoch before its current one
+        and has to send them again.
         """
         replica = self.replicas.get(partition)
         if replica is None or not replica.epoch:
@@ -293,13 +306,13 @@
             self.on_peers_behind()
 
     def _on_fenced(self, token: FencingToken, _address: str) -> None:
-        """Step down: a peer follows a higher epoch of a partition than the one that this store led."""
+        """Resign, because a peer follows a higher epoch of a partition than this store."""
         replica = self.replicas.get(token.matter.partition)
         if replica is not None:
             replica.on_fenced(token.epoch)
 
     def on_peer_lost(self, store_id: str) -> None:
-        """Mark a peer that did not answer: it has to catch up."""
+        """Mark a peer that did not answer as lost; it has to catch up by anti-entropy."""
         for replica in self.replicas.values():
             progress = replica.peer_progress.get(store_id)
             if progress is not None and progress.is_streaming:
@@ -313,7 +326,10 @@
     # Requests of other primaries
 
     async def replicate(self, replicate: ReplicateRequest) -> ReplicateResponse:
-        """Merge records; the answer means durable or in memory, as requested."""
+        """Merge records of another primary.
+
+        If the request is durable, or starts a new epoch, the records are on disk before this method returns.
+        """
         refused: dict[int, int] = {}
         durable = replicate.durable
         wall_ms = self.wall_ms()
@@ -332,7 +348,7 @@
         return ReplicateResponse(refused)
 
     async def answer_summary(self, summary: ReplicaSummary) -> ReplicaDifference:
-        """Answer a comparison; a newer epoch is made durable first."""
+        """Compare a peer's summary with the local table; a newer epoch of the peer is made durable first."""
         replica = self.replica(summary.partition)
         if summary.fence and summary.epoch > replica.table.minimum_epoch:
             self._fence_older_epochs(replica, summary.epoch)
@@ -351,7 +367,7 @@
     # Placement
 
     def apply_placement(self) -> None:
-        """Apply the newest placement to all partitions."""
+        """Apply the current placement to all partitions."""
         placement = self.state.placement
         if placement is None:
             return
@@ -372,7 +388,7 @@
             begins = replica.apply_placement(
                 entry, self._options.tolerated, self._options.incarnation, self.now()
             )
-        except StorageError as error:  # the epoch of a primary that was to go on is not written down
+        except StorageError as error:  # the disk failed to store the epoch in which the primary continues
             self.storage_error = error
             replica.start_leading(entry.epoch, self.now())
             replica.has_takeover_failed = True
@@ -383,7 +399,7 @@
             self.commit_replicated(replica)
 
     async def _take_over(self, replica: PartitionReplica, epoch: int) -> None:
-        """Make the new epoch durable here before any other replica is asked."""
+        """Make the new epoch durable on this store before the comparison with other replicas starts."""
         try:
             replica.table.fence_older_epochs(epoch)
             await self.log.sync()
@@ -397,7 +413,7 @@
             self.on_peers_behind()
 
     def serve_if_ready(self, replica: PartitionReplica) -> None:
-        """Start to serve once enough replicas have been compared."""
+        """Call `on_takeover_ready` if a takeover has compared enough replicas."""
         if replica.primary is None and replica.epoch:
             replica.former_replicas = [
                 store_id for store_id in replica.former_replicas if self._is_alive(store_id)
@@ -406,6 +422,6 @@
                 self.on_takeover_ready(replica)
 
     def _is_alive(self, store_id: str) -> bool:
-        """Return whether a store is alive with this disk, as far as is known here."""
+        """Return whether a store is alive and has this disk, according to the local cluster state."""
         member = self.state.members.get(store_id.partition("/")[0])
         return member is not None and member.alive and member.store_id == store_id
--- a/hollowusher/messages/replication/replica_recovery.py
+++ b/hollowusher/messages/replication/replica_recovery.py
@@ -1,7 +1,7 @@
-"""Recovery of peers: replicas that were away, learners, and all replicas at a takeover; and the scrub.
+"""Recovery of peers that lack records, reports on learners, and the periodic scrub.
 
-A peer first joins the stream of new records, then all older ones are compared once; after that it has caught
-up.
+Replicas that were unreachable, new learners, and all replicas at a takeover need recovery.  A peer first
+joins the stream of new records; then all older records are compared once, and the peer has caught up.
 """
 
 from __future__ import annotations
@@ -23,18 +23,21 @@
 
 CALL_TIMEOUT_S = 1.0
 LEARNER_REPORT_INTERVAL_S = 2.0
-LOST_LEARNER_TIMEOUT_S = 1.0  # a learner that was reported ready and is lost for so long is reported lost
-MAX_CONCURRENT_PARTITIONS = 4  # compared at the same time with one peer
+LOST_LEARNER_TIMEOUT_S = 1.0  # a ready learner that is unreachable for this long is reported as lost
+MAX_CONCURRENT_PARTITIONS = 4  # partitions that are compared with one peer at the same time
 _LearnerKey = tuple[int, int, str]  # partition, epoch, the learner's store id
 
 
 class ReplicaRecovery:
-    """Recovery of one store's peers."""
+    """Brings the peers of one store up to date.
+
+    `random_source` returns uniform numbers in [0, 1).
+    """
 
     def __init__(self, replicator: PartitionReplicator, random_source: Callable[[], float]) -> None:
         self._replicator = replicator
         self._random_source = random_source
-        self._lost_since: dict[_LearnerKey, float] = {}  # of learners that were reported: when noticed
+        self._lost_since: dict[_LearnerKey, float] = {}  # when each ready learner was first seen as lost
         self._recovering: set[str] = set()
         self._reported_at: dict[_LearnerKey, float] = {}
 
@@ -78,7 +81,7 @@
                     break
 
     async def _check_reachable(self, peer: str, address: str) -> bool:
-        """Return whether the peer answers empty batches; they also announce the epochs to it."""
+        """Return whether the peer answers empty batches, which also announce the epochs to it."""
         replicator = self._replicator
         batches = [
             RecordBatch(replica.partition, replica.epoch, [])
@@ -100,8 +103,8 @@
 
         Returns
         -------
-        False if this store is no longer the primary or lost the peer.  The peer has not caught up if another
-        peer had newer records meanwhile.
+        False if this store is no longer the primary or lost the peer, else True.  Even then the peer has not
+        caught up if another peer supplied newer records in the meantime.
         """
         if not progress.is_streaming:
             progress.is_streaming = True
@@ -124,7 +127,7 @@
         try:
             await comparison.run()
         except (PeerError, StorageError, asyncio.CancelledError) as error:
-            failure = error  # what was learned before the failure still counts
+            failure = error  # the records merged before the failure are still restored below
         if comparison.changed_keys:
             self._restore_changed(replica, peer, comparison.changed_keys)
         if isinstance(failure, FencedError):
@@ -135,7 +138,7 @@
         return replica.epoch == epoch
 
     def _restore_changed(self, replica: PartitionReplica, source: str, changed: list[MessageKey]) -> None:
-        """Restore messages that a peer had newer; the other peers have to be compared again."""
+        """Restore messages with newer records from a peer, and mark the other peers for a new comparison."""
         for peer, progress in replica.peer_progress.items():
             if peer != source:
                 progress.is_caught_up = False
@@ -147,7 +150,7 @@
         self.recover_all()
 
     async def scrub(self) -> None:
-        """Compare one partition with one of its replicas."""
+        """Compare one random partition with one of its caught-up peers, to repair any difference."""
         replicator = self._replicator
         pairs = [
             (replica, peer)
@@ -166,10 +169,10 @@
     # Learners
 
     def report_learners(self, now: float) -> None:
-        """Report to the head which learners have caught up, and which of those have been lost since.
+        """Report to the head controller which learners have caught up, and which of those are lost again.
 
-        Commits wait for a reported learner until a newer placement is in force: its report may count until
-        then.
+        Until a newer placement is in force, commits require the acknowledgement of a learner that was
+        reported ready, because the head may still act on that report.
         """
         lost_since: dict[_LearnerKey, float] = {}
         for replica in self._replicator.serving_replicas():
@@ -189,7 +192,7 @@
         self._lost_since = lost_since
 
     def _is_due(self, replica: PartitionReplica, peer: str, now: float) -> bool:
-        """Return whether a learner is due to be reported again."""
+        """Return whether a learner is due for a report, and if so record the time of the report."""
         key = (replica.partition, replica.epoch, peer)
         if now - self._reported_at.get(key, -LEARNER_REPORT_INTERVAL_S) < LEARNER_REPORT_INTERVAL_S:
             return False
@@ -200,10 +203,10 @@
         return True
 
     async def _report_caught_up(self, replica: PartitionReplica, peer: str) -> None:
-        """Require the learner for each commit, compare once more, and report it ready.
+        """Require the learner for each commit, compare once more, and report the learner ready.
 
-        The second comparison covers what was committed before the learner was required, so that the head may
-        count on it.
+        The second comparison covers the records that were committed before the learner was required, so the
+        head can rely on the learner having all committed records.
         """
         replicator = self._replicator
         placement, address = replica.placement, replicator.address_of(peer)
--- a/hollowusher/messages/replication/replication_stream.py
+++ b/hollowusher/messages/replication/replication_stream.py
@@ -1,9 +1,9 @@
-"""The stream of records from this store to one other replica, for all partitions whose primary is here.
+"""The stream of records from this store to one other store, for all partitions that this store leads.
 
-Records that must reach the peer's disk and records that only need its memory have separate lanes, each with
-at most two batches in flight; versions make the order between them irrelevant.  Records that the commit does
-not need this peer for wait in `DeferredCopies`.  A peer that does not answer in time is dropped: its queue is
-cleared, and the owner lets it catch up by anti-entropy.
+Records that must be on the peer's disk and records that only need to be in its memory have separate lanes,
+each with at most two batches in flight.  Records have versions, so the order between the lanes is irrelevant.
+If a commit does not need this peer, its record is deferred in `DeferredCopies`.  If the peer does not answer
+in time, the stream clears its queue, and the owner lets the peer catch up by anti-entropy.
 """
 
 from __future__ import annotations
@@ -26,37 +26,37 @@
 MAX_BATCHES_IN_FLIGHT = 2
 MAX_BATCH_BYTES = 1024 * 1024
 MAX_QUEUED_BYTES = 8 * 1024 * 1024
-BATCH_DELAY_S = 0.002  # delay of records that a client waits for, to form batches
-MIN_DEFERRAL_CHECK_S = 0.02  # deferred records are looked at no more often, so that they go in batches
-SLOW_PEER_S = 0.025  # with a batch in flight for longer the peer does not count as fast
+BATCH_DELAY_S = 0.002  # a client may wait for the records; the short delay lets several of them form a batch
+MIN_DEFERRAL_CHECK_S = 0.02  # minimum interval between checks of deferred records, so that they form batches
+SLOW_PEER_S = 0.025  # a batch in flight for longer than this raises the expected latency of the peer
 
 
 class StreamOwner(Protocol):
-    """The owner of streams: answers their questions and receives their events."""
+    """The owner of replication streams, which provides addresses and epochs and handles events."""
 
     def address_of(self, store_id: str) -> str | None:
-        """Return the peer's internal address, None while it is not known."""
+        """Return the internal address of a peer, or None if it is unknown."""
 
     def epoch_of(self, partition: int) -> int:
-        """Return the epoch for which this store is the primary, else 0."""
+        """Return the epoch of the partition that this store leads, or 0 if it is not the primary."""
 
     def on_acknowledged(self, store_id: str, sent: Iterable[OutgoingRecord], sent_at: float) -> None:
-        """Handle the acknowledgement of these records by the peer."""
+        """Handle the acknowledgement by a peer of these records, which were sent at `sent_at`."""
 
     def on_rejected(self, store_id: str, partition: int, epoch: int) -> None:
-        """Handle the rejection of records by a peer that follows a newer epoch."""
+        """Handle the rejection of a partition's records by a peer that follows `epoch`, a newer one."""
 
     def on_peer_lost(self, store_id: str) -> None:
-        """Handle the loss of a peer that did not answer: records have been dropped."""
+        """Handle the loss of a peer that did not answer or was too slow; its queue has been dropped."""
 
 
 class _StreamLane:
-    """Queue and batches in flight of records with the same requirement for durability."""
+    """Queue and batches in flight of the records with the same durability requirement."""
 
     def __init__(self, *, durable: bool) -> None:
         self.durable = durable
         self.queue: list[OutgoingRecord] = []
-        self.in_flight: dict[int, float] = {}  # batch number -> when it was sent
+        self.in_flight: dict[int, float] = {}  # batch number -> monotonic send time
         self.timer: asyncio.Handle | None = None
 
 
@@ -67,7 +67,7 @@
         self, me: str, peer: str, owner: StreamOwner, transport: Transport, run: Callable[..., None]
     ) -> None:
         self.peer = peer
-        self.latency_s = 0.0  # smoothed
+        self.latency_s = 0.0  # exponentially smoothed response time
         self._me = me
         self._owner = owner
         self._transport = transport
@@ -79,12 +79,12 @@
         self._numbers = itertools.count()
 
     def send_newest(self, outgoing: OutgoingRecord) -> None:
-        """Send the newest record of its message with the next batch."""
+        """Send the newest record of a message with the next batch."""
         self._deferred.note_sent(outgoing)
         self.enqueue(outgoing)
 
     def enqueue(self, outgoing: OutgoingRecord) -> None:
-        """Send a record with the next batch, whether or not there are newer ones of its message."""
+        """Send a record with the next batch; it need not be the newest one of its message."""
         lane = self._lanes[outgoing.proposal.needs_sync]
         lane.queue.append(outgoing)
         self._queued_bytes += len(outgoing.proposal.record)
@@ -94,16 +94,19 @@
             lane.timer = asyncio.get_running_loop().call_later(BATCH_DELAY_S, self._flush, lane)
 
     def defer(self, outgoing: OutgoingRecord) -> None:
-        """Send the newest record of its message later, unless it has become needless by then."""
+        """Send the newest record of a message later, unless a newer record makes it unnecessary by then."""
         now = asyncio.get_running_loop().time()
         self._schedule_deferred(self._deferred.add(outgoing, now))
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Drop all queued and deferred records and cancel the timers."""
         self._clear()
 
     def expected_latency_s(self, now: float) -> float:
-        """Return the expected answer time: the smoothed latency, or more if the peer is late already."""
+        """Return the expected response time in seconds.
+
+        This is the smoothed latency, or the age of the oldest batch in flight if that exceeds `SLOW_PEER_S`.
+        """
         waited_s = 0.0
         for lane in self._lanes.values():
             for sent_at in lane.in_flight.values():
@@ -210,6 +213,6 @@
 
 
 def _age_record(partition: int, proposal: Proposal) -> list[bytes]:
-    """Return the age of a delayed message whose record was held up, nothing if it is sent at once."""
+    """Return the age record of a delayed message, or an empty list if the age is below `MIN_AGE_MS`."""
     age_ms = int((asyncio.get_running_loop().time() - proposal.created_at) * 1000)
     return [pack_acceptance_age(partition, proposal.key, age_ms)] if age_ms >= MIN_AGE_MS else []
--- a/hollowusher/messages/steady_wall_clock.py
+++ b/hollowusher/messages/steady_wall_clock.py
@@ -1,7 +1,7 @@
-"""The wall clock of one process: read once, then advanced by the monotonic clock.
+"""A wall clock that is read once per process and then advanced by the monotonic clock.
 
-Records have ends, retentions and delays in wall time, because other machines continue with them.  A step of
-the machine's clock must not end or forget messages, so it affects only processes started later.
+Records contain end times, retentions and delays in wall time, because other machines take over the messages.
+A step of the machine's clock must not end or drop messages, so it affects only processes that start later.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class SteadyWallClock:
-    """Milliseconds of the wall clock at the first call, plus the progress of the monotonic clock since."""
+    """Wall clock whose value is the wall time at the first call plus the monotonic time since that call."""
 
     def __init__(self, wall_ms: Callable[[], int], steady_s: Callable[[], float]) -> None:
         self._wall_ms = wall_ms
--- a/hollowusher/messages/store_dependencies.py
+++ b/hollowusher/messages/store_dependencies.py
@@ -1,4 +1,4 @@
-"""What the parts of one store share."""
+"""The dependencies that the components of one store share."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @attrs.frozen(eq=False)
 class StoreDependencies:
-    """The identity of a store, its disk, its connections, the cluster's state, and the wall clock."""
+    """The id of a store, its transport, its log, its copy of the cluster's state, and its wall clock."""
 
-    store_id: str  # name of the machine and id of its disk
+    store_id: str  # "<machine name>/<disk id>"
     transport: Transport
     log: Log
     state: ClusterState
--- a/hollowusher/messages/store_service.py
+++ b/hollowusher/messages/store_service.py
@@ -1,7 +1,7 @@
-"""The store's service: answers the requests of edge processes from the primaries of this store.
+"""The service of one store, which answers the requests of edge processes and of other stores.
 
-It is the asyncio shell around `PartitionPrimary`: it advances time there, waits for commits, and keeps lease
-requests waiting until jobs are ready.
+It is the asyncio layer around `PartitionPrimary`: it advances the primaries' timers, waits for commits, and
+holds lease requests until jobs are ready.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 from hollowusher.storage.interface import StorageError
 
 TICK_S = 0.25
-MAX_STEP_S = TICK_S + 0.15  # longer steps mean that this process did not run
+MAX_STEP_S = TICK_S + 0.15  # a longer gap between two clock readings means that this process was paused
 COMMIT_TIMEOUT_S = 3.0
 LEASE_COMMIT_TIMEOUT_S = 1.0
 RECOVERY_INTERVAL_S = 0.5
@@ -55,13 +55,17 @@
 SCRUB_INTERVAL_S = 20.0
 STOP_TIMEOUT_S = 4.0
 STOP_POLL_S = 0.05
-MAX_LOG_RESERVE_BYTES = 4 * 1024 * 1024  # new messages are rejected before states lack space
+# The store rejects new messages when less than the reserve is free, so that state records still have space.
+MAX_LOG_RESERVE_BYTES = 4 * 1024 * 1024
 
 ENDED_STATES = ("completed", "dead_letter")
 
 
 class StoreService:
-    """The service of one store: all its partitions, as other processes see them."""
+    """Request handlers, timers and background tasks for all partitions of one store.
+
+    `random_source` returns uniform numbers in [0, 1).
+    """
 
     def __init__(
         self,
@@ -109,7 +113,7 @@
     # Lifecycle
 
     async def start(self) -> None:
-        """Read the log and apply the placement."""
+        """Replay the log, apply the placement and start the periodic tasks."""
         self._replicator.replay()
         now = self._now()
         self._pauses.tick(now)
@@ -121,22 +125,22 @@
         self._replicator.start_task(self._tick())
 
     def handles(self, message: object) -> bool:
-        """Return whether a message is for this service."""
+        """Return whether this service has a handler for the message."""
         return self._handlers.handles(message)
 
     async def handle(self, message: object) -> object:
-        """Return the answer to a message for which `handles` is true."""
+        """Handle a message for which `handles` returns True, and return the answer."""
         self._notice_pause(self._now())
         return await self._handlers.handle(message)
 
     async def stop(self) -> None:
         """Drain and stop.
 
-        Serve until the placement has moved all primaries away, and every replica that another store is still
-        copying; at most `STOP_TIMEOUT_S`.
+        The store serves until the placement has moved all its primaries away, and all replicas that a learner
+        is still replacing, but for `STOP_TIMEOUT_S` at most.
         """
         deadline = self._now() + STOP_TIMEOUT_S
-        while self._now() < deadline and any(  # noqa: ASYNC110  # no event tells of all placements
+        while self._now() < deadline and any(  # noqa: ASYNC110  # no event covers all placement changes
             replica.is_needed_here for replica in self._replicas.values()
         ):
             await asyncio.sleep(STOP_POLL_S)
@@ -154,11 +158,11 @@
         return [replica for _, replica in sorted(self._replicas.items())]
 
     def set_failure_handler(self, on_task_failed: Callable[[BaseException], None]) -> None:
-        """Set what is called when a defect has ended a task of this service."""
+        """Set the function to call with the error when a background task of this service fails."""
         self._replicator.on_task_failed = on_task_failed
 
     def queue_summary(self) -> QueueSummary:
-        """Return how many messages of the partitions served here have not ended, by stage."""
+        """Return the number of unfinished messages by stage, over all partitions that this store serves."""
         now, total = self._now(), QueueSummary()
         for replica in self._replicator.serving_replicas():
             if replica.primary is not None:
@@ -167,7 +171,7 @@
 
     @property
     def storage_error(self) -> StorageError | None:
-        """The error of the disk, None while it works."""
+        """The last error of the disk, or None while the disk works."""
         return self._replicator.storage_error
 
     @property
@@ -213,10 +217,12 @@
         key: records.MessageKey,
         primary: PartitionPrimary,
     ) -> bool:
-        """Return whether an answer about a message is certain.
+        """Return whether the store may send this answer about a message.
 
-        The body of a message never changes, and a committed end is final.  That a message has not ended needs
-        a quorum that followed this primary recently; that there is no such message, one that follows it now.
+        The body of a message never changes, and a committed end is final.  To report that a message has not
+        ended, this primary needs a recent confirmation by a quorum.  To report that a message is unknown, the
+        primary needs a confirmation that starts after the request, because another primary may have accepted
+        the message.
         """
         if answer.body is not None:
             return True
@@ -235,7 +241,7 @@
     # Transitions of the primaries
 
     def _start_serving(self, replica: PartitionReplica) -> None:
-        """Start the primary of a partition, after enough replicas have been compared."""
+        """Create the primary of a partition, after this store has compared enough replicas."""
         now, wall_ms = self._now(), self._wall_ms()
         options = PrimaryOptions(self._state.configuration, self._lease_options)
         replica.primary = PartitionPrimary(replica.table, replica.epoch, options, now, wall_ms)
@@ -245,7 +251,7 @@
         self._access.announce_serving()
 
     def _process_effects(self, replica: PartitionReplica) -> None:
-        """Send proposals, wake waiting requests and set the timer, after any transition of a primary."""
+        """Replicate proposals, wake waiting requests and set the timer after a transition of a primary."""
         primary = replica.primary
         if primary is None:
             return
@@ -260,7 +266,7 @@
         self._schedule_advance(primary.next_event_time())
 
     def _on_state_change(self, key: str) -> None:
-        """Apply a change of the cluster's state."""
+        """Apply a change of one key of the cluster's state."""
         if not self._started:
             return
         now, wall_ms = self._now(), self._wall_ms()
@@ -278,10 +284,10 @@
                     self._process_effects(replica)
 
     def _may_be_alive(self, name: str, incarnation: int) -> bool:
-        """Return whether a dispatcher may still finish its leases.
+        """Return whether this incarnation of a dispatcher may still finish its leases.
 
-        It may not once a later incarnation has started or it is considered dead.  A departing one finishes
-        its deliveries itself.
+        A dispatcher may not finish them once a later incarnation has started or the cluster considers it
+        dead.  A dispatcher that is leaving the cluster finishes its own deliveries.
         """
         member = self._state.members.get(name)
         if member is None or member.incarnation < incarnation:
@@ -311,9 +317,10 @@
                 self._replicator.start_task(self._recovery.scrub())
 
     def _notice_pause(self, now: float) -> None:
-        """Postpone leases after a pause of this process.
+        """Postpone the expiry of leases if this process was paused.
 
-        Requests of lease holders may have arrived that are still unread, and another primary may serve now.
+        Requests that lease holders sent during the pause may still be unread.  Another primary may have taken
+        over in the meantime, so confirmations by a quorum from before the pause no longer count.
         """
         pause_s = self._pauses.tick(now)
         if not pause_s:
--- a/hollowusher/messages/unacknowledged_grants.py
+++ b/hollowusher/messages/unacknowledged_grants.py
@@ -1,8 +1,8 @@
-"""Answers to lease requests that their dispatchers may not have received.
+"""Leases whose dispatchers may not have received the response that grants them.
 
-A dispatcher that had no answer to a request does not start what the answer granted, and says so with its next
-request: the number of the request whose answer was lost.  Those leases are returned at once instead of
-waiting for their expiry; a late copy of the lost request is granted nothing.
+A dispatcher that receives no response to a lease request starts none of the jobs in that response.  Its next
+request carries the number of the lost request.  The store then returns the leases of the lost response at
+once instead of waiting for their expiry, and grants nothing to a late copy of the lost request.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class LeaseRequester(NamedTuple):
-    """Key of a requester, which has one request at a time."""
+    """Identity of a requester; each requester has at most one request in flight."""
 
     dispatcher: str
     incarnation: int
@@ -24,7 +24,7 @@
 
 
 class GrantedLeases(NamedTuple):
-    """The last answer to a requester that had jobs."""
+    """The number of a request and the ids of the leases granted in its response."""
 
     number: int
     leases: list[str]
@@ -35,14 +35,14 @@
 
 
 class UnacknowledgedGrants:
-    """The last grants of each requester, and the last request that each has declared lost."""
+    """The last grants to each requester, and the last request that each requester has reported lost."""
 
     def __init__(self) -> None:
         self._granted: dict[LeaseRequester, GrantedLeases] = {}
         self._lost: dict[LeaseRequester, int] = {}
 
     def record(self, request: LeaseRequest, jobs: list[LeasedJob]) -> None:
-        """Record the jobs of the answer to a request."""
+        """Record the jobs in the response to a request."""
         if not request.number:
             return
         requester = _requester_of(request)
@@ -52,19 +52,21 @@
             _drop_oldest(self._granted)
 
     def take_lost(self, request: LeaseRequest) -> list[str]:
-        """Return, once, the leases of the answer that a request declares lost."""
+        """Remove and return the leases of the response that this request reports lost."""
         requester = _requester_of(request)
         self._lost.pop(requester, None)
         self._lost[requester] = request.lost
         _drop_oldest(self._lost)
         granted = self._granted.get(requester)
         if granted is None or granted.number != request.lost:
-            return []  # the lost request did not get here, or granted nothing: earlier jobs may be running
+            # This store did not receive the lost request or granted nothing to it; the recorded leases belong
+            # to an earlier response, and their jobs may be running.
+            return []
         del self._granted[requester]
         return granted.leases
 
     def is_abandoned(self, request: LeaseRequest) -> bool:
-        """Return whether the requester no longer waits for the answer to this request."""
+        """Return whether the requester no longer waits for the response to this request."""
         return 0 < request.number <= self._lost.get(_requester_of(request), 0)
 
 
--- a/tests/messages/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -431,7 +431,7 @@
     def test_bodies_beyond_the_cache_come_from_the_log(self) -> None:
         partition = Partition(new_table(cache_bytes=10))
         key = partition.put(message("m1", body=b"x" * 1000))
-        assert partition.table.entries[key].read_put_record is None
+        assert partition.table.entries[key].cached_put_record is None
         assert partition.status(key, body=True).body == b"x" * 1000
         assert partition.lease()[0].job.message.body == b"x" * 1000
 
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -151,7 +151,7 @@
 
         asyncio.run(work())
         first = table.entries[(1, 0)]
-        first.read_put_record = None
+        first.cached_put_record = None
         assert table.read_put_record(first) == put_record(0)
         after_log = log.crash(random.Random(1))
         after = new_table(after_log)
