--- a/hollowusher/messages/replication/partition_replica.py
+++ b/hollowusher/messages/replication/partition_replica.py
@@ -37,8 +37,8 @@
     (`is_epoch_durable`).
     """
 
-    def __init__(self, me: str, table: PartitionTable) -> None:
-        self.me = me
+    def __init__(self, own_store_id: str, table: PartitionTable) -> None:
+        self.own_store_id = own_store_id
         self.table = table
         self.partition = table.partition
         self.placement: PartitionPlacement | None = None
@@ -99,7 +99,7 @@
         proposals of that incarnation, with versions that this incarnation would reuse.
         """
         assert self.placement is not None
-        if self.placement.primary != self.me:
+        if self.placement.primary != self.own_store_id:
             return False
         return self.placement.primary_incarnation == 0 or self.placement.primary_incarnation >= incarnation
 
@@ -151,14 +151,16 @@
         if self.primary is None:
             wanted += self.former_replicas
         self.peer_progress = {
-            peer: self.peer_progress.get(peer) or PeerProgress() for peer in wanted if peer != self.me
+            peer: self.peer_progress.get(peer) or PeerProgress()
+            for peer in wanted
+            if peer != self.own_store_id
         }
         self.required_learners &= set(self.placement.learners)
 
     @property
     def is_placed_primary(self) -> bool:
         """Whether the placement makes this store the primary."""
-        return self.placement is not None and self.placement.primary == self.me
+        return self.placement is not None and self.placement.primary == self.own_store_id
 
     @property
     def is_needed_here(self) -> bool:
@@ -169,7 +171,7 @@
         if self.placement is None:
             return False
         return self.is_placed_primary or (
-            self.me in self.placement.replicas and bool(self.placement.learners)
+            self.own_store_id in self.placement.replicas and bool(self.placement.learners)
         )
 
     @property
--- a/hollowusher/simulation/model_check/planted_partition.py
+++ b/hollowusher/simulation/model_check/planted_partition.py
@@ -52,7 +52,7 @@
     """A restarted primary leads the epoch of its earlier life."""
 
     def is_led_by(self: PartitionReplica, incarnation: int) -> bool:
-        return self.placement is not None and self.placement.primary == self.me
+        return self.placement is not None and self.placement.primary == self.own_store_id
 
     return {(PartitionReplica, "_is_led_by"): is_led_by}
 
--- a/hollowusher/simulation/planted/membership.py
+++ b/hollowusher/simulation/planted/membership.py
@@ -251,7 +251,7 @@
     real = PartitionReplica.set_placement
 
     def place(replica: PartitionReplica, placed: Any, tolerated: int) -> None:
-        if replica.primary is None or placed.primary == replica.me:
+        if replica.primary is None or placed.primary == replica.own_store_id:
             real(replica, placed, tolerated)
 
     patches.replace(PartitionReplica, "set_placement", place)
