--- a/hollowusher/messages/lease_service.py
+++ b/hollowusher/messages/lease_service.py
@@ -71,13 +71,13 @@
     async def lease(self, request: LeaseRequest) -> LeaseResponse:
         """Return leases on ready jobs, or an empty response once the request's `wait_ms` have passed."""
         service = request.service
-        asked_at = self._replicator.now()
-        deadline = asked_at + request.wait_ms / 1000
+        requested_at = self._replicator.now()
+        deadline = requested_at + request.wait_ms / 1000
         if request.lost:
             self._return_lost_grants(request)
         while request.most > 0 and not self._grants.is_abandoned(request):
             self._waiters.record_request(service)
-            leased_after_ms = round((self._replicator.now() - asked_at) * 1000)
+            leased_after_ms = round((self._replicator.now() - requested_at) * 1000)
             jobs = await self._confirmed_jobs(self._lease_from_primaries(request))
             if self._grants.is_abandoned(request):
                 self._return_unrun([job.lease for job in jobs])
--- a/hollowusher/messages/partition/message_leases.py
+++ b/hollowusher/messages/partition/message_leases.py
@@ -139,7 +139,7 @@
         if entry.state is not None and outcome.is_repeat(entry.state):
             return self._writer.pending.get(lease.key) or TAKEN
         active = self._lifecycle.active.get(lease.key)
-        if active is None or active.is_ending or not self._can_end_with(active, entry, lease.number):
+        if active is None or active.is_ending or not self._may_update(active, entry, lease.number):
             return GONE
         return self._apply_outcome(active, entry, outcome, now, wall_ms)
 
@@ -158,7 +158,7 @@
             visibility_ms = entry.state.visibility_ms if entry.state is not None else 0
             active.expires_at = now + (visibility_ms or self._visibility_ms) / 1000 + PULL_GRACE_S
             return TAKEN
-        if lease.number == last_finished_lease(entry) or not self._can_end_with(active, entry, lease.number):
+        if lease.number == last_finished_lease(entry) or not self._may_update(active, entry, lease.number):
             return GONE
         return self._reinstate(active, entry, lease.number, now, wall_ms)
 
@@ -219,7 +219,7 @@
             active.expires_at = max(active.expires_at, now + duration_s)
 
     @staticmethod
-    def _can_end_with(active: ActiveMessage, entry: MessageEntry, number: int) -> bool:
+    def _may_update(active: ActiveMessage, entry: MessageEntry, number: int) -> bool:
         """Return whether the holder of lease `number` may still finish or extend it.
 
         It may if the lease is current, or if the message has no lease and no later lease has finished.  In
--- a/hollowusher/messages/partition/message_lifecycle.py
+++ b/hollowusher/messages/partition/message_lifecycle.py
@@ -177,7 +177,9 @@
     def forget(self, keys: list[MessageKey]) -> None:
         """Remove the ids of messages that the table has dropped."""
         dropped = set(keys)
-        self.keys_by_id = {known: key for known, key in self.keys_by_id.items() if key not in dropped}
+        self.keys_by_id = {
+            message_id: key for message_id, key in self.keys_by_id.items() if key not in dropped
+        }
 
     def _on_end_committed(self, active: ActiveMessage, now: float, _wall_ms: int) -> None:
         """Remove a message whose end is committed, and queue its call-back if it has one."""
--- a/hollowusher/messages/partition/message_restorer.py
+++ b/hollowusher/messages/partition/message_restorer.py
@@ -30,24 +30,24 @@
         self._lifecycle = lifecycle
         self._leases = leases
         self._callbacks = callbacks
-        self._refused: set[MessageKey] = set()  # messages whose restoring failed with a disk error
-        self.retry_at: float | None = None  # monotonic time when `retry_refused` tries those messages again
+        self._failed_keys: set[MessageKey] = set()  # messages whose restoring failed with a disk error
+        self.retry_at: float | None = None  # monotonic time when `retry_failed` tries those messages again
 
     def restore(self, key: MessageKey, now: float, wall_ms: int) -> None:
         """Update the state of one message in memory from its records; after a disk error, try again later."""
         try:
             self._restore(key, now, wall_ms)
         except StorageError:
-            self._refused.add(key)
+            self._failed_keys.add(key)
             self.retry_at = now + STORAGE_RETRY_S
 
-    def retry_refused(self, now: float, wall_ms: int) -> None:
+    def retry_failed(self, now: float, wall_ms: int) -> None:
         """Try again to restore the messages that failed with a disk error, once `retry_at` has passed."""
         if self.retry_at is None or self.retry_at > now:
             return
-        refused, self._refused = self._refused, set()
+        failed_keys, self._failed_keys = self._failed_keys, set()
         self.retry_at = None
-        for key in sorted(refused):
+        for key in sorted(failed_keys):
             self.restore(key, now, wall_ms)
 
     def _restore(self, key: MessageKey, now: float, wall_ms: int) -> None:
@@ -95,10 +95,10 @@
 
         The earlier put was never acknowledged, because otherwise the message would not have been put again.
         """
-        known = self._lifecycle.keys_by_id.get(message_id)
-        if known is None or known == key:
+        existing_key = self._lifecycle.keys_by_id.get(message_id)
+        if existing_key is None or existing_key == key:
             return False
-        if key < known:
+        if key < existing_key:
             state = self._writer.copy_without_lease(key)
             state.status, state.ended_wall_ms = MessageStatus.COMPLETED, wall_ms
             self._writer.propose_durable_state(key, state, now, wall_ms)
@@ -108,8 +108,12 @@
 
     def _end_earlier_put(self, key: MessageKey, message_id: str, now: float, wall_ms: int) -> None:
         """End the put of the same message under an earlier key; that put was never acknowledged."""
-        known = self._lifecycle.keys_by_id.get(message_id)
-        active = self._lifecycle.active.get(known) if known is not None and known < key else None
+        existing_key = self._lifecycle.keys_by_id.get(message_id)
+        active = (
+            self._lifecycle.active.get(existing_key)
+            if existing_key is not None and existing_key < key
+            else None
+        )
         if active is None or active.is_ending:
             return
         active.callback_url = ""
--- a/hollowusher/messages/partition/partition_primary.py
+++ b/hollowusher/messages/partition/partition_primary.py
@@ -131,10 +131,12 @@
         -------
         The response, or a proposal; once the proposal is committed, the response is `stored`.
         """
-        known = self._lifecycle.keys_by_id.get(message.id)
-        if known is not None:
-            uncommitted = self._writer.pending.get(known)
-            return uncommitted or PutResponse("stored", records.format_reference(self.partition, known))
+        existing_key = self._lifecycle.keys_by_id.get(message.id)
+        if existing_key is not None:
+            uncommitted = self._writer.pending.get(existing_key)
+            return uncommitted or PutResponse(
+                "stored", records.format_reference(self.partition, existing_key)
+            )
         key = self._writer.next_version()
         generation = message.generation or self._routing.generation
         accepted = AcceptedMessage(wall_ms, wall_ms + message.delay_ms, generation, message)
@@ -215,7 +217,7 @@
                 self._callbacks.requeue(message, 0.0, now)
             else:
                 self._leases.expire(message, now, wall_ms)
-        self._restorer.retry_refused(now, wall_ms)
+        self._restorer.retry_failed(now, wall_ms)
         self._lifecycle.end_expired(now, wall_ms)
         self.queue.advance(now)
 
--- a/hollowusher/messages/partition/partition_table.py
+++ b/hollowusher/messages/partition/partition_table.py
@@ -116,14 +116,14 @@
 
     def replay(self, record: bytes, header: records.RecordHeader, position: Position, wall_ms: int) -> None:
         """Merge a record that was read from the log at the start of the process, or release its position."""
-        taken = False
+        is_merged = False
         if header.kind == RecordKind.PUT:
-            taken = self._merge_put(record, header.version, wall_ms, position) is not None
+            is_merged = self._merge_put(record, header.version, wall_ms, position) is not None
         elif header.kind == RecordKind.STATE:
-            taken = self._merge_state(record, header.version, wall_ms, position) is not None
+            is_merged = self._merge_state(record, header.version, wall_ms, position) is not None
         elif header.kind == RecordKind.EPOCH:
-            taken = self._merge_epoch(header.epoch, position)
-        if not taken:
+            is_merged = self._merge_epoch(header.epoch, position)
+        if not is_merged:
             self._log.release(position)
 
     def drop_outdated_messages(self, wall_ms: int) -> None:
@@ -373,10 +373,10 @@
             for reference, (epoch, sequence, complete) in bucket.items():
                 parsed = records.parse_reference(reference)
                 entry = None if parsed is None else self.entries.get(parsed[1])
-                lacking = bool(complete) and (entry is None or not entry.is_complete)
-                if lacking:
+                lacks_put = bool(complete) and (entry is None or not entry.is_complete)
+                if lacks_put:
                     incomplete.append(reference)
-                if lacking or entry is None or entry.version < (epoch, sequence):
+                if lacks_put or entry is None or entry.version < (epoch, sequence):
                     wanted.append(reference)
         return wanted, incomplete
 
--- a/hollowusher/messages/replication/acceptance_age.py
+++ b/hollowusher/messages/replication/acceptance_age.py
@@ -18,10 +18,10 @@
 
 
 def with_ages(
-    table: PartitionTable, found: Iterable[bytes], read_wall_ms: Callable[[], int]
+    table: PartitionTable, packed_records: Iterable[bytes], read_wall_ms: Callable[[], int]
 ) -> Iterator[bytes]:
     """Yield these records of a table, with an age record before the PUT record of each delayed message."""
-    for record in found:
+    for record in packed_records:
         header = records.unpack_header(record)
         if header.kind == RecordKind.PUT:
             age_ms = table.acceptance_age_ms(header.version, read_wall_ms())
--- a/hollowusher/messages/replication/anti_entropy.py
+++ b/hollowusher/messages/replication/anti_entropy.py
@@ -81,17 +81,17 @@
             if not more or not has_changes:
                 return
 
-    def _merge(self, found: Iterable[bytes]) -> bool:
+    def _merge(self, packed_records: Iterable[bytes]) -> bool:
         has_changes = False
-        for record in found:
+        for record in packed_records:
             key = self._table.apply(record, self._wall_ms())
             if key is not None:
                 self.changed_keys.append(key)
                 has_changes = True
         return has_changes
 
-    async def _push(self, found: Iterator[bytes]) -> None:
-        for chunk in _chunks(with_ages(self._table, found, self._wall_ms)):
+    async def _push(self, packed_records: Iterator[bytes]) -> None:
+        for chunk in _chunks(with_ages(self._table, packed_records, self._wall_ms)):
             batch = RecordBatch(self._table.partition, self._epoch, chunk)
             answer = await self._transport.call(
                 self._address, ReplicateRequest(self._store_id, [batch], durable=True), ANSWER_TIMEOUT_S
@@ -123,15 +123,15 @@
     """Return the response of a replica to a summary: differing buckets, or missing and wanted records."""
     if summary.buckets:
         return ReplicaDifference("ok", table.minimum_epoch, table.differing_buckets(summary.buckets))
-    found, more = table.records_newer_than(summary.versions)
+    packed_records, more = table.records_newer_than(summary.versions)
     wanted, incomplete = table.references_older_than(summary.versions)
-    return ReplicaDifference("ok", table.minimum_epoch, [], found, wanted, [more, incomplete])
+    return ReplicaDifference("ok", table.minimum_epoch, [], packed_records, wanted, [more, incomplete])
 
 
-def _chunks(found: Iterator[bytes]) -> Iterator[list[bytes]]:
+def _chunks(packed_records: Iterator[bytes]) -> Iterator[list[bytes]]:
     chunk: list[bytes] = []
     size = 0
-    for record in found:
+    for record in packed_records:
         chunk.append(record)
         size += len(record)
         if size >= CHUNK_BYTES:
--- a/hollowusher/messages/replication/partition_replica.py
+++ b/hollowusher/messages/replication/partition_replica.py
@@ -118,14 +118,14 @@
         self.epoch = self.last_led_epoch = epoch
         self._leading_since = now
         self.is_epoch_durable = False
-        self.refresh_links()
+        self.refresh_peers()
 
     def continue_leading(self, epoch: int) -> None:
         """Remain the primary in the next epoch after a change of the placement."""
         self.epoch = self.last_led_epoch = epoch
         if self.primary is not None:
             self.primary.epoch = epoch
-        self.refresh_links()
+        self.refresh_peers()
 
     def resign(self) -> None:
         """Cease to be the primary; waiters of uncommitted proposals are resolved as not committed."""
@@ -144,7 +144,7 @@
         if 0 < self.epoch < epoch:
             self.resign()
 
-    def refresh_links(self) -> None:
+    def refresh_peers(self) -> None:
         """Update the set of peers whose progress is tracked: replicas, learners and former replicas."""
         assert self.placement is not None
         wanted = [*self.placement.replicas, *self.placement.learners]
--- a/hollowusher/messages/replication/partition_replicator.py
+++ b/hollowusher/messages/replication/partition_replicator.py
@@ -238,8 +238,8 @@
                 replica.has_takeover_failed = False
                 self.start_task(self._take_over(replica, replica.epoch))
 
-    def _acknowledge(self, store_id: str, taken: Iterable[OutgoingRecord]) -> None:
-        for partition, proposal in taken:
+    def _acknowledge(self, store_id: str, acknowledged: Iterable[OutgoingRecord]) -> None:
+        for partition, proposal in acknowledged:
             replica = self.replicas.get(partition)
             if replica is not None and replica.acknowledge(proposal, store_id):
                 self._commit(replica, proposal)
--- a/hollowusher/messages/steady_wall_clock.py
+++ b/hollowusher/messages/steady_wall_clock.py
@@ -12,15 +12,15 @@
 class SteadyWallClock:
     """Wall clock whose value is the wall time at the first call plus the monotonic time since that call."""
 
-    def __init__(self, wall_ms: Callable[[], int], steady_s: Callable[[], float]) -> None:
+    def __init__(self, wall_ms: Callable[[], int], monotonic_s: Callable[[], float]) -> None:
         self._wall_ms = wall_ms
-        self._steady_s = steady_s
-        self._first: tuple[int, float] | None = None
+        self._monotonic_s = monotonic_s
+        self._first_reading: tuple[int, float] | None = None
 
     def __call__(self) -> int:
         """Return the wall time in milliseconds."""
-        steady_s = self._steady_s()
-        if self._first is None:
-            self._first = (self._wall_ms(), steady_s)
-        wall_ms, since_s = self._first
-        return wall_ms + round((steady_s - since_s) * 1000)
+        monotonic_s = self._monotonic_s()
+        if self._first_reading is None:
+            self._first_reading = (self._wall_ms(), monotonic_s)
+        wall_ms, since_s = self._first_reading
+        return wall_ms + round((monotonic_s - since_s) * 1000)
--- a/hollowusher/messages/store_service.py
+++ b/hollowusher/messages/store_service.py
@@ -187,15 +187,15 @@
         if self.storage_error is not None or self._log.free_bytes() < self._log_reserve:
             return PutResponse("unavailable")
         try:
-            kept = primary.put(put.message, self._now(), self._wall_ms())
+            outcome = primary.put(put.message, self._now(), self._wall_ms())
         except StorageError:
             return PutResponse("unavailable")
         self._process_effects(self._replicas[put.partition])
-        if isinstance(kept, PutResponse):
-            return kept
-        if not await self._access.wait_for_commit(kept):
+        if isinstance(outcome, PutResponse):
+            return outcome
+        if not await self._access.wait_for_commit(outcome):
             return PutResponse("unknown")
-        return PutResponse("stored", records.format_reference(put.partition, kept.key))
+        return PutResponse("stored", records.format_reference(put.partition, outcome.key))
 
     async def _status(self, request: MessageStatusRequest) -> MessageStatusResponse:
         parsed = records.parse_reference(request.reference)
@@ -260,8 +260,8 @@
             for proposal in proposals:
                 self._replicator.propose(replica, proposal)
         if primary.queue.newly_ready_services:
-            gained, primary.queue.newly_ready_services = primary.queue.newly_ready_services, set()
-            for service in gained:
+            ready_services, primary.queue.newly_ready_services = primary.queue.newly_ready_services, set()
+            for service in ready_services:
                 self._waiters.wake(service)
         self._schedule_advance(primary.next_event_time())
 
