--- a/tests/messages/__init__.py
+++ b/tests/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of partitions of messages."""
+"""Tests of the message store."""
--- a/tests/messages/test_acceptance_age.py
+++ b/tests/messages/test_acceptance_age.py
@@ -1,4 +1,4 @@
-"""Ages of delayed messages beside their PUT records: told, taken, and independent of the stores' clocks."""
+"""Ages that stores send along with the PUT records of delayed messages, so that wall clocks may differ."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return records.pack_put(0, KEY, accepted)
 
 
-def sent(table: PartitionTable, wall_ms: int) -> list[bytes]:
-    """What this table's store sends to one that has nothing."""
+def records_to_send(table: PartitionTable, wall_ms: int) -> list[bytes]:
+    """Return the records that the store of this table sends to a store without any records."""
     found = table.missing_records(table.entries[KEY], None)
     return list(with_ages(table, found, lambda: wall_ms))
 
@@ -45,37 +45,35 @@
 
 @pytest.mark.parametrize("sender_ahead_ms", [-9_000, 0, 9_000])
 @pytest.mark.parametrize("receiver_ahead_ms", [-9_000, 0, 9_000])
-def test_the_delay_ends_at_the_same_moment_whatever_the_clocks_say(
-    sender_ahead_ms: int, receiver_ahead_ms: int
-) -> None:
+def test_delay_ends_on_time_despite_clock_differences(sender_ahead_ms: int, receiver_ahead_ms: int) -> None:
     sender, receiver = new_table(), new_table()
     sender.apply(put_record(), EPOCH_MS + sender_ahead_ms)
-    for record in sent(sender, EPOCH_MS + sender_ahead_ms + 12_000):
+    for record in records_to_send(sender, EPOCH_MS + sender_ahead_ms + 12_000):
         receiver.apply(record, EPOCH_MS + receiver_ahead_ms + 12_000)
     assert due_at_ms(receiver) == EPOCH_MS + receiver_ahead_ms + DELAY_MS
 
 
-def test_an_age_is_handed_on_by_one_store_after_another() -> None:
+def test_age_is_preserved_across_several_stores() -> None:
     table = new_table()
     table.apply(put_record(), EPOCH_MS)
     for hop in range(1, 5):
         following = new_table()
-        for record in sent(table, EPOCH_MS + hop * 5_000):
+        for record in records_to_send(table, EPOCH_MS + hop * 5_000):
             following.apply(record, EPOCH_MS + hop * 5_000)
         table = following
     assert due_at_ms(table) == EPOCH_MS + DELAY_MS
 
 
-def test_a_delay_that_is_over_does_not_begin_again() -> None:
+def test_expired_delay_does_not_restart() -> None:
     sender, receiver = new_table(), new_table()
     sender.apply(put_record(), EPOCH_MS)
     late_ms = EPOCH_MS + 2 * DELAY_MS
-    for record in sent(sender, late_ms):
+    for record in records_to_send(sender, late_ms):
         receiver.apply(record, late_ms)
     assert due_at_ms(receiver) == EPOCH_MS + DELAY_MS
 
 
-def test_a_message_read_back_from_the_log_is_told_with_the_margin() -> None:
+def test_age_of_replayed_message_is_reduced_by_clock_margin() -> None:
     first = new_table()
     record = put_record()
     first.apply(record, EPOCH_MS)
@@ -83,11 +81,11 @@
     assert position is not None
     replayed = PartitionTable(0, first._log, first._cache, 60_000)
     replayed.replay(record, records.unpack_header(record), position, EPOCH_MS + 5_000)
-    age, _ = sent(replayed, EPOCH_MS + 5_000)
+    age, _ = records_to_send(replayed, EPOCH_MS + 5_000)
     assert records.unpack_acceptance_age(age) == 5_000 - CLOCK_SKEW_MARGIN_MS
 
 
-def test_no_age_is_told_of_a_fresh_an_undelayed_or_an_ended_message() -> None:
+def test_fresh_undelayed_and_ended_messages_are_sent_without_age() -> None:
     fresh, undelayed, ended = new_table(), new_table(), new_table()
     fresh.apply(put_record(), EPOCH_MS)
     undelayed.apply(put_record(delay_ms=0), EPOCH_MS)
@@ -95,7 +93,7 @@
     state = MessageState((1, 8), MessageStatus.DEAD_LETTER, ended_wall_ms=EPOCH_MS)
     ended.apply(records.pack_state(0, KEY, state), EPOCH_MS)
     kinds = [
-        {records.unpack_header(record).kind for record in sent(table, wall_ms)}
+        {records.unpack_header(record).kind for record in records_to_send(table, wall_ms)}
         for table, wall_ms in (
             (fresh, EPOCH_MS + MIN_AGE_MS - 1),
             (undelayed, EPOCH_MS + 10_000),
@@ -105,7 +103,7 @@
     assert TransientRecordKind.ACCEPTANCE_AGE not in set().union(*kinds)
 
 
-def test_an_age_is_not_written_down_and_counts_for_one_put_alone() -> None:
+def test_age_is_not_stored_and_applies_to_one_put_record() -> None:
     log = MemoryLog(segments=256)
     table = PartitionTable(0, log, RecordCache(100_000), 60_000)
     empty = log.free_bytes()
@@ -115,10 +113,10 @@
     table.apply(put_record(), EPOCH_MS + 8_000)
     assert due_at_ms(table) == EPOCH_MS + DELAY_MS
     table.apply(records.pack_acceptance_age(0, KEY, 20_000), EPOCH_MS + 20_000)
-    table.apply(put_record(), EPOCH_MS + 20_000)  # known already
+    table.apply(put_record(), EPOCH_MS + 20_000)  # the table already has this record
     assert due_at_ms(table) == EPOCH_MS + DELAY_MS
     assert table._announced_ages_ms == {}
 
 
-def test_the_kind_is_none_that_is_stored_on_disk() -> None:
+def test_transient_kinds_differ_from_stored_kinds() -> None:
     assert not {kind.value for kind in TransientRecordKind} & {kind.value for kind in RecordKind}
--- a/tests/messages/test_delays_after_repair.py
+++ b/tests/messages/test_delays_after_repair.py
@@ -1,7 +1,7 @@
-"""A delay ends when it was to end, however late a store got the message and however often it moved since.
+"""The delay of a message ends on time even if a store receives the message late and becomes its primary.
 
-A store that had not the message when it was accepted gets it by repair: as a learner, when it comes back, at
-a takeover, or because its link was cut.  If it becomes the primary, the message waits no longer for that.
+A store receives a message after its acceptance if it is a learner, was down, takes over, or was disconnected
+from the primary.  If it becomes the primary, it must neither restart nor shorten the delay.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
     await asyncio.sleep(at - cluster.loop.time())
 
 
-async def start_without_others(cluster: StoreCluster) -> None:
-    """Start with the first three stores as replicas; the others have nothing and hear nothing."""
+async def start_first_three_stores(cluster: StoreCluster) -> None:
+    """Start with the first three stores as replicas; the other stores have no records and receive none."""
     await cluster.start()
     for epoch in (2, 3):
         cluster.place([cluster.entry(0, epoch, 0, replicas=[0, 1, 2])])
         await asyncio.sleep(1.5)
 
 
-async def hand_over(cluster: StoreCluster, epoch: int, old: int, new: int, others: list[int]) -> None:
-    """Fill the store `new` as a learner, then make it the primary with these other replicas."""
+async def replace_primary(cluster: StoreCluster, epoch: int, old: int, new: int, others: list[int]) -> None:
+    """Let the store `new` catch up as a learner, then make it the primary with these other replicas."""
     cluster.learners_ready.clear()
     cluster.place([cluster.entry(0, epoch, old, replicas=[old, *others], learners=[new])])
     await asyncio.sleep(1.5)
@@ -44,25 +44,25 @@
 
 
 async def learner_becomes_primary(cluster: StoreCluster) -> tuple[int, float]:
-    await start_without_others(cluster)
+    await start_first_three_stores(cluster)
     await cluster.stored(DELAYED)
     accepted_at = cluster.loop.time()
     await asyncio.sleep(12.0)
-    await hand_over(cluster, 4, old=0, new=3, others=[1, 2])
+    await replace_primary(cluster, 4, old=0, new=3, others=[1, 2])
     return 3, accepted_at
 
 
-async def one_replacement_after_another(cluster: StoreCluster) -> tuple[int, float]:
-    await start_without_others(cluster)
+async def several_replacements(cluster: StoreCluster) -> tuple[int, float]:
+    await start_first_three_stores(cluster)
     await cluster.stored(DELAYED)
     accepted_at = cluster.loop.time()
     for epoch, old, new in ((4, 0, 3), (6, 3, 4), (8, 4, 5)):
         await asyncio.sleep(3.0)
-        await hand_over(cluster, epoch, old, new, others=[1, 2])
+        await replace_primary(cluster, epoch, old, new, others=[1, 2])
     return 5, accepted_at
 
 
-async def replica_was_away(cluster: StoreCluster) -> tuple[int, float]:
+async def replica_was_down(cluster: StoreCluster) -> tuple[int, float]:
     await cluster.start()
     cluster.stores[2].kill()
     await cluster.stored(DELAYED)
@@ -74,7 +74,7 @@
     return 2, accepted_at
 
 
-async def learned_at_the_takeover(cluster: StoreCluster) -> tuple[int, float]:
+async def message_received_at_takeover(cluster: StoreCluster) -> tuple[int, float]:
     await cluster.start()
     cluster.stores[2].kill()
     await cluster.stored(DELAYED)
@@ -86,7 +86,7 @@
     return 2, accepted_at
 
 
-async def record_held_up_by_a_cut(cluster: StoreCluster) -> tuple[int, float]:
+async def record_delayed_by_partition(cluster: StoreCluster) -> tuple[int, float]:
     await cluster.start()
     await asyncio.sleep(2.0)
     cluster.stores[0].cut(*cluster.stores[1:])
@@ -99,8 +99,8 @@
     return 1, accepted_at
 
 
-async def handed_on_after_a_loss_of_power(cluster: StoreCluster) -> tuple[int, float]:
-    await start_without_others(cluster)
+async def replacement_after_power_loss(cluster: StoreCluster) -> tuple[int, float]:
+    await start_first_three_stores(cluster)
     await cluster.stored(DELAYED)
     accepted_at = cluster.loop.time()
     await asyncio.sleep(5.0)
@@ -110,22 +110,22 @@
         await store.start()
     cluster.place([cluster.entry(0, 4, 0, replicas=[0, 1, 2])])
     await asyncio.sleep(3.0)
-    await hand_over(cluster, 5, old=0, new=3, others=[1, 2])
+    await replace_primary(cluster, 5, old=0, new=3, others=[1, 2])
     return 3, accepted_at
 
 
 SCENARIOS: list[tuple[int, Scenario]] = [
     (4, learner_becomes_primary),
-    (6, one_replacement_after_another),
-    (3, replica_was_away),
-    (3, learned_at_the_takeover),
-    (3, record_held_up_by_a_cut),
-    (4, handed_on_after_a_loss_of_power),
+    (6, several_replacements),
+    (3, replica_was_down),
+    (3, message_received_at_takeover),
+    (3, record_delayed_by_partition),
+    (4, replacement_after_power_loss),
 ]
 
 
-async def run_in_time(scenario: Scenario, cluster: StoreCluster) -> None:
-    """The message may be leased when its delay is over, not before and not much later."""
+async def check_delay(scenario: Scenario, cluster: StoreCluster) -> None:
+    """Check that the message can be leased shortly after its delay ends, and not before."""
     store, accepted_at = await scenario(cluster)
     await sleep_until(cluster, accepted_at + DELAY_S - EARLY_S)
     assert await cluster.lease(store) == []
@@ -134,5 +134,5 @@
 
 
 @pytest.mark.parametrize(("stores", "scenario"), SCENARIOS, ids=lambda value: getattr(value, "__name__", ""))
-def test_a_message_is_ready_when_its_delay_is_over(stores: int, scenario: Scenario) -> None:
-    play(partial(run_in_time, scenario), stores=stores)
+def test_message_becomes_ready_when_its_delay_ends(stores: int, scenario: Scenario) -> None:
+    play(partial(check_delay, scenario), stores=stores)
--- a/tests/messages/test_disk_recovers.py
+++ b/tests/messages/test_disk_recovers.py
@@ -1,4 +1,4 @@
-"""A store whose disk failed for a while: once it takes records again, everything is served as before."""
+"""Recovery of a store after a temporary disk failure; it must retry all operations that failed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hollowusher.messages.partition.message_lifecycle import STORAGE_RETRY_S
 from hollowusher.storage.memory import MemoryLog
-from tests.messages.test_duplicate_puts import put_at_the_deposed_primary
+from tests.messages.test_duplicate_puts import put_at_deposed_primary
 from tests.messages.test_partition import Partition, new_table
 from tests.support.message_store import StoreCluster, message, play
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("failed_s", [0.2, 3.0])
-def test_a_takeover_that_the_disk_refused_is_tried_again(failed_s: float) -> None:
+def test_takeover_is_retried_after_disk_error(failed_s: float) -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         await cluster.stored(message("m1"))
@@ -30,12 +30,12 @@
     play(work)
 
 
-def test_a_takeover_whose_sync_failed_is_tried_again() -> None:
+def test_takeover_is_retried_after_failed_sync() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         await cluster.stored(message("m1"))
         cluster.place([cluster.entry(0, 2, 1)])
-        await asyncio.sleep(0.001)  # the epoch is appended, its sync is under way
+        await asyncio.sleep(0.001)  # the epoch is appended, but its sync has not finished
         cluster.stores[1].log.failing = FULL
         await asyncio.sleep(1.0)
         cluster.stores[1].log.failing = ""
@@ -45,7 +45,7 @@
     play(work)
 
 
-def test_a_takeover_is_not_tried_again_after_the_partition_has_moved_on() -> None:
+def test_takeover_is_not_retried_after_partition_moved() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         await cluster.stored(message("m1"))
@@ -61,7 +61,7 @@
     play(work)
 
 
-def test_messages_are_taken_again_once_the_disk_takes_records() -> None:
+def test_puts_are_accepted_again_after_disk_error() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         await cluster.stored(message("m1"))
@@ -76,13 +76,13 @@
     play(work)
 
 
-def test_a_put_whose_sync_failed_is_committed_later_and_the_next_ones_are_taken() -> None:
+def test_put_with_failed_sync_commits_later() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
         await cluster.stored(message("m1"))
-        cluster.stores[1].kill()  # a commit needs the primary's own disk from now on
+        cluster.stores[1].kill()  # from now on each commit needs a sync of the primary's own disk
         put = asyncio.create_task(cluster.put(message("m2")))
-        await asyncio.sleep(0.004)  # m2 is appended, its sync is under way
+        await asyncio.sleep(0.004)  # m2 is appended, but its sync has not finished
         cluster.stores[0].log.failing = FULL
         assert (await put).status == "unknown"
         assert cluster.stores[0].service.storage_error is not None
@@ -96,7 +96,7 @@
     play(work)
 
 
-def test_a_primary_that_could_not_write_its_next_epoch_serves_it_later() -> None:
+def test_primary_serves_next_epoch_after_disk_error() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start(partitions=2)
         await cluster.stored(message("m1"))
@@ -111,9 +111,9 @@
     play(work)
 
 
-def test_a_message_that_could_not_be_restored_while_the_disk_failed_is_restored_later() -> None:
-    """A second put of a message needs a record that ends the first; without a disk nothing else waits."""
-    _, record = put_at_the_deposed_primary()
+def test_message_restoring_is_retried_after_disk_error() -> None:
+    """A repeated put needs a record that ends the first put; a disk error must not block other messages."""
+    _, record = put_at_deposed_primary()
     successor = Partition(new_table(), epoch=2, now=101.0)
     later = successor.put(message("m0"))
     other = successor.put(message("m1"))
@@ -129,7 +129,7 @@
     assert {later, other} <= set(third.table.entries)
 
 
-def test_a_defect_that_ends_a_task_is_reported_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_background_task_is_reported_once(monkeypatch: pytest.MonkeyPatch) -> None:
     failures: list[BaseException] = []
 
     async def work(cluster: StoreCluster) -> None:
--- a/tests/messages/test_duplicate_puts.py
+++ b/tests/messages/test_duplicate_puts.py
@@ -1,4 +1,4 @@
-"""A put whose outcome was uncertain and that was repeated at the next primary: the message runs once."""
+"""A client repeats a put with unknown outcome at the next primary; the message must run only once."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.support.message_store import message
 
 
-def put_at_the_deposed_primary() -> tuple[MessageKey, bytes]:
-    """The record of a put that no quorum of the first epoch has: only a store that was cut off holds it."""
+def put_at_deposed_primary() -> tuple[MessageKey, bytes]:
+    """Return the key and record of an uncommitted put, which only the disconnected first primary has."""
     deposed = Partition(epoch=1)
     deposed.hold = True
     key = deposed.put(message("m0"))
@@ -17,8 +17,8 @@
     return key, pack_put(0, key, put)
 
 
-def test_a_takeover_runs_nothing_again_whose_earlier_put_turns_up() -> None:
-    earlier, record = put_at_the_deposed_primary()
+def test_completed_message_does_not_rerun_when_earlier_put_is_found() -> None:
+    earlier, record = put_at_deposed_primary()
     successor = Partition(new_table(), epoch=2, now=101.0)
     later = successor.put(message("m0"))
     [grant] = successor.lease()
@@ -34,9 +34,9 @@
     assert third.status(later).signature == "stamp"
 
 
-def test_a_primary_runs_nothing_again_when_the_later_end_is_learnt_last() -> None:
-    """The new primary knew only the earlier put when it began, and learns of the later one and its end."""
-    _, record = put_at_the_deposed_primary()
+def test_message_does_not_rerun_when_later_put_and_end_arrive_last() -> None:
+    """The new primary starts with only the earlier put; the later put and its end arrive afterwards."""
+    _, record = put_at_deposed_primary()
     successor = Partition(new_table(), epoch=2, now=101.0)
     later = successor.put(message("m0"))
     [grant] = successor.lease()
@@ -53,8 +53,8 @@
     assert third.status(later).state == "completed"
 
 
-def test_the_later_put_runs_once_where_neither_has_run() -> None:
-    _, record = put_at_the_deposed_primary()
+def test_later_put_runs_once_if_neither_has_run() -> None:
+    _, record = put_at_deposed_primary()
     successor = Partition(new_table(), epoch=2, now=101.0)
     later = successor.put(message("m0"))
     successor.table.apply(record, successor.wall_ms)
--- a/tests/messages/test_fencing_stores.py
+++ b/tests/messages/test_fencing_stores.py
@@ -1,4 +1,4 @@
-"""A store that was deposed, cut off or frozen says nothing that it cannot know, and hands out nothing old."""
+"""A deposed, disconnected or paused primary reports no stale state and grants no leases."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 CALLBACK_URL = "http://10.9.0.1:8080/done"
 
 
-async def depose_unheard(cluster: StoreCluster) -> None:
-    """Another primary takes over while the first one is cut off from all stores and controllers."""
+async def depose_unreachable_primary(cluster: StoreCluster) -> None:
+    """Let store 1 take over while store 0 is disconnected from all other stores and all controllers."""
     cluster.stores[0].cut(*cluster.stores[1:])
-    cluster.stores[0].deaf = True
+    cluster.stores[0].ignores_updates = True
     cluster.place([cluster.entry(0, 2, primary=1)])
     await asyncio.sleep(1.0)
 
 
-class TestReadsOfAMessage:
-    def test_a_deposed_primary_does_not_tell_an_old_state(self) -> None:
+class TestMessageStatus:
+    def test_deposed_primary_does_not_report_stale_state(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
-            await depose_unheard(cluster)
+            await depose_unreachable_primary(cluster)
             [job] = await cluster.lease(store=1)
             assert await cluster.finish(job.lease, "success", store=1, signature="s") == "taken"
             assert (await cluster.status(reference, store=1)).state == "completed"
@@ -36,17 +36,17 @@
 
         play(work)
 
-    def test_a_deposed_primary_does_not_deny_a_message_that_its_successor_has_accepted(self) -> None:
+    def test_deposed_primary_does_not_report_message_of_successor_as_unknown(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
-            await depose_unheard(cluster)
+            await depose_unreachable_primary(cluster)
             reference = await cluster.stored(message("m1"), store=1)
             assert (await cluster.status(reference, store=0)).state == "unavailable"
 
         play(work)
 
-    def test_a_denial_is_confirmed_after_the_question_however_lately_a_quorum_followed(self) -> None:
+    def test_unknown_message_requires_new_confirmation(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -55,7 +55,7 @@
 
         play(work)
 
-    def test_an_end_is_reported_only_once_it_is_committed(self) -> None:
+    def test_end_is_reported_only_after_commit(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
@@ -68,7 +68,7 @@
 
         play(work)
 
-    def test_in_calm_times_a_state_costs_no_further_message(self) -> None:
+    def test_status_with_recent_quorum_needs_no_replica_message(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
@@ -78,7 +78,7 @@
 
         play(work)
 
-    def test_a_state_is_confirmed_where_nothing_was_heard_for_a_while(self) -> None:
+    def test_status_of_idle_primary_is_confirmed_by_quorum(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
@@ -89,12 +89,12 @@
         play(work)
 
     @pytest.mark.parametrize("frozen_s", [0.5, 1.2, 5.0, 20.0])
-    def test_a_primary_that_was_frozen_asks_before_it_tells(self, frozen_s: float) -> None:
+    def test_paused_primary_confirms_quorum_before_it_reports_status(self, frozen_s: float) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
             cluster.stores[0].freeze()
-            cluster.stores[0].deaf = True
+            cluster.stores[0].ignores_updates = True
             question = asyncio.create_task(cluster.call(0, MessageStatusRequest(reference), timeout=30.0))
             cluster.place([cluster.entry(0, 2, primary=1)])
             await asyncio.sleep(frozen_s)
@@ -106,12 +106,12 @@
         play(work)
 
 
-class TestEndsOfLeases:
-    def test_a_deposed_primary_does_not_call_a_lease_of_its_successor_gone(self) -> None:
+class TestLeaseUpdates:
+    def test_deposed_primary_does_not_report_lease_of_successor_as_gone(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
-            await depose_unheard(cluster)
+            await depose_unreachable_primary(cluster)
             [job] = await cluster.lease(store=1, pull=True, visibility_ms=3_000)
             assert await cluster.finish(job.lease, "success", store=1) == "taken"
             assert await cluster.finish(job.lease, "success", store=0) == "unavailable"
@@ -120,7 +120,7 @@
         play(work)
 
     @pytest.mark.parametrize("frozen_s", [0.5, 1.2, 5.0, 20.0])
-    def test_words_that_lie_unread_over_a_freeze_keep_their_lease(self, frozen_s: float) -> None:
+    def test_extension_unread_during_pause_keeps_lease(self, frozen_s: float) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -140,11 +140,13 @@
         play(work)
 
 
-class TestClockOfTheDay:
-    """A step of the clock neither ends nor forgets a message, whatever is done while it lasts."""
+class TestWallClockSteps:
+    """A step of the wall clock neither ends a message nor drops an ended one early."""
 
     @pytest.mark.parametrize("step_s", [-3_600, -30, 30, 100, 3_600])
-    def test_a_step_forgets_nothing(self, step_s: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_clock_step_does_not_drop_ended_message(
+        self, step_s: int, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         async def work(cluster: StoreCluster) -> None:
             begun_at, right = cluster.loop.time(), cluster.wall_ms
             monkeypatch.setattr(
@@ -154,7 +156,7 @@
             reference = await cluster.stored(message("m0"))
             [job] = await cluster.lease()
             assert await cluster.finish(job.lease, "success", signature="s") == "taken"
-            await asyncio.sleep(50.0)  # status_s is 60
+            await asyncio.sleep(50.0)  # less than status_s, the retention of ended messages, which is 60 s
             assert (await cluster.status(reference)).state == "completed"
             cluster.place([cluster.entry(0, 2, primary=1)])
             await asyncio.sleep(1.0)
@@ -163,7 +165,7 @@
         play(work)
 
     @pytest.mark.parametrize("step_s", [-3_600, 30, 100, 3_600])
-    def test_a_step_before_a_takeover_ends_nothing(
+    def test_clock_step_before_takeover_keeps_delay(
         self, step_s: int, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async def work(cluster: StoreCluster) -> None:
@@ -185,20 +187,20 @@
 
 
 class TestGrants:
-    def test_a_deposed_primary_hands_out_no_call_back(self) -> None:
+    def test_deposed_primary_grants_no_call_back(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0", callback_url=CALLBACK_URL))
             [job] = await cluster.lease()
             assert await cluster.finish(job.lease, "success", signature="s") == "taken"
-            await depose_unheard(cluster)
-            [told] = await cluster.lease(store=1, service=RECEIVER)
-            assert await cluster.finish(told.lease, "success", store=1) == "taken"
+            await depose_unreachable_primary(cluster)
+            [callback_job] = await cluster.lease(store=1, service=RECEIVER)
+            assert await cluster.finish(callback_job.lease, "success", store=1) == "taken"
             assert await cluster.lease(store=0, service=RECEIVER, wait_ms=100) == []
 
         play(work)
 
-    def test_a_call_back_that_was_not_confirmed_is_owed_still(self) -> None:
+    def test_call_back_without_quorum_stays_pending(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0", callback_url=CALLBACK_URL))
@@ -208,12 +210,12 @@
             await asyncio.sleep(1.0)
             assert await cluster.lease(service=RECEIVER, wait_ms=100) == []
             cluster.network.heal_all()
-            [told] = await cluster.lease(service=RECEIVER, wait_ms=5_000)
-            assert await cluster.finish(told.lease, "success") == "taken"
+            [callback_job] = await cluster.lease(service=RECEIVER, wait_ms=5_000)
+            assert await cluster.finish(callback_job.lease, "success") == "taken"
 
         play(work)
 
-    def test_a_dispatcher_that_is_judged_dead_gets_no_lease_until_it_is_back(self) -> None:
+    def test_dead_dispatcher_gets_no_lease_until_it_is_alive(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -227,7 +229,7 @@
 
         play(work)
 
-    def test_a_long_poll_of_a_dispatcher_that_is_judged_dead_meanwhile_brings_nothing(self) -> None:
+    def test_long_poll_of_dispatcher_declared_dead_grants_nothing(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             polling = asyncio.create_task(cluster.lease(wait_ms=1_000))
@@ -239,8 +241,11 @@
 
         play(work)
 
-    def test_a_pull_job_stays_leased_for_its_time_from_the_latest_moment_of_its_hand_over(self) -> None:
-        """Its process gives a job back that is older than 0.8 s, and offers it for 0.15 s at most."""
+    def test_pull_lease_covers_visibility_timeout_after_latest_delivery(self) -> None:
+        """A lease must cover the visibility timeout even if the job reaches its worker late.
+
+        The dispatcher returns jobs that are older than 0.8 s, and an offer to a worker lasts up to 0.15 s.
+        """
 
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
@@ -252,7 +257,7 @@
 
         play(work)
 
-    def test_an_answer_tells_how_long_after_its_request_the_jobs_were_leased(self) -> None:
+    def test_response_contains_time_from_request_to_lease(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             asking = asyncio.create_task(cluster.call(0, LeaseRequest("edge-1", 1, "s", 1, 2_000)))
--- a/tests/messages/test_partition.py
+++ b/tests/messages/test_partition.py
@@ -1,4 +1,4 @@
-"""The primary of a partition: ends, attempts, leases, call-backs, retention; compared with a plain model."""
+"""The primary of a partition: ends, attempts, leases, call-backs, retention, and comparison with a model."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Partition:
-    """One partition at its primary; every proposal is committed at once unless `hold` is set."""
+    """One partition at its primary; each proposal is committed at once unless `hold` is set."""
 
     def __init__(self, table: PartitionTable | None = None, epoch: int = 1, now: float = 100.0) -> None:
         self.now = now
@@ -47,7 +47,7 @@
         return EPOCH_MS + int(self.now * 1000)
 
     def commit(self) -> None:
-        """Commit all that was proposed."""
+        """Commit all outstanding proposals."""
         while self.held or self.primary.outbox:
             proposals, self.held, self.primary.outbox = self.held + self.primary.outbox, [], []
             for proposal in proposals:
@@ -86,7 +86,7 @@
         return answer.status if isinstance(answer, LeaseUpdateResponse) else "taken"
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass, event by event."""
+        """Advance the clock, and process each timer of the primary when it is due."""
         until = self.now + seconds
         while (due := self.primary.next_event_time()) is not None and due <= until:
             self.now = max(self.now, due)
@@ -106,7 +106,7 @@
         return self.primary.status(key, want_body=body)
 
     def taken_over(self) -> Partition:
-        """The next primary, which holds what this one's table holds."""
+        """Return the primary of the next epoch on the same table."""
         return Partition(self.table, self.primary.epoch + 1, self.now)
 
 
@@ -116,7 +116,7 @@
     return lease
 
 
-class TestEnds:
+class TestMessageEnds:
     def test_success_completes_with_its_signature(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
@@ -124,14 +124,14 @@
         assert partition.finish(grant, "success", "sig") == "taken"
         assert partition.status(key, body=True) == MessageStatusResponse("completed", "sig", None)
 
-    def test_a_refused_message_is_dead_and_keeps_its_body(self) -> None:
+    def test_refused_message_is_dead_letter_with_body(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
         [grant] = partition.lease()
         partition.finish(grant, "refused")
         assert partition.status(key, body=True) == MessageStatusResponse("dead_letter", "", b"m1")
 
-    def test_attempts_count_failures_alone(self) -> None:
+    def test_only_failures_count_as_attempts(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", max_attempts=2))
         for result in ("not_run", "unknown", "not_run", "failed", "unknown", "not_run", "failed"):
@@ -142,7 +142,7 @@
         assert partition.status(key).state == "dead_letter"
         assert partition.lease() == []
 
-    def test_attempts_outlive_the_primary(self) -> None:
+    def test_attempts_survive_takeover(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", max_attempts=2))
         partition.finish(partition.lease()[0], "failed")
@@ -163,7 +163,7 @@
         partition.sleep(60)
         assert partition.lease() == []
 
-    def test_retention_waits_for_the_lease(self) -> None:
+    def test_retention_does_not_end_leased_message(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", retention_ms=2_000))
         [grant] = partition.lease(pull=True)
@@ -172,7 +172,7 @@
         assert partition.finish(grant, "success", "sig") == "taken"
         assert partition.status(key).state == "completed"
 
-    def test_retention_passed_during_a_failed_lease(self) -> None:
+    def test_retention_that_ends_during_lease_ends_message_after_it(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", retention_ms=2_000))
         [grant] = partition.lease()
@@ -180,7 +180,7 @@
         partition.finish(grant, "not_run")
         assert partition.status(key).state == "dead_letter"
 
-    def test_retention_after_a_takeover_is_never_early(self) -> None:
+    def test_retention_is_not_early_after_takeover(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", retention_ms=10_000))
         partition.sleep(5.0)
@@ -190,7 +190,7 @@
         partition.sleep(10.0)
         assert partition.status(key).state == "dead_letter"
 
-    def test_no_end_before_its_commit(self) -> None:
+    def test_end_takes_effect_only_after_commit(self) -> None:
         partition = Partition()
         partition.put(message("m1", ordering_key="k", callback_url=URL))
         partition.put(message("m2", ordering_key="k"))
@@ -204,21 +204,21 @@
         assert len(partition.lease(service=CALLBACKS)) == 1
 
 
-class TestDroppedRoutes:
-    def test_a_newer_configuration_without_the_route_ends_the_message(self) -> None:
+class TestRemovedRoutes:
+    def test_removed_route_ends_message(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", generation=1))
         partition.configure(configuration(2, routes=[]))
         assert partition.status(key, body=True) == MessageStatusResponse("dead_letter", "", b"m1")
 
-    def test_a_message_of_a_newer_configuration_stays(self) -> None:
+    def test_message_of_newer_configuration_is_kept(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", route="new", generation=2))
         partition.configure(configuration(1))
         assert partition.status(key).state == "queued"
         assert len(partition.lease()) == 1
 
-    def test_a_leased_message_ends_with_its_lease(self) -> None:
+    def test_leased_message_of_removed_route_ends_after_its_lease(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
         [grant] = partition.lease()
@@ -227,7 +227,7 @@
         partition.finish(grant, "unknown")
         assert partition.status(key).state == "dead_letter"
 
-    def test_a_service_that_is_gone_gives_its_messages_to_the_routes_new_one(self) -> None:
+    def test_messages_of_removed_service_move_to_new_service_of_route(self) -> None:
         partition = Partition()
         partition.put(message("m1", service="old", ordering_key="k"))
         partition.configure(configuration(2))
@@ -235,7 +235,7 @@
 
 
 class TestLeases:
-    def test_a_push_lease_runs_out_after_the_time_of_a_delivery(self) -> None:
+    def test_push_lease_expires_after_delivery_timeout(self) -> None:
         partition = Partition()
         partition.put(message("m1", timeout_ms=1_000))
         [grant] = partition.lease()
@@ -246,7 +246,7 @@
         assert partition.finish(grant, "success") == "gone"
         assert partition.finish(again, "success") == "taken"
 
-    def test_a_pull_lease_runs_from_the_last_word(self) -> None:
+    def test_pull_lease_expires_after_last_extension(self) -> None:
         partition = Partition()
         partition.put(message("m1"))
         [grant] = partition.lease(pull=True)
@@ -259,7 +259,7 @@
         assert len(partition.lease()) == 1
         assert partition.extend(grant) == "gone"
 
-    def test_the_end_of_an_expired_lease_is_taken_while_nobody_else_has_the_job(self) -> None:
+    def test_result_of_expired_lease_is_accepted_while_job_is_not_leased(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
         [grant] = partition.lease(pull=True)
@@ -268,7 +268,7 @@
         assert partition.status(key).state == "completed"
         assert partition.lease() == []
 
-    def test_an_older_end_is_gone_once_a_later_lease_has_ended(self) -> None:
+    def test_older_lease_is_gone_after_later_lease_has_finished(self) -> None:
         partition = Partition()
         partition.put(message("m1"))
         [first] = partition.lease(pull=True)
@@ -279,7 +279,7 @@
         assert partition.finish(second, "failed") == "taken"
         assert partition.extend(first) == "gone"
 
-    def test_a_success_after_a_mistaken_return_is_taken(self) -> None:
+    def test_success_after_mistaken_return_is_accepted(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
         [grant] = partition.lease(pull=True)
@@ -301,7 +301,7 @@
         [again] = partition.lease()
         assert again.job.attempt == 1
 
-    def test_a_lost_lease_record_is_believed(self) -> None:
+    def test_lease_with_lost_record_is_reinstated(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
         bare = new_table()
@@ -316,7 +316,7 @@
         assert after.finish(grant, "success", "sig") == "taken"
         assert after.status(key).state == "completed"
 
-    def test_a_lease_is_honoured_by_the_next_primary(self) -> None:
+    def test_lease_survives_takeover(self) -> None:
         partition = Partition()
         partition.put(message("m1"))
         [grant] = partition.lease(pull=True)
@@ -340,7 +340,7 @@
         assert first.job.lease != second.job.lease
         assert after.finish(first, "success") == "gone"
 
-    def test_only_the_leases_of_gone_dispatchers_return(self) -> None:
+    def test_only_push_leases_of_dead_dispatchers_are_released(self) -> None:
         partition = Partition()
         for name in ("m1", "m2", "m3"):
             partition.put(message(name))
@@ -350,7 +350,7 @@
         partition.release_dispatchers(lambda name, _: name != "gone")
         assert [grant.job.message.id for grant in partition.lease(most=5)] == ["m1"]
 
-    def test_waits_grow(self) -> None:
+    def test_backoff_grows(self) -> None:
         partition = Partition()
         partition.put(message("m1", max_attempts=20))
 
@@ -358,9 +358,9 @@
             begun = partition.now
             while not (grants := partition.lease()):
                 partition.sleep(0.01)
-            took = partition.now - begun
+            on_result_accepted = partition.now - begun
             partition.finish(grants[0], result)
-            return took
+            return on_result_accepted
 
         failed = [wait_after("failed") for _ in range(9)][1:]
         assert failed == sorted(failed)
@@ -372,7 +372,7 @@
         assert not_run[-1] == pytest.approx(1.0, abs=0.02)
         assert [wait_after("unknown") for _ in range(3)][2] == pytest.approx(0.2, abs=0.02)
 
-    def test_a_wait_that_was_asked_for_is_kept(self) -> None:
+    def test_requested_retry_delay_is_respected(self) -> None:
         partition = Partition()
         partition.put(message("m1"))
         partition.finish(partition.lease()[0], "not_run", retry_ms=4_000)
@@ -383,7 +383,7 @@
 
 
 class TestPutting:
-    def test_the_same_id_is_kept_once_at_all_primaries(self) -> None:
+    def test_same_id_is_stored_once_across_takeovers(self) -> None:
         partition = Partition()
         key = partition.put(message("m1"))
         assert partition.put(message("m1")) == key
@@ -394,7 +394,7 @@
         assert partition.put(message("m1")) == key
         assert partition.lease(most=5) == []
 
-    def test_a_repeat_waits_for_the_same_commit(self) -> None:
+    def test_repeated_put_waits_for_the_same_commit(self) -> None:
         partition = Partition()
         partition.hold = True
         first = partition.primary.put(message("m1"), partition.now, partition.wall_ms)
@@ -406,7 +406,7 @@
         assert isinstance(third, PutResponse)
         assert third.status == "stored"
 
-    def test_a_message_that_turns_up_twice_runs_once(self) -> None:
+    def test_message_put_at_two_primaries_runs_once(self) -> None:
         old = Partition()
         old.hold = True
         hidden = old.put(message("m1"))
@@ -418,7 +418,7 @@
         after.commit()
         assert [lease_of(grant).key for grant in after.lease(most=5)] == [kept]
 
-    def test_a_delayed_message_is_not_early_after_a_takeover(self) -> None:
+    def test_delay_is_not_early_after_takeover(self) -> None:
         partition = Partition()
         partition.put(message("m1", delay_ms=5_000))
         partition.sleep(2.0)
@@ -428,7 +428,7 @@
         partition.sleep(0.2)
         assert len(partition.lease()) == 1
 
-    def test_bodies_beyond_the_cache_come_from_the_log(self) -> None:
+    def test_uncached_body_is_read_from_log(self) -> None:
         partition = Partition(new_table(cache_bytes=10))
         key = partition.put(message("m1", body=b"x" * 1000))
         assert partition.table.entries[key].cached_put_record is None
@@ -436,8 +436,8 @@
         assert partition.lease()[0].job.message.body == b"x" * 1000
 
 
-class TestCeiling:
-    def test_starts_empty_and_spreads(self) -> None:
+class TestRateLimit:
+    def test_bucket_starts_empty_and_spreads_leases(self) -> None:
         partition = Partition()
         partition.configure(configuration(2, s=10.0))
         for number in range(50):
@@ -446,10 +446,10 @@
         assert not partition.primary.has_ready("s", partition.now)
         assert partition.primary.next_token_time("s", partition.now) == pytest.approx(partition.now + 1 / 9.7)
         partition.sleep(1.0)
-        assert len(partition.lease(most=50)) == 1  # the burst is small
+        assert len(partition.lease(most=50)) == 1  # the bucket holds a burst of one token
         assert len(partition.lease(most=50)) == 0
 
-    def test_no_ceiling_no_wait(self) -> None:
+    def test_service_without_rate_limit_does_not_wait(self) -> None:
         partition = Partition()
         partition.put(message("m1"))
         assert partition.primary.next_token_time("s", partition.now) is None
@@ -457,30 +457,30 @@
 
 
 class TestCallBacks:
-    def test_its_lease_runs_out(self) -> None:
+    def test_call_back_lease_expires(self) -> None:
         partition = Partition()
         partition.put(message("m1", callback_url=URL))
         partition.finish(partition.lease()[0], "success")
-        [owed] = partition.lease(service=CALLBACKS)
+        [callback_job] = partition.lease(service=CALLBACKS)
         partition.sleep(CALLBACK_LEASE_S - 0.1)
         assert partition.lease(service=CALLBACKS) == []
         partition.sleep(0.2)
         [again] = partition.lease(service=CALLBACKS)
-        assert partition.finish(owed, "failed") == "gone"
+        assert partition.finish(callback_job, "failed") == "gone"
         assert partition.finish(again, "success") == "taken"
         assert partition.finish(again, "success") == "taken"
 
-    def test_a_success_by_an_old_lease_counts(self) -> None:
+    def test_success_of_older_call_back_lease_is_accepted(self) -> None:
         partition = Partition()
         partition.put(message("m1", callback_url=URL))
         partition.finish(partition.lease()[0], "success")
-        [owed] = partition.lease(service=CALLBACKS)
+        [callback_job] = partition.lease(service=CALLBACKS)
         partition = partition.taken_over()
-        assert partition.finish(owed, "success") == "taken"
+        assert partition.finish(callback_job, "success") == "taken"
         assert partition.lease(service=CALLBACKS) == []
         assert partition.taken_over().lease(service=CALLBACKS) == []
 
-    def test_a_dead_dispatcher_gives_it_back(self) -> None:
+    def test_call_back_of_dead_dispatcher_is_requeued(self) -> None:
         partition = Partition()
         partition.put(message("m1", callback_url=URL))
         partition.finish(partition.lease()[0], "success")
@@ -488,27 +488,27 @@
         partition.release_dispatchers(lambda *_: False)
         assert len(partition.lease(service=CALLBACKS)) == 1
 
-    def test_waits_grow(self) -> None:
+    def test_backoff_grows(self) -> None:
         partition = Partition()
         partition.put(message("m1", callback_url=URL))
         partition.finish(partition.lease()[0], "success")
         waits = []
         for _ in range(6):
             begun = partition.now
-            while not (owed := partition.lease(service=CALLBACKS)):
+            while not (callback_job := partition.lease(service=CALLBACKS)):
                 partition.sleep(0.01)
             waits.append(partition.now - begun)
-            partition.finish(owed[0], "failed")
+            partition.finish(callback_job[0], "failed")
         assert waits == pytest.approx([0.0, 0.3, 0.6, 1.2, 2.4, 3.0], abs=0.02)
 
-    def test_addresses(self) -> None:
+    def test_callback_service_names(self) -> None:
         assert callback_service_name("http://10.0.0.4:8080/path") == "callback:10.0.0.4:8080"
         assert callback_service_name("http://10.0.0.4/path") == "callback:10.0.0.4:80"
         assert callback_service_name("nonsense") == callback_service_name("http://h:x/") == ""
 
 
-class TestForgetting:
-    def test_ended_messages_are_kept_and_then_forgotten(self) -> None:
+class TestRetentionOfEndedMessages:
+    def test_ended_messages_are_dropped_after_retention(self) -> None:
         partition = Partition()
         log = partition.table._log
         assert isinstance(log, MemoryLog)
@@ -528,17 +528,17 @@
         assert states == ["unknown", "unknown", "queued"]
         assert partition.put(message("m1")) != done
         log.release(partition.table.entries[waiting].put_position)  # type: ignore[arg-type]
-        assert empty - log.free_bytes() < 300  # one record of the new m1
+        assert empty - log.free_bytes() < 300  # only the record of the new m1 is left
 
-    def test_an_end_whose_call_back_is_owed_is_kept(self) -> None:
+    def test_message_with_pending_call_back_is_kept(self) -> None:
         partition = Partition()
         key = partition.put(message("m1", callback_url=URL))
         partition.finish(partition.lease()[0], "success")
         partition.sleep(100.0)
         assert partition.table.forget_expired(partition.wall_ms) == []
         assert partition.status(key).state == "completed"
-        [owed] = partition.lease(service=CALLBACKS)
-        partition.finish(owed, "success")
+        [callback_job] = partition.lease(service=CALLBACKS)
+        partition.finish(callback_job, "success")
         assert partition.table.forget_expired(partition.wall_ms) == [key]
 
 
@@ -554,7 +554,7 @@
         record = records.pack_state(3, (1, 2), state)
         assert records.unpack_state(record, records.unpack_header(record).version) == ((1, 2), state)
 
-    def test_names(self) -> None:
+    def test_references_and_lease_ids(self) -> None:
         assert records.parse_reference(records.format_reference(3, (1, 2))) == (3, (1, 2))
         for nonsense in ("", "1-2", "1-2-x", "1-2-3-4", "-1-2-3", "1-2-³"):
             assert records.parse_reference(nonsense) is None
@@ -566,41 +566,41 @@
         assert len(records.format_reference(4095, (10**6, 1 << 62))) <= 64
 
 
-# Random plays against a plain model
+# Random scenarios, compared with a simple model
 
 
 @attrs.define(eq=False)
 class ModelMessage:
-    """What a plain observer knows of one message."""
+    """Model of one message, from the results that clients and workers have seen."""
 
     new: NewMessage
     key: MessageKey
     due: float
-    stored: bool = False  # its put was acknowledged
-    ended: bool = False  # an end of it was sent
-    taken_success: set[str] = attrs.Factory(set)  # leases whose success was taken
-    failures_sent: set[str] = attrs.Factory(set)  # leases
-    failures_taken: set[str] = attrs.Factory(set)  # of those, which were acknowledged
-    refused: bool = False  # a worker refused it
-    refusal_taken: bool = False  # and that was acknowledged
-    holder: str = ""  # the lease that nobody else may get
+    stored: bool = False  # the put was acknowledged
+    ended: bool = False  # a worker has reported a result that ends the message
+    accepted_success: set[str] = attrs.Factory(set)  # signatures of the leases whose success was accepted
+    failures_sent: set[str] = attrs.Factory(set)  # leases for which a worker reported a failure
+    failures_accepted: set[str] = attrs.Factory(set)  # leases whose failure was acknowledged
+    refused: bool = False  # a worker has refused the message
+    refusal_accepted: bool = False  # the refusal was acknowledged
+    holder: str = ""  # id of the lease that excludes other leases until `held_until`
     held_until: float = 0.0
 
 
-class ModelPlay:
-    """Three replicas, a primary on one of them, and a plain record of all that was said."""
+class RandomScenario:
+    """Three replicas with one primary, and a model of all requests and acknowledgements."""
 
     VISIBILITY_S = 3.0
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.now = 100.0
         self.epoch = 0
         self.tables = [new_table() for _ in range(3)]
         self.messages: dict[MessageKey, ModelMessage] = {}
         self.leases: dict[str, ModelMessage] = {}
-        self.in_flight: list[tuple[int, Proposal, int]] = []  # epoch, proposal, replica that lacks it
-        self.home = 0
+        self.in_flight: list[tuple[int, Proposal, int]] = []  # epoch, proposal, receiving replica
+        self.primary_replica = 0
         self.primary = self.take_over(0)
         self.grants = 0
 
@@ -608,11 +608,11 @@
     def wall_ms(self) -> int:
         return EPOCH_MS + int(self.now * 1000)
 
-    def take_over(self, home: int) -> PartitionPrimary:
-        """A new primary merges with one other replica, both ways; the third is out of reach."""
+    def take_over(self, primary_replica: int) -> PartitionPrimary:
+        """Create a primary after it has exchanged records with one replica; the third is unreachable."""
         self.epoch += 1
-        other = self.chance.choice([number for number in range(3) if number != home])
-        one, two = self.tables[home], self.tables[other]
+        other = self.random_source.choice([number for number in range(3) if number != primary_replica])
+        one, two = self.tables[primary_replica], self.tables[other]
         for source, target in ((two, one), (one, two)):
             found, _ = source.records_newer_than(target.bucket_versions(range(64)))
             for record in found:
@@ -621,25 +621,27 @@
         for _, proposal, _ in self.in_flight:
             proposal.resolve_waiters(committed=False)
         self.in_flight.clear()
-        self.home = home
-        options = PrimaryOptions(read_document(configuration(1)), LeaseOptions(3_000, self.chance.random))
+        self.primary_replica = primary_replica
+        options = PrimaryOptions(
+            read_document(configuration(1)), LeaseOptions(3_000, self.random_source.random)
+        )
         return PartitionPrimary(one, self.epoch, options, self.now, self.wall_ms)
 
     def collect(self) -> None:
-        """Send what was proposed."""
+        """Put the new proposals in flight to the other replicas."""
         for proposal in self.primary.outbox:
             for replica in range(3):
-                if replica != self.home:
+                if replica != self.primary_replica:
                     self.in_flight.append((self.epoch, proposal, replica))
         self.primary.outbox = []
 
     def deliver(self, share: float) -> None:
-        """Some records arrive; the first replica besides the primary commits."""
+        """Deliver a random share of the records; the first replica besides the primary makes a quorum."""
         waiting, self.in_flight = self.in_flight, []
-        self.chance.shuffle(waiting)
+        self.random_source.shuffle(waiting)
         for entry in waiting:
             _, proposal, replica = entry
-            if self.chance.random() > share:
+            if self.random_source.random() > share:
                 self.in_flight.append(entry)
                 continue
             if proposal.record:
@@ -651,15 +653,15 @@
     def put(self) -> None:
         number = len(self.messages)
         known = [entry.new for entry in self.messages.values()]
-        if known and self.chance.random() < 0.1:
-            new = self.chance.choice(known)
+        if known and self.random_source.random() < 0.1:
+            new = self.random_source.choice(known)
         else:
             new = message(
                 f"m{number}",
-                ordering_key=self.chance.choice(["", "", "a", "b"]),
+                ordering_key=self.random_source.choice(["", "", "a", "b"]),
                 max_attempts=2,
-                delay_ms=self.chance.choice([0, 0, 0, 500]),
-                priority=self.chance.randrange(2),
+                delay_ms=self.random_source.choice([0, 0, 0, 500]),
+                priority=self.random_source.randrange(2),
                 retention_ms=10_000_000,
             )
         kept = self.primary.put(new, self.now, self.wall_ms)
@@ -676,28 +678,28 @@
 
     def lease(self) -> None:
         request = LeaseRequest("e", 1, "s", 3, 0, True, 3_000)
-        for grant in self.primary.lease(request, self.chance.randint(1, 3), self.now, self.wall_ms):
+        for grant in self.primary.lease(request, self.random_source.randint(1, 3), self.now, self.wall_ms):
             assert grant.proposal is not None
-            grant.proposal.add_waiter(self.handing_out(grant))
+            grant.proposal.add_waiter(self.grant_waiter(grant))
         self.collect()
 
-    def handing_out(self, grant: LeaseGrant) -> Callable[[bool], None]:
-        def hand_out(committed: bool) -> None:
+    def grant_waiter(self, grant: LeaseGrant) -> Callable[[bool], None]:
+        def on_outcome(committed: bool) -> None:
             if committed and self.primary.is_grant_valid(grant):
-                self.granted(grant)
+                self.on_granted(grant)
 
-        return hand_out
+        return on_outcome
 
-    def granted(self, grant: LeaseGrant) -> None:
-        """A worker gets the job: nobody else may have it, nothing older of its key may be open."""
+    def on_granted(self, grant: LeaseGrant) -> None:
+        """Check a grant: no other worker has the job, and no older message of its key is unfinished."""
         entry = self.messages[lease_of(grant).key]
         self.grants += 1
         assert grant.job.message == entry.new
-        assert not entry.taken_success
-        assert not entry.refusal_taken
-        assert self.now >= entry.due - 0.002  # wall clocks count whole milliseconds
+        assert not entry.accepted_success
+        assert not entry.refusal_accepted
+        assert self.now >= entry.due - 0.002  # wall clocks have a resolution of one millisecond
         assert not entry.holder or self.now >= entry.held_until, "a second lease"
-        assert len(entry.failures_taken) <= grant.job.attempt <= len(entry.failures_sent)
+        assert len(entry.failures_accepted) <= grant.job.attempt <= len(entry.failures_sent)
         if entry.new.ordering_key:
             older = [
                 other
@@ -712,9 +714,9 @@
     def finish(self) -> None:
         if not self.leases:
             return
-        lease = self.chance.choice(list(self.leases)[-12:])
+        lease = self.random_source.choice(list(self.leases)[-12:])
         entry = self.leases[lease]
-        result = self.chance.choice(["success", "success", "failed", "refused", "not_run", "unknown"])
+        result = self.random_source.choice(["success", "success", "failed", "refused", "not_run", "unknown"])
         parsed = records.parse_lease_id(lease)
         assert parsed is not None
         answer = self.primary.finish(
@@ -731,21 +733,23 @@
         if entry.holder == lease:
             entry.holder = ""
         if isinstance(answer, Proposal):
-            answer.add_waiter(lambda committed: self.took(entry, lease, result) if committed else None)
+            answer.add_waiter(
+                lambda committed: self.on_result_accepted(entry, lease, result) if committed else None
+            )
 
-    def took(self, entry: ModelMessage, lease: str, result: str) -> None:
-        """An end was acknowledged."""
+    def on_result_accepted(self, entry: ModelMessage, lease: str, result: str) -> None:
+        """Record the acknowledgement of a lease result."""
         if result == "failed":
-            entry.failures_taken.add(lease)
-        entry.refusal_taken |= result == "refused"
+            entry.failures_accepted.add(lease)
+        entry.refusal_accepted |= result == "refused"
         if result == "success":
-            entry.taken_success.add(f"sig {lease}")
-        assert len(entry.taken_success) <= 1, "two leases both taken"
+            entry.accepted_success.add(f"sig {lease}")
+        assert len(entry.accepted_success) <= 1, "two leases both taken"
 
     def extend(self) -> None:
         if not self.leases:
             return
-        lease = self.chance.choice(list(self.leases)[-6:])
+        lease = self.random_source.choice(list(self.leases)[-6:])
         entry = self.leases[lease]
         parsed = records.parse_lease_id(lease)
         assert parsed is not None
@@ -755,16 +759,16 @@
             entry.holder, entry.held_until = lease, self.now + self.VISIBILITY_S
 
     def pass_time(self) -> None:
-        self.now += self.chance.choice([0.01, 0.05, 0.3, 1.0])
+        self.now += self.random_source.choice([0.01, 0.05, 0.3, 1.0])
         self.primary.advance(self.now, self.wall_ms)
         self.collect()
 
     def change_primary(self) -> None:
-        self.primary = self.take_over(self.chance.randrange(3))
+        self.primary = self.take_over(self.random_source.randrange(3))
         self.collect()
 
-    def check_kept(self) -> None:
-        """Every stored message is there, and reported as ended only if it has ended."""
+    def check_stored_messages(self) -> None:
+        """Check that each acknowledged message exists, and is reported as ended only if it has ended."""
         for entry in self.messages.values():
             if not entry.stored:
                 continue
@@ -772,85 +776,87 @@
             assert answer.state != "unknown", "lost"
             if answer.state == "queued":
                 assert answer.body == entry.new.body
-                assert not entry.taken_success
+                assert not entry.accepted_success
             elif answer.state == "completed":
                 assert answer.signature.startswith("sig ")
-                assert not entry.taken_success or answer.signature in entry.taken_success
+                assert not entry.accepted_success or answer.signature in entry.accepted_success
             else:
                 assert entry.refused or len(entry.failures_sent) >= entry.new.max_attempts
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_plays_break_no_guarantee(seed: int) -> None:
-    play = ModelPlay(seed)
+def test_random_scenarios_keep_guarantees(seed: int) -> None:
+    play = RandomScenario(seed)
     steps = [play.put, play.lease, play.finish] * 2 + [play.extend, play.pass_time]
     for number in range(1_500):
-        play.chance.choice(steps)()
+        play.random_source.choice(steps)()
         play.deliver(0.7)
-        if number % 150 == 149 and play.chance.random() < 0.7:
+        if number % 150 == 149 and play.random_source.random() < 0.7:
             play.change_primary()
         if number % 50 == 0:
-            play.check_kept()
+            play.check_stored_messages()
     play.deliver(1.0)
-    play.check_kept()
+    play.check_stored_messages()
     assert play.grants > 100
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_agrees_with_a_plain_partition_while_all_is_calm(seed: int) -> None:
-    """What is leased next is what a search of a plain list finds."""
-    chance = random.Random(seed)
+def test_matches_reference_partition_without_faults(seed: int) -> None:
+    """The primary leases the same message that a linear search of all messages selects."""
+    random_source = random.Random(seed)
     partition = Partition()
-    plain: dict[MessageKey, ModelMessage] = {}
+    model_entries: dict[MessageKey, ModelMessage] = {}
     out: list[LeaseGrant] = []
     for number in range(800):
-        partition.sleep(chance.random() * 0.05)
-        step = chance.random()
+        partition.sleep(random_source.random() * 0.05)
+        step = random_source.random()
         if step < 0.4:
             new = message(
                 f"m{number}",
-                priority=chance.randrange(3),
+                priority=random_source.randrange(3),
                 max_attempts=99,
                 retention_ms=10_000_000,
-                ordering_key=chance.choice(["", "a", "b"]),
-                delay_ms=chance.choice([0, 0, 200]),
+                ordering_key=random_source.choice(["", "a", "b"]),
+                delay_ms=random_source.choice([0, 0, 200]),
                 timeout_ms=10_000_000,
             )
             key = partition.put(new)
             due_ms = partition.wall_ms + new.delay_ms
-            plain[key] = ModelMessage(new, key, partition.now + new.delay_ms / 1000, held_until=due_ms)
+            model_entries[key] = ModelMessage(
+                new, key, partition.now + new.delay_ms / 1000, held_until=due_ms
+            )
         elif step < 0.7:
             free = [
                 entry
-                for entry in plain.values()
+                for entry in model_entries.values()
                 if not entry.holder
                 and entry.due <= partition.now
                 and not any(
                     other.key < entry.key
                     and entry.new.ordering_key
                     and other.new.ordering_key == entry.new.ordering_key
-                    for other in plain.values()
+                    for other in model_entries.values()
                 )
             ]
             free.sort(key=lambda entry: (entry.new.priority, entry.held_until, entry.key))
             grants = partition.lease()
             assert [lease_of(grant).key for grant in grants] == [entry.key for entry in free[:1]]
             for grant in grants:
-                plain[lease_of(grant).key].holder = grant.job.lease
+                model_entries[lease_of(grant).key].holder = grant.job.lease
             out += grants
         elif out:
-            grant = out.pop(chance.randrange(len(out)))
-            entry = plain[lease_of(grant).key]
-            result = chance.choice(["success", "refused", "not_run"])
+            grant = out.pop(random_source.randrange(len(out)))
+            entry = model_entries[lease_of(grant).key]
+            result = random_source.choice(["success", "refused", "not_run"])
             assert partition.finish(grant, result, retry_ms=1_500) == "taken"
             if result == "not_run":
                 entry.holder, entry.due = "", partition.now + 1.5
             else:
-                del plain[entry.key]
+                del model_entries[entry.key]
 
 
 class TestFullDisk:
-    """Whatever the disk refuses is done later; nothing is lost on the way."""
+    """An operation that fails with a disk error is done later, and no message is lost."""
 
     def partition(self) -> tuple[Partition, MemoryLog]:
         partition = Partition()
@@ -858,7 +864,7 @@
         assert isinstance(log, MemoryLog)
         return partition, log
 
-    def test_a_job_that_could_not_be_leased_stays(self) -> None:
+    def test_failed_lease_is_retried(self) -> None:
         partition, log = self.partition()
         partition.put(message("m1"))
         log.failing = "full"
@@ -867,7 +873,7 @@
         partition.sleep(1.1)
         assert len(partition.lease()) == 1
 
-    def test_a_lease_that_could_not_be_ended_is_ended_again(self) -> None:
+    def test_failed_lease_result_can_be_repeated(self) -> None:
         partition, log = self.partition()
         key = partition.put(message("m1"))
         [grant] = partition.lease()
@@ -878,7 +884,7 @@
         assert partition.finish(grant, "success", "sig") == "taken"
         assert partition.status(key) == MessageStatusResponse("completed", "sig")
 
-    def test_a_lease_that_could_not_run_out_runs_out_later(self) -> None:
+    def test_failed_lease_expiry_is_retried(self) -> None:
         partition, log = self.partition()
         partition.put(message("m1"))
         partition.lease(pull=True)
@@ -888,7 +894,7 @@
         partition.sleep(1.1)
         assert len(partition.lease()) == 1
 
-    def test_retention_that_could_not_end_a_message_ends_it_later(self) -> None:
+    def test_failed_retention_end_is_retried(self) -> None:
         partition, log = self.partition()
         key = partition.put(message("m1", retention_ms=2_000))
         log.failing = "full"
--- a/tests/messages/test_queue.py
+++ b/tests/messages/test_queue.py
@@ -1,4 +1,4 @@
-"""The order in which messages leave: priorities, delays, ordering keys, ceilings."""
+"""The order of leases: priorities, delays, ordering keys, rate limits and late messages."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         assert [queue.lease_next("s").key[1] for _ in range(4)] == [3, 4, 2, 1]  # type: ignore[union-attr]
         assert queue.lease_next("s") is None
 
-    def test_a_message_given_back_goes_before_later_ones(self) -> None:
+    def test_returned_message_precedes_later_ones(self) -> None:
         queue = MessageQueue()
         first = add(queue, queued(1, due_wall_ms=1))
         add(queue, queued(2, due_wall_ms=2))
@@ -46,13 +46,13 @@
         queue.release(first, 0.0, 0.0)
         assert queue.lease_next("s") is first
 
-    def test_services_do_not_mix(self) -> None:
+    def test_services_have_separate_queues(self) -> None:
         queue = MessageQueue()
         add(queue, queued(1, service="a"))
         assert queue.lease_next("b") is None
         assert queue.ready_services() == ["a"]
 
-    def test_uncommitted_messages_do_not_leave(self) -> None:
+    def test_uncommitted_message_is_not_leased(self) -> None:
         queue = MessageQueue()
         message = queued(1)
         queue.add(message)
@@ -60,7 +60,7 @@
         queue.release(message, 0.0, 0.0)
         assert queue.lease_next("s") is message
 
-    def test_a_held_message_does_not_leave(self) -> None:
+    def test_suspended_message_is_not_leased(self) -> None:
         queue = MessageQueue()
         message = add(queue, queued(1))
         queue.suspend(message)
@@ -68,7 +68,7 @@
 
 
 class TestDelay:
-    def test_never_before_its_time(self) -> None:
+    def test_delayed_message_is_not_leased_early(self) -> None:
         queue = MessageQueue()
         message = add(queue, queued(1), ready_at=5.0)
         queue.advance(4.999)
@@ -88,7 +88,7 @@
 
 
 class TestOrderingKeys:
-    def test_one_at_a_time_in_the_order_of_acceptance(self) -> None:
+    def test_messages_of_one_key_are_leased_one_at_a_time_in_order(self) -> None:
         queue = MessageQueue()
         messages = [add(queue, queued(number, key="k")) for number in range(3)]
         for message in messages:
@@ -96,21 +96,23 @@
             assert queue.lease_next("s") is None
             queue.remove(message, 0.0)
 
-    def test_a_delayed_one_holds_back_the_later_ones(self) -> None:
+    def test_delayed_message_blocks_later_ones_of_its_key(self) -> None:
         queue = MessageQueue()
         first = add(queue, queued(1, key="k"), ready_at=5.0)
         second = add(queue, queued(2, key="k"))
         assert queue.lease_next("s") is None
         queue.advance(5.0)
         assert queue.lease_next("s") is first
-        queue.release(first, 9.0, 5.0)  # failed: it waits again, and so does the second
+        queue.release(
+            first, 9.0, 5.0
+        )  # after a failure the first message waits again and still blocks the second
         assert queue.lease_next("s") is None
         queue.advance(9.0)
         assert queue.lease_next("s") is first
         queue.remove(first, 9.0)
         assert queue.lease_next("s") is second
 
-    def test_a_later_delay_counts_after_the_first_has_ended(self) -> None:
+    def test_delay_of_second_message_applies_after_first_has_ended(self) -> None:
         queue = MessageQueue()
         first = add(queue, queued(1, key="k"))
         second = add(queue, queued(2, key="k"), ready_at=5.0)
@@ -120,7 +122,7 @@
         queue.advance(5.0)
         assert queue.lease_next("s") is second
 
-    def test_an_uncommitted_one_holds_back_the_later_ones(self) -> None:
+    def test_uncommitted_message_blocks_later_ones_of_its_key(self) -> None:
         queue = MessageQueue()
         first = queued(1, key="k")
         queue.add(first)
@@ -129,7 +131,7 @@
         queue.release(first, 0.0, 0.0)
         assert queue.lease_next("s") is first
 
-    def test_an_older_one_that_turns_up_late_goes_first(self) -> None:
+    def test_older_message_added_later_goes_first(self) -> None:
         queue = MessageQueue()
         later = add(queue, queued(5, key="k"))
         older = add(queue, queued(2, key="k"))
@@ -138,7 +140,7 @@
         queue.remove(older, 0.0)
         assert queue.lease_next("s") is later
 
-    def test_keys_of_other_services_and_other_keys_are_free(self) -> None:
+    def test_other_services_and_other_keys_are_not_blocked(self) -> None:
         queue = MessageQueue()
         add(queue, queued(1, key="k"), ready_at=9.0)
         other = add(queue, queued(2, key="l"))
@@ -147,8 +149,8 @@
         assert queue.lease_next("t") is foreign
 
 
-class PlainQueue:
-    """The same rules without any index: a list that is searched each time."""
+class ReferenceQueue:
+    """Reference implementation of the queue rules by linear search."""
 
     def __init__(self) -> None:
         self.messages: list[dict[str, Any]] = []
@@ -165,65 +167,67 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_agrees_with_a_plain_queue(seed: int) -> None:
-    chance = random.Random(seed)
-    queue, plain = MessageQueue(), PlainQueue()
+def test_matches_reference_queue(seed: int) -> None:
+    random_source = random.Random(seed)
+    queue, reference = MessageQueue(), ReferenceQueue()
     real: dict[int, QueuedMessage] = {}
     now = 0.0
     for number in range(1_500):
-        now += chance.random() * 0.1
+        now += random_source.random() * 0.1
         queue.advance(now)
-        step = chance.random()
+        step = random_source.random()
         if step < 0.4:
             entry: dict[str, Any] = {
                 "number": number,
-                "priority": chance.randrange(3),
-                "due": chance.randrange(50),
-                "key": chance.choice(["", "", "a", "b", "c"]),
+                "priority": random_source.randrange(3),
+                "due": random_source.randrange(50),
+                "key": random_source.choice(["", "", "a", "b", "c"]),
                 "stage": "queued",
-                "ready_at": now + chance.choice([0.0, 0.0, chance.random()]),
+                "ready_at": now + random_source.choice([0.0, 0.0, random_source.random()]),
             }
-            plain.messages.append(entry)
+            reference.messages.append(entry)
             real[number] = queued(number, entry["priority"], entry["due"], entry["key"])
             add(queue, real[number], entry["ready_at"], now)
         elif step < 0.7:
-            expected = plain.candidates(now)
+            expected = reference.candidates(now)
             taken = queue.lease_next("s")
             assert (taken.key[1] if taken else None) == (expected[0]["number"] if expected else None)
             if taken is not None:
                 expected[0]["stage"] = "leased"
         else:
-            leased = [entry for entry in plain.messages if entry["stage"] == "leased"]
+            leased = [entry for entry in reference.messages if entry["stage"] == "leased"]
             if not leased:
                 continue
-            entry = chance.choice(leased)
-            if chance.random() < 0.6:
-                plain.messages.remove(entry)
+            entry = random_source.choice(leased)
+            if random_source.random() < 0.6:
+                reference.messages.remove(entry)
                 queue.remove(real[entry["number"]], now)
             else:
-                entry["stage"], entry["ready_at"] = "queued", now + chance.random() * 0.3
+                entry["stage"], entry["ready_at"] = "queued", now + random_source.random() * 0.3
                 queue.release(real[entry["number"]], entry["ready_at"], now)
-    assert sum(message.stage is not QueueStage.REMOVED for message in real.values()) == len(plain.messages)
+    assert sum(message.stage is not QueueStage.REMOVED for message in real.values()) == len(
+        reference.messages
+    )
 
 
 class TestTokenBucket:
     def test_starts_empty(self) -> None:
         assert TokenBucket(100.0, 0.0).available(0.0) == 0
 
-    def test_grants_a_little_under_the_rate_in_any_window(self) -> None:
-        chance = random.Random(3)
+    def test_grants_stay_below_the_rate_in_any_window(self) -> None:
+        random_source = random.Random(3)
         bucket = TokenBucket(19.5, 0.0)
         grants: list[float] = []
         now = 0.0
         while now < 60.0:
-            now += chance.expovariate(30.0) if chance.random() < 0.99 else 3.0
+            now += random_source.expovariate(30.0) if random_source.random() < 0.99 else 3.0
             for _ in range(bucket.available(now)):
                 bucket.consume()
                 grants.append(now)
         for start in grants:
             assert sum(start <= grant < start + 5.0 for grant in grants) <= 19.5 * 5.0
 
-    def test_is_used_nearly_completely(self) -> None:
+    def test_grants_reach_nearly_the_full_rate(self) -> None:
         bucket, now, grants = TokenBucket(10.0, 0.0), 0.0, 0
         while now < 100.0:
             now = bucket.next_token_at(now)
@@ -232,28 +236,28 @@
             grants += 1
         assert grants >= 960
 
-    def test_a_slow_service_gets_its_single_grant(self) -> None:
+    def test_rate_below_one_per_second_grants_single_token(self) -> None:
         bucket = TokenBucket(0.5, 0.0)
         assert bucket.next_token_at(0.0) == pytest.approx(1 / 0.485)
         assert bucket.available(2.1) == 1
 
-    def test_another_rate_counts_from_then_on(self) -> None:
+    def test_changed_rate_applies_from_the_change_on(self) -> None:
         bucket = TokenBucket(1.0, 0.0)
         bucket.change_rate(100.0, 0.0)
         assert bucket.available(0.1) == 9
 
 
 class TestLateMessages:
-    """After an outage: what can still begin in time goes before what is late."""
+    """After an outage, messages that can still start in time are leased before those that are late."""
 
     def released(self, queue: MessageQueue, number: int, at: float) -> QueuedMessage:
-        """A message with an aim of one second, ready at a time."""
+        """Add and return a message with a start target of one second that is ready at this time."""
         message = QueuedMessage((1, number), "s", 0, round(at * 1000), "", start_target_s=1.0)
         queue.add(message)
         queue.release(message, at, at)
         return message
 
-    def test_the_backlog_goes_after_what_is_in_time(self) -> None:
+    def test_late_messages_are_leased_after_those_in_time(self) -> None:
         queue = MessageQueue()
         late = [self.released(queue, number, 0.0) for number in range(3)]
         in_time = self.released(queue, 9, 5.0)
@@ -262,7 +266,7 @@
         assert [queue.lease_next("s") for _ in range(4)] == [in_time, *late]
         assert queue.lease_next("s") is None
 
-    def test_a_late_message_gets_its_turn_among_many_in_time(self) -> None:
+    def test_late_message_is_leased_at_the_late_lease_interval(self) -> None:
         queue = MessageQueue()
         late = self.released(queue, 1, 0.0)
         for number in range(2, 20):
@@ -271,7 +275,7 @@
         taken = [queue.lease_next("s") for _ in range(LATE_LEASE_INTERVAL)]
         assert taken.index(late) == LATE_LEASE_INTERVAL - 1
 
-    def test_a_message_given_back_is_late_by_its_first_release(self) -> None:
+    def test_lateness_counts_from_first_release(self) -> None:
         queue = MessageQueue()
         message = self.released(queue, 1, 0.0)
         assert queue.lease_next("s") is message
@@ -280,7 +284,7 @@
         assert queue.lease_next("s") is newer
         assert queue.lease_next("s") is message
 
-    def test_without_an_aim_nothing_is_late(self) -> None:
+    def test_message_without_start_target_is_never_late(self) -> None:
         queue = MessageQueue()
         old = QueuedMessage((1, 1), "s", 0, 0)
         queue.add(old)
--- a/tests/messages/test_queue_summary.py
+++ b/tests/messages/test_queue_summary.py
@@ -1,4 +1,4 @@
-"""What a partition's primary tells of the messages that have not ended."""
+"""The summary of the unfinished messages of a partition."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     assert partition.primary.queue_summary(partition.now) == QueueSummary(2, 2, 1, 0, 30.0, 0)
 
 
-def test_a_message_that_is_not_committed_is_suspended() -> None:
+def test_uncommitted_message_is_suspended() -> None:
     partition = Partition()
     partition.hold = True
     partition.put(message("a"))
     assert partition.primary.queue_summary(partition.now) == QueueSummary(suspended=1)
 
 
-def test_an_ended_message_does_not_count() -> None:
+def test_ended_message_is_not_counted() -> None:
     partition = Partition()
     partition.put(message("a"))
     [grant] = partition.lease()
@@ -34,7 +34,7 @@
     assert partition.primary.queue_summary(partition.now).unfinished == 0
 
 
-def test_a_state_without_its_put_record_is_told() -> None:
+def test_state_without_put_record_is_counted() -> None:
     partition = Partition()
     state = records.pack_state(0, (1, 7), MessageState((1, 8), MessageStatus.QUEUED))
     partition.table.apply(state, partition.wall_ms)
--- a/tests/messages/test_recovery_end.py
+++ b/tests/messages/test_recovery_end.py
@@ -1,4 +1,7 @@
-"""The end of a store in the middle of a comparison with a peer begins nothing new."""
+"""A comparison with a peer that is interrupted: by the stop of the store, or by the loss of the peer.
+
+A stopping store cancels its comparisons.  A cancelled comparison must not start new tasks.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +20,14 @@
 
 
 class _Pause:
-    """Awaited: gives up control once."""
+    """Awaitable that suspends its task once."""
 
     def __await__(self) -> Generator[None, None, None]:
         yield
 
 
-class _HalfDone:
-    """A comparison that has learnt of one key and then waits, or loses its peer."""
+class _InterruptedSession:
+    """A comparison that has merged a record of one key, then suspends, and then loses its peer."""
 
     def __init__(self, *_: object, paced: bool) -> None:
         self.changed_keys: list[MessageKey] = [(1, 1)]
@@ -35,45 +38,47 @@
 
 
 class _Store:
-    """A store whose partition 0 is led here with one peer to recover; it counts the work that it begins."""
+    """A store that leads partition 0 with two peers, and records the tasks that its recovery starts."""
 
     def __init__(self) -> None:
-        self.begun: list[Coroutine[Any, Any, Any]] = []
-        links = {"peer": PeerProgress(), "other": PeerProgress()}
-        self.host = SimpleNamespace(
-            epoch=1, is_epoch_durable=True, peer_progress=links, table=None, primary=None
+        self.started_tasks: list[Coroutine[Any, Any, Any]] = []
+        progress_by_peer = {"peer": PeerProgress(), "other": PeerProgress()}
+        self.replica = SimpleNamespace(
+            epoch=1, is_epoch_durable=True, peer_progress=progress_by_peer, table=None, primary=None
         )
         replicator = SimpleNamespace(
-            replicas={0: self.host},
+            replicas={0: self.replica},
             dependencies=None,
-            start_task=self._begin,
+            start_task=self._start_task,
         )
         self.recovery = ReplicaRecovery(cast(PartitionReplicator, replicator), lambda: 0.5)
 
     def compare(self) -> Coroutine[Any, Any, bool]:
-        return self.recovery._compare(cast(PartitionReplica, self.host), "peer", "address", paced=False)
+        return self.recovery._compare(cast(PartitionReplica, self.replica), "peer", "address", paced=False)
 
-    def _begin(self, work: Coroutine[Any, Any, Any]) -> None:
-        self.begun.append(work)
+    def _start_task(self, work: Coroutine[Any, Any, Any]) -> None:
+        self.started_tasks.append(work)
         work.close()
 
 
 @pytest.fixture
 def store(monkeypatch: pytest.MonkeyPatch) -> _Store:
-    monkeypatch.setattr(recovery, "AntiEntropySession", _HalfDone)
+    monkeypatch.setattr(recovery, "AntiEntropySession", _InterruptedSession)
     return _Store()
 
 
-def test_a_cancelled_comparison_begins_no_recovery(store: _Store) -> None:
+def test_cancelled_comparison_starts_no_recovery(store: _Store) -> None:
     work = store.compare()
     work.send(None)
     work.close()
-    assert store.begun == []
+    assert store.started_tasks == []
 
 
-def test_a_comparison_that_lost_its_peer_keeps_what_it_learnt(store: _Store) -> None:
+def test_failed_comparison_keeps_received_records(store: _Store) -> None:
     work = store.compare()
     work.send(None)
     with pytest.raises(PeerError):
         work.send(None)
-    assert len(store.begun) == 2  # both peers lack what was learnt, or were lost
+    assert (
+        len(store.started_tasks) == 2
+    )  # both peers need recovery: one was lost, and the other lacks the received record
--- a/tests/messages/test_replication.py
+++ b/tests/messages/test_replication.py
@@ -1,4 +1,4 @@
-"""Replicas: merging, comparing, streams, epochs, learners, the scrub; random troubles over a network."""
+"""Replicas: merging, comparison, streams, epochs, learners, the scrub, and random faults over a network."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 
 
 def content(cluster: StoreCluster, store: int) -> dict[MessageKey, list[int]]:
-    """What a store holds, but for what it may have forgotten."""
-    kept_since = cluster.wall_ms() - 50_000
+    """Return the version summaries at a store, except those of messages that it may have dropped already."""
+    retained_since = cluster.wall_ms() - 50_000
     return {
         key: entry.version_summary()
         for key, entry in sorted(host(cluster, store).table.entries.items())
-        if entry.state is None or not entry.status.has_ended or entry.state.ended_wall_ms > kept_since
+        if entry.state is None or not entry.status.has_ended or entry.state.ended_wall_ms > retained_since
     }
 
 
@@ -81,19 +81,19 @@
             assert table.read_put_record(table.entries[(1, 1)]) is None
             assert table.read_put_record(table.entries[(1, 2)]) == put_record(2)
 
-    def test_a_replay_gives_the_same_table(self) -> None:
+    def test_replay_restores_the_same_table(self) -> None:
         for seed in range(10):
-            chance = random.Random(seed)
+            random_source = random.Random(seed)
             log = MemoryLog(segments=256)
             table = new_table(log)
             for sequence in range(50):
                 table.apply(put_record(sequence), EPOCH_MS)
-                if chance.random() < 0.5:
-                    status = chance.choice(list(MessageStatus))
+                if random_source.random() < 0.5:
+                    status = random_source.choice(list(MessageStatus))
                     table.apply(state_record((1, sequence), (1, 100 + sequence), status), EPOCH_MS)
             table.fence_older_epochs(7)
             log._unsynced.clear()
-            after_log = log.crash(chance)
+            after_log = log.crash(random_source)
             after = new_table(after_log)
             for position, record in after_log.replay():
                 after.replay(record, records.unpack_header(record), position, EPOCH_MS)
@@ -101,7 +101,7 @@
             assert after.minimum_epoch == 7
             assert after_log.free_bytes() == log.free_bytes()
 
-    def test_everything_is_released_in_the_end(self) -> None:
+    def test_dropped_messages_release_all_log_space(self) -> None:
         log = MemoryLog(segments=256)
         empty = log.free_bytes()
         table = new_table(log)
@@ -114,24 +114,24 @@
         assert log.free_bytes() == empty
         assert table._cache.used_bytes == 0
 
-    def test_a_forgotten_end_does_not_come_back(self) -> None:
+    def test_expired_end_is_not_merged(self) -> None:
         table = new_table()
         table.apply(state_record((1, 1), (1, 2), MessageStatus.COMPLETED), EPOCH_MS + KEPT_MS + 1)
         assert table.entries == {}
 
-    def test_a_message_whose_end_was_forgotten_does_not_come_back(self) -> None:
+    def test_replay_drops_message_whose_end_was_dropped(self) -> None:
         log = MemoryLog(segments=256)
         record = put_record(1)
         position = log.append(record)
         table = new_table(log)
-        certain_ms = EPOCH_MS + 60_000 + KEPT_MS + 1  # retention, and then the time that ends are kept
+        certain_ms = EPOCH_MS + 60_000 + KEPT_MS + 1  # the retention of the message, and then that of its end
         table.replay(record, records.unpack_header(record), position, certain_ms)
         table.drop_outdated_messages(certain_ms - 1)
         assert len(table.entries) == 1
         table.drop_outdated_messages(certain_ms)
         assert table.entries == {}
 
-    def test_records_survive_the_reuse_of_their_segments(self) -> None:
+    def test_live_records_survive_segment_reuse(self) -> None:
         log = MemoryLog(segment_bytes=4096, segments=16)
         table = new_table(log)
         log.set_move(table.relocate)
@@ -160,7 +160,7 @@
         assert after.entries[(1, 0)].version == (1, 1)
         assert after.minimum_epoch == 3
 
-    def test_only_newer_epochs_are_promised(self) -> None:
+    def test_minimum_epoch_never_decreases(self) -> None:
         table = new_table()
         table.fence_older_epochs(5)
         table.fence_older_epochs(3)
@@ -168,8 +168,8 @@
 
 
 class TestComparing:
-    def settle(self, one: PartitionTable, other: PartitionTable) -> int:
-        """Compare as the primary does, without a network; how many records went over."""
+    def reconcile(self, one: PartitionTable, other: PartitionTable) -> int:
+        """Compare two tables as the primary does, without a network; return the number of records sent."""
         moved = 0
         buckets = compare_with_summary(other, ReplicaSummary(0, 1, "x", one.bucket_digests())).buckets
         while buckets:
@@ -186,38 +186,38 @@
         return moved
 
     @pytest.mark.parametrize("seed", range(8))
-    def test_both_end_with_the_newest_of_everything(self, seed: int) -> None:
-        chance = random.Random(seed)
+    def test_both_tables_get_all_newest_records(self, seed: int) -> None:
+        random_source = random.Random(seed)
         one, other, complete = new_table(), new_table(), new_table()
         for sequence in range(300):
             made = [
                 put_record(sequence),
                 state_record((1, sequence), (1, 1000 + sequence), MessageStatus.LEASED),
             ]
-            if chance.random() < 0.3:
+            if random_source.random() < 0.3:
                 made.append(state_record((1, sequence), (2, sequence), MessageStatus.COMPLETED))
             for record in made:
-                chosen = chance.choice([(one,), (other,), (one, other)])
+                chosen = random_source.choice([(one,), (other,), (one, other)])
                 for table in (*chosen, complete):
                     table.apply(record, EPOCH_MS)
-        self.settle(one, other)
+        self.reconcile(one, other)
         assert one.bucket_digests() == other.bucket_digests() == complete.bucket_digests()
-        assert self.settle(one, other) == 0
+        assert self.reconcile(one, other) == 0
 
-    def test_only_differences_go_over(self) -> None:
+    def test_only_differing_records_are_sent(self) -> None:
         one, other = new_table(), new_table()
         for sequence in range(500):
             for table in (one, other):
                 table.apply(put_record(sequence), EPOCH_MS)
         one.apply(state_record((1, 7), (1, 900), MessageStatus.LEASED), EPOCH_MS)
         other.apply(put_record(600), EPOCH_MS)
-        assert self.settle(one, other) == 2
+        assert self.reconcile(one, other) == 2
 
-    def test_a_large_difference_comes_in_parts(self) -> None:
+    def test_large_difference_is_sent_in_parts(self) -> None:
         one, other = new_table(), new_table()
         for sequence in range(0, 300 * BUCKET_COUNT, BUCKET_COUNT):
             other.apply(put_record(sequence, b"x" * 4_000), EPOCH_MS)
-        assert self.settle(one, other) == 300
+        assert self.reconcile(one, other) == 300
         assert one.bucket_digests() == other.bucket_digests()
 
 
@@ -231,7 +231,7 @@
     @pytest.mark.parametrize(
         ("replicas", "tolerated"), [(1, 0), (1, 1), (2, 1), (3, 1), (5, 2), (4, 1), (3, 0)]
     )
-    def test_each_takeover_meets_each_commit(self, replicas: int, tolerated: int) -> None:
+    def test_takeover_quorum_intersects_commit_quorum(self, replicas: int, tolerated: int) -> None:
         made = self.make(replicas, tolerated)
         assert made.commit_quorum == min(tolerated + 1, replicas)
         assert made.commit_quorum + made.takeover_quorum > replicas
@@ -239,7 +239,7 @@
 
 
 class TestStreams:
-    def test_a_dead_peer_is_dropped_and_catches_up(self) -> None:
+    def test_dead_peer_is_dropped_and_catches_up(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -256,7 +256,7 @@
 
         play(work)
 
-    def test_what_waits_for_a_silent_peer_is_bounded(self) -> None:
+    def test_queue_for_unresponsive_peer_is_bounded(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -272,7 +272,7 @@
 
         play(work, segments=1024)
 
-    def test_batches_are_shared(self) -> None:
+    def test_concurrent_records_share_batches(self) -> None:
         batches: list[ReplicateRequest] = []
 
         async def work(cluster: StoreCluster) -> None:
@@ -289,7 +289,7 @@
         play(work)
         assert len(batches) < 50
 
-    def test_an_older_epoch_is_refused_also_after_a_restart(self) -> None:
+    def test_older_epoch_is_rejected_after_restart(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             cluster.place([cluster.entry(0, 5, primary=1)])
@@ -307,7 +307,7 @@
 
         play(work)
 
-    def test_an_epoch_learnt_with_records_is_promised_durably(self) -> None:
+    def test_epoch_received_with_records_is_durable(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.call(2, ReplicateRequest("store-2/d1", [RecordBatch(0, 7, [])], False))
@@ -318,7 +318,7 @@
         for seed in range(4):
             play(work, seed=seed)
 
-    def test_a_fenced_primary_tells_those_who_wait(self) -> None:
+    def test_fenced_primary_resolves_waiting_puts(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -333,7 +333,7 @@
 
         play(work)
 
-    def test_a_full_disk_refuses_new_messages_alone(self) -> None:
+    def test_full_disk_rejects_only_new_messages(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             cluster.stores[0].log = MemoryLog(segment_bytes=16_384, segments=16, sync_s=0.001)
             await cluster.start()
@@ -348,7 +348,7 @@
 
         play(work)
 
-    def test_a_failed_disk_promises_nothing(self) -> None:
+    def test_failed_disk_accepts_no_messages(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -365,7 +365,7 @@
 
 
 class TestTakeover:
-    def test_what_one_replica_alone_knew_reaches_all_at_once(self) -> None:
+    def test_takeover_copies_records_of_single_replicas_to_all(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
@@ -385,13 +385,13 @@
                 known = content(cluster, store)
                 assert known.keys() == held.keys()
                 assert all(is_complete for _, _, is_complete in known.values())
-            await asyncio.sleep(MAX_DEFERRAL_S)  # the newest states, which a quorum has, are deferred
+            await asyncio.sleep(MAX_DEFERRAL_S)  # newest states that a quorum has are sent with a deferral
             assert all(content(cluster, store) == held for store in range(5))
 
         play(work, stores=5, tolerated=2)
 
-    def test_records_refused_for_an_old_epoch_are_sent_again(self) -> None:
-        """The primary stays the same, but a replica hears of the new epoch before the records come."""
+    def test_records_rejected_for_old_epoch_are_sent_again(self) -> None:
+        """The primary stays the same, but a replica receives the new epoch before the records arrive."""
 
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
@@ -412,7 +412,7 @@
 
 
 class TestMovingReplicas:
-    def test_a_learner_is_filled_and_reported(self) -> None:
+    def test_learner_catches_up_and_is_reported(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             cluster.place([cluster.entry(0, 2, 0, replicas=[0, 1, 2])])
@@ -424,11 +424,13 @@
             assert (ready.partition, ready.epoch, ready.store_id) == (0, 3, "store-4/d1")
             assert content(cluster, 3) == content(cluster, 0)
             await asyncio.sleep(3.0)
-            assert len(cluster.learners_ready) >= 2  # told again until the placement changes
+            assert (
+                len(cluster.learners_ready) >= 2
+            )  # the primary repeats the report until the placement changes
 
         play(work, stores=4)
 
-    def test_a_learner_alone_makes_no_quorum(self) -> None:
+    def test_learner_does_not_count_towards_quorum(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             cluster.place([cluster.entry(0, 2, 0, replicas=[0, 1, 2], learners=[3])])
@@ -439,7 +441,7 @@
 
         play(work, stores=4)
 
-    def test_commits_need_a_learner_that_was_reported(self) -> None:
+    def test_commits_require_reported_learner(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             cluster.place([cluster.entry(0, 2, 0, replicas=[0, 1, 2], learners=[3])])
@@ -455,8 +457,8 @@
 
         play(work, stores=4)
 
-    def test_a_learner_that_dies_holds_commits_back_until_the_placement_lets_it_go(self) -> None:
-        """The head may still count on the report: only a placement of a greater epoch makes it void."""
+    def test_dead_reported_learner_blocks_commits_until_next_placement(self) -> None:
+        """The head controller may act on the report until it publishes a placement with a greater epoch."""
 
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
@@ -474,8 +476,8 @@
 
         play(work, stores=4)
 
-    def test_records_of_replaced_replicas_are_asked_for(self) -> None:
-        """Committed by store 1 and 3 alone; then 1 dies while 3 is being replaced by 4."""
+    def test_takeover_compares_former_replicas(self) -> None:
+        """Only stores 1 and 3 have a committed record; then 1 dies while 4 replaces 3."""
 
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
@@ -496,7 +498,7 @@
 
         play(work, stores=4)
 
-    def test_replaced_replicas_that_are_gone_are_not_waited_for_long(self) -> None:
+    def test_takeover_waits_only_briefly_for_dead_former_replicas(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             cluster.place([cluster.entry(0, 2, 0, replicas=[0, 1, 2])])
@@ -508,7 +510,7 @@
 
         play(work, stores=4)
 
-    def test_a_partition_that_moved_away_is_dropped_later(self) -> None:
+    def test_moved_partition_is_dropped_after_retention(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             empty = cluster.stores[2].log.free_bytes()
@@ -525,7 +527,7 @@
 
 
 class TestScrub:
-    def test_differences_are_found_and_mended(self) -> None:
+    def test_scrub_repairs_differences(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             keys = [await cluster.stored(message(f"m{number}", retention_ms=900_000)) for number in range(10)]
@@ -543,27 +545,27 @@
         play(work)
 
 
-class Troubles:
-    """Random troubles of one machine at a time, a head that moves primaries, clients that do not let up."""
+class RandomFaults:
+    """Random faults of one store at a time, with moving primaries and clients that retry until success."""
 
     def __init__(self, cluster: StoreCluster) -> None:
         self.cluster = cluster
-        self.chance = cluster.chance
+        self.random_source = cluster.random_source
         self.epoch = 1
         self.primary = 0
-        self.over = False
+        self.is_finished = False
         self.kept: dict[str, str] = {}  # message id -> reference
         self.put_order: dict[str, list[str]] = {}  # ordering key -> ids in the order of acceptance
         self.runs: list[tuple[str, str]] = []  # (id, result)
-        self.succeeded: dict[str, set[str]] = {}  # id -> leases whose success was taken
-        self.running: dict[str, str] = {}  # pull: message id -> lease of the worker at work
-        self.wrong: list[str] = []
+        self.succeeded: dict[str, set[str]] = {}  # id -> leases whose success was accepted
+        self.running: dict[str, str] = {}  # message id -> lease of the worker that runs the message
+        self.violations: list[str] = []
 
     async def client(self, name: str) -> None:
         for number in range(60):
             key = name if number % 2 else ""
             new = message(f"{name}-{number}", ordering_key=key, max_attempts=1_000, retention_ms=10_000_000)
-            while not self.over:
+            while not self.is_finished:
                 try:
                     answer = await self.cluster.put(new, store=self.primary)
                 except PeerError:
@@ -575,10 +577,10 @@
                         self.put_order.setdefault(key, []).append(new.id)
                     break
                 await asyncio.sleep(0.1)
-            await asyncio.sleep(self.chance.random() * 0.6)
+            await asyncio.sleep(self.random_source.random() * 0.6)
 
     async def worker(self) -> None:
-        while not self.over:
+        while not self.is_finished:
             try:
                 jobs = await self.cluster.lease(
                     self.primary, most=3, wait_ms=300, pull=True, visibility_ms=3_000
@@ -591,15 +593,15 @@
     async def run(self, name: str, lease: str) -> None:
         self.check_order(name)
         if name in self.running:
-            self.wrong.append(f"{name} runs at two workers")
+            self.violations.append(f"{name} runs at two workers")
         self.running[name] = lease
-        await asyncio.sleep(self.chance.random() * 0.5)
-        result = self.chance.choice(["success", "success", "failed", "not_run"])
+        await asyncio.sleep(self.random_source.random() * 0.5)
+        result = self.random_source.choice(["success", "success", "failed", "not_run"])
         self.runs.append((name, result))
         if self.running.get(name) == lease:
             del self.running[name]
-        given_up = self.cluster.loop.time() + 2.0
-        while self.cluster.loop.time() < given_up:
+        give_up_at = self.cluster.loop.time() + 2.0
+        while self.cluster.loop.time() < give_up_at:
             try:
                 answer = await self.cluster.finish(lease, result, store=self.primary, signature=lease)
             except PeerError:
@@ -617,16 +619,16 @@
         if name in order:
             open_ones = [older for older in order[: order.index(name)] if older not in ran]
             if open_ones:
-                self.wrong.append(f"{name} before {open_ones}")
+                self.violations.append(f"{name} before {open_ones}")
 
     async def fault(self) -> None:
         for _ in range(8):
-            await asyncio.sleep(1.5 + self.chance.random() * 2)
-            victim = self.chance.randrange(3)
-            kind = self.chance.choice(["kill", "power", "freeze", "cut", "move"])
-            await self.befall(victim, kind)
+            await asyncio.sleep(1.5 + self.random_source.random() * 2)
+            victim = self.random_source.randrange(3)
+            kind = self.random_source.choice(["kill", "power", "freeze", "cut", "move"])
+            await self.inject_fault(victim, kind)
 
-    async def befall(self, victim: int, kind: str) -> None:
+    async def inject_fault(self, victim: int, kind: str) -> None:
         store = self.cluster.stores[victim]
         if kind in ("kill", "power"):
             store.kill(power=kind == "power")
@@ -634,12 +636,12 @@
             store.freeze()
         elif kind == "cut":
             store.cut(*(other for other in self.cluster.stores if other is not store))
-        await asyncio.sleep(self.chance.random())
-        if victim == self.primary and (kind == "move" or self.chance.random() < 0.8):
-            self.primary = (victim + self.chance.choice([1, 2])) % 3
+        await asyncio.sleep(self.random_source.random())
+        if victim == self.primary and (kind == "move" or self.random_source.random() < 0.8):
+            self.primary = (victim + self.random_source.choice([1, 2])) % 3
             self.epoch += 1
             self.cluster.place([self.cluster.entry(0, self.epoch, self.primary)])
-        await asyncio.sleep(self.chance.random() * 2)
+        await asyncio.sleep(self.random_source.random() * 2)
         if kind in ("kill", "power"):
             await store.start()
         elif kind == "freeze":
@@ -647,14 +649,14 @@
         elif kind == "cut":
             self.cluster.network.heal_all()
 
-    async def all_at_once(self) -> None:
+    async def restart_all(self) -> None:
         for store in self.cluster.stores:
             store.kill()
         await asyncio.sleep(0.5)
         await asyncio.gather(*(store.start() for store in self.cluster.stores))
 
     async def drain(self) -> None:
-        """Until every kept message has ended."""
+        """Wait until all stored messages are completed."""
         for _ in range(600):
             states = set()
             for reference in self.kept.values():
@@ -667,34 +669,34 @@
             if "unknown" in states or "dead_letter" in states:
                 break
             await asyncio.sleep(0.5)
-        self.wrong.append(f"states {states}")
+        self.violations.append(f"states {states}")
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_faults_lose_nothing(seed: int) -> None:
+def test_random_faults_lose_no_message(seed: int) -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
-        troubles = Troubles(cluster)
-        workers = [asyncio.create_task(troubles.worker()) for _ in range(3)]
-        clients = [asyncio.create_task(troubles.client(name)) for name in ("a", "b", "c")]
-        await troubles.fault()
+        faults = RandomFaults(cluster)
+        workers = [asyncio.create_task(faults.worker()) for _ in range(3)]
+        clients = [asyncio.create_task(faults.client(name)) for name in ("a", "b", "c")]
+        await faults.fault()
         if seed % 2:
-            await troubles.all_at_once()
+            await faults.restart_all()
         await asyncio.gather(*clients)
-        await troubles.drain()
-        troubles.over = True
+        await faults.drain()
+        faults.is_finished = True
         await asyncio.gather(*workers)
-        assert troubles.wrong == []
-        assert len(troubles.kept) == 180
-        assert all(len(leases) == 1 for leases in troubles.succeeded.values())
+        assert faults.violations == []
+        assert len(faults.kept) == 180
+        assert all(len(leases) == 1 for leases in faults.succeeded.values())
         await asyncio.sleep(25.0)
         assert content(cluster, 0) == content(cluster, 1) == content(cluster, 2)
 
     play(work, seed=seed)
 
 
-def test_a_stream_takes_back_no_acknowledgement_of_another_incarnation() -> None:
-    """Records that were sent by a primary that has resigned since commit nothing."""
+def test_acknowledgement_of_resigned_primary_commits_nothing() -> None:
+    """A late acknowledgement of records of a primary that has resigned must not commit them."""
 
     async def work(cluster: StoreCluster) -> None:
         await cluster.start()
--- a/tests/messages/test_store_service.py
+++ b/tests/messages/test_store_service.py
@@ -1,4 +1,4 @@
-"""The store's service over a simulated network: life of a message, quorums, takeovers, waiting requests."""
+"""The store service over a simulated network: message lifecycle, quorums, takeovers and waiting requests."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
         play(work)
 
-    def test_a_store_alone_needs_no_other(self) -> None:
+    def test_single_store_needs_no_peers(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -37,7 +37,7 @@
 
         play(work, stores=1, tolerated=0)
 
-    def test_the_same_id_is_kept_once(self) -> None:
+    def test_same_id_is_stored_once(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             first, second = await asyncio.gather(cluster.put(message("m1")), cluster.put(message("m1")))
@@ -46,7 +46,7 @@
 
         play(work)
 
-    def test_a_repeated_end_gets_the_same_answer(self) -> None:
+    def test_repeated_result_gets_the_same_response(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -59,7 +59,7 @@
 
         play(work)
 
-    def test_nonsense_is_answered(self) -> None:
+    def test_invalid_requests_are_answered(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             assert await cluster.finish("nonsense", "success") == "gone"
@@ -70,7 +70,7 @@
 
         play(work)
 
-    def test_only_the_primary_answers(self) -> None:
+    def test_only_the_primary_serves_requests(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             assert (await cluster.put(message("m1"), store=1)).status == "not_primary"
@@ -81,7 +81,7 @@
 
 
 class TestQuorum:
-    def test_stored_only_after_two_syncs(self) -> None:
+    def test_put_is_stored_after_two_syncs(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -91,13 +91,13 @@
             holders = [
                 store
                 for store in cluster.stores
-                if any(b"m1" in record for _, record in store.log.crash(cluster.chance).replay())
+                if any(b"m1" in record for _, record in store.log.crash(cluster.random_source).replay())
             ]
             assert len(holders) >= 2
 
         play(work)
 
-    def test_one_replica_may_be_gone(self) -> None:
+    def test_put_commits_without_one_replica(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -109,7 +109,7 @@
 
         play(work)
 
-    def test_without_a_quorum_nothing_is_promised(self) -> None:
+    def test_put_is_not_acknowledged_without_quorum(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
@@ -127,7 +127,7 @@
 
         play(work)
 
-    def test_a_lease_that_no_quorum_knows_is_given_back(self) -> None:
+    def test_lease_without_quorum_is_cancelled(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -141,7 +141,7 @@
 
 
 class TestTakeover:
-    def test_the_next_primary_knows_everything(self) -> None:
+    def test_next_primary_has_all_messages_and_leases(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             references = [await cluster.stored(message(f"m{n}")) for n in range(20)]
@@ -155,14 +155,14 @@
             assert states == ["completed"] + ["queued"] * 19
             assert (await cluster.put(message("m1"), store=1)).reference == references[1]
             rest = await cluster.lease(store=1, most=30)
-            assert len(rest) == 15  # four leases of the old primary still hold
+            assert len(rest) == 15  # four leases of the old primary are still valid
             for job in leased[1:]:
                 assert await cluster.finish(job.lease, "success", store=1) == "taken"
             assert await cluster.finish(ended.lease, "success", store=1) == "taken"
 
         play(work)
 
-    def test_all_restart_without_power_and_nothing_is_lost(self) -> None:
+    def test_power_loss_of_all_stores_loses_nothing(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             references = [await cluster.stored(message(f"m{n}")) for n in range(10)]
@@ -180,7 +180,7 @@
         for seed in range(5):
             play(work, seed=seed)
 
-    def test_the_old_primary_is_fenced(self) -> None:
+    def test_old_primary_is_fenced(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
@@ -196,12 +196,12 @@
 
         play(work)
 
-    def test_a_cut_off_primary_that_has_not_heard_grants_nothing(self) -> None:
+    def test_partitioned_primary_grants_nothing(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m0"))
             cluster.stores[0].cut(*cluster.stores[1:])
-            cluster.stores[0].deaf = True
+            cluster.stores[0].ignores_updates = True
             cluster.place([cluster.entry(0, 2, primary=1)])
             await asyncio.sleep(1.0)
             assert len(await cluster.lease(store=1)) == 1
@@ -209,7 +209,7 @@
 
         play(work)
 
-    def test_a_call_waits_for_the_takeover(self) -> None:
+    def test_request_waits_for_takeover(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             reference = await cluster.stored(message("m0"))
@@ -220,7 +220,7 @@
 
         play(work)
 
-    def test_a_change_of_replicas_goes_on_with_the_same_queue(self) -> None:
+    def test_queue_survives_change_of_replicas(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             cluster.place([cluster.entry(0, 2, primary=0, replicas=[0, 1, 2])])
@@ -236,7 +236,7 @@
 
         play(work, stores=4)
 
-    def test_a_planned_stop_waits_for_the_new_placement(self) -> None:
+    def test_planned_stop_waits_for_new_placement(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             stopping = cluster.stores[0].process.run(cluster.stores[0].service.stop())
@@ -249,7 +249,7 @@
 
         play(work)
 
-    def test_a_planned_stop_is_bounded(self) -> None:
+    def test_planned_stop_times_out(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await asyncio.wait_for(cluster.stores[0].process.run(cluster.stores[0].service.stop()), 4.5)
@@ -258,7 +258,7 @@
 
 
 class TestWaiting:
-    def test_a_waiting_request_gets_a_job_at_once(self) -> None:
+    def test_waiting_request_gets_new_job_at_once(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("warm"))
@@ -273,7 +273,7 @@
 
         play(work)
 
-    def test_a_waiting_request_ends_in_time(self) -> None:
+    def test_waiting_request_times_out(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             begun = cluster.loop.time()
@@ -282,7 +282,7 @@
 
         play(work)
 
-    def test_each_waiting_request_gets_its_share(self) -> None:
+    def test_concurrent_jobs_go_to_all_waiting_requests(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             waiting = [asyncio.create_task(cluster.lease(wait_ms=5_000)) for _ in range(3)]
@@ -293,7 +293,7 @@
 
         play(work)
 
-    def test_jobs_that_become_ready_together_are_shared_out(self) -> None:
+    def test_requeued_jobs_go_to_all_waiting_requests(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             for number in range(3):
@@ -308,23 +308,23 @@
 
         play(work)
 
-    def test_dispatchers_are_reported_of_jobs_that_nobody_asks_for(self) -> None:
+    def test_dispatchers_are_notified_of_unrequested_jobs(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
             await asyncio.sleep(0.2)
-            assert [note.service for note in cluster.announced] == ["s"]
+            assert [note.service for note in cluster.job_notifications] == ["s"]
             await asyncio.sleep(1.0)
-            assert 3 <= len(cluster.announced) <= 5
+            assert 3 <= len(cluster.job_notifications) <= 5
             await cluster.lease()
             await asyncio.sleep(0.5)
-            count = len(cluster.announced)
+            count = len(cluster.job_notifications)
             await asyncio.sleep(2.0)
-            assert len(cluster.announced) == count
+            assert len(cluster.job_notifications) == count
 
         play(work)
 
-    def test_delayed_messages_come_when_they_are_due(self) -> None:
+    def test_delayed_message_is_leased_when_due(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             accepted = cluster.loop.time()
@@ -335,7 +335,7 @@
 
         play(work)
 
-    def test_a_ceiling_spreads_the_jobs(self) -> None:
+    def test_rate_limit_spreads_jobs(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             cluster.configure(configuration(2, s=20.0))
@@ -352,8 +352,8 @@
         play(work)
 
 
-class TestLeasesOfTheGone:
-    def test_push_leases_of_a_dead_dispatcher_return_at_once(self) -> None:
+class TestLeasesOfDeadDispatchers:
+    def test_push_leases_of_restarted_dispatcher_are_released_at_once(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -364,7 +364,7 @@
 
         play(work)
 
-    def test_push_leases_of_a_dispatcher_judged_dead_return_but_not_those_of_one_that_leaves(self) -> None:
+    def test_push_leases_of_dead_but_not_of_leaving_dispatcher_are_released(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -378,7 +378,7 @@
 
         play(work)
 
-    def test_pull_leases_outlive_their_dispatcher_until_the_last_word_is_old(self) -> None:
+    def test_pull_leases_outlive_their_dispatcher_until_they_expire(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -387,15 +387,15 @@
             for _ in range(4):
                 await asyncio.sleep(1.0)
                 assert (await cluster.call(0, ExtendLease(job.lease))).status == "taken"
-            last_word = cluster.loop.time()
+            extended_at = cluster.loop.time()
             assert len(await cluster.lease(pull=True, wait_ms=10_000, visibility_ms=3_000)) == 1
-            assert cluster.loop.time() - last_word >= 3.0
+            assert cluster.loop.time() - extended_at >= 3.0
             assert (await cluster.call(0, ExtendLease(job.lease))).status == "gone"
             assert await cluster.finish(job.lease, "success") == "gone"
 
         play(work)
 
-    def test_a_frozen_primary_does_not_take_no_answer_for_an_end(self) -> None:
+    def test_paused_primary_does_not_expire_leases(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -411,7 +411,7 @@
 
         play(work)
 
-    def test_extending_needs_replicas_that_still_follow(self) -> None:
+    def test_extension_requires_quorum(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1"))
@@ -427,43 +427,47 @@
     URL = "http://10.9.0.1:8080/done"
     SERVICE = "callback:10.9.0.1:8080"
 
-    def test_owed_after_the_end_until_reported(self) -> None:
+    def test_call_back_is_pending_until_delivered(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             await cluster.stored(message("m1", callback_url=self.URL))
             [job] = await cluster.lease()
             assert await cluster.lease(service=self.SERVICE) == []
             await cluster.finish(job.lease, "success", signature="sig")
-            [owed] = await cluster.lease(service=self.SERVICE, wait_ms=100)
-            assert (owed.message.id, owed.message.callback_url) == ("m1", self.URL)
-            assert (owed.state, owed.signature, owed.message.body) == ("completed", "sig", b"")
-            assert await cluster.finish(owed.lease, "failed") == "taken"
+            [callback_job] = await cluster.lease(service=self.SERVICE, wait_ms=100)
+            assert (callback_job.message.id, callback_job.message.callback_url) == ("m1", self.URL)
+            assert (callback_job.state, callback_job.signature, callback_job.message.body) == (
+                "completed",
+                "sig",
+                b"",
+            )
+            assert await cluster.finish(callback_job.lease, "failed") == "taken"
             [again] = await cluster.lease(service=self.SERVICE, wait_ms=2_000)
-            assert again.lease != owed.lease
+            assert again.lease != callback_job.lease
             assert await cluster.finish(again.lease, "success") == "taken"
             assert await cluster.lease(service=self.SERVICE, wait_ms=5_000) == []
 
         play(work)
 
-    def test_owed_at_the_next_primary(self) -> None:
+    def test_pending_call_back_survives_takeover(self) -> None:
         async def work(cluster: StoreCluster) -> None:
             await cluster.start()
             for name in ("m1", "m2"):
                 await cluster.stored(message(name, callback_url=self.URL))
             for job in await cluster.lease(most=2):
                 await cluster.finish(job.lease, "refused")
-            owed = await cluster.lease(service=self.SERVICE, most=2, wait_ms=100)
-            await cluster.finish(owed[0].lease, "success")
+            callback_job = await cluster.lease(service=self.SERVICE, most=2, wait_ms=100)
+            await cluster.finish(callback_job[0].lease, "success")
             cluster.stores[0].kill()
             cluster.place([cluster.entry(0, 2, primary=1)])
             [left] = await cluster.lease(store=1, service=self.SERVICE, most=2, wait_ms=1_000)
-            assert left.message.id == owed[1].message.id
+            assert left.message.id == callback_job[1].message.id
             assert left.state == "dead_letter"
 
         play(work)
 
 
-def test_a_lease_request_takes_from_all_partitions() -> None:
+def test_lease_request_covers_all_partitions() -> None:
     async def work(cluster: StoreCluster) -> None:
         await cluster.start(partitions=4)
         for number in range(4):
--- a/tests/messages/test_wire_rules_delays.py
+++ b/tests/messages/test_wire_rules_delays.py
@@ -1,4 +1,4 @@
-"""ORDER: a message's delay is never cut short, whichever machine's clock it goes by."""
+"""Rule ORDER: the delay of a message never ends early, although the wall clocks of machines differ."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Replica(Partition):
-    """A primary whose wall clock differs from that of the machine that took the message."""
+    """A primary whose wall clock is ahead of that of the machine that accepted the message."""
 
     def __init__(self, table: PartitionTable, now: float, ahead_ms: int) -> None:
         self.ahead_ms = ahead_ms
@@ -24,16 +24,16 @@
 
 
 def put_record(delay_ms: int, accepted_ms: int) -> bytes:
-    kept = message("m", delay_ms=delay_ms)
-    return records.pack_put(0, (1, 7), AcceptedMessage(accepted_ms, accepted_ms + delay_ms, 1, kept))
+    new = message("m", delay_ms=delay_ms)
+    return records.pack_put(0, (1, 7), AcceptedMessage(accepted_ms, accepted_ms + delay_ms, 1, new))
 
 
 @pytest.mark.parametrize("ahead_ms", [-2_000, -300, 0, 300, 2_000])
-def test_after_a_takeover_a_delay_goes_on_by_the_clock_of_the_machine_that_heard_it(ahead_ms: int) -> None:
+def test_delay_continues_by_the_receiving_replicas_clock_after_takeover(ahead_ms: int) -> None:
     accepted_s = 100.0
     table = new_table()
     accepted_ms = EPOCH_MS + int(accepted_s * 1000)
-    table.apply(put_record(1_500, accepted_ms), accepted_ms + 2 + ahead_ms)  # 2 ms on the way
+    table.apply(put_record(1_500, accepted_ms), accepted_ms + 2 + ahead_ms)  # the record took 2 ms to arrive
     replica = Replica(table, accepted_s + 0.6, ahead_ms)
     replica.sleep(0.899)
     assert replica.lease() == []
@@ -41,7 +41,7 @@
     assert len(replica.lease()) == 1
 
 
-def test_a_delay_read_back_from_the_disk_gets_a_margin_for_the_other_machines_clock() -> None:
+def test_replayed_delay_includes_clock_skew_margin() -> None:
     accepted_s = 100.0
     accepted_ms = EPOCH_MS + int(accepted_s * 1000)
     first = new_table()
@@ -58,7 +58,7 @@
     assert len(replica.lease()) == 1
 
 
-def test_a_message_without_a_delay_does_not_wait_for_clocks() -> None:
+def test_message_without_delay_ignores_clock_differences() -> None:
     accepted_ms = EPOCH_MS + 100_000
     table = new_table()
     table.apply(put_record(0, accepted_ms), accepted_ms)
--- a/tests/messages/test_wire_rules_ends.py
+++ b/tests/messages/test_wire_rules_ends.py
@@ -1,4 +1,4 @@
-"""MIXED and BUDGET: an end that was taken is taken again, and counts once, whatever has happened since."""
+"""Rules MIXED and BUDGET: a lease result that was accepted is accepted again, but counts only once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("result", ALL_RESULTS)
-def test_a_taken_end_is_taken_again_at_once_and_at_the_next_primary(result: str) -> None:
+def test_repeated_result_is_accepted_by_same_and_next_primary(result: str) -> None:
     partition = Partition()
     partition.put(message("m"))
     (grant,) = partition.lease(pull=True)
@@ -22,8 +22,8 @@
 
 @pytest.mark.parametrize("result", ["failed", "not_run", "unknown"])
 @pytest.mark.parametrize("later", ALL_RESULTS)
-def test_a_taken_end_is_taken_again_after_the_next_lease_has_ended(result: str, later: str) -> None:
-    """The first worker got no answer and repeats its end when the second one is done."""
+def test_repeated_result_is_accepted_after_next_lease_has_finished(result: str, later: str) -> None:
+    """The first worker received no response and repeats its result after the second worker has finished."""
     partition = Partition()
     key = partition.put(message("m", max_attempts=5))
     (first,) = partition.lease(pull=True)
@@ -39,7 +39,7 @@
     assert partition.finish(first, "success", "sig") == "gone", "only the end that was taken is taken again"
 
 
-def test_of_many_ends_the_newest_are_remembered() -> None:
+def test_newest_results_are_remembered() -> None:
     partition = Partition()
     partition.put(message("m", max_attempts=50))
     grants = []
@@ -51,7 +51,7 @@
     assert [partition.finish(grant, "failed") for grant in grants] == ["gone"] * 3 + ["taken"] * 5
 
 
-def test_a_lease_that_ran_out_and_went_to_another_worker_is_gone() -> None:
+def test_expired_lease_is_gone_after_next_grant() -> None:
     partition = Partition()
     partition.put(message("m"))
     (first,) = partition.lease(pull=True)
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("most", [1, 3])
 @pytest.mark.parametrize("takeovers", [False, True])
-def test_a_message_that_always_fails_runs_max_attempts_times(most: int, takeovers: bool) -> None:
+def test_failing_message_runs_max_attempts_times(most: int, takeovers: bool) -> None:
     partition = Partition()
     key = partition.put(message("m", max_attempts=most))
     runs = 0
@@ -82,7 +82,7 @@
     assert partition.status(key).state == "dead_letter"
 
 
-def test_a_message_refused_for_good_never_runs_again() -> None:
+def test_refused_message_never_runs_again() -> None:
     partition = Partition()
     key = partition.put(message("m", max_attempts=9))
     (grant,) = partition.lease()
--- a/tests/simulation/test_planted_faults.py
+++ b/tests/simulation/test_planted_faults.py
@@ -13,11 +13,11 @@
 REPOSITORY = Path(__file__).parent.parent.parent
 FOUND_BY = {
     "delay-lost-at-takeover": (
-        "tests/messages/test_partition.py::test_agrees_with_a_plain_partition_while_all_is_calm"
+        "tests/messages/test_partition.py::test_matches_reference_partition_without_faults"
     ),
     "emptied-too-early": "tests/coordination/placement/test_store_retirement.py",
     "learner-promoted-early": "tests/coordination/placement/test_planner_replicas.py",
-    "moved-primary-serves-on": "tests/messages/test_replication.py::test_random_faults_lose_nothing",
+    "moved-primary-serves-on": "tests/messages/test_replication.py::test_random_faults_lose_no_message",
     "order-answered-for-the-state-held": "tests/coordination/controller/test_orders_of_deposed_head.py",
     "seed-forgets-the-view": "tests/coordination/distribution/test_cluster_client.py",
     "unknown-put-answered-503": "tests/intake/test_store_client.py",
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -1,4 +1,4 @@
-"""Stores, their disks and a network in virtual time, for the tests of the message store."""
+"""A cluster of stores with logs in memory and a simulated network in virtual time, for tests."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def message(message_id: str, **changes: Any) -> NewMessage:
-    """A message with plain fields."""
+    """Return a message with default test values and these changes."""
     plain = NewMessage(
         id=message_id,
         route="r",
@@ -64,7 +64,7 @@
 
 
 def configuration(generation: int, routes: list[dict[str, Any]] | None = None, **rates: float) -> bytes:
-    """A configuration document; `rates` gives services a ceiling."""
+    """Return a configuration document; `rates` are the rate limits of services."""
     routes = [ROUTE] if routes is None else routes
     names = {route["upstream"] for route in routes} | set(rates) | {"s"}
     services = [{"name": name, "ratePerS": rates.get(name, 0.0)} for name in sorted(names)]
@@ -72,7 +72,7 @@
 
 
 class Store:
-    """One life after another of one store machine."""
+    """One store machine, whose process can be started and killed repeatedly."""
 
     def __init__(self, cluster: StoreCluster, name: str, address: str) -> None:
         self.cluster = cluster
@@ -82,7 +82,7 @@
         self.log = MemoryLog(segments=cluster.segments, sync_s=SYNC_S)
         self.incarnation = 0
         self.state = ClusterState()
-        self.deaf = False  # learns nothing from controllers
+        self.ignores_updates = False  # the store receives no updates from controllers
         self.process = SimulatedProcess(name, 0)
         self.service: StoreService
 
@@ -90,7 +90,7 @@
         return Member(self.name, "store", self.address, "z", "r", self.incarnation, "d1", True)
 
     async def start(self) -> None:
-        """Begin a life."""
+        """Start a process with the next incarnation."""
         self.incarnation += 1
         self.process = SimulatedProcess(self.name, self.incarnation)
         await self.process.run(self._start())
@@ -108,17 +108,20 @@
             bounds=Bounds(status_s=60),
         )
         dependencies = StoreDependencies(self.store_id, transport, self.log, self.state, cluster.wall_ms)
-        self.service = StoreService(self.member(), dependencies, settings, cluster.chance.random)
+        self.service = StoreService(self.member(), dependencies, settings, cluster.random_source.random)
         await transport.start(self.service.handle)
         await self.service.start()
 
     def kill(self, power: bool = True) -> None:
-        """The process ends at once; without power what was not synced may be lost."""
+        """End the process at once; records that were not synced may be lost.
+
+        With `power` the machine loses power, too, and leaves the network.
+        """
         self.process.kill()
         self.cluster.network.process_ended(self.process)
         if power:
             self.cluster.network.power_off(host_of(self.address))
-        self.log = self.log.crash(self.cluster.chance)
+        self.log = self.log.crash(self.cluster.random_source)
 
     def freeze(self) -> None:
         self.cluster.loop.freeze(self.process)
@@ -127,8 +130,8 @@
         self.cluster.loop.thaw(self.process)
 
     def apply(self, item: DistributedItem) -> None:
-        """Learn an item, as part of this store's process."""
-        if self.process.alive and not self.deaf:
+        """Apply an update from a controller, within this store's process."""
+        if self.process.alive and not self.ignores_updates:
             self.cluster.loop.call_soon(self.state.apply, [item], {}, context=self.process.context.copy())
 
     def cut(self, *others: Store) -> None:
@@ -137,19 +140,19 @@
 
 
 class StoreCluster:
-    """Some stores, and an edge process that calls them."""
+    """Several stores, and an edge process that calls them."""
 
     def __init__(
         self, loop: VirtualTimeLoop, stores: int = 3, tolerated: int = 1, seed: int = 1, segments: int = 256
     ) -> None:
         self.loop = loop
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.network = SimulatedNetwork(loop, random.Random(seed + 1))
         self.tolerated = tolerated
         self.segments = segments
         self.stores = [Store(self, f"store-{n}", f"10.0.0.{n}:7780") for n in range(1, stores + 1)]
         self.items: dict[str, DistributedItem] = {}
-        self.announced: list[JobsWaiting] = []
+        self.job_notifications: list[JobsWaiting] = []
         self.learners_ready: list[LearnerReady] = []
         self.learners_lost: list[LearnerLost] = []
         self._version = 0
@@ -161,8 +164,8 @@
         return EPOCH_MS + int(self.loop.time() * 1000)
 
     async def start(self, partitions: int = 1, primary: int = 0) -> None:
-        """Start everything with all stores as replicas of all partitions."""
-        await self.edge.start(self._hear)
+        """Start the edge process and all stores; each store is a replica of all partitions."""
+        await self.edge.start(self._handle_edge_message)
         for store in self.stores:
             self._add(f"member/{store.name}", store.member())
         self._add("member/edge-1", Member("edge-1", "edge", EDGE_ADDRESS, "z", "r", 1))
@@ -180,15 +183,15 @@
         replicas: list[int] | None = None,
         learners: list[int] | None = None,
     ) -> PartitionPlacement:
-        """A placement by the stores' numbers."""
+        """Return the placement of a partition; stores are given by their index."""
         ids = [store.store_id for store in self.stores]
-        chosen = list(range(len(ids))) if replicas is None else replicas
+        numbers = list(range(len(ids))) if replicas is None else replicas
         return PartitionPlacement(
-            partition, epoch, ids[primary], [ids[n] for n in chosen], [ids[n] for n in learners or []]
+            partition, epoch, ids[primary], [ids[n] for n in numbers], [ids[n] for n in learners or []]
         )
 
     def place(self, entries: list[PartitionPlacement]) -> None:
-        """A new placement of all partitions."""
+        """Publish a new placement of all partitions."""
         self._add(PLACEMENT, Placement(self._version + 1, entries))
 
     def configure(self, document: bytes) -> None:
@@ -206,14 +209,14 @@
         for store in self.stores:
             store.apply(item)
 
-    async def _hear(self, heard: Any) -> Any:
-        if isinstance(heard, JobsWaiting):
-            self.announced.append(heard)
+    async def _handle_edge_message(self, incoming: Any) -> Any:
+        if isinstance(incoming, JobsWaiting):
+            self.job_notifications.append(incoming)
             return None
-        if isinstance(heard, LearnerReady):
-            self.learners_ready.append(heard)
-        if isinstance(heard, LearnerLost):
-            self.learners_lost.append(heard)
+        if isinstance(incoming, LearnerReady):
+            self.learners_ready.append(incoming)
+        if isinstance(incoming, LearnerLost):
+            self.learners_lost.append(incoming)
         return Acknowledgement()
 
     # Calls of the edge process
@@ -227,7 +230,7 @@
         return answer
 
     async def stored(self, new: NewMessage, store: int = 0) -> str:
-        """Put a message; its reference."""
+        """Put a message, check that it is stored, and return its reference."""
         answer = await self.put(new, store)
         assert answer.status == "stored", answer
         return answer.reference
@@ -267,7 +270,7 @@
     seed: int = 1,
     segments: int = 256,
 ) -> StoreCluster:
-    """Run a scenario on a new cluster; errors that nobody caught fail it."""
+    """Run a scenario on a new cluster; an uncaught error in any task or handler fails it."""
     loop = VirtualTimeLoop()
     cluster = StoreCluster(loop, stores, tolerated, seed, segments)
     try:
@@ -276,5 +279,5 @@
         assert cluster.network.handler_failures == []
     finally:
         loop.shut()
-        gc.collect()  # tasks cut off in the middle end here, not during the next test's loop
+        gc.collect()  # closes unfinished tasks now instead of during the event loop of the next test
     return cluster
--- a/tests/support/simulated_disk.py
+++ b/tests/support/simulated_disk.py
@@ -1,6 +1,6 @@
-"""A disk in memory with the terms of docs on power loss: what was not synced is present, missing or torn.
+"""A disk in memory that simulates power loss: an unsynced write is then present, missing or torn.
 
-It stands in for `hollowusher.storage.files.SystemFiles`.  Faults are switched on by its fields.
+It replaces `hollowusher.storage.files.SystemFiles` in tests.  Tests inject faults by setting its attributes.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 class SimulatedFile:
-    """One file: what a reader sees, what is durable, and the changes in between."""
+    """One file: its current content, its durable content, and the changes that are not synced yet."""
 
     def __init__(self) -> None:
         self.current = bytearray()
         self.durable = bytearray()
-        self.pending: list[tuple[int, bytes]] = []  # offset and data; offset -1: a length was set
-        self.lasting = False  # whether its name survives a power loss
+        self.pending: list[tuple[int, bytes]] = []  # offset and data; offset -1 for a change of the size
+        self.has_durable_name = False  # whether the file's name survives a power loss
 
     def write(self, data: bytes, offset: int) -> None:
         overwrite(self.current, data, offset)
@@ -35,22 +35,22 @@
         for offset, data in self.pending:
             apply_change(self.durable, offset, data)
         self.pending.clear()
-        self.lasting = True
+        self.has_durable_name = True
 
-    def after_power_loss(self, chance: Random) -> SimulatedFile | None:
-        """What is left, None where the file itself is gone."""
-        if not self.lasting and chance.random() < 0.5:
+    def after_power_loss(self, random_source: Random) -> SimulatedFile | None:
+        """Return the file as it is after a power loss, or None if the file itself is lost."""
+        if not self.has_durable_name and random_source.random() < 0.5:
             return None
         left = SimulatedFile()
         left.durable = bytearray(self.durable)
-        left.lasting = True
-        nothing_remains = chance.random() < 0.25
+        left.has_durable_name = True
+        loses_all = random_source.random() < 0.25
         for offset, data in self.pending:
-            fate = 2 if nothing_remains else chance.randrange(3)
-            if fate == 0:
+            outcome = 2 if loses_all else random_source.randrange(3)
+            if outcome == 0:
                 apply_change(left.durable, offset, data)
-            elif fate == 1 and offset >= 0:
-                tear(left.durable, data, offset, chance)
+            elif outcome == 1 and offset >= 0:
+                tear(left.durable, data, offset, random_source)
         left.current = bytearray(left.durable)
         return left
 
@@ -73,45 +73,45 @@
         overwrite(content, data, offset)
 
 
-def tear(content: bytearray, data: bytes, offset: int, chance: Random) -> None:
-    """Write some stretches of the data and leave out others."""
+def tear(content: bytearray, data: bytes, offset: int, random_source: Random) -> None:
+    """Write random parts of the data and omit the others."""
     start = 0
     while start < len(data):
-        end = start + chance.randint(1, max(1, len(data) // 2))
-        if chance.random() < 0.5:
+        end = start + random_source.randint(1, max(1, len(data) // 2))
+        if random_source.random() < 0.5:
             overwrite(content, data[start:end], offset + start)
         start = end
 
 
 class SimulatedDisk:
-    """All files of one machine.  `on_change` is called after each change, also of what is durable."""
+    """All files of one machine; `on_change` is called after each change, including syncs."""
 
     def __init__(self) -> None:
         self.files: dict[Path, SimulatedFile] = {}
         self.open_files: dict[int, SimulatedFile] = {}
-        self.removed: dict[Path, SimulatedFile] = {}  # former names that a power loss may bring back
-        self.renamed: set[Path] = set()  # new names that a power loss may take away
+        self.removed: dict[Path, SimulatedFile] = {}  # old names that may reappear after a power loss
+        self.renamed: set[Path] = set()  # new names that may be lost by a power loss
         self.on_change: Callable[[], None] | None = None
-        self.passing_syncs = 0  # how many of the next syncs work before
-        self.failing_syncs = 0  # so many fail
+        self.passing_syncs = 0  # number of the next syncs that succeed before the failing ones
+        self.failing_syncs = 0  # number of syncs that fail after those
         self.failing_writes = 0
         self.full = False
         self.syncs = 0
         self._next_descriptor = 100
 
-    def power_loss(self, chance: Random) -> SimulatedDisk:
-        """The disk that a loss of power at this moment leaves."""
+    def power_loss(self, random_source: Random) -> SimulatedDisk:
+        """Return the disk as it is after a power loss at this moment."""
         left = SimulatedDisk()
         names = [(path, file, True) for path, file in self.removed.items()]
         names += [(path, file, path in self.renamed) for path, file in self.files.items()]
         for path, file, uncertain in names:
-            survivor = file.after_power_loss(chance)
-            if survivor is not None and not (uncertain and chance.random() < 0.5):
+            survivor = file.after_power_loss(random_source)
+            if survivor is not None and not (uncertain and random_source.random() < 0.5):
                 left.files[path] = survivor
         return left
 
     def kill(self) -> None:
-        """End the process: the files stay as they are."""
+        """Reset the state of the process; the files keep their content."""
         self.open_files.clear()
         self.on_change = None
         self.passing_syncs = self.failing_syncs = self.failing_writes = 0
@@ -158,7 +158,7 @@
             self.passing_syncs -= 1
         elif self.failing_syncs:
             self.failing_syncs -= 1
-            file.pending.clear()  # still readable, but no later sync makes these writes durable
+            file.pending.clear()  # the data stays readable, but no later sync makes it durable
             raise OSError(errno.EIO, "Input/output error")
         file.sync()
         self.syncs += 1
@@ -190,7 +190,7 @@
 
 
 class InlineWorker:
-    """Runs each job at once, in place of the disk thread; while `held`, jobs wait for `run_next`."""
+    """Replacement of the disk thread that runs each job at once, or at `run_next` while `held` is set."""
 
     def __init__(self) -> None:
         self.held = False
@@ -208,5 +208,5 @@
             run()
 
     def run_next(self) -> None:
-        """Run the oldest job that waits."""
+        """Run the oldest waiting job."""
         self.waiting.pop(0)()
