--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -72,7 +72,7 @@
 def group(cluster: StoreCluster, taken: list[LeasedJob], wanted: int = 1) -> LeasePoller:
     """The lease requests of edge-1 for service s, which takes so many jobs."""
     state = ClusterState()
-    cluster.tell(state)
+    cluster.load_state(state)
     network = LeasingContext(
         Member("edge-1", "edge", EDGE_ADDRESS, "z", "r", 1),
         cluster.edge,
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -37,7 +37,7 @@
 
     async def call(self, path: str, job: LeasedJob, result: str = "") -> int:
         """A worker's word about a job; the status of the answer."""
-        self.cluster.tell(self.state)
+        self.cluster.load_state(self.state)
         headers = {"Host": "10.0.0.1", "X-Lease-Id": worker_lease_id(job.lease, job.message.id)}
         if result:
             headers["X-Job-Result"] = result
--- a/tests/support/message_store.py
+++ b/tests/support/message_store.py
@@ -100,7 +100,7 @@
         cluster.network.power_on(host_of(self.address))
         transport = cluster.network.transport(self.process, self.address)
         self.state = ClusterState()
-        cluster.tell(self.state)
+        cluster.load_state(self.state)
         settings = BootSettings(
             self.name,
             "storage",
@@ -200,7 +200,7 @@
     def announce(self, member: Member) -> None:
         self._add(f"member/{member.name}", member)
 
-    def tell(self, state: ClusterState) -> None:
+    def load_state(self, state: ClusterState) -> None:
         state.apply(list(self.items.values()), {})
 
     def _add(self, key: str, value: Any) -> None:
