--- a/hollowusher/scheduler/emulator/log_replication_model.py
+++ b/hollowusher/scheduler/emulator/log_replication_model.py
@@ -16,7 +16,7 @@
 from hollowusher.scheduler.emulator.explore import Explored, explore
 from hollowusher.scheduler.rules.log_replication.messages import LogEntry, Message
 from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
-from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role
 
 T = TypeVar("T")
 NAMES = ("a", "b", "c")
@@ -42,7 +42,7 @@
 
     now: int = 0
     members: dict[str, Replica] = field(default_factory=dict)
-    disks: dict[str, Kept] = field(default_factory=dict)
+    disks: dict[str, PersistentState] = field(default_factory=dict)
     flight: list[tuple[str, str, Message]] = field(default_factory=list)
     committed: dict[int, LogEntry] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
@@ -69,7 +69,7 @@
                 at = number - r.kept.first
                 if at >= len(r.kept.entries) or (at >= 0 and r.kept.entries[at] != entry):
                     self.wrong = f"{name} leads in term {term} without entry {number}"
-        if sum(m.promises(self.now) for m in self.members.values()) > 1:
+        if sum(m.can_write(self.now) for m in self.members.values()) > 1:
             self.wrong = "two promise"
         self.flight += [(name, to, m) for to, m in r.sends]
         r.sends = []
@@ -87,7 +87,7 @@
             sender, to, message = world.flight.pop(0)
             world.members[to].step(world.now, message, sender)
             world.stabilize(to)
-        if leads and any(m.promises(world.now) for m in world.members.values()):
+        if leads and any(m.can_write(world.now) for m in world.members.values()):
             break
         if not leads and all(m.role is Role.FOLLOWER for m in world.members.values()):
             break
@@ -101,7 +101,7 @@
 def torn(make: Callable[..., Replica] = Replica) -> ReplicationModel:
     """One leads; its first job is held by one other, the second by nobody; then it is silent for long."""
     world = start(make)
-    lead = next(n for n, m in world.members.items() if m.promises(world.now))
+    lead = next(n for n, m in world.members.items() if m.can_write(world.now))
     first, second = (n for n in NAMES if n != lead)
     world.flight.clear()
     for job, holds in ((JOBS[0], True), (JOBS[1], False)):
@@ -115,7 +115,7 @@
             world.members[to].step(world.now, message, sender)
             world.stabilize(to)
         world.flight.clear()
-    world.now += 2 * world.members[second].pace.lease_ns
+    world.now += 2 * world.members[second].timing.lease_ns
     return world
 
 
@@ -170,7 +170,7 @@
                 w.stabilize(name)
 
             yield f"restart {name}", after(crash)
-        if world.proposed < len(JOBS) and world.members[name].promises(world.now):
+        if world.proposed < len(JOBS) and world.members[name].can_write(world.now):
 
             def propose(w: ReplicationModel, name: str = name) -> None:
                 w.members[name].propose(w.now, [JOBS[w.proposed]])
@@ -195,16 +195,16 @@
                 k.starts,
                 tuple(k.entries),
                 r.commit,
-                r._need,
-                r._held,
+                r._required_match,
+                r._storage_trusted,
                 r._teacher,
                 frozenset(r._votes),
-                r._trying,
+                r._pre_voting,
                 max(-1, r.lease_until - world.now),
-                max(-1, r._led_at + r.pace.lease_ns - world.now),
+                max(-1, r._led_at + r.timing.lease_ns - world.now),
                 r.due() - world.now,
                 tuple((n, p.next, p.match, p.open, p.lacks) for n, p in r.peers.items()),
-                tuple((n, t.standing, t.term, t.last) for n, t in r._taught.items()),
+                tuple((n, t.standing, t.term, t.last) for n, t in r._learn_replies.items()),
             )
         )
     return (tuple(rows), tuple(world.flight), world.proposed, world.losses, world.crashes)
--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -58,7 +58,7 @@
                 config.waiting,
                 round(config.stream_wait_s * 1e9),
                 round(pool.idle_s * 1e9),
-                config.used_most,
+                config.max_lifetime_streams,
             )
         )
         self.counts = StreamCounts()
@@ -84,7 +84,11 @@
                 over.set_result(exchange.result)  # type: ignore[arg-type]
 
         exchange.tell = tell
-        self._do(self.stream_table.ask(time.monotonic_ns(), exchange, exchange.until_ns, exchange.urgent))
+        self._do(
+            self.stream_table.request_stream(
+                time.monotonic_ns(), exchange, exchange.until_ns, exchange.urgent
+            )
+        )
         self._arm()
         return await over
 
@@ -92,7 +96,7 @@
         """Give a request up, wherever it stands; how it ended."""
         if exchange.ended:
             return exchange.result  # type: ignore[return-value]  # it ended in the same moment
-        if self.stream_table.leave(time.monotonic_ns(), exchange):
+        if self.stream_table.cancel_wait(time.monotonic_ns(), exchange):
             # Behind streams that are in use the node is not to blame; without a connection it may be.
             how = outcome(cause, False, False) if self.stream_table.open_streams == 0 else Outcome.NOT_SENT
         elif (wire := self._wires.get(exchange.connection)) is not None:
@@ -104,7 +108,7 @@
 
     def leaving(self) -> None:
         """The node drains, is gone, or is another process from now on."""
-        self._do(self.stream_table.leaving(time.monotonic_ns()))
+        self._do(self.stream_table.node_leaving(time.monotonic_ns()))
 
     async def close(self) -> None:
         """End all connections, with a GOAWAY on each."""
@@ -112,7 +116,7 @@
             self._timer.cancel()
         for task in self._opening:
             task.cancel()
-        self._do(self.stream_table.leaving(time.monotonic_ns()))
+        self._do(self.stream_table.node_leaving(time.monotonic_ns()))
         wires, self._wires = list(self._wires.values()), {}
         await asyncio.gather(
             *(wire.part() for wire in wires), *self._opening, *self._parting, return_exceptions=True
@@ -165,11 +169,11 @@
 
     def limited(self, session: Http2Session, announced: int) -> None:
         """See `Owner`."""
-        self._do(self.stream_table.limited(time.monotonic_ns(), session.number, announced))
+        self._do(self.stream_table.set_stream_limit(time.monotonic_ns(), session.number, announced))
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
         """See `Owner`."""
-        self._do(self.stream_table.quiet(time.monotonic_ns(), session.number, silent))
+        self._do(self.stream_table.set_unresponsive(time.monotonic_ns(), session.number, silent))
 
     def retired(self, session: Http2Session, code: int | None, above: int) -> None:
         """See `Owner`."""
@@ -197,7 +201,7 @@
             self._do(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
         else:
             now = time.monotonic_ns()
-            self._do(self.stream_table.unbegun(now, session.number, exchange, exchange.until_ns))
+            self._do(self.stream_table.requeue(now, session.number, exchange, exchange.until_ns))
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         """See `Owner`."""
@@ -233,7 +237,7 @@
         now = time.monotonic_ns()
         busy = self.stream_table.waiting or self.stream_table.open_streams or self._opening
         due = now + round((HEARTBEAT_S if busy else REST_S) * 1e9)
-        if (soonest := self.stream_table.soonest_ns) is not None:
+        if (soonest := self.stream_table.earliest_expiry_ns) is not None:
             due = min(due, max(now, soonest))
         if self._timer is None or due < self._due_ns:
             if self._timer is not None:
--- a/hollowusher/scheduler/net/owner.py
+++ b/hollowusher/scheduler/net/owner.py
@@ -9,7 +9,7 @@
 
 from hollowusher.balancing.learned_state import LearnedState
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
-from hollowusher.scheduler.dispatch.model import DispatchEvent, Order, TimeCame, WakeDispatcher
+from hollowusher.scheduler.dispatch.model import DispatchCommand, DispatchEvent, TimerExpired, WakeDispatcher
 from hollowusher.scheduler.log import LogWriter
 
 _NS_PER_MS = 1_000_000
@@ -18,7 +18,9 @@
 class DispatcherOwner:
     """Drains the queue in batches, steps the desk once for each, and has its orders carried out."""
 
-    def __init__(self, dispatcher: JobDispatcher, carry_out: Callable[[Order], None], log: LogWriter) -> None:
+    def __init__(
+        self, dispatcher: JobDispatcher, carry_out: Callable[[DispatchCommand], None], log: LogWriter
+    ) -> None:
         self._dispatcher, self._carry_out, self._log = dispatcher, carry_out, log
         self._queue: asyncio.Queue[DispatchEvent] = asyncio.Queue()
         self.taps: list[Callable[[DispatchEvent], None]] = []  # who else is told of each event
@@ -36,7 +38,7 @@
     @property
     def avoided(self) -> frozenset[int]:
         """The workers in the list that the decision module avoids."""
-        return self._dispatcher.avoided()
+        return self._dispatcher.suspect_workers()
 
     @property
     def busy(self) -> bool:
@@ -51,7 +53,7 @@
             while not self._queue.empty():
                 batch.append(self._queue.get_nowait())
             try:
-                orders = self._dispatcher.work(time.monotonic_ns(), batch)
+                orders = self._dispatcher.process(time.monotonic_ns(), batch)
             except Exception as fault:  # one bad step must not end the jobs that others still wait for
                 self._log.error("desk-fault", "the decision module failed in a step", fault=repr(fault))
                 continue
@@ -60,7 +62,7 @@
                     order, WakeDispatcher
                 ):  # rounded up: the loop's timers count whole milliseconds
                     delay = math.ceil(order.in_ns / _NS_PER_MS) / 1000
-                    loop.call_later(delay, self.post, TimeCame())
+                    loop.call_later(delay, self.post, TimerExpired())
                     continue
                 try:
                     self._carry_out(order)
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -14,8 +14,8 @@
 from hollowusher.scheduler.net.membership.node import PeerNode
 from hollowusher.scheduler.net.shared_state.settings import SharedConfig
 from hollowusher.scheduler.rules.membership.budget import Budget
-from hollowusher.scheduler.rules.shared_state.judgements import tells
-from hollowusher.scheduler.rules.shared_state.sharer import Sharer
+from hollowusher.scheduler.rules.shared_state.judgements import node_evidence
+from hollowusher.scheduler.rules.shared_state.sharer import SharedStateGossip
 from hollowusher.scheduler.rules.shared_state.wire import Message, SharedStateCodec
 
 PERMIT_NS = 80_000_000
@@ -39,7 +39,7 @@
         self._config, self._peers, self._registry, self._log = config, peers, registry, log
         self._codec = SharedStateCodec(cluster)
         now, me = time.monotonic_ns(), peers.member.me
-        self.sharer = Sharer(
+        self.sharer = SharedStateGossip(
             me.name,
             sorted(peers.member.contacts),
             me.incarnation,
@@ -74,8 +74,8 @@
                     self.sharer.counts.add(now, f"tenant/{job.tenant}")
             case AttemptEnded(attempt) if self._config.judgements:
                 node = self._registry.node(attempt.node)
-                if node is not None and (good := tells(event.outcome)) is not None:
-                    self.sharer.judgements.saw(now, node.name, good)
+                if node is not None and (good := node_evidence(event.outcome)) is not None:
+                    self.sharer.judgements.record_end(now, node.name, good)
                     self._changed(now, node.name)
 
     def report(self) -> Mapping[str, object]:
@@ -91,12 +91,12 @@
         }
 
     def _heard(self, data: bytes) -> None:
-        letter = self._codec.read(data)
+        letter = self._codec.decode(data)
         if letter is None or letter.sender not in self._peers.member.contacts:
             return
         now = time.monotonic_ns()
         for message in letter.messages:
-            self.sharer.take(now, message, letter.sender)
+            self.sharer.receive(now, message, letter.sender)
             if hasattr(message, "node"):
                 self._changed(now, message.node)
         self._send(now)
@@ -129,8 +129,8 @@
         for name, message in sends:
             by_name.setdefault(name, []).append(message)
         for name, messages in by_name.items():
-            for letter in self._codec.letters(self.sharer.name, messages, MOST_LETTERS):
-                if not self._budget.takes(now):
+            for letter in self._codec.encode_datagrams(self.sharer.name, messages, MOST_LETTERS):
+                if not self._budget.try_acquire(now):
                     self._over += 1
                 else:
                     self._peers.send_other(name, letter)
--- a/hollowusher/scheduler/rules/membership/member.py
+++ b/hollowusher/scheduler/rules/membership/member.py
@@ -1,9 +1,13 @@
-"""One member's view of the others: SWIM with Lifeguard's extensions, as a state machine.
+"""Group membership and failure detection for one member: SWIM with the extensions of Lifeguard.
 
-In go times and messages, out come messages and events: no I/O, no clock, and chance is handed in.  Sources:
-Das, Gupta and Motivala, "SWIM" (2002); Dadgar, Phillips and Currey, "Lifeguard" (2018).  What is added here:
-who hears nobody accuses nobody; who was paused judges nobody by what it missed; before a death is declared
-its subject is called once more; a death heard of one who was just heard itself is a suspicion.
+The module is a state machine without I/O and without a clock: the caller passes the time, the received
+messages and a random number generator, and collects messages and events.  Sources: Das, Gupta and Motivala,
+"SWIM" (2002); Dadgar, Phillips and Currey, "Lifeguard" (2018).  This implementation adds four rules:
+
+- A member that receives no messages at all (a deaf member) publishes no suspicions and no deaths.
+- A member that was paused does not count the messages that it missed as evidence against other members.
+- Before a member declares another one dead, it pings that member once more.
+- A reported death of a member that was in contact recently is treated as a suspicion.
 """
 
 from __future__ import annotations
@@ -24,76 +28,78 @@
     Message,
     MessageKind,
     message_bytes,
-    news_bytes,
+    update_bytes,
 )
 from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
-BUCKETS = 12  # parts of a digest: what differs is sent by the part
-MOST_PAGES = 32  # datagrams that answer one digest
-MOST_HELPS = 64  # pings for others that are under way
-TWIN_PERIODS = 20  # after which nothing of an earlier process of a name is under way
-MAX_PROCESS_IDS = 4  # earlier processes of a name that are remembered
-JOIN_CALLS = 3  # names called in a period, until one has answered
+DIGEST_BUCKETS = 12  # hashes in a digest; a receiver sends all records of each bucket whose hash differs
+MAX_PAGES = 32  # datagrams sent in reply to one digest
+MAX_INDIRECT_PINGS = 64  # pending pings on behalf of other members
+DUPLICATE_NAME_PERIODS = 20  # later, no message from an earlier process of a name is in flight
+MAX_PROCESS_IDS = 4  # earlier process ids remembered for each name
+JOIN_CONTACTS = 3  # names contacted in each period until the first message arrives
 
 
 @dataclass(slots=True)
 class MemberSuspicion:
-    """A member that does not answer: who says so, and until when it has time to say otherwise."""
+    """A suspicion: its start, the members that reported it, and the state of the final ping."""
 
     since: int
     accusers: set[str]
-    heard_at: int = -1  # a sign of life since, though no refutation
-    called: bool = False  # whether it was called once more
+    heard_at: int = -1  # last contact since the suspicion began, without a refutation; -1: none
+    final_ping_sent: bool = False  # if set, `since` is the time at which the wait for the reply ends
 
 
 @dataclass(slots=True)
 class Record:
-    """What is known of one member."""
-
-    news: MemberUpdate
-    heard_at: int  # when it was heard itself, last
-    changed_at: int
-    warned_at: int  # when it was told that it is held dead, or outdated
-    lived_at: int  # since when this process of it is known
-    twin: bool = False  # two processes of it were told of
-    private: bool = False  # judged while we heard nobody: not told, and taken back once we hear
+    """The local record of another member.  All times are in nanoseconds."""
+
+    update: MemberUpdate
+    heard_at: int  # last direct message, or last acknowledgement that a helper relayed
+    changed_at: int  # when `update` was last replaced
+    notified_at: int  # when this member last sent it the record that lists it as dead, left or replaced
+    process_since: int  # when its current process id was first seen
+    duplicate_reported: bool = False  # the TWIN event for this name was emitted
+    tentative: bool = False  # set while this member was deaf: not gossiped, reverted at the next contact
     suspicion: MemberSuspicion | None = None
-    process_ids: list[int] = field(default_factory=list)  # earlier ones
+    process_ids: list[int] = field(default_factory=list)  # earlier process ids of this name
 
     @property
     def present(self) -> bool:
-        """Whether it counts as there."""
-        return self.news.standing <= MemberStatus.SUSPECT
+        """Whether the member is alive or only suspect."""
+        return self.update.standing <= MemberStatus.SUSPECT
 
 
 @dataclass(slots=True)
 class MemberProbe:
-    """The ping under way."""
+    """The pending probe of one member."""
 
     target: str
     seq: int
-    ask_at: int
-    end_at: int
-    asked: int = -1  # helpers, once they are asked
+    ask_at: int  # when helpers are asked for indirect pings
+    end_at: int  # when the probe fails without an acknowledgement
+    asked: int = -1  # number of helpers asked for an indirect ping; -1: not asked yet
     nacks: int = 0
     acked: bool = False
 
 
 @dataclass(slots=True)
-class Help:
-    """A ping for another member."""
+class IndirectPing:
+    """A pending ping on behalf of another member, `origin`."""
 
     target: str
     origin: str
     seq: int
-    nack_at: int
-    until: int
+    nack_at: int  # when a NACK is sent to `origin`
+    until: int  # when the request is dropped
 
 
 class SwimMember:
-    """The protocol of one process.  `step` takes the time and at most one message; `due` is when to call it.
+    """The membership protocol of one process.
 
-    `sends` and `reported` gather what is to go out and what has changed; the caller empties them.
+    The caller passes the time and at most one message to `step`, and calls `step` no later than at the time
+    that `due` returns.  The protocol appends outgoing messages to `sends` and events to `reported`; the
+    caller sends or handles them and empties both lists.  All times are in nanoseconds.
     """
 
     def __init__(
@@ -102,54 +108,60 @@
         process_id: int,
         incarnation: int,
         contacts: Iterable[str],
-        pace: MembershipTiming,
-        chance: random.Random,
+        timing: MembershipTiming,
+        rng: random.Random,
         now: int,
         address: str = "",
     ) -> None:
         self.me = MemberUpdate(name, process_id & MAX_PROCESS_ID, incarnation, address=address)
         self.contacts = frozenset(contacts) | {name}
-        self.pace, self.chance = pace, chance
+        self.timing, self.rng = timing, rng
         self.records: dict[str, Record] = {}
         self.gossip = Gossip()
         self.sends: list[tuple[str, Message]] = []
         self.reported: list[MembershipEvent] = []
+        # `number`: of the current view; `health`: the local health score, 0 is best.
         self.number = self.health = self._seq = 0
+        # `joined`: a message has arrived since the start; `gone`: this member has left.
         self.minority, self.deaf, self.joined, self.gone = len(self.contacts) > 1, True, False, False
         self._heard_at = now
         self._probe: MemberProbe | None = None
-        self._helps: dict[int, Help] = {}
-        self._order: list[str] = []
-        self._doubted: set[str] = set()  # who has a suspicion
-        self._there_now: list[str] | None = None  # the present ones in order, until they change
-        self._probe_at = now + round(chance.random() * pace.period_ns)
-        self._reach_at = now
-        self._digest_at = now + round((1 + chance.random()) * pace.digest_periods * pace.period_ns)
-        self._outbid: dict[int, int] = {}  # another process of our name: the incarnation we answered it with
-        self._answered_at = now - 1
-        self._twin: int | None = None
-
-    # --- what others read ---------------------------------------------------------------------------------
+        self._indirect_pings: dict[int, IndirectPing] = {}
+        self._probe_order: list[str] = []
+        self._suspected: set[str] = set()  # names of the members under suspicion
+        self._present_names: list[str] | None = None  # sorted cache; None: to be rebuilt
+        self._probe_at = now + round(rng.random() * timing.period_ns)
+        self._contact_absent_at = now
+        self._send_digest_at = now + round((1 + rng.random()) * timing.digest_periods * timing.period_ns)
+        # By id of another process with this name: the incarnation that this process announced against it.
+        self._outbid_incarnations: dict[int, int] = {}
+        self._refuted_at = now - 1
+        self._duplicate_process: int | None = None
+
+    # --- queries -------------------------------------------------------------------------------------------
 
     def present(self) -> list[str]:
-        """The names that are there, our own among them."""
+        """Returns the sorted names of all present members, including this one."""
         return sorted([self.me.name, *(n for n, r in self.records.items() if r.present)])
 
     def missing(self) -> set[str]:
-        """Configured names that are not there; none, while we hear nobody: it may be us."""
+        """Returns the configured names that are not present.
+
+        The set is empty while this member is deaf, because then this member itself may be cut off.
+        """
         return set() if self.deaf else set(self.contacts) - set(self.present())
 
     def due(self) -> int:
-        """When `step` is to be called at the latest."""
-        whens = [self._reach_at, self._digest_at, self._probe_at]
+        """Returns the time of the next timer: the caller must call `step` by then."""
+        whens = [self._contact_absent_at, self._send_digest_at, self._probe_at]
         if self._probe is not None:
             whens.append(self._probe.end_at if self._probe.asked >= 0 else self._probe.ask_at)
-        whens += [h.nack_at for h in self._helps.values()]
-        whens += [self._ends(self.records[n]) for n in self._doubted]
+        whens += [h.nack_at for h in self._indirect_pings.values()]
+        whens += [self._suspicion_end(self.records[n]) for n in self._suspected]
         return min(whens)
 
     def frozen(self, now: int) -> tuple[object, ...]:
-        """All that decides what it does next, with times from now on: for a model check."""
+        """Returns the protocol state as a hashable value, with relative times, for the model checker."""
         probe = self._probe
         return (
             self.me,
@@ -159,74 +171,77 @@
             self.joined,
             self.gone,
             self._probe_at - now,
-            self._reach_at - now,
-            self._digest_at - now,
-            min(now - self._heard_at, self.pace.forget_ns),
+            self._contact_absent_at - now,
+            self._send_digest_at - now,
+            min(now - self._heard_at, self.timing.forget_ns),
             probe
             and (probe.target, probe.ask_at - now, probe.end_at - now, probe.asked, probe.nacks, probe.acked),
             tuple(
                 sorted(
                     (
                         n,
-                        r.news,
-                        r.private,
+                        r.update,
+                        r.tentative,
                         now - r.heard_at,
                         r.suspicion
                         and (
                             r.suspicion.since - now,
                             frozenset(r.suspicion.accusers),
                             r.suspicion.heard_at >= 0,
-                            r.suspicion.called,
+                            r.suspicion.final_ping_sent,
                         ),
                     )
                     for n, r in self.records.items()
                 )
             ),
-            tuple((h.target, h.origin, h.nack_at - now) for h in self._helps.values()),
-            tuple(self._order),
+            tuple((h.target, h.origin, h.nack_at - now) for h in self._indirect_pings.values()),
+            tuple(self._probe_order),
             self.gossip.frozen(),
-            tuple(self._outbid.items()),
+            tuple(self._outbid_incarnations.items()),
         )
 
-    # --- what drives it -----------------------------------------------------------------------------------
+    # --- inputs --------------------------------------------------------------------------------------------
 
     def step(self, now: int, message: Message | None = None) -> None:
-        """Take what has come and do what is due."""
+        """Handles one received message, if any, and runs all due timers."""
         if self.gone:
             return
-        late = now - self.due()
-        if late > self.pace.timeout_ns:
-            self._paused(now, late)
+        late_ns = now - self.due()
+        if late_ns > self.timing.timeout_ns:
+            self._handle_pause(now, late_ns)
         if message is not None:
-            self._take(now, message)
-        self._run(now)
+            self._handle_message(now, message)
+        self._run_due_timers(now)
 
-    def rename(self, now: int, contacts: Iterable[str]) -> None:
-        """Other names are configured from now on: who is there stays, the majority is of the new ones."""
+    def set_contacts(self, now: int, contacts: Iterable[str]) -> None:
+        """Replaces the configured names.
+
+        The present members stay; the majority is computed from the new names.
+        """
         self.contacts = frozenset(contacts) | {self.me.name}
-        self._reach_at = now
-        self._weigh()
+        self._contact_absent_at = now
+        self._update_majority()
 
     def leave(self, now: int) -> None:
-        """Say that we go, in good order; nothing is said or heard after that."""
+        """Announces that this member leaves.  Later calls of `step` have no effect."""
         self.me = replace(self.me, standing=MemberStatus.LEFT)
         others = self._others(())
-        for name in self.chance.sample(others, min(len(others), 2 * self.pace.helpers)):
+        for name in self.rng.sample(others, min(len(others), 2 * self.timing.helpers)):
             self._send(name, MessageKind.PING, first=(self.me,))
         self.gone = True
 
-    def _run(self, now: int) -> None:
-        for name in sorted(self._doubted):
+    def _run_due_timers(self, now: int) -> None:
+        for name in sorted(self._suspected):
             record = self.records[name]
-            if record.suspicion is not None and self._ends(record) <= now:
+            if record.suspicion is not None and self._suspicion_end(record) <= now:
                 self._expire(now, name, record, record.suspicion)
-        for seq in [s for s, h in self._helps.items() if h.nack_at <= now]:
-            wanted = self._helps[seq]
-            if wanted.until <= now:
-                del self._helps[seq]
+        for seq in [s for s, h in self._indirect_pings.items() if h.nack_at <= now]:
+            pending = self._indirect_pings[seq]
+            if pending.until <= now:
+                del self._indirect_pings[seq]
             else:
-                self._send(wanted.origin, MessageKind.NACK, wanted.seq, wanted.target)
-                wanted.nack_at = wanted.until
+                self._send(pending.origin, MessageKind.NACK, pending.seq, pending.target)
+                pending.nack_at = pending.until
         probe = self._probe
         if probe is not None and probe.asked < 0 and probe.ask_at <= now:
             self._ask_helpers(probe)
@@ -234,262 +249,283 @@
             self._end_probe(now, probe)
         if self._probe is None and self._probe_at <= now:
             self._start_probe(now)
-        if self._reach_at <= now:
-            self._reach(now)
-        if self._digest_at <= now:
-            self._digest_at = now + self._spread(self.pace.digest_periods)
+        if self._contact_absent_at <= now:
+            self._contact_absent(now)
+        if self._send_digest_at <= now:
+            self._send_digest_at = now + self._jittered_periods_ns(self.timing.digest_periods)
             others = self._others(())
             if others:
-                self._digest(self.chance.choice(others), asks=True)
-            self._forget(now)
-        if not self.deaf and now - self._heard_at > self._slow(self.pace.deaf_periods):
+                self._send_digest(self.rng.choice(others), asks=True)
+            self._remove_expired(now)
+        if not self.deaf and now - self._heard_at > self._scaled_periods_ns(self.timing.isolation_periods):
             self.deaf = True
-            self._tell(Change.DEAF, self.me.name, "nothing came from anybody")
-            self._weigh()
+            self._report(Change.DEAF, self.me.name, "no message received from any member")
+            self._update_majority()
+
+    def _handle_pause(self, now: int, late_ns: int) -> None:
+        """Handles a pause of this process of `late_ns` nanoseconds.
 
-    def _paused(self, now: int, late: int) -> None:
-        """We did not run: whom we did not hear meanwhile, we could not hear."""
-        for name in self._doubted:
+        The process could not receive messages during the pause, so missing messages prove nothing: it extends
+        all suspicions, discards its pending probe and pings, and raises its health score.
+        """
+        for name in self._suspected:
             if (suspicion := self.records[name].suspicion) is not None:
-                suspicion.since += late
-                suspicion.called = False
-        self._probe, self._probe_at = None, now + round(self.chance.random() * self.pace.period_ns)
-        self._helps.clear()
-        self._heard_at += late
-        self._worsen(1 + late // self.pace.period_ns)
-        self._tell(Change.PAUSED, self.me.name, f"{late / 1e6:.0f} ms late")
+                suspicion.since += late_ns
+                suspicion.final_ping_sent = False
+        self._probe, self._probe_at = None, now + round(self.rng.random() * self.timing.period_ns)
+        self._indirect_pings.clear()
+        self._heard_at += late_ns
+        self._raise_health_score(1 + late_ns // self.timing.period_ns)
+        self._report(Change.PAUSED, self.me.name, f"{late_ns / 1e6:.0f} ms late")
 
-    # --- messages in --------------------------------------------------------------------------------------
+    # --- received messages --------------------------------------------------------------------------------
 
-    def _take(self, now: int, message: Message) -> None:
+    def _handle_message(self, now: int, message: Message) -> None:
         sender = message.sender
         if sender.name == self.me.name:
             if sender.process_id != self.me.process_id:
-                self._about_me(now, sender)
+                self._handle_update_about_self(now, sender)
             return
         self._heard_at = now
         if self.deaf:
-            self._hears(now, sender.name)
+            self._end_isolation(now, sender.name)
         self.number = max(self.number, message.number)
-        self._apply(now, sender)
-        for news in message.news:
-            self._apply(now, news)
+        self._apply_update(now, sender)
+        for update in message.news:
+            self._apply_update(now, update)
         record = self.records.get(sender.name)
         if record is None:
             return
-        if record.news.process_id == sender.process_id:
-            self._alive(now, record)
+        if record.update.process_id == sender.process_id:
+            self._note_contact(now, record)
         match message.kind:
             case MessageKind.PING:
                 self._send(sender.name, MessageKind.ACK, message.seq)
             case MessageKind.ACK:
-                self._acked(now, message)
+                self._handle_ack(now, message)
             case MessageKind.ASK:
-                self._help(now, message)
+                self._handle_ping_request(now, message)
             case MessageKind.NACK:
                 if self._probe is not None and message.seq == self._probe.seq:
                     self._probe.nacks += 1
             case MessageKind.DIGEST:
                 self._answer_digest(message)
         if (
-            not record.present or record.news.process_id != sender.process_id
-        ) and now - record.warned_at >= self.pace.period_ns:
-            # It is held dead or gone, or a process of its name with a younger clock is known: it is told, and
-            # can say otherwise.  Once a period: one that never does would be asked at the network's speed.
-            record.warned_at = now
+            not record.present or record.update.process_id != sender.process_id
+        ) and now - record.notified_at >= self.timing.period_ns:
+            # The sender is recorded as dead or left, or another process with its name has a higher
+            # incarnation.  This member sends the record back so that the sender can refute it.  It does so
+            # at most once per period: a sender that never refutes would otherwise cause an endless exchange.
+            record.notified_at = now
             if (
-                record.news.process_id != sender.process_id
-                and now - record.lived_at > TWIN_PERIODS * self.pace.period_ns
+                record.update.process_id != sender.process_id
+                and now - record.process_since > DUPLICATE_NAME_PERIODS * self.timing.period_ns
             ):
-                self._twins(record)  # what one that ended had sent has arrived by now
-            self._send(sender.name, MessageKind.PING, first=(record.news,))
+                # The last message of an ended process would have arrived by now, so both processes run.
+                self._report_duplicate_name(record)
+            self._send(sender.name, MessageKind.PING, first=(record.update,))
 
-    def _hears(self, now: int, name: str) -> None:
-        """Someone is heard again, or for the first time: what was judged meanwhile is taken back."""
+    def _end_isolation(self, now: int, name: str) -> None:
+        """Ends the deaf state when a message arrives, and reverts the tentative suspicions and deaths."""
         self.deaf = False
         for other, record in self.records.items():
-            if record.private:
-                record.private, record.suspicion = False, None
-                self._doubted.discard(other)
+            if record.tentative:
+                record.tentative, record.suspicion = False, None
+                self._suspected.discard(other)
                 if not record.present:
-                    self._tell(Change.JOINED, other, "judged while we heard nobody")
-                record.news = replace(record.news, standing=MemberStatus.ALIVE, by="")
-        self._there_now = None
-        self._tell(Change.HEARING, self.me.name, f"{name} is heard")
+                    self._report(Change.JOINED, other, "declared missing while this member was deaf")
+                record.update = replace(record.update, standing=MemberStatus.ALIVE, by="")
+        self._present_names = None
+        self._report(Change.HEARING, self.me.name, f"{name} sent a message")
         self.joined = True
-        self._digest(name, asks=True)
-        self._weigh()
+        self._send_digest(name, asks=True)
+        self._update_majority()
 
-    def _alive(self, now: int, record: Record) -> None:
-        """A sign of life from the member itself, or brought by a helper."""
+    def _note_contact(self, now: int, record: Record) -> None:
+        """Records a contact: a direct message, or an acknowledgement relayed by a helper."""
         record.heard_at = now
         if record.suspicion is not None:
             record.suspicion.heard_at = now
 
-    def _acked(self, now: int, message: Message) -> None:
+    def _handle_ack(self, now: int, message: Message) -> None:
         name = message.target or message.sender.name
-        wanted = self._helps.get(message.seq)
-        if wanted is not None and wanted.target == name:
-            del self._helps[message.seq]
-            self._send(wanted.origin, MessageKind.ACK, wanted.seq, wanted.target)
+        pending = self._indirect_pings.get(message.seq)
+        if pending is not None and pending.target == name:
+            del self._indirect_pings[message.seq]
+            self._send(pending.origin, MessageKind.ACK, pending.seq, pending.target)
             return
         record = self.records.get(name)
         if record is not None and message.target:
-            self._alive(now, record)
+            self._note_contact(now, record)
         if self._probe is not None and self._probe.seq == message.seq and self._probe.target == name:
             self._probe.acked = True
 
-    def _help(self, now: int, message: Message) -> None:
-        """Ping a member for another that does not hear it."""
-        if message.target not in self.records or len(self._helps) >= MOST_HELPS:
+    def _handle_ping_request(self, now: int, message: Message) -> None:
+        """Pings the target on behalf of the sender, which received no acknowledgement from it."""
+        if message.target not in self.records or len(self._indirect_pings) >= MAX_INDIRECT_PINGS:
             return
         seq = self._next_seq()
-        nack_at = now + self.pace.timeout_ns * 4 // 5
-        until = now + 2 * self.pace.period_ns
-        self._helps[seq] = Help(message.target, message.sender.name, message.seq, nack_at, until)
+        nack_at = now + self.timing.timeout_ns * 4 // 5
+        until = now + 2 * self.timing.period_ns
+        self._indirect_pings[seq] = IndirectPing(
+            message.target, message.sender.name, message.seq, nack_at, until
+        )
         self._send(message.target, MessageKind.PING, seq)
 
-    # --- news ---------------------------------------------------------------------------------------------
+    # --- member updates ------------------------------------------------------------------------------------
 
-    def _apply(self, now: int, news: MemberUpdate) -> None:
-        """Take one piece of news, if it is newer than what is known."""
-        if news.name == self.me.name:
-            self._about_me(now, news)
+    def _apply_update(self, now: int, update: MemberUpdate) -> None:
+        """Applies a member update if it supersedes the record of that member."""
+        if update.name == self.me.name:
+            self._handle_update_about_self(now, update)
             return
-        record = self.records.get(news.name)
+        record = self.records.get(update.name)
         if record is None:
-            if len(self.records) < self.pace.most_members:
-                self._first(now, news)
+            if len(self.records) < self.timing.max_members:
+                self._add_record(now, update)
             return
-        old, suspicion = record.news, record.suspicion
+        old, suspicion = record.update, record.suspicion
         if (
-            news.standing is MemberStatus.SUSPECT
+            update.standing is MemberStatus.SUSPECT
             and suspicion is not None
-            and (news.process_id, news.incarnation) == (old.process_id, old.incarnation)
+            and (update.process_id, update.incarnation) == (old.process_id, old.incarnation)
         ):
-            if news.by not in suspicion.accusers and len(suspicion.accusers) <= self.pace.confirmers:
-                suspicion.accusers.add(news.by)
-                self.gossip.put(news)
+            if update.by not in suspicion.accusers and len(suspicion.accusers) <= self.timing.confirmers:
+                suspicion.accusers.add(update.by)
+                self.gossip.put(update)
             return
-        if not news.beats(old):
+        if not update.supersedes(old):
             return
-        just = self.pace.suspicion_ns(self._size(), self.pace.confirmers, 0)
+        recent_ns = self.timing.suspicion_ns(self._present_count(), self.timing.confirmers, 0)
         if (
-            news.standing is MemberStatus.DEAD
-            and news.process_id == old.process_id
-            and not record.private
-            and now - record.heard_at < just
+            update.standing is MemberStatus.DEAD
+            and update.process_id == old.process_id
+            and not record.tentative
+            and now - record.heard_at < recent_ns
         ):
-            # We heard it itself a moment ago: so it is not reached by some, which it gets to know and answer.
-            news = replace(news, standing=MemberStatus.SUSPECT, by=news.by or "others")
-            if not news.beats(old):
+            # This member was in contact with the subject recently, so probably only some members cannot reach
+            # it.  The death becomes a suspicion, which is sent to the subject so that it can refute it.
+            update = replace(update, standing=MemberStatus.SUSPECT, by=update.by or "others")
+            if not update.supersedes(old):
                 return
-            self._send(news.name, MessageKind.PING, first=(news,))
-        self._set(now, record, news)
-
-    def _first(self, now: int, news: MemberUpdate) -> None:
-        """Somebody who was not known."""
-        record = Record(news, now - self.pace.forget_ns, now, now - self.pace.period_ns, now)
-        self.records[news.name] = record
-        if news.standing is MemberStatus.SUSPECT:
-            record.suspicion = MemberSuspicion(now, {news.by})
-            self._doubted.add(news.name)
-        self._there_now = None
+            self._send(update.name, MessageKind.PING, first=(update,))
+        self._update_record(now, record, update)
+
+    def _add_record(self, now: int, update: MemberUpdate) -> None:
+        """Adds a record for a member that was not known."""
+        record = Record(update, now - self.timing.forget_ns, now, now - self.timing.period_ns, now)
+        self.records[update.name] = record
+        if update.standing is MemberStatus.SUSPECT:
+            record.suspicion = MemberSuspicion(now, {update.by})
+            self._suspected.add(update.name)
+        self._present_names = None
         if record.present:
-            self._order.insert(self.chance.randrange(len(self._order) + 1), news.name)
-            self.gossip.put(news)
-            self._view(Change.JOINED, news.name, "first heard of")
-
-    def _set(self, now: int, record: Record, news: MemberUpdate, private: bool = False) -> None:
-        """What is known of a member changes."""
-        old, was_there = record.news, record.present
-        record.news = news = replace(news, address=news.address or old.address)
-        record.changed_at, record.private = now, private
-        if news.standing is MemberStatus.SUSPECT:
-            record.suspicion = record.suspicion if news.incarnation == old.incarnation else None
-            record.suspicion = record.suspicion or MemberSuspicion(now, {news.by})
-            self._doubted.add(news.name)
+            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), update.name)
+            self.gossip.put(update)
+            self._report_view_change(Change.JOINED, update.name, "first update received")
+
+    def _update_record(self, now: int, record: Record, update: MemberUpdate, tentative: bool = False) -> None:
+        """Stores a superseding update in the record and emits the event for the change."""
+        old, was_there = record.update, record.present
+        record.update = update = replace(update, address=update.address or old.address)
+        record.changed_at, record.tentative = now, tentative
+        if update.standing is MemberStatus.SUSPECT:
+            record.suspicion = record.suspicion if update.incarnation == old.incarnation else None
+            record.suspicion = record.suspicion or MemberSuspicion(now, {update.by})
+            self._suspected.add(update.name)
         else:
             record.suspicion = None
-            self._doubted.discard(news.name)
-        self._there_now = None
-        if private:
-            self.gossip.drop(news.name)
+            self._suspected.discard(update.name)
+        self._present_names = None
+        if tentative:
+            self.gossip.drop(update.name)
         else:
-            self.gossip.put(news)
-        if news.process_id != old.process_id:
-            if news.process_id in record.process_ids:
-                self._twins(record)
-            record.lived_at = now
-            record.process_ids = [*(n for n in record.process_ids if n != news.process_id), old.process_id][
+            self.gossip.put(update)
+        if update.process_id != old.process_id:
+            if update.process_id in record.process_ids:
+                self._report_duplicate_name(record)
+            record.process_since = now
+            record.process_ids = [*(n for n in record.process_ids if n != update.process_id), old.process_id][
                 -MAX_PROCESS_IDS:
             ]
         if record.present and not was_there:
-            self._order.insert(self.chance.randrange(len(self._order) + 1), news.name)
-            self._view(Change.JOINED, news.name, f"incarnation {news.incarnation}")
+            self._probe_order.insert(self.rng.randrange(len(self._probe_order) + 1), update.name)
+            self._report_view_change(Change.JOINED, update.name, f"incarnation {update.incarnation}")
         elif was_there and not record.present:
-            change = Change.DIED if news.standing is MemberStatus.DEAD else Change.LEFT
-            self._view(change, news.name, f"by {news.by}" if news.by else "")
-        elif record.present and news.process_id != old.process_id:
-            self._view(Change.RESTARTED, news.name, f"life {news.process_id:08x} after {old.process_id:08x}")
-        elif news.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
-            self._tell(Change.SUSPECTED, news.name, f"by {news.by}")
-            # So many of all ask it next, out of turn: it hears of the suspicion, and three confirm it soon.
-            if self.chance.random() * len(self.records) < 2 * self.pace.confirmers:
-                self._order.append(news.name)
-        elif news.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
-            self._tell(Change.CLEARED, news.name, f"incarnation {news.incarnation}")
-
-    def _twins(self, record: Record) -> None:
-        if not record.twin:
-            record.twin = True
-            self._tell(Change.TWIN, record.news.name, "two processes speak under this name")
-
-    def _about_me(self, now: int, news: MemberUpdate) -> None:
-        """Something is said of our own name: we are here, and say so with a higher incarnation."""
-        if news.incarnation < self.me.incarnation or (
-            news.process_id == self.me.process_id and news.standing is MemberStatus.ALIVE
+            change = Change.DIED if update.standing is MemberStatus.DEAD else Change.LEFT
+            self._report_view_change(change, update.name, f"by {update.by}" if update.by else "")
+        elif record.present and update.process_id != old.process_id:
+            self._report_view_change(
+                Change.RESTARTED, update.name, f"process {update.process_id:08x} after {old.process_id:08x}"
+            )
+        elif update.standing is MemberStatus.SUSPECT and old.standing is MemberStatus.ALIVE:
+            self._report(Change.SUSPECTED, update.name, f"by {update.by}")
+            # With this probability the suspect is probed next, so about 2 * `confirmers` members of the whole
+            # group probe it out of turn: the suspect receives the suspicion early, and `confirmers` of them
+            # can confirm it early.
+            if self.rng.random() * len(self.records) < 2 * self.timing.confirmers:
+                self._probe_order.append(update.name)
+        elif update.standing is MemberStatus.ALIVE and old.standing is MemberStatus.SUSPECT:
+            self._report(Change.CLEARED, update.name, f"incarnation {update.incarnation}")
+
+    def _report_duplicate_name(self, record: Record) -> None:
+        if not record.duplicate_reported:
+            record.duplicate_reported = True
+            self._report(Change.TWIN, record.update.name, "two processes use this name")
+
+    def _handle_update_about_self(self, now: int, update: MemberUpdate) -> None:
+        """Refutes an update about this member's own name by announcing a higher incarnation."""
+        if update.incarnation < self.me.incarnation or (
+            update.process_id == self.me.process_id and update.standing is MemberStatus.ALIVE
         ):
             return
-        if news.process_id != self.me.process_id:
-            answered = self._outbid.get(news.process_id)
-            if answered is not None and news.incarnation > answered and self._twin != news.process_id:
-                # Whoever ended cannot have answered us: this process is there.
-                self._twin = news.process_id
-                self._tell(
-                    Change.TWIN, self.me.name, f"another process, life {news.process_id:08x}, has our name"
-                )
-            if self._twin is not None and now - self._answered_at < self._slow(self.pace.digest_periods):
-                return  # two that outbid each other at once would fill the network with it
-            self._outbid[news.process_id] = news.incarnation + 1
-            if len(self._outbid) > MAX_PROCESS_IDS:
-                del self._outbid[next(iter(self._outbid))]
-            self._answered_at = now
-        elif news.standing is MemberStatus.SUSPECT:
-            self._worsen(1)
-        self.me = replace(self.me, incarnation=news.incarnation + 1)
+        if update.process_id != self.me.process_id:
+            answered = self._outbid_incarnations.get(update.process_id)
+            if (
+                answered is not None
+                and update.incarnation > answered
+                and self._duplicate_process != update.process_id
+            ):
+                # The other process raised its incarnation after this refutation, so it is still running.
+                self._duplicate_process = update.process_id
+                self._report(Change.TWIN, self.me.name, f"process {update.process_id:08x} uses the same name")
+            if self._duplicate_process is not None and now - self._refuted_at < self._scaled_periods_ns(
+                self.timing.digest_periods
+            ):
+                return  # limits the traffic of two processes that outbid each other
+            self._outbid_incarnations[update.process_id] = update.incarnation + 1
+            if len(self._outbid_incarnations) > MAX_PROCESS_IDS:
+                del self._outbid_incarnations[next(iter(self._outbid_incarnations))]
+            self._refuted_at = now
+        elif update.standing is MemberStatus.SUSPECT:
+            self._raise_health_score(1)
+        self.me = replace(self.me, incarnation=update.incarnation + 1)
         self.gossip.put(self.me)
-        if news.standing is not MemberStatus.ALIVE:
-            self._tell(Change.REFUTED, self.me.name, f"{news.standing.name.lower()} by {news.by or 'others'}")
-        others = self._others((news.by,))
-        reported = self.chance.sample(others, min(len(others), self.pace.helpers))
-        for name in [*([news.by] if news.by in self.records else []), *reported]:
+        if update.standing is not MemberStatus.ALIVE:
+            self._report(
+                Change.REFUTED, self.me.name, f"{update.standing.name.lower()} by {update.by or 'others'}"
+            )
+        others = self._others((update.by,))
+        reported = self.rng.sample(others, min(len(others), self.timing.helpers))
+        for name in [*([update.by] if update.by in self.records else []), *reported]:
             self._send(name, MessageKind.PING, first=(self.me,))
 
-    # --- judging ------------------------------------------------------------------------------------------
+    # --- failure detection ---------------------------------------------------------------------------------
 
     def _start_probe(self, now: int) -> None:
-        self._probe_at = now + self._slow(1.0)
+        self._probe_at = now + self._scaled_periods_ns(1.0)
         others = self._others(())
         if not others:
             return
         while True:
-            if not self._order:
-                self._order = self.chance.sample(others, len(others))
-            target = self._order.pop()
+            if not self._probe_order:
+                self._probe_order = self.rng.sample(others, len(others))
+            target = self._probe_order.pop()
             if target in self.records and self.records[target].present:
                 break
-        self._probe = MemberProbe(target, self._next_seq(), now + self._slow_timeout(), now + self._slow(1.0))
+        self._probe = MemberProbe(
+            target, self._next_seq(), now + self._scaled_timeout_ns(), now + self._scaled_periods_ns(1.0)
+        )
         self._send(target, MessageKind.PING, self._probe.seq)
 
     def _ask_helpers(self, probe: MemberProbe) -> None:
@@ -497,7 +533,7 @@
         if probe.acked:
             return
         others = self._others((probe.target,))
-        for name in self.chance.sample(others, min(len(others), self.pace.helpers)):
+        for name in self.rng.sample(others, min(len(others), self.timing.helpers)):
             self._send(name, MessageKind.ASK, probe.seq, probe.target)
             probe.asked += 1
         self._send(probe.target, MessageKind.PING, probe.seq)
@@ -507,135 +543,139 @@
         if probe.acked:
             self.health = max(0, self.health - 1)
             return
-        self._worsen(max(0, probe.asked - probe.nacks) if probe.asked > 0 else 1)
+        self._raise_health_score(max(0, probe.asked - probe.nacks) if probe.asked > 0 else 1)
         record = self.records.get(probe.target)
         if record is None or not record.present:
             return
-        if record.suspicion is not None:  # our own word among those that confirm it
-            self._apply(now, replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name))
+        if record.suspicion is not None:  # this failed probe confirms the suspicion
+            self._apply_update(now, replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name))
             return
-        news = replace(record.news, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
-        self._set(now, record, news, private=self.deaf)
+        update = replace(record.update, standing=MemberStatus.SUSPECT, by=self.me.name, address="")
+        self._update_record(now, record, update, tentative=self.deaf)
 
-    def _ends(self, record: Record) -> int:
-        """When a suspicion runs out; one that has been called has a moment more."""
+    def _suspicion_end(self, record: Record) -> int:
+        """Returns when the suspicion expires, or when the wait for the final ping ends."""
         suspicion = record.suspicion
         assert suspicion is not None
-        if suspicion.called:
+        if suspicion.final_ping_sent:
             return suspicion.since
         confirmed = len(suspicion.accusers) - 1
-        return suspicion.since + self.pace.suspicion_ns(self._size(), confirmed, self.health)
+        return suspicion.since + self.timing.suspicion_ns(self._present_count(), confirmed, self.health)
 
     def _expire(self, now: int, name: str, record: Record, suspicion: MemberSuspicion) -> None:
-        """A suspicion has run out: it is called once more, by us and by helpers, and then it is dead."""
-        if not suspicion.called:
-            if suspicion.heard_at >= 0:  # it speaks, though it has not refuted: it may be slow to hear
+        """Handles an expired suspicion: sends a final ping first, and declares the member dead after that."""
+        if not suspicion.final_ping_sent:
+            if suspicion.heard_at >= 0:  # in contact but not refuted: the suspicion may reach it late
                 suspicion.since, suspicion.heard_at = now, -1
                 self._send(name, MessageKind.PING)
                 return
-            suspicion.called, suspicion.since = True, now + 2 * self.pace.timeout_ns
+            suspicion.final_ping_sent, suspicion.since = True, now + 2 * self.timing.timeout_ns
             self._send(name, MessageKind.PING, self._next_seq())
             others = self._others((name,))
-            for other in self.chance.sample(others, min(len(others), self.pace.helpers)):
+            for other in self.rng.sample(others, min(len(others), self.timing.helpers)):
                 self._send(other, MessageKind.ASK, self._next_seq(), name)
         elif suspicion.heard_at >= 0:
-            suspicion.called, suspicion.since, suspicion.heard_at = False, now, -1
+            suspicion.final_ping_sent, suspicion.since, suspicion.heard_at = False, now, -1
         else:
             by = self.me.name
-            self._set(now, record, replace(record.news, standing=MemberStatus.DEAD, by=by), private=self.deaf)
+            self._update_record(
+                now, record, replace(record.update, standing=MemberStatus.DEAD, by=by), tentative=self.deaf
+            )
 
     # --- digests ------------------------------------------------------------------------------------------
 
-    def _reach(self, now: int) -> None:
-        """Call at names that are not there: to join, and so that halves that were apart find each other."""
+    def _contact_absent(self, now: int) -> None:
+        """Sends digests to absent names, to join the group and to reunite the parts of a healed partition."""
         absent = sorted(
-            {n for n in self.contacts if n != self.me.name and not self._there(n)}
-            | {n for n, r in self.records.items() if r.news.standing is MemberStatus.DEAD}
+            {n for n in self.contacts if n != self.me.name and not self._is_present(n)}
+            | {n for n, r in self.records.items() if r.update.standing is MemberStatus.DEAD}
+        )
+        calls = max(1, len(absent) // self.timing.rejoin_divisor) if self.joined else JOIN_CONTACTS
+        self._contact_absent_at = now + self._jittered_periods_ns(
+            self.timing.rejoin_periods if self.joined else 1.0
         )
-        calls = max(1, len(absent) // self.pace.reach_part) if self.joined else JOIN_CALLS
-        self._reach_at = now + self._spread(self.pace.reach_periods if self.joined else 1.0)
-        for name in self.chance.sample(absent, min(len(absent), calls)):
-            self._digest(name, asks=True)
+        for name in self.rng.sample(absent, min(len(absent), calls)):
+            self._send_digest(name, asks=True)
 
-    def _there(self, name: str) -> bool:
+    def _is_present(self, name: str) -> bool:
         record = self.records.get(name)
         return record is not None and record.present
 
     def hashes(self) -> tuple[int, ...]:
-        """What is held of all who are there, in parts; the same at two members that hold the same."""
-        parts = [0] * BUCKETS
-        for news in [self.me, *(r.news for r in self.records.values() if r.present)]:
-            said = f"{news.name}/{news.process_id}/{news.incarnation}"
-            parts[self._bucket(news.name)] ^= zlib.crc32(said.encode())
+        """Returns one hash per bucket over the present members; equal views have equal hashes."""
+        parts = [0] * DIGEST_BUCKETS
+        for update in [self.me, *(r.update for r in self.records.values() if r.present)]:
+            entry = f"{update.name}/{update.process_id}/{update.incarnation}"
+            parts[self._bucket(update.name)] ^= zlib.crc32(entry.encode())
         return tuple(parts)
 
     def _bucket(self, name: str) -> int:
-        return zlib.crc32(name.encode()) % BUCKETS
+        return zlib.crc32(name.encode()) % DIGEST_BUCKETS
 
-    def _digest(self, name: str, asks: bool) -> None:
+    def _send_digest(self, name: str, asks: bool) -> None:
         self._send(name, MessageKind.DIGEST, int(asks), hashes=self.hashes())
 
     def _answer_digest(self, message: Message) -> None:
-        """Send what differs; and our own digest, so that the other does the same."""
+        """Sends the records of all differing buckets, and a digest if the sender requested one."""
         pairs = zip(self.hashes(), message.hashes, strict=False)
         differ = {at for at, (ours, theirs) in enumerate(pairs) if ours != theirs}
         if not differ:
             return
         if message.seq:
-            self._digest(message.sender.name, asks=False)
-        news = [
-            r.news
+            self._send_digest(message.sender.name, asks=False)
+        update = [
+            r.update
             for n, r in self.records.items()
-            if self._bucket(n) in differ and not r.private and n != message.sender.name
+            if self._bucket(n) in differ and not r.tentative and n != message.sender.name
         ]
         empty = self._message(MessageKind.PAGE, 0, "", (), ())
-        for _ in range(MOST_PAGES):
-            if not news:
+        for _ in range(MAX_PAGES):
+            if not update:
                 break
-            page, capacity = [], self.pace.capacity - message_bytes(empty)
-            while news and news_bytes(news[-1]) <= capacity:
-                capacity -= news_bytes(news[-1])
-                page.append(news.pop())
+            page, capacity = [], self.timing.capacity - message_bytes(empty)
+            while update and update_bytes(update[-1]) <= capacity:
+                capacity -= update_bytes(update[-1])
+                page.append(update.pop())
             self.sends.append((message.sender.name, replace(empty, news=tuple(page))))
 
-    # --- small things -------------------------------------------------------------------------------------
+    # --- helpers -------------------------------------------------------------------------------------------
 
-    def _others(self, but: tuple[str, ...]) -> list[str]:
-        if self._there_now is None:
-            self._there_now = sorted(n for n, r in self.records.items() if r.present)
-        return [n for n in self._there_now if n not in but] if but else self._there_now
+    def _others(self, excluded: tuple[str, ...]) -> list[str]:
+        if self._present_names is None:
+            self._present_names = sorted(n for n, r in self.records.items() if r.present)
+        return [n for n in self._present_names if n not in excluded] if excluded else self._present_names
 
-    def _size(self) -> int:
-        """Members that are there."""
+    def _present_count(self) -> int:
+        """Returns the number of present members, including this one."""
         return 1 + len(self._others(()))
 
     def _next_seq(self) -> int:
         self._seq = self._seq % 60_000 + 1
         return self._seq
 
-    def _slow(self, periods: float) -> int:
-        """So many periods, longer for one that distrusts itself."""
-        return round(periods * self.pace.period_ns * (1 + self.health))
+    def _scaled_periods_ns(self, periods: float) -> int:
+        """Returns the periods in nanoseconds, scaled up by the local health score."""
+        return round(periods * self.timing.period_ns * (1 + self.health))
 
-    def _slow_timeout(self) -> int:
-        return self.pace.timeout_ns * (1 + self.health)
+    def _scaled_timeout_ns(self) -> int:
+        return self.timing.timeout_ns * (1 + self.health)
 
-    def _spread(self, periods: float) -> int:
-        """So many periods, give or take a quarter: what all do at once, they do not do at once for long."""
-        return round(periods * self.pace.period_ns * (0.75 + 0.5 * self.chance.random()))
+    def _jittered_periods_ns(self, periods: float) -> int:
+        """Returns the periods in nanoseconds with 25 % jitter, so that members do not act in lockstep."""
+        return round(periods * self.timing.period_ns * (0.75 + 0.5 * self.rng.random()))
 
-    def _worsen(self, by: int) -> None:
-        self.health = min(self.pace.health_most, self.health + by)
+    def _raise_health_score(self, by: int) -> None:
+        self.health = min(self.timing.max_health_score, self.health + by)
 
     def _message(
         self,
         kind: MessageKind,
         seq: int,
         target: str,
-        news: tuple[MemberUpdate, ...],
+        update: tuple[MemberUpdate, ...],
         hashes: tuple[int, ...],
     ) -> Message:
-        return Message(kind, self.me, self.number, seq, target, news, hashes)
+        return Message(kind, self.me, self.number, seq, target, update, hashes)
 
     def _send(
         self,
@@ -646,40 +686,45 @@
         first: tuple[MemberUpdate, ...] = (),
         hashes: tuple[int, ...] = (),
     ) -> None:
-        """A message with as much news as fits; what its receiver must hear of itself goes first."""
+        """Queues a message and fills it with updates up to the datagram size.
+
+        An update that the receiver must refute comes first, then `first`, then gossip.
+        """
         record = self.records.get(name)
-        if record is not None and record.news.standing is not MemberStatus.ALIVE and not record.private:
-            first = (record.news, *first)
+        if record is not None and record.update.standing is not MemberStatus.ALIVE and not record.tentative:
+            first = (record.update, *first)
         message = self._message(kind, seq, target, (), hashes)
-        capacity = self.pace.capacity - message_bytes(message)
+        capacity = self.timing.capacity - message_bytes(message)
         self.sends.append(
             (name, replace(message, news=self.gossip.pick(capacity, len(self.records) + 1, first)))
         )
 
-    def _forget(self, now: int) -> None:
+    def _remove_expired(self, now: int) -> None:
         for name in [
-            n for n, r in self.records.items() if not r.present and now - r.changed_at > self.pace.forget_ns
+            n for n, r in self.records.items() if not r.present and now - r.changed_at > self.timing.forget_ns
         ]:
             del self.records[name]
             self.gossip.drop(name)
 
-    def _view(self, change: Change, name: str, why: str) -> None:
-        """Who is there has changed: the view gets a higher number than any that was heard of."""
+    def _report_view_change(self, change: Change, name: str, why: str) -> None:
+        """Emits a change of the present members and raises the view number above all numbers seen so far."""
         self.number += 1
-        self._tell(change, name, why)
-        self._weigh()
+        self._report(change, name, why)
+        self._update_majority()
 
-    def _weigh(self) -> None:
-        """Whether we reach a majority of the configured names."""
-        reached = 1 if self.deaf else sum(1 for n in self.contacts if n == self.me.name or self._there(n))
+    def _update_majority(self) -> None:
+        """Emits an event when this member gains or loses contact with a majority of the configured names."""
+        reached = (
+            1 if self.deaf else sum(1 for n in self.contacts if n == self.me.name or self._is_present(n))
+        )
         minority = 2 * reached <= len(self.contacts)
         if minority != self.minority:
             self.minority = minority
-            self._tell(
+            self._report(
                 Change.MINORITY if minority else Change.MAJORITY,
                 self.me.name,
                 f"{reached} of {len(self.contacts)}",
             )
 
-    def _tell(self, change: Change, name: str, why: str = "") -> None:
+    def _report(self, change: Change, name: str, why: str = "") -> None:
         self.reported.append(MembershipEvent(change, name, why, self.number))
