--- a/hollowusher/messages/lease_service.py
+++ b/hollowusher/messages/lease_service.py
@@ -112,10 +112,10 @@
             self._access.process_effects(replica)
 
     def _can_lease(self, request: LeaseRequest) -> bool:
-        """Return whether a dispatcher may lease.
+        """Return whether the requesting dispatcher may lease jobs.
 
-        The leases of a dispatcher that is considered dead would be requeued at the next change of any member.
-        Pull leases outlive their dispatcher.
+        A dispatcher that the cluster considers dead gets no push leases, because the primaries would requeue
+        its jobs at the next change of any cluster member.  Pull leases outlive their dispatcher.
         """
         return request.pull or self._may_be_alive(request.dispatcher, request.incarnation)
 
--- a/hollowusher/messages/primary_access.py
+++ b/hollowusher/messages/primary_access.py
@@ -21,9 +21,9 @@
 
 
 class PrimaryAccess:
-    """Waits of request handlers for the primaries of one store.
+    """Lets request handlers wait for the primaries of one store, for commits and for quorums.
 
-    Callers call `process_effects` after each transition of a primary.
+    `process_effects` must be called after each transition of a primary; it replicates the new proposals.
     """
 
     def __init__(
--- a/hollowusher/messages/store_service.py
+++ b/hollowusher/messages/store_service.py
@@ -55,7 +55,8 @@
 SCRUB_INTERVAL_S = 20.0
 STOP_TIMEOUT_S = 4.0
 STOP_POLL_S = 0.05
-# The store rejects new messages when less than the reserve is free, so that state records still have space.
+# The store rejects new messages while the free space of its log is below the reserve, so that the state
+# records of stored messages still have space.
 MAX_LOG_RESERVE_BYTES = 4 * 1024 * 1024
 
 ENDED_STATES = ("completed", "dead_letter")
