--- a/tests/delivery/test_calls_leases.py
+++ b/tests/delivery/test_calls_leases.py
@@ -72,7 +72,7 @@
 def make_poller(cluster: StoreCluster, taken: list[LeasedJob], wanted: int = 1) -> LeasePoller:
     """Return the lease poller of edge-1 for service s; it leases up to `wanted` jobs into `taken`."""
     state = ClusterState()
-    cluster.tell(state)
+    cluster.load_state(state)
     network = LeasingContext(
         Member("edge-1", "edge", EDGE_ADDRESS, "z", "r", 1),
         cluster.edge,
