--- a/hollowusher/coordination/controller/__init__.py
+++ b/hollowusher/coordination/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller: joins consensus, chain, membership and placement, and serves the operator."""
+"""The controller, which combines consensus, chain replication, membership and placement."""
--- a/hollowusher/coordination/controller/call_rate_limiter.py
+++ b/hollowusher/coordination/controller/call_rate_limiter.py
@@ -1,16 +1,16 @@
-"""Rate limit and backoff of the calls to the platform.  No I/O, no clock."""
+"""Rate limit and backoff for calls to the platform.  The module performs no I/O and reads no clock."""
 
 from __future__ import annotations
 
 INITIAL_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 4.0
-RATE_SHARE = 0.5  # of the rate that all readers share: two of them may read while the head changes
+RATE_SHARE = 0.5  # share of the total rate; the old and the new head may both read during a head change
 
 
 class CallRateLimiter:
-    """Spaces calls at half of the shared rate, and backs off exponentially after failures.
+    """Limits calls to half of the total rate and backs off exponentially after failures.
 
-    Times are seconds of the caller's monotonic clock.
+    `rate_per_s` is the total rate in calls per second.  Times are seconds of the caller's monotonic clock.
     """
 
     def __init__(self, rate_per_s: float) -> None:
@@ -19,18 +19,18 @@
         self._backoff_s = 0.0
 
     def seconds_until_next_call(self, now: float) -> float:
-        """Return how long the next call has to wait."""
+        """Return how many seconds the caller has to wait before its next call."""
         return max(0.0, self._next_call_at - now)
 
     def record_call(self, now: float) -> None:
-        """Record that a call is made."""
+        """Record that the caller starts a call at `now`."""
         self._next_call_at = now + self._interval_s
 
     def record_failure(self, now: float) -> None:
-        """Record that a call was rejected or got no usable answer: the backoff doubles up to its limit."""
+        """Record a call that was rejected or got no valid response; double the backoff up to its limit."""
         self._backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2 * self._backoff_s))
         self._next_call_at = max(self._next_call_at, now + self._backoff_s)
 
     def record_success(self) -> None:
-        """Record a usable answer: the backoff ends."""
+        """Record a valid response and reset the backoff."""
         self._backoff_s = 0.0
--- a/hollowusher/coordination/controller/control_state_service.py
+++ b/hollowusher/coordination/controller/control_state_service.py
@@ -1,7 +1,9 @@
-"""Requests about the control state: the head decides changes, the tail answers reads, the others forward.
+"""Requests that read or change the control state.
 
-Reads are linearizable: the tail answers only once a quorum has confirmed that its view is the newest (van
-Renesse and Schneider, "Chain replication for supporting high throughput and availability", 2004).
+The head of the chain processes changes, the tail answers reads, and every other controller forwards requests
+to the head or the tail.  Reads are linearizable: the tail answers only after a quorum has confirmed that the
+tail's view is the newest (van Renesse and Schneider, "Chain replication for supporting high throughput and
+availability", 2004).
 """
 
 from __future__ import annotations
@@ -34,7 +36,7 @@
 
 
 class ControlStateService:
-    """One controller's answers to requests about the control state, which the chain owns."""
+    """Handles one controller's requests for the control state, which the chain replicates."""
 
     def __init__(self, context: ControllerContext, chain_head: ChainHead, monitor: VoterMonitor) -> None:
         self._me = context.me
@@ -46,14 +48,15 @@
         self._committed_ages = CommittedAges()
 
     async def change_configuration(self, message: ChangeConfiguration) -> OperatorResponse:
-        """Return the answer to an operator's change of the configuration; the head decides it."""
-        from hollowusher.configuration.orders import read_order  # not needed for a start, see `refusal`
+        """Return the response to an operator's configuration change, which only the head processes."""
+        # Imported here because it is slow and not needed at process start, see `configuration.refusal`.
+        from hollowusher.configuration.orders import read_order
 
         read = read_order(message.method, message.if_match, message.body)
         if read.is_error():
             return read.error.answer()
         newest = self._consensus.view
-        # A newer view than the one in use: this controller's own disk has not taken it yet.
+        # The chain member does not use the newest view until this controller has saved it to its disk.
         is_deposed = newest is not None and newest.epoch > self._chain_member.epoch
         if is_deposed or not self._chain_member.is_head:
             head = newest.head if newest is not None else ""
@@ -63,7 +66,7 @@
         return await self._apply_order(read.ok)
 
     async def _apply_order(self, order: Order) -> OperatorResponse:
-        """Apply an order to the newest state and commit the result, as the head."""
+        """Apply an order to the newest state and commit the result.  Only the head calls this method."""
         from hollowusher.configuration.orders import apply_order
 
         outcomes: list[OrderOutcome] = []
@@ -78,18 +81,18 @@
             return UNAVAILABLE
         answer = outcomes[0].answer
         if answer.status != 200 and not await self._consensus.quorum_confirms(self._chain_member.epoch):
-            return UNAVAILABLE  # a deposed head must not refuse what builds on a newer version
+            return UNAVAILABLE  # a deposed head must not reject an order that is based on a newer version
         return answer
 
     def _newest_unrepeatable_generation(self) -> int:
-        """Return the newest generation whose order is not retried any more."""
+        """Return the newest generation whose order operators no longer retry."""
         now = asyncio.get_running_loop().time()
         if self._chain_member.committed is not None:
             self._committed_ages.note(self._chain_member.committed.generation, now)
         return self._committed_ages.no_longer_repeated(now)
 
     async def read_configuration(self, message: ReadConfiguration) -> OperatorResponse:
-        """Return the newest configuration, which the tail knows."""
+        """Return the newest configuration, which the tail reads from its committed state."""
         if not self._chain_member.is_tail:
             answer = await self._forward_read(message)
             return answer if isinstance(answer, OperatorResponse) else UNAVAILABLE
@@ -99,7 +102,7 @@
         return OperatorResponse(200, state.document) if state.generation else NOT_CONFIGURED
 
     async def read_state(self, message: ReadControlState) -> ControlStateResponse:
-        """Return the newest committed control state, which the tail knows."""
+        """Return the newest committed control state, which the tail holds."""
         if not self._chain_member.is_tail:
             answer = await self._forward_read(message)
             return answer if isinstance(answer, ControlStateResponse) else ControlStateResponse(None)
@@ -107,7 +110,7 @@
         return ControlStateResponse(state, self._chain_member.epoch)
 
     async def _confirmed_state(self) -> ControlState | None:
-        """Return the tail's state once a quorum confirms that the view is the newest; None if it does not."""
+        """Return the tail's committed state if a quorum confirms that the view is the newest, else None."""
         view = self._chain_member.view
         if view is None or not self._chain_member.is_readable or not self._monitor.has_quorum(view):
             return None
@@ -119,9 +122,10 @@
         return await self._forward(tail, message, FORWARD_READ_TIMEOUT_S)
 
     async def _forward(self, name: str, message: ForwardedRequest, timeout_s: float) -> object:
-        """Forward a request to a member of the chain; return None where it cannot answer.
+        """Forward a request to the voter `name`; return its response, or None if there is none.
 
-        A request is forwarded once at most: views may differ, and it must not go round in circles.
+        A request is forwarded at most once, because controllers with different views could forward it in a
+        loop.
         """
         view = self._consensus.view
         voter = find_voter(view, name) if view is not None else None
--- a/hollowusher/coordination/controller/control_status.py
+++ b/hollowusher/coordination/controller/control_status.py
@@ -1,9 +1,10 @@
-"""One controller's knowledge of control and placement, as the `ControlStatus` shown to operators.  No I/O.
+"""Construction of the `ControlStatus` that a controller shows to operators.  The module performs no I/O.
 
-The margin of the controllers is how many further ones may be lost, whichever they are, with the rest still
-able to decide and to lead: a quorum of the voters is reachable, and one of those left holds every committed
-state.  The margin of the stores is that of the partition that is worst off.  A margin of 0 means that
-everything is served but the next loss ends that; -1, that something cannot be served now.
+The controller margin is the number of further controllers that may fail, in any combination, while the
+remaining ones can still decide a view and elect a head.  This requires a reachable quorum of the voters and
+one reachable voter that holds every committed state.  The store margin is the smallest margin of any
+partition.  A margin of 0 means that the service is complete but does not tolerate another failure.  A margin
+of -1 means that some part of the service is currently unavailable.
 """
 
 from __future__ import annotations
@@ -18,35 +19,38 @@
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus, VoterStatus
 from hollowusher.protocol.view import View
 
-NO_MARGIN = -1  # a quorum is lacking already
+NO_MARGIN = -1  # no quorum, or no complete voter, is reachable now
 
 
 @attrs.frozen
 class VoterObservation:
-    """What the answering controller has lately heard of one voter."""
+    """The recent state of one voter as observed by the controller that reports the status."""
 
     is_reachable: bool
-    is_complete: bool  # it holds every committed state
-    state_version: Sequence[int] = ()  # [epoch, sequence] of the newest state on its disk
+    is_complete: bool  # whether the voter holds every committed state
+    state_version: Sequence[int] = ()  # [epoch, sequence] of the newest state on the voter's disk
 
 
 @attrs.frozen
 class ControllerSnapshot:
-    """What a controller knows of the consensus and the chain at one moment."""
+    """One controller's consensus and chain state at one moment."""
 
     name: str
     view: View | None
     state: ControlState | None
-    is_head: bool  # its epoch is in force and it hears a quorum
+    is_head: bool  # whether it is the head, has a committed state in its epoch and reaches a quorum
     observations: Mapping[str, VoterObservation]
-    controllers: Sequence[str] = ()  # all living controllers, voters or not
+    controllers: Sequence[str] = ()  # names of all live controllers, voters or not
 
 
 UNREACHABLE = VoterObservation(is_reachable=False, is_complete=False)
 
 
 def controller_losses_borne(view: View, observations: Mapping[str, VoterObservation]) -> int:
-    """Return how many further controllers may be lost, whichever; -1 if no view can be decided now."""
+    """Return how many further controllers may fail in any combination.
+
+    The result is -1 if no quorum or no complete voter is reachable now.
+    """
     reachable = [
         observations[voter.name]
         for voter in view.voters
@@ -59,7 +63,11 @@
 def build_control_status(
     snapshot: ControllerSnapshot, partitions: Sequence[PartitionStatus], tolerance: int
 ) -> ControlStatus:
-    """Return the answer to `ReadControlStatus`; `partitions` is empty while there is no placement."""
+    """Return the response to `ReadControlStatus`.
+
+    `partitions` is empty while there is no placement.  `tolerance` is the configured number of simultaneous
+    machine failures that the deployment tolerates.
+    """
     view, state = snapshot.view, snapshot.state
     sequence = state.sequence if state is not None else 0
     generation = state.generation if state is not None else 0
--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -1,8 +1,9 @@
-"""A controller: an edge process with a disk that takes part in deciding views and in the control chain.
+"""A controller: an edge process with a disk that participates in consensus and in the control chain.
 
-It joins the parts: `ViewConsensus` decides views, `ChainReplicator` and `ChainHead` carry the control state
-along the chain, `VoterMonitor` observes the voters, `ViewReconfigurator` proposes views that follow them,
-`JoinClient` finds a view, and `ControlStateService` answers requests about the control state.
+The class connects the components of a controller.  `ViewConsensus` decides views.  `ChainReplicator` and
+`ChainHead` replicate the control state along the chain.  `VoterMonitor` monitors the voters, and
+`ViewReconfigurator` proposes new views when voters fail or return.  `JoinClient` obtains a view from other
+controllers.  `ControlStateService` handles requests that read or change the control state.
 """
 
 from __future__ import annotations
@@ -67,26 +68,26 @@
 
 @attrs.frozen(eq=False)
 class ControllerResources:
-    """What a controller is given to work with."""
+    """The external resources of a controller."""
 
     transport: Transport
-    view_slot: Slot  # the voter's promises, acceptances and the newest view, on disk
+    view_slot: Slot  # persists the voter's promises, its accepted view and the newest decided view
     state_store: StateStore
     random_source: random.Random
 
 
 @attrs.frozen(eq=False)
 class ControllerCallbacks:
-    """What a controller calls."""
+    """The callbacks through which a controller reports new views and states."""
 
-    on_view: Callable[[View], None]  # with each newer decided view
-    on_state: Callable[[ControlState], None]  # with each state that becomes known to be committed
+    on_view: Callable[[View], None]  # receives each newer decided view
+    on_state: Callable[[ControlState], None]  # receives each newly committed state
 
 
 class Controller:
-    """The controller of one process; it owns the voter's state and this process's part of the control chain.
+    """The controller of one process, which owns the voter's state and this process's member of the chain.
 
-    `seeds` returns the seed addresses that the settings name at present.
+    `seeds` returns the seed addresses in the current settings.
     """
 
     MESSAGES: tuple[type, ...] = (
@@ -143,75 +144,79 @@
         self._chain_head = ChainHead(
             self._chain_member, self._replicator, self._may_lead, self._voter_monitor.avoid_voter
         )
-        present_seeds = settings.seed_addresses if seeds is None else seeds
+        current_seeds = settings.seed_addresses if seeds is None else seeds
         self._join_client = JoinClient(
             voter,
-            present_seeds,
+            current_seeds,
             transport,
             self._consensus,
             self._seed_service if settings.bootstrap else None,
         )
         self._view_publisher = ViewPublisher(
-            transport, present_seeds, ViewAccess(lambda: self.view, self._consensus.learn), random_source
+            transport, current_seeds, ViewAccess(lambda: self.view, self._consensus.learn), random_source
         )
         self._state_service = ControlStateService(context, self._chain_head, self._voter_monitor)
         self._handlers = self._build_handlers()
 
-    # -- what the process asks -------------------------------------------------------------------------
+    # -- interface to the process ----------------------------------------------------------------------
 
     @property
     def view(self) -> View | None:
-        """The newest decided view known."""
+        """The newest decided view that this controller has received."""
         return self._consensus.view
 
     @property
     def foreign_rejections(self) -> int:
-        """How many messages of another cluster were rejected."""
+        """The number of rejected messages that came from another cluster."""
         return self._consensus.acceptor.foreign_rejections + self._seed_service.foreign_rejections
 
     @property
     def state(self) -> ControlState | None:
-        """The newest state known to be committed."""
+        """The newest state that this controller knows to be committed."""
         return self._chain_member.committed
 
     @property
     def is_head(self) -> bool:
-        """Whether this is the chain's head, has brought its epoch into force and hears a quorum."""
+        """Whether this controller is the head, has a committed state in its epoch and reaches a quorum."""
         return self._may_lead() and self._chain_member.is_in_force
 
     @property
     def rejected_writes(self) -> Counter[str]:
-        """How many messages of the chain were rejected, by reason."""
+        """The number of rejected chain writes by reason."""
         return self._replicator.refused
 
     def snapshot(self, controllers: Sequence[str]) -> ControllerSnapshot:
-        """Return what this controller knows of the consensus and the chain.
+        """Return the current consensus and chain state of this controller.
 
-        `controllers` are the names of all living controllers.
+        `controllers` are the names of all live controllers.
         """
         view = self.view
         observations = {} if view is None else self._voter_monitor.observations(view)
         return ControllerSnapshot(self._me.name, view, self.state, self.is_head, observations, controllers)
 
     async def change(self, update: StateTransition) -> bool:
-        """Commit what `update` makes of the newest state, as the head; None from `update` leaves it.
+        """Apply `update` to the newest state and commit the result, if this controller is the head.
 
-        Return True once the result is committed; False if that is not known in time, or this is not the head.
+        If `update` returns None, the state stays unchanged.  Return True after the result is committed.
+        Return False if this controller is not the head or the commit is not confirmed before the timeout.
         """
         return await self._chain_head.change(update)
 
     async def has_newest_view(self) -> bool:
-        """Return whether a quorum says, asked now, that the view in use here is the newest."""
+        """Query the voters; return whether a quorum confirms that this controller uses the newest view."""
         return await self._leadership.has_newest_view()
 
     async def learn(self, view: View) -> None:
-        """Learn a decided view that became known in another way."""
+        """Adopt a decided view that this process received outside of the consensus protocol."""
         await self._consensus.learn(view)
 
     # -- start and stop --------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Continue with the stored view, or look for one; the transport has to listen already."""
+        """Start with the stored view, or search for a view if none is stored.
+
+        The caller has to start the transport first.
+        """
         self._running = True
         self._voter_monitor.start()
         stored = self._consensus.view
@@ -223,7 +228,11 @@
         self._spawn(self._view_publisher.run())
 
     async def stop(self) -> None:
-        """Stay until the others hold what this one holds and do without it, or the time is up; then end."""
+        """Depart from the chain and stop.
+
+        The controller first waits until the other controllers hold its state and no longer need it, or until
+        the departure times out.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(self._departure.begin()):
                 await self._depart()
@@ -246,7 +255,10 @@
             await asyncio.sleep(TICK_S)
 
     async def _run_pings(self) -> None:
-        """Ping the voters and detect pauses, also while a proposal is running, which may take a second."""
+        """Ping the voters and detect pauses periodically.
+
+        This runs as a task of its own because a proposal in `_run_steps` may take a second.
+        """
         while self._running:
             self._leadership.check_for_pause()
             view = self.view
@@ -267,7 +279,7 @@
                 await self._reconfigurator.step(view)
 
     def _install_view(self, view: View) -> None:
-        """Use a newer decided view."""
+        """Switch all components to a newer decided view."""
         self._voter_monitor.install(view)
         self._reconfigurator.reset()
         self._seed_service.learn(view)
@@ -276,11 +288,14 @@
         self._repropagate_if_needed()
 
     def _on_fenced(self, _token: FencingToken, address: str) -> None:
-        """Step down: a peer knows a later view.  Until that is in use here nothing is led or sent."""
+        """Fetch the newer view from a peer that rejected this controller's epoch.
+
+        Until this controller uses that view, it does not act as head and sends no chain writes.
+        """
         self._spawn(self._voter_monitor.learn_view_from(address))
 
     def _is_disk_stalled(self, now: float) -> bool:
-        """Return whether votes or states wait for the disk."""
+        """Return whether a write of a vote or of a control state is stalled on the disk."""
         return self._view_slot.is_stalled(now) or self._replicator.stalled(now)
 
     def _may_lead(self) -> bool:
@@ -315,7 +330,7 @@
         return handlers
 
     async def handle(self, message: object) -> object:
-        """Return the answer to one of `MESSAGES`; None for one-way messages and others."""
+        """Return the response to a message; None for one-way messages and types not in `MESSAGES`."""
         return await self._handlers.handle(message)
 
     async def _handle_confirm_epoch(self, message: ConfirmEpoch) -> EpochConfirmed:
@@ -338,7 +353,7 @@
         return self._replicator.read_record(message)
 
     async def _handle_chain_write(self, write: ChainWrite) -> ChainWritten:
-        """Receive a state from the predecessor; fetch its view first if that is not known yet."""
+        """Receive a state from the predecessor, after fetching the view of its epoch if that is newer."""
         view = self.view
         if view is not None and write.epoch > view.epoch:
             others = [voter.address for voter in view.voters if voter.name != self._me.name]
@@ -350,7 +365,7 @@
     async def _handle_announce(self, message: AnnounceController) -> ViewResponse:
         known = self.view
         if known is not None and not is_same_cluster(known.cluster, message.cluster):
-            self._seed_service.foreign_rejections += 1  # it gets the answer, but is no spare here
+            self._seed_service.foreign_rejections += 1  # the sender does not become a spare
         elif not message.bootstrap:
             self._spares.on_announced(message.voter, asyncio.get_running_loop().time())
         await self._seed_service.handle(message)
@@ -358,7 +373,7 @@
 
 
 def _restored_member(me: Voter, state_store: StateStore) -> ChainMember:
-    """Return this process's chain member with the state that the disk holds."""
+    """Return this process's chain member, restored from the state on disk."""
     member = ChainMember(me.name, me.disk_id)
     saved = state_store.load()
     if saved is not None:
--- a/hollowusher/coordination/controller/controller_context.py
+++ b/hollowusher/coordination/controller/controller_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one controller share."""
+"""The context that the components of one controller share."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @attrs.frozen(eq=False)
 class ControllerContext:
-    """The shared state and means of one controller's parts.
+    """The shared state and services of one controller's components.
 
-    `ViewConsensus` owns the decided view, `ChainMember` the control state; the other parts only read them.
-    `spawn` runs a coroutine for as long as the controller lives.
+    `ViewConsensus` owns the decided view and `ChainMember` owns the control state.  The other components only
+    read them.  `spawn` starts a coroutine as a task, which the controller cancels when it stops.
     """
 
     me: Voter
@@ -31,5 +31,5 @@
 
     @staticmethod
     def now() -> float:
-        """Return the time of the monotonic clock in seconds."""
+        """Return the time of the event loop's monotonic clock in seconds."""
         return asyncio.get_running_loop().time()
--- a/hollowusher/coordination/controller/departure.py
+++ b/hollowusher/coordination/controller/departure.py
@@ -1,9 +1,10 @@
-"""Orderly departure of a controller: it ends once the others hold what it holds and do without it.
+"""Graceful departure of a controller.
 
-If there is a spare, it takes the leaving voter's place by the head's proposal (a leaving head first leaves
-the chain, so that its successor leads).  Without a spare the controller leaves the chain and keeps its vote
-for its return.  Either way it stays until the chain without it has the state of the new epoch in force: until
-then it may hold the only second replica.
+If a spare controller is available, the head proposes a view in which the spare replaces the departing voter.
+A departing head first leaves the chain, so that its successor becomes the head and makes this proposal.
+Without a spare the controller leaves the chain but remains a voter, so that it can vote again after a
+restart.  In both cases the controller keeps running until the remaining chain has committed a state in its
+new epoch.  Before that commit the departing controller may hold the only second replica of the state.
 """
 
 from __future__ import annotations
@@ -22,12 +23,15 @@
 
 TIMEOUT_WITHOUT_SPARE_S = 1.5
 TIMEOUT_WITH_SPARE_S = 3.0
-REPLACEMENT_WAIT_S = 1.0  # a member of the chain that is not replaced by then leaves the chain itself
+REPLACEMENT_WAIT_S = 1.0  # after this time a chain member that no spare has replaced leaves the chain itself
 CALL_TIMEOUT_S = 0.3
 
 
 class Departure:
-    """The departure of one controller; `liveness` says which voters of a view are reachable and complete."""
+    """The departure of one controller.
+
+    `liveness` returns which voters of a view are reachable and complete.
+    """
 
     def __init__(
         self,
@@ -46,16 +50,16 @@
         return self._began_at is not None
 
     def begin(self) -> float:
-        """Start to depart; return how many seconds it may take at most."""
+        """Start the departure; return its timeout in seconds."""
         self._began_at = self._context.now()
         return TIMEOUT_WITH_SPARE_S if self._has_spare() else TIMEOUT_WITHOUT_SPARE_S
 
     async def step(self) -> bool:
-        """Do the next step; return whether the others do without this controller by now."""
+        """Take the next step of the departure; return whether this controller may stop now."""
         view = self._context.consensus.view
         if view is None or [voter.name for voter in view.voters] == [self._context.me.name]:
             return True
-        if self._context.chain_member.epoch != view.epoch:  # the disk has not taken the newest view yet
+        if self._context.chain_member.epoch != view.epoch:  # the newest view is not saved to the disk yet
             return False
         if self._context.chain_member.in_chain:
             if view.head == self._context.me.name or not self._awaits_replacement():
@@ -73,7 +77,10 @@
         return self._has_spare() and self._context.now() - began < REPLACEMENT_WAIT_S
 
     async def _leave_chain(self) -> None:
-        """Propose a chain without this controller, if there is one, and notify all other voters of it."""
+        """Propose a chain without this controller and send the decided view to all other voters.
+
+        Nothing is proposed if the remaining voters cannot form a valid chain.
+        """
         await self._context.consensus.propose(self._plan_without_me)
         view = self._context.consensus.view
         if view is not None and not self._context.chain_member.in_chain:
@@ -86,7 +93,10 @@
         return plan_chain(base, self._liveness(base), departing=self._context.me.name)
 
     async def _is_state_in_force(self, view: View) -> bool:
-        """Return whether the tail has the state of the view's epoch on its disk: every member has it then."""
+        """Return whether the tail has a state of the view's epoch on its disk.
+
+        The tail receives each state last, so every member of the chain then has that state on its disk.
+        """
         tail = find_voter(view, view.tail)
         if tail is None:
             return False
--- a/hollowusher/coordination/controller/errors.py
+++ b/hollowusher/coordination/controller/errors.py
@@ -1,27 +1,27 @@
-"""Errors that the controller package raises."""
+"""Exceptions of the controller package."""
 
 from __future__ import annotations
 
 
 class ControllerError(Exception):
-    """Root of the errors of the controller package."""
+    """Base class of the exceptions of the controller package."""
 
 
 class MalformedPageError(ControllerError):
-    """An answer of the platform that is not a page of the worker list."""
+    """A response of the platform is not a valid page of the worker list."""
 
 
 class WorkerListReadError(ControllerError):
-    """A failed read of the worker list.
+    """A read of the worker list failed.
 
     Attributes
     ----------
     step : str
-        What was being done.
+        The operation that failed.
     peer : str
-        The platform's address.
+        The platform's "host:port".
     reason : str
-        What was found instead of a page.
+        The cause of the failure, for example the HTTP status.
     """
 
     def __init__(self, step: str, peer: str, reason: str) -> None:
--- a/hollowusher/coordination/controller/head_context.py
+++ b/hollowusher/coordination/controller/head_context.py
@@ -1,4 +1,4 @@
-"""What the roles of one controller share."""
+"""The context that the cluster-wide roles of one controller share."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from hollowusher.protocol.membership import Member
 from hollowusher.transport.interface import Transport
 
-TICK_S = 0.1  # how often each role looks whether this process is the head
-MAX_STEP_S = TICK_S + 0.3  # a longer time between two ticks: this process was paused
+TICK_S = 0.1  # interval at which each role checks whether this process is the head
+MAX_STEP_S = TICK_S + 0.3  # a longer interval between two ticks means that this process was paused
 
 
 @attrs.frozen(eq=False)
 class HeadContext:
-    """The shared state and means of one controller's roles.
+    """The shared state and services of one controller's cluster-wide roles.
 
-    `MembershipService` owns what the directory holds, `WorkerListPublisher` and `ControlPublisher` only read
-    it.  `clock` is the monotonic clock in seconds.
+    `MembershipService` owns the contents of the directory; the other roles only read them.  `clock` returns
+    the time of the monotonic clock in seconds.
     """
 
     member: Member
@@ -35,14 +35,14 @@
     pause_detector: PauseDetector = attrs.field(factory=lambda: PauseDetector(MAX_STEP_S))
 
     def check_for_pause(self) -> None:
-        """Detect a pause of this process; the suspicions from before it may be outdated and are dropped."""
+        """Detect a pause of this process, and after a pause drop all suspicions because they may be stale."""
         if self.pause_detector.tick(self.clock()):
             self.directory.clear_suspicions()
 
     def paused_since(self, moment: float) -> bool:
-        """Return whether a pause was detected at or after that moment."""
+        """Return whether a pause was detected at or after `moment`, a time of `clock` in seconds."""
         return self.pause_detector.paused_since(moment)
 
     def publish_member(self, member: Member) -> None:
-        """Distribute the state of a member to all processes."""
+        """Publish the state of a member in the feed, which distributes it to all processes."""
         self.feed.publish(MEMBER_PREFIX + member.name, member_version(member), member)
--- a/hollowusher/coordination/controller/head_roles.py
+++ b/hollowusher/coordination/controller/head_roles.py
@@ -1,8 +1,8 @@
-"""What a controller does for the whole system besides keeping its control state.
+"""The cluster-wide roles of a controller.
 
-Every controller accepts registrations and suspicions, and publishes decided views and committed states.  The
-head of the control chain alone has the singleton roles: it decides deaths (`MembershipService`), reads the
-platform's worker list (`WorkerListPublisher`) and keeps the placement (`PlacementManager`).
+Every controller accepts registrations and suspicions and publishes decided views and committed states.  Only
+the head of the control chain performs the singleton roles: it declares members dead (`MembershipService`),
+reads the platform's worker list (`WorkerListPublisher`) and maintains the placement (`PlacementManager`).
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
 
 class HeadRoles:
-    """The roles of one controller, the singleton roles of the chain's head among them.
+    """The cluster-wide roles of one controller, including the singleton roles of the chain's head.
 
-    `has_newest_view` asks a quorum whether the view in use here is still the newest.
+    `has_newest_view` returns whether a quorum confirms that this controller uses the newest view.
     """
 
     MESSAGES: tuple[type, ...] = (
@@ -68,11 +68,11 @@
     # -- publishing ------------------------------------------------------------------------------------
 
     def publish_view(self, view: View) -> None:
-        """Distribute a decided view."""
+        """Publish a decided view in the feed."""
         self._feed.publish(VIEW, [view.epoch], view)
 
     def publish_state(self, state: ControlState) -> None:
-        """Distribute a committed control state: the configuration and the placement."""
+        """Publish the configuration and the placement of a committed control state in the feed."""
         if state.generation > 0:
             self._feed.publish(CONFIGURATION, [state.generation], state.document)
         if state.placement is not None:
@@ -81,36 +81,37 @@
     # -- status for operators --------------------------------------------------------------------------
 
     def partition_statuses(self) -> list[PartitionStatus]:
-        """Return the status of each partition as this controller knows it."""
+        """Return the status of each partition according to this controller's state."""
         return self._placement.partition_statuses()
 
     def living_controllers(self) -> list[str]:
-        """Return the names of the living controllers, voters or not."""
+        """Return the names of the live controllers, including those that are not voters."""
         return self._membership.living_controllers()
 
     def worker_list_age_s(self) -> float:
-        """Return how long ago this process last read the worker list; -1 where it is not the head."""
+        """Return how many seconds ago this process last read the worker list; -1 if it is not the head."""
         return self._worker_list.age_s()
 
     # -- messages --------------------------------------------------------------------------------------
 
     async def handle(self, message: object) -> object:
-        """Return the answer to one of `MESSAGES`; None for a one-way message."""
+        """Return the response to one of `MESSAGES`; None for a one-way message."""
         return await self._handlers.handle(message)
 
     async def _handle_placement_message(self, message: object) -> object:
-        """Return the placement's answer; a rejection only if a quorum confirms that this is still the head.
+        """Return the placement manager's response to a message.
 
-        A rejection rests on what is known here alone, and a successor may know more.
+        A rejection is returned only if a quorum confirms that this controller has the newest view.  The
+        manager rejects a message based on local state only, and a newer head may hold a newer state.
         """
         answer = await self._placement.handle(message)
         is_rejection = isinstance(answer, OperatorResponse) and answer.status in REJECTION_STATUSES
         return UNAVAILABLE if is_rejection and not await self._has_newest_view() else answer
 
-    # -- the loops -------------------------------------------------------------------------------------
+    # -- background tasks ------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Fulfil the singleton roles whenever this process is the head; run until cancelled."""
+        """Perform the singleton roles while this process is the head; run until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._membership.run(tasks))
             tasks.create_task(self._placement.run())
--- a/hollowusher/coordination/controller/leadership_check.py
+++ b/hollowusher/coordination/controller/leadership_check.py
@@ -1,8 +1,9 @@
-"""Whether a controller may act as the head of the control chain.
+"""The check whether a controller may act as the head of the control chain.
 
-A process that was paused finds unread answers and remembers reachable voters, both as old as the pause.  So
-it leads again only once a quorum has confirmed, asked after the pause, that there is no newer view.
-docs/control-safety/fencing.md has the argument.
+After a pause, the responses in a process's receive buffers and its record of reachable voters may be as old
+as the pause.  The controller therefore acts as head again only after a quorum has confirmed, in response to
+queries sent after the pause, that there is no newer view.  docs/control-safety/fencing.md explains why this
+is safe.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from hollowusher.protocol.view import View
 
 RETRY_S = 0.1
-MAX_STEP_S = 0.4  # a longer time between two checks: this process was paused
+MAX_STEP_S = 0.4  # a longer interval between two checks means that this process was paused
 
 
 class LeadershipCheck:
-    """One controller's knowledge of whether it may lead; it owns the detector of its pauses."""
+    """Decides whether one controller may act as head; it owns the controller's pause detector."""
 
     def __init__(self, context: ControllerContext, monitor: VoterMonitor) -> None:
         self._context = context
@@ -29,9 +30,9 @@
         self._is_confirming_view = False
 
     def may_lead(self) -> bool:
-        """Return whether this is the head of the newest known view and hears a quorum.
+        """Return whether this controller is the head of the newest known view and reaches a quorum.
 
-        It is False from a pause on until a quorum has confirmed the view.
+        After a pause the result is False until a quorum has confirmed the view.
         """
         self.check_for_pause()
         member, newest = self._context.chain_member, self._context.consensus.view
@@ -48,15 +49,15 @@
         )
 
     def _is_fenced(self, view: View) -> bool:
-        """Return whether a peer has named a later epoch than that of the view in use."""
+        """Return whether a peer has reported a higher epoch than the one that this controller uses."""
         return self._context.transport.fences.fence_of(FencingToken(CONTROL_CHAIN, view.epoch)) is not None
 
     async def has_newest_view(self) -> bool:
-        """Return whether a quorum says, asked now, that the view in use here is the newest."""
+        """Query the voters; return whether a quorum confirms that this controller uses the newest view."""
         return await self._context.consensus.quorum_confirms(self._context.chain_member.epoch)
 
     def check_for_pause(self) -> None:
-        """Detect a pause of this process and ask the voters after one."""
+        """Detect a pause of this process, and after a pause start to confirm the view with the voters."""
         if self._pause_detector.tick(self._context.now()) and not self._is_confirming_view:
             self._is_confirming_view = True
             self._context.spawn(self._confirm_view())
--- a/hollowusher/coordination/controller/membership_service.py
+++ b/hollowusher/coordination/controller/membership_service.py
@@ -1,8 +1,9 @@
-"""Registration of members, and detection of their deaths.
+"""Registration of members, and detection of their failures.
 
-Every controller accepts registrations, departures and suspicions.  The head of the control chain alone
-decides deaths: a member is dead once most of its monitors suspect it, or where they do not agree, once the
-head's own health check fails (compare the indirect probes of SWIM: Das, Gupta and Motivala, 2002).
+Every controller accepts registrations, departures and suspicions.  Only the head of the control chain
+declares a member dead.  It does so when a majority of the member's monitors suspect the member, or, if fewer
+monitors suspect it, when the head's own health check fails (compare the indirect probes of SWIM: Das, Gupta
+and Motivala, 2002).
 """
 
 from __future__ import annotations
@@ -25,20 +26,20 @@
 from hollowusher.transport.interface import PeerError
 
 HEALTH_CHECK_TIMEOUT_S = 0.6
-STALE_AFTER_PAUSE_S = 0.1  # messages handled this soon after a pause may have been received during it
+STALE_AFTER_PAUSE_S = 0.1  # a message handled this soon after a pause may have arrived during the pause
 
 
 class MembershipService:
-    """One controller's share in the membership.
+    """Membership management of one controller.
 
-    It owns the controller's member directory, which follows the feed: a state that another controller has
-    published counts like one published here.
+    The service owns the controller's member directory and updates it from the feed.  Member states published
+    by other controllers therefore have the same effect as those that this controller publishes.
     """
 
     def __init__(self, context: HeadContext) -> None:
         self._context = context
         self._directory = context.directory
-        self._members_in_check: set[str] = set()
+        self._members_being_checked: set[str] = set()
         context.feed.add_listener(self._on_item)
 
     def _on_item(self, item: DistributedItem) -> None:
@@ -46,7 +47,7 @@
             self._directory.update(item.value, self._context.clock())
 
     def living_controllers(self) -> list[str]:
-        """Return the names of the living controllers, voters or not."""
+        """Return the names of the live controllers, including those that are not voters."""
         return [member.name for member in self._directory.live_members(MemberRole.EDGE) if member.controller]
 
     # -- messages --------------------------------------------------------------------------------------
@@ -58,28 +59,29 @@
         return MemberRegistered(0 if view is None else view.epoch)
 
     async def deregister(self, message: MemberDeparting) -> Acknowledgement:
-        """Publish that a member is about to stop."""
+        """Publish the departure of a member that is about to stop."""
         departing = self._directory.leaving_state(message)
         if departing is not None:
             self._context.publish_member(departing)
         return Acknowledgement()
 
     async def record_suspicion(self, message: MemberSuspected) -> None:
-        """Record a suspicion, unless it may have been received during a pause of this process.
+        """Record a suspicion, unless the message may have arrived during a pause of this process.
 
-        Monitors repeat a suspicion while it stands, so that nothing is lost by that.
+        Ignoring the message is safe because a monitor repeats its suspicion as long as the suspicion is
+        valid.
         """
         now = self._context.clock()
         self._context.check_for_pause()
         if not self._context.paused_since(now - STALE_AFTER_PAUSE_S):
             self._directory.record_suspicion(message, now)
 
-    # -- detection of deaths ---------------------------------------------------------------------------
+    # -- failure detection -----------------------------------------------------------------------------
 
     async def run(self, tasks: asyncio.TaskGroup) -> None:
-        """Detect deaths while this process is the head; run until cancelled.
+        """Detect dead members while this process is the head; run until cancelled.
 
-        Health checks run as tasks of the caller's group.
+        Health checks run as tasks of the caller's task group.
         """
         while True:
             self._context.check_for_pause()
@@ -88,18 +90,18 @@
             await asyncio.sleep(TICK_S)
 
     def _detect_deaths(self, tasks: asyncio.TaskGroup) -> None:
-        """Publish the deaths on which the monitors agree; check the members on which they do not."""
+        """Publish members suspected by a majority of monitors as dead; check the health of other suspects."""
         now = self._context.clock()
         for dead in self._directory.confirmed_dead(now):
             self._context.publish_member(dead)
         for member in self._directory.unconfirmed_suspects(now):
-            if member.name not in self._members_in_check and member.name != self._context.member.name:
-                self._members_in_check.add(member.name)
+            if member.name not in self._members_being_checked and member.name != self._context.member.name:
+                self._members_being_checked.add(member.name)
                 tasks.create_task(self._check_health(member))
 
     async def _check_health(self, member: Member) -> None:
         try:
-            if await self._answers(member):
+            if await self._is_healthy(member):
                 self._directory.clear_suspicion(member)
                 return
             self._context.check_for_pause()
@@ -107,10 +109,13 @@
             if dead is not None and self._context.chain.is_head:
                 self._context.publish_member(dead)
         finally:
-            self._members_in_check.discard(member.name)
+            self._members_being_checked.discard(member.name)
 
-    async def _answers(self, member: Member) -> bool:
-        """Return whether this incarnation of the member answers; another one at its address does not."""
+    async def _is_healthy(self, member: Member) -> bool:
+        """Return whether this incarnation of the member answers a health check.
+
+        A different incarnation that runs at the same address does not count.
+        """
         health_check = CheckIncarnation(member.name, member.incarnation)
         try:
             answer = await self._context.transport.call(member.address, health_check, HEALTH_CHECK_TIMEOUT_S)
--- a/hollowusher/coordination/controller/operator_api.py
+++ b/hollowusher/coordination/controller/operator_api.py
@@ -1,8 +1,8 @@
-"""The operator's HTTP interface: configuration orders, retirement of stores, recovery of partitions.
+"""The operator's HTTP interface for configuration changes, store retirement and partition recovery.
 
-Each request becomes one message that `forward` brings to the process that decides on it.  Callers give up
-after a second without an answer, so a read gets 503 before that; a change may take longer, because its answer
-is then certain.
+The API converts each request to a message and passes it to `forward`, which delivers it to the responsible
+process.  Clients abort a read that takes a second, so the API answers a read with 503 before that.  A change
+may take longer, so that its response can report the definite outcome.
 """
 
 from __future__ import annotations
@@ -32,16 +32,19 @@
 
 
 class OperatorApi:
-    """The HTTP handlers of one process; `forward` returns the answer of whoever decides on a request."""
+    """The HTTP handlers of one process.
+
+    `forward` delivers a message to the responsible process and returns the response of that process.
+    """
 
     def __init__(self, forward: ForwardRequest) -> None:
         self._forward = forward
         self._tasks: set[asyncio.Future[OperatorResponse]] = set()
 
     def add_routes(self, application: web.Application) -> None:
-        """Serve the operator's paths from an application.
+        """Register the operator's routes with an application.
 
-        Its `client_max_size` has to be `MOST_BODY_BYTES` at least.
+        The `client_max_size` of the application has to be at least `MOST_BODY_BYTES`.
         """
         application.router.add_put("/config", self._change_configuration)
         application.router.add_patch("/config", self._change_configuration)
@@ -61,7 +64,7 @@
             ChangeConfiguration(request.method, if_match, body), CHANGE_TIMEOUT_S
         )
 
-    async def _read_configuration(self, request: web.Request) -> web.Response:  # noqa: ARG002 - a handler
+    async def _read_configuration(self, request: web.Request) -> web.Response:  # noqa: ARG002 - handler
         return await self._forward_request(ReadConfiguration(), READ_TIMEOUT_S)
 
     async def _start_retirement(self, request: web.Request) -> web.Response:
@@ -88,9 +91,9 @@
         return await self._forward_request(order, CHANGE_TIMEOUT_S)
 
     async def _forward_request(self, message: OperatorRequest, timeout_s: float) -> web.Response:
-        """Return the answer to a message; 503 if there is none in time.
+        """Return the response to a message, or a 503 response if there is none before the timeout.
 
-        A change is not cancelled by that: it may still be committed.
+        The timeout does not cancel the request, so a change may still be committed afterwards.
         """
         task = asyncio.ensure_future(self._forward(message))
         self._tasks.add(task)
@@ -106,7 +109,7 @@
     def _discard(self, task: asyncio.Future[OperatorResponse]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # retrieved: a late failure concerns nobody any more
+            task.exception()  # mark the exception as retrieved, or asyncio logs it although no caller is left
 
 
 def _parse_if_match(value: str | None) -> int | Refusal | None:
@@ -140,7 +143,10 @@
 
 
 def _parse_recovery(partition: str, body: bytes) -> RecoverPartition | Refusal:
-    """Return the order to recover a partition from what is left; it names every replica that is given up."""
+    """Return the order to recover a partition from its remaining replicas.
+
+    The body has to name every store whose replica the operator gives up, in `acceptLossOf`.
+    """
     if not (partition.isascii() and partition.isdigit() and len(partition) < 10):
         return Refusal(400, "partition", "is not a number")
     try:
--- a/hollowusher/coordination/controller/view_reconfigurator.py
+++ b/hollowusher/coordination/controller/view_reconfigurator.py
@@ -1,7 +1,7 @@
-"""Proposals of new views, so that the chain and the voter set follow the reachable controllers.
+"""Proposals of new views that adapt the chain and the voter set to the reachable controllers.
 
-Which chain or voter set is wanted is decided by `consensus/reconfiguration` and `consensus/voter_set`; here
-stands when a voter proposes it.
+`consensus/reconfiguration` and `consensus/voter_set` compute the desired chain and voter set.  This module
+decides when a voter proposes them.
 """
 
 from __future__ import annotations
@@ -24,12 +24,15 @@
 from hollowusher.protocol.view import View, Voter
 from hollowusher.transport.interface import PeerError
 
-REJOIN_INTERVAL_S = 1.0  # least time between a view and the next one that only lets voters join
-FINISH_ACCEPTED_AFTER_S = 0.5  # an accepted view that is not decided by then is proposed again
+REJOIN_INTERVAL_S = 1.0  # minimum age of the current view before voters may rejoin the chain
+FINISH_ACCEPTED_AFTER_S = 0.5  # an accepted view that is still undecided after this time is proposed again
 
 
 class ViewReconfigurator:
-    """One voter's proposals; `required_voters` says how many voters the deployment wants."""
+    """Proposes new views on behalf of one voter.
+
+    `required_voters` is the number of voters that the deployment requires.
+    """
 
     def __init__(
         self,
@@ -49,16 +52,16 @@
         self._accepted_noticed_at: float | None = None
 
     def reset(self) -> None:
-        """Begin anew: a newer view has been decided."""
+        """Restart all timers after a newer view has been decided."""
         self._view_installed_at = self._context.now()
         self._loss_noticed_at = None
         self._accepted_noticed_at = None
 
     async def step(self, view: View) -> None:
-        """Propose what is due after the newest decided view.
+        """Propose the successor of `view`, the newest decided view, if a change is due.
 
-        Nothing is proposed until this controller's own disk has taken that view, for what it holds is judged
-        by the view in use.
+        The controller proposes nothing until it has saved `view` to its own disk and uses it.  Until then its
+        chain member reports its state, such as `complete`, relative to an older view.
         """
         member = self._context.chain_member
         if member.epoch != view.epoch or not self._monitor.has_quorum(view):
@@ -73,9 +76,10 @@
             await self._extend_view(view)
 
     async def _finish_accepted_view(self) -> bool:
-        """Propose a view again that was accepted here and has not been decided since; return if there is one.
+        """Propose a view again that this voter has accepted but that is still undecided.
 
-        The random delay keeps the voters from proposing it at the same moment.
+        Return whether there is such a view.  A random delay keeps the voters from proposing it
+        simultaneously.
         """
         accepted = self._context.consensus.acceptor.accepted
         if accepted is None:
@@ -92,9 +96,9 @@
         return True
 
     async def _replace_lost(self, view: View) -> bool:
-        """Propose a chain without the lost members; return whether there is such a chain.
+        """Propose a chain without the failed members; return whether there is such a chain.
 
-        Voters propose one after the other, in the order of the chain.
+        The voters stagger their proposals in the order of the chain.
         """
         liveness = self._monitor.liveness(view)
         rank = proposal_rank(view, liveness, self._context.me.name)
@@ -108,9 +112,10 @@
         return True
 
     async def _extend_view(self, view: View) -> None:
-        """Let reachable voters rejoin the chain, or bring the voter set one step nearer to the wanted one.
+        """Propose that reachable voters rejoin the chain, or one change towards the desired voter set.
 
-        Only for a head whose state is in force in this epoch: every step begins from a complete chain.
+        Only a head that has committed a state in this epoch calls this method, so that every change starts
+        from a complete chain.
         """
         liveness = self._monitor.liveness(view)
         now = self._context.now()
@@ -123,7 +128,7 @@
             await self._propose_voter_set_change(view, change)
 
     async def _is_ready(self, spare: Voter, view: View) -> bool:
-        """Return whether a spare answers with the disk that it announced and is fit to be a voter."""
+        """Return whether a spare is reachable with the disk that it announced and can become a voter."""
         ping = Ping(self._context.me.name, view.epoch)
         try:
             pong = await self._context.transport.call(spare.address, ping, PING_TIMEOUT_S)
--- a/hollowusher/coordination/controller/voter_monitor.py
+++ b/hollowusher/coordination/controller/voter_monitor.py
@@ -1,4 +1,4 @@
-"""Pings between the voters: which of them are reachable, and what each of them holds."""
+"""Monitoring of the voters by pings, which report each voter's reachability and chain state."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 PING_INTERVAL_S = 0.2
 PING_TIMEOUT_S = 0.6
-AVOID_S = 3.0  # a chain member that its predecessor cannot reach stays out of the chain for this long
-CONNECT_TIMEOUT_REASON = "in time"  # in a `PeerError`: the peer was silent, it did not refuse
+AVOID_S = 3.0  # how long a chain member that its predecessor cannot reach is excluded from new chains
+CONNECT_TIMEOUT_REASON = "in time"  # part of the reason of a `PeerError` if the connection attempt timed out
 
 
 class VoterMonitor:
-    """One controller's observations of the other voters; it owns their `VoterHealth`.
+    """Monitors the other voters on behalf of one controller; it owns the `VoterHealth`.
 
-    `is_disk_stalled` says whether this controller's own disk does not answer.
+    `is_disk_stalled` returns whether a write to this controller's own disk is stalled.
     """
 
     def __init__(self, context: ControllerContext, is_disk_stalled: Callable[[float], bool]) -> None:
         self._context = context
         self._is_disk_stalled = is_disk_stalled
-        self._disk_ids: dict[str, str] = {}  # voter -> the disk that votes
+        self._disk_ids: dict[str, str] = {}  # name of the voter -> id of its disk
         self._pending_pings: set[str] = set()
         self._next_ping_at = 0.0
         self.health = VoterHealth(context.me.name, 0.0)
 
     def start(self) -> None:
-        """Begin: nothing has been heard of any voter yet."""
+        """Start monitoring, with no voter observed yet."""
         self.health = VoterHealth(self._context.me.name, self._context.now())
 
     def install(self, view: View) -> None:
@@ -47,24 +47,24 @@
         self.health.track([voter.name for voter in view.voters], self._context.now())
 
     def is_reachable(self, name: str) -> bool:
-        """Return whether a voter has answered lately."""
+        """Return whether a voter has recently answered a ping."""
         return self.health.is_reachable(name, self._context.now())
 
     def has_quorum(self, view: View) -> bool:
-        """Return whether enough voters to decide have answered lately, this one counted."""
+        """Return whether a quorum of the voters, including this one, has recently answered pings."""
         return self.health.has_quorum(view, self._context.now())
 
     def avoid_voter(self, name: str) -> None:
-        """Keep a chain member out of the next chains: its predecessor cannot reach it."""
+        """Exclude a chain member that its predecessor cannot reach from new chains for `AVOID_S`."""
         self.health.avoid(name, self._context.now() + AVOID_S)
 
     def liveness(self, view: View) -> LivenessSnapshot:
-        """Return which voters of a view are reachable and complete, as seen from here."""
+        """Return which voters of a view are reachable and complete according to this controller."""
         is_complete = self._context.chain_member.complete
         return take_liveness_snapshot(self.health, view, is_complete=is_complete, now_s=self._context.now())
 
     def observations(self, view: View) -> dict[str, VoterObservation]:
-        """Return what has lately been heard of each voter, this controller included."""
+        """Return the latest observation of each voter by name, including this controller."""
         return {voter.name: self._observe(voter, view) for voter in view.voters}
 
     def _observe(self, voter: Voter, view: View) -> VoterObservation:
@@ -90,7 +90,7 @@
     # -- pings -----------------------------------------------------------------------------------------
 
     def handle_ping(self, ping: Ping, *, is_departing: bool) -> Pong:
-        """Return the answer to another voter's ping; fetch the view if the sender knows a newer one."""
+        """Return the response to another voter's ping; fetch the sender's view if it is newer."""
         context = self._context
         view = context.consensus.view
         sender = find_voter(view, ping.name) if view is not None else None
@@ -99,7 +99,7 @@
         return Pong(
             name=context.me.name,
             disk_id=context.me.disk_id,
-            epoch=context.chain_member.epoch,  # of the view in use, which `complete` refers to
+            epoch=context.chain_member.epoch,  # the epoch of the view in use, to which `complete` refers
             complete=context.chain_member.complete,
             heard=self.health.reachable_voters(context.now()),
             leaving=is_departing,
@@ -108,7 +108,7 @@
         )
 
     def ping_voters(self, view: View) -> None:
-        """Ping the other voters if it is time; a voter whose ping is still pending is skipped."""
+        """Ping the other voters if `PING_INTERVAL_S` has passed; skip voters whose last ping is pending."""
         now = self._context.now()
         if now < self._next_ping_at:
             return
@@ -133,7 +133,7 @@
 
     async def _handle_pong(self, voter: Voter, pong: Pong) -> None:
         if pong.name != voter.name:
-            self.health.on_refused(voter.name)  # another process has this address now
+            self.health.on_refused(voter.name)  # another process now uses this address
             return
         if pong.disk_id != voter.disk_id:
             self.health.on_disk_replaced(voter.name)
@@ -146,7 +146,7 @@
             await self.learn_view_from(voter.address)
 
     async def learn_view_from(self, address: str) -> None:
-        """Learn the newest view that another controller knows."""
+        """Fetch the newest view from another controller and adopt it."""
         newest = await fetch_newest_view(self._context.transport, [address])
         if newest is not None:
             await self._context.consensus.learn(newest)
--- a/hollowusher/coordination/controller/worker_list_page.py
+++ b/hollowusher/coordination/controller/worker_list_page.py
@@ -1,4 +1,4 @@
-"""Parsing of one page of the platform's worker list.  No I/O."""
+"""Parser for one page of the platform's worker list.  The module performs no I/O."""
 
 from __future__ import annotations
 
@@ -18,19 +18,22 @@
 
 @attrs.frozen
 class WorkerListPage:
-    """One page of the worker list; `next_token` asks for the next page, None stands on the last one."""
+    """One page of the worker list.
+
+    `next_token` is the token with which to request the next page; it is None on the last page.
+    """
 
     workers: list[PlatformWorker]
     next_token: str | None
 
 
 def parse_page(body: bytes) -> WorkerListPage:
-    """Return the page in the body of an answer.
+    """Parse the body of an HTTP response into a page.
 
     Raises
     ------
     MalformedPageError
-        If the body is not JSON, or any part of it does not have the form of the platform's interface.
+        If the body is not JSON, or any part of it violates the schema of the platform's interface.
     """
     try:
         document = orjson.loads(body)
@@ -43,7 +46,7 @@
         raise MalformedPageError("instances: not a list")
     token = document.get("nextPageToken")
     if token is not None and not (isinstance(token, str) and token):
-        raise MalformedPageError("nextPageToken: neither text nor null")
+        raise MalformedPageError("nextPageToken: neither a non-empty string nor null")
     return WorkerListPage([_parse_worker(entry) for entry in instances], token)
 
 
@@ -57,7 +60,7 @@
         address=_read_address(entry),
         zone=_read_text(entry, "zone", default=""),
         capacity=max(1, int(_read_number(entry, "capacity", 1))),
-        state=state if state == READY else DRAINING,  # a worker in an unknown state gets no new jobs
+        state=state if state == READY else DRAINING,  # a worker in an unknown state must get no new jobs
         warm_in_ms=max(0, int(_read_number(entry, "warmupLeftMs", 0))),
         generation=_read_text(entry, "generation", default=""),
     )
@@ -66,7 +69,7 @@
 def _read_text(entry: Mapping[str, object], key: str, default: str | None = None) -> str:
     value = entry.get(key, default)
     if not isinstance(value, str) or (not value and default is None):
-        raise MalformedPageError(f"instances: {key} is not text")
+        raise MalformedPageError(f"instances: {key} is not a valid string")
     return value
 
 
@@ -79,7 +82,7 @@
 
 
 def _is_port(text: str) -> bool:
-    digits = text.lstrip("0")  # int() refuses texts of thousands of digits
+    digits = text.lstrip("0")  # the length is checked first because int() rejects thousands of digits
     return text.isascii() and text.isdigit() and len(digits) <= 5 and 0 < int(digits or "0") <= MAX_PORT
 
 
--- a/hollowusher/coordination/controller/worker_list_publisher.py
+++ b/hollowusher/coordination/controller/worker_list_publisher.py
@@ -1,4 +1,4 @@
-"""The head's role of reading the platform's worker list and distributing it."""
+"""The role of the head that reads the platform's worker list and publishes it to all processes."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from hollowusher.protocol.worker_list import PlatformWorker, PlatformWorkerList
 
 READ_INTERVAL_S = 1.0
-FIRST_READ_DELAY_S = 0.15  # of a new head: the former one may still be reading
+FIRST_READ_DELAY_S = 0.15  # a new head waits this long because the previous head may still be reading
 WORKER_LIST_NOT_READ = -1.0
 
 
 class WorkerListSource(Protocol):
-    """Where the worker list is read from."""
+    """A source of the worker list."""
 
     async def read(self) -> PlatformWorkerList | None:
-        """Return the complete list; None where the read is not accepted yet.
+        """Return the complete list, or None if the source does not accept the result of this read yet.
 
         Raises
         ------
@@ -33,10 +33,10 @@
 
 
 class WorkerListPublisher:
-    """Reads the worker list about once a second while its process is the head.
+    """Reads the worker list about once a second while its process is the head, and publishes it.
 
-    The version of a published list is [epoch, incarnation, counter]: it grows over changes of the head and
-    over restarts of one.
+    The version of a published list is [epoch, incarnation, counter].  It increases across changes of the head
+    and across restarts of the same head.
     """
 
     def __init__(self, context: HeadContext, source: WorkerListSource) -> None:
@@ -45,13 +45,16 @@
         self._read_at: float | None = None  # when this process last read the list
 
     def age_s(self) -> float:
-        """Return how long ago this process last read the list; -1 where it is not the head."""
+        """Return how many seconds ago this process last read the list.
+
+        The result is -1 if this process is not the head or has not read the list yet.
+        """
         if self._read_at is None or not self._context.chain.is_head:
             return WORKER_LIST_NOT_READ
         return self._context.clock() - self._read_at
 
     async def run(self) -> None:
-        """Read and distribute the list while this process is the head; run until cancelled."""
+        """Read and publish the list while this process is the head; run until cancelled."""
         was_head = False
         while True:
             is_head = self._context.chain.is_head
@@ -66,9 +69,9 @@
             was_head = is_head
 
     async def _read(self) -> None:
-        """Read the list and distribute it, unless another process may be the head by now.
+        """Read the list and publish it, unless another process may have become the head.
 
-        A list whose read was interrupted by a pause of this process is as old as the pause: it is dropped.
+        A list is discarded if this process was paused during the read, because it may be as old as the pause.
         """
         requested_at = self._context.clock()
         with suppress(WorkerListReadError):
@@ -82,7 +85,7 @@
                 self._publish(worker_list, view)
 
     def _publish(self, worker_list: PlatformWorkerList, view: View) -> None:
-        """Distribute a list that differs from the known one."""
+        """Publish a list if it differs from the published one."""
         known = self._context.feed.item(WORKERS)
         if known is not None and _has_same_workers(known.value.workers, worker_list.workers):
             return
@@ -92,7 +95,7 @@
 
 
 def _has_same_workers(known: Iterable[PlatformWorker], read: Iterable[PlatformWorker]) -> bool:
-    """Return whether two lists are equal but for the progress of workers that are warming up."""
+    """Return whether two lists are equal, apart from the remaining warm-up time of workers."""
     known_workers = [_without_warmup_progress(worker) for worker in known]
     return known_workers == [_without_warmup_progress(worker) for worker in read]
 
--- a/hollowusher/coordination/controller/worker_list_reader.py
+++ b/hollowusher/coordination/controller/worker_list_reader.py
@@ -1,4 +1,4 @@
-"""Reading of the platform's worker list over HTTP, page by page."""
+"""HTTP client that reads the platform's worker list page by page."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     address : str
         The platform's "host:port".
     calls : int
-        How many pages were asked for since the start.
+        The number of pages that this reader has requested.
     """
 
     def __init__(self, address: str, rate_per_s: float) -> None:
@@ -38,12 +38,12 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def read(self) -> PlatformWorkerList | None:
-        """Return the list; None where the read is not accepted yet.
+        """Return the list, or None if the reconciler does not accept the result of this read yet.
 
         Raises
         ------
         WorkerListReadError
-            If a page could not be read, or the pages do not end.
+            If a page could not be read, or there are too many pages.
         """
         workers: list[PlatformWorker] = []
         token: str | None = None
@@ -54,7 +54,7 @@
             if token is None:
                 accepted = self._reconciler.reconcile(workers, pages)
                 return None if accepted is None else PlatformWorkerList(accepted)
-        raise WorkerListReadError(READ_STEP, self.address, "the pages do not end")
+        raise WorkerListReadError(READ_STEP, self.address, "the list has too many pages")
 
     async def close(self) -> None:
         """Close the connection."""
--- a/hollowusher/coordination/controller/worker_list_reconciler.py
+++ b/hollowusher/coordination/controller/worker_list_reconciler.py
@@ -1,4 +1,4 @@
-"""Decision which workers are in the list after a complete read.  No I/O, no clock."""
+"""Reconciliation of complete reads of the worker list.  The module performs no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class WorkerListReconciler:
-    """Turns complete reads into the accepted list of workers.
+    """Derives the accepted worker list from consecutive complete reads.
 
-    The list may shift between two pages, so that a read of several pages misses a worker: one that is absent
-    from such a read stays for one more.  An empty list replaces a known one only after two reads in a row.
+    The list may change between the requests for two pages, so a read of several pages can miss a worker.  A
+    worker that is absent from such a read therefore stays in the list until the next read.  An empty result
+    replaces a non-empty list only after two consecutive empty reads.
     """
 
     def __init__(self) -> None:
@@ -18,7 +19,10 @@
         self._empty_reads = 0
 
     def reconcile(self, workers: list[PlatformWorker], pages: int) -> list[PlatformWorker] | None:
-        """Return the list after a complete read of that many pages; None where it is not accepted yet."""
+        """Return the accepted list after a complete read of `pages` pages.
+
+        Return None if the read is empty and the reconciler does not accept that yet.
+        """
         read = {worker.id: worker for worker in workers}
         self._empty_reads = 0 if read else self._empty_reads + 1
         if self._empty_reads == 1 and self._accepted:
--- a/hollowusher/coordination/distribution/__init__.py
+++ b/hollowusher/coordination/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of control values to every process, by version vectors and long polls."""
+"""Distribution of control values to every process by means of version vectors and long polls."""
--- a/hollowusher/coordination/distribution/client_context.py
+++ b/hollowusher/coordination/distribution/client_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one process's cluster client share."""
+"""The context that the components of one process's cluster client share."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @attrs.frozen(eq=False)
 class ClientContext:
-    """The shared state and means of a client's parts.
+    """The shared state and services of a cluster client's components.
 
-    `ClusterState` owns the distributed values, `ControllerSelector` how the controllers have answered lately.
-    `name` and `address` are those of this process.
+    `ClusterState` owns the distributed values, and `ControllerSelector` owns the recent call results of each
+    controller.  `name` and `address` identify this process.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
     @staticmethod
     def now() -> float:
-        """Return the time of the monotonic clock in seconds."""
+        """Return the time of the event loop's monotonic clock in seconds."""
         return asyncio.get_running_loop().time()
 
     @property
@@ -45,7 +45,7 @@
 
     @property
     def other_voters(self) -> list[Voter]:
-        """The voters but for this process."""
+        """The voters except this process."""
         return [voter for voter in self.voters if voter.address != self.address]
 
     @property
@@ -54,11 +54,11 @@
         return any(voter.name == self.name for voter in self.voters)
 
     def ranked_voters(self) -> list[Voter]:
-        """Return the voters in the order in which this process prefers them."""
+        """Return the voters, with the one that this process prefers to contact first."""
         return self.selector.rank_controllers(self.voters, self.state.members, self.now())
 
     def committed_state_sources(self) -> list[Voter]:
-        """Return the voters that may know the committed state, the chain's tail first."""
+        """Return the voters to query for the committed state, with the chain's tail first."""
         view = self.state.view
         tail = "" if view is None else view.tail
         return sorted(self.voters, key=lambda voter: voter.name != tail)
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -1,8 +1,9 @@
-"""The part of every process in the cluster: finding controllers, registering, following distributed values.
+"""The cluster client, which runs in every process.
 
-An ordinary process pulls from one controller (`ControllerFollower`).  A controller has an `UpdateFeed` of its
-own: it pulls from each other controller (`FeedReplicator`) and applies its own feed.  Both take part in
-failure detection (`MemberMonitor`).
+The client discovers controllers, registers the process as a member and receives the distributed values.  An
+ordinary process pulls updates from one controller (`ControllerFollower`).  A controller has its own
+`UpdateFeed`: it pulls updates into this feed from each other controller (`FeedReplicator`) and applies the
+items of the feed to its state.  Both kinds of process participate in failure detection (`MemberMonitor`).
 """
 
 from __future__ import annotations
@@ -42,14 +43,14 @@
 from hollowusher.protocol.view import OfferView, ReadView, View, ViewResponse
 from hollowusher.transport.interface import PeerError, Transport
 
-READ_STATE_TIMEOUT_S = 1.0  # the chain's tail asks a quorum before it answers
-SEED_REFRESH_S = 10.0  # how often a process that is no controller offers the view to a seed again
-MAX_CONNECTED_AGE_S = 2.5  # a controller that has not heard most of the others for this long says so
+READ_STATE_TIMEOUT_S = 1.0  # includes the time in which the chain's tail queries a quorum of the voters
+SEED_REFRESH_S = 10.0  # interval at which an ordinary process offers the view to a seed again
+MAX_CONNECTED_AGE_S = 2.5  # a controller without contact to a majority for longer reports itself disconnected
 
 
 @attrs.frozen(eq=False)
 class ClientResources:
-    """What a cluster client is given to work with.
+    """The external resources of a cluster client.
 
     Attributes
     ----------
@@ -66,7 +67,7 @@
 class ClusterClient:
     """One process's access to the cluster.
 
-    `seeds` returns the seed addresses that the settings name at present.
+    `seeds` returns the seed addresses in the current settings.
     """
 
     MESSAGES: tuple[type, ...] = (Heartbeat, OfferView, ReadView, CheckIncarnation, PullUpdates, ReadRepair)
@@ -80,9 +81,9 @@
     ) -> None:
         transport, state, feed = resources.transport, resources.state, resources.feed
         random_source = resources.random_source
-        present_seeds = settings.seed_addresses if seeds is None else seeds
+        current_seeds = settings.seed_addresses if seeds is None else seeds
         selector = ControllerSelector(me.name, me.zone)
-        discovery = ViewDiscovery(transport, state, present_seeds, selector, random_source)
+        discovery = ViewDiscovery(transport, state, current_seeds, selector, random_source)
         self.state = state
         self._feed = feed
         self._context = ClientContext(
@@ -90,7 +91,7 @@
         )
         self._view_publisher = ViewPublisher(
             transport,
-            present_seeds,
+            current_seeds,
             ViewAccess(lambda: state.view, self._learn_view),
             random_source,
             SEED_REFRESH_S,
@@ -115,18 +116,18 @@
 
     @property
     def me(self) -> Member:
-        """The present registration of this process."""
+        """The current registration of this process."""
         return self._registration.member
 
     @property
     def foreign_views(self) -> int:
-        """How many views of another cluster were offered here and rejected."""
+        """The number of rejected views that came from another cluster."""
         return self._context.discovery.foreign_rejections + self._context.state.foreign_views
 
     # -- start and stop --------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Follow the cluster, send heartbeats and monitor others; run until cancelled."""
+        """Receive updates, send heartbeats and monitor other members; run until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._monitor.run())
             if self._replicator is None:
@@ -136,9 +137,9 @@
                 tasks.create_task(self._replicator.run(tasks))
 
     async def wait_for_committed_state(self) -> None:
-        """Wait until the control chain has answered with its committed state, and apply that.
+        """Read the committed state from the control chain, with retries until it succeeds, and apply it.
 
-        After it, nothing older is served than what was acknowledged before this start.
+        After this call the process holds every configuration change that was acknowledged before the call.
         """
         backoff = Backoff(self._context.random_source, INITIAL_BACKOFF_S)
         while True:
@@ -161,30 +162,31 @@
         return answer.state if isinstance(answer, ControlStateResponse) else None
 
     async def publish_view(self) -> None:
-        """Offer the known view to the seeds; run until cancelled."""
+        """Offer the newest known view to the seeds periodically; run until cancelled."""
         await self._view_publisher.run()
 
     async def leave(self) -> None:
-        """Notify a controller that this process is about to stop."""
+        """Announce to a controller that this process is about to stop."""
         await self._registration.leave()
 
-    # -- contact ---------------------------------------------------------------------------------------
+    # -- contact with the controllers ------------------------------------------------------------------
 
     def seconds_since_contact(self, now: float) -> float:
-        """Return how long ago any controller last answered a pull; infinite before the first answer.
+        """Return how many seconds ago any controller last answered a pull; infinite before the first answer.
 
-        It is 0 for the only controller, which has no others to ask.
+        The result is 0 for the only controller of a cluster, which has no other controller to pull from.
         """
         if self._feed is not None and self._context.voters and not self._context.other_voters:
             return 0.0
         return self._contacts.seconds_since_answer(now)
 
     def seconds_since_majority(self, now: float) -> float:
-        """Return how old the newest values known here may be.
+        """Return the maximum age in seconds of the newest values that this process holds.
 
-        That is how long ago most controllers heard of each other and one of them then answered here; for a
-        controller, how long ago most of them answered, itself counted.  An answer that was unread during a
-        pause of this process counts from its request on.
+        For an ordinary process, this is the time since its controller last had contact with a majority of the
+        controllers, according to the controller's responses.  For a controller, it is the time since a
+        majority of the controllers, including itself, last answered its pulls.  A response that may have been
+        received during a pause of this process counts from the time of its request.
         """
         if self._feed is None:
             return self._contacts.seconds_since_majority(now)
@@ -200,7 +202,7 @@
     # -- messages --------------------------------------------------------------------------------------
 
     async def handle(self, message: object) -> object:
-        """Return the answer to one of `MESSAGES`; None for one-way messages and others."""
+        """Return the response to a message; None for one-way messages and types not in `MESSAGES`."""
         return await self._handlers.handle(message)
 
     async def _handle_offer_view(self, message: OfferView) -> ViewResponse:
@@ -216,7 +218,7 @@
     # -- distributed values ----------------------------------------------------------------------------
 
     def learn_view(self, view: View) -> None:
-        """Learn a decided view that became known in another way."""
+        """Adopt a decided view that this process received by other means than pulls."""
         self._context.discovery.learn(view)
 
     async def _learn_view(self, view: View) -> None:
@@ -232,7 +234,7 @@
             self._apply_value(PLACEMENT, state.placement.version, state.placement)
 
     def _apply_value(self, key: str, version: int, value: object) -> None:
-        """Apply a committed value; a controller publishes it, too."""
+        """Apply a committed value; on a controller, do so by publishing it in the feed."""
         if self._feed is not None:
             self._feed.publish(key, [version], value)
         else:
--- a/hollowusher/coordination/distribution/controller_follower.py
+++ b/hollowusher/coordination/distribution/controller_follower.py
@@ -1,4 +1,7 @@
-"""An ordinary process follows one controller: its own zone's where possible, another one after a failure."""
+"""Update client of an ordinary process, which follows one controller at a time.
+
+The process prefers a controller in its own zone and switches to another one after a failure.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class ControllerFollower:
-    """Registers with the preferred controller, pulls from it, and sends it what it lacks (read repair)."""
+    """Registers with the preferred controller, pulls updates, and sends missing items back (read repair)."""
 
     def __init__(self, context: ClientContext, registration: OwnRegistration, puller: UpdatePuller) -> None:
         self._context = context
@@ -21,7 +24,7 @@
         self._puller = puller
 
     async def run(self) -> None:
-        """Follow one controller after the other; run until cancelled."""
+        """Pull updates from the preferred controller and switch after failures; run until cancelled."""
         context = self._context
         backoff = Backoff(context.random_source)
         while True:
--- a/hollowusher/coordination/distribution/feed_replicator.py
+++ b/hollowusher/coordination/distribution/feed_replicator.py
@@ -1,4 +1,4 @@
-"""A controller keeps its feed in step with those of all other controllers (anti-entropy by pulls)."""
+"""Replication of update feeds between controllers by pull-based anti-entropy."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FeedReplicator:
-    """Pulls from each other voter into the feed of this controller, which it does not own."""
+    """Pulls the updates of each other voter into this controller's feed, which it does not own."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._puller = puller
         self._feed = feed
         self._peer_tasks: dict[str, asyncio.Task[None]] = {}  # by address
-        self._peer_vectors: dict[str, dict[str, int]] = {}  # what each peer has sent up to now
+        self._peer_vectors: dict[str, dict[str, int]] = {}  # address -> version vector of its last response
         self._view_changed = asyncio.Event()
         context.state.add_listener(self._on_state_changed)
 
@@ -39,7 +39,7 @@
             self._view_changed.set()
 
     async def run(self, tasks: asyncio.TaskGroup) -> None:
-        """Pull from the voters of the newest view, as tasks of the group; run until cancelled."""
+        """Pull from each voter of the newest view in a task of `tasks`; run until cancelled."""
         self._registration.publish()
         while True:
             if self._context.state.view is None:
@@ -54,9 +54,10 @@
             await self._view_changed.wait()
 
     async def _follow_peer(self, address: str) -> None:
-        """Pull from another controller.
+        """Pull from one other controller; run until cancelled.
 
-        The voters pull from each other only, so that a controller that is no voter registers with them.
+        Voters pull only from voters.  A controller that is not a voter therefore has to register with them,
+        because they do not read the registration from its feed.
         """
         backoff = Backoff(self._context.random_source)
         while True:
@@ -79,9 +80,10 @@
         return all(selector.health(voter.address).is_avoided(now) for voter in self._context.other_voters)
 
     def _vector_for_peer(self, address: str) -> dict[str, int]:
-        """Return the vector of this feed and of what the peer has sent already.
+        """Return this feed's version vector, merged with the vector of the peer's last response.
 
-        Without the latter, origins that one side has pruned would be sent again and again.
+        Without the peer's vector, the peer would resend the items of origins that this feed has pruned in
+        every response.
         """
         version_vector = self._feed.version_vector
         for origin, counter in self._peer_vectors.get(address, {}).items():
@@ -93,7 +95,7 @@
         return self._feed.merge(updates)
 
     async def handle_read_repair(self, repair: ReadRepair) -> None:
-        """Publish states of members that the controllers have lost; a reader may send nothing else."""
+        """Publish member states that the controllers have lost; ignore items of all other kinds."""
         for item in repair.items:
             if item.key.startswith(MEMBER_PREFIX):
                 self._feed.publish(item.key, item.version, item.value)
--- a/hollowusher/coordination/distribution/long_poll_responder.py
+++ b/hollowusher/coordination/distribution/long_poll_responder.py
@@ -1,4 +1,4 @@
-"""Answers to long polls of an `UpdateFeed`."""
+"""Server side of the long polls for the updates of an `UpdateFeed`."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from hollowusher.coordination.distribution.update_feed import MS_PER_S, UpdateFeed
 from hollowusher.protocol.distribution import DistributedItem, PullUpdates, UpdatesResponse
 
-BATCH_DELAY_S = 0.02  # a waiting pull is answered this long after the first update: later ones travel with it
+BATCH_DELAY_S = 0.02  # delay after the first update, so that one response carries several updates
 
 
 class LongPollResponder:
-    """Answers pulls from a feed, and lets them wait for updates.
+    """Answers pulls from a feed and holds a pull open while there are no updates.
 
-    `is_connected` says whether this controller hears enough of the others for its answers to be up to date,
-    `age_s` how many seconds ago it last heard from them.
+    `is_connected` returns whether this controller has been in contact with a majority of the controllers
+    recently enough for its responses to be current.  `age_s` returns the seconds since that contact.
     """
 
     def __init__(
@@ -35,9 +35,9 @@
         self._updated = asyncio.Event()
 
     async def respond(self, request: PullUpdates) -> UpdatesResponse:
-        """Return the answer to a pull: at once if there are items for the reader, else once some come.
+        """Return the items that are new to the reader, waiting for an update if there are none yet.
 
-        The answer is empty after the time that the reader is willing to wait.
+        If no update arrives within the request's `wait_ms`, the response contains no items.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + request.wait_ms / MS_PER_S
--- a/hollowusher/coordination/distribution/member_monitor.py
+++ b/hollowusher/coordination/distribution/member_monitor.py
@@ -1,4 +1,4 @@
-"""Heartbeats of this process, and suspicions of the members that it monitors."""
+"""Sending of this process's heartbeats, and reports about members that this process suspects."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from hollowusher.protocol.membership import Heartbeat
 
 TICK_S = 0.1
-MAX_STEP_S = TICK_S + 0.3  # a longer time between two ticks: this process was paused
+MAX_STEP_S = TICK_S + 0.3  # a longer interval between two ticks means that this process was paused
 
 
 class MemberMonitor:
-    """The network side of this process's `FailureDetector`, which it owns."""
+    """Connects this process's `FailureDetector`, which it owns, to the network."""
 
     def __init__(
         self, context: ClientContext, registration: OwnRegistration, pause_detector: PauseDetector
@@ -37,7 +37,7 @@
         self._failure_detector.record_heartbeat(message, self._context.now())
 
     async def run(self) -> None:
-        """Send heartbeats and report suspicions; run until cancelled."""
+        """Send heartbeats and report suspicions to the voters; run until cancelled."""
         while True:
             now = self._context.now()
             self._pause_detector.tick(now)
--- a/hollowusher/coordination/distribution/own_registration.py
+++ b/hollowusher/coordination/distribution/own_registration.py
@@ -19,10 +19,10 @@
 
 
 class OwnRegistration:
-    """The process as the others know it.
+    """Owns the registration of this process, which the cluster distributes to all other processes.
 
-    It owns the present registration.  A process that finds itself called dead refutes that, as in SWIM, by a
-    registration with a greater version.
+    As in SWIM, a process that receives a report of its own death refutes it.  It does so by a registration
+    with a higher version.
     """
 
     def __init__(self, context: ClientContext, member: Member, feed: UpdateFeed | None) -> None:
@@ -30,17 +30,17 @@
         self.is_departing = False
         self._context = context
         self._feed = feed
-        self._registered_at: set[str] = set()  # the controllers that know the present registration
-        self._is_distributed = False  # the cluster has a registration of this incarnation
+        self._registered_at: set[str] = set()  # addresses of controllers that have the current registration
+        self._is_distributed = False  # whether the cluster has distributed this incarnation's registration
         context.state.add_listener(self._on_state_changed)
 
     async def register_at(self, address: str) -> None:
-        """Register with a controller, unless it knows the present registration.
+        """Register with the controller at `address`, unless it has the current registration.
 
         Raises
         ------
         PeerError
-            If no controller answers there.
+            If no controller answers at `address`.
         """
         if address in self._registered_at or self.is_departing:
             return
@@ -48,23 +48,23 @@
         request = RegisterMember(registration)
         answer = await self._context.transport.call(address, request, CALL_TIMEOUT_S)
         if not isinstance(answer, MemberRegistered):
-            raise PeerError("RegisterMember", address, "the peer takes no registrations")
+            raise PeerError("RegisterMember", address, "the peer does not accept registrations")
         if registration is self.member:
             self._registered_at.add(address)
 
     def forget(self, address: str) -> None:
-        """Register again with a controller that has failed: it may have lost the registration."""
+        """Mark a failed controller for a new registration, because it may have lost the current one."""
         self._registered_at.discard(address)
 
     def publish(self, member: Member | None = None) -> None:
-        """Publish the present registration, or a new one, in the feed of this controller."""
+        """Publish the current registration, or `member` as the new one, in this controller's feed."""
         assert self._feed is not None
         self.member = self.member if member is None else member
         key = MEMBER_PREFIX + self.member.name
         self._feed.publish(key, member_version(self.member), self.member)
 
     async def leave(self) -> None:
-        """Notify a controller that this process is about to stop; give up after `LEAVE_TIMEOUT_S`."""
+        """Announce to a controller that this process is about to stop; give up after `LEAVE_TIMEOUT_S`."""
         self.is_departing = True
         if self._feed is not None:
             self.publish(evolve(self.member, status=self.member.status + 1, leaving=True))
@@ -86,10 +86,12 @@
             self._on_own_member_changed(self._context.state.members[self.member.name])
 
     def _on_own_member_changed(self, seen: Member) -> None:
-        """Refute the death of this process.
+        """Refute a report that this process is dead, if `seen` is newer than the current registration.
 
-        A greater incarnation seen at the start is that of an earlier process whose clock was ahead; seen
-        later, it is a successor's, which is left alone.
+        If `seen` has a higher incarnation and arrives before the cluster has distributed this process's own
+        registration, it belongs to an earlier process with a fast clock, and this process takes an even
+        higher incarnation.  If it arrives later, it belongs to a successor of this process, which does
+        nothing.
         """
         if member_version(seen) == member_version(self.member):
             self._is_distributed = True
--- a/hollowusher/coordination/distribution/peer_identities.py
+++ b/hollowusher/coordination/distribution/peer_identities.py
@@ -1,4 +1,7 @@
-"""The identities of the processes at all addresses, which a transport checks, from the distributed values."""
+"""Updates of a transport's `PeerDirectory` from the distributed view and member registrations.
+
+The transport checks the identity of each peer against this directory.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,10 @@
 
 
 def track_peer_identities(directory: PeerDirectory, me: Member, state: ClusterState) -> None:
-    """Tell the directory who this process is, and have it follow the view and the members' registrations."""
+    """Set this process's identity in the directory and keep the identities of its peers up to date.
+
+    The peers' identities come from the newest view and from the registrations of members in `state`.
+    """
     directory.identify(Identity("", me.name, me.incarnation, me.disk_id))
 
     def on_state_changed(key: str) -> None:
--- a/hollowusher/coordination/distribution/update_feed.py
+++ b/hollowusher/coordination/distribution/update_feed.py
@@ -1,13 +1,14 @@
-"""A feed of versioned items, which others pull with their version vector.  No I/O, no clock.
+"""A feed of versioned items that readers pull.  The module performs no I/O and reads no clock.
 
-Every controller publishes items under its own origin ("name/incarnation") and numbers them.  A version vector
-(origin -> counter) says which items a reader has, or has newer ones of.  Controllers pull from each other,
-all other processes from one controller.  Only the newest item of each key is kept, so that the size of a feed
-is bounded by the number of keys.
+Every controller publishes items under its own origin ("name/incarnation") and numbers them.  A reader sends
+its version vector (origin -> counter) with each pull.  For each origin, the vector covers the items up to
+that counter: the reader has received them or a newer version of the same key.  Controllers pull from each
+other, and every other process pulls from one controller.  A feed keeps only the newest item of each key, so
+its size is bounded by the number of keys.
 
-Version vectors: Parker et al., "Detection of mutual inconsistency in distributed systems" (1983); their
-exchange by pull is anti-entropy (Demers et al., "Epidemic algorithms for replicated database maintenance",
-1987).
+Version vectors were introduced by Parker et al., "Detection of mutual inconsistency in distributed systems"
+(1983).  Exchanging updates by pulls is a form of anti-entropy (Demers et al., "Epidemic algorithms for
+replicated database maintenance", 1987).
 """
 
 from __future__ import annotations
@@ -17,15 +18,16 @@
 
 from hollowusher.protocol.distribution import DistributedItem, PullUpdates, UpdatesResponse
 
-MAX_AGE_S = 1e6  # the age that stands for "never", and for all that is older
+MAX_AGE_S = 1e6  # upper limit of a reported age; also stands for an infinite age
 MS_PER_S = 1000
-Listener = Callable[[DistributedItem], None]  # called with each item that replaced an older value
+Listener = Callable[[DistributedItem], None]  # receives each item that replaced an older value
 
 
 class UpdateFeed:
-    """The newest item of every key, and the version vector of what has been received.
+    """The newest item of every key, and the version vector of the items received so far.
 
-    Invariants: the version of a key never decreases, and the vector has an entry for each origin of an item.
+    Invariants: the version of a key never decreases, and the vector has an entry for the origin of every
+    item.
     """
 
     def __init__(self, origin: str) -> None:
@@ -49,11 +51,14 @@
         return list(self._items.values())
 
     def add_listener(self, listener: Listener) -> None:
-        """Have `listener` called with each item that brings a greater version of its key."""
+        """Register `listener`, which the feed calls with each item that increases the version of its key."""
         self._listeners.append(listener)
 
     def publish(self, key: str, version: Iterable[int], value: object) -> bool:
-        """Give a key a new value under this origin; return False if its version is not greater."""
+        """Publish a new value of a key under this feed's origin.
+
+        Return False, without a change, if `version` is not greater than the version of the current item.
+        """
         known = self._items.get(key)
         numbers = list(version)
         if known is not None and numbers <= list(known.version):
@@ -66,7 +71,7 @@
         return True
 
     def merge(self, updates: UpdatesResponse) -> list[str]:
-        """Merge the answer of another controller; return the keys whose value has changed."""
+        """Merge the response of another controller; return the keys whose value has changed."""
         newer = [item for item in updates.items if self._replace_if_newer(item)]
         for origin, counter in updates.have.items():
             if origin != self.origin and counter > self._version_vector.get(origin, 0):
@@ -78,10 +83,10 @@
     def updates_for(
         self, request: PullUpdates, *, is_connected: bool = True, age_s: float = 0.0
     ) -> UpdatesResponse:
-        """Return the items beyond the reader's vector, and the vector that the reader has with them.
+        """Return the items that the reader's vector does not cover, and the vector that includes them.
 
-        `is_connected` and `age_s` say how up to date this controller is: whether it hears a quorum of the
-        others, and how long ago it last did.
+        `is_connected` and `age_s` are sent to the reader.  They state whether this controller is in contact
+        with a majority of the controllers and how many seconds ago it last was.
         """
         items = [item for item in self._items.values() if item.counter > request.have.get(item.origin, 0)]
         items.sort(key=lambda item: (item.origin, item.counter))
@@ -89,10 +94,11 @@
         return UpdatesResponse(items, self.version_vector, is_connected, age_ms)
 
     def _replace_if_newer(self, item: DistributedItem) -> bool:
-        """Store an item if it is newer; return whether its version is greater than the known one.
+        """Store an item if it is newer; return whether its version is greater than that of the current item.
 
-        Of two items with one version the same one wins everywhere, so that all feeds converge to the same
-        items and prune their vectors alike.
+        If two items of a key have the same version, every feed keeps the one with the greater (origin,
+        counter).  All feeds therefore converge to the same items and prune the same origins from their
+        vectors.
         """
         known = self._items.get(item.key)
         if known is None or list(item.version) > list(known.version):
@@ -106,7 +112,8 @@
     def _prune(self) -> None:
         """Remove origins without items from the vector.
 
-        A reader whose vector lacks such an origin may receive an old item again; its version rules it out.
+        A reader whose vector lacks such an origin may receive an old item again, which it ignores because of
+        the item's version.
         """
         origins = {item.origin for item in self._items.values()}
         if len(self._version_vector) > len(origins):
--- a/hollowusher/coordination/distribution/update_puller.py
+++ b/hollowusher/coordination/distribution/update_puller.py
@@ -1,4 +1,4 @@
-"""Pulls of updates from controllers by long polls."""
+"""Client side of the long polls that pull updates from controllers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from hollowusher.transport.interface import PeerError
 
 PULL_WAIT_MS = 1_000
-PULL_TIMEOUT_MARGIN_S = 0.7  # how much longer than its wait a pull may take
-MIN_PULL_INTERVAL_S = 0.1  # after an answer that came at once and brought nothing
+PULL_TIMEOUT_MARGIN_S = 0.7  # how much longer than `PULL_WAIT_MS` a pull may take before it times out
+MIN_PULL_INTERVAL_S = 0.1  # delay after an immediate response that contained no changes
 
 
 class UpdatePuller:
-    """One process's pulls; it records in the contact log how old each answer may be."""
+    """Pulls updates for one process and records in the contact log until when each response was valid."""
 
     def __init__(self, context: ClientContext, contacts: ContactLog, pause_detector: PauseDetector) -> None:
         self._context = context
@@ -31,21 +31,21 @@
         version_vector: dict[str, int],
         apply_updates: Callable[[UpdatesResponse], list[str]],
     ) -> bool:
-        """Pull once and apply the answer; return whether the controller hears most of the others.
+        """Pull once and apply the response; return whether the controller is in contact with a majority.
 
-        `apply_updates` returns the keys that have changed.
+        `apply_updates` applies a response and returns the keys whose value has changed.
 
         Raises
         ------
         PeerError
-            If no controller answers there.
+            If no controller answers at `address`.
         """
         started = self._context.now()
         request = PullUpdates(self._context.name, version_vector, PULL_WAIT_MS)
         timeout_s = PULL_WAIT_MS / MS_PER_S + PULL_TIMEOUT_MARGIN_S
         answer = await self._context.transport.call(address, request, timeout_s)
         if not isinstance(answer, UpdatesResponse):
-            raise PeerError("PullUpdates", address, "the peer has no updates")
+            raise PeerError("PullUpdates", address, "the peer does not serve updates")
         changed = apply_updates(answer)
         self._record(address, answer, started)
         if not changed and self._context.now() - started < MIN_PULL_INTERVAL_S:
@@ -53,7 +53,11 @@
         return answer.connected
 
     def _record(self, address: str, answer: UpdatesResponse, started: float) -> None:
-        """Record an answer; one that may have been unread during a pause counts from its request on."""
+        """Record a response to a request sent at `started`.
+
+        If this process was paused since then, the response may have waited unread during the pause.  It
+        therefore counts as valid only at the time of the request.
+        """
         now = self._context.now()
         self._pause_detector.tick(now)
         valid_at = started if self._pause_detector.paused_since(started) else now
--- a/tests/coordination/controller/test_head_roles_after_pause.py
+++ b/tests/coordination/controller/test_head_roles_after_pause.py
@@ -149,7 +149,7 @@
         for _ in range(4):
             head.hear("c")
             await asyncio.sleep(0.3)
-        assert head.head_roles._membership._members_in_check == {"b"}
+        assert head.head_roles._membership._members_being_checked == {"b"}
         await head.freeze_for(1.0)
         await asyncio.sleep(0.5)
         assert head.deaths == []
