--- a/tests/coordination/controller/test_call_rate_limiter.py
+++ b/tests/coordination/controller/test_call_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The rate of calls to the platform, and the backoff after failures."""
+"""Tests of the rate limit and the backoff for calls to the platform."""
 
 from __future__ import annotations
 
--- a/tests/coordination/controller/test_control_status.py
+++ b/tests/coordination/controller/test_control_status.py
@@ -1,4 +1,4 @@
-"""What an operator is told of voters, margins and partitions."""
+"""Tests of the status of voters, margins and partitions that operators see."""
 
 from __future__ import annotations
 
@@ -51,10 +51,10 @@
         ("abcd", {}, 1),
         ("abcde", {}, 2),
         ("abc", {"b": SILENT}, 0),
-        ("abcd", {"b": SILENT}, 0),  # 3 of 4 decide: a fourth voter that is gone bears nothing
+        ("abcd", {"b": SILENT}, 0),  # the quorum of 4 voters is 3, so no further voter may fail
         ("abcde", {"b": SILENT}, 1),
         ("abc", {"b": SILENT, "c": SILENT}, -1),
-        ("abc", {"b": CATCHING_UP, "c": CATCHING_UP}, 0),  # only one holds the whole state
+        ("abc", {"b": CATCHING_UP, "c": CATCHING_UP}, 0),  # only one voter is complete
         ("abc", {"b": CATCHING_UP}, 1),
         ("a", {}, 0),
     ],
--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -1,4 +1,4 @@
-"""The controllers of a virtual cluster: first start, orders, reads, and the losses of the deployment."""
+"""Tests of the controllers of a virtual cluster: first start, orders, reads and failures."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         assert await node.read() == (200, 3)
         assert node.states[-1].generation == 3
     assert await cluster["b"].put(5, 0) == 412
-    assert await cluster["b"].put(3, 0) == 200  # sent again
+    assert await cluster["b"].put(3, 0) == 200  # a retry of the order
 
 
 @virtual
@@ -86,7 +86,7 @@
     transport = cluster["a"].transport
     assert transport is not None
     ballots = FirstViewBallots(transport, random.Random(1))
-    assert await ballots.propose(voters, lambda promised: first_view(promised))  # nobody is told
+    assert await ballots.propose(voters, lambda promised: first_view(promised))  # no node receives it
     await cluster.until(lambda: all(node.views for node in cluster.nodes.values()), 3.0)
 
 
@@ -258,13 +258,13 @@
     view = cluster["a"].running.view
     assert view is not None
     assert len(view.voters) == 3
-    assert len(view.chain) == 3  # one loss has to be tolerated
+    assert len(view.chain) == 3  # the number of voters that tolerates one failure
     spares = [name for name in "abcdef" if name not in view.chain]
     for generation, name in enumerate(spares, 1):
         assert await cluster[name].put(generation, generation - 1) == 200
         assert await cluster[name].read() == (200, generation)
         assert cluster[name].running.view == view
-        assert not cluster[name].states  # a spare holds nothing
+        assert not cluster[name].states  # a spare holds no control state
 
 
 @virtual
@@ -435,12 +435,12 @@
 
 
 class Operators:
-    """Operators that send orders to any machine and remember what was acknowledged."""
+    """Operators that send orders to random machines and record which orders were acknowledged."""
 
     def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
         self.cluster = cluster
         self.chance = chance
-        self.acknowledged: dict[int, int] = {}  # generation -> the version it built on
+        self.acknowledged: dict[int, int] = {}  # generation -> generation that the order was based on
         self.refused: set[int] = set()
         self.next_generation = 1
 
@@ -456,30 +456,30 @@
             return
         work = asyncio.ensure_future(self.chance.choice(up).read())
         await asyncio.wait({work})
-        if work.cancelled():  # the machine was killed meanwhile
+        if work.cancelled():  # the machine was killed during the read
             return
         status, current = work.result()
         if status not in (200, 404):
             return
         newest = max(self.acknowledged, default=0)
-        assert current >= newest, "a read went back"
+        assert current >= newest, "a read returned an older generation than an acknowledged one"
         generation, self.next_generation = self.next_generation, self.next_generation + 1
         for _ in range(4):
             if await self._send(generation, current):
                 return
 
     async def _send(self, generation: int, built_on: int) -> bool:
-        """Send an order once; whether its answer was clear."""
+        """Send an order once; return whether the response was definite (not a 503 or a timeout)."""
         up = [node for node in self.cluster.nodes.values() if node.controller is not None]
         if not up:
             return False
         work = asyncio.ensure_future(self.chance.choice(up).put(generation, built_on))
         done, _ = await asyncio.wait({work}, timeout=1.0)
-        if not done or work.cancelled():  # cancelled: the machine was killed meanwhile
+        if not done or work.cancelled():  # cancelled: the machine was killed during the call
             return False
         status = work.result()
         if status == 200:
-            assert built_on not in self.acknowledged.values(), "two changes on one version"
+            assert built_on not in self.acknowledged.values(), "two acknowledged changes of one generation"
             self.acknowledged[generation] = built_on
             return True
         if status == 412:
@@ -520,7 +520,10 @@
 
 
 async def _fault(cluster: ControllerCluster, chance: random.Random, until: float) -> None:
-    """One machine at a time is killed, stopped, cut off or loses its disk; at times all are killed."""
+    """Inject one random fault after the other until the time `until`.
+
+    A fault kills, stops or isolates one machine, wipes its disk, cuts one link, or kills all machines.
+    """
     loop = asyncio.get_running_loop()
     names = sorted(cluster.nodes)
     while loop.time() < until:
--- a/tests/coordination/controller/test_departure.py
+++ b/tests/coordination/controller/test_departure.py
@@ -1,4 +1,8 @@
-"""A controller that is told to stop goes once the others hold what it holds and do without it."""
+"""Tests of the graceful departure of a controller.
+
+A controller that receives a stop request keeps running until the other controllers hold its state and no
+longer need it.
+"""
 
 from __future__ import annotations
 
@@ -75,7 +79,7 @@
         await cluster.put_at_any_node(1, 0)
         stopping = asyncio.get_running_loop().create_task(cluster["a"].stop())
         await asyncio.sleep(0.3)
-        assert not stopping.done()  # without it no majority is left
+        assert not stopping.done()  # no majority would remain without this controller
         await cluster["c"].start()
         await stopping
         await cluster.until(lambda: cluster["b"].running.is_head, 1.0)
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -1,4 +1,4 @@
-"""A controller that is cut off or frozen: what it still says, hands out and does."""
+"""Tests that an isolated or frozen controller neither serves stale state nor acts as head."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def with_fault(controllers: SimulatedControllers, fault: str, victim: str, seconds: float) -> None:
-    """Bring a trouble about and end it, with orders and reads all the while."""
+    """Inject a fault for `seconds` while operators send orders and reads, and require recovery afterwards."""
     loop = asyncio.get_running_loop()
     operators = [loop.create_task(controllers.change_continuously())]
     operators += [loop.create_task(controllers.read_continuously(name)) for name in controllers.nodes]
@@ -36,7 +36,7 @@
         controllers.network.heal_all()
     before = controllers.acknowledged
     await asyncio.sleep(8.0)
-    assert controllers.acknowledged > before, "no order was taken for 8 s after all was calm"
+    assert controllers.acknowledged > before, "no order was acknowledged within 8 s after the fault"
     for operator in operators:
         if operator.done():
             operator.result()
@@ -50,7 +50,7 @@
 
 
 class TestConfiguration:
-    """Orders and reads are linearizable whatever a controller takes itself for."""
+    """Orders and reads are linearizable even while a deposed controller still acts as head or tail."""
 
     @pytest.mark.parametrize("names", ["abc", "abcd"])
     @pytest.mark.parametrize(("shape", "place"), list(itertools.product(SHAPES, ("head", "middle", "tail"))))
@@ -90,7 +90,7 @@
 
 
 async def retire_status(head: SimulatedController, message: RetireStore) -> int:
-    """Return the status that the operator gets to an order or a question about a retirement."""
+    """Return the status of the response to an order to retire a store, or to a query of its retirement."""
     answer = await head.process.run(head.head_roles.handle(message))
     assert isinstance(answer, OperatorResponse)
     return answer.status
@@ -98,7 +98,7 @@
 
 class TestRetire:
     def test_a_head_that_was_cut_off_refuses_no_order(self) -> None:
-        """It takes itself for the head for a second more, and cannot know what its successor has taken."""
+        """An isolated head still considers itself head while its successor may already accept orders."""
 
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
@@ -116,7 +116,7 @@
 
 
 class TestHead:
-    """Only one head at a time acts for long: the older stops by its own clock."""
+    """Two heads overlap only briefly, because the older head steps down by its own clock."""
 
     @pytest.mark.parametrize("shape", SHAPES)
     def test_a_cut_off_head_stops(self, shape: str) -> None:
@@ -128,8 +128,7 @@
 
     @pytest.mark.parametrize("frozen_s", FROZEN_S)
     def test_a_woken_head_acts_only_after_it_has_asked(self, frozen_s: float) -> None:
-        """Whatever it says of itself in the first moment after the wake: nothing of that is in an old epoch
-        while a later head acts."""
+        """Immediately after a pause, a deposed head must not publish a worker list in its old epoch."""
 
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
@@ -146,7 +145,7 @@
                 newest = max(node.controller.view.epoch for node in others if node.controller.view)
                 for item in victim.published[published:]:
                     if item.key == WORKERS:
-                        assert item.version[0] >= newest, "a list was published in a past epoch"
+                        assert item.version[0] >= newest, "a list was published in an old epoch"
 
         assert run_simulated_controllers(work).overlap_s() == 0.0
 
@@ -175,7 +174,7 @@
             old = controllers.require_head()
             await asyncio.sleep(2.0)
             old.worker_list_source.read_duration_s = (
-                1.1  # the answer comes while the others are about to replace it
+                1.1  # the response arrives while the others are about to replace this head
             )
             reads_begun = old.worker_list_source.reads_begun
             await controllers.until(lambda: old.worker_list_source.reads_begun > reads_begun, 3.0)
--- a/tests/coordination/controller/test_head_roles_after_pause.py
+++ b/tests/coordination/controller/test_head_roles_after_pause.py
@@ -1,4 +1,7 @@
-"""What a head that stood still makes of words that lay unread: nothing before they are said again."""
+"""Tests that a head ignores suspicions that it received before or during a pause of its process.
+
+Without this rule a head that resumes would declare members dead because of stale suspicions.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class _Chain:
-    """A chain that this process is the head of, whatever happens."""
+    """A control chain whose head is always this process."""
 
     is_head = True
     view: View | None = None
@@ -38,7 +41,7 @@
 
 
 class _Transport:
-    """Nobody answers in time."""
+    """A transport on which every call times out."""
 
     address = "10.0.0.a:7780"
 
@@ -80,7 +83,7 @@
             self.deaths.append(item.value.name)
 
     def hear(self, reporter: str) -> None:
-        """A suspicion of b arrives; a frozen process reads it when it wakes."""
+        """Deliver a suspicion of member b; a frozen process handles it when it resumes."""
         self.process.run(self.head_roles.handle(MemberSuspected("b", 1, reporter)))
 
     async def freeze_for(self, seconds: float) -> None:
@@ -124,7 +127,7 @@
         await freezing
         await asyncio.sleep(1.5)
         assert head.deaths == []
-        for reporter in ("c", "d"):  # they stand: the monitors say it again
+        for reporter in ("c", "d"):  # the monitors repeat suspicions that are still valid
             head.hear(reporter)
         await asyncio.sleep(0.2)
         assert head.deaths == ["b"]
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's HTTP interface, with a stand-in for those who decide."""
+"""Tests of the operator's HTTP interface, with a fake for the processes that handle the messages."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Deciders:
-    """Remembers what came, and answers as told."""
+    """Records the forwarded messages and returns a preset response, raises an error or never answers."""
 
     def __init__(self, answer: OperatorResponse | Exception | None) -> None:
         self.answer = answer
--- a/tests/coordination/controller/test_orders_of_deposed_head.py
+++ b/tests/coordination/controller/test_orders_of_deposed_head.py
@@ -1,4 +1,8 @@
-"""An order at a head that is deposed while its write is on the way and rejoins the chain before that ends."""
+"""Tests of an order at a head that is deposed while it replicates the order's state.
+
+The old head rejoins the chain before its write times out.  It must not acknowledge the order when it receives
+the state of the new head, which may contain a different order.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +15,12 @@
 from tests.support.controller_cluster import ControllerCluster, ControllerNode, document, run_virtual
 
 VERSION = 1
-CUT_S = (1.2, 1.6, 2.0, 2.4)  # the others decide a view after some 1.1 s, the write ends after 3.2 s
+CUT_S = (1.2, 1.6, 2.0, 2.4)  # a new view is decided after about 1.1 s; the write times out after 3.2 s
 FAR_ABOVE_S = 8.0
 
 
 def put(generation: int, who: str) -> ChangeConfiguration:
-    """An order on version 1 that only this operator sends."""
+    """Return an order that is based on version 1 and unique to the operator `who`."""
     return ChangeConfiguration("PUT", VERSION, orjson.dumps({**document(generation), "comment": who}))
 
 
@@ -45,7 +49,7 @@
     cluster.join_all()
 
     answer = await one
-    assert answer.status in (412, 503), "both orders on version 1 were acknowledged"
+    assert answer.status in (412, 503), "both orders based on version 1 were acknowledged"
     assert (await successor.ask(put(2, "one"))).status == 412
     assert (await head.ask(put(2, "other"))).status == 200
 
@@ -56,7 +60,7 @@
 
 
 async def replace_a_voter(cluster: ControllerCluster) -> None:
-    """An empty machine takes the place of one that is not the head."""
+    """Replace a machine that is not the head by an empty one."""
     head = await head_of(cluster)
     gone = next(node for node in cluster.nodes.values() if node is not head)
     cluster.add("n")
--- a/tests/coordination/controller/test_orders_races.py
+++ b/tests/coordination/controller/test_orders_races.py
@@ -1,4 +1,4 @@
-"""An order twice at once, two orders on one version, and an order sent again after its answer was lost."""
+"""Tests of concurrent orders: duplicates, conflicting orders, and retries after a lost response."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from tests.support.controller_cluster import ControllerCluster, ControllerNode, document, run_virtual
 
 SEEDS = 40
-JITTERS_S = (0.0, 0.02, 0.05, 0.1)  # longer ones exceed the time limits of the calls
+JITTERS_S = (0.0, 0.02, 0.05, 0.1)  # longer jitter exceeds the timeouts of the calls
 CLEAR_WITHIN_S = 15.0
 
 
 def put(generation: int, if_match: int, who: str = "") -> ChangeConfiguration:
-    """An order that only this operator sends."""
+    """Return an order that is based on version `if_match` and unique to the operator `who`."""
     return ChangeConfiguration("PUT", if_match, orjson.dumps({**document(generation), "comment": who}))
 
 
 async def ask(node: ControllerNode, message: Any, timeout: float = 3.0) -> int:
-    """The status of the answer; 503 where none came in time."""
+    """Return the status of the response; 503 if there is none before the timeout."""
     if node.controller is None:
         return 503
     task = node.ask(message)
@@ -36,7 +36,7 @@
 
 
 async def ask_until_clear(cluster: ControllerCluster, message: Any, chance: random.Random) -> int:
-    """Send an order again, unchanged, to any controller until it is taken or refused."""
+    """Retry an order unchanged at random controllers until one accepts or rejects it; return the status."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     while loop.time() - started < CLEAR_WITHIN_S:
@@ -44,11 +44,11 @@
         if status != 503:
             return status
         await asyncio.sleep(0.1)
-    raise AssertionError("no clear answer")
+    raise AssertionError("no definite response")
 
 
 async def in_force(cluster: ControllerCluster) -> dict[str, Any]:
-    """The configuration that a controller reads back."""
+    """Return the current configuration as read from any controller."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     while loop.time() - started < CLEAR_WITHIN_S:
@@ -60,11 +60,11 @@
                 content: dict[str, Any] = orjson.loads(answer.body)
                 return content
         await asyncio.sleep(0.1)
-    raise AssertionError("nobody knows the configuration")
+    raise AssertionError("no controller returns the configuration")
 
 
 async def started(seed: int) -> tuple[ControllerCluster, random.Random]:
-    """A cluster with version 1 in force, and jitter from then on."""
+    """Start a cluster, commit version 1 and then add jitter to the network; return it and a random source."""
     cluster = ControllerCluster("abc", seed)
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
@@ -73,7 +73,7 @@
 
 
 async def disturb(cluster: ControllerCluster, chance: random.Random) -> None:
-    """The head is killed, cut off or stops at any moment of the order's way, and is back later."""
+    """Kill or isolate the head, or do nothing, at a random moment during an order; then restore the head."""
     await asyncio.sleep(chance.uniform(0.0, 0.1 + 2 * cluster.network.slowest_s))
     head = next((node for node in cluster.nodes.values() if node.running.is_head), None)
     if head is None:
@@ -151,7 +151,7 @@
         assert await ask_until_clear(cluster, order, chance) == 200
         assert await ask_until_clear(cluster, later, chance) == 200
         await asyncio.sleep(chance.uniform(0.0, 1.0))
-    for node in cluster.nodes.values():  # every process is killed and comes back
+    for node in cluster.nodes.values():  # kill and restart every process
         await node.kill()
     for node in cluster.nodes.values():
         await node.start()
@@ -165,7 +165,7 @@
 
 
 async def deposed_head() -> None:
-    """A head that has been replaced, and takes the others for reachable: its process has stood still."""
+    """Send orders to a deposed head that still considers the other voters reachable, as after a pause."""
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
--- a/tests/coordination/controller/test_orders_random.py
+++ b/tests/coordination/controller/test_orders_random.py
@@ -1,4 +1,4 @@
-"""Operators at work while controllers come to harm, compared with a plain list of the orders taken."""
+"""Randomized tests of orders during controller faults, checked against a model of the accepted orders."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 SEEDS = 12
 MAX_FAULT_S = 2.5
-CALM_S = 4.2  # `catchUpS`: the next loss may come right then
+CALM_S = 4.2  # `catchUpS`, the earliest time at which the next failure may follow
 STABILIZE_S = 8.0
 TAKEN_WITHIN_S = 15.0
 
 
 class RandomFaults:
-    """One trouble after the other, each within what the deployment has to bear."""
+    """Injects one fault after the other, each within the fault tolerance of the deployment."""
 
     def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
         self.cluster = cluster
@@ -37,7 +37,7 @@
             await self.calm()
 
     async def calm(self) -> None:
-        """What happens between two troubles."""
+        """Wait between two faults until the next one may follow."""
         await asyncio.sleep(CALM_S)
 
     async def pause(self) -> None:
@@ -84,7 +84,7 @@
 
 
 async def play(seed: int, names: str, jitter: float, troubles: int = 5) -> RandomOperators:
-    """One run; the operators with all that they were told, compared with the state at the end."""
+    """Run operators during random faults, check their responses against the final state and return them."""
     chance = random.Random(f"orders {seed}")
     cluster = ControllerCluster(names, seed)
     await cluster.bootstrap_all()
@@ -100,14 +100,16 @@
 
 
 async def finish(operators: RandomOperators) -> None:
-    """Calm, without jitter: have one more order taken, which brings to its end what was under way, and
-    compare."""
+    """Check all responses against the final state, without faults or jitter.
+
+    One more order is committed first, which completes all orders that are still in progress.
+    """
     operators.cluster.network.slowest_s = 0.0
     loop = asyncio.get_running_loop()
     started = loop.time()
     last = SentOrder("PUT", 0, b"")
     while last.acknowledged_at is None:
-        assert loop.time() - started < TAKEN_WITHIN_S, "no order is taken"
+        assert loop.time() - started < TAKEN_WITHIN_S, "no order is acknowledged"
         await asyncio.sleep(0.1)
         base = await operators.read()
         if base is not None:
--- a/tests/coordination/controller/test_voters_replaced.py
+++ b/tests/coordination/controller/test_voters_replaced.py
@@ -1,4 +1,4 @@
-"""The voter set follows the machines: after each replacement the next loss is borne."""
+"""Tests of voter replacement: after each replacement the voters tolerate the next failure."""
 
 from __future__ import annotations
 
@@ -128,7 +128,7 @@
         answer = await cluster["b"].running.handle(prepare)
         assert isinstance(answer, Promise)
         assert not answer.granted
-        await cluster["c"].kill()  # now the spare takes a place again
+        await cluster["c"].kill()  # the spare becomes a voter again
         await cluster.until(lambda: voter_names(cluster["a"]) == "abs", 4.0)
         assert await cluster.put_at_any_node(2, 1) < 1.0
 
@@ -165,8 +165,11 @@
 
 
 def test_while_the_disk_keeps_a_view_from_use_nothing_is_judged_by_it() -> None:
-    """A head whose disk hangs learns of the next epoch: what it holds of the one in use must not be told, nor
-    acted on, as if it were of the newer one, else it would lead with an old state."""
+    """A head whose disk is stalled receives the view of the next epoch but cannot use it yet.
+
+    It must not report or use the state of its current epoch as a state of the newer epoch, or it would become
+    head with an old state.
+    """
 
     async def play() -> None:
         cluster = ControllerCluster("abc")
@@ -193,4 +196,4 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_losses_at_the_edge_of_what_is_borne(seed: int) -> None:
-    assert len(run_search(seed).acknowledged) >= 10  # at 0.4 s a message an order takes 1.6 s
+    assert len(run_search(seed).acknowledged) >= 10  # an order takes 1.6 s if each message takes 0.4 s
--- a/tests/coordination/controller/test_worker_list_page.py
+++ b/tests/coordination/controller/test_worker_list_page.py
@@ -1,4 +1,4 @@
-"""Parsing of a page of the worker list: what is malformed is rejected as a whole."""
+"""Tests of the parser for worker list pages, which rejects a malformed page as a whole."""
 
 from __future__ import annotations
 
--- a/tests/coordination/controller/test_worker_list_reader.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -1,4 +1,4 @@
-"""Reading of the worker list over HTTP."""
+"""Tests of reading the worker list over HTTP."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
     async def work(reader: WorkerListReader) -> None:
         for _ in range(3):
-            reader._rate_limiter = CallRateLimiter(20_000.0)  # no pause of real time in a test
+            reader._rate_limiter = CallRateLimiter(20_000.0)  # without backoff
             with pytest.raises(WorkerListReadError) as caught:
                 await reader.read()
             assert caught.value.peer == reader.address
--- a/tests/coordination/controller/test_worker_list_reconciler.py
+++ b/tests/coordination/controller/test_worker_list_reconciler.py
@@ -1,4 +1,4 @@
-"""What a complete read makes of the worker list: empty lists, and pages that shift."""
+"""Tests of the worker list reconciler: empty lists, and lists that change between two pages."""
 
 from __future__ import annotations
 
--- a/tests/coordination/controller/voter_fault_search.py
+++ b/tests/coordination/controller/voter_fault_search.py
@@ -1,10 +1,12 @@
-"""Random losses of controllers, one after the other, in virtual time: what is lost comes back, and the next
-loss follows `CATCH_UP_S` later, the very edge of what a deployment promises to bear.  Where every message and
-every sync may take 0.4 s, which a deployment counts as a loss by itself, the next one follows
-`SLOW_CATCH_UP_S` later.
+"""Randomized search for faults in voter recovery, in virtual time.
 
-After the last one, everything has to recover within `RECOVERY_S` without faults: an order is accepted, every
-voter holds the newest state and every controller knows the newest view.  To run many seeds:
+Each run injects failures of controllers one after the other.  A failed controller returns or is replaced, and
+the next failure follows `CATCH_UP_S` later, which is the shortest interval that a deployment has to tolerate.
+If every message and every sync may take 0.4 s, which a deployment counts as a failure by itself, the interval
+is `SLOW_CATCH_UP_S`.
+
+After the last failure the cluster has to recover within `RECOVERY_S`: an order is acknowledged, every voter
+holds the newest state and every controller has the newest view.  To run many seeds:
 
     python -m tests.coordination.controller.voter_fault_search --seeds 200
 """
@@ -20,24 +22,23 @@
 from tests.support.controller_cluster import STALLED, ControllerCluster, ControllerNode, run_virtual
 from tests.support.order_traffic import OrderTraffic
 
-CATCH_UP_S = (
-    4.2  # `catchUpS`: from its return on, or from the start of a successor, a lost machine counts so long
-)
-SLOW_CATCH_UP_S = 6.0  # the same where each message and each sync may take more than `EDGE_JITTER_S`
+# `catchUpS`: a failed machine counts as failed until this long after its return or its replacement's start.
+CATCH_UP_S = 4.2
+SLOW_CATCH_UP_S = 6.0  # replaces `CATCH_UP_S` if messages and syncs may take more than `EDGE_JITTER_S` longer
 EDGE_JITTER_S = 0.2
 RECOVERY_S = 8.0
 JITTERS_S = (0.0, 0.1, 0.2, 0.4)
-PROCESS_START_S = (0.3, 1.0)  # from a machine's start to its process's first word
+PROCESS_START_S = (0.3, 1.0)  # range of the time from a machine's start to its process's start
 LOSSES = 8
-ORDER_WITHIN_S = 2.5  # once all is calm
+ORDER_WITHIN_S = 2.5  # timeout of an order after recovery
 
 
 class NotRecoveredError(AssertionError):
-    """All was calm for `RECOVERY_S` and something was not as it has to be."""
+    """The cluster did not recover within `RECOVERY_S` after the last failure."""
 
 
 class VoterFaultSearch:
-    """One day of losses."""
+    """One run with a random sequence of failures."""
 
     def __init__(self, seed: int, names: str, spares: str, tolerated: int) -> None:
         self.chance = random.Random(f"voter hunt {seed}")
@@ -47,7 +48,10 @@
         self._replacements = 0
 
     async def run(self) -> OrderTraffic:
-        """Play the day; `NotRecoveredError` or another failed assertion where a promise is broken."""
+        """Inject all failures and check the recovery; return the orders sent meanwhile.
+
+        Raise `NotRecoveredError` or another `AssertionError` if a guarantee is violated.
+        """
         cluster, loop = self.cluster, asyncio.get_running_loop()
         await cluster.bootstrap_all()
         for name in self.spares:
@@ -66,10 +70,10 @@
         await self._check_healed(traffic)
         return traffic
 
-    # -- losses ----------------------------------------------------------------------------------------
+    # -- failures --------------------------------------------------------------------------------------
 
     async def _lose_one(self) -> None:
-        """One loss, until what was lost, or what takes its place, has started."""
+        """Inject one failure; return after the failed machine or its replacement has started."""
         kinds: list[Callable[[ControllerNode], Coroutine[None, None, None]]] = [
             self._kill,
             self._wipe,
@@ -115,20 +119,20 @@
         await self._start(node)
 
     async def _replace(self, node: ControllerNode) -> None:
-        """The machine is gone for good; an empty one with another name and address starts after it."""
+        """Remove a machine without notice, then start an empty one with another name and address."""
         await node.kill()
         self._remove(node)
         await self._wait(self.chance.uniform(0.0, 1.0))
         await self._start(self._new_machine(node))
 
     async def _replace_after_notice(self, node: ControllerNode) -> None:
-        """The machine is told to stop, goes for good, and an empty one starts."""
+        """Stop a machine gracefully, remove it and start an empty one."""
         await node.stop()
         self._remove(node)
         await self._start(self._new_machine(node))
 
     async def _replace_by_one_there_before(self, node: ControllerNode) -> None:
-        """An empty machine starts first; the other one goes for good soon after."""
+        """Start an empty machine first, and remove the old one soon after."""
         await self._start(self._new_machine(node))
         await self._wait(self.chance.uniform(0.0, 3.0))
         await node.kill()
@@ -144,7 +148,7 @@
             await node.start()
 
     def _remove(self, node: ControllerNode) -> None:
-        """The machine is gone for good; the seeds that later starts are told are of those that are left."""
+        """Remove a machine for good, and choose the seeds of later starts from the remaining machines."""
         self.cluster.remove(node.name)
         left = sorted(self.cluster.nodes)
         self.cluster.use_seeds(self.chance.sample(left, min(3, len(left))))
@@ -160,7 +164,7 @@
     async def _wait(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
 
-    # -- what has to hold afterwards -------------------------------------------------------------------
+    # -- checks after the last failure -----------------------------------------------------------------
 
     async def _check_healed(self, traffic: OrderTraffic) -> None:
         nodes = list(self.cluster.nodes.values())
@@ -172,15 +176,15 @@
         try:
             await traffic.put_newest(ORDER_WITHIN_S)
         except AssertionError as error:
-            raise NotRecoveredError(f"no order is taken: {error}; {story}") from error
+            raise NotRecoveredError(f"no order is acknowledged: {error}; {story}") from error
         await asyncio.sleep(1.0)
         state = next((node.running.state for node in nodes if node.running.is_head), None)
         if state is None:
-            raise NotRecoveredError(f"nobody leads; {story}")
+            raise NotRecoveredError(f"no controller is the head; {story}")
         for node in nodes:
             view = node.running.view
             if view is None or view.epoch != newest.epoch:
-                raise NotRecoveredError(f"{node.name} knows epoch {view and view.epoch}; {story}")
+                raise NotRecoveredError(f"{node.name} has epoch {view and view.epoch}; {story}")
             if node.name in newest.chain and node.running.state != state:
                 raise NotRecoveredError(f"{node.name} lacks the newest state; {story}")
         self._check_voters(newest.chain, {voter.name for voter in newest.voters}, story)
@@ -194,7 +198,7 @@
 
 
 def run_search(seed: int) -> OrderTraffic:
-    """Three controllers, with a spare in one seed of three, or five in one of six."""
+    """Run one seed with three controllers, one third of the seeds with a spare, or with five in one sixth."""
     names, tolerated = ("abcde", 2) if seed % 6 == 5 else ("abc", 1)
     hunt = VoterFaultSearch(seed, names, "s" if seed % 3 == 1 else "", tolerated)
     return run_virtual(hunt.run())
@@ -204,7 +208,7 @@
 @click.option("--first", default=0)
 @click.option("--seeds", default=200)
 def main(first: int, seeds: int) -> None:
-    """Play many seeds and print those that fail."""
+    """Run many seeds and print those that fail."""
     failed = orders = 0
     for seed in range(first, first + seeds):
         try:
--- a/tests/coordination/controller/voter_recovery_times.py
+++ b/tests/coordination/controller/voter_recovery_times.py
@@ -1,5 +1,6 @@
-"""How long the voters take to be whole again after a loss, in virtual time: the table of
-docs/control-safety/membership.md.
+"""Measurement of the recovery times of the voters after a failure, in virtual time.
+
+The results are the table of docs/control-safety/membership.md.
 
     python -m tests.coordination.controller.voter_recovery_times
 """
@@ -22,7 +23,7 @@
 
 
 async def kill(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
-    """The process is killed and starts again."""
+    """Kill the process and restart it."""
     await node.kill()
     await asyncio.sleep(absence_s)
     await node.start()
@@ -30,7 +31,7 @@
 
 
 async def wipe(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
-    """The disk is lost with it."""
+    """Kill the process and restart it with an empty disk."""
     await node.kill()
     node.wipe()
     await asyncio.sleep(absence_s)
@@ -39,7 +40,7 @@
 
 
 async def cut(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
-    """The machine is cut off from the others."""
+    """Isolate the machine from all others for a time."""
     cluster.isolate(node.name)
     await asyncio.sleep(absence_s)
     cluster.join_all()
@@ -47,7 +48,7 @@
 
 
 async def stick(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
-    """Its disk answers nothing."""
+    """Stall the machine's disk for a time while an operator sends an order."""
     node.files[STALLED] = b"yes"
     order = asyncio.get_running_loop().create_task(cluster.put_at_any_node(2, 1, GIVEN_UP_S))
     await asyncio.sleep(absence_s)
@@ -58,7 +59,7 @@
 
 
 async def replace(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
-    """It is gone for good; an empty one starts later."""
+    """Remove the machine for good and start an empty one later."""
     await node.kill()
     cluster.remove(node.name)
     await asyncio.sleep(absence_s)
@@ -69,7 +70,7 @@
 async def replace_by_one_there_before(
     cluster: ControllerCluster, node: ControllerNode, absence_s: float
 ) -> str:
-    """An empty one starts; then it is gone for good."""
+    """Start an empty machine and later remove the old one for good."""
     await cluster.add(SUCCESSOR).start()
     await asyncio.sleep(absence_s)
     await node.kill()
@@ -78,7 +79,7 @@
 
 
 def is_complete(cluster: ControllerCluster, name: str) -> bool:
-    """Whether the chain has three members that are there, among them the one that came with the state."""
+    """Return whether the chain has three running members and `name` is one with a state of its epoch."""
     views = [node.running.view for node in cluster.nodes.values()]
     newest = max((view for view in views if view is not None), key=lambda view: view.epoch)
     came = cluster[name].running
@@ -94,7 +95,7 @@
 
 
 async def measure(loss: Loss, victim: str, absence_s: float, jitter_s: float) -> float:
-    """Seconds from the end of the loss on."""
+    """Return the seconds from the end of the failure until the voters are complete again."""
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
@@ -108,7 +109,7 @@
 
 @click.command()
 def main() -> None:
-    """Print the longest and the mean time for each loss."""
+    """Print the longest and the mean recovery time for each kind of failure."""
     for jitter_s in JITTERS_S:
         for loss in (kill, wipe, cut, stick, replace, replace_by_one_there_before):
             times = [
