--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -479,7 +479,9 @@
             return False
         status = work.result()
         if status == 200:
-            assert built_on not in self.acknowledged.values(), "two acknowledged changes of one generation"
+            assert built_on not in self.acknowledged.values(), (
+                "two acknowledged changes share a base generation"
+            )
             self.acknowledged[generation] = built_on
             return True
         if status == 412:
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -1,6 +1,6 @@
-"""A whole cluster of clients, feeds and head's duties in virtual time, over a simulated network.
+"""Tests of a cluster of clients, feeds and head roles in virtual time, over a simulated network.
 
-The control chain is a stand-in: one committed state that all controllers share, with a head that tests set.
+A fake replaces the control chain: all controllers share one committed state, and the tests choose the head.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
 
 
 class Chain:
-    """The control chain of the whole system, as one value."""
+    """A fake of the control chain that consists of one shared view and state."""
 
     def __init__(self) -> None:
         self.view: View | None = None
         self.state = ControlState(0, 0, b"", [])
         self.head = ""
-        self.confirms = True  # whether reads are answered
+        self.confirms = True  # whether the chain answers reads
         self.nodes: list[Node] = []
         self.lists: list[PlatformWorkerList | None] = []
         self.readings: list[float] = []
@@ -89,7 +89,7 @@
         return True
 
     async def read(self) -> PlatformWorkerList | None:
-        """The platform's list, as a stand-in of its reader."""
+        """Return the platform's list, as a fake of the worker list reader."""
         self.chain.readings.append(asyncio.get_running_loop().time())
         if not self.chain.lists:
             raise WorkerListReadError("read the list", "platform", "nothing to read")
@@ -97,7 +97,7 @@
 
 
 class Node:
-    """One process: its client, and a controller's parts where it is one."""
+    """One process: its client and, if it is a controller, its feed and head roles."""
 
     def __init__(
         self,
@@ -173,7 +173,7 @@
             return await self.head_roles.handle(message)
         if isinstance(message, ClusterClient.MESSAGES):
             return await self.client.handle(message)
-        raise TypeError(f"{type(message).__name__} is for nobody here")
+        raise TypeError(f"{type(message).__name__} has no handler")
 
     def sees(self, name: str) -> tuple[int, int] | None:
         found = self.state.members.get(name)
@@ -181,7 +181,7 @@
 
 
 class Cluster:
-    """Three zones: in each a controller, an edge process without a disk, and stores."""
+    """Three zones, each with a controller, an edge process without a disk, and stores."""
 
     def __init__(self, loop: VirtualTimeLoop, stores: int = 3) -> None:
         self.loop = loop
@@ -245,15 +245,15 @@
         return all(what(node.state) for node in self.living())
 
     async def until(self, condition: Callable[[], bool], within: float) -> float:
-        """Seconds until a condition holds; fails after `within`."""
+        """Wait until a condition holds; return the seconds waited, and fail after `within` seconds."""
         started = self.loop.time()
         while not condition():
-            assert self.loop.time() - started < within, "not in time"
+            assert self.loop.time() - started < within, "the condition did not hold in time"
             await asyncio.sleep(0.01)
         return self.loop.time() - started
 
     async def calm(self) -> None:
-        """Begin: the view is decided, everyone knows everyone and the placement."""
+        """Decide the first view, and wait until every process has all members and the placement."""
         await asyncio.sleep(0.5)
         self.chain.decide(self.view(1))
         names = list(self.nodes)
@@ -262,7 +262,7 @@
 
 
 def play(work: Callable[[Cluster], Coroutine[Any, Any, None]], **options: Any) -> None:
-    """Run a test in virtual time; nothing may have failed unseen."""
+    """Run a test in virtual time; fail if any task or message handler has raised an exception."""
     loop = VirtualTimeLoop()
     try:
 
@@ -333,7 +333,7 @@
         assert node.state.configuration is None
         cluster.network.heal_all()
         await asyncio.sleep(1.0)
-        assert not task.done()  # the chain cannot confirm yet
+        assert not task.done()  # the chain does not answer reads yet
         cluster.chain.confirms = True
         await asyncio.wait_for(task, 2.0)
         assert node.state.configuration is not None
@@ -427,7 +427,7 @@
 
 
 def test_readers_leave_a_controller_that_has_lost_the_others() -> None:
-    """The controller of zone 1 is cut off from the other two, but not from the processes of its zone."""
+    """The controller of zone 1 loses the other two controllers, but not the processes of its zone."""
 
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
@@ -482,8 +482,11 @@
 
 
 def test_a_controller_that_is_no_voter_is_known_and_does_not_pull_in_a_hurry() -> None:
-    """Its own items and the voters' have equal versions, and the voters do not pull from it; the origin of
-    theirs has no other live items, so that it is pruned here."""
+    """A controller that is not a voter holds items of the same versions as the voters' items.
+
+    The voters do not pull from it.  The origin of the voters' items has no other items, so this controller
+    prunes it from its version vector.  Its pulls must still wait instead of returning the same items at once.
+    """
 
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
@@ -515,7 +518,7 @@
 
 
 def test_a_death_that_only_readers_know_of_is_given_back_to_the_controllers() -> None:
-    """The controller that published it ends before the others have pulled it."""
+    """The controller that published the death is lost before the other controllers have pulled it."""
 
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
@@ -528,8 +531,8 @@
         await head_roles.handle(MemberDeparting("store2", 1))
         await cluster.until(lambda: cluster.nodes["edge0"].sees("store2") == (1, 1), 0.5)
         assert cluster.nodes["core1"].sees("store2") == (1, 0)
-        cluster.chain.head = ""  # nobody judges
-        await asyncio.sleep(4.0)  # connections over the cut have ended, nothing is on its way
+        cluster.chain.head = ""  # without a head, nobody declares members dead
+        await asyncio.sleep(4.0)  # connections over the cut have timed out
         cluster.power_off("core0")
         cluster.restart("core0")
         cluster.network.heal_all()
@@ -584,7 +587,7 @@
             node = cluster.nodes[name]
             await asyncio.wait_for(node.process.run(node.client.leave()), 1.0)
             await cluster.until(lambda name=name: cluster.all_see(name, (1, 1)), 0.3)  # type: ignore[misc]
-        await asyncio.sleep(3.0)  # they still run, and do not come back
+        await asyncio.sleep(3.0)  # they still run but stay departed
         assert [cluster.nodes[name].client.me.status for name in ("edge0", "store1", "core2")] == [0, 0, 1]
         assert all(cluster.all_see(name, (1, 1)) for name in ("edge0", "store1", "core2"))
 
@@ -671,7 +674,7 @@
 
 
 async def play_random_faults(seed: int, cluster: Cluster) -> None:
-    """Inject faults for half a minute, then none: all processes converge, and no value ever went back."""
+    """Inject faults for half a minute; no version may decrease, and all processes converge afterwards."""
     random_source = random.Random(seed)
     await cluster.calm()
     seen: dict[tuple[SimulatedProcess, str], list[int]] = {}
@@ -718,7 +721,7 @@
 
 
 def end_or_restart(cluster: Cluster, name: str, event: str) -> None:
-    """Kill a process or cut its power as long as more than five are living; else restart it."""
+    """Kill a process or cut its power if more than five processes are alive; otherwise restart it."""
     if event == "restart" or len(cluster.living()) <= 5:
         cluster.restart(name)
     elif event == "kill":
@@ -737,7 +740,7 @@
 def assert_no_value_went_back(
     cluster: Cluster, seen: dict[tuple[SimulatedProcess, str], list[int]], where: tuple[int, int]
 ) -> None:
-    """Compare the versions that the living processes have with what they had before."""
+    """Assert that no version that a live process holds has decreased since the last call."""
     for node in cluster.living():
         for key, version in node.state.versions.items():
             assert version >= seen.get((node.process, key), []), (where, node.name, key)
@@ -825,7 +828,7 @@
 
 
 async def report_learners(cluster: Cluster) -> None:
-    """What primaries would do: say that each learner has caught up."""
+    """Report each learner as caught up, as the primaries would."""
     placement = cluster.chain.state.placement
     head_roles = cluster.nodes[cluster.chain.head].head_roles
     assert placement is not None
@@ -854,7 +857,7 @@
 
 
 def test_an_old_report_about_a_learner_does_not_count() -> None:
-    """It came when too many replicas were missing; when they return, the primary no longer vouches for it."""
+    """A report that arrived while too many replicas were dead must not count after they have returned."""
 
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
@@ -897,7 +900,7 @@
         assert (await retire(cluster, "store0", None))[0] == 404
         for _ in range(2):  # idempotent
             assert await retire(cluster, "store0") == (200, b'{"state":"running"}')
-        assert (await retire(cluster, "store1"))[0] == 409  # three stores remain, all needed
+        assert (await retire(cluster, "store1"))[0] == 409  # the three remaining stores are required
         unnamed_since = math.inf
         for _ in range(200):
             await asyncio.sleep(0.1)
@@ -909,7 +912,7 @@
             assert placement is not None
             await report_learners(cluster)
         else:
-            raise AssertionError("the machine is never emptied")
+            raise AssertionError("the retirement did not complete")
         assert 0.9 <= cluster.loop.time() - unnamed_since <= 2.5
         placement = cluster.chain.state.placement
         assert placement is not None
@@ -942,7 +945,7 @@
     play(work)
 
 
-# ---- the platform's list
+# ---- the platform's worker list
 
 
 def worker(identifier: str, state: str = "ready", warm_in_ms: int = 0) -> PlatformWorker:
@@ -972,7 +975,7 @@
             ),
             1.2,
         )
-        cluster.chain.lists = []  # the platform is down: the last list stays
+        cluster.chain.lists = []  # the platform is down, so the last list stays valid
         await asyncio.sleep(5.0)
         assert listed(cluster) == [worker("a", "draining")]
 
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -1,4 +1,4 @@
-"""Contact with a majority of the controllers: how old what a process knows may be, and what it says then."""
+"""Tests of the contact with a majority of the controllers, which bounds the age of a process's values."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.intake.test_intake import play as play_intake
 
 CORES = ("10.0.0.1", "10.1.0.1", "10.2.0.1")
-SLACK_S = 0.05  # for the way of an answer
-CALM_AGE_S = 2.3  # two long polls of a second each, one after the other
+SLACK_S = 0.05  # tolerance for the transmission of a response
+CALM_AGE_S = 2.3  # two consecutive long polls of a second each, plus tolerance
 
 
 def publish(cluster: Cluster, generation: int, *cores: str) -> None:
-    """A configuration is committed; these controllers hear of it."""
+    """Commit a configuration and publish it in the feeds of the controllers `cores` only."""
     cluster.chain.state = evolve(cluster.chain.state, generation=generation, document=DOCUMENT % generation)
     for name in cores:
         head_roles = cluster.nodes[name].head_roles
@@ -67,8 +67,11 @@
     def test_a_reader_is_no_younger_than_its_cut_off_controller(
         self, cut: Callable[[Cluster], None], last_word_s: float
     ) -> None:
-        """Reader and controller of zone 1 are cut off together; the controller says that it is connected for
-        2.5 s more.  With the way out cut, the others still answer the long polls that have reached them."""
+        """The reader and the controller of zone 1 are isolated together.
+
+        The controller reports itself connected for another 2.5 s.  If only its outgoing links are cut, the
+        other controllers still answer the long polls that have reached them.
+        """
 
         async def work(cluster: Cluster) -> None:
             await cluster.calm()
@@ -110,7 +113,7 @@
             cluster.loop.freeze(node.process)
             frozen_at = cluster.loop.time()
             await asyncio.sleep(0.01)
-            publish(cluster, 5, "core0", "core2")  # answers the long polls; the answers lie unread
+            publish(cluster, 5, "core0", "core2")  # ends the long polls; the responses stay unread
             await asyncio.sleep(0.1)
             for other in CORES:
                 if other != node.host:
@@ -155,7 +158,7 @@
                     asked.append(target)
 
             cluster.network.observer = watch
-            cluster.chain.confirms = False  # as the controller that lacks a majority answers
+            cluster.chain.confirms = False  # like a controller without a majority
             await asyncio.sleep(0.001)
             starting = node.process.run(node.client.wait_for_committed_state())
             await asyncio.sleep(20.0)
@@ -171,7 +174,7 @@
 
 
 class TestIntake:
-    """404 only if it is certain that there is no such route or service."""
+    """The intake returns 404 only if it is certain that there is no such route or service."""
 
     def intake(self, world: World, current: bool) -> IntakeService:
         return IntakeService(
@@ -204,7 +207,7 @@
         play_intake(work)
 
     def test_messages_on_known_routes_are_taken_without_contact(self) -> None:
-        """The store that keeps one has a quorum, and its own configuration decides what becomes of it."""
+        """Accepting a message is safe, because its store has a quorum and applies its own configuration."""
 
         async def work(world: World) -> None:
             assert (await self.intake(world, False).handle(request("/a/"))).status == 202
--- a/tests/coordination/distribution/test_update_feed.py
+++ b/tests/coordination/distribution/test_update_feed.py
@@ -1,4 +1,4 @@
-"""The feed of versioned items: merging, version vectors, pruning and the long poll."""
+"""Tests of the feed of versioned items: merging, version vectors, pruning and long polls."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
 
 
 def test_the_same_version_from_two_controllers_is_not_sent_for_ever() -> None:
-    """Both publish a committed state; whichever way they pull, there is an end to it."""
+    """Two controllers publish the same committed state and pull from each other until no items are left."""
     first, second = UpdateFeed("a/1"), UpdateFeed("b/1")
     first.publish("configuration", [7], "seven")
     second.publish("configuration", [7], "seven")
@@ -140,7 +140,7 @@
 @settings(max_examples=150, deadline=None)
 @given(steps)
 def test_feeds_and_a_reader_come_to_the_greatest_versions(run: list[tuple[Any, ...]]) -> None:
-    """Compared with a plain model: the greatest version ever published of each key."""
+    """Compare the feeds and a reader with a model that holds the greatest published version of each key."""
     feeds = [UpdateFeed(f"{name}/1") for name in "abc"]
     state = ClusterState()
     greatest: dict[str, int] = {}
@@ -188,7 +188,7 @@
         loop.call_later(0.3, feed.publish, "view", [2], "v2")
         loop.call_later(0.31, feed.publish, "placement", [1], "p1")
         answer = await poll.respond(PullUpdates("reader", answer.have, 1000))
-        assert [item.value for item in answer.items] == ["v2", "p1"]  # they travel together
+        assert [item.value for item in answer.items] == ["v2", "p1"]  # one response carries both items
         assert loop.time() - started < 0.4
 
         started = loop.time()
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -1,4 +1,4 @@
-"""A virtual cluster of controllers for the tests: a loop whose clock jumps, a network with cuts, disks."""
+"""A simulated cluster of controllers: an event loop with a virtual clock, a network and disks."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 T = TypeVar("T")
 LINK_DELAY_S = 0.001
 SYNC_S = 0.005
-STALLED = "stuck"  # a file of this name on a virtual disk: its syncs do not end
-DISK_FULL = "full"  # a file of this name on a virtual disk: it takes no more bytes
+STALLED = "stuck"  # while a virtual disk has a file of this name, its syncs do not complete
+DISK_FULL = "full"  # while a virtual disk has a file of this name, its writes fail
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Never waits: it moves the loop's clock to the next timer."""
+    """A selector that advances the loop's virtual clock to the next timer instead of waiting."""
 
     loop: JumpingClockLoop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise AssertionError("everything waits for nothing")
+            raise AssertionError("deadlock: no timer is pending")
         self.loop.now += timeout
         return []
 
@@ -62,21 +62,21 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine under a virtual clock."""
+    """Run a coroutine in an event loop with a virtual clock; return its result."""
     with asyncio.Runner(loop_factory=JumpingClockLoop) as runner:
         return runner.run(work)
 
 
 class ControllerNetwork:
-    """Which process listens where, the links that are cut, and how long messages and syncs take."""
+    """A simulated network with link cuts, which also determines how long messages and disk syncs take."""
 
     def __init__(self, seed: int) -> None:
-        self.slowest_s = 0.0  # messages and syncs may take this much longer than usual, each by chance
-        self.bytes_per_s = 0.0  # what a link carries; 0: any number of bytes takes no time
-        self.disk_bytes_per_s = 0.0  # what a disk writes; 0: any number of bytes takes no time
-        self.disk_slowness: dict[str, float] = {}  # machine -> how many times as long its disk takes
-        self.sent_bytes: Counter[str] = Counter()  # type of message -> bytes of calls and answers
-        self.saved_bytes: Counter[str] = Counter()  # machine -> bytes
+        self.slowest_s = 0.0  # maximum random delay added to each message and sync
+        self.bytes_per_s = 0.0  # throughput of a link; 0 means unlimited
+        self.disk_bytes_per_s = 0.0  # write throughput of a disk; 0 means unlimited
+        self.disk_slowness: dict[str, float] = {}  # machine -> factor on its disk's latency
+        self.sent_bytes: Counter[str] = Counter()  # message type -> bytes of requests and responses
+        self.saved_bytes: Counter[str] = Counter()  # machine -> bytes written
         self._chance = random.Random(f"network {seed}")
         self.listening: dict[str, VirtualTransport] = {}
         self.cuts: set[frozenset[str]] = set()
@@ -88,16 +88,16 @@
         self.cuts.discard(frozenset((one, other)))
 
     async def wait(self, usual_s: float) -> None:
-        """Wait as long as a message or a sync takes."""
+        """Wait for `usual_s` seconds plus a random delay."""
         await asyncio.sleep(usual_s + self._chance.uniform(0.0, self.slowest_s))
 
     async def carry(self, step: str, data: bytes) -> None:
-        """Wait as long as a message of this many bytes takes."""
+        """Wait for the transmission time of a message of type `step`, and count its bytes."""
         self.sent_bytes[step] += len(data)
         await self.wait(LINK_DELAY_S + (len(data) / self.bytes_per_s if self.bytes_per_s else 0.0))
 
     async def write(self, machine: str, value: bytes) -> None:
-        """Wait as long as a synced write of this many bytes takes."""
+        """Wait for the duration of a synced write of `value`, and count its bytes."""
         self.saved_bytes[machine] += len(value)
         usual = SYNC_S + (len(value) / self.disk_bytes_per_s if self.disk_bytes_per_s else 0.0)
         await self.wait(usual * self.disk_slowness.get(machine, 1.0))
@@ -168,21 +168,21 @@
             peer.take(data)
 
     def greeting(self, address: str, message: Any) -> Hello:
-        """Who calls, and whom it means to reach."""
+        """Return the handshake with this process's identity and that of the intended receiver."""
         view = self.view_of()
         if view is not None:
             self.peers.learn_view(view)
         return Hello(self.peers.own, self.peers.meant(address, message))
 
     def refuses(self, hello: Hello, message: Any) -> bool:
-        """Whether a message that has arrived is meant for another process."""
+        """Return whether this process rejects a received message that is meant for another process."""
         reason = self.peers.refusal(hello, message)
         if reason:
             self.peers.refuse(hello, reason)
         return bool(reason)
 
     def take(self, data: bytes) -> asyncio.Task[Any]:
-        """Handle a message that has arrived."""
+        """Handle a received message in a new task; return the task."""
         assert self._handler is not None
         task = asyncio.get_running_loop().create_task(self._run(self._handler, data))
         self.tasks.add(task)
@@ -222,7 +222,7 @@
 
 
 class ControllerNode:
-    """One machine with a disk, and the controller that runs on it at times."""
+    """One machine with a disk, on which a controller can be started and stopped."""
 
     def __init__(self, cluster: ControllerCluster, name: str, number: int, zone: str) -> None:
         self.cluster = cluster
@@ -274,11 +274,11 @@
         await self.controller.start()
 
     def ask(self, message: Any) -> asyncio.Task[Any]:
-        """Give a message to the process; the answer."""
+        """Deliver a message to the process; return a task with the response."""
         return self.run(self.running.handle(message))
 
     def run(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Have the process do something: it ends with the process, not with who waits for it."""
+        """Run a coroutine as a task of the process, which is cancelled when the process ends."""
         assert self.transport is not None
         task = asyncio.get_running_loop().create_task(work)
         self.transport.tasks.add(task)
@@ -286,13 +286,13 @@
         return task
 
     async def receive_write(self, write: ChainWrite) -> ChainWritten:
-        """Return the process's answer to a write of its predecessor."""
+        """Deliver a chain write to the process; return the response."""
         answer = await self.running.handle(write)
         assert isinstance(answer, ChainWritten)
         return answer
 
     def state_store(self) -> StateStore:
-        """The control state on this machine's disk."""
+        """Return the store of the control state on this machine's disk."""
         slots = [
             VirtualSlot(self.cluster.network, self.files, name, self.name)
             for name in ("state", "record-a", "record-b")
@@ -300,11 +300,11 @@
         return StateStore(slots[0], slots[1:])
 
     def use_seeds(self, seeds: list[str]) -> None:
-        """The settings file of this machine's process names other seeds from now on."""
+        """Change the seeds in the settings of this machine's running process."""
         self.seeds = seeds
 
     async def kill(self) -> None:
-        """End the process at once, as SIGKILL does."""
+        """End the process immediately, as SIGKILL does."""
         if self.controller is None or self.transport is None:
             return
         await self.transport.close()
@@ -316,34 +316,37 @@
         self.controller = None
 
     async def stop(self) -> None:
-        """End the process as SIGTERM does."""
+        """Shut the process down gracefully, as SIGTERM does."""
         await self.running.stop()
         assert self.transport is not None
         await self.transport.close()
         self.controller = None
 
     def wipe(self) -> None:
-        """Replace the disk by an empty one."""
+        """Replace the disk with an empty one."""
         self.files = {}
         self.disk_id += "'"
 
     async def put(self, generation: int, if_match: int) -> int:
-        """Send a whole configuration to this machine; the status."""
+        """Send a complete configuration to this machine; return the status of the response."""
         body = orjson.dumps(document(generation))
         answer = await self.running.handle(ChangeConfiguration("PUT", if_match, body))
         assert isinstance(answer, OperatorResponse)
         return answer.status
 
     async def read(self) -> tuple[int, int]:
-        """Ask this machine for the configuration: the status, and its generation."""
+        """Read the configuration from this machine; return the status and the generation."""
         answer = await self.running.handle(ReadConfiguration())
         assert isinstance(answer, OperatorResponse)
         return answer.status, orjson.loads(answer.body)["generation"] if answer.status == 200 else 0
 
 
 class ControllerCluster:
-    """Some machines on one network, `tolerated` of which may be lost at one time: by default as many as leave
-    a majority.  `seeds` are the operator addresses of those that are seeds."""
+    """A set of machines on one network.
+
+    `tolerated` is the number of machines that may fail at the same time; by default, the largest number that
+    leaves a majority.  `seeds` are the operator addresses of the seed machines.
+    """
 
     def __init__(
         self, names: str = "abc", seed: int = 0, seeds: list[str] | None = None, tolerated: int | None = None
@@ -358,24 +361,24 @@
         self.seeds = seeds if seeds is not None else [node.seed for node in self.nodes.values()][:3]
 
     def add(self, name: str, zone: str = "") -> ControllerNode:
-        """A further machine, not yet started; by default the machines go round over three zones."""
+        """Add a machine without starting it; by default the machines are spread over three zones."""
         self._added += 1
         self.nodes[name] = ControllerNode(self, name, self._added, zone or f"z{self._added % 3}")
         return self.nodes[name]
 
     def use_seeds(self, names: Iterable[str]) -> None:
-        """Name other seeds in the settings of processes that start from now on."""
+        """Change the seeds in the settings of processes that start after this call."""
         self.seeds = [self[name].seed for name in names]
 
     def remove(self, name: str) -> None:
-        """A machine that is down is gone for good."""
+        """Remove a stopped machine for good."""
         del self.nodes[name]
 
     def __getitem__(self, name: str) -> ControllerNode:
         return self.nodes[name]
 
     async def bootstrap_all(self) -> None:
-        """Start all machines within 0.3 s, and wait until each knows the first view."""
+        """Start all machines within 0.3 s, and wait until each has a view and one is the head."""
         for number, node in enumerate(self.nodes.values()):
             await asyncio.sleep(0.3 * number / len(self.nodes))
             await node.start(bootstrap=True)
@@ -383,16 +386,16 @@
         await self.until(lambda: any(node.running.is_head for node in self.nodes.values()), 2.0)
 
     async def until(self, condition: Any, seconds: float) -> float:
-        """Wait for something; how long it took."""
+        """Wait until a condition holds; return the seconds waited, and fail after `seconds`."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         while not condition():
-            assert loop.time() - started < seconds, f"not so within {seconds} s"
+            assert loop.time() - started < seconds, f"the condition did not hold within {seconds} s"
             await asyncio.sleep(0.01)
         return loop.time() - started
 
     async def put_at_any_node(self, generation: int, if_match: int, seconds: float = 5.0) -> float:
-        """Send an order to one machine after the other until it is acknowledged; how long that took."""
+        """Send an order to one machine after the other until it is acknowledged; return the seconds taken."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         while True:
@@ -410,7 +413,7 @@
             await asyncio.sleep(0.1)
 
     def isolate(self, *names: str) -> None:
-        """Cut these machines off from all others."""
+        """Cut all links between these machines and the others."""
         for name in names:
             for other in self.nodes.keys() - set(names):
                 self.network.cut(self[name].address, self[other].address)
@@ -419,7 +422,7 @@
         self.network.cuts.clear()
 
     def diskless_seed(self, ip: str) -> SeedService:
-        """An edge process without a disk that is a seed."""
+        """Return the seed service of an edge process without a disk."""
         settings = BootSettings(
             node_name=ip,
             machine_class="edge",
--- a/tests/support/order_model.py
+++ b/tests/support/order_model.py
@@ -1,7 +1,8 @@
-"""A plain, slow model of the orders, and operators whose dealings with a cluster are compared with it.
+"""A reference model of the order history, and operators whose observations are compared with it.
 
-The model is a list of the orders taken, one after the other.  What the cluster holds at the end has to be
-such a list, and each answer and each read that an operator got has to fit it.
+The model is a list of the accepted orders.  The final state of the cluster has to correspond to such a list,
+and each response that an operator received has to be consistent with it.  The model favours simplicity over
+speed.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @attrs.define(eq=False)
 class SentOrder:
-    """One order, and what its callers were told."""
+    """One order and the responses that its callers received."""
 
     method: str
     if_match: int
@@ -37,48 +38,48 @@
 
     @property
     def digest(self) -> bytes:
-        """What the order is known by in the history."""
+        """The digest that identifies the order in the history."""
         return read_order(self.method, self.if_match, self.body).ok.digest
 
     @property
     def content(self) -> dict[str, Any]:
-        """What it asks for."""
+        """The requested configuration or patch."""
         content: dict[str, Any] = orjson.loads(self.body)
         return content
 
     @property
     def generation(self) -> int:
-        """The number that it gives to its version."""
+        """The generation that the order assigns to its configuration."""
         return int(self.content["generation"])
 
 
 @attrs.frozen
 class ObservedRead:
-    """One answer to `GET /config`."""
+    """One response to a read of the configuration."""
 
     started_at: float
     generation: int
 
 
 class OrderHistoryModel:
-    """The orders taken, as a list; the document is made anew from all of them."""
+    """The accepted orders as a list, from which each call of `document` rebuilds the configuration."""
 
     def __init__(self) -> None:
         self.applied: list[SentOrder] = []
 
     @property
     def generation(self) -> int:
-        """The version in force."""
+        """The generation of the current configuration."""
         return self.applied[-1].generation if self.applied else 0
 
     def apply(self, order: SentOrder) -> None:
-        """The order has been taken: it must build on the version in force."""
+        """Append an accepted order, which must be based on the current generation."""
         assert order.if_match == self.generation, (order, self.generation)
         assert order.generation > self.generation
         self.applied.append(order)
 
     def document(self) -> dict[str, Any]:
-        """The configuration in force."""
+        """Return the current configuration."""
         made: dict[str, Any] = {}
         for order in self.applied:
             if order.method == "PUT":
@@ -91,14 +92,14 @@
 
 
 class RandomOperators:
-    """Several operators at work on one cluster."""
+    """Several operators that send random orders to one cluster."""
 
     def __init__(
         self, cluster: ControllerCluster, random_source: random.Random, sizes: Sequence[int] = (0,)
     ) -> None:
         self.cluster = cluster
         self.random_source = random_source
-        self.sizes = sizes  # what the documents are made longer by
+        self.sizes = sizes  # numbers of bytes by which documents are padded
         self.orders: list[SentOrder] = []
         self.reads: list[ObservedRead] = []
         self.is_running = True
@@ -107,11 +108,14 @@
     # -- single calls ----------------------------------------------------------------------------------
 
     def controllers(self) -> list[Controller]:
-        """Those that run now."""
+        """Return the controllers that are running."""
         return [node.controller for node in self.cluster.nodes.values() if node.controller is not None]
 
     async def request_any(self, message: Any) -> OperatorResponse | None:
-        """Ask any controller; None where no answer came in time.  The call goes on all the same."""
+        """Send a message to a random controller; return the response, or None if there is none in time.
+
+        A call that exceeds the timeout is not cancelled.
+        """
         running = [node for node in self.cluster.nodes.values() if node.controller is not None]
         if not running:
             return None
@@ -124,7 +128,7 @@
         return answer
 
     async def send(self, order: SentOrder) -> bool:
-        """Send an order once; whether the answer was clear."""
+        """Send an order once; return whether the response was definite (not a 503 or a timeout)."""
         message = ChangeConfiguration(order.method, order.if_match, order.body)
         answer = await self.request_any(message)
         if answer is None or answer.status == 503:
@@ -138,7 +142,7 @@
         return True
 
     async def read(self) -> int | None:
-        """The version in force, None where nobody could say."""
+        """Return the generation of the current configuration, or None if no controller could report it."""
         started_at = asyncio.get_running_loop().time()
         answer = await self.request_any(ReadConfiguration())
         if answer is None or answer.status not in (200, 404):
@@ -150,7 +154,7 @@
     # -- an operator -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Read the version in force, send a change of it until the answer is clear, and so on."""
+        """Read the configuration and send a change until the response is definite; repeat until stopped."""
         while self.is_running:
             base = await self.read()
             if base is not None:
@@ -181,20 +185,20 @@
     async def _send_until_clear(self, order: SentOrder) -> None:
         started = asyncio.get_running_loop().time()
         while asyncio.get_running_loop().time() - started < ORDER_TIMEOUT_S:
-            copies = self.random_source.choice((1, 1, 2, 3))  # the same order at once, at several controllers
+            copies = self.random_source.choice((1, 1, 2, 3))  # duplicates sent concurrently
             if any(await asyncio.gather(*(self.send(order) for _ in range(copies)))):
                 return
             await asyncio.sleep(self.random_source.uniform(0.0, PAUSE_S))
 
     async def _send_an_old_one_again(self) -> None:
-        """Send an order again that was acknowledged at some time, or that nobody knows more about."""
+        """Sometimes resend one of the last 30 orders, whatever its outcome was."""
         if self.orders and self.random_source.random() < 0.3:
             await self.send(self.random_source.choice(self.orders[-30:]))
 
-    # -- the comparison --------------------------------------------------------------------------------
+    # -- comparison with the model ---------------------------------------------------------------------
 
     def check(self, state: ControlState) -> OrderHistoryModel:
-        """Compare all that was answered with the state at the end."""
+        """Compare all responses with the final control state; return the model of that state."""
         by_digest = {order.digest: order for order in self.orders}
         model = OrderHistoryModel()
         for generation, digest in state.history:
@@ -204,17 +208,17 @@
         in_force = set(map(id, model.applied))
         for order in self.orders:
             if order.acknowledged_at is not None:
-                assert id(order) in in_force, f"acknowledged and not in force: {order}"
+                assert id(order) in in_force, f"acknowledged but not in the history: {order}"
             if order.refusals:
-                assert id(order) not in in_force, f"refused and in force: {order}"
+                assert id(order) not in in_force, f"rejected but in the history: {order}"
         self._check_reads(model)
         return model
 
     def _check_reads(self, model: OrderHistoryModel) -> None:
-        """No read is older than what had been acknowledged before it began."""
+        """Assert that each read returned at least the newest generation acknowledged before it started."""
         known = {order.generation for order in model.applied} | {0}
         for read in self.reads:
-            assert read.generation in known, f"read and not in force at any time: {read}"
+            assert read.generation in known, f"read but never in the history: {read}"
             for order in model.applied:
                 if order.acknowledged_at is not None and order.acknowledged_at < read.started_at:
                     assert read.generation >= order.generation, f"{read} after {order}"
--- a/tests/support/order_traffic.py
+++ b/tests/support/order_traffic.py
@@ -1,4 +1,4 @@
-"""Operators that send orders to any controller, and what their answers may never say."""
+"""Operators that send orders to random controllers and check the consistency of the responses."""
 
 from __future__ import annotations
 
@@ -16,30 +16,31 @@
 
 
 class OrderTraffic:
-    """One operator after the other reads the configuration and changes it.
+    """An operator that repeatedly reads the configuration and changes it.
 
-    Checked at each answer: a read never goes back behind an acknowledged change, and no two changes on one
-    version are both acknowledged."""
+    The operator checks each response.  A read must not return an older generation than an acknowledged one,
+    and two changes that are based on the same generation must not both be acknowledged.
+    """
 
     def __init__(self, cluster: ControllerCluster, random_source: random.Random) -> None:
         self.cluster = cluster
-        self.acknowledged: dict[int, int] = {}  # generation -> the version it built on
+        self.acknowledged: dict[int, int] = {}  # generation -> generation that the change was based on
         self._random = random_source
         self._next_generation = 1
         self._running = True
 
     def stop(self) -> None:
-        """Send no further order."""
+        """Stop sending orders."""
         self._running = False
 
     async def run(self) -> None:
-        """Send orders until stopped."""
+        """Send orders until `stop` is called."""
         while self._running:
             await self._change_newest()
             await asyncio.sleep(self._random.uniform(0.0, 0.3))
 
     async def put_newest(self, within_s: float) -> None:
-        """Change the newest configuration; fails where no change is acknowledged in time."""
+        """Change the newest configuration; fail if no change is acknowledged within `within_s` seconds."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         while not await self._change_newest():
@@ -47,19 +48,21 @@
             await asyncio.sleep(0.1)
 
     async def _change_newest(self) -> bool:
-        """Read, and send one change a few times; whether it was acknowledged."""
+        """Read the configuration, send one change with retries and return whether it was acknowledged."""
         answer = await self._ask(ReadConfiguration())
         if answer is None or answer.status not in (200, 404):
             return False
         current = orjson.loads(answer.body)["generation"] if answer.status == 200 else 0
-        assert current >= max(self.acknowledged, default=0), "a read went back"
+        assert current >= max(self.acknowledged, default=0), (
+            "a read returned an older generation than an acknowledged one"
+        )
         generation, self._next_generation = self._next_generation, self._next_generation + 1
         order = ChangeConfiguration("PUT", current, orjson.dumps(document(generation)))
         for _ in range(MAX_ATTEMPTS):
             answer = await self._ask(order)
             if answer is not None and answer.status == 200:
                 built_on = [version for known, version in self.acknowledged.items() if known != generation]
-                assert current not in built_on, "two changes on one version"
+                assert current not in built_on, "two acknowledged changes share a base generation"
                 self.acknowledged[generation] = current
                 return True
             if answer is not None and answer.status != 503:
@@ -67,7 +70,10 @@
         return False
 
     async def _ask(self, message: ReadConfiguration | ChangeConfiguration) -> OperatorResponse | None:
-        """The answer of some controller, None where it gives none in time; it ends with its process."""
+        """Return the response of a random controller, or None if there is none before the timeout.
+
+        The call is a task of the controller's process and is cancelled when that process is killed.
+        """
         up = [node.transport for node in self.cluster.nodes.values() if node.controller is not None]
         transport = self._random.choice(up) if up else None
         if transport is None:
--- a/tests/support/simulated_controllers.py
+++ b/tests/support/simulated_controllers.py
@@ -1,6 +1,7 @@
-"""Controllers with all their parts in virtual time, over links that are cut one way or both, for the tests.
+"""Simulated controllers with all their components in virtual time.
 
-Unlike `tests.support.controller_cluster` a process can be frozen here, and a link cut in one direction.
+Unlike `tests.support.controller_cluster`, this simulation can freeze a process and cut a link in one
+direction.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 from hollowusher.storage.memory import MemorySlot
 
 SYNC_S = 0.005
-WORKER_LIST_READ_S = 0.02  # of the platform's list
+WORKER_LIST_READ_S = 0.02  # duration of a read of the platform's worker list
 
 
 @attrs.frozen
 class LeadershipClaim:
-    """A moment at which a controller took itself for the head."""
+    """A moment at which a controller considered itself the head."""
 
     name: str
     epoch: int
@@ -48,7 +49,7 @@
 
 
 class FakeWorkerListSource:
-    """The platform's list: a worker for each reading, so that each list says something new."""
+    """A fake of the platform's worker list, which returns a different worker in each read."""
 
     def __init__(self) -> None:
         self.reads_begun = 0
@@ -82,7 +83,7 @@
         self.client: ClusterClient
 
     async def run(self) -> None:
-        """The process from its start on."""
+        """Run the process until it is cancelled."""
         controllers, loop = self.controllers, self.controllers.loop
         settings = BootSettings(
             node_name=self.name,
@@ -137,15 +138,15 @@
             return await self.controller.handle(message)
         return await self.client.handle(message)
 
-    # What an operator does here; his own link to each controller is never cut
+    # Requests of an operator, whose own link to each controller is never cut
 
     async def put(self, generation: int, if_match: int) -> int:
-        """Send a whole configuration to this machine; the status."""
+        """Send a complete configuration to this controller; return the status of the response."""
         answer = await self._ask(ChangeConfiguration("PUT", if_match, orjson.dumps(document(generation))))
         return answer.status
 
     async def read(self) -> tuple[int, int]:
-        """Read the configuration here: the status, and its generation."""
+        """Read the configuration from this controller; return the status and the generation."""
         answer = await self._ask(ReadConfiguration())
         return answer.status, orjson.loads(answer.body)["generation"] if answer.status == 200 else 0
 
@@ -156,7 +157,7 @@
 
 
 class SimulatedControllers:
-    """All controllers, and what they took themselves for."""
+    """All controllers of a cluster, and a record of when each of them considered itself the head."""
 
     def __init__(self, loop: VirtualTimeLoop, names: str, seed: int = 1) -> None:
         self.loop = loop
@@ -175,7 +176,7 @@
         return self.nodes[name]
 
     async def start(self) -> None:
-        """Start all, and wait for the first head."""
+        """Start all controllers and wait for the first head."""
         for node in self.nodes.values():
             self.network.power_on(node.host)
             self._tasks.append(node.process.run(node.run()))
@@ -183,21 +184,21 @@
         self._tasks.append(asyncio.get_running_loop().create_task(self._watch()))
 
     def head(self) -> SimulatedController | None:
-        """The controller that is the head, as long as only one says so."""
+        """Return the controller that considers itself the head, or None unless there is exactly one."""
         heads = [node for node in self.nodes.values() if hasattr(node, "client") and node.controller.is_head]
         return heads[0] if len(heads) == 1 else None
 
     def require_head(self) -> SimulatedController:
-        """The head, which must be there."""
+        """Return the head; fail if there is none."""
         head = self.head()
         assert head is not None
         return head
 
     async def until(self, condition: Callable[[], bool], seconds: float) -> None:
-        """Wait for something."""
+        """Wait until a condition holds; fail after `seconds`."""
         deadline = self.loop.time() + seconds
         while not condition():
-            assert self.loop.time() < deadline, f"not so within {seconds} s"
+            assert self.loop.time() < deadline, f"the condition did not hold within {seconds} s"
             await asyncio.sleep(0.01)
 
     async def _watch(self) -> None:
@@ -214,8 +215,11 @@
         return node.controller.is_head
 
     def cut(self, victim: str, shape: str) -> None:
-        """Cut a controller off: `all`, `in` (it hears nobody), `out` (nobody hears it), or `one` (from one
-        other controller only)."""
+        """Cut links of the controller `victim`.
+
+        `shape` selects the links: `all` for both directions to all other controllers, `in` for the incoming
+        direction, `out` for the outgoing direction, or `one` for both directions to one other controller.
+        """
         others = [node for node in self.nodes.values() if node.name != victim]
         for other in others[:1] if shape == "one" else others:
             if shape in ("all", "one", "in"):
@@ -224,7 +228,7 @@
                 self.network.block(self[victim].host, other.host, both=False)
 
     def overlap_s(self) -> float:
-        """How long, at most, one took itself for the head after a later epoch's head had begun."""
+        """Return the longest time in seconds for which a head overlapped with the head of a later epoch."""
         began: dict[int, float] = {}
         for claim in self.leadership_claims:
             began.setdefault(claim.epoch, claim.at)
@@ -238,7 +242,7 @@
     # Operators
 
     async def change_continuously(self) -> None:
-        """Send change after change, each to one controller after the other until it is acknowledged."""
+        """Send one change after the other; retry each at the next controller until it is acknowledged."""
         names = list(self.nodes)
         turn = 0
         while True:
@@ -255,14 +259,14 @@
             await asyncio.sleep(0.05)
 
     async def read_continuously(self, name: str) -> None:
-        """Read at one controller: never less than what was acknowledged before the question."""
+        """Read from one controller repeatedly; no read may miss a change acknowledged before it started."""
         while True:
             known = self.acknowledged
             found = await self._within_a_second(self[name].read())
             if found is not None and found[0] != 503:
                 status, generation = found
                 assert (status, generation >= known) in ((200, True), (404, known == 0)), (
-                    f"{name} told {found} after {known} had been acknowledged"
+                    f"{name} returned {found} after {known} had been acknowledged"
                 )
             await asyncio.sleep(0.03)
 
@@ -290,7 +294,7 @@
 def run_simulated_controllers(
     work: Callable[[SimulatedControllers], Coroutine[Any, Any, None]], names: str = "abc", seed: int = 1
 ) -> SimulatedControllers:
-    """Run a scenario; errors that nobody caught fail it."""
+    """Run a scenario in virtual time; fail if a task or a message handler has raised an exception."""
     loop = VirtualTimeLoop()
     controllers = SimulatedControllers(loop, names, seed)
     try:
