--- a/tests/coordination/controller/test_call_rate_limiter.py
+++ b/tests/coordination/controller/test_call_rate_limiter.py
@@ -15,7 +15,7 @@
     assert calls in (20, 21)
 
 
-def test_failures_back_off_and_success_ends_that() -> None:
+def test_failures_increase_the_backoff_and_success_resets_it() -> None:
     limiter, waits = CallRateLimiter(1000.0), []
     for _ in range(7):
         limiter.record_call(0.0)
--- a/tests/coordination/controller/test_control_status.py
+++ b/tests/coordination/controller/test_control_status.py
@@ -18,9 +18,9 @@
 from hollowusher.protocol.control_status import ControlStatus, PartitionStatus
 from hollowusher.protocol.view import View, Voter
 
-WELL = VoterObservation(True, True, [1, 7])
+COMPLETE = VoterObservation(True, True, [1, 7])
 CATCHING_UP = VoterObservation(True, False, [1, 3])
-SILENT = VoterObservation(False, False)
+UNREACHABLE = VoterObservation(False, False)
 
 
 def view_of(*names: str) -> View:
@@ -28,7 +28,7 @@
 
 
 def observations(view: View, **changed: VoterObservation) -> dict[str, VoterObservation]:
-    return {voter.name: changed.get(voter.name, WELL) for voter in view.voters}
+    return {voter.name: changed.get(voter.name, COMPLETE) for voter in view.voters}
 
 
 def partition(number: int, living: int, replicas: int = 3, **more: Any) -> PartitionStatus:
@@ -38,42 +38,42 @@
 def status(
     view: View | None, partitions: list[PartitionStatus], **changed: VoterObservation
 ) -> ControlStatus:
-    heard = {} if view is None else observations(view, **changed)
+    observed = {} if view is None else observations(view, **changed)
     state = ControlState(sequence=7, generation=2, document=b"", history=[])
-    snapshot = ControllerSnapshot("a", view, state, view is not None, heard, ["a", "x"])
+    snapshot = ControllerSnapshot("a", view, state, view is not None, observed, ["a", "x"])
     return build_control_status(snapshot, partitions, 1)
 
 
 @pytest.mark.parametrize(
-    ("names", "changed", "borne"),
+    ("names", "changed", "margin"),
     [
         ("abc", {}, 1),
         ("abcd", {}, 1),
         ("abcde", {}, 2),
-        ("abc", {"b": SILENT}, 0),
-        ("abcd", {"b": SILENT}, 0),  # the quorum of 4 voters is 3, so no further voter may fail
-        ("abcde", {"b": SILENT}, 1),
-        ("abc", {"b": SILENT, "c": SILENT}, -1),
+        ("abc", {"b": UNREACHABLE}, 0),
+        ("abcd", {"b": UNREACHABLE}, 0),  # the quorum of 4 voters is 3, so no further voter may fail
+        ("abcde", {"b": UNREACHABLE}, 1),
+        ("abc", {"b": UNREACHABLE, "c": UNREACHABLE}, -1),
         ("abc", {"b": CATCHING_UP, "c": CATCHING_UP}, 0),  # only one voter is complete
         ("abc", {"b": CATCHING_UP}, 1),
         ("a", {}, 0),
     ],
 )
-def test_the_controllers_margin(names: str, changed: dict[str, VoterObservation], borne: int) -> None:
+def test_controller_margin(names: str, changed: dict[str, VoterObservation], margin: int) -> None:
     view = view_of(*names)
-    assert controller_losses_borne(view, observations(view, **changed)) == borne
+    assert controller_losses_borne(view, observations(view, **changed)) == margin
 
 
-def test_a_status_tells_voters_majority_spares_and_how_far_each_has_caught_up() -> None:
+def test_status_shows_voters_majority_spares_and_state_versions() -> None:
     view = evolve(view_of("a", "b", "c"), epoch=4, chain=["b", "a"])
-    told = status(view, [partition(0, 3), partition(1, 2, learners=["s4/d4"])], c=CATCHING_UP)
-    assert (told.epoch, told.head, told.tail, told.majority) == (4, "b", "a", 2)
-    assert told.spare_controllers == ["x"]
-    [voter] = [voter for voter in told.voters if voter.name == "c"]
+    reported = status(view, [partition(0, 3), partition(1, 2, learners=["s4/d4"])], c=CATCHING_UP)
+    assert (reported.epoch, reported.head, reported.tail, reported.majority) == (4, "b", "a", 2)
+    assert reported.spare_controllers == ["x"]
+    [voter] = [voter for voter in reported.voters if voter.name == "c"]
     assert (voter.in_chain, voter.complete, voter.state_version) == (False, False, [1, 3])
-    assert (told.sequence, told.generation, told.store_losses_borne) == (7, 2, 0)
+    assert (reported.sequence, reported.generation, reported.store_losses_borne) == (7, 2, 0)
 
 
-def test_without_a_view_nothing_is_borne() -> None:
-    told = status(None, [])
-    assert (told.epoch, told.controller_losses_borne, told.voters) == (0, -1, [])
+def test_without_a_view_the_margin_is_negative() -> None:
+    reported = status(None, [])
+    assert (reported.epoch, reported.controller_losses_borne, reported.voters) == (0, -1, [])
--- a/tests/coordination/controller/test_controller_role.py
+++ b/tests/coordination/controller/test_controller_role.py
@@ -35,7 +35,7 @@
 
 
 @virtual
-async def test_first_start_makes_one_view_and_takes_a_configuration() -> None:
+async def test_first_start_decides_one_view_and_accepts_a_configuration() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     views = [node.running.view for node in cluster.nodes.values()]
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("victim", "abc")
-def test_after_a_death_orders_are_taken_and_the_dead_one_comes_back(victim: str) -> None:
+def test_orders_are_accepted_after_a_failure_and_the_failed_controller_rejoins(victim: str) -> None:
     @virtual
     async def check() -> None:
         cluster = ControllerCluster("abc")
@@ -156,7 +156,7 @@
 
 
 @virtual
-async def test_all_killed_at_once_come_back_by_themselves() -> None:
+async def test_a_cluster_recovers_after_all_controllers_were_killed() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     assert await cluster["b"].put(4, 0) == 200
@@ -172,7 +172,7 @@
 
 
 @virtual
-async def test_a_lost_disk_with_all_power_lost_keeps_what_was_acknowledged() -> None:
+async def test_acknowledged_state_survives_a_power_failure_with_a_lost_disk() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     assert await cluster["a"].put(4, 0) == 200
@@ -233,7 +233,7 @@
 
 
 @virtual
-async def test_a_new_machine_takes_the_place_of_a_voter_long_dead() -> None:
+async def test_a_new_machine_replaces_a_failed_voter() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
@@ -249,7 +249,7 @@
 
 
 @virtual
-async def test_an_added_machine_becomes_a_voter_while_they_are_few() -> None:
+async def test_an_added_machine_becomes_a_voter_if_there_are_too_few() -> None:
     cluster = ControllerCluster("ab")
     await cluster.bootstrap_all()
     for name in "cdef":
@@ -287,7 +287,7 @@
 
 
 @virtual
-async def test_a_stop_that_would_leave_the_chain_too_short_ends_all_the_same() -> None:
+async def test_a_stop_times_out_if_the_chain_would_become_too_short() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster["c"].kill()
@@ -317,7 +317,7 @@
 
 
 @virtual
-async def test_a_voter_just_back_takes_the_place_of_a_member_that_dies() -> None:
+async def test_a_rejoining_voter_replaces_a_failed_chain_member() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     await cluster["c"].kill()
@@ -331,7 +331,7 @@
 
 
 @pytest.mark.parametrize("victim", "abc")
-def test_a_disk_that_hangs_takes_its_machine_out_of_the_chain(victim: str) -> None:
+def test_a_machine_with_a_stalled_disk_is_removed_from_the_chain(victim: str) -> None:
     @virtual
     async def check() -> None:
         cluster = ControllerCluster("abc")
@@ -373,7 +373,7 @@
 
 
 @virtual
-async def test_one_controller_alone_is_a_complete_system() -> None:
+async def test_a_single_controller_works() -> None:
     cluster = ControllerCluster("a")
     await cluster["a"].start(bootstrap=True)
     await cluster.until(lambda: cluster["a"].running.is_head, 6.0)
@@ -386,7 +386,7 @@
 
 
 @virtual
-async def test_a_write_of_an_old_epoch_is_refused_everywhere() -> None:
+async def test_a_chain_write_of_an_old_epoch_is_rejected() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     assert await cluster["a"].put(1, 0) == 200
@@ -427,7 +427,7 @@
 
 
 @virtual
-async def test_two_orders_on_one_version_one_wins() -> None:
+async def test_one_of_two_orders_based_on_one_version_is_rejected() -> None:
     cluster = ControllerCluster("abc")
     await cluster.bootstrap_all()
     statuses = await asyncio.gather(cluster["a"].put(5, 0), cluster["c"].put(6, 0))
@@ -437,9 +437,9 @@
 class Operators:
     """Operators that send orders to random machines and record which orders were acknowledged."""
 
-    def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
+    def __init__(self, cluster: ControllerCluster, random_source: random.Random) -> None:
         self.cluster = cluster
-        self.chance = chance
+        self.random_source = random_source
         self.acknowledged: dict[int, int] = {}  # generation -> generation that the order was based on
         self.refused: set[int] = set()
         self.next_generation = 1
@@ -448,13 +448,13 @@
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             await self._order()
-            await asyncio.sleep(self.chance.uniform(0.0, 0.3))
+            await asyncio.sleep(self.random_source.uniform(0.0, 0.3))
 
     async def _order(self) -> None:
         up = [node for node in self.cluster.nodes.values() if node.controller is not None]
         if not up:
             return
-        work = asyncio.ensure_future(self.chance.choice(up).read())
+        work = asyncio.ensure_future(self.random_source.choice(up).read())
         await asyncio.wait({work})
         if work.cancelled():  # the machine was killed during the read
             return
@@ -473,7 +473,7 @@
         up = [node for node in self.cluster.nodes.values() if node.controller is not None]
         if not up:
             return False
-        work = asyncio.ensure_future(self.chance.choice(up).put(generation, built_on))
+        work = asyncio.ensure_future(self.random_source.choice(up).put(generation, built_on))
         done, _ = await asyncio.wait({work}, timeout=1.0)
         if not done or work.cancelled():  # cancelled: the machine was killed during the call
             return False
@@ -493,14 +493,14 @@
 def test_no_acknowledged_change_is_lost_under_random_faults(seed: int) -> None:
     @virtual
     async def check() -> None:
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
         cluster = ControllerCluster("abc" if seed % 3 else "abcde", seed=seed)
-        cluster.network.slowest_s = chance.choice((0.0, 0.01, 0.05))
+        cluster.network.slowest_s = random_source.choice((0.0, 0.01, 0.05))
         await cluster.bootstrap_all()
         loop = asyncio.get_running_loop()
-        operators = Operators(cluster, chance)
+        operators = Operators(cluster, random_source)
         work = loop.create_task(operators.run(loop.time() + 30.0))
-        await _fault(cluster, chance, loop.time() + 28.0)
+        await _fault(cluster, random_source, loop.time() + 28.0)
         await work
         cluster.join_all()
         for node in cluster.nodes.values():
@@ -521,7 +521,7 @@
     check()
 
 
-async def _fault(cluster: ControllerCluster, chance: random.Random, until: float) -> None:
+async def _fault(cluster: ControllerCluster, random_source: random.Random, until: float) -> None:
     """Inject one random fault after the other until the time `until`.
 
     A fault kills, stops or isolates one machine, wipes its disk, cuts one link, or kills all machines.
@@ -529,20 +529,20 @@
     loop = asyncio.get_running_loop()
     names = sorted(cluster.nodes)
     while loop.time() < until:
-        await asyncio.sleep(chance.uniform(0.5, 3.0))
-        node = cluster[chance.choice(names)]
-        kind = chance.choice(("kill", "stop", "cut", "wipe", "link", "all"))
+        await asyncio.sleep(random_source.uniform(0.5, 3.0))
+        node = cluster[random_source.choice(names)]
+        kind = random_source.choice(("kill", "stop", "cut", "wipe", "link", "all"))
         if kind == "all":
             for other in cluster.nodes.values():
                 await other.kill()
             for other in cluster.nodes.values():
-                await asyncio.sleep(chance.uniform(0.0, 0.3))
+                await asyncio.sleep(random_source.uniform(0.0, 0.3))
                 await other.start()
             continue
         if kind == "cut":
             cluster.isolate(node.name)
         elif kind == "link":
-            other = cluster[chance.choice([name for name in names if name != node.name])]
+            other = cluster[random_source.choice([name for name in names if name != node.name])]
             cluster.network.cut(node.address, other.address)
         elif kind == "stop":
             await node.stop()
@@ -550,7 +550,7 @@
             await node.kill()
         if kind == "wipe":
             node.wipe()
-        await asyncio.sleep(chance.uniform(0.2, 3.0))
+        await asyncio.sleep(random_source.uniform(0.2, 3.0))
         cluster.join_all()
         if node.controller is None:
             await node.start()
--- a/tests/coordination/controller/test_departure.py
+++ b/tests/coordination/controller/test_departure.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("leaver", "abc")
 @pytest.mark.parametrize("next_victim", "abcs")
-def test_with_a_spare_the_next_loss_is_borne_from_the_moment_it_is_gone(
+def test_with_a_spare_the_next_failure_is_tolerated_after_the_departure(
     leaver: str, next_victim: str
 ) -> None:
     async def play() -> None:
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("leaver", "abc")
-def test_without_a_spare_the_others_hold_the_state_before_it_is_gone(leaver: str) -> None:
+def test_without_a_spare_the_others_hold_the_state_before_the_departure(leaver: str) -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
@@ -71,7 +71,7 @@
     run_virtual(play())
 
 
-def test_the_only_other_copy_stays_until_a_third_machine_is_back() -> None:
+def test_the_second_replica_stays_until_a_third_machine_returns() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
@@ -89,7 +89,7 @@
     run_virtual(play())
 
 
-def test_one_after_the_other_is_restarted_while_orders_go_on() -> None:
+def test_rolling_restart_while_orders_are_accepted() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abcs", tolerated=1)
         await cluster.bootstrap_all()
@@ -111,7 +111,7 @@
     run_virtual(play())
 
 
-def test_a_spare_that_leaves_is_not_made_a_voter_and_ends_at_once() -> None:
+def test_a_departing_spare_stops_at_once_and_does_not_become_a_voter() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abcs", tolerated=1)
         await cluster.bootstrap_all()
--- a/tests/coordination/controller/test_fencing_controllers.py
+++ b/tests/coordination/controller/test_fencing_controllers.py
@@ -54,7 +54,7 @@
 
     @pytest.mark.parametrize("names", ["abc", "abcd"])
     @pytest.mark.parametrize(("shape", "place"), list(itertools.product(SHAPES, ("head", "middle", "tail"))))
-    def test_cut_off_for_twenty_seconds(self, shape: str, place: str, names: str) -> None:
+    def test_isolated_for_twenty_seconds(self, shape: str, place: str, names: str) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
             await with_fault(controllers, shape, victim_of(controllers, place), CUT_S)
@@ -63,7 +63,7 @@
 
     @pytest.mark.parametrize("frozen_s", FROZEN_S)
     @pytest.mark.parametrize("place", ["head", "tail"])
-    def test_frozen_and_woken_with_messages_queued(self, place: str, frozen_s: float) -> None:
+    def test_frozen_and_resumed_with_queued_messages(self, place: str, frozen_s: float) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
             await with_fault(controllers, "freeze", victim_of(controllers, place), frozen_s)
@@ -71,7 +71,7 @@
         run_simulated_controllers(work)
 
     @pytest.mark.parametrize("shape", ["all", "in", "out"])
-    def test_a_cut_off_controller_says_503_from_the_first_moment(self, shape: str) -> None:
+    def test_an_isolated_controller_answers_503_at_once(self, shape: str) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
             assert await controllers.require_head().put(2, 0) == 200
@@ -97,7 +97,7 @@
 
 
 class TestRetire:
-    def test_a_head_that_was_cut_off_refuses_no_order(self) -> None:
+    def test_an_isolated_head_rejects_no_order(self) -> None:
         """An isolated head still considers itself head while its successor may already accept orders."""
 
         async def work(controllers: SimulatedControllers) -> None:
@@ -119,7 +119,7 @@
     """Two heads overlap only briefly, because the older head steps down by its own clock."""
 
     @pytest.mark.parametrize("shape", SHAPES)
-    def test_a_cut_off_head_stops(self, shape: str) -> None:
+    def test_an_isolated_head_steps_down(self, shape: str) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
             await with_fault(controllers, shape, controllers.require_head().name, CUT_S)
@@ -127,7 +127,7 @@
         assert run_simulated_controllers(work).overlap_s() <= 0.5
 
     @pytest.mark.parametrize("frozen_s", FROZEN_S)
-    def test_a_woken_head_acts_only_after_it_has_asked(self, frozen_s: float) -> None:
+    def test_a_resumed_head_acts_only_after_a_quorum_confirmed_its_view(self, frozen_s: float) -> None:
         """Immediately after a pause, a deposed head must not publish a worker list in its old epoch."""
 
         async def work(controllers: SimulatedControllers) -> None:
@@ -149,7 +149,7 @@
 
         assert run_simulated_controllers(work).overlap_s() == 0.0
 
-    def test_a_list_that_was_asked_for_before_a_freeze_is_not_granted(self) -> None:
+    def test_a_list_requested_before_a_freeze_is_not_published(self) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
             victim = controllers.require_head()
@@ -168,7 +168,7 @@
 
         run_simulated_controllers(work)
 
-    def test_a_list_whose_answer_was_on_its_way_when_its_head_was_deposed_is_not_believed(self) -> None:
+    def test_a_list_in_transit_when_its_head_was_deposed_does_not_replace_newer_lists(self) -> None:
         async def work(controllers: SimulatedControllers) -> None:
             await controllers.start()
             old = controllers.require_head()
--- a/tests/coordination/controller/test_head_roles_after_pause.py
+++ b/tests/coordination/controller/test_head_roles_after_pause.py
@@ -82,7 +82,7 @@
         if isinstance(item.value, Member) and not item.value.alive:
             self.deaths.append(item.value.name)
 
-    def hear(self, reporter: str) -> None:
+    def deliver_suspicion(self, reporter: str) -> None:
         """Deliver a suspicion of member b; a frozen process handles it when it resumes."""
         self.process.run(self.head_roles.handle(MemberSuspected("b", 1, reporter)))
 
@@ -108,49 +108,49 @@
         loop.shut()
 
 
-def test_suspicions_that_stand_are_believed() -> None:
+def test_valid_suspicions_lead_to_a_death() -> None:
     async def work(head: _Head) -> None:
         for reporter in ("a", "c", "d"):
-            head.hear(reporter)
+            head.deliver_suspicion(reporter)
         await asyncio.sleep(0.2)
         assert head.deaths == ["b"]
 
     play(work)
 
 
-def test_suspicions_that_lay_unread_over_a_freeze_condemn_nobody() -> None:
+def test_suspicions_received_during_a_freeze_are_ignored() -> None:
     async def work(head: _Head) -> None:
         freezing = asyncio.create_task(head.freeze_for(1.0))
         await asyncio.sleep(0.1)
         for reporter in ("a", "c", "d"):
-            head.hear(reporter)
+            head.deliver_suspicion(reporter)
         await freezing
         await asyncio.sleep(1.5)
         assert head.deaths == []
         for reporter in ("c", "d"):  # the monitors repeat suspicions that are still valid
-            head.hear(reporter)
+            head.deliver_suspicion(reporter)
         await asyncio.sleep(0.2)
         assert head.deaths == ["b"]
 
     play(work)
 
 
-def test_suspicions_from_before_a_freeze_condemn_nobody() -> None:
+def test_suspicions_from_before_a_freeze_are_dropped() -> None:
     async def work(head: _Head) -> None:
-        head.hear("c")
+        head.deliver_suspicion("c")
         await head.freeze_for(1.0)
         await asyncio.sleep(0.2)
-        head.hear("d")
+        head.deliver_suspicion("d")
         await asyncio.sleep(0.2)
         assert head.deaths == []
 
     play(work)
 
 
-def test_a_member_whose_probe_ran_out_over_a_freeze_is_not_called_dead() -> None:
+def test_a_health_check_that_timed_out_during_a_freeze_is_ignored() -> None:
     async def work(head: _Head) -> None:
         for _ in range(4):
-            head.hear("c")
+            head.deliver_suspicion("c")
             await asyncio.sleep(0.3)
         assert head.head_roles._membership._members_being_checked == {"b"}
         await head.freeze_for(1.0)
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -25,7 +25,7 @@
 Client = TestClient[web.Request, web.Application]
 
 
-class Deciders:
+class FakeForwarder:
     """Records the forwarded messages and returns a preset response, raises an error or never answers."""
 
     def __init__(self, answer: OperatorResponse | Exception | None) -> None:
@@ -44,20 +44,20 @@
         return self.answer
 
 
-def talk(deciders: Deciders, conversation: Callable[[Client], Awaitable[None]]) -> None:
+def run_client(forwarder: FakeForwarder, requests: Callable[[Client], Awaitable[None]]) -> None:
     async def run() -> None:
         application = web.Application(client_max_size=MOST_BODY_BYTES + 1)
-        OperatorApi(deciders.forward).add_routes(application)
+        OperatorApi(forwarder.forward).add_routes(application)
         async with TestClient(TestServer(application)) as client:
-            await conversation(client)
+            await requests(client)
 
     asyncio.run(run())
 
 
-def test_orders_become_messages_and_answers_come_back() -> None:
-    deciders = Deciders(OperatorResponse(200, b'{"generation":7}'))
+def test_requests_are_forwarded_as_messages_and_responses_returned() -> None:
+    forwarder = FakeForwarder(OperatorResponse(200, b'{"generation":7}'))
 
-    async def conversation(client: Client) -> None:
+    async def requests(client: Client) -> None:
         put = await client.put("/config", data=b"{}", headers={"If-Match": "5"})
         assert put.status == 200
         assert await put.json() == {"generation": 7}
@@ -67,8 +67,8 @@
         await client.post("/retire/storage-a-1", json={"durationS": 10})
         await client.get("/retire/storage-a-1")
 
-    talk(deciders, conversation)
-    assert deciders.messages == [
+    run_client(forwarder, requests)
+    assert forwarder.messages == [
         ChangeConfiguration("PUT", 5, b"{}"),
         ChangeConfiguration("PATCH", 6, b"[]"),
         ChangeConfiguration("PUT", None, b"{}"),
@@ -79,13 +79,13 @@
 
 
 @pytest.mark.parametrize("status", [400, 404, 409, 412])
-def test_refusals_pass_through(status: int) -> None:
-    async def conversation(client: Client) -> None:
+def test_rejections_are_returned_unchanged(status: int) -> None:
+    async def requests(client: Client) -> None:
         answer = await client.post("/retire/n", json={"durationS": 0})
         assert answer.status == status
         assert await answer.json() == {"error": "why"}
 
-    talk(Deciders(OperatorResponse(status, b'{"error":"why"}')), conversation)
+    run_client(FakeForwarder(OperatorResponse(status, b'{"error":"why"}')), requests)
 
 
 @pytest.mark.parametrize(
@@ -96,47 +96,47 @@
         PeerError("call", "10.0.0.1:1", "gone"),
     ],
 )
-def test_nothing_known_is_a_503_that_says_when_to_come_again(answer: OperatorResponse | Exception) -> None:
-    async def conversation(client: Client) -> None:
+def test_unavailability_is_a_503_with_retry_after(answer: OperatorResponse | Exception) -> None:
+    async def requests(client: Client) -> None:
         for method, path in (("PUT", "/config"), ("GET", "/config"), ("GET", "/retire/n")):
             response = await client.request(method, path, data=b"{}")
             assert response.status == 503
             assert response.headers["Retry-After"] == "1"
             assert "error" in orjson.loads(await response.read())
 
-    talk(Deciders(answer), conversation)
+    run_client(FakeForwarder(answer), requests)
 
 
-def test_nobody_is_kept_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_time_out_with_503(monkeypatch: pytest.MonkeyPatch) -> None:
     assert operator_api.READ_TIMEOUT_S < 1.0
     assert operator_api.CHANGE_TIMEOUT_S <= 3.0
     monkeypatch.setattr(operator_api, "READ_TIMEOUT_S", 0.01)
     monkeypatch.setattr(operator_api, "CHANGE_TIMEOUT_S", 0.02)
 
-    async def conversation(client: Client) -> None:
+    async def requests(client: Client) -> None:
         assert (await client.get("/config")).status == 503
         assert (await client.put("/config", data=b"{}")).status == 503
 
-    talk(Deciders(None), conversation)
+    run_client(FakeForwarder(None), requests)
 
 
 def test_a_change_goes_on_after_its_caller_was_reported_503(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "CHANGE_TIMEOUT_S", 0.0)
-    deciders = Deciders(OperatorResponse(200, b"{}"))
+    forwarder = FakeForwarder(OperatorResponse(200, b"{}"))
 
-    async def conversation(client: Client) -> None:
+    async def requests(client: Client) -> None:
         await client.put("/config", data=b"{}")
         for _ in range(5):
             await asyncio.sleep(0)
-        assert deciders.finished == 1
+        assert forwarder.finished == 1
 
-    talk(deciders, conversation)
+    run_client(forwarder, requests)
 
 
-def test_what_cannot_be_read_is_refused_here() -> None:
-    deciders = Deciders(OperatorResponse(200))
+def test_malformed_requests_are_rejected_without_forwarding() -> None:
+    forwarder = FakeForwarder(OperatorResponse(200))
 
-    async def conversation(client: Client) -> None:
+    async def requests(client: Client) -> None:
         for wrong in ("x", "-1", "5.0", "", "9" * 40):
             assert (await client.put("/config", data=b"{}", headers={"If-Match": wrong})).status == 400
         for wrong_body in (
@@ -152,5 +152,5 @@
         large = await client.put("/config", data=b"x" * (MOST_BODY_BYTES + 1))
         assert large.status == 413
 
-    talk(deciders, conversation)
-    assert deciders.messages == []
+    run_client(forwarder, requests)
+    assert forwarder.messages == []
--- a/tests/coordination/controller/test_orders_of_deposed_head.py
+++ b/tests/coordination/controller/test_orders_of_deposed_head.py
@@ -16,7 +16,7 @@
 
 VERSION = 1
 CUT_S = (1.2, 1.6, 2.0, 2.4)  # a new view is decided after about 1.1 s; the write times out after 3.2 s
-FAR_ABOVE_S = 8.0
+WAIT_TIMEOUT_S = 8.0
 
 
 def put(generation: int, who: str) -> ChangeConfiguration:
@@ -25,7 +25,7 @@
 
 
 async def head_of(cluster: ControllerCluster) -> ControllerNode:
-    await cluster.until(lambda: any(node.running.is_head for node in cluster.nodes.values()), FAR_ABOVE_S)
+    await cluster.until(lambda: any(node.running.is_head for node in cluster.nodes.values()), WAIT_TIMEOUT_S)
     return next(node for node in cluster.nodes.values() if node.running.is_head)
 
 
@@ -40,9 +40,11 @@
 
     cluster.isolate(head.name)
     one = head.ask(put(2, "one"))
-    await cluster.until(lambda: all(node.running.view != head.running.view for node in others), FAR_ABOVE_S)
+    await cluster.until(
+        lambda: all(node.running.view != head.running.view for node in others), WAIT_TIMEOUT_S
+    )
     successor = next(node for node in others if node.running.view and node.running.view.head == node.name)
-    await cluster.until(lambda: successor.running.is_head, FAR_ABOVE_S)
+    await cluster.until(lambda: successor.running.is_head, WAIT_TIMEOUT_S)
     other = await successor.ask(put(2, "other"))
     assert other.status == 200
     await asyncio.sleep(cut_s - 1.2)
@@ -67,11 +69,13 @@
     await cluster["n"].start()
     await gone.stop()
     cluster.remove(gone.name)
-    await cluster.until(lambda: "n" in voter_names(head), FAR_ABOVE_S)
+    await cluster.until(lambda: "n" in voter_names(head), WAIT_TIMEOUT_S)
     await asyncio.sleep(1.0)
 
 
 @pytest.mark.parametrize("cut_s", CUT_S)
 @pytest.mark.parametrize("replaced", [False, True])
-def test_a_deposed_head_acknowledges_no_order_for_the_state_of_another(cut_s: float, replaced: bool) -> None:
+def test_a_deposed_head_does_not_acknowledge_its_order_for_another_state(
+    cut_s: float, replaced: bool
+) -> None:
     run_virtual(order_at_a_deposed_head(cut_s, replaced=replaced))
--- a/tests/coordination/controller/test_orders_races.py
+++ b/tests/coordination/controller/test_orders_races.py
@@ -14,7 +14,7 @@
 
 SEEDS = 40
 JITTERS_S = (0.0, 0.02, 0.05, 0.1)  # longer jitter exceeds the timeouts of the calls
-CLEAR_WITHIN_S = 15.0
+RETRY_TIMEOUT_S = 15.0
 
 
 def put(generation: int, if_match: int, who: str = "") -> ChangeConfiguration:
@@ -35,23 +35,23 @@
     return answer.status
 
 
-async def ask_until_clear(cluster: ControllerCluster, message: Any, chance: random.Random) -> int:
+async def retry_until_definite(cluster: ControllerCluster, message: Any, random_source: random.Random) -> int:
     """Retry an order unchanged at random controllers until one accepts or rejects it; return the status."""
     loop = asyncio.get_running_loop()
     started = loop.time()
-    while loop.time() - started < CLEAR_WITHIN_S:
-        status = await ask(cluster[chance.choice(sorted(cluster.nodes))], message, 1.0)
+    while loop.time() - started < RETRY_TIMEOUT_S:
+        status = await ask(cluster[random_source.choice(sorted(cluster.nodes))], message, 1.0)
         if status != 503:
             return status
         await asyncio.sleep(0.1)
     raise AssertionError("no definite response")
 
 
-async def in_force(cluster: ControllerCluster) -> dict[str, Any]:
+async def current_configuration(cluster: ControllerCluster) -> dict[str, Any]:
     """Return the current configuration as read from any controller."""
     loop = asyncio.get_running_loop()
     started = loop.time()
-    while loop.time() - started < CLEAR_WITHIN_S:
+    while loop.time() - started < RETRY_TIMEOUT_S:
         for node in cluster.nodes.values():
             if node.controller is None:
                 continue
@@ -72,95 +72,97 @@
     return cluster, random.Random(f"races {seed}")
 
 
-async def disturb(cluster: ControllerCluster, chance: random.Random) -> None:
+async def disturb(cluster: ControllerCluster, random_source: random.Random) -> None:
     """Kill or isolate the head, or do nothing, at a random moment during an order; then restore the head."""
-    await asyncio.sleep(chance.uniform(0.0, 0.1 + 2 * cluster.network.slowest_s))
+    await asyncio.sleep(random_source.uniform(0.0, 0.1 + 2 * cluster.network.slowest_s))
     head = next((node for node in cluster.nodes.values() if node.running.is_head), None)
     if head is None:
         return
-    kind = chance.choice(("kill", "cut", "none"))
+    kind = random_source.choice(("kill", "cut", "none"))
     if kind == "kill":
         await head.kill()
-        await asyncio.sleep(chance.uniform(0.1, 4.0))
+        await asyncio.sleep(random_source.uniform(0.1, 4.0))
         await head.start()
     elif kind == "cut":
         cluster.isolate(head.name)
-        await asyncio.sleep(chance.uniform(0.1, 4.0))
+        await asyncio.sleep(random_source.uniform(0.1, 4.0))
         cluster.join_all()
 
 
 async def twice_at_once(seed: int) -> None:
-    cluster, chance = await started(seed)
+    cluster, random_source = await started(seed)
     order = put(2, 1, "once")
-    disturbance = asyncio.ensure_future(disturb(cluster, chance))
-    copies = [cluster[name] for name in chance.sample(sorted(cluster.nodes), 2)]
+    disturbance = asyncio.ensure_future(disturb(cluster, random_source))
+    copies = [cluster[name] for name in random_source.sample(sorted(cluster.nodes), 2)]
     statuses = await asyncio.gather(*(ask(node, order) for node in copies))
     assert set(statuses) <= {200, 503}
-    assert await ask_until_clear(cluster, order, chance) == 200
+    assert await retry_until_definite(cluster, order, random_source) == 200
     await disturbance
-    assert (await in_force(cluster))["comment"] == "once"
-    assert await ask_until_clear(cluster, order, chance) == 200
+    assert (await current_configuration(cluster))["comment"] == "once"
+    assert await retry_until_definite(cluster, order, random_source) == 200
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_an_order_sent_twice_at_once_is_never_refused(seed: int) -> None:
+def test_an_order_sent_twice_concurrently_is_never_rejected(seed: int) -> None:
     run_virtual(twice_at_once(seed))
 
 
 async def race(seed: int) -> None:
-    cluster, chance = await started(seed)
+    cluster, random_source = await started(seed)
     orders = {who: put(2, 1, who) for who in ("one", "other")}
-    disturbance = asyncio.ensure_future(disturb(cluster, chance))
-    nodes = [cluster[chance.choice(sorted(cluster.nodes))] for _ in orders]
+    disturbance = asyncio.ensure_future(disturb(cluster, random_source))
+    nodes = [cluster[random_source.choice(sorted(cluster.nodes))] for _ in orders]
     first = await asyncio.gather(
         *(ask(node, order) for node, order in zip(nodes, orders.values(), strict=True))
     )
-    later = [await ask_until_clear(cluster, order, chance) for order in orders.values()]
+    later = [await retry_until_definite(cluster, order, random_source) for order in orders.values()]
     await disturbance
-    told = {who: {each, again} - {503} for who, each, again in zip(orders, first, later, strict=True)}
-    assert all(len(statuses) == 1 for statuses in told.values()), told
-    assert sorted(statuses.pop() for statuses in map(set, told.values())) == [200, 412]
-    winner = (await in_force(cluster))["comment"]
-    assert told[winner] == {200}
+    statuses_by_operator = {
+        who: {each, again} - {503} for who, each, again in zip(orders, first, later, strict=True)
+    }
+    assert all(len(statuses) == 1 for statuses in statuses_by_operator.values()), statuses_by_operator
+    assert sorted(statuses.pop() for statuses in map(set, statuses_by_operator.values())) == [200, 412]
+    winner = (await current_configuration(cluster))["comment"]
+    assert statuses_by_operator[winner] == {200}
     for who, order in orders.items():
-        assert await ask_until_clear(cluster, order, chance) == (200 if who == winner else 412)
-    assert (await in_force(cluster))["comment"] == winner
+        assert await retry_until_definite(cluster, order, random_source) == (200 if who == winner else 412)
+    assert (await current_configuration(cluster))["comment"] == winner
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_of_two_orders_on_one_version_one_is_taken_and_the_other_never(seed: int) -> None:
+def test_exactly_one_of_two_orders_based_on_one_version_is_accepted(seed: int) -> None:
     run_virtual(race(seed))
 
 
 async def lost_acknowledgement(seed: int) -> None:
-    cluster, chance = await started(seed)
+    cluster, random_source = await started(seed)
     order = put(2, 1, "lost")
     head = next(node for node in cluster.nodes.values() if node.running.is_head)
-    entry = cluster[chance.choice(sorted(cluster.nodes))]
+    entry = cluster[random_source.choice(sorted(cluster.nodes))]
     sending = asyncio.ensure_future(ask(entry, order))
-    await asyncio.sleep(chance.uniform(0.0, 0.05 + 3 * cluster.network.slowest_s))
+    await asyncio.sleep(random_source.uniform(0.0, 0.05 + 3 * cluster.network.slowest_s))
     await head.kill()
-    if chance.random() < 0.3:
+    if random_source.random() < 0.3:
         head.wipe()
     await sending
     later = put(3, 2, "later")
-    assert await ask_until_clear(cluster, order, chance) == 200
-    assert await ask_until_clear(cluster, later, chance) == 200
+    assert await retry_until_definite(cluster, order, random_source) == 200
+    assert await retry_until_definite(cluster, later, random_source) == 200
     await head.start()
     for _ in range(5):
-        assert await ask_until_clear(cluster, order, chance) == 200
-        assert await ask_until_clear(cluster, later, chance) == 200
-        await asyncio.sleep(chance.uniform(0.0, 1.0))
+        assert await retry_until_definite(cluster, order, random_source) == 200
+        assert await retry_until_definite(cluster, later, random_source) == 200
+        await asyncio.sleep(random_source.uniform(0.0, 1.0))
     for node in cluster.nodes.values():  # kill and restart every process
         await node.kill()
     for node in cluster.nodes.values():
         await node.start()
-    assert await ask_until_clear(cluster, order, chance) == 200
-    assert (await in_force(cluster))["comment"] == "later"
+    assert await retry_until_definite(cluster, order, random_source) == 200
+    assert (await current_configuration(cluster))["comment"] == "later"
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_an_order_is_acknowledged_again_by_a_new_head_after_its_answer_was_lost(seed: int) -> None:
+def test_a_new_head_acknowledges_a_retried_order_whose_response_was_lost(seed: int) -> None:
     run_virtual(lost_acknowledgement(seed))
 
 
@@ -179,8 +181,8 @@
     assert await ask(cluster["a"], put(3, 2, "next")) == 503
     assert await ask(cluster["a"], put(2, 1, "taken")) == 503
     cluster.join_all()
-    assert await ask_until_clear(cluster, put(3, 2, "next"), random.Random(0)) == 200
+    assert await retry_until_definite(cluster, put(3, 2, "next"), random.Random(0)) == 200
 
 
-def test_a_deposed_head_refuses_nothing() -> None:
+def test_a_deposed_head_rejects_nothing() -> None:
     run_virtual(deposed_head())
--- a/tests/coordination/controller/test_orders_random.py
+++ b/tests/coordination/controller/test_orders_random.py
@@ -20,20 +20,30 @@
 MAX_FAULT_S = 2.5
 CALM_S = 4.2  # `catchUpS`, the earliest time at which the next failure may follow
 STABILIZE_S = 8.0
-TAKEN_WITHIN_S = 15.0
+ORDER_TIMEOUT_S = 15.0
 
 
 class RandomFaults:
     """Injects one fault after the other, each within the fault tolerance of the deployment."""
 
-    def __init__(self, cluster: ControllerCluster, chance: random.Random) -> None:
+    def __init__(self, cluster: ControllerCluster, random_source: random.Random) -> None:
         self.cluster = cluster
-        self.chance = chance
-        self.kinds = (self.kill, self.wipe, self.cut, self.stick, self.fill, self.kill_all, self.slow)
+        self.random_source = random_source
+        self.kinds = (
+            self.kill,
+            self.wipe,
+            self.cut,
+            self.stall_disk,
+            self.fill_disk,
+            self.kill_all,
+            self.slow_disk,
+        )
 
     async def play(self, count: int) -> None:
         for _ in range(count):
-            await self.chance.choice(self.kinds)(self.cluster[self.chance.choice(sorted(self.cluster.nodes))])
+            await self.random_source.choice(self.kinds)(
+                self.cluster[self.random_source.choice(sorted(self.cluster.nodes))]
+            )
             await self.calm()
 
     async def calm(self) -> None:
@@ -41,7 +51,7 @@
         await asyncio.sleep(CALM_S)
 
     async def pause(self) -> None:
-        await asyncio.sleep(self.chance.uniform(0.05, MAX_FAULT_S))
+        await asyncio.sleep(self.random_source.uniform(0.05, MAX_FAULT_S))
 
     async def kill(self, node: ControllerNode) -> None:
         await node.kill()
@@ -59,12 +69,12 @@
         await self.pause()
         self.cluster.join_all()
 
-    async def stick(self, node: ControllerNode) -> None:
+    async def stall_disk(self, node: ControllerNode) -> None:
         node.files[STALLED] = b"yes"
         await self.pause()
         del node.files[STALLED]
 
-    async def fill(self, node: ControllerNode) -> None:
+    async def fill_disk(self, node: ControllerNode) -> None:
         node.files[DISK_FULL] = b"yes"
         await self.pause()
         del node.files[DISK_FULL]
@@ -74,24 +84,24 @@
             await each.kill()
         await asyncio.sleep(0.2)
         for each in self.cluster.nodes.values():
-            await asyncio.sleep(self.chance.uniform(0.0, 0.3))
+            await asyncio.sleep(self.random_source.uniform(0.0, 0.3))
             await each.start()
 
-    async def slow(self, node: ControllerNode) -> None:
+    async def slow_disk(self, node: ControllerNode) -> None:
         self.cluster.network.disk_slowness[node.name] = 30.0
         await self.pause()
         self.cluster.network.disk_slowness.clear()
 
 
-async def play(seed: int, names: str, jitter: float, troubles: int = 5) -> RandomOperators:
+async def play(seed: int, names: str, jitter: float, fault_count: int = 5) -> RandomOperators:
     """Run operators during random faults, check their responses against the final state and return them."""
-    chance = random.Random(f"orders {seed}")
+    random_source = random.Random(f"orders {seed}")
     cluster = ControllerCluster(names, seed)
     await cluster.bootstrap_all()
     cluster.network.slowest_s = jitter
-    operators = RandomOperators(cluster, chance)
+    operators = RandomOperators(cluster, random_source)
     tasks = [asyncio.ensure_future(operators.run()) for _ in range(3)]
-    await RandomFaults(cluster, chance).play(troubles)
+    await RandomFaults(cluster, random_source).play(fault_count)
     operators.is_running = False
     await asyncio.gather(*tasks)
     await asyncio.sleep(STABILIZE_S)
@@ -109,18 +119,18 @@
     started = loop.time()
     last = SentOrder("PUT", 0, b"")
     while last.acknowledged_at is None:
-        assert loop.time() - started < TAKEN_WITHIN_S, "no order is acknowledged"
+        assert loop.time() - started < ORDER_TIMEOUT_S, "no order is acknowledged"
         await asyncio.sleep(0.1)
         base = await operators.read()
         if base is not None:
             last = operators._new_order(base)
-            await operators._send_until_clear(last)
+            await operators._send_until_definite(last)
     state = next(each.state for each in operators.controllers() if each.is_head)
     assert state is not None
     operators.check(state)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_what_operators_are_reported_fits_a_plain_list_of_orders(seed: int) -> None:
+def test_responses_to_operators_match_the_order_history_model(seed: int) -> None:
     operators = run_virtual(play(seed, "abc" if seed % 3 else "abcd", (0.0, 0.02, 0.1, 0.3)[seed % 4]))
     assert sum(order.acknowledged_at is not None for order in operators.orders) > 5
--- a/tests/coordination/controller/test_voters_replaced.py
+++ b/tests/coordination/controller/test_voters_replaced.py
@@ -24,7 +24,7 @@
     return "".join(sorted(voter.name for voter in view_of(node).voters))
 
 
-async def lose_for_good(cluster: ControllerCluster, name: str) -> None:
+async def remove_for_good(cluster: ControllerCluster, name: str) -> None:
     await cluster[name].kill()
     cluster.remove(name)
 
@@ -33,15 +33,15 @@
     if new_first:
         await cluster.add(new).start()
         await asyncio.sleep(1.0)
-        await lose_for_good(cluster, old)
+        await remove_for_good(cluster, old)
     else:
-        await lose_for_good(cluster, old)
+        await remove_for_good(cluster, old)
         await cluster.add(new).start()
 
 
 @pytest.mark.parametrize("new_first", [True, False])
 @pytest.mark.parametrize("next_victim", "acn")
-def test_after_a_replacement_any_further_loss_is_borne(new_first: bool, next_victim: str) -> None:
+def test_after_a_replacement_any_further_failure_is_tolerated(new_first: bool, next_victim: str) -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
@@ -49,7 +49,7 @@
         await replace(cluster, "b", "n", new_first)
         await asyncio.sleep(NEXT_LOSS_S)
         assert voter_names(cluster["a"]) == "acn"
-        await lose_for_good(cluster, next_victim)
+        await remove_for_good(cluster, next_victim)
         assert await cluster.put_at_any_node(2, 1) < 2.5
 
     run_virtual(play())
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("wiped", "abc")
-def test_a_lost_disk_is_replaced_at_once_and_the_next_one_may_go(wiped: str) -> None:
+def test_a_lost_disk_is_replaced_at_once_and_the_next_loss_tolerated(wiped: str) -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
@@ -113,7 +113,7 @@
     run_virtual(play())
 
 
-def test_who_was_replaced_and_comes_back_is_a_spare_that_cannot_vote() -> None:
+def test_a_replaced_voter_that_returns_is_a_spare_without_a_vote() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abcs", tolerated=1)
         await cluster.bootstrap_all()
@@ -135,11 +135,11 @@
     run_virtual(play())
 
 
-def test_a_voter_that_is_alone_gone_keeps_its_place_until_a_spare_comes() -> None:
+def test_a_failed_voter_stays_in_the_voter_set_until_a_spare_arrives() -> None:
     async def play() -> None:
         cluster = ControllerCluster("abc")
         await cluster.bootstrap_all()
-        await lose_for_good(cluster, "c")
+        await remove_for_good(cluster, "c")
         await asyncio.sleep(10.0)
         assert voter_names(cluster["a"]) == "abc"
         assert await cluster.put_at_any_node(1, 0) < 1.0
@@ -164,7 +164,7 @@
     run_virtual(play())
 
 
-def test_while_the_disk_keeps_a_view_from_use_nothing_is_judged_by_it() -> None:
+def test_a_view_not_yet_saved_to_a_stalled_disk_is_not_used() -> None:
     """A head whose disk is stalled receives the view of the next epoch but cannot use it yet.
 
     It must not report or use the state of its current epoch as a state of the newer epoch, or it would become
@@ -195,5 +195,5 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_losses_at_the_edge_of_what_is_borne(seed: int) -> None:
+def test_random_failures_at_the_shortest_tolerated_interval(seed: int) -> None:
     assert len(run_search(seed).acknowledged) >= 10  # an order takes 1.6 s if each message takes 0.4 s
--- a/tests/coordination/controller/test_worker_list_page.py
+++ b/tests/coordination/controller/test_worker_list_page.py
@@ -14,10 +14,10 @@
 from hollowusher.protocol.worker_list import PlatformWorker
 from tests.support.worker_list_pages import ENTRY, entry, page
 
-NEEDED = ("id", "upstream", "address", "state")
-NO_TEXT: tuple[Any, ...] = (None, "", 7, [], {})
-NO_NUMBER: tuple[Any, ...] = ("12", None, True, [], {}, 1e300)
-NO_ADDRESS = (
+REQUIRED_FIELDS = ("id", "upstream", "address", "state")
+INVALID_TEXTS: tuple[Any, ...] = (None, "", 7, [], {})
+INVALID_NUMBERS: tuple[Any, ...] = ("12", None, True, [], {}, 1e300)
+INVALID_ADDRESSES = (
     "host",
     ":80",
     "host:",
@@ -30,7 +30,7 @@
 )
 
 
-def test_a_page_as_the_protocol_shows_it() -> None:
+def test_page_from_the_interface_specification() -> None:
     read = parse_page(page(ENTRY, token="p-50"))
     assert read.next_token == "p-50"
     assert read.workers == [
@@ -38,14 +38,14 @@
     ]
 
 
-def test_unknown_fields_are_ignored_and_missing_ones_that_do_not_matter_are_filled() -> None:
+def test_unknown_fields_are_ignored_and_missing_optional_fields_get_defaults() -> None:
     short = {key: ENTRY[key] for key in ("id", "upstream", "address", "state")}
     [read] = parse_page(page({**short, "more": [1]})).workers
     assert (read.zone, read.capacity, read.warm_in_ms, read.generation) == ("", 1, 0, "")
     assert parse_page(b'{"instances":[]}').next_token is None
 
 
-def test_a_state_unknown_here_gets_no_new_work() -> None:
+def test_an_unknown_worker_state_counts_as_draining() -> None:
     assert [
         read.state
         for read in parse_page(
@@ -75,11 +75,11 @@
         page(ENTRY)[:-1],
         b"<html>busy</html>",
         b"[" * 100_000,
-        *(page(entry(**{key: bad})) for key in NEEDED for bad in NO_TEXT),
-        *(page({key: value for key, value in ENTRY.items() if key != gone}) for gone in NEEDED),
-        *(page(entry(address=bad)) for bad in NO_ADDRESS),
-        *(page(entry(capacity=bad)) for bad in NO_NUMBER),
-        *(page(entry(warmupLeftMs=bad)) for bad in NO_NUMBER),
+        *(page(entry(**{key: bad})) for key in REQUIRED_FIELDS for bad in INVALID_TEXTS),
+        *(page({key: value for key, value in ENTRY.items() if key != gone}) for gone in REQUIRED_FIELDS),
+        *(page(entry(address=bad)) for bad in INVALID_ADDRESSES),
+        *(page(entry(capacity=bad)) for bad in INVALID_NUMBERS),
+        *(page(entry(warmupLeftMs=bad)) for bad in INVALID_NUMBERS),
         page(entry(zone=3)),
         page(entry(generation=1)),
     ],
@@ -111,7 +111,7 @@
         st.lists(json_values, max_size=3).map(lambda entries: orjson.dumps({"instances": entries})),
     )
 )
-def test_any_bytes_are_read_or_refused(body: bytes) -> None:
+def test_arbitrary_bytes_are_parsed_or_rejected(body: bytes) -> None:
     try:
         read = parse_page(body)
     except MalformedPageError:
--- a/tests/coordination/controller/test_worker_list_reader.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -63,7 +63,7 @@
     assert len({peer for _, peer in seen}) == 1
 
 
-def test_refusals_and_bad_answers_are_errors_that_name_the_platform() -> None:
+def test_rejections_and_malformed_responses_raise_errors_with_the_address() -> None:
     answers = [web.Response(status=429), web.Response(status=500), web.Response(body=b"{")]
 
     async def answer(request: web.Request) -> web.Response:
@@ -84,7 +84,7 @@
     read_from(answer, work)
 
 
-def test_a_platform_that_is_not_there_is_an_error() -> None:
+def test_an_unreachable_platform_raises_an_error() -> None:
     async def play() -> None:
         reader = WorkerListReader("127.0.0.1:9", 20_000.0)
         try:
@@ -96,7 +96,7 @@
     asyncio.run(play())
 
 
-def test_a_page_that_fails_keeps_the_list_as_it_was() -> None:
+def test_a_failed_page_does_not_change_the_list() -> None:
     bodies = [page(entry(id="a")), page(entry(id="b"), token="p2"), b"broken", page(entry(id="b"))]
 
     async def answer(request: web.Request) -> web.Response:
--- a/tests/coordination/controller/test_worker_list_reconciler.py
+++ b/tests/coordination/controller/test_worker_list_reconciler.py
@@ -6,7 +6,7 @@
 from tests.support.worker_list_pages import names, worker
 
 
-def test_an_empty_list_needs_two_readings_in_a_row() -> None:
+def test_an_empty_list_needs_two_consecutive_reads() -> None:
     reconciler = WorkerListReconciler()
     assert names(reconciler.reconcile([worker("a")], 1)) == ["a"]
     assert reconciler.reconcile([], 1) is None
@@ -15,11 +15,11 @@
     assert reconciler.reconcile([], 1) == []
 
 
-def test_an_empty_list_at_the_start_is_just_empty() -> None:
+def test_an_empty_list_is_accepted_at_the_start() -> None:
     assert WorkerListReconciler().reconcile([], 1) == []
 
 
-def test_a_worker_missing_from_one_reading_of_several_pages_stays_for_one_more() -> None:
+def test_a_worker_missing_from_one_multi_page_read_stays_until_the_next() -> None:
     reconciler = WorkerListReconciler()
     reconciler.reconcile([worker("a"), worker("b")], 2)
     assert names(reconciler.reconcile([worker("a")], 2)) == ["a", "b"]
--- a/tests/coordination/controller/voter_fault_search.py
+++ b/tests/coordination/controller/voter_fault_search.py
@@ -30,7 +30,7 @@
 JITTERS_S = (0.0, 0.1, 0.2, 0.4)
 PROCESS_START_S = (0.3, 1.0)  # range of the time from a machine's start to its process's start
 LOSSES = 8
-ORDER_WITHIN_S = 2.5  # timeout of an order after recovery
+ORDER_TIMEOUT_S = 2.5  # timeout of an order after recovery
 
 
 class NotRecoveredError(AssertionError):
@@ -41,7 +41,7 @@
     """One run with a random sequence of failures."""
 
     def __init__(self, seed: int, names: str, spares: str, tolerated: int) -> None:
-        self.chance = random.Random(f"voter hunt {seed}")
+        self.random_source = random.Random(f"voter hunt {seed}")
         self.cluster = ControllerCluster(names, seed=seed, tolerated=tolerated)
         self.spares = spares
         self.history: list[str] = []
@@ -56,8 +56,8 @@
         await cluster.bootstrap_all()
         for name in self.spares:
             await cluster.add(name).start()
-        cluster.network.slowest_s = self.chance.choice(JITTERS_S)
-        traffic = OrderTraffic(cluster, self.chance)
+        cluster.network.slowest_s = self.random_source.choice(JITTERS_S)
+        traffic = OrderTraffic(cluster, self.random_source)
         orders = loop.create_task(traffic.run())
         distance = SLOW_CATCH_UP_S if cluster.network.slowest_s > EDGE_JITTER_S else CATCH_UP_S
         await self._wait(distance)
@@ -78,51 +78,51 @@
             self._kill,
             self._wipe,
             self._cut,
-            self._stick,
+            self._stall_disk,
             self._stop,
             self._replace,
             self._replace_after_notice,
             self._replace_by_one_there_before,
         ]
-        if self.chance.random() < 0.1:
+        if self.random_source.random() < 0.1:
             await self._kill_all()
             return
-        node = self.cluster[self.chance.choice(sorted(self.cluster.nodes))]
-        kind = self.chance.choice(kinds)
+        node = self.cluster[self.random_source.choice(sorted(self.cluster.nodes))]
+        kind = self.random_source.choice(kinds)
         self.history.append(f"{asyncio.get_running_loop().time():.1f} {kind.__name__} {node.name}")
         await kind(node)
 
     async def _kill(self, node: ControllerNode) -> None:
         await node.kill()
-        await self._wait(self.chance.uniform(0.1, 4.0))
+        await self._wait(self.random_source.uniform(0.1, 4.0))
         await self._start(node)
 
     async def _wipe(self, node: ControllerNode) -> None:
         await node.kill()
         node.wipe()
-        await self._wait(self.chance.uniform(0.1, 2.0))
+        await self._wait(self.random_source.uniform(0.1, 2.0))
         await self._start(node)
 
     async def _cut(self, node: ControllerNode) -> None:
         self.cluster.isolate(node.name)
-        await self._wait(self.chance.uniform(0.2, 6.0))
+        await self._wait(self.random_source.uniform(0.2, 6.0))
         self.cluster.join_all()
 
-    async def _stick(self, node: ControllerNode) -> None:
+    async def _stall_disk(self, node: ControllerNode) -> None:
         node.files[STALLED] = b"yes"
-        await self._wait(self.chance.uniform(0.2, 6.0))
+        await self._wait(self.random_source.uniform(0.2, 6.0))
         del node.files[STALLED]
 
     async def _stop(self, node: ControllerNode) -> None:
         await node.stop()
-        await self._wait(self.chance.uniform(0.1, 2.0))
+        await self._wait(self.random_source.uniform(0.1, 2.0))
         await self._start(node)
 
     async def _replace(self, node: ControllerNode) -> None:
         """Remove a machine without notice, then start an empty one with another name and address."""
         await node.kill()
         self._remove(node)
-        await self._wait(self.chance.uniform(0.0, 1.0))
+        await self._wait(self.random_source.uniform(0.0, 1.0))
         await self._start(self._new_machine(node))
 
     async def _replace_after_notice(self, node: ControllerNode) -> None:
@@ -134,7 +134,7 @@
     async def _replace_by_one_there_before(self, node: ControllerNode) -> None:
         """Start an empty machine first, and remove the old one soon after."""
         await self._start(self._new_machine(node))
-        await self._wait(self.chance.uniform(0.0, 3.0))
+        await self._wait(self.random_source.uniform(0.0, 3.0))
         await node.kill()
         self._remove(node)
 
@@ -143,22 +143,22 @@
         nodes = list(self.cluster.nodes.values())
         for node in nodes:
             await node.kill()
-        for node in self.chance.sample(nodes, len(nodes)):
-            await self._wait(self.chance.uniform(0.0, 0.3))
+        for node in self.random_source.sample(nodes, len(nodes)):
+            await self._wait(self.random_source.uniform(0.0, 0.3))
             await node.start()
 
     def _remove(self, node: ControllerNode) -> None:
         """Remove a machine for good, and choose the seeds of later starts from the remaining machines."""
         self.cluster.remove(node.name)
         left = sorted(self.cluster.nodes)
-        self.cluster.use_seeds(self.chance.sample(left, min(3, len(left))))
+        self.cluster.use_seeds(self.random_source.sample(left, min(3, len(left))))
 
     def _new_machine(self, old: ControllerNode) -> ControllerNode:
         self._replacements += 1
         return self.cluster.add(f"{old.name[0]}{self._replacements}", zone=old.zone)
 
     async def _start(self, node: ControllerNode) -> None:
-        await self._wait(self.chance.uniform(*PROCESS_START_S))
+        await self._wait(self.random_source.uniform(*PROCESS_START_S))
         await node.start()
 
     async def _wait(self, seconds: float) -> None:
@@ -172,36 +172,36 @@
         newest = max((view for view in views if view is not None), key=lambda view: view.epoch)
         jitter = self.cluster.network.slowest_s
         names = [voter.name for voter in newest.voters]
-        story = f"{self.history}; jitter {jitter} s; epoch {newest.epoch}: {names} {newest.chain}"
+        details = f"{self.history}; jitter {jitter} s; epoch {newest.epoch}: {names} {newest.chain}"
         try:
-            await traffic.put_newest(ORDER_WITHIN_S)
+            await traffic.put_newest(ORDER_TIMEOUT_S)
         except AssertionError as error:
-            raise NotRecoveredError(f"no order is acknowledged: {error}; {story}") from error
+            raise NotRecoveredError(f"no order is acknowledged: {error}; {details}") from error
         await asyncio.sleep(1.0)
         state = next((node.running.state for node in nodes if node.running.is_head), None)
         if state is None:
-            raise NotRecoveredError(f"no controller is the head; {story}")
+            raise NotRecoveredError(f"no controller is the head; {details}")
         for node in nodes:
             view = node.running.view
             if view is None or view.epoch != newest.epoch:
-                raise NotRecoveredError(f"{node.name} has epoch {view and view.epoch}; {story}")
+                raise NotRecoveredError(f"{node.name} has epoch {view and view.epoch}; {details}")
             if node.name in newest.chain and node.running.state != state:
-                raise NotRecoveredError(f"{node.name} lacks the newest state; {story}")
-        self._check_voters(newest.chain, {voter.name for voter in newest.voters}, story)
+                raise NotRecoveredError(f"{node.name} lacks the newest state; {details}")
+        self._check_voters(newest.chain, {voter.name for voter in newest.voters}, details)
 
-    def _check_voters(self, chain: list[str], voters: set[str], story: str) -> None:
+    def _check_voters(self, chain: list[str], voters: set[str], details: str) -> None:
         wanted = min(2 * self.cluster.tolerated + 1, len(self.cluster.nodes))
         if len(voters) != wanted or voters - self.cluster.nodes.keys():
-            raise NotRecoveredError(f"the voters are {sorted(voters)}; {story}")
+            raise NotRecoveredError(f"the voters are {sorted(voters)}; {details}")
         if set(chain) != voters:
-            raise NotRecoveredError(f"the chain is {chain}; {story}")
+            raise NotRecoveredError(f"the chain is {chain}; {details}")
 
 
 def run_search(seed: int) -> OrderTraffic:
     """Run one seed with three controllers, one third of the seeds with a spare, or with five in one sixth."""
     names, tolerated = ("abcde", 2) if seed % 6 == 5 else ("abc", 1)
-    hunt = VoterFaultSearch(seed, names, "s" if seed % 3 == 1 else "", tolerated)
-    return run_virtual(hunt.run())
+    search = VoterFaultSearch(seed, names, "s" if seed % 3 == 1 else "", tolerated)
+    return run_virtual(search.run())
 
 
 @click.command()
--- a/tests/coordination/controller/voter_recovery_times.py
+++ b/tests/coordination/controller/voter_recovery_times.py
@@ -16,7 +16,7 @@
 
 ABSENCES_S = (0.1, 1.0, 3.0, 6.0)
 JITTERS_S = (0.0, 0.2)
-GIVEN_UP_S = 15.0
+TIMEOUT_S = 15.0
 SUCCESSOR = "n"
 
 Loss = Callable[[ControllerCluster, ControllerNode, float], Coroutine[None, None, str]]
@@ -50,7 +50,7 @@
 async def stick(cluster: ControllerCluster, node: ControllerNode, absence_s: float) -> str:
     """Stall the machine's disk for a time while an operator sends an order."""
     node.files[STALLED] = b"yes"
-    order = asyncio.get_running_loop().create_task(cluster.put_at_any_node(2, 1, GIVEN_UP_S))
+    order = asyncio.get_running_loop().create_task(cluster.put_at_any_node(2, 1, TIMEOUT_S))
     await asyncio.sleep(absence_s)
     del node.files[STALLED]
     order.cancel()
@@ -82,10 +82,10 @@
     """Return whether the chain has three running members and `name` is one with a state of its epoch."""
     views = [node.running.view for node in cluster.nodes.values()]
     newest = max((view for view in views if view is not None), key=lambda view: view.epoch)
-    came = cluster[name].running
-    member = came._chain_member
+    returned = cluster[name].running
+    member = returned._chain_member
     return (
-        came.view == newest
+        returned.view == newest
         and len(newest.chain) == 3
         and name in newest.chain
         and set(newest.chain) <= cluster.nodes.keys()
@@ -100,10 +100,10 @@
     await cluster.bootstrap_all()
     await cluster.put_at_any_node(1, 0)
     cluster.network.slowest_s = jitter_s
-    came = await loss(cluster, cluster[victim], absence_s)
+    returned = await loss(cluster, cluster[victim], absence_s)
     ended = asyncio.get_running_loop().time()
     await asyncio.sleep(0.05)
-    await cluster.until(lambda: is_complete(cluster, came), GIVEN_UP_S)
+    await cluster.until(lambda: is_complete(cluster, returned), TIMEOUT_S)
     return asyncio.get_running_loop().time() - ended
 
 
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -48,7 +48,7 @@
         self.confirms = True  # whether the chain answers reads
         self.nodes: list[Node] = []
         self.lists: list[PlatformWorkerList | None] = []
-        self.readings: list[float] = []
+        self.read_times: list[float] = []
 
     def decide(self, view: View) -> None:
         self.view, self.head = view, view.head
@@ -90,7 +90,7 @@
 
     async def read(self) -> PlatformWorkerList | None:
         """Return the platform's list, as a fake of the worker list reader."""
-        self.chain.readings.append(asyncio.get_running_loop().time())
+        self.chain.read_times.append(asyncio.get_running_loop().time())
         if not self.chain.lists:
             raise WorkerListReadError("read the list", "platform", "nothing to read")
         return self.chain.lists[0] if len(self.chain.lists) == 1 else self.chain.lists.pop(0)
@@ -283,7 +283,7 @@
 # ---- start
 
 
-def test_everyone_learns_of_everyone_and_of_the_first_placement() -> None:
+def test_every_process_receives_all_members_and_the_first_placement() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         placement = cluster.chain.state.placement
@@ -297,7 +297,7 @@
     play(work)
 
 
-def test_before_any_answer_there_has_been_no_contact() -> None:
+def test_there_is_no_contact_before_the_first_response() -> None:
     async def work(cluster: Cluster) -> None:
         await asyncio.sleep(0.3)
         now = cluster.loop.time()
@@ -343,7 +343,7 @@
     play(work)
 
 
-def test_confirmed_start_of_a_controller_feeds_others() -> None:
+def test_confirmed_start_of_a_controller_publishes_the_state() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         cluster.chain.state = evolve(cluster.chain.state, generation=9, document=DOCUMENT % 9)
@@ -359,7 +359,7 @@
     play(work)
 
 
-def test_a_clock_that_went_back_is_made_up_for_at_the_start() -> None:
+def test_a_restart_with_a_clock_set_back_takes_a_higher_incarnation() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.nodes["edge0"].me = evolve(cluster.nodes["edge0"].me, incarnation=50)
         await asyncio.sleep(0.5)
@@ -375,7 +375,7 @@
 # ---- distribution
 
 
-def test_a_configuration_reaches_everyone_soon() -> None:
+def test_a_configuration_reaches_every_process_within_100_ms() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         cluster.chain.commit(evolve(cluster.chain.state, generation=3, document=DOCUMENT % 3))
@@ -408,7 +408,7 @@
     play(work)
 
 
-def test_after_a_controller_falls_silent_its_readers_go_on_with_another() -> None:
+def test_readers_of_a_failed_controller_switch_to_another() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         await asyncio.sleep(1.5)
@@ -459,7 +459,7 @@
     play(work)
 
 
-def test_processes_find_controllers_again_after_all_have_been_replaced_meanwhile() -> None:
+def test_processes_reconnect_after_all_controllers_restarted() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         for zone in range(3):
@@ -481,7 +481,7 @@
     play(work)
 
 
-def test_a_controller_that_is_no_voter_is_known_and_does_not_pull_in_a_hurry() -> None:
+def test_a_controller_without_a_vote_is_registered_and_does_not_pull_in_a_tight_loop() -> None:
     """A controller that is not a voter holds items of the same versions as the voters' items.
 
     The voters do not pull from it.  The origin of the voters' items has no other items, so this controller
@@ -517,7 +517,7 @@
     play(work)
 
 
-def test_a_death_that_only_readers_know_of_is_given_back_to_the_controllers() -> None:
+def test_read_repair_restores_a_death_that_only_readers_hold() -> None:
     """The controller that published the death is lost before the other controllers have pulled it."""
 
     async def work(cluster: Cluster) -> None:
@@ -544,7 +544,7 @@
     play(work)
 
 
-def test_the_only_controller_that_returns_is_found_soon() -> None:
+def test_the_only_restarted_controller_is_found_soon() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         for zone in range(3):
@@ -558,7 +558,7 @@
     play(work)
 
 
-def test_when_most_controllers_are_down_the_last_one_is_still_listened_to() -> None:
+def test_readers_use_the_last_controller_while_most_are_down() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         await asyncio.sleep(1.5)
@@ -580,7 +580,7 @@
 # ---- members
 
 
-def test_a_process_that_stops_is_known_to_be_gone_at_once() -> None:
+def test_a_departure_is_distributed_at_once() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         for name in ("edge0", "store1", "core2"):
@@ -616,7 +616,7 @@
     play(work)
 
 
-def test_a_frozen_process_is_dead_and_says_otherwise_once_it_is_thawed() -> None:
+def test_a_frozen_process_is_declared_dead_and_refutes_it_after_the_freeze() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         node = cluster.nodes["edge2"]
@@ -632,7 +632,7 @@
     play(work)
 
 
-def test_a_full_zone_lost_is_judged_dead() -> None:
+def test_all_members_of_a_lost_zone_are_declared_dead() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         for name in ("core1", "edge1", "store1"):
@@ -647,12 +647,14 @@
     play(work)
 
 
-def test_a_member_that_one_monitor_does_not_hear_stays_alive() -> None:
+def test_a_member_suspected_by_one_monitor_stays_alive() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         edges = [name for name in cluster.nodes if not name.startswith("store")]
-        deaf = next(name for name in choose_monitors("store1", edges) if not name.startswith("core0"))
-        cluster.network.block(cluster.nodes["store1"].host, cluster.nodes[deaf].host, both=False)
+        isolated_monitor = next(
+            name for name in choose_monitors("store1", edges) if not name.startswith("core0")
+        )
+        cluster.network.block(cluster.nodes["store1"].host, cluster.nodes[isolated_monitor].host, both=False)
         probes: list[str] = []
 
         def watch(source: str, target: str, message: Any) -> None:
@@ -668,12 +670,12 @@
     play(work)
 
 
-def test_after_any_course_of_faults_everyone_agrees_again() -> None:
+def test_all_processes_converge_after_random_faults() -> None:
     for seed in range(3):
-        play(partial(play_random_faults, seed))
+        play(partial(run_random_faults, seed))
 
 
-async def play_random_faults(seed: int, cluster: Cluster) -> None:
+async def run_random_faults(seed: int, cluster: Cluster) -> None:
     """Inject faults for half a minute; no version may decrease, and all processes converge afterwards."""
     random_source = random.Random(seed)
     await cluster.calm()
@@ -759,7 +761,7 @@
         assert (member is not None and member.alive) == other.process.alive, (seed, node.name, name)
 
 
-def test_calm_hours_bring_no_death_and_few_messages() -> None:
+def test_without_faults_there_are_no_deaths_and_few_messages() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         heartbeats: list[str] = []
@@ -789,7 +791,7 @@
     return {entry.primary for entry in placement.partitions}
 
 
-def test_a_dead_stores_partitions_get_other_primaries_and_drift_back_later() -> None:
+def test_a_dead_stores_partitions_get_other_primaries_and_move_back_later() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         cluster.kill("store0")
@@ -901,11 +903,11 @@
         for _ in range(2):  # idempotent
             assert await retire(cluster, "store0") == (200, b'{"state":"running"}')
         assert (await retire(cluster, "store1"))[0] == 409  # the three remaining stores are required
-        unnamed_since = math.inf
+        unplaced_since = math.inf
         for _ in range(200):
             await asyncio.sleep(0.1)
             if not is_store_placed(cluster.chain.state.placement or Placement(0, []), "store0"):
-                unnamed_since = min(unnamed_since, cluster.loop.time())
+                unplaced_since = min(unplaced_since, cluster.loop.time())
             if (await retire(cluster, "store0", None)) == (200, b'{"state":"completed"}'):
                 break
             placement = cluster.chain.state.placement
@@ -913,7 +915,7 @@
             await report_learners(cluster)
         else:
             raise AssertionError("the retirement did not complete")
-        assert 0.9 <= cluster.loop.time() - unnamed_since <= 2.5
+        assert 0.9 <= cluster.loop.time() - unplaced_since <= 2.5
         placement = cluster.chain.state.placement
         assert placement is not None
         assert all(
@@ -925,7 +927,7 @@
     play(work, stores=4)
 
 
-def test_only_the_head_takes_orders() -> None:
+def test_only_the_head_accepts_orders() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         head_roles = cluster.nodes["core1"].head_roles
@@ -937,7 +939,7 @@
     play(work, stores=4)
 
 
-def test_three_stores_with_one_tolerated_loss_cannot_spare_any() -> None:
+def test_none_of_three_stores_can_retire_if_one_loss_is_tolerated() -> None:
     async def work(cluster: Cluster) -> None:
         await cluster.calm()
         assert (await retire(cluster, "store0"))[0] == 409
@@ -957,16 +959,16 @@
     return None if found is None else found.workers
 
 
-def test_the_list_is_read_once_a_second_and_sent_only_when_it_says_something_new() -> None:
+def test_the_list_is_read_once_a_second_and_published_only_when_it_changed() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a", warm_in_ms=9000)])]
         await cluster.calm()
         await cluster.until(lambda: listed(cluster) == [worker("a", warm_in_ms=9000)], 3.0)
-        cluster.chain.readings.clear()
+        cluster.chain.read_times.clear()
         version = cluster.nodes["edge2"].state.versions["workers"]
         cluster.chain.lists = [PlatformWorkerList([worker("a", warm_in_ms=5000)])]
         await asyncio.sleep(10.0)
-        assert 9 <= len(cluster.chain.readings) <= 11
+        assert 9 <= len(cluster.chain.read_times) <= 11
         assert cluster.nodes["edge2"].state.versions["workers"] == version
         cluster.chain.lists = [PlatformWorkerList([worker("a", "draining")])]
         await cluster.until(
@@ -982,22 +984,22 @@
     play(work)
 
 
-def test_a_new_head_reads_soon_and_its_list_counts() -> None:
+def test_a_new_head_reads_soon_and_its_list_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
         await cluster.calm()
         await cluster.until(lambda: listed(cluster) == [worker("a")], 3.0)
         cluster.kill("core0")
         cluster.chain.lists = [PlatformWorkerList([worker("b")])]
-        cluster.chain.readings.clear()
+        cluster.chain.read_times.clear()
         cluster.chain.decide(cluster.view(2, ("core1", "core2")))
         await cluster.until(lambda: listed(cluster) == [worker("b")], 0.6)
-        assert len(cluster.chain.readings) == 1
+        assert len(cluster.chain.read_times) == 1
 
     play(work)
 
 
-def test_a_head_that_restarts_in_its_epoch_is_believed_again() -> None:
+def test_a_list_of_a_head_restarted_in_its_epoch_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
         await cluster.calm()
@@ -1011,7 +1013,7 @@
     play(work)
 
 
-def test_a_list_read_after_all_controllers_have_restarted_is_believed() -> None:
+def test_a_list_read_after_all_controllers_restarted_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
         await cluster.calm()
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -49,23 +49,23 @@
 
 
 class TestAge:
-    def test_an_answer_tells_how_long_ago_its_controller_had_word_from_most(self) -> None:
+    def test_a_response_contains_the_age_of_the_last_majority_contact(self) -> None:
         async def ask(age_s: float) -> UpdatesResponse:
             poll = LongPollResponder(UpdateFeed("a/1"), lambda: True, lambda: age_s)
             answer = await poll.respond(PullUpdates("reader", {}, 0))
-            told = decode(encode(answer))
-            assert isinstance(told, UpdatesResponse)
-            return told
+            decoded = decode(encode(answer))
+            assert isinstance(decoded, UpdatesResponse)
+            return decoded
 
         assert asyncio.run(ask(1.25)).age_ms == 1250
         assert asyncio.run(ask(float("inf"))).age_ms == 1_000_000_000
 
     @pytest.mark.parametrize(
-        ("cut", "last_word_s"),
+        ("cut", "last_response_s"),
         [(cut_all, 0.0), (cut_one_way_in, 0.0), (cut_one_way_out, PULL_WAIT_MS / 1000)],
     )
-    def test_a_reader_is_no_younger_than_its_cut_off_controller(
-        self, cut: Callable[[Cluster], None], last_word_s: float
+    def test_a_readers_age_is_at_least_that_of_its_isolated_controller(
+        self, cut: Callable[[Cluster], None], last_response_s: float
     ) -> None:
         """The reader and the controller of zone 1 are isolated together.
 
@@ -82,14 +82,14 @@
             cut_at = cluster.loop.time()
             client = cluster.nodes["edge1"].client
             while (now := cluster.loop.time()) < cut_at + 20.0:
-                assert client.seconds_since_majority(now) >= now - cut_at - last_word_s - SLACK_S
+                assert client.seconds_since_majority(now) >= now - cut_at - last_response_s - SLACK_S
                 await asyncio.sleep(0.05)
             cluster.network.heal_all()
             await cluster.until(lambda: client.seconds_since_majority(cluster.loop.time()) < 1.0, 6.0)
 
         play(work)
 
-    def test_in_calm_times_everyone_is_current(self) -> None:
+    def test_without_faults_every_process_is_current(self) -> None:
         async def work(cluster: Cluster) -> None:
             await cluster.calm()
             await asyncio.sleep(1.5)
@@ -103,7 +103,7 @@
 
     @pytest.mark.parametrize("frozen_s", [0.5, 1.0, 1.5, 3.0, 20.0])
     @pytest.mark.parametrize("name", ["edge1", "core1"])
-    def test_an_answer_that_lay_unread_over_a_freeze_counts_from_its_question(
+    def test_a_response_unread_during_a_freeze_counts_from_its_request(
         self, name: str, frozen_s: float
     ) -> None:
         async def work(cluster: Cluster) -> None:
@@ -128,7 +128,7 @@
 
         play(work)
 
-    def test_a_confirmed_start_is_current_from_its_question_on(self) -> None:
+    def test_a_confirmed_start_is_current_as_of_its_request(self) -> None:
         async def work(cluster: Cluster) -> None:
             await cluster.calm()
             publish(cluster, 5, "core0", "core1", "core2")
@@ -143,7 +143,7 @@
 
 
 class TestStart:
-    def test_a_process_that_reaches_a_cut_off_controller_only_does_not_begin(self) -> None:
+    def test_a_process_that_reaches_only_an_isolated_controller_does_not_start(self) -> None:
         async def work(cluster: Cluster) -> None:
             await cluster.calm()
             cut_all(cluster)
@@ -188,7 +188,7 @@
 
     @pytest.mark.parametrize(("current", "status"), [(True, 404), (False, 503)])
     @pytest.mark.parametrize("path", ["/none/", "/pull/nobody"])
-    def test_what_is_not_known_is_not_denied_without_contact(
+    def test_unknown_paths_get_503_instead_of_404_without_contact(
         self, path: str, current: bool, status: int
     ) -> None:
         async def work(world: World) -> None:
@@ -198,7 +198,7 @@
 
         play_intake(work)
 
-    def test_a_body_that_is_still_to_come_does_not_change_that(self) -> None:
+    def test_unknown_paths_get_503_before_the_body_arrives(self) -> None:
         async def work(world: World) -> None:
             early = self.intake(world, False).reject_head(request("/none/"), 100_000)
             assert early is not None
@@ -206,7 +206,7 @@
 
         play_intake(work)
 
-    def test_messages_on_known_routes_are_taken_without_contact(self) -> None:
+    def test_messages_on_known_routes_are_accepted_without_contact(self) -> None:
         """Accepting a message is safe, because its store has a quorum and applies its own configuration."""
 
         async def work(world: World) -> None:
@@ -215,6 +215,6 @@
         play_intake(work)
 
 
-def test_the_bounds_fit_each_other() -> None:
+def test_age_bounds_are_consistent() -> None:
     assert CALM_AGE_S < 0.95 * 3.0
     assert MAX_CONNECTED_AGE_S < 0.95 * 3.0
--- a/tests/coordination/distribution/test_update_feed.py
+++ b/tests/coordination/distribution/test_update_feed.py
@@ -33,7 +33,7 @@
     return Member(name, "edge", f"{name}:1", "z", "r", incarnation, status=status)
 
 
-def test_publish_takes_only_greater_versions() -> None:
+def test_publish_accepts_only_greater_versions() -> None:
     feed = UpdateFeed("a/1")
     assert feed.publish("placement", [2], "two")
     assert not feed.publish("placement", [2], "again")
@@ -42,14 +42,14 @@
     assert values(feed) == {"placement": ([10], "ten")}
 
 
-def test_versions_compare_number_by_number() -> None:
+def test_versions_are_compared_lexicographically() -> None:
     feed = UpdateFeed("a/1")
     assert feed.publish("member/x", [5, 9], "life 5")
     assert feed.publish("member/x", [6, 0], "life 6")
     assert not feed.publish("member/x", [5, 10], "life 5 again")
 
 
-def test_answer_has_only_what_lies_beyond_the_vector_and_the_newest_of_a_key() -> None:
+def test_updates_contain_only_the_newest_items_that_the_vector_does_not_cover() -> None:
     feed = UpdateFeed("a/1")
     feed.publish("view", [1], "first")
     have = feed.version_vector
@@ -60,10 +60,10 @@
     assert feed.updates_for(PullUpdates("reader", answer.have, 0)).items == []
 
 
-def test_merge_never_goes_back_and_tells_listeners_only_of_news() -> None:
+def test_merge_never_decreases_a_version_and_notifies_only_of_changes() -> None:
     feed = UpdateFeed("a/1")
-    told: list[Any] = []
-    feed.add_listener(lambda item: told.append(item.value))
+    notified: list[Any] = []
+    feed.add_listener(lambda item: notified.append(item.value))
     feed.publish("configuration", [7], "seven")
     changed = feed.merge(
         UpdatesResponse(
@@ -75,7 +75,7 @@
         )
     )
     assert changed == ["view"]
-    assert told == ["seven", "view"]
+    assert notified == ["seven", "view"]
     assert values(feed)["configuration"] == ([7], "seven")
 
 
@@ -88,7 +88,7 @@
     assert pull(second, third).items == []
 
 
-def test_the_vector_forgets_origins_without_live_items() -> None:
+def test_origins_without_items_are_pruned_from_the_vector() -> None:
     feed = UpdateFeed("z/1")
     for incarnation in range(1, 50):
         other = UpdateFeed(f"a/{incarnation}")
@@ -104,7 +104,7 @@
     assert set(state.version_vector) <= {"a/49", "z/1"}
 
 
-def test_the_same_version_from_two_controllers_is_not_sent_for_ever() -> None:
+def test_equal_versions_of_two_controllers_are_not_resent_forever() -> None:
     """Two controllers publish the same committed state and pull from each other until no items are left."""
     first, second = UpdateFeed("a/1"), UpdateFeed("b/1")
     first.publish("configuration", [7], "seven")
@@ -116,7 +116,7 @@
     assert pull(second, first).items == []
 
 
-def test_a_reader_that_moves_to_a_controller_that_is_behind_keeps_what_it_has() -> None:
+def test_a_reader_that_switches_to_a_stale_controller_keeps_newer_items() -> None:
     ahead, behind = UpdateFeed("a/1"), UpdateFeed("b/1")
     behind.publish("member/x", [1, 0], member("x"))
     ahead.publish("member/x", [1, 1], member("x", status=1))
@@ -139,7 +139,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(steps)
-def test_feeds_and_a_reader_come_to_the_greatest_versions(run: list[tuple[Any, ...]]) -> None:
+def test_feeds_and_a_reader_converge_to_the_greatest_versions(run: list[tuple[Any, ...]]) -> None:
     """Compare the feeds and a reader with a model that holds the greatest published version of each key."""
     feeds = [UpdateFeed(f"{name}/1") for name in "abc"]
     state = ClusterState()
@@ -174,7 +174,7 @@
     }
 
 
-def test_long_poll_answers_at_once_with_news_and_else_waits() -> None:
+def test_long_poll_returns_items_at_once_or_waits_for_updates() -> None:
     async def play() -> None:
         loop = asyncio.get_running_loop()
         feed = UpdateFeed("a/1")
@@ -203,7 +203,7 @@
         virtual.shut()
 
 
-def test_long_poll_says_whether_its_controller_is_connected() -> None:
+def test_long_poll_reports_whether_its_controller_is_connected() -> None:
     async def play() -> None:
         poll = LongPollResponder(UpdateFeed("a/1"), lambda: False)
         assert not (await poll.respond(PullUpdates("reader", {}, 0))).connected
--- a/tests/support/order_model.py
+++ b/tests/support/order_model.py
@@ -158,8 +158,8 @@
         while self.is_running:
             base = await self.read()
             if base is not None:
-                await self._send_until_clear(self._new_order(base))
-                await self._send_an_old_one_again()
+                await self._send_until_definite(self._new_order(base))
+                await self._resend_old_order()
             await asyncio.sleep(self.random_source.uniform(0.0, PAUSE_S))
 
     def _new_order(self, base: int) -> SentOrder:
@@ -182,7 +182,7 @@
         self.orders.append(order)
         return order
 
-    async def _send_until_clear(self, order: SentOrder) -> None:
+    async def _send_until_definite(self, order: SentOrder) -> None:
         started = asyncio.get_running_loop().time()
         while asyncio.get_running_loop().time() - started < ORDER_TIMEOUT_S:
             copies = self.random_source.choice((1, 1, 2, 3))  # duplicates sent concurrently
@@ -190,7 +190,7 @@
                 return
             await asyncio.sleep(self.random_source.uniform(0.0, PAUSE_S))
 
-    async def _send_an_old_one_again(self) -> None:
+    async def _resend_old_order(self) -> None:
         """Sometimes resend one of the last 30 orders, whatever its outcome was."""
         if self.orders and self.random_source.random() < 0.3:
             await self.send(self.random_source.choice(self.orders[-30:]))
--- a/tests/support/simulated_controllers.py
+++ b/tests/support/simulated_controllers.py
@@ -247,14 +247,14 @@
         turn = 0
         while True:
             self.generation += 1
-            wanted, on_top_of = self.generation, self.acknowledged
+            wanted, based_on = self.generation, self.acknowledged
             while True:
                 turn += 1
-                status = await self._within_a_second(self[names[turn % len(names)]].put(wanted, on_top_of))
+                status = await self._within_a_second(self[names[turn % len(names)]].put(wanted, based_on))
                 if status == 200:
                     self.acknowledged = wanted
                     break
-                assert status in (None, 503), f"order {wanted} on top of {on_top_of}: {status}"
+                assert status in (None, 503), f"order {wanted} on top of {based_on}: {status}"
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.05)
 
