--- a/tests/coordination/chain/test_catch_up_random.py
+++ b/tests/coordination/chain/test_catch_up_random.py
@@ -30,7 +30,7 @@
         super().__init__(cluster, chance)
         self.slowest_s = 0.0
 
-    async def calm(self) -> None:
+    async def wait_between_faults(self) -> None:
         """Wait until every member holds what the head holds; then a second more."""
         took = await self.cluster.until(self._all_caught_up, CAUGHT_UP_S)
         self.slowest_s = max(self.slowest_s, took)
--- a/tests/coordination/controller/test_orders_random.py
+++ b/tests/coordination/controller/test_orders_random.py
@@ -44,9 +44,9 @@
             await self.random_source.choice(self.kinds)(
                 self.cluster[self.random_source.choice(sorted(self.cluster.nodes))]
             )
-            await self.calm()
+            await self.wait_between_faults()
 
-    async def calm(self) -> None:
+    async def wait_between_faults(self) -> None:
         """Wait between two faults until the next one may follow."""
         await asyncio.sleep(CALM_S)
 
