--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -252,7 +252,7 @@
             await asyncio.sleep(0.01)
         return self.loop.time() - started
 
-    async def calm(self) -> None:
+    async def bootstrap(self) -> None:
         """Decide the first view, and wait until every process has all members and the placement."""
         await asyncio.sleep(0.5)
         self.chain.decide(self.view(1))
@@ -285,7 +285,7 @@
 
 def test_every_process_receives_all_members_and_the_first_placement() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         placement = cluster.chain.state.placement
         assert placement is not None
         assert len(placement.partitions) == PARTITION_COUNT
@@ -309,7 +309,7 @@
 
 def test_seeds_without_a_disk_help_to_find_the_view() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.seeds = ("10.0.0.2",)
         late = cluster.add("late", "edge", "10.1.0.9", "z1", 1, False, "")
         await cluster.until(lambda: cluster.all_see("late", (1, 0)), 2.0)
@@ -320,7 +320,7 @@
 
 def test_confirmed_start_waits_for_the_committed_state_and_applies_it() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.confirms = False
         cluster.chain.commit(evolve(cluster.chain.state, generation=7, document=DOCUMENT % 7))
         for zone in range(3):
@@ -345,7 +345,7 @@
 
 def test_confirmed_start_of_a_controller_publishes_the_state() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.state = evolve(cluster.chain.state, generation=9, document=DOCUMENT % 9)
         core = cluster.nodes["core1"]
         await asyncio.wait_for(core.process.run(core.client.wait_for_committed_state()), 2.0)
@@ -377,7 +377,7 @@
 
 def test_a_configuration_reaches_every_process_within_100_ms() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.commit(evolve(cluster.chain.state, generation=3, document=DOCUMENT % 3))
         took = await cluster.until(
             lambda: cluster.all_have(
@@ -392,7 +392,7 @@
 
 def test_readers_choose_a_controller_in_their_zone() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(2.0)
         pulls: set[tuple[str, str]] = set()
 
@@ -410,7 +410,7 @@
 
 def test_readers_of_a_failed_controller_switch_to_another() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         cluster.power_off("core1")
         await asyncio.sleep(2.5)
@@ -430,7 +430,7 @@
     """The controller of zone 1 loses the other two controllers, but not the processes of its zone."""
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         for other in (0, 2):
             cluster.network.block("10.1.0.1", f"10.{other}.0.1")
@@ -461,7 +461,7 @@
 
 def test_processes_reconnect_after_all_controllers_restarted() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for zone in range(3):
             cluster.kill(f"core{zone}")
         await asyncio.sleep(3.0)
@@ -489,7 +489,7 @@
     """
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.state = evolve(cluster.chain.state, generation=2, document=DOCUMENT % 2)
         for zone in range(3):
             feed = cluster.nodes[f"core{zone}"].feed
@@ -521,7 +521,7 @@
     """The controller that published the death is lost before the other controllers have pulled it."""
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         for other in (1, 2):
             cluster.network.block("10.0.0.1", f"10.{other}.0.1")
@@ -546,7 +546,7 @@
 
 def test_the_only_restarted_controller_is_found_soon() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for zone in range(3):
             cluster.power_off(f"core{zone}")
         await asyncio.sleep(20.0)
@@ -560,7 +560,7 @@
 
 def test_readers_use_the_last_controller_while_most_are_down() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         for name in ("core0", "core1"):
             cluster.power_off(name)
@@ -582,7 +582,7 @@
 
 def test_a_departure_is_distributed_at_once() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for name in ("edge0", "store1", "core2"):
             node = cluster.nodes[name]
             await asyncio.wait_for(node.process.run(node.client.leave()), 1.0)
@@ -596,7 +596,7 @@
 
 def test_a_killed_process_is_dead_soon_and_alive_after_its_restart() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.kill("store0")
         took = await cluster.until(lambda: cluster.all_see("store0", (1, 1)), 3.0)
         assert 0.8 < took < 2.0
@@ -608,7 +608,7 @@
 
 def test_a_quick_restart_ends_the_old_incarnation_without_any_death() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.restart("store0")
         took = await cluster.until(lambda: cluster.all_see("store0", (2, 0)), 1.0)
         assert took < 0.5
@@ -618,7 +618,7 @@
 
 def test_a_frozen_process_is_declared_dead_and_refutes_it_after_the_freeze() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         node = cluster.nodes["edge2"]
         cluster.loop.freeze(node.process)
         others = [other for other in cluster.living() if other is not node]
@@ -634,7 +634,7 @@
 
 def test_all_members_of_a_lost_zone_are_declared_dead() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for name in ("core1", "edge1", "store1"):
             cluster.power_off(name)
         await cluster.until(
@@ -649,7 +649,7 @@
 
 def test_a_member_suspected_by_one_monitor_stays_alive() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         edges = [name for name in cluster.nodes if not name.startswith("store")]
         isolated_monitor = next(
             name for name in choose_monitors("store1", edges) if not name.startswith("core0")
@@ -678,7 +678,7 @@
 async def run_random_faults(seed: int, cluster: Cluster) -> None:
     """Inject faults for half a minute; no version may decrease, and all processes converge afterwards."""
     random_source = random.Random(seed)
-    await cluster.calm()
+    await cluster.bootstrap()
     seen: dict[tuple[SimulatedProcess, str], list[int]] = {}
     for step in range(60):
         inject_random_fault(cluster, random_source, step)
@@ -763,7 +763,7 @@
 
 def test_without_faults_there_are_no_deaths_and_few_messages() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         heartbeats: list[str] = []
 
         def watch(source: str, target: str, message: Any) -> None:
@@ -793,7 +793,7 @@
 
 def test_a_dead_stores_partitions_get_other_primaries_and_move_back_later() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.kill("store0")
         took = await cluster.until(lambda: "store0/disk0" not in primaries(cluster), 3.0)
         assert took < 2.0
@@ -821,7 +821,7 @@
 
 def test_a_stopping_store_hands_over_at_once() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         node = cluster.nodes["store2"]
         await node.process.run(node.client.leave())
         await cluster.until(lambda: "store2/disk2" not in primaries(cluster), 0.4)
@@ -842,7 +842,7 @@
 
 def test_a_lost_disk_is_refilled_by_learning() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.restart("store1", disk_id="new")
         await asyncio.sleep(1.0)
         for _ in range(4):
@@ -862,7 +862,7 @@
     """A report that arrived while too many replicas were dead must not count after they have returned."""
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.restart("store1", disk_id="new")
         await asyncio.sleep(1.0)
         for name in ("store0", "store2"):
@@ -896,7 +896,7 @@
 
 def test_retirement_from_order_to_completion() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         assert (await retire(cluster, "store9"))[0] == 404
         assert (await retire(cluster, "edge0"))[0] == 404
         assert (await retire(cluster, "store0", None))[0] == 404
@@ -929,7 +929,7 @@
 
 def test_only_the_head_accepts_orders() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         head_roles = cluster.nodes["core1"].head_roles
         assert head_roles is not None
         answer = await head_roles.handle(RetireStore("store0", 1.0))
@@ -941,7 +941,7 @@
 
 def test_none_of_three_stores_can_retire_if_one_loss_is_tolerated() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         assert (await retire(cluster, "store0"))[0] == 409
 
     play(work)
@@ -962,7 +962,7 @@
 def test_the_list_is_read_once_a_second_and_published_only_when_it_changed() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a", warm_in_ms=9000)])]
-        await cluster.calm()
+        await cluster.bootstrap()
         await cluster.until(lambda: listed(cluster) == [worker("a", warm_in_ms=9000)], 3.0)
         cluster.chain.read_times.clear()
         version = cluster.nodes["edge2"].state.versions["workers"]
@@ -987,7 +987,7 @@
 def test_a_new_head_reads_soon_and_its_list_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
-        await cluster.calm()
+        await cluster.bootstrap()
         await cluster.until(lambda: listed(cluster) == [worker("a")], 3.0)
         cluster.kill("core0")
         cluster.chain.lists = [PlatformWorkerList([worker("b")])]
@@ -1002,7 +1002,7 @@
 def test_a_list_of_a_head_restarted_in_its_epoch_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
-        await cluster.calm()
+        await cluster.bootstrap()
         for identifier in ("b", "c"):
             cluster.chain.lists = [PlatformWorkerList([worker(identifier)])]
             await cluster.until(lambda wanted=identifier: listed(cluster) == [worker(wanted)], 2.0)  # type: ignore[misc]
@@ -1016,7 +1016,7 @@
 def test_a_list_read_after_all_controllers_restarted_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
-        await cluster.calm()
+        await cluster.bootstrap()
         for identifier in ("b", "c"):
             cluster.chain.lists = [PlatformWorkerList([worker(identifier)])]
             await cluster.until(lambda wanted=identifier: listed(cluster) == [worker(wanted)], 2.0)  # type: ignore[misc]
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -74,7 +74,7 @@
         """
 
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             await asyncio.sleep(1.5)
             cut(cluster)
             for other in (CORES[0], CORES[2]):
@@ -91,7 +91,7 @@
 
     def test_without_faults_every_process_is_current(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             await asyncio.sleep(1.5)
             until = cluster.loop.time() + 20.0
             while (now := cluster.loop.time()) < until:
@@ -107,7 +107,7 @@
         self, name: str, frozen_s: float
     ) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             await asyncio.sleep(2.0)
             node = cluster.nodes[name]
             cluster.loop.freeze(node.process)
@@ -130,7 +130,7 @@
 
     def test_a_confirmed_start_is_current_as_of_its_request(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             publish(cluster, 5, "core0", "core1", "core2")
             node = cluster.add("edge9", "edge", "10.1.0.9", "z1", 1, False, "")
             await asyncio.sleep(0.001)
@@ -145,7 +145,7 @@
 class TestStart:
     def test_a_process_that_reaches_only_an_isolated_controller_does_not_start(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             cut_all(cluster)
             publish(cluster, 5, "core0", "core2")
             node = cluster.add("edge9", "edge", "10.1.0.9", "z1", 1, False, "")
--- a/tests/coordination/membership/test_health_check.py
+++ b/tests/coordination/membership/test_health_check.py
@@ -22,7 +22,7 @@
 
 def test_a_process_does_not_answer_for_a_former_incarnation() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         assert await check(cluster, "store1", 1) == Acknowledgement()
         cluster.restart("store1")
         await asyncio.sleep(1.0)
@@ -36,7 +36,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         head_roles = cluster.nodes["core0"].head_roles
         assert head_roles is not None
         before = cluster.nodes["store1"].me
