--- a/hollowusher/coordination/controller/control_status.py
+++ b/hollowusher/coordination/controller/control_status.py
@@ -1,7 +1,7 @@
 """Construction of the `ControlStatus` that a controller shows to operators.  The module performs no I/O.
 
 The controller margin is the number of further controllers that may fail, in any combination, while the
-remaining ones can still decide a view and elect a head.  This requires a reachable quorum of the voters and
+remaining ones can still decide views and commit changes.  This requires a reachable quorum of the voters and
 one reachable voter that holds every committed state.  The store margin is the smallest margin of any
 partition.  A margin of 0 means that the service is complete but does not tolerate another failure.  A margin
 of -1 means that some part of the service is currently unavailable.
--- a/hollowusher/coordination/controller/departure.py
+++ b/hollowusher/coordination/controller/departure.py
@@ -4,7 +4,7 @@
 A departing head first leaves the chain, so that its successor becomes the head and makes this proposal.
 Without a spare the controller leaves the chain but remains a voter, so that it can vote again after a
 restart.  In both cases the controller keeps running until the remaining chain has committed a state in its
-new epoch.  Before that commit the departing controller may hold the only second replica of the state.
+new epoch.  Until that commit the departing controller may hold the only other replica of the state.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
             return False
         if is_voter(view, self._context.me.name, self._context.me.disk_id) and self._has_spare():
             return False
-        return await self._is_state_in_force(view)
+        return await self._is_epoch_committed(view)
 
     def _has_spare(self) -> bool:
         return bool(self._spares.recent(self._context.now()))
@@ -92,7 +92,7 @@
             return None
         return plan_chain(base, self._liveness(base), departing=self._context.me.name)
 
-    async def _is_state_in_force(self, view: View) -> bool:
+    async def _is_epoch_committed(self, view: View) -> bool:
         """Return whether the tail has a state of the view's epoch on its disk.
 
         The tail receives each state last, so every member of the chain then has that state on its disk.
--- a/hollowusher/coordination/controller/leadership_check.py
+++ b/hollowusher/coordination/controller/leadership_check.py
@@ -1,7 +1,7 @@
 """The check whether a controller may act as the head of the control chain.
 
-After a pause, the responses in a process's receive buffers and its record of reachable voters may be as old
-as the pause.  The controller therefore acts as head again only after a quorum has confirmed, in response to
+After a pause, the unread responses of a process and its record of reachable voters may be stale by the length
+of the pause.  The controller therefore acts as head again only after a quorum has confirmed, in response to
 queries sent after the pause, that there is no newer view.  docs/control-safety/fencing.md explains why this
 is safe.
 """
--- a/hollowusher/coordination/controller/view_reconfigurator.py
+++ b/hollowusher/coordination/controller/view_reconfigurator.py
@@ -76,7 +76,7 @@
             await self._extend_view(view)
 
     async def _finish_accepted_view(self) -> bool:
-        """Propose a view again that this voter has accepted but that is still undecided.
+        """Propose again the view that this voter has accepted, if it is still undecided.
 
         Return whether there is such a view.  A random delay keeps the voters from proposing it
         simultaneously.
--- a/hollowusher/coordination/controller/worker_list_publisher.py
+++ b/hollowusher/coordination/controller/worker_list_publisher.py
@@ -71,7 +71,7 @@
     async def _read(self) -> None:
         """Read the list and publish it, unless another process may have become the head.
 
-        A list is discarded if this process was paused during the read, because it may be as old as the pause.
+        A list is discarded if this process was paused during the read, because the list may be stale.
         """
         requested_at = self._context.clock()
         with suppress(WorkerListReadError):
--- a/hollowusher/coordination/distribution/client_context.py
+++ b/hollowusher/coordination/distribution/client_context.py
@@ -54,7 +54,7 @@
         return any(voter.name == self.name for voter in self.voters)
 
     def ranked_voters(self) -> list[Voter]:
-        """Return the voters, with the one that this process prefers to contact first."""
+        """Return the voters in this process's order of preference, with the most preferred one first."""
         return self.selector.rank_controllers(self.voters, self.state.members, self.now())
 
     def committed_state_sources(self) -> list[Voter]:
--- a/hollowusher/coordination/distribution/cluster_client.py
+++ b/hollowusher/coordination/distribution/cluster_client.py
@@ -45,7 +45,7 @@
 
 READ_STATE_TIMEOUT_S = 1.0  # includes the time in which the chain's tail queries a quorum of the voters
 SEED_REFRESH_S = 10.0  # interval at which an ordinary process offers the view to a seed again
-MAX_CONNECTED_AGE_S = 2.5  # a controller without contact to a majority for longer reports itself disconnected
+MAX_CONNECTED_AGE_S = 2.5  # a controller that has reached no majority for longer reports itself disconnected
 
 
 @attrs.frozen(eq=False)
@@ -139,7 +139,7 @@
     async def wait_for_committed_state(self) -> None:
         """Read the committed state from the control chain, with retries until it succeeds, and apply it.
 
-        After this call the process holds every configuration change that was acknowledged before the call.
+        After this call the process holds every control state change that was acknowledged before the call.
         """
         backoff = Backoff(self._context.random_source, INITIAL_BACKOFF_S)
         while True:
--- a/hollowusher/coordination/distribution/contact_log.py
+++ b/hollowusher/coordination/distribution/contact_log.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._last_answer_at: dict[str, float] = {}  # controller's address -> time
-        self._last_majority_at = -math.inf  # when a controller that answered last had contact to a majority
+        self._last_majority_at = -math.inf  # time of the latest majority contact that a response reported
 
     def record_answer(self, address: str, valid_at: float) -> None:
         """Record a controller's response to a pull."""
--- a/hollowusher/coordination/distribution/feed_replicator.py
+++ b/hollowusher/coordination/distribution/feed_replicator.py
@@ -82,8 +82,8 @@
     def _vector_for_peer(self, address: str) -> dict[str, int]:
         """Return this feed's version vector, merged with the vector of the peer's last response.
 
-        Without the peer's vector, the peer would resend the items of origins that this feed has pruned in
-        every response.
+        With this feed's vector alone, the peer would resend in every response the items of those origins that
+        this feed has pruned.
         """
         version_vector = self._feed.version_vector
         for origin, counter in self._peer_vectors.get(address, {}).items():
--- a/hollowusher/coordination/distribution/own_registration.py
+++ b/hollowusher/coordination/distribution/own_registration.py
@@ -90,8 +90,8 @@
 
         If `seen` has a higher incarnation and arrives before the cluster has distributed this process's own
         registration, it belongs to an earlier process with a fast clock, and this process takes an even
-        higher incarnation.  If it arrives later, it belongs to a successor of this process, which does
-        nothing.
+        higher incarnation.  If it arrives later, it belongs to a successor of this process, and this
+        process does nothing.
         """
         if member_version(seen) == member_version(self.member):
             self._is_distributed = True
