--- a/tests/coordination/controller/test_head_roles_after_pause.py
+++ b/tests/coordination/controller/test_head_roles_after_pause.py
@@ -1,6 +1,6 @@
 """Tests that a head ignores suspicions that it received before or during a pause of its process.
 
-Without this rule a head that resumes would declare members dead because of stale suspicions.
+Otherwise a head that resumes after a pause would declare live members dead because of stale suspicions.
 """
 
 from __future__ import annotations
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -26,7 +26,7 @@
 
 
 class FakeForwarder:
-    """Records the forwarded messages and returns a preset response, raises an error or never answers."""
+    """Records forwarded messages and returns a preset response, raises a preset error or never returns."""
 
     def __init__(self, answer: OperatorResponse | Exception | None) -> None:
         self.answer = answer
--- a/tests/coordination/controller/test_worker_list_reader.py
+++ b/tests/coordination/controller/test_worker_list_reader.py
@@ -71,7 +71,7 @@
 
     async def work(reader: WorkerListReader) -> None:
         for _ in range(3):
-            reader._rate_limiter = CallRateLimiter(20_000.0)  # without backoff
+            reader._rate_limiter = CallRateLimiter(20_000.0)  # resets the backoff
             with pytest.raises(WorkerListReadError) as caught:
                 await reader.read()
             assert caught.value.peer == reader.address
--- a/tests/coordination/controller/voter_fault_search.py
+++ b/tests/coordination/controller/voter_fault_search.py
@@ -22,7 +22,7 @@
 from tests.support.controller_cluster import STALLED, ControllerCluster, ControllerNode, run_virtual
 from tests.support.order_traffic import OrderTraffic
 
-# `catchUpS`: a failed machine counts as failed until this long after its return or its replacement's start.
+# `catchUpS`: a machine still counts as failed for this long after its return or its replacement's start.
 CATCH_UP_S = 4.2
 SLOW_CATCH_UP_S = 6.0  # replaces `CATCH_UP_S` if messages and syncs may take more than `EDGE_JITTER_S` longer
 EDGE_JITTER_S = 0.2
@@ -198,7 +198,7 @@
 
 
 def run_search(seed: int) -> OrderTraffic:
-    """Run one seed with three controllers, one third of the seeds with a spare, or with five in one sixth."""
+    """Run one seed: five controllers in one of six seeds, else three, with a spare in one of three seeds."""
     names, tolerated = ("abcde", 2) if seed % 6 == 5 else ("abc", 1)
     search = VoterFaultSearch(seed, names, "s" if seed % 3 == 1 else "", tolerated)
     return run_virtual(search.run())
--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -437,7 +437,7 @@
 
 
 def document(generation: int) -> dict[str, Any]:
-    """A small valid configuration."""
+    """Return a small valid configuration."""
     route = {
         "name": "r",
         "hostname": "h.example",
--- a/tests/support/simulated_controllers.py
+++ b/tests/support/simulated_controllers.py
@@ -279,7 +279,7 @@
 
 
 def document(generation: int) -> dict[str, Any]:
-    """A small valid configuration."""
+    """Return a small valid configuration."""
     route = {
         "name": "r",
         "hostname": "h.example",
