--- a/hollowusher/coordination/controller/controller.py
+++ b/hollowusher/coordination/controller/controller.py
@@ -178,12 +178,12 @@
     @property
     def is_head(self) -> bool:
         """Whether this controller is the head, has a committed state in its epoch and reaches a quorum."""
-        return self._may_lead() and self._chain_member.is_in_force
+        return self._may_lead() and self._chain_member.has_committed_in_epoch
 
     @property
     def rejected_writes(self) -> Counter[str]:
         """The number of rejected chain writes by reason."""
-        return self._replicator.refused
+        return self._replicator.rejections
 
     def snapshot(self, controllers: Sequence[str]) -> ControllerSnapshot:
         """Return the current consensus and chain state of this controller.
@@ -377,5 +377,5 @@
     member = ChainMember(me.name, me.disk_id)
     saved = state_store.load()
     if saved is not None:
-        member.restore(saved.epoch, saved.state, whole=saved.whole)
+        member.restore(saved.epoch, saved.state, intact=saved.intact)
     return member
--- a/hollowusher/scheduler/emulator/virtual.py
+++ b/hollowusher/scheduler/emulator/virtual.py
@@ -17,24 +17,24 @@
     AttemptEnded,
     AttemptProgress,
     AttemptStarted,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
     JobTaken,
     NodeListReceived,
     NodeProbed,
-    Order,
+    OperatorNotice,
     ProbeNode,
-    Remark,
     ReplyToClient,
-    TimeCame,
+    TimerExpired,
     Verdict,
     WakeDispatcher,
     WatchNodeList,
-    Withdraw,
 )
 from hollowusher.scheduler.emulator.heap import Heap
 from hollowusher.scheduler.emulator.model import NodeEvent, NodeEventKind, NodeKind, NodeModel
@@ -179,16 +179,16 @@
 
     def _step(self) -> None:
         events, self._events = self._events, []
-        for order in self._dispatcher.work(self.heap.now, events):
+        for order in self._dispatcher.process(self.heap.now, events):
             self._carry_out(order)
 
-    def _carry_out(self, order: Order) -> None:
+    def _carry_out(self, order: DispatchCommand) -> None:
         if self.rehearsal.watcher is not None:
             self.rehearsal.watcher(self, order)
         match order:
             case Dispatch(attempt, job, timeout):
                 self._dispatch(attempt, job, timeout)
-            case Withdraw(attempt):
+            case CancelAttempt(attempt):
                 if (out := self._out.get(attempt)) is not None:
                     self._give_up(out, Outcome.CANCELLED)
             case ReplyToClient(job, answer):
@@ -198,8 +198,8 @@
             case WatchNodeList():
                 self.hear(NodeListReceived(ListKind.CHANGES))
             case WakeDispatcher(span):
-                self.heap.after(-(-span // MS) * MS, lambda: self.post(TimeCame()))
-            case Remark(text):
+                self.heap.after(-(-span // MS) * MS, lambda: self.post(TimerExpired()))
+            case OperatorNotice(text):
                 self.remarks.append((self.heap.now, text))
 
     def _dispatch(self, attempt: JobAttempt, job: ClientJob, timeout: int) -> None:
@@ -286,7 +286,9 @@
         self.unsafe = {c.name for c in settings.classes if c.effect is Effect.UNSAFE}
         self.results: list[JobResult] = []
         self._work: dict[str, float] = {}
-        self.watcher: Callable[[VirtualScheduler, Order], None] | None = None  # sees all orders of all
+        self.watcher: Callable[[VirtualScheduler, DispatchCommand], None] | None = (
+            None  # sees all orders of all
+        )
         self.schedulers = [
             VirtualScheduler(self, n, replace(settings, me=n % settings.balancers), int(seed))
             for n, seed in enumerate(self._chance["modules"].integers(2**31, size=schedulers))
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -8,21 +8,24 @@
 from hollowusher.balancing.interface import Outcome
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
+    CancelAttempt,
     ClientJob,
     ClientLeft,
     Dispatch,
+    DispatchCommand,
     DispatchEvent,
     JobAnswerBody,
     JobAttempt,
     JobTaken,
-    Order,
     ReplyToClient,
     Verdict,
-    Withdraw,
 )
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.net.log_replication.node import CopiesNode
-from hollowusher.scheduler.rules.log_replication.job_replication import Do, ReplicationInstruction
+from hollowusher.scheduler.rules.log_replication.job_replication import (
+    ReplicationAction,
+    ReplicationInstruction,
+)
 from hollowusher.scheduler.rules.log_replication.records import AnswerRecord, JobTakenRecord
 
 
@@ -34,7 +37,7 @@
         classes: frozenset[str],
         registry: WorkerRegistry,
         post: Callable[[DispatchEvent], None],
-        carry_out: Callable[[Order], None],
+        carry_out: Callable[[DispatchCommand], None],
         wait_ns: int,
         seed: int,
     ) -> None:
@@ -84,17 +87,17 @@
 
     # --- from the desk ------------------------------------------------------------------------------------
 
-    def carry_out(self, order: Order) -> None:
+    def carry_out(self, command: DispatchCommand) -> None:
         """What the desk orders."""
         assert self.node is not None
-        match order:
+        match command:
             case Dispatch(attempt, job) if self.copied(job):
                 listed = self._registry.node(attempt.node)
                 name, cell = (listed.name, str(listed.entry.cell)) if listed is not None else ("", "")
                 self._number += 1
                 self._waiting[attempt] = self._number
-                self.node.intent(job.job_id, self._number, name, cell, order)
-            case Withdraw(attempt) if attempt in self._waiting:
+                self.node.intent(job.job_id, self._number, name, cell, command)
+            case CancelAttempt(attempt) if attempt in self._waiting:
                 # Nothing of it is out, and nothing will be: the desk must hear so, else it waits for good and
                 # takes the node for one that is silent.
                 self._withdrawn[attempt] = self._waiting.pop(attempt)
@@ -106,7 +109,7 @@
                 )
                 self.node.answer(reported, job, until_ms)
             case _:
-                self._carry_out(order)
+                self._carry_out(command)
 
     # --- what may go on -----------------------------------------------------------------------------------
 
@@ -114,23 +117,23 @@
         """One thing that the custody lets go on."""
         assert self.node is not None
         match act.do, act.handle:
-            case Do.START, ClientJob() as job:
+            case ReplicationAction.START, ClientJob() as job:
                 self._post(JobTaken(job))
-            case Do.START, None if act.adopted is not None:
+            case ReplicationAction.START, None if act.adopted is not None:
                 self._post(JobTaken(_adopted(act.adopted.held.taken)))
-            case Do.REFUSE, ClientJob() as job:
+            case ReplicationAction.REFUSE, ClientJob() as job:
                 job.answer_to(JobAnswerBody(Verdict.REFUSED, wait_ns=self._wait_ns))
-            case Do.TELL, ClientJob() as job if act.answer is not None:
+            case ReplicationAction.ANSWER, ClientJob() as job if act.answer is not None:
                 answer = act.answer
                 job.answer_to(JobAnswerBody(Verdict(answer.verdict), answer.result, answer.wait_ns))
-            case Do.GO, Dispatch(attempt, job) as order if attempt in self._waiting:
+            case ReplicationAction.GO, Dispatch(attempt, job) as command if attempt in self._waiting:
                 self._out[attempt] = (job.job_id, self._waiting.pop(attempt))
-                self._carry_out(order)
-            case Do.GO, Dispatch(attempt, job) if attempt in self._withdrawn:
+                self._carry_out(command)
+            case ReplicationAction.GO, Dispatch(attempt, job) if attempt in self._withdrawn:
                 self.node.ended(job.job_id, self._withdrawn.pop(attempt), True)
-            case Do.NOT_SENT, Dispatch(attempt, _) if attempt in self._withdrawn:
+            case ReplicationAction.NOT_SENT, Dispatch(attempt, _) if attempt in self._withdrawn:
                 del self._withdrawn[attempt]
-            case Do.NOT_SENT, Dispatch(attempt, _) if attempt in self._waiting:
+            case ReplicationAction.NOT_SENT, Dispatch(attempt, _) if attempt in self._waiting:
                 del self._waiting[attempt]
                 self._post(AttemptEnded(attempt, Outcome.NOT_SENT))
             case _:
