--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -126,7 +126,7 @@
                 "role": replica.role.value,
                 "leader": replica.leader,
                 "term": replica.kept.term,
-                "promises": replicas.promises(now, owner),
+                "promises": replicas.can_write(now, owner),
                 "committed": replica.commit,
                 "last": replica.kept.last,
                 "open": len(log.jobs_state.open()),
@@ -164,12 +164,12 @@
 
     def gone(self, job: str, handle: Hashable) -> None:
         """This client waits no more."""
-        self.replication.gone(job, handle)
+        self.replication.client_disconnected(job, handle)
 
     def view(self, missing: set[str]) -> None:
         """Whom the members' view holds dead."""
         self._missing = missing
-        self.replication.replicas.view(time.monotonic_ns(), missing)
+        self.replication.replicas.set_missing_members(time.monotonic_ns(), missing)
         self._arm()
 
     def _heard(self, sender: str, message: Message) -> None:
@@ -177,7 +177,7 @@
             return
         now = time.monotonic_ns()
         if isinstance(message, FindJob | JobFound):
-            self.replication.heard(now, _ms(), message, sender)
+            self.replication.handle_message(now, _ms(), message, sender)
         else:
             self.replication.replicas.step(now, _ms(), message, sender)
             self.replication.tick(now, _ms())
@@ -188,10 +188,10 @@
         self._tick_at = now + round(TICK_S * 1e9)
         self.replication.replicas.step(now, _ms())
         self.replication.tick(now, _ms())
-        promises = self.replication.replicas.promises(now)
-        if promises != self._promised:
-            self._promised = promises
-            if promises:
+        can_write = self.replication.replicas.can_write(now)
+        if can_write != self._promised:
+            self._promised = can_write
+            if can_write:
                 self._log.notice("copies-promise", "jobs are taken: our log is ours")
             else:
                 self._log.warning("copies-no-promise", "no majority of our group answers: jobs are refused")
@@ -203,13 +203,13 @@
         replicas, batch = self.replication.replicas, self._batch
         batch.stores += replicas.stores
         batch.sends += replicas.sends
-        for name, ask in self.replication.asks:
+        for name, ask in self.replication.lookup_messages:
             batch.sends += [(n, ask) for n in ([name] if name else self._outgoing)]
-        batch.acts += self.replication.acts
+        batch.acts += self.replication.instructions
         for owner, what in replicas.reported:
             self._log.notice("copies-log", what, owner=owner)
         replicas.stores, replicas.sends, replicas.reported = [], [], []
-        self.replication.acts, self.replication.asks = [], []
+        self.replication.instructions, self.replication.lookup_messages = [], []
         if self._flushing is None:
             self._flush()
         self._arm()
--- a/hollowusher/scheduler/rules/log_replication/job_replication.py
+++ b/hollowusher/scheduler/rules/log_replication/job_replication.py
@@ -1,7 +1,8 @@
-"""Between the fronts, the desk and the route nodes: nothing is promised, sent or told before it is kept.
+"""Replicates the state of jobs: each step of a job waits until its record is committed in a replicated log.
 
-In go a client's job, an attempt that the desk orders, an attempt's end, the desk's answer; out come, once the
-records behind them are kept, what may go on.  It decides nothing about nodes: it only lets through, or not.
+The caller passes in a client's job, an attempt that the dispatcher orders, the end of an attempt, and the
+dispatcher's answer.  Once the record of a step is committed, `JobReplication` issues an instruction that lets
+the step proceed.  It never chooses a node; it only permits or rejects an attempt.
 """
 
 from __future__ import annotations
@@ -22,24 +23,28 @@
     JobTakenRecord,
     LoggedJob,
 )
-from hollowusher.scheduler.rules.log_replication.takeover import Next
+from hollowusher.scheduler.rules.log_replication.takeover import NextStep
 
-SEEK_AGAIN_MS = 200  # between two questions about a job that another scheduler is working on
-SEEK_MS = 600  # how long a job that comes again may stay unknown before its client is told to come later
-MOST_DENIED = 65_536  # jobs that another was told we do not know; the oldest go first
-HOLD_MS = 500  # how long an attempt waits for our promise to come back, before it counts as not sent
-TELL_SPARE_MS = 30  # before its client gives up, one that cannot be told its answer is told that it failed
+SEARCH_INTERVAL_MS = 200  # between two queries for a job that another scheduler is working on
+SEARCH_TIMEOUT_MS = 600  # a job not found by then is refused, so that its client retries later
+MAX_REPORTED_UNKNOWN = 65_536  # jobs reported as unknown to other schedulers; the oldest are dropped first
+INTENT_HOLD_MS = 500  # how long an attempt waits until the log can be written, before it counts as not sent
+ANSWER_MARGIN_MS = 30  # a client without an answer receives a failure this long before its deadline
 
 
 class FindJob(Struct, frozen=True, array_like=True, tag="seek"):
-    """Does anybody know this job?  `round` comes back with the answer."""
+    """Asks another scheduler whether it knows a job.  The reply carries the same `round`."""
 
     job: str
     round: int
 
 
 class JobFound(Struct, frozen=True, array_like=True, tag="found"):
-    """What one knows: `open`, or its answer, or nothing; and whose logs it leads: there nothing means no."""
+    """The reply to `FindJob`: the job is open, or has an answer, or is unknown.
+
+    `leads` names the owners of the logs that the sender leads.  If the job is unknown to the sender, it is in
+    none of these logs.
+    """
 
     job: str
     open: bool
@@ -48,45 +53,51 @@
     round: int = 0
 
 
-class Do(Enum):
-    """What may go on now."""
+class ReplicationAction(Enum):
+    """The action that the caller must carry out."""
 
-    START = "start"  # the job goes to the desk
-    REFUSE = "refuse"  # it was not taken: harmless to try again
-    GO = "go"  # the attempt's first byte may go out
-    NOT_SENT = "not-sent"  # it may not: nothing of it went out
-    TELL = "tell"  # the client is told this answer
+    START = "start"  # pass the job to the dispatcher
+    REFUSE = "refuse"  # refuse the job; it was not accepted, so the client may safely retry
+    GO = "go"  # send the attempt to the node
+    NOT_SENT = "not-sent"  # do not send the attempt
+    ANSWER = "tell"  # send the answer to the client
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationInstruction:
-    """One thing that may go on; `adopted`: a job of another's log that is to be worked on here."""
+    """One instruction for the caller.  `adopted`: an open job of a log that this scheduler has taken over."""
 
-    do: Do
+    do: ReplicationAction
     handle: Hashable
     answer: AnswerRecord | None = None
     adopted: Adopted | None = None
 
 
 @dataclass(slots=True)
-class _Sought:
+class _JobSearch:
     taken: JobTakenRecord
     handles: list[Hashable]
     since_ms: int
     asked_ms: int
     round: int
     open: bool = False
-    leads: set[str] = field(default_factory=set)  # logs whose leader says no, in this round
-    no: set[str] = field(default_factory=set)  # and who these are
+    leads: set[str] = field(default_factory=set)  # owners of logs whose leader reported the job as unknown
+    negative_from: set[str] = field(default_factory=set)  # schedulers that reported it as unknown
 
 
-def _refused(held: LoggedJob) -> bool:
-    """Whether it was turned away: then it is as new when it comes again."""
+def _was_refused(held: LoggedJob) -> bool:
+    """Whether the job was refused.  A refused job counts as new when a client sends it again."""
     return held.answer is not None and held.answer.verdict == "refused"
 
 
 class JobReplication:
-    """The caller empties `acts` and `asks` (who: `""` for all others) after each call."""
+    """Accepts jobs, writes their records to the replicated logs, and issues instructions.
+
+    The caller handles and empties `instructions` and `lookup_messages` after each call.  An entry of
+    `lookup_messages` holds the receiver, or `""` for all other schedulers, and the message.  `now` is the
+    monotonic time in nanoseconds, `now_ms` the wall clock in milliseconds.  A `handle` identifies a client or
+    an attempt to the caller and is returned in the instructions.
+    """
 
     def __init__(
         self,
@@ -95,177 +106,205 @@
         classes: Mapping[str, JobClass],
         seek_once: bool = True,
     ) -> None:
-        """`seek_once`: whether a job that must not run twice is looked for at all others before it is taken,
-        even if its client does not say that it has asked before."""
+        """Creates the replication of one scheduler among all schedulers `names`.
+
+        `seek_once`: before accepting a job that must not run twice, search all other schedulers for it, even
+        if the client did not mark it as a repeat.
+        """
         self.replicas, self._names = replicas, names
-        self._once = {c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE}
-        self.acts: list[ReplicationInstruction] = []
-        self.asks: list[tuple[str, FindJob | JobFound]] = []
-        self._pending: dict[int, tuple[str, str, Hashable]] = {}  # token: what was written, job, handle
-        self._owners: dict[str, str] = {}  # jobs that this process works on: whose log they are in
-        self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # who waits for a job, until when
-        self._sought: dict[str, _Sought] = {}
-        self._held: list[tuple[int, Intent, Hashable]] = []  # attempts that wait for our promise, until (ms)
-        self._doubted: dict[str, int] = {}  # jobs that may be kept: by which term our log was settled
-        self._unsaid: dict[str, tuple[str, AnswerRecord, int]] = {}  # by job: whose log, what, until (ms)
+        self._search_first_classes = {
+            c.name for c in classes.values() if seek_once and c.effect is Effect.UNSAFE
+        }
+        self.instructions: list[ReplicationInstruction] = []
+        self.lookup_messages: list[tuple[str, FindJob | JobFound]] = []
+        self._pending: dict[int, tuple[str, str, Hashable]] = {}  # by token: kind of record, job, handle
+        self._owners: dict[str, str] = {}  # by job that this process works on: the owner of its log
+        self._waiting: dict[str, list[tuple[Hashable, int]]] = {}  # by job: clients and their deadlines in ms
+        self._searches: dict[str, _JobSearch] = {}
+        # Attempts that wait until the log can be written: deadline in ms, record, handle.
+        self._held_intents: list[tuple[int, Intent, Hashable]] = []
+        # Jobs whose record may be committed or lost: the last committed term when the write failed.
+        self._uncertain_jobs: dict[str, int] = {}
+        # By job: the owner of its log, the answer, and the deadline in ms.
+        self._unwritten_answers: dict[str, tuple[str, AnswerRecord, int]] = {}
         self._round = 0
-        # Jobs that another scheduler was told we know nothing of, until (ms): it may have taken them since,
-        # so who comes here with one of them after all, late or at the same time, is not taken as new.
-        self._denied: dict[str, int] = {}
+        # Jobs that this scheduler reported as unknown, with an expiry time in ms.  The other scheduler may
+        # have accepted such a job since, so this scheduler searches for it before it accepts it.
+        self._reported_unknown: dict[str, int] = {}
         self._longest_ms = max((c.deadline_ns for c in classes.values()), default=0) // 1_000_000
 
-    # --- in -----------------------------------------------------------------------------------------------
+    # --- inputs -------------------------------------------------------------------------------------------
 
     def take(
         self, now: int, now_ms: int, taken: JobTakenRecord, handle: Hashable, again: bool = False
     ) -> None:
-        """A client asks.  `again`: it says that it has asked before, perhaps elsewhere."""
+        """Handles a job from a client.  `again`: the client marked it as a repeat of an earlier request."""
         known = self.replicas.find(taken.job)
-        if known is not None and not _refused(known[1]):
+        if known is not None and not _was_refused(known[1]):
             self._wait_for(now_ms, taken, handle, known[1])
-        elif taken.job in self._sought:
-            self._sought[taken.job].handles.append(handle)
-        elif self._takes(taken.job):
+        elif taken.job in self._searches:
+            self._searches[taken.job].handles.append(handle)
+        elif self._is_being_taken(taken.job):
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
         elif len(self._names) > 1 and (
-            again or taken.job_class in self._once or self._denied.get(taken.job, 0) > now_ms
+            again
+            or taken.job_class in self._search_first_classes
+            or self._reported_unknown.get(taken.job, 0) > now_ms
         ):
-            sought = self._sought[taken.job] = _Sought(taken, [handle], now_ms, now_ms, self._next_round())
-            self.asks.append(("", FindJob(taken.job, sought.round)))
-            self._hear(now, now_ms, self.replicas.name, self._know(now, taken.job, sought.round))
+            search = self._searches[taken.job] = _JobSearch(
+                taken, [handle], now_ms, now_ms, self._next_round()
+            )
+            self.lookup_messages.append(("", FindJob(taken.job, search.round)))
+            self._handle_job_found(
+                now, now_ms, self.replicas.name, self._look_up(now, taken.job, search.round)
+            )
         else:
             self._take_new(now, now_ms, taken, [handle])
-        self._finish(now, now_ms)
+        self._process_results(now, now_ms)
 
     def intent(
         self, now: int, now_ms: int, job: str, number: int, node: str, cell: str, handle: Hashable
     ) -> None:
-        """The desk orders an attempt."""
-        self._held.append((now_ms + HOLD_MS, Intent(job, number, node, cell, now_ms), handle))
-        self._finish(now, now_ms)
-
-    def _intents(self, now: int, now_ms: int) -> None:
-        """Those that may be kept now.  Without our promise they wait a moment: it is lost for as long as a
-        stall lasts, and an attempt that is turned away at once costs the job one of the few it has."""
-        held, self._held = self._held, []
+        """Handles an attempt that the dispatcher orders: writes its intent before the attempt may be sent."""
+        self._held_intents.append((now_ms + INTENT_HOLD_MS, Intent(job, number, node, cell, now_ms), handle))
+        self._process_results(now, now_ms)
+
+    def _write_intents(self, now: int, now_ms: int) -> None:
+        """Writes the intents whose log can be written now.
+
+        The other intents wait up to `INTENT_HOLD_MS`: the lease is often lost only for the time of a stall,
+        and an attempt that is rejected at once uses up one of the few attempts of its job.
+        """
+        held, self._held_intents = self._held_intents, []
         for until_ms, intent, handle in held:
             owner = self._owners.get(intent.job)
-            if owner is not None and not self.replicas.promises(now, owner) and now_ms < until_ms:
-                self._held.append((until_ms, intent, handle))
+            if owner is not None and not self.replicas.can_write(now, owner) and now_ms < until_ms:
+                self._held_intents.append((until_ms, intent, handle))
                 continue
             token = self.replicas.write(now, now_ms, owner, (intent,)) if owner is not None else 0
             if token:
                 self._pending[token] = ("intent", intent.job, handle)
             else:
-                self.acts.append(ReplicationInstruction(Do.NOT_SENT, handle))
+                self.instructions.append(ReplicationInstruction(ReplicationAction.NOT_SENT, handle))
 
     def ended(self, now: int, now_ms: int, job: str, number: int, never: bool) -> None:
-        """An attempt is over.  Told, and not waited for."""
+        """Writes the end of an attempt, without waiting for the commit."""
         if (owner := self._owners.get(job)) is not None:
             self.replicas.write(now, now_ms, owner, (AttemptEndRecord(job, number, never),))
-            self._finish(now, now_ms)
+            self._process_results(now, now_ms)
 
     def answer(self, now: int, now_ms: int, answer: AnswerRecord, handle: Hashable, until_ms: int) -> None:
-        """The desk has its answer: the client is told once it is kept."""
-        owner = self._owners.pop(answer.job, None)  # our desk is through with it
+        """Writes the dispatcher's answer; the client receives it once it is committed."""
+        owner = self._owners.pop(answer.job, None)  # the dispatcher has finished this job
         if owner is not None:
-            self._unsaid[answer.job] = (owner, answer, until_ms)
+            self._unwritten_answers[answer.job] = (owner, answer, until_ms)
         self._waiting.setdefault(answer.job, []).append((handle, until_ms))
-        self._finish(now, now_ms)
+        self._process_results(now, now_ms)
 
-    def _answers(self, now: int, now_ms: int) -> None:
-        """Those that may be kept now; others wait until our promise comes back, or another has answered."""
-        for job, (owner, answer, until_ms) in list(self._unsaid.items()):
+    def _write_answers(self, now: int, now_ms: int) -> None:
+        """Writes the answers whose log can be written now; the others wait for that or for another answer."""
+        for job, (owner, answer, until_ms) in list(self._unwritten_answers.items()):
             token = self.replicas.write(now, now_ms, owner, (answer,))
             known = self.replicas.find(job)
             if token:
                 self._pending[token] = ("answer", job, (owner, answer, until_ms))
             if token or now_ms > until_ms or (known is not None and known[1].answer is not None):
-                del self._unsaid[job]
+                del self._unwritten_answers[job]
 
-    def gone(self, job: str, handle: Hashable) -> None:
-        """This client waits no more; the job itself goes on, and others may wait for it."""
+    def client_disconnected(self, job: str, handle: Hashable) -> None:
+        """Removes a client that no longer waits.  The job continues, and other clients may wait for it."""
         if left := [w for w in self._waiting.pop(job, []) if w[0] != handle]:
             self._waiting[job] = left
-        if (sought := self._sought.get(job)) is not None:
-            sought.handles = [h for h in sought.handles if h != handle]
-            if not sought.handles:
-                del self._sought[job]
-
-    def abandon(self, now_ms: int, acts: list[ReplicationInstruction]) -> list[ReplicationInstruction]:
-        """The storage has failed and all begins anew from what it holds: what every client and attempt here
-        is told now.  `acts`: those that had not been let go on, which they are not any more."""
+        if (search := self._searches.get(job)) is not None:
+            search.handles = [h for h in search.handles if h != handle]
+            if not search.handles:
+                del self._searches[job]
+
+    def abandon(
+        self, now_ms: int, instructions: list[ReplicationInstruction]
+    ) -> list[ReplicationInstruction]:
+        """Returns the final instruction for every client and attempt after the storage has failed.
+
+        The caller then restarts from the stored state.  `instructions` holds those that the caller has not
+        carried out yet; none of them may take effect any more.
+        """
         reported: dict[Hashable, ReplicationInstruction] = {}
-        for act in acts:
-            if act.do is Do.GO:
-                reported[act.handle] = ReplicationInstruction(Do.NOT_SENT, act.handle)
-            elif act.do is Do.START and act.handle is not None:
+        for act in instructions:
+            if act.do is ReplicationAction.GO:
+                reported[act.handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, act.handle)
+            elif act.do is ReplicationAction.START and act.handle is not None:
                 reported[act.handle] = ReplicationInstruction(
-                    Do.TELL, act.handle, AnswerRecord("", "failed", now_ms)
+                    ReplicationAction.ANSWER, act.handle, AnswerRecord("", "failed", now_ms)
                 )
-            elif act.do in (Do.REFUSE, Do.NOT_SENT, Do.TELL):
+            elif act.do in (ReplicationAction.REFUSE, ReplicationAction.NOT_SENT, ReplicationAction.ANSWER):
                 reported[act.handle] = act
-        for _, _, handle in self._held:
-            reported[handle] = ReplicationInstruction(Do.NOT_SENT, handle)
+        for _, _, handle in self._held_intents:
+            reported[handle] = ReplicationInstruction(ReplicationAction.NOT_SENT, handle)
         for what, _, handle in self._pending.values():
             if what == "intent":
-                reported.setdefault(handle, ReplicationInstruction(Do.NOT_SENT, handle))
+                reported.setdefault(handle, ReplicationInstruction(ReplicationAction.NOT_SENT, handle))
         for job, waiting in self._waiting.items():
             for handle, _ in waiting:
                 reported.setdefault(
-                    handle, ReplicationInstruction(Do.TELL, handle, AnswerRecord(job, "failed", now_ms))
+                    handle,
+                    ReplicationInstruction(
+                        ReplicationAction.ANSWER, handle, AnswerRecord(job, "failed", now_ms)
+                    ),
                 )
-        for sought in self._sought.values():
-            for handle in sought.handles:
-                reported.setdefault(handle, ReplicationInstruction(Do.REFUSE, handle))
+        for search in self._searches.values():
+            for handle in search.handles:
+                reported.setdefault(handle, ReplicationInstruction(ReplicationAction.REFUSE, handle))
         return list(reported.values())
 
-    def heard(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
-        """Another scheduler asks, or answers."""
+    def handle_message(self, now: int, now_ms: int, message: FindJob | JobFound, sender: str) -> None:
+        """Handles a query or a reply about a job from another scheduler."""
         if isinstance(message, FindJob):
-            sought = self._sought.get(message.job)
-            if sought is not None and (sender in sought.no or self.replicas.name < sender):
-                # Both look for it: whoever has the other's no goes on, else the first by name.
-                self.asks.append((sender, JobFound(message.job, True, None, (), message.round)))
+            search = self._searches.get(message.job)
+            if search is not None and (sender in search.negative_from or self.replicas.name < sender):
+                # Both schedulers search for the job.  The one that already has a negative reply of the other
+                # proceeds; if neither has, the one with the lower name does.
+                self.lookup_messages.append((sender, JobFound(message.job, True, None, (), message.round)))
                 return
-            if sought is not None:  # it goes first: what was said to us before counts no more
-                sought.round, sought.asked_ms = self._next_round(), now_ms
-                sought.leads.clear()
-                sought.no.clear()
-            found = self._know(now, message.job, message.round)
+            if search is not None:  # the sender proceeds first: earlier replies to this scheduler are void
+                search.round, search.asked_ms = self._next_round(), now_ms
+                search.leads.clear()
+                search.negative_from.clear()
+            found = self._look_up(now, message.job, message.round)
             if not found.open and found.answer is None:
-                self._denied.pop(message.job, None)  # so that the oldest stand first
-                self._denied[message.job] = now_ms + self._longest_ms
-                if len(self._denied) > MOST_DENIED:
-                    del self._denied[next(iter(self._denied))]
-            self.asks.append((sender, found))
+                self._reported_unknown.pop(message.job, None)  # keeps the dict ordered by age
+                self._reported_unknown[message.job] = now_ms + self._longest_ms
+                if len(self._reported_unknown) > MAX_REPORTED_UNKNOWN:
+                    del self._reported_unknown[next(iter(self._reported_unknown))]
+            self.lookup_messages.append((sender, found))
         else:
-            self._hear(now, now_ms, sender, message)
-            self._finish(now, now_ms)
+            self._handle_job_found(now, now_ms, sender, message)
+            self._process_results(now, now_ms)
 
     def tick(self, now: int, now_ms: int) -> None:
-        """After each step of the keeper, and ten times a second."""
-        for job, sought in list(self._sought.items()):
-            if now_ms - sought.asked_ms >= SEEK_AGAIN_MS:
-                sought.asked_ms = now_ms
-                self.asks.append(("", FindJob(job, sought.round)))
-                self._hear(now, now_ms, self.replicas.name, self._know(now, job, sought.round))
-                if job not in self._sought:
+        """Repeats and times out searches; called after each step of the logs and every 100 ms."""
+        for job, search in list(self._searches.items()):
+            if now_ms - search.asked_ms >= SEARCH_INTERVAL_MS:
+                search.asked_ms = now_ms
+                self.lookup_messages.append(("", FindJob(job, search.round)))
+                self._handle_job_found(now, now_ms, self.replicas.name, self._look_up(now, job, search.round))
+                if job not in self._searches:
                     continue
-            late = now_ms - sought.since_ms > SEEK_MS and not sought.open
-            if late or now_ms > sought.taken.until_ms - TELL_SPARE_MS:
-                del self._sought[job]
-                self.acts += [ReplicationInstruction(Do.REFUSE, handle) for handle in sought.handles]
-        self._finish(now, now_ms)
+            late = now_ms - search.since_ms > SEARCH_TIMEOUT_MS and not search.open
+            if late or now_ms > search.taken.until_ms - ANSWER_MARGIN_MS:
+                del self._searches[job]
+                self.instructions += [
+                    ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in search.handles
+                ]
+        self._process_results(now, now_ms)
 
-    # --- inside -------------------------------------------------------------------------------------------
+    # --- helpers ------------------------------------------------------------------------------------------
 
     def _next_round(self) -> int:
         self._round += 1
         return self._round
 
-    def _takes(self, job: str) -> bool:
-        """Whether the job is being taken here, and is not kept yet."""
+    def _is_being_taken(self, job: str) -> bool:
+        """Whether this scheduler has written the job's first record and waits for its commit."""
         return any(what == "taken" and j == job for what, j, _ in self._pending.values())
 
     def _take_new(self, now: int, now_ms: int, taken: JobTakenRecord, handles: list[Hashable]) -> None:
@@ -277,89 +316,106 @@
             self._pending[token] = ("taken", taken.job, handles[0])
             self._waiting.setdefault(taken.job, []).extend((h, taken.until_ms) for h in handles)
         else:
-            self.acts += [ReplicationInstruction(Do.REFUSE, handle) for handle in handles]
+            self.instructions += [
+                ReplicationInstruction(ReplicationAction.REFUSE, handle) for handle in handles
+            ]
 
     def _wait_for(self, now_ms: int, taken: JobTakenRecord, handle: Hashable, held: LoggedJob) -> None:
         if held.answer is not None:
-            self.acts.append(ReplicationInstruction(Do.TELL, handle, held.answer))
+            self.instructions.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, held.answer))
         else:
             self._waiting.setdefault(taken.job, []).append((handle, taken.until_ms))
 
-    def _know(self, now: int, job: str, seek_round: int) -> JobFound:
+    def _look_up(self, now: int, job: str, seek_round: int) -> JobFound:
         known = self.replicas.find(job)
-        leads = tuple(o for o in self.replicas.logs if self.replicas.promises(now, o))
-        if known is None or _refused(known[1]):
-            return JobFound(job, self._takes(job), None, leads, seek_round)
+        leads = tuple(o for o in self.replicas.logs if self.replicas.can_write(now, o))
+        if known is None or _was_refused(known[1]):
+            return JobFound(job, self._is_being_taken(job), None, leads, seek_round)
         return JobFound(job, known[1].answer is None, known[1].answer, leads, seek_round)
 
-    def _hear(self, now: int, now_ms: int, sender: str, found: JobFound) -> None:
+    def _handle_job_found(self, now: int, now_ms: int, sender: str, found: JobFound) -> None:
         job = found.job
-        sought = self._sought.get(job)
-        if sought is None or found.round != sought.round:
+        search = self._searches.get(job)
+        if search is None or found.round != search.round:
             return
         if found.answer is not None:
-            del self._sought[job]
-            self.acts += [ReplicationInstruction(Do.TELL, handle, found.answer) for handle in sought.handles]
+            del self._searches[job]
+            self.instructions += [
+                ReplicationInstruction(ReplicationAction.ANSWER, handle, found.answer)
+                for handle in search.handles
+            ]
         elif found.open:
-            sought.open = True
-            sought.leads.clear()
-            sought.no.clear()
+            search.open = True
+            search.leads.clear()
+            search.negative_from.clear()
         elif found.leads:
-            sought.leads.update(found.leads)
-            sought.no.add(sender)
-            if sought.leads >= set(self._names):  # whoever leads each log says no
-                del self._sought[job]
-                self._take_new(now, now_ms, sought.taken, sought.handles)
-
-    def _finish(self, now: int, now_ms: int) -> None:
-        """What the keeper has told, and what may be kept by now."""
-        self._intents(now, now_ms)
-        self._answers(now, now_ms)
+            search.leads.update(found.leads)
+            search.negative_from.add(sender)
+            if search.leads >= set(self._names):  # the leaders of all logs do not know the job
+                del self._searches[job]
+                self._take_new(now, now_ms, search.taken, search.handles)
+
+    def _process_results(self, now: int, now_ms: int) -> None:
+        """Processes the outcome of writes and the adopted jobs, and writes what can be written now."""
+        self._write_intents(now, now_ms)
+        self._write_answers(now, now_ms)
         for written in self.replicas.written:
             what, job, handle = self._pending.pop(written.token, ("", "", None))
             if what == "taken":
-                if written.kept:
+                if written.committed:
                     others = [w for w in self._waiting.pop(job, []) if w[0] != handle]
                     if others:
                         self._waiting[job] = others
                     self._owners[job] = self.replicas.name
-                    self.acts.append(ReplicationInstruction(Do.START, handle))
-                else:  # it may be kept all the same: that shows once somebody leads our log anew
-                    self._doubted[job] = self.replicas.committed_term(self.replicas.name)
+                    self.instructions.append(ReplicationInstruction(ReplicationAction.START, handle))
+                else:  # the record may still be committed; the next commit of a later term decides that
+                    self._uncertain_jobs[job] = self.replicas.committed_term(self.replicas.name)
             elif what == "intent":
-                self.acts.append(ReplicationInstruction(Do.GO if written.kept else Do.NOT_SENT, handle))
-            elif what == "answer" and not written.kept and isinstance(handle, tuple):
-                self._unsaid[job] = handle  # it may be kept or not: once more does no harm, the first counts
+                self.instructions.append(
+                    ReplicationInstruction(
+                        ReplicationAction.GO if written.committed else ReplicationAction.NOT_SENT, handle
+                    )
+                )
+            elif what == "answer" and not written.committed and isinstance(handle, tuple):
+                # The answer may be committed or lost.  A second write is harmless: the first answer counts.
+                self._unwritten_answers[job] = handle
         self.replicas.written = []
         for adopted in self.replicas.adopted:
             job = adopted.held.taken.job
             if job in self._owners:
-                continue  # our own desk has it still
-            if adopted.next is Next.SEND:
+                continue  # the local dispatcher still works on the job
+            if adopted.next is NextStep.SEND:
                 self._owners[job] = adopted.owner
-                self.acts.append(ReplicationInstruction(Do.START, None, adopted=adopted))
+                self.instructions.append(
+                    ReplicationInstruction(ReplicationAction.START, None, adopted=adopted)
+                )
             else:
                 self.replicas.write(now, now_ms, adopted.owner, (AnswerRecord(job, "failed", now_ms),))
         self.replicas.adopted = []
-        for job, term in list(self._doubted.items()):
+        for job, term in list(self._uncertain_jobs.items()):
             if self.replicas.committed_term(self.replicas.name) > term:
-                del self._doubted[job]
-                if self.replicas.find(job) is None:  # it never was, and never will be
-                    self.acts += [
-                        ReplicationInstruction(Do.REFUSE, handle) for handle, _ in self._waiting.pop(job, [])
+                del self._uncertain_jobs[job]
+                if self.replicas.find(job) is None:  # the record was lost and can no longer be committed
+                    self.instructions += [
+                        ReplicationInstruction(ReplicationAction.REFUSE, handle)
+                        for handle, _ in self._waiting.pop(job, [])
                     ]
         for job in list(self._waiting):
-            self._tell(now_ms, job)
+            self._answer_clients(now_ms, job)
 
-    def _tell(self, now_ms: int, job: str) -> None:
+    def _answer_clients(self, now_ms: int, job: str) -> None:
         known = self.replicas.find(job)
         answer = known[1].answer if known is not None else None
         left: list[tuple[Hashable, int]] = []
         for handle, until_ms in self._waiting[job]:
             if answer is not None:
-                self.acts.append(ReplicationInstruction(Do.TELL, handle, answer))
-            elif now_ms >= until_ms - TELL_SPARE_MS:
-                self.acts.append(ReplicationInstruction(Do.TELL, handle, AnswerRecord(job, "failed", now_ms)))
+                self.instructions.append(ReplicationInstruction(ReplicationAction.ANSWER, handle, answer))
+            elif now_ms >= until_ms - ANSWER_MARGIN_MS:
+                self.instructions.append(
+                    ReplicationInstruction(
+                        ReplicationAction.ANSWER, handle, AnswerRecord(job, "failed", now_ms)
+                    )
+                )
             else:
                 left.append((handle, until_ms))
         if left:
--- a/hollowusher/scheduler/rules/log_replication/log_replicas.py
+++ b/hollowusher/scheduler/rules/log_replication/log_replicas.py
@@ -1,4 +1,4 @@
-"""All logs that one scheduler keeps, its own and others': what is promised, and what is taken over."""
+"""All log replicas of one scheduler, of its own log and of other logs: writes and takeovers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from hollowusher.balancing.interface import JobClass
-from hollowusher.scheduler.rules.log_replication.groups import group_of, kept_by
+from hollowusher.scheduler.rules.log_replication.groups import group_of, owners_held_by
 from hollowusher.scheduler.rules.log_replication.messages import HandBack, Message
 from hollowusher.scheduler.rules.log_replication.pace import ReplicationTiming
 from hollowusher.scheduler.rules.log_replication.records import (
@@ -22,59 +22,69 @@
     pack,
     unpack,
 )
-from hollowusher.scheduler.rules.log_replication.replica import Kept, Replica, Role, Store
-from hollowusher.scheduler.rules.log_replication.takeover import Bound, Next, allowed, next_of
+from hollowusher.scheduler.rules.log_replication.replica import PersistentState, Replica, Role, Store
+from hollowusher.scheduler.rules.log_replication.takeover import AttemptLimits, NextStep, allowed, next_step
 
-COMPACT_ENTRIES = 4_096  # beyond this many, a log's entries give way to an image of its book
-FORGET_BATCH = 256
-FORGET_PERIOD_NS = 1_000_000_000
-LATE_MS = 2_000  # after its client gave up, an open job is answered as failed
+COMPACT_ENTRIES = 4_096  # a log with this many entries since the last snapshot is compacted
+EXPIRE_BATCH = 256  # expired jobs that one log entry removes
+EXPIRE_PERIOD_NS = 1_000_000_000
+ORPHAN_GRACE_MS = 2_000  # an open job is answered as failed this long after its deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """An open job of a log that we lead from now on, and what becomes of it."""
+    """An open job of a log that this scheduler has taken over, and its next step."""
 
     owner: str
     held: LoggedJob
-    next: Next
-    bound: Bound | None
+    next: NextStep
+    bound: AttemptLimits | None
 
 
 @dataclass(frozen=True, slots=True)
 class RecordWritten:
-    """A record that was asked for is committed (or will never be known to be: we lost the lead)."""
+    """The outcome of a write.
+
+    `committed` is False if this scheduler lost the leadership first; the record may still be committed later.
+    """
 
     token: int
-    kept: bool
+    committed: bool
 
 
 @dataclass(slots=True)
 class _Log:
     replica: Replica
     jobs_state: JobLogState
-    waiting: dict[int, int] = field(default_factory=dict)  # number of the entry: token
-    term: int = 0  # that we lead and have taken over in; 0: none
-    dirty: int = 0  # entries since the last image
+    waiting: dict[int, int] = field(default_factory=dict)  # by entry number: token
+    term: int = 0  # term in which this scheduler leads and has taken over; 0: none
+    entries_since_snapshot: int = 0  # committed entries only
 
 
 class LogReplicas:
-    """The caller empties, in this order: `stores`, `sends`, `written`, `adopted`, `reported`."""
+    """The replicas of all logs that one scheduler holds.
+
+    `size` is the number of replicas of each log, `kept` the stored state by owner, `retention_ms` the
+    retention of answers, and `most_jobs` the maximum number of jobs in the scheduler's own log.
+
+    The caller handles and empties the outputs in this order: `stores`, `sends`, `written`, `adopted`,
+    `reported`.  `now` is the monotonic time in nanoseconds, `now_ms` the wall clock in milliseconds.
+    """
 
     def __init__(
         self,
         name: str,
         names: Iterable[str],
         size: int,
-        pace: ReplicationTiming,
-        chance: random.Random,
+        timing: ReplicationTiming,
+        rng: random.Random,
         now: int,
         classes: Mapping[str, JobClass],
-        kept: Mapping[str, Kept] | None = None,
-        keep_ms: int = 120_000,
+        kept: Mapping[str, PersistentState] | None = None,
+        retention_ms: int = 120_000,
         most_jobs: int = 20_000,
     ) -> None:
-        self.name, self.classes, self._keep_ms, self._most_jobs = name, classes, keep_ms, most_jobs
+        self.name, self.classes, self._retention_ms, self._most_jobs = name, classes, retention_ms, most_jobs
         self.stores: list[tuple[str, Store]] = []
         self.sends: list[tuple[str, Message]] = []
         self.written: list[RecordWritten] = []
@@ -82,44 +92,54 @@
         self.reported: list[tuple[str, str]] = []
         self.logs: dict[str, _Log] = {}
         everyone = sorted({*names, name})
-        for owner in kept_by(name, everyone, size):
-            had = (kept or {}).get(owner)
+        for owner in owners_held_by(name, everyone, size):
+            restored = (kept or {}).get(owner)
             replica = Replica(
-                name, owner, group_of(owner, everyone, size), pace, random.Random(chance.random()), now, had
+                name,
+                owner,
+                group_of(owner, everyone, size),
+                timing,
+                random.Random(rng.random()),
+                now,
+                restored,
             )
             self.logs[owner] = _Log(replica, JobLogState.of(replica.kept.image))
         self._tokens = 0
-        self._forget_at = now
-        self._gather()
+        self._expire_answers_at = now
+        self._collect_output()
 
-    # --- what others read ---------------------------------------------------------------------------------
+    # --- queries ------------------------------------------------------------------------------------------
 
     def due(self) -> int:
-        """When `step` is to be called at the latest."""
+        """Returns the time of the next timer: the caller must call `step` by then."""
         return min(log.replica.due() for log in self.logs.values())
 
-    def promises(self, now: int, owner: str = "") -> bool:
-        """Whether we may promise for a log, our own if none is named, and have taken it over."""
+    def can_write(self, now: int, owner: str = "") -> bool:
+        """Whether this scheduler leads a log (its own by default), has taken it over, and may write to it."""
         log = self.logs[owner or self.name]
-        return log.replica.promises(now) and log.term == log.replica.kept.term
+        return log.replica.can_write(now) and log.term == log.replica.kept.term
 
-    def learns(self) -> bool:
-        """Whether this process does not know yet all that it must of some log."""
+    def is_learning(self) -> bool:
+        """Whether any replica of this process is still a learner."""
         return any(log.replica.role is Role.LEARNER for log in self.logs.values())
 
     def committed_term(self, owner: str) -> int:
-        """The term of the last entry that we know to be committed: what an earlier leader had under way when
-        one of a higher term committed something is in the book by now, or nowhere."""
+        """Returns the term of the last committed entry.
+
+        A pending write of a leader of a lower term is either part of the committed log by now or lost.
+        """
         replica = self.logs[owner].replica
         return max(0, replica.kept.term_of(replica.commit))
 
     def has_capacity(self) -> bool:
-        """Whether our own book takes one more job."""
+        """Whether this scheduler's own log may accept one more job."""
         return len(self.logs[self.name].jobs_state.jobs) < self._most_jobs
 
     def find(self, job: str) -> tuple[str, LoggedJob] | None:
-        """A job in any book that we keep, and whose book that is; one that was refused only where no other
-        book has it, since it may have come anew elsewhere."""
+        """Finds a job in the logs held here; returns the owner of the log and the job's state, or None.
+
+        A log in which the job was refused comes last, since another scheduler may have accepted it later.
+        """
         found = [
             (owner, held)
             for owner, log in self.logs.items()
@@ -128,30 +148,34 @@
         found.sort(key=lambda f: f[1].answer is not None and f[1].answer.verdict == "refused")
         return found[0] if found else None
 
-    # --- what drives it -----------------------------------------------------------------------------------
+    # --- inputs -------------------------------------------------------------------------------------------
 
     def step(self, now: int, now_ms: int, message: Message | None = None, sender: str = "") -> None:
-        """Take one message, or do what is due for all logs.  `now_ms`: the wall clock."""
+        """Handles one message from `sender`, or runs the due timers of all logs."""
         if message is not None:
             log = self.logs.get(message.owner)
             if log is not None and not (isinstance(message, HandBack) and log.jobs_state.open()):
                 log.replica.step(now, message, sender)
-                self._after(now, now_ms, message.owner, log)
+                self._process_replica(now, now_ms, message.owner, log)
         for owner, log in self.logs.items():
             if message is None and log.replica.due() <= now:
                 log.replica.step(now)
-                self._after(now, now_ms, owner, log)
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_PERIOD_NS
-            self._forget(now, now_ms)
+                self._process_replica(now, now_ms, owner, log)
+        if now >= self._expire_answers_at:
+            self._expire_answers_at = now + EXPIRE_PERIOD_NS
+            self._expire_answers(now, now_ms)
             self.logs[self.name].replica.hand_back(now)
-        self._gather()
+        self._collect_output()
 
     def write(self, now: int, now_ms: int, owner: str, records: Sequence[Record]) -> int:
-        """Have records kept, in order; the token that `written` will name, or 0 where we may not promise."""
+        """Proposes records for a log, in order.
+
+        Returns the token under which `written` reports the outcome, or 0 if this scheduler cannot write to
+        the log or must not send one of the attempts.
+        """
         log = self.logs[owner]
-        if not self.promises(now, owner) or any(
-            isinstance(r, Intent) and not self._harmless(log, r, now_ms) for r in records
+        if not self.can_write(now, owner) or any(
+            isinstance(r, Intent) and not self._may_send(log, r, now_ms) for r in records
         ):
             return 0
         number = log.replica.propose(now, [pack(r) for r in records])
@@ -159,27 +183,30 @@
             return 0
         self._tokens += 1
         log.waiting[number] = self._tokens
-        self._after(now, now_ms, owner, log)
-        self._gather()
+        self._process_replica(now, now_ms, owner, log)
+        self._collect_output()
         return self._tokens
 
-    def view(self, now: int, missing: set[str]) -> None:
-        """Whom the members' view holds dead."""
+    def set_missing_members(self, now: int, missing: set[str]) -> None:
+        """Passes the members that the membership view lacks to all replicas."""
         for log in self.logs.values():
-            log.replica.missing(now, missing)
+            log.replica.handle_missing_members(now, missing)
+
+    def _may_send(self, log: _Log, intent: Intent, now_ms: int) -> bool:
+        """Whether an attempt may be sent, given the state of its job.
 
-    def _harmless(self, log: _Log, intent: Intent, now_ms: int) -> bool:
-        """Whether an attempt may go out, by all that is known of the job: who leads knows all that was
-        promised.  Here, and nowhere else, a second run of what must not run twice is kept from happening."""
+        The leader's state contains all committed records.  This is the only check that prevents a second run
+        of a job that must not run twice.
+        """
         held = log.jobs_state.jobs.get(intent.job)
         if held is None or held.answer is not None:
             return False
-        what, bound = next_of(held, self.classes, now_ms)
-        return what is Next.SEND and allowed(bound, intent.cell, now_ms)
+        what, bound = next_step(held, self.classes, now_ms)
+        return what is NextStep.SEND and allowed(bound, intent.cell, now_ms)
 
-    # --- inside -------------------------------------------------------------------------------------------
+    # --- helpers ------------------------------------------------------------------------------------------
 
-    def _after(self, now: int, now_ms: int, owner: str, log: _Log) -> None:
+    def _process_replica(self, now: int, now_ms: int, owner: str, log: _Log) -> None:
         replica = log.replica
         for image in replica.images:
             log.jobs_state = JobLogState.of(image)
@@ -190,38 +217,41 @@
                     log.jobs_state.apply(unpack(entry.data))
                 except msgspec.DecodeError:
                     self.reported.append(
-                        (owner, f"entry {number} cannot be read: is another version running?")
+                        (owner, f"entry {number} cannot be decoded: is another version running?")
                     )
             if (token := log.waiting.pop(number, 0)) and replica.role is Role.LEADER:
                 self.written.append(RecordWritten(token, True))
-        log.dirty += len(replica.commits)
+        log.entries_since_snapshot += len(replica.commits)
         replica.commits = []
         if replica.role is not Role.LEADER:
-            # What we had asked for may be kept or not; whoever leads now decides what becomes of it.
+            # Pending writes may be committed or lost; that depends on the log of the new leader.
             self.written += [RecordWritten(token, False) for token in log.waiting.values()]
             log.waiting.clear()
             log.term = 0
-        elif log.term != replica.kept.term and replica.promises(now):
+        elif log.term != replica.kept.term and replica.can_write(now):
             log.term = replica.kept.term
             for held in log.jobs_state.open():
-                self.adopted.append(Adopted(owner, held, *next_of(held, self.classes, now_ms)))
-        if log.dirty >= COMPACT_ENTRIES:
-            log.dirty = 0
+                self.adopted.append(Adopted(owner, held, *next_step(held, self.classes, now_ms)))
+        if log.entries_since_snapshot >= COMPACT_ENTRIES:
+            log.entries_since_snapshot = 0
             replica.compact(log.jobs_state.image())
 
-    def _forget(self, now: int, now_ms: int) -> None:
+    def _expire_answers(self, now: int, now_ms: int) -> None:
         for owner, log in self.logs.items():
-            if self.promises(now, owner):
-                old = log.jobs_state.answered_before(now_ms - self._keep_ms)
-                for at in range(0, len(old), FORGET_BATCH):
-                    log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + FORGET_BATCH])))])
-                # Nobody waits for these any more, and nobody works on them: an answer was lost with a lead.
-                late = [h.taken.job for h in log.jobs_state.open() if h.taken.until_ms + LATE_MS < now_ms]
+            if self.can_write(now, owner):
+                old = log.jobs_state.answered_before(now_ms - self._retention_ms)
+                for at in range(0, len(old), EXPIRE_BATCH):
+                    log.replica.propose(now, [pack(Forgotten(tuple(old[at : at + EXPIRE_BATCH])))])
+                # No client waits for these jobs and no scheduler works on them: their answers were lost when
+                # the leader changed.
+                late = [
+                    h.taken.job for h in log.jobs_state.open() if h.taken.until_ms + ORPHAN_GRACE_MS < now_ms
+                ]
                 if late:
                     log.replica.propose(now, [pack(AnswerRecord(job, "failed", now_ms)) for job in late])
 
-    def _gather(self) -> None:
-        """What the replicas want stored and sent, in that order."""
+    def _collect_output(self) -> None:
+        """Collects the outputs of all replicas.  The caller must store `stores` before it sends `sends`."""
         for owner, log in self.logs.items():
             replica = log.replica
             self.stores += [(owner, store) for store in replica.stores]
