--- a/hollowusher/protocol/control_status.py
+++ b/hollowusher/protocol/control_status.py
@@ -36,7 +36,7 @@
     partition: int
     epoch: int
     primary: str
-    living: int  # number of replicas whose process is alive with its disk
+    living: int  # number of replicas whose store is alive with the disk of the replica
     replicas: int
     learners: list[str] = attrs.Factory(list)  # store ids of the learners, which are still catching up
     lost: bool = False  # too few living replicas for a takeover: only an operator can recover the partition
--- a/hollowusher/transport/peers.py
+++ b/hollowusher/transport/peers.py
@@ -28,7 +28,7 @@
 class CallFigures:
     """Counters of a transport since its start."""
 
-    refused: int = 0  # received messages that were meant for another process
+    refused: int = 0  # received messages that were intended for another process
     misdirected: int = 0  # messages sent by this process that an unintended receiver rejected
     answers_dropped: int = 0  # responses without a pending call: late, repeated, or of another call
 
--- a/tests/storage/test_ring_log.py
+++ b/tests/storage/test_ring_log.py
@@ -597,9 +597,7 @@
         disk = SimulatedDisk()
         log = open_log(disk, segment_bytes=1024 * 1024)
         forgotten: set[bytes] = set()
-        with pytest.raises(
-            StorageError, match="no segment is free"
-        ):  # this incarnation sets no function that moves records
+        with pytest.raises(StorageError, match="no segment is free"):  # `set_move` has not been called
             for number in range(2000):
                 record = b"%06d" % number + bytes(8000)
                 position = log.append(record)
