--- a/tests/support/controller_cluster.py
+++ b/tests/support/controller_cluster.py
@@ -172,13 +172,13 @@
         view = self.view_of()
         if view is not None:
             self.peers.learn_view(view)
-        return Hello(self.peers.own, self.peers.meant(address, message))
+        return Hello(self.peers.own, self.peers.intended_peer(address, message))
 
     def refuses(self, hello: Hello, message: Any) -> bool:
         """Return whether this process rejects a received message that is meant for another process."""
-        reason = self.peers.refusal(hello, message)
+        reason = self.peers.rejection_reason(hello, message)
         if reason:
-            self.peers.refuse(hello, reason)
+            self.peers.record_rejection(hello, reason)
         return bool(reason)
 
     def take(self, data: bytes) -> asyncio.Task[Any]:
