--- a/hollowusher/simulation/connection.py
+++ b/hollowusher/simulation/connection.py
@@ -129,7 +129,7 @@
     def send_request(self, number: int, kind: int, message: object) -> None:
         """Send from the client's end, with the greeting that is in force on the connection."""
         peers = self.client.peers
-        hello = Hello(peers.own, peers.meant(self.server.address, message))
+        hello = Hello(peers.own, peers.intended_peer(self.server.address, message))
         self._outbound.send(encode([number, kind, message, hello]))
 
     def _to_server(self, frame: bytes) -> None:
@@ -137,9 +137,9 @@
             self.reset()
             return
         number, kind, message, hello = decode(frame)
-        reason = self.server.peers.refusal(hello, message)
+        reason = self.server.peers.rejection_reason(hello, message)
         if reason:
-            self.server.peers.refuse(hello, reason)
+            self.server.peers.record_rejection(hello, reason)
             self._inbound.send(encode([number, REFUSED, self.server.peers.own]))
             return
         if self.network.observer is not None:
--- a/tests/intake/test_wire_rules_pull.py
+++ b/tests/intake/test_wire_rules_pull.py
@@ -40,7 +40,7 @@
 
     async def call(self, path: str, job: LeasedJob, result: str = "") -> int:
         """Make a worker's call about a job; return the status of the response."""
-        self.cluster.tell(self.state)
+        self.cluster.load_state(self.state)
         headers = {"Host": "10.0.0.1", "X-Lease-Id": worker_lease_id(job.lease, job.message.id)}
         if result:
             headers["X-Job-Result"] = result
