--- a/hollowusher/scheduler/fronts/platform/clients.py
+++ b/hollowusher/scheduler/fronts/platform/clients.py
@@ -87,7 +87,7 @@
     or close the connection."""
     headers = request.headers
     if request.target.startswith("/-/"):
-        raise BadInput(404, "no such page")
+        raise BadInput(404, "page not found")
     if request.method != "POST":  # the path belongs to the job: every path outside /-/ is forwarded
         raise BadInput(405, "jobs must be sent with POST")
     job_id, job_class = headers.get("x-call-id", ""), headers.get("x-call-class", "")
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -33,14 +33,15 @@
 # Timeout for the first line after the response headers.  The headers alone do not confirm the list, and the
 # first line is also due within 2 s.
 FIRST_LINE_TIMEOUT_S = 2.5
-MAX_LINE = 4 * 1024 * 1024
+MAX_LINE = 4 * 1024 * 1024  # maximum size of a line and of one JSON object of the list
 DEFAULT_CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
 
 
 class NodeListWatch(Plain):
     """Watches the node list and passes changes to the worker registry and the dispatcher.
 
-    After a watch ends, the dispatcher decides when to open the next one; see `again` for the exception."""
+    After a watch ends, the dispatcher decides when to open the next one, unless the list comes from a local
+    agent; see `again`."""
 
     name = "list"
 
--- a/hollowusher/scheduler/fronts/platform/http.py
+++ b/hollowusher/scheduler/fronts/platform/http.py
@@ -9,9 +9,9 @@
 
 from hollowusher.scheduler.fronts.platform.answers import LineSplitter
 
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024
-MAX_PIPELINED = 16
+MAX_BODY = 64 * 1024  # maximum size of a request body
+MAX_HEAD = 16 * 1024  # maximum size of the start line and headers of a message
+MAX_PIPELINED = 16  # maximum number of complete requests that wait to be processed
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -59,7 +59,7 @@
     headers: dict[str, str]
     body: bytes
     keep_alive: bool
-    arrived_ns: int = 0  # monotonic time at which the first byte arrived
+    arrived_ns: int = 0  # monotonic time at which the first byte arrived, in nanoseconds
 
 
 @dataclass(slots=True)
@@ -98,7 +98,9 @@
         return self._parts.arrived_ns
 
     def feed(self, data: memoryview, now_ns: int = 0) -> None:
-        """Parse data that arrived at `now_ns`.  Raises BadInput if it violates HTTP or a limit."""
+        """Parse data that arrived at the monotonic time `now_ns`.
+
+        Raises BadInput if the data violates HTTP or a limit."""
         self._now_ns = now_ns
         if not self.begun:
             self._parts.arrived_ns = now_ns
@@ -136,7 +138,7 @@
             return
         key = name.decode("latin-1").lower()
         if key in UNIQUE_HEADERS and key in self._parts.headers:
-            self._bad_input = BadInput(400, f"more than one {key}")
+            self._bad_input = BadInput(400, f"more than one {key} header")
         self._parts.headers[key] = value.decode("latin-1").strip(" \t")
 
     def on_headers_complete(self) -> None:
@@ -147,16 +149,16 @@
         if self._parser.get_http_version() not in ("1.0", "1.1"):
             self._bad_input = BadInput(505, "only HTTP/1.0 and HTTP/1.1 are supported")
         if not self._parts.target.startswith(b"/") or b"#" in self._parts.target:
-            self._bad_input = BadInput(400, "the target must be a path")
+            self._bad_input = BadInput(400, "the request target must be a path")
         self.expects = self._parts.headers.get("expect", "").lower() == "100-continue"
         length = self._parts.headers.get("content-length", "0")
         if length.isdigit() and int(length) > MAX_BODY:
-            self._bad_input = BadInput(413, "a body holds no more than 64 KiB")
+            self._bad_input = BadInput(413, "the body is larger than 64 KiB")
 
     def on_body(self, data: bytes) -> None:
         """Append a part of the body (httptools callback); the limit also holds for chunked bodies."""
         if len(self._parts.body) + len(data) > MAX_BODY:
-            self._bad_input = BadInput(413, "a body holds no more than 64 KiB")
+            self._bad_input = BadInput(413, "the body is larger than 64 KiB")
         else:
             self._parts.body += data
 
--- a/hollowusher/scheduler/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -207,7 +207,7 @@
     async def _connect(self) -> None:
         frame = await self._wire.receive()
         if frame.command not in ("CONNECT", "STOMP"):
-            raise FrameError("CONNECT must come first")
+            raise FrameError("the first frame must be CONNECT or STOMP")
         if "1.2" not in frame.headers.get("accept-version", "1.0").split(","):
             self._wire.put(
                 Frame("ERROR", {"version": "1.2", "message": "only STOMP version 1.2 is supported"})
--- a/hollowusher/scheduler/fronts/stomp/frames.py
+++ b/hollowusher/scheduler/fronts/stomp/frames.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-MAX_HEAD = 8 * 1024
+MAX_HEAD = 8 * 1024  # maximum size of the command line and headers of a frame
 MAX_HEADERS = 64
 MAX_BODY = 64 * 1024
 FROM_CLIENT = frozenset(
@@ -160,7 +160,7 @@
         if not (text.isascii() and text.isdigit()):
             raise FrameError("content-length is not a number", head.headers.get("receipt", ""))
         if len(text) > 9 or int(text) > MAX_BODY:
-            raise FrameError("a body holds no more than 64 KiB", head.headers.get("receipt", ""))
+            raise FrameError("the body is larger than 64 KiB", head.headers.get("receipt", ""))
         return int(text)
 
     def _read_body(self) -> bool:
@@ -171,7 +171,7 @@
         if length is None:
             length = held.find(0)
             if max(length, len(held) if length < 0 else 0) > MAX_BODY:
-                raise FrameError("a body holds no more than 64 KiB", receipt)
+                raise FrameError("the body is larger than 64 KiB", receipt)
             if length < 0:
                 return False
         elif len(held) <= length:
