--- a/hollowusher/scheduler/fronts/platform/http2.py
+++ b/hollowusher/scheduler/fronts/platform/http2.py
@@ -1,6 +1,6 @@
-"""Attempts and probes at route nodes that offer HTTP/2: one stream each, many on a connection.
+"""Attempts and probes at route nodes over HTTP/2: one stream for each, with many streams per connection.
 
-Requests, answers' lines and outcomes are the same as over HTTP/1.1; docs/http2.md has what differs.
+Requests, response lines and outcomes are the same as over HTTP/1.1; docs/http2.md lists the differences.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from hollowusher.scheduler.dispatch.model import AttemptEnded, Dispatch, DispatchEvent, NodeProbed
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.fronts.common import PROBE_TIMEOUT_S, AttemptEnding, read_load
-from hollowusher.scheduler.fronts.platform.answers import MOST_LINE, LineSplitter, ending_of_head, read_line
+from hollowusher.scheduler.fronts.platform.answers import MAX_LINE, LineSplitter, ending_of_head, read_line
 from hollowusher.scheduler.fronts.platform.nodes import PlatformNodes
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.http2.exchange import Headers, StreamExchange
@@ -23,40 +23,41 @@
 from hollowusher.scheduler.rules.stream_ends import Cause
 from hollowusher.scheduler.rules.streams import RejectReason
 
-TRAILER_S = 0.02  # how long a result may be held for the load report that the head says will follow it
-# A job that is still waiting goes back this long before its time is over: while the desk has it as unsent, it
-# can be refused, which tells its client that to ask again is harmless.
-LAST_MOMENT_NS = 50_000_000
-MOST_REPORT = 64 * 1024
-_KEPT = (b":status", b"x-load-report", b"x-rejected", b"trailer")
+TRAILER_TIMEOUT_S = 0.02  # longest wait of a result for the load report that its Trailer header announces
+# A job that still waits for a stream returns to the dispatcher this long before its deadline.  The dispatcher
+# can then reject it as unsent, and the client knows that a retry is safe.
+RETURN_MARGIN_NS = 50_000_000
+MAX_REPORT = 64 * 1024  # maximum size of a probe response
+_RELEVANT_HEADERS = (b":status", b"x-load-report", b"x-rejected", b"trailer")
 
 
-def _heads(headers: Headers) -> dict[str, str]:
-    return {k.decode("latin-1"): v.decode("latin-1") for k, v in headers if k in _KEPT}
+def _relevant_headers(headers: Headers) -> dict[str, str]:
+    return {k.decode("latin-1"): v.decode("latin-1") for k, v in headers if k in _RELEVANT_HEADERS}
 
 
 def request_headers(
     job_id: str, subject: str, host: str, left_s: float, key: str
 ) -> list[tuple[bytes, bytes]]:
-    """The headers of a job's request.
+    """Return the request headers of a job; `left_s` is the remaining time in seconds.
 
-    What differs from job to job stays out of the compression's table: it would push out what does not."""
-    own = NeverIndexedHeaderTuple
+    Headers that differ between jobs are never indexed by HPACK: they would evict the constant headers from
+    the dynamic table."""
+    never_indexed = NeverIndexedHeaderTuple
     headers = [
         (b":method", b"POST"),
         (b":scheme", b"http"),
         (b":authority", host.encode("latin-1")),
-        own(b":path", subject.encode("latin-1")),
-        own(b"x-call-id", job_id.encode("latin-1")),
-        own(b"x-budget", b"%.3f" % left_s),
+        never_indexed(b":path", subject.encode("latin-1")),
+        never_indexed(b"x-call-id", job_id.encode("latin-1")),
+        never_indexed(b"x-budget", b"%.3f" % left_s),
     ]
     if key:
-        headers.append(own(b"idempotency-key", key.encode("latin-1")))
+        headers.append(never_indexed(b"idempotency-key", key.encode("latin-1")))
     return headers
 
 
 class JobAnswer:
-    """A job's answer from its stream."""
+    """Reads the response to a job from its stream; implements `Answer`."""
 
     def __init__(
         self, order: Dispatch, meanings: Mapping[str, str], post: Callable[[DispatchEvent], None]
@@ -64,7 +65,7 @@
         self._order, self._meanings, self._post = order, meanings, post
         self._lines = LineSplitter()
         self._report_follows = False
-        self._ending: AttemptEnding | None = None  # that waits for its report
+        self._ending: AttemptEnding | None = None  # a result that waits for its load report
         self.finish: Callable[[AttemptEnding], None] = lambda ending: None
 
     @property
@@ -74,7 +75,7 @@
 
     def head(self, headers: Headers) -> AttemptEnding | None:
         """See `Answer`."""
-        heads = _heads(headers)
+        heads = _relevant_headers(headers)
         self._report_follows = "x-load-report" in heads.get("trailer", "").lower()
         status = heads.get(":status", "")
         return ending_of_head(int(status) if status.isdigit() else 0, heads, self._meanings)
@@ -84,8 +85,8 @@
         if self._ending is not None:
             return None
         self._lines.feed(data)
-        if len(self._lines.rest) > MOST_LINE:
-            raise ConnectionError("a line of the answer is too long")
+        if len(self._lines.rest) > MAX_LINE:
+            raise ConnectionError("a line of the response is too long")
         return self._read()
 
     def end(self, trailers: Headers) -> AttemptEnding | None:
@@ -97,7 +98,7 @@
             return None
         ending = ending or self._ending
         if ending is not None and ending.reading is None:
-            ending.reading = read_load(_heads(trailers).get("x-load-report"), self._meanings)
+            ending.reading = read_load(_relevant_headers(trailers).get("x-load-report"), self._meanings)
         return ending
 
     def _read(self) -> AttemptEnding | None:
@@ -106,7 +107,7 @@
             ending = read_line(line, self._order, self._meanings, self._post)
             if ending is not None and ending.reading is None and self._report_follows:
                 self._ending = ending
-                asyncio.get_running_loop().call_later(TRAILER_S, self.finish, ending)
+                asyncio.get_running_loop().call_later(TRAILER_TIMEOUT_S, self.finish, ending)
                 return None
             if ending is not None:
                 return ending
@@ -114,10 +115,10 @@
 
 
 class ProbeAnswer:
-    """A probe's answer: whether the node is well, and its load."""
+    """Reads the response to a probe: whether its status is 200, and the load report; implements `Answer`."""
 
     def __init__(self, meanings: Mapping[str, str]) -> None:
-        self._meanings, self._body, self._heads = meanings, bytearray(), dict[str, str]()
+        self._meanings, self._body, self._relevant_headers = meanings, bytearray(), dict[str, str]()
 
     @property
     def held(self) -> int:
@@ -126,26 +127,26 @@
 
     def head(self, headers: Headers) -> tuple[bool, Reading | None] | None:
         """See `Answer`."""
-        self._heads = _heads(headers)
+        self._relevant_headers = _relevant_headers(headers)
         return None
 
     def piece(self, data: bytes) -> tuple[bool, Reading | None] | None:
         """See `Answer`."""
         self._body += data
-        if len(self._body) > MOST_REPORT:
-            raise ConnectionError("a load report is too long")
+        if len(self._body) > MAX_REPORT:
+            raise ConnectionError("the load report is too long")
         return None
 
     def end(self, trailers: Headers) -> tuple[bool, Reading | None] | None:
         """See `Answer`."""
         reading = read_load(self._body.decode("utf-8", "replace"), self._meanings)
-        heads = {**self._heads, **_heads(trailers)}
+        heads = {**self._relevant_headers, **_relevant_headers(trailers)}
         reading = reading or read_load(heads.get("x-load-report"), self._meanings)
-        return self._heads.get(":status") == "200", reading
+        return self._relevant_headers.get(":status") == "200", reading
 
 
 class Http2Nodes:
-    """Carries attempts and probes to nodes over shared connections."""
+    """Runs attempts and probes on shared connections; uses HTTP/1.1 for nodes without HTTP/2."""
 
     def __init__(
         self,
@@ -160,7 +161,7 @@
         self._meanings, self._post, self._log = meanings, post, log
 
     async def attempt(self, order: Dispatch, node: RouteNode) -> None:
-        """One attempt from its wait for a stream to its ending, which the desk is told in every case."""
+        """Run one attempt, including its wait for a stream; always post its result to the dispatcher."""
         attempt = order.attempt
         if attempt.number > 0:
             repeats = self._carrier.repeats
@@ -168,8 +169,8 @@
         ending = None
         if not self._carrier.falls_back(attempt.node):
             ending = await self._stream(order, node)
-            fallen = ending.outcome is Outcome.UNREACHABLE and self._carrier.falls_back(attempt.node)
-        if ending is None or (fallen and self._registry.serving(attempt.node)):
+            fell_back = ending.outcome is Outcome.UNREACHABLE and self._carrier.falls_back(attempt.node)
+        if ending is None or (fell_back and self._registry.serving(attempt.node)):
             await self._http1.attempt(order, node)
         else:
             self._post(AttemptEnded(attempt, ending.outcome, ending.reading, ending.result))
@@ -190,7 +191,7 @@
             headers,
             job.body,
             answer,
-            until_ns - LAST_MOMENT_NS,
+            until_ns - RETURN_MARGIN_NS,
             lambda: self._registry.serving(number) and order.may_begin(time.monotonic_ns()),
         )
         answer.finish = exchange.finish
@@ -209,7 +210,7 @@
         if how in (RejectReason.FULL, RejectReason.WAITED):
             self._log.warning(
                 "h2-turned-back",
-                "a job went back unsent for want of a stream",
+                "a job was returned unsent because no stream was available",
                 node=node.name,
                 why=how.value,
                 waiting=streams.stream_table.waiting,
@@ -218,7 +219,7 @@
         return AttemptEnding(Outcome.UNREACHABLE if how is RejectReason.UNREACHABLE else Outcome.NOT_SENT)
 
     async def probe(self, node: RouteNode) -> None:
-        """Ask a node for its load."""
+        """Request a node's load report; always post the result to the dispatcher."""
         number = node.entry.worker
         if self._carrier.falls_back(number):
             await self._http1.probe(node)
@@ -240,11 +241,11 @@
             if isinstance(how, tuple):
                 ok, reading = how
         except (TimeoutError, asyncio.CancelledError):
-            streams.withdraw(exchange, Cause.TIMED_OUT)  # a probe without an answer is a result too
+            streams.withdraw(exchange, Cause.TIMED_OUT)  # reported below as a failed probe
         finally:
             self._post(NodeProbed(number, ok, reading))
 
     def leaving(self, number: int) -> None:
-        """Nothing new may go to a node on the connections that lead there now."""
+        """Send no new requests on the current connections to a node."""
         self._carrier.leaving(number)
         self._http1.leaving(number)
