--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -28,7 +28,7 @@
 
 PUT = "PUT"
 PATCH = "PATCH"
-MOST_HISTORY = 4_096  # older orders are forgotten once nobody sends them again
+HISTORY_SOFT_LIMIT = 4_096  # older orders are forgotten once nobody sends them again
 MOST_DOCUMENT_BYTES = MOST_BODY_BYTES  # also for what many PATCHes make of it
 DIGEST_BYTES = 16
 
@@ -101,7 +101,7 @@
         refusal = Refusal(413, "configuration", f"would be longer than {MOST_DOCUMENT_BYTES} bytes")
         return OrderOutcome(refusal.answer())
     last = state.generation if forgettable is None else forgettable
-    history = pruned([*state.history, [generation, order.digest]], MOST_HISTORY, last)
+    history = pruned([*state.history, [generation, order.digest]], HISTORY_SOFT_LIMIT, last)
     if len(history) > LARGEST_HISTORY:
         return OrderOutcome(TOO_MANY_ORDERS)
     new = evolve(state, generation=generation, document=document, history=history)
--- a/tests/configuration/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -13,7 +13,7 @@
 from hollowusher.configuration.checks import is_host_port
 from hollowusher.configuration.model import read_document
 from hollowusher.configuration.orders import (
-    MOST_HISTORY,
+    HISTORY_SOFT_LIMIT,
     OrderOutcome,
     apply_order,
     order_digest,
@@ -171,8 +171,8 @@
 
 
 def test_the_history_holds_the_newest_orders(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert MOST_HISTORY == 4_096
-    monkeypatch.setattr(orders, "MOST_HISTORY", 3)
+    assert HISTORY_SOFT_LIMIT == 4_096
+    monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 3)
     state = EMPTY_STATE
     for generation in range(1, 6):
         state = taken(state, configuration(generation), generation - 1)
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -9,7 +9,7 @@
 
 from hollowusher.configuration import order_history, orders
 from hollowusher.configuration.order_history import REPEATED_FOR_S, CommittedAges, pruned
-from hollowusher.configuration.orders import MOST_HISTORY, OrderOutcome, apply_order, read_order
+from hollowusher.configuration.orders import HISTORY_SOFT_LIMIT, OrderOutcome, apply_order, read_order
 from hollowusher.coordination.chain.chain_member import EMPTY_STATE
 from hollowusher.protocol.control_chain import ControlState
 from tests.support.controller_cluster import document
@@ -37,7 +37,7 @@
 def test_an_order_sent_again_is_acknowledged_after_more_orders_than_are_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(orders, "MOST_HISTORY", 5)
+    monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 5)
     state = EMPTY_STATE
     for generation in range(1, 30):
         state = take(state, generation, generation - 1, forgettable=0)
@@ -50,7 +50,7 @@
 def test_no_order_is_taken_once_the_history_is_full_of_orders_that_may_come_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(orders, "MOST_HISTORY", 3)
+    monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 3)
     monkeypatch.setattr(orders, "LARGEST_HISTORY", 6)
     state = EMPTY_STATE
     for generation in range(1, 7):
@@ -76,7 +76,7 @@
 
 
 def test_nothing_is_forgotten_within_its_time_in_random_runs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(orders, "MOST_HISTORY", 10)
+    monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 10)
     for seed in range(100):
         chance = random.Random(seed)
         state, ages, now = EMPTY_STATE, CommittedAges(), 0.0
@@ -94,7 +94,7 @@
 
 
 def test_the_bounds_of_the_history() -> None:
-    assert MOST_HISTORY == 4_096
+    assert HISTORY_SOFT_LIMIT == 4_096
     assert order_history.LARGEST_HISTORY == 16_384 and REPEATED_FOR_S == 60.0
 
 
