--- a/hollowusher/configuration/order_history.py
+++ b/hollowusher/configuration/order_history.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import Any
 
-LARGEST_HISTORY = 16_384  # no further order is taken beyond it
+HISTORY_HARD_LIMIT = 16_384  # no further order is taken beyond it
 REPEATED_FOR_S = 60.0  # an order is sent again for less than this after its commit
 
 Entry = list[Any]  # [generation, digest of the order]
--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -20,7 +20,7 @@
     check_generation,
     check_items,
 )
-from hollowusher.configuration.order_history import LARGEST_HISTORY, pruned
+from hollowusher.configuration.order_history import HISTORY_HARD_LIMIT, pruned
 from hollowusher.configuration.refusal import MOST_BODY_BYTES, Refusal
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
@@ -102,7 +102,7 @@
         return OrderOutcome(refusal.answer())
     last = state.generation if forgettable is None else forgettable
     history = pruned([*state.history, [generation, order.digest]], HISTORY_SOFT_LIMIT, last)
-    if len(history) > LARGEST_HISTORY:
+    if len(history) > HISTORY_HARD_LIMIT:
         return OrderOutcome(TOO_MANY_ORDERS)
     new = evolve(state, generation=generation, document=document, history=history)
     return OrderOutcome(_acknowledgement(generation), new)
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -51,7 +51,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 3)
-    monkeypatch.setattr(orders, "LARGEST_HISTORY", 6)
+    monkeypatch.setattr(orders, "HISTORY_HARD_LIMIT", 6)
     state = EMPTY_STATE
     for generation in range(1, 7):
         state = take(state, generation, generation - 1, forgettable=0)
@@ -95,7 +95,7 @@
 
 def test_the_bounds_of_the_history() -> None:
     assert HISTORY_SOFT_LIMIT == 4_096
-    assert order_history.LARGEST_HISTORY == 16_384 and REPEATED_FOR_S == 60.0
+    assert order_history.HISTORY_HARD_LIMIT == 16_384 and REPEATED_FOR_S == 60.0
 
 
 def test_patches_do_not_make_a_configuration_longer_than_a_body_may_be(
