--- a/hollowusher/configuration/order_history.py
+++ b/hollowusher/configuration/order_history.py
@@ -1,7 +1,7 @@
 """Which orders taken may be forgotten: none that a caller may still send again.  No I/O, no clock.
 
 A caller that got no clear answer sends its order again.  It first sent it before it was committed, so it ends
-by `REPEATED_FOR_S` after the commit.  The commit has no clock of its own that all controllers share; each one
+by `RETRY_WINDOW_S` after the commit.  The commit has no clock of its own that all controllers share; each one
 counts by its steady clock from the moment at which it first knew the order as committed, which is never
 before the commit.  A restart or a new head starts to count anew, which only keeps orders for longer.
 """
@@ -12,7 +12,7 @@
 from typing import Any
 
 HISTORY_HARD_LIMIT = 16_384  # no further order is taken beyond it
-REPEATED_FOR_S = 60.0  # an order is sent again for less than this after its commit
+RETRY_WINDOW_S = 60.0  # an order is sent again for less than this after its commit
 
 Entry = list[Any]  # [generation, digest of the order]
 
@@ -31,7 +31,7 @@
 
     def no_longer_repeated(self, now: float) -> int:
         """Return the newest generation whose order nobody sends again."""
-        while self._marks and now - self._marks[0][1] >= REPEATED_FOR_S:
+        while self._marks and now - self._marks[0][1] >= RETRY_WINDOW_S:
             self._settled = self._marks.popleft()[0]
         return self._settled
 
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hollowusher.configuration import order_history, orders
-from hollowusher.configuration.order_history import REPEATED_FOR_S, CommittedAges, pruned
+from hollowusher.configuration.order_history import RETRY_WINDOW_S, CommittedAges, pruned
 from hollowusher.configuration.orders import HISTORY_SOFT_LIMIT, OrderOutcome, apply_order, read_order
 from hollowusher.coordination.chain.chain_member import EMPTY_STATE
 from hollowusher.protocol.control_chain import ControlState
@@ -67,10 +67,10 @@
     ages.note(5, 10.0)
     ages.note(5, 20.0)
     ages.note(7, 30.0)
-    assert ages.no_longer_repeated(10.0 + REPEATED_FOR_S - 0.1) == 0
-    assert ages.no_longer_repeated(10.0 + REPEATED_FOR_S) == 5
+    assert ages.no_longer_repeated(10.0 + RETRY_WINDOW_S - 0.1) == 0
+    assert ages.no_longer_repeated(10.0 + RETRY_WINDOW_S) == 5
     ages.note(7, 95.0)
-    assert ages.no_longer_repeated(30.0 + REPEATED_FOR_S) == 7
+    assert ages.no_longer_repeated(30.0 + RETRY_WINDOW_S) == 7
     ages.note(7, 200.0)
     assert ages.no_longer_repeated(900.0) == 7
 
@@ -89,13 +89,13 @@
             state = take(state, generation, generation - 1, ages.no_longer_repeated(now))
             taken_at[generation] = now
             kept = {each for each, _ in state.history}
-            assert all(each in kept for each, at in taken_at.items() if now - at < REPEATED_FOR_S)
+            assert all(each in kept for each, at in taken_at.items() if now - at < RETRY_WINDOW_S)
             assert len(kept) >= min(generation, 10)
 
 
 def test_the_bounds_of_the_history() -> None:
     assert HISTORY_SOFT_LIMIT == 4_096
-    assert order_history.HISTORY_HARD_LIMIT == 16_384 and REPEATED_FOR_S == 60.0
+    assert order_history.HISTORY_HARD_LIMIT == 16_384 and RETRY_WINDOW_S == 60.0
 
 
 def test_patches_do_not_make_a_configuration_longer_than_a_body_may_be(
