--- a/hollowusher/configuration/order_history.py
+++ b/hollowusher/configuration/order_history.py
@@ -29,7 +29,7 @@
         if generation > (self._marks[-1][0] if self._marks else self._settled):
             self._marks.append((generation, now))
 
-    def no_longer_repeated(self, now: float) -> int:
+    def newest_expired(self, now: float) -> int:
         """Return the newest generation whose order nobody sends again."""
         while self._marks and now - self._marks[0][1] >= RETRY_WINDOW_S:
             self._settled = self._marks.popleft()[0]
--- a/hollowusher/coordination/controller/control_state_service.py
+++ b/hollowusher/coordination/controller/control_state_service.py
@@ -86,7 +86,7 @@
         now = asyncio.get_running_loop().time()
         if self._chain_member.committed is not None:
             self._committed_ages.note(self._chain_member.committed.generation, now)
-        return self._committed_ages.no_longer_repeated(now)
+        return self._committed_ages.newest_expired(now)
 
     async def read_configuration(self, message: ReadConfiguration) -> OperatorResponse:
         """Return the newest configuration, which the tail knows."""
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -67,12 +67,12 @@
     ages.note(5, 10.0)
     ages.note(5, 20.0)
     ages.note(7, 30.0)
-    assert ages.no_longer_repeated(10.0 + RETRY_WINDOW_S - 0.1) == 0
-    assert ages.no_longer_repeated(10.0 + RETRY_WINDOW_S) == 5
+    assert ages.newest_expired(10.0 + RETRY_WINDOW_S - 0.1) == 0
+    assert ages.newest_expired(10.0 + RETRY_WINDOW_S) == 5
     ages.note(7, 95.0)
-    assert ages.no_longer_repeated(30.0 + RETRY_WINDOW_S) == 7
+    assert ages.newest_expired(30.0 + RETRY_WINDOW_S) == 7
     ages.note(7, 200.0)
-    assert ages.no_longer_repeated(900.0) == 7
+    assert ages.newest_expired(900.0) == 7
 
 
 def test_nothing_is_forgotten_within_its_time_in_random_runs(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -86,7 +86,7 @@
             if chance.random() < 0.05:
                 ages = CommittedAges()  # another head, or a restart
             ages.note(state.generation, now)
-            state = take(state, generation, generation - 1, ages.no_longer_repeated(now))
+            state = take(state, generation, generation - 1, ages.newest_expired(now))
             taken_at[generation] = now
             kept = {each for each, _ in state.history}
             assert all(each in kept for each, at in taken_at.items() if now - at < RETRY_WINDOW_S)
