--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -21,7 +21,7 @@
     check_items,
 )
 from hollowusher.configuration.order_history import HISTORY_HARD_LIMIT, pruned
-from hollowusher.configuration.refusal import MOST_BODY_BYTES, Refusal
+from hollowusher.configuration.refusal import MAX_BODY_BYTES, Refusal
 from hollowusher.protocol.codec import evolve
 from hollowusher.protocol.control_chain import ControlState
 from hollowusher.protocol.operator_orders import OperatorResponse
@@ -29,7 +29,7 @@
 PUT = "PUT"
 PATCH = "PATCH"
 HISTORY_SOFT_LIMIT = 4_096  # older orders are forgotten once nobody sends them again
-MOST_DOCUMENT_BYTES = MOST_BODY_BYTES  # also for what many PATCHes make of it
+MOST_DOCUMENT_BYTES = MAX_BODY_BYTES  # also for what many PATCHes make of it
 DIGEST_BYTES = 16
 
 
@@ -60,8 +60,8 @@
 
 def read_order(method: str, if_match: int | None, body: bytes) -> Result[Order, Refusal]:
     """Read an order as far as that can be done without the control state."""
-    if len(body) > MOST_BODY_BYTES:
-        return Error(Refusal(413, "body", f"is longer than {MOST_BODY_BYTES} bytes"))
+    if len(body) > MAX_BODY_BYTES:
+        return Error(Refusal(413, "body", f"is longer than {MAX_BODY_BYTES} bytes"))
     try:
         content = orjson.loads(body)
     except orjson.JSONDecodeError as error:
--- a/hollowusher/configuration/refusal.py
+++ b/hollowusher/configuration/refusal.py
@@ -11,7 +11,7 @@
 
 from hollowusher.protocol.operator_orders import OperatorResponse
 
-MOST_BODY_BYTES = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
 @attrs.frozen
--- a/hollowusher/coordination/controller/operator_api.py
+++ b/hollowusher/coordination/controller/operator_api.py
@@ -13,7 +13,7 @@
 import orjson
 from aiohttp import web
 
-from hollowusher.configuration.refusal import MOST_BODY_BYTES, Refusal
+from hollowusher.configuration.refusal import MAX_BODY_BYTES, Refusal
 from hollowusher.protocol.operator_orders import (
     ChangeConfiguration,
     OperatorResponse,
@@ -41,7 +41,7 @@
     def add_routes(self, application: web.Application) -> None:
         """Serve the operator's paths from an application.
 
-        Its `client_max_size` has to be `MOST_BODY_BYTES` at least.
+        Its `client_max_size` has to be `MAX_BODY_BYTES` at least.
         """
         application.router.add_put("/config", self._change_configuration)
         application.router.add_patch("/config", self._change_configuration)
@@ -119,8 +119,8 @@
 
 
 async def _read_body(request: web.Request) -> bytes | Refusal:
-    too_long = Refusal(413, "body", f"is longer than {MOST_BODY_BYTES} bytes")
-    if (request.content_length or 0) > MOST_BODY_BYTES:
+    too_long = Refusal(413, "body", f"is longer than {MAX_BODY_BYTES} bytes")
+    if (request.content_length or 0) > MAX_BODY_BYTES:
         return too_long
     try:
         return await request.read()
--- a/hollowusher/roles/operator_server.py
+++ b/hollowusher/roles/operator_server.py
@@ -10,7 +10,7 @@
 
 from aiohttp import web
 
-from hollowusher.configuration.refusal import MOST_BODY_BYTES
+from hollowusher.configuration.refusal import MAX_BODY_BYTES
 from hollowusher.console.status_api import StatusApi
 from hollowusher.coordination.cluster_state import ClusterState
 from hollowusher.coordination.controller.operator_api import OperatorApi
@@ -60,7 +60,7 @@
 
 async def start_operator_server(address: str, forward: OperatorForwarder, status: StatusApi) -> web.AppRunner:
     """Listen at the operator's address; to be cleaned up at the end."""
-    application = web.Application(client_max_size=MOST_BODY_BYTES + 1)
+    application = web.Application(client_max_size=MAX_BODY_BYTES + 1)
     OperatorApi(forward).add_routes(application)
     status.add_routes(application)
     runner = web.AppRunner(application, access_log=None)
--- a/tests/contract/names.py
+++ b/tests/contract/names.py
@@ -24,7 +24,7 @@
 from hollowusher.configuration.boot import BootSettings, SettingsError, parse_settings
 from hollowusher.configuration.checks import check_document
 from hollowusher.configuration.model import Configuration, read_document
-from hollowusher.configuration.refusal import MOST_BODY_BYTES
+from hollowusher.configuration.refusal import MAX_BODY_BYTES
 from hollowusher.console import store_report
 from hollowusher.console.admin_client import AdminResponse
 from hollowusher.console.commands import cli as service_commands
@@ -440,13 +440,13 @@
 
 
 ClusterKnowledge = ClusterState
-ORDER_LIMIT_BYTES = MOST_BODY_BYTES
+ORDER_LIMIT_BYTES = MAX_BODY_BYTES
 REFUSALS_OF_THE_HEAD = (orders.TOO_MANY_ORDERS, UNAVAILABLE, NOT_CONFIGURED, DUTY_UNAVAILABLE)
 
 
 def operator_application(forward: Callable[[Any], Awaitable[Any]]) -> web.Application:
     """The operator's paths, as an edge process serves them."""
-    application = web.Application(client_max_size=MOST_BODY_BYTES + 1)
+    application = web.Application(client_max_size=MAX_BODY_BYTES + 1)
     OperatorApi(forward).add_routes(application)
     return application
 
--- a/tests/coordination/controller/test_operator_api.py
+++ b/tests/coordination/controller/test_operator_api.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 from aiohttp.test_utils import TestClient, TestServer
 
-from hollowusher.configuration.refusal import MOST_BODY_BYTES
+from hollowusher.configuration.refusal import MAX_BODY_BYTES
 from hollowusher.coordination.controller import operator_api
 from hollowusher.coordination.controller.operator_api import OperatorApi
 from hollowusher.protocol.operator_orders import (
@@ -46,7 +46,7 @@
 
 def talk(deciders: Deciders, conversation: Callable[[Client], Awaitable[None]]) -> None:
     async def run() -> None:
-        application = web.Application(client_max_size=MOST_BODY_BYTES + 1)
+        application = web.Application(client_max_size=MAX_BODY_BYTES + 1)
         OperatorApi(deciders.forward).add_routes(application)
         async with TestClient(TestServer(application)) as client:
             await conversation(client)
@@ -149,7 +149,7 @@
         ):
             assert (await client.post("/retire/n", data=wrong_body)).status == 400
         assert (await client.post("/config", data=b"{}")).status == 405
-        large = await client.put("/config", data=b"x" * (MOST_BODY_BYTES + 1))
+        large = await client.put("/config", data=b"x" * (MAX_BODY_BYTES + 1))
         assert large.status == 413
 
     talk(deciders, conversation)
