--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -29,7 +29,7 @@
 PUT = "PUT"
 PATCH = "PATCH"
 HISTORY_SOFT_LIMIT = 4_096  # older orders are forgotten once nobody sends them again
-MOST_DOCUMENT_BYTES = MAX_BODY_BYTES  # also for what many PATCHes make of it
+MAX_DOCUMENT_BYTES = MAX_BODY_BYTES  # also for what many PATCHes make of it
 DIGEST_BYTES = 16
 
 
@@ -97,8 +97,8 @@
         return OrderOutcome(changed.error.answer())
     generation: int = changed.ok["generation"]
     document = orjson.dumps(changed.ok)
-    if len(document) > MOST_DOCUMENT_BYTES:
-        refusal = Refusal(413, "configuration", f"would be longer than {MOST_DOCUMENT_BYTES} bytes")
+    if len(document) > MAX_DOCUMENT_BYTES:
+        refusal = Refusal(413, "configuration", f"would be longer than {MAX_DOCUMENT_BYTES} bytes")
         return OrderOutcome(refusal.answer())
     last = state.generation if forgettable is None else forgettable
     history = pruned([*state.history, [generation, order.digest]], HISTORY_SOFT_LIMIT, last)
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -101,7 +101,7 @@
 def test_patches_do_not_make_a_configuration_longer_than_a_body_may_be(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(orders, "MOST_DOCUMENT_BYTES", 1_000)
+    monkeypatch.setattr(orders, "MAX_DOCUMENT_BYTES", 1_000)
     state = take(EMPTY_STATE, 1, 0)
     route = document(1)["routes"][0] | {"name": "r2", "pathPrefix": "/b/", "comment": "x" * 800}
     body = orjson.dumps({"generation": 2, "upsert": {"routes": [route]}})
