--- a/hollowusher/configuration/__init__.py
+++ b/hollowusher/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: its model, its checks, and the routing that follows from it."""
+"""Settings of a process, and the operator's configuration: data models, validation and changes."""
--- a/hollowusher/configuration/boot.py
+++ b/hollowusher/configuration/boot.py
@@ -1,6 +1,6 @@
-"""The settings file of one process (`HOLLOWUSHER_CONFIG`), read by tomllib and checked.
+"""Reads and validates the settings file of one process (`HOLLOWUSHER_CONFIG`), which is TOML.
 
-Unknown keys are ignored; a missing or wrong one is a `SettingsError` that names the key and what is wanted.
+Unknown keys are ignored.  A missing key or an invalid value raises `SettingsError`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 class SettingsError(Exception):
-    """A settings file that cannot be used; the text names file, key and what is wanted."""
+    """The settings file is invalid; the text names the file, the key and the expected value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bind:
-    """Addresses to listen on ("ip:port"); empty where the role does not serve that side."""
+    """Listen addresses ("ip:port"); empty for an endpoint that the role does not serve."""
 
     frontend: str = ""
     readiness: str = ""
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What the process may use."""
+    """Resource limits of the process."""
 
     memory_mb: int = field(default=256, metadata=key("memoryMb"))
     max_fds: int = field(default=1024, metadata=key("maxFds"))
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """What may be lost at one time with every promise kept."""
+    """Number of machines, zones and regions that may fail at the same time without breaking a guarantee."""
 
     machines: int = 1
     zones: int = 0
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Time bounds of the rules, in the unit of their names."""
+    """Time limits of the service, and the tolerated overshoot of a rate limit; the suffix is the unit."""
 
     seed_lag_s: float = field(default=3, metadata=key("seedLagS"))
     reuse_after_s: float = field(default=2, metadata=key("reuseAfterS"))
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudApi:
-    """The platform's list of workers."""
+    """Access to the platform's API that lists the workers."""
 
     address: str = ""
     rate_per_s: float = field(default=1.0, metadata=key("ratePerS"))
@@ -97,20 +97,21 @@
 
     @property
     def internal_address(self) -> str:
-        """Where this process listens for the others: the first internal port of its machine."""
+        """The address on which this process listens for other processes: its first internal port."""
         return f"{self.ip}:{self.internal_ports[0]}"
 
     @property
     def status_address(self) -> str:
-        """Return where a process without an operator's address serves its status.
+        """The address on which a process without an admin address serves its status.
 
-        It is the last internal port of its machine; empty where that is the first one too.
+        Its port is the last internal port of the machine.  The address is empty if the machine has only one
+        internal port.
         """
         first, last = self.internal_ports
         return f"{self.ip}:{last}" if last != first else ""
 
     def seed_addresses(self) -> list[str]:
-        """Return the internal addresses of the seeds: ports are alike on all machines."""
+        """Return the internal addresses of the seed nodes; all machines use the same internal ports."""
         return [f"{seed.rpartition(':')[0]}:{self.internal_ports[0]}" for seed in self.seed_nodes]
 
 
@@ -120,7 +121,13 @@
 
 
 def parse_settings(text: str, source: str) -> BootSettings:
-    """Return the settings of a file's text; `source` names it in errors."""
+    """Parse and validate the text of a settings file; errors name the file as `source`.
+
+    Raises
+    ------
+    SettingsError
+        If the text is not TOML, a key is missing or a value is invalid.
+    """
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -134,7 +141,13 @@
 
 
 def read_settings(path: str) -> BootSettings:
-    """Return the settings in the file at `path`."""
+    """Read, parse and validate the settings file at `path`.
+
+    Raises
+    ------
+    SettingsError
+        If the file cannot be read or is invalid.
+    """
     try:
         text = Path(path).read_text()
     except OSError as error:
@@ -144,14 +157,14 @@
 
 def _check(settings: BootSettings, source: str) -> None:
     ports = settings.internal_ports
-    wrong = ""
+    reason = ""
     if len(ports) != 2 or not 0 < ports[0] <= ports[1] < 65_536:
-        wrong = f"internalPorts: {ports} is not a first and a last port"
+        reason = f"internalPorts: {ports} is not a first and a last port"
     elif not settings.ip:
-        wrong = "ip is missing"
+        reason = "ip is missing"
     elif settings.fault_tolerance.machines < 0:
-        wrong = "faultTolerance.machines: must not be negative"
+        reason = "faultTolerance.machines: must not be negative"
     elif settings.bounds.visibility_ms <= 0:
-        wrong = "bounds.visibilityMs: must be above 0"
-    if wrong:
-        raise SettingsError(f"{source}: {wrong}")
+        reason = "bounds.visibilityMs: must be above 0"
+    if reason:
+        raise SettingsError(f"{source}: {reason}")
--- a/hollowusher/configuration/checks.py
+++ b/hollowusher/configuration/checks.py
@@ -1,6 +1,7 @@
-"""The checks that a configuration passes before it is taken.  Each refusal names the item and the reason.
+"""Validates a configuration before a controller accepts it.
 
-Types are those of the model's dataclasses; keys that the model does not know are left alone.
+Each `Fault` names the invalid item and the reason.  The expected types are those of the dataclasses in
+`model`; keys that the model does not define are kept unchecked.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """Why a configuration is refused: the item, and what is wrong with it."""
+    """A validation error: the invalid item and the reason."""
 
     item: str
     reason: str
@@ -46,7 +47,7 @@
 
 
 def check_document(document: Document) -> Checked:
-    """Return the configuration of a whole document, or the first fault found in it."""
+    """Validate and decode a complete configuration document; return the first fault as the error."""
     for check in _CHECKS:
         fault = check(document)
         if fault is not None:
@@ -60,7 +61,7 @@
 
 
 def check_items(section: str, items: Any) -> Fault | None:
-    """Whether a list holds well-formed items, each with a name of its own."""
+    """Return the first fault of a section's list; items must be valid and have unique names."""
     if not isinstance(items, list):
         return Fault(section, "is not a list")
     names: set[str] = set()
@@ -75,7 +76,7 @@
 
 
 def check_generation(value: Any) -> Fault | None:
-    """Whether a generation is a positive whole number."""
+    """Return a fault unless the generation is a positive integer."""
     if isinstance(value, bool) or not isinstance(value, int) or value <= 0:
         return Fault("generation", "is not a whole number above 0")
     return None
@@ -116,13 +117,13 @@
 
 
 def is_host_port(text: str) -> bool:
-    """Whether a text is a host and a port."""
+    """Return whether a text has the form HOST:PORT with a port from 1 to 65535."""
     host, _, port = text.rpartition(":")
     return bool(host) and port.isascii() and port.isdigit() and 0 < int(port[:6]) < 65_536
 
 
 def _check_fields(label: str, model: type, values: Document) -> Fault | None:
-    """Types of the model's fields; numbers must not be negative."""
+    """Check that required keys are present, that types match the model and that numbers are not negative."""
     hints = get_type_hints(model)
     for field in dataclasses.fields(model):
         key = field.metadata.get("alias", field.name)
@@ -175,12 +176,14 @@
 
 
 def _check_prefixes(document: Document) -> Fault | None:
-    taken: dict[tuple[str, str], str] = {}
+    names_by_prefix: dict[tuple[str, str], str] = {}
     for route in document[ROUTES]:
-        place = (route["hostname"].lower(), route["pathPrefix"])
-        if place in taken:
-            return Fault(f"{ROUTES} {route['name']}", f"has the host and prefix of {taken[place]}")
-        taken[place] = route["name"]
+        host_and_prefix = (route["hostname"].lower(), route["pathPrefix"])
+        if host_and_prefix in names_by_prefix:
+            return Fault(
+                f"{ROUTES} {route['name']}", f"has the host and prefix of {names_by_prefix[host_and_prefix]}"
+            )
+        names_by_prefix[host_and_prefix] = route["name"]
     return None
 
 
--- a/hollowusher/configuration/model.py
+++ b/hollowusher/configuration/model.py
@@ -1,8 +1,9 @@
-"""The operator's configuration as the program uses it, read from its JSON document.
+"""The data model of the operator's configuration, which is a JSON document.
 
-The controller that takes a document checks it with mashumaro (`checks`); all others read what was checked.
+The controller that accepts a document validates it with mashumaro (`checks`); all other processes read the
+validated document with `read_document`.
 
-The wire's names are kept as aliases; units are those of the document (milliseconds, seconds, per second).
+The keys of the JSON document are the aliases of the fields.  Suffixes give the units: `_ms`, `_s`, `_per_s`.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which service, and how."""
+    """Maps requests by host and path prefix to a service, with the delivery options of their messages."""
 
     name: str
     hostname: str
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One upstream: listed workers, a fixed endpoint, or workers that pull."""
+    """An upstream service: workers from the platform's list, a fixed endpoint, or workers that pull jobs."""
 
     name: str
     health_check: str = field(default="/healthz", metadata=key("healthCheck"))
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bounds on what a client may send."""
+    """Limits on the size and the duration of a client's request."""
 
     max_header_bytes: int = field(default=16_384, metadata=key("maxHeaderBytes"))
     max_body_bytes: int = field(default=262_144, metadata=key("maxBodyBytes"))
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """A whole configuration."""
+    """A complete configuration."""
 
     generation: int
     routes: list[Route] = field(default_factory=list)
@@ -69,7 +70,7 @@
     limits: RequestLimits = field(default_factory=RequestLimits)
 
     def route_for(self, hostname: str, path: str) -> Route | None:
-        """Return the route of this host with the longest prefix that the path starts with."""
+        """Return the route with this host name and the longest matching path prefix."""
         best: Route | None = None
         for route in self.routes:
             longer = best is None or len(route.path_prefix) > len(best.path_prefix)
@@ -78,11 +79,11 @@
         return best
 
     def route(self, name: str) -> Route | None:
-        """Return the route of this name."""
+        """Return the route with this name."""
         return next((route for route in self.routes if route.name == name), None)
 
     def service(self, name: str) -> Service | None:
-        """Return the service of this name."""
+        """Return the service with this name."""
         return next((service for service in self.upstreams if service.name == name), None)
 
 
@@ -94,5 +95,5 @@
 
 
 def read_document(document: bytes) -> Configuration:
-    """Return the configuration of a JSON document that has been checked before."""
+    """Decode a JSON document that a controller has already validated."""
     return read_section(Configuration, orjson.loads(document), _SECTIONS)
--- a/hollowusher/configuration/order_history.py
+++ b/hollowusher/configuration/order_history.py
@@ -1,9 +1,10 @@
-"""Which orders taken may be forgotten: none that a caller may still send again.  No I/O, no clock.
+"""Decides which accepted orders may leave the history, which detects retries.  No I/O, no clock.
 
-A caller that got no clear answer sends its order again.  It first sent it before it was committed, so it ends
-by `RETRY_WINDOW_S` after the commit.  The commit has no clock of its own that all controllers share; each one
-counts by its steady clock from the moment at which it first knew the order as committed, which is never
-before the commit.  A restart or a new head starts to count anew, which only keeps orders for longer.
+A client that gets no definite answer retries its order.  It sent the order for the first time before the
+commit, so it stops retrying at the latest `RETRY_WINDOW_S` after the commit; the order stays in the history
+until then.  The controllers share no clock that could give the time of the commit.  Each controller measures
+with its monotonic clock from the moment at which it first saw the order as committed, which is never before
+the commit.  The measurement restarts after a restart or with a new head, which only keeps orders longer.
 """
 
 from __future__ import annotations
@@ -11,38 +12,38 @@
 from collections import deque
 from typing import Any
 
-HISTORY_HARD_LIMIT = 16_384  # no further order is taken beyond it
-RETRY_WINDOW_S = 60.0  # an order is sent again for less than this after its commit
+HISTORY_HARD_LIMIT = 16_384  # orders; an order that would exceed this limit is rejected
+RETRY_WINDOW_S = 60.0  # clients stop retrying an order earlier than this after its commit
 
 Entry = list[Any]  # [generation, digest of the order]
 
 
 class CommittedAges:
-    """Since when one controller has known each generation as committed."""
+    """The times at which one controller first saw each generation as committed."""
 
     def __init__(self) -> None:
-        self._marks: deque[tuple[int, float]] = deque()  # generation, when it was first known; both grow
+        self._marks: deque[tuple[int, float]] = deque()  # (generation, time first seen), both increasing
         self._settled = 0
 
     def note(self, generation: int, now: float) -> None:
-        """Record that a generation is committed at `now`."""
+        """Record at time `now` (in seconds) that a generation is committed."""
         if generation > (self._marks[-1][0] if self._marks else self._settled):
             self._marks.append((generation, now))
 
     def newest_expired(self, now: float) -> int:
-        """Return the newest generation whose order nobody sends again."""
+        """Return the newest generation whose retry window has ended; `now` is in seconds."""
         while self._marks and now - self._marks[0][1] >= RETRY_WINDOW_S:
             self._settled = self._marks.popleft()[0]
         return self._settled
 
 
-def pruned(history: list[Entry], most: int, forgettable: int) -> list[Entry]:
-    """Return the history without its oldest orders beyond the newest `most`.
+def pruned(history: list[Entry], soft_limit: int, expired_generation: int) -> list[Entry]:
+    """Return the history without the oldest orders that exceed `soft_limit`.
 
-    Only those up to the generation `forgettable` may be forgotten.
+    Only orders up to the generation `expired_generation` are removed, so the result may exceed the limit.
     """
-    surplus = max(0, len(history) - most)
+    surplus = max(0, len(history) - soft_limit)
     dropped = 0
-    while dropped < surplus and history[dropped][0] <= forgettable:
+    while dropped < surplus and history[dropped][0] <= expired_generation:
         dropped += 1
     return history[dropped:]
--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -1,7 +1,8 @@
-"""The operator's orders: reading PUT and PATCH, and what they make of the control state.  No I/O, no clock.
+"""Parses the operator's orders (PUT and PATCH) and applies them to the control state.  No I/O, no clock.
 
-An order is known by a digest over its method, its `If-Match` and its content.  The digests of the orders
-taken stay in the control state (`order_history`), so that an order sent again is acknowledged again.
+An order is identified by a digest of its method, its `If-Match` and its content.  The control state keeps
+the digests of accepted orders (see `order_history`), so that a retried order is acknowledged again and not
+applied twice.
 """
 
 from __future__ import annotations
@@ -28,8 +29,8 @@
 
 PUT = "PUT"
 PATCH = "PATCH"
-HISTORY_SOFT_LIMIT = 4_096  # older orders are forgotten once nobody sends them again
-MAX_DOCUMENT_BYTES = MAX_BODY_BYTES  # also for what many PATCHes make of it
+HISTORY_SOFT_LIMIT = 4_096  # orders; older ones are pruned once their retry window has ended
+MAX_DOCUMENT_BYTES = MAX_BODY_BYTES  # also limits a document that has grown by many PATCHes
 DIGEST_BYTES = 16
 
 
@@ -38,20 +39,20 @@
 
 @attrs.frozen
 class Order:
-    """A well-formed order."""
+    """An order that could be parsed."""
 
     method: str
-    if_match: int | None  # the version it builds on; None where the operator gave none
+    if_match: int | None  # the generation that the order changes; None if the operator gave none
     content: Document
     digest: bytes
 
 
 @attrs.frozen
 class OrderOutcome:
-    """What an order does.
+    """The result of an order: the answer to the operator, and the new control state.
 
-    That is the new control state, None where there is nothing to change, and the answer that is true once
-    that state is committed.
+    The state is None if the order changes nothing.  The answer must not be sent before the state is
+    committed.
     """
 
     answer: OperatorResponse
@@ -59,7 +60,7 @@
 
 
 def read_order(method: str, if_match: int | None, body: bytes) -> Result[Order, Refusal]:
-    """Read an order as far as that can be done without the control state."""
+    """Parse an order and make the checks that need no control state."""
     if len(body) > MAX_BODY_BYTES:
         return Error(Refusal(413, "body", f"is longer than {MAX_BODY_BYTES} bytes"))
     try:
@@ -72,26 +73,26 @@
         return Error(Refusal(405, "method", f"{method} is none of PUT and PATCH"))
     try:
         digest = order_digest(method, if_match, content)
-    except orjson.JSONEncodeError as error:  # it cannot be written again: nested too deep
+    except orjson.JSONEncodeError as error:  # orjson parses deeper nesting than it serializes
         return Error(Refusal(400, "body", f"cannot be kept: {error}"))
     return Ok(Order(method, if_match, content, digest))
 
 
 def order_digest(method: str, if_match: int | None, content: Document) -> bytes:
-    """Return a digest that is the same for the same order, whatever the layout of its JSON."""
+    """Return a digest of an order that does not depend on key order or whitespace of its JSON."""
     canonical = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     head = f"{method} {if_match}\n".encode()
     return hashlib.blake2b(head + canonical, digest_size=DIGEST_BYTES).digest()
 
 
-def apply_order(state: ControlState, order: Order, forgettable: int | None = None) -> OrderOutcome:
-    """Return what an order does to this state.
+def apply_order(state: ControlState, order: Order, expired_generation: int | None = None) -> OrderOutcome:
+    """Apply an order to a control state.
 
-    Orders up to the generation `forgettable` may leave the history (None: all that were taken).
+    Orders up to the generation `expired_generation` may be pruned from the history; None allows all of them.
     """
-    taken = _generation_taken(state, order.digest)
-    if taken is not None:
-        return OrderOutcome(_acknowledgement(taken))
+    accepted_generation = _generation_taken(state, order.digest)
+    if accepted_generation is not None:
+        return OrderOutcome(_acknowledgement(accepted_generation))
     changed = _changed_document(state, order)
     if changed.is_error():
         return OrderOutcome(changed.error.answer())
@@ -100,7 +101,7 @@
     if len(document) > MAX_DOCUMENT_BYTES:
         refusal = Refusal(413, "configuration", f"would be longer than {MAX_DOCUMENT_BYTES} bytes")
         return OrderOutcome(refusal.answer())
-    last = state.generation if forgettable is None else forgettable
+    last = state.generation if expired_generation is None else expired_generation
     history = pruned([*state.history, [generation, order.digest]], HISTORY_SOFT_LIMIT, last)
     if len(history) > HISTORY_HARD_LIMIT:
         return OrderOutcome(TOO_MANY_ORDERS)
@@ -120,7 +121,7 @@
 
 
 def _changed_document(state: ControlState, order: Order) -> Result[Document, Refusal]:
-    """Return the whole configuration that an order asks for."""
+    """Return the complete configuration after an order, or the reason why the order is rejected."""
     if (order.if_match or 0) != state.generation:
         return Error(Refusal(412, "If-Match", f"the current version is {state.generation}"))
     fault = _check_generation(state, order.content)
@@ -148,7 +149,7 @@
 
 
 def _check_patch(content: Document) -> Fault | None:
-    """Whether a PATCH alters named items of the lists that there are."""
+    """Return the first fault in the `upsert` and `delete` keys of a PATCH."""
     for key in ("upsert", "delete"):
         sections = content.get(key, {})
         if not isinstance(sections, dict):
@@ -167,7 +168,7 @@
 
 
 def _merge(state: ControlState, patch: Document) -> Document:
-    """Return the current document with a PATCH applied: items keep their places, new ones come last."""
+    """Apply a PATCH to the current document; items keep their positions and new items are appended."""
     document: Document = orjson.loads(state.document) if state.document else {}
     document["generation"] = patch["generation"]
     for section in LISTS:
--- a/hollowusher/configuration/refusal.py
+++ b/hollowusher/configuration/refusal.py
@@ -1,7 +1,7 @@
-"""Why an operator's order is not taken.
+"""The rejection of an operator's order.
 
-These are apart from `orders`, whose result types take 40 ms to import: processes that only forward orders do
-without them, and so does the start of all others.
+It is not defined in `orders`, because importing the result types of that module takes 40 ms.  Processes that
+only forward orders never import `orders`, and the other processes do not import it at start.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 @attrs.frozen
 class Refusal:
-    """An order that is not taken: the HTTP status, and why."""
+    """A rejected order: the HTTP status, the invalid item and the reason."""
 
     status: int
     item: str
     reason: str
 
     def answer(self) -> OperatorResponse:
-        """Return the answer to the operator."""
+        """Return the response to the operator."""
         return OperatorResponse(self.status, orjson.dumps({"error": f"{self.item}: {self.reason}"}))
--- a/hollowusher/configuration/section_reader.py
+++ b/hollowusher/configuration/section_reader.py
@@ -1,12 +1,13 @@
-"""Reading of a document's maps into dataclasses, without a library.
+"""Decodes the maps of a TOML or JSON document into dataclasses, without a library.
 
-Every process does this before it serves: a library that compiles a reader for each class takes a quarter of a
-start.  What is read here is either checked by its reader first (the settings file) or was checked by the
-controller that took it (the operator's configuration, see `checks`).
+Every process decodes its settings and the configuration before it serves.  A library that compiles a decoder
+for each class would take a quarter of the start time.  This module checks only keys and types: `boot`
+validates the values of a settings file, and the controller that accepts a configuration validates it (see
+`checks`).
 
-A field's key is its metadata `alias`, or its name.  Types are those of the annotations: `str`, `int`,
-`float`, `bool`, `list[...]`, or a dataclass of the `sections` that a class is read with.  Unknown keys are
-ignored.
+The key of a field is its metadata `alias`, or its name.  Supported annotations are `str`, `int`, `float`,
+`bool`, `str | None`, `list[...]`, and the dataclasses that the caller passes as `sections`.  Unknown keys
+are ignored.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from typing import Any, TypeVar
 
 Section = TypeVar("Section")
-Sections = Mapping[str, type[Any]]  # annotation -> the class of a section, or of the items of a list
+Sections = Mapping[str, type[Any]]  # annotation -> the dataclass of the value, or of the list's items
 _NUMBERS: Mapping[str, Callable[[Any], Any]] = {"int": int, "float": float}
 
 
 class SectionError(Exception):
-    """A map that cannot be read; the text names the key and what is wanted."""
+    """A map cannot be decoded; the text names the key and the expected type."""
 
 
 def key(alias: str) -> dict[str, Any]:
-    """Return the metadata of a field that has another name in the document."""
+    """Return the metadata of a field whose key in the document differs from the field's name."""
     return {"alias": alias}
 
 
@@ -34,29 +35,29 @@
     return str(field.metadata.get("alias", field.name))
 
 
-def read_section(kind: type[Section], values: Mapping[str, Any], sections: Sections) -> Section:
-    """Return the dataclass of a map.
+def read_section(dataclass_type: type[Section], values: Mapping[str, Any], sections: Sections) -> Section:
+    """Decode a map into an instance of a dataclass.
 
     Raises
     ------
     SectionError
-        If a key is missing or a value has another type.
+        If a key is missing or a value has a wrong type.
     """
-    found: dict[str, Any] = {}
-    for field in dataclasses.fields(kind):  # type: ignore[arg-type]  # a dataclass, by the callers
+    values_by_field: dict[str, Any] = {}
+    for field in dataclasses.fields(dataclass_type):  # type: ignore[arg-type]  # callers pass dataclasses only
         name = key_of(field)
         if name in values:
-            found[field.name] = _read_value(name, str(field.type), values[name], sections)
+            values_by_field[field.name] = _read_value(name, str(field.type), values[name], sections)
         elif field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING:
             raise SectionError(f"{name} is missing")
-    return kind(**found)
+    return dataclass_type(**values_by_field)
 
 
 def _read_value(name: str, annotation: str, value: Any, sections: Sections) -> Any:
     section = sections.get(annotation)
     if section is not None and annotation.startswith("list["):
         items = _expect(name, "list", isinstance(value, list), value)
-        return [_read_nested(f"{name}[{place}]", section, item, sections) for place, item in enumerate(items)]
+        return [_read_nested(f"{name}[{index}]", section, item, sections) for index, item in enumerate(items)]
     if section is not None:
         return _read_nested(name, section, value, sections)
     if annotation in _NUMBERS:
--- a/tests/configuration/__init__.py
+++ b/tests/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of configuration."""
+"""Tests of the settings and the operator's configuration."""
--- a/tests/configuration/test_boot_settings.py
+++ b/tests/configuration/test_boot_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: what is read, and the key and reason told for each fault."""
+"""Tests of the settings file: parsing, error texts with key and reason, and reloading."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hollowusher.roles.signals import SettingsWatcher
 
 ROOT = Path(__file__).parent.parent.parent
-LONGEST_S = 60.0
+TIMEOUT_S = 60.0
 
 COMPLETE = """\
 nodeName = "edge-a-1"
@@ -164,7 +164,7 @@
         env=dict(os.environ, HOLLOWUSHER_CONFIG=str(path)),
         capture_output=True,
         text=True,
-        timeout=LONGEST_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
     assert result.returncode == 2
@@ -173,13 +173,13 @@
 
 
 class Watched:
-    """A settings file that is watched, and what was told of its changes."""
+    """A watched settings file, and the settings that the watcher passed to its callback."""
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / "boot.toml"
         self.path.write_text(COMPLETE)
         self.changes: list[BootSettings] = []
-        self.watch = SettingsWatcher(str(self.path), parsed(COMPLETE), self.changes.append)
+        self.watcher = SettingsWatcher(str(self.path), parsed(COMPLETE), self.changes.append)
 
 
 @pytest.fixture
@@ -189,31 +189,31 @@
     return Watched(tmp_path)
 
 
-def test_a_reload_tells_what_has_changed_and_only_then(watched: Watched) -> None:
-    watched.watch.reload()
+def test_a_reload_calls_back_only_if_the_settings_have_changed(watched: Watched) -> None:
+    watched.watcher.reload()
     assert watched.changes == []
     watched.path.write_text(with_value("graceS", "9"))
-    watched.watch.reload()
-    watched.watch.reload()
+    watched.watcher.reload()
+    watched.watcher.reload()
     assert [settings.bounds.grace_s for settings in watched.changes] == [9]
 
 
 def test_a_bad_file_at_a_reload_changes_nothing(watched: Watched) -> None:
     for text in (without("ip"), "nodeName =", ""):
         watched.path.write_text(text)
-        watched.watch.reload()
+        watched.watcher.reload()
     watched.path.unlink()
-    watched.watch.reload()
+    watched.watcher.reload()
     assert watched.changes == []
-    assert watched.watch.settings == parsed(COMPLETE)
-    assert watched.watch.rejected_count == 4
+    assert watched.watcher.settings == parsed(COMPLETE)
+    assert watched.watcher.rejected_count == 4
 
 
 def test_a_change_without_a_signal_is_found(watched: Watched, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("hollowusher.roles.signals.CHECK_INTERVAL_S", 0.0)
 
     async def follow() -> None:
-        task = asyncio.create_task(watched.watch.run())
+        task = asyncio.create_task(watched.watcher.run())
         await asyncio.sleep(0)
         watched.path.write_text(with_value("graceS", "11.5"))
         for _ in range(100):
--- a/tests/configuration/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -1,4 +1,4 @@
-"""The operator's orders: every refusal, acknowledgement again, and what a PATCH makes of the document."""
+"""Tests of the operator's orders: rejections, retries of an accepted order, and the merge of a PATCH."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 def send(state: ControlState, content: Any, if_match: int | None = None, method: str = "PUT") -> OrderOutcome:
-    """Read and apply an order as the head does."""
+    """Parse and apply an order as the head of the chain does."""
     body = content if isinstance(content, bytes) else orjson.dumps(content)
     read = read_order(method, if_match, body)
     if read.is_error():
@@ -82,7 +82,7 @@
     return apply_order(state, read.ok)
 
 
-def taken(
+def accept(
     state: ControlState, content: Any, if_match: int | None = None, method: str = "PUT"
 ) -> ControlState:
     outcome = send(state, content, if_match, method)
@@ -102,18 +102,18 @@
 
 @pytest.fixture
 def state() -> ControlState:
-    """Version 7 is in force."""
-    return taken(EMPTY_STATE, configuration(), 0)
+    """A control state in which generation 7 is in force."""
+    return accept(EMPTY_STATE, configuration(), 0)
 
 
-# -- taking ------------------------------------------------------------------------------------------------
+# -- accepted orders ---------------------------------------------------------------------------------------
 
 
 def test_the_first_configuration_is_kept_as_it_was_sent() -> None:
     sent = configuration() | {"comment": {"by": "someone"}}
     sent["routes"][0]["futureKey"] = [1, 2]
     sent["limits"]["futureLimit"] = 5
-    state = taken(EMPTY_STATE, sent, 0)
+    state = accept(EMPTY_STATE, sent, 0)
     assert state.generation == 7
     assert orjson.loads(state.document) == sent
     read = read_document(state.document)
@@ -128,7 +128,7 @@
 def test_a_later_version_replaces_everything(state: ControlState) -> None:
     sent = configuration(9)
     sent["routes"] = [route("r-9", "/z/", "s2")]
-    later = taken(state, sent, 7)
+    later = accept(state, sent, 7)
     assert orjson.loads(later.document) == sent and later.generation == 9
 
 
@@ -138,12 +138,12 @@
 
 
 def test_two_orders_on_one_version_one_wins(state: ControlState) -> None:
-    later = taken(state, configuration(9), 7)
+    later = accept(state, configuration(9), 7)
     outcome = send(later, configuration(11), 7)
     assert outcome.answer.status == 412 and outcome.state is None
 
 
-# -- the same order again ----------------------------------------------------------------------------------
+# -- retried orders ----------------------------------------------------------------------------------------
 
 
 def test_an_order_sent_again_is_acknowledged_and_changes_nothing(state: ControlState) -> None:
@@ -157,7 +157,7 @@
 
 
 def test_an_order_is_acknowledged_whatever_came_after(state: ControlState) -> None:
-    later = taken(taken(state, configuration(9), 7), patch(12, {"upstreams": [service("s3")]}), 9, "PATCH")
+    later = accept(accept(state, configuration(9), 7), patch(12, {"upstreams": [service("s3")]}), 9, "PATCH")
     for content, if_match, method in (
         (configuration(), 0, "PUT"),
         (configuration(9), 7, "PUT"),
@@ -166,7 +166,7 @@
         assert send(later, content, if_match, method).answer.status == 200
     other = configuration(9)
     other["routes"][0]["timeoutMs"] += 1
-    assert send(later, other, 7).answer.status == 412  # another change under the same number
+    assert send(later, other, 7).answer.status == 412  # a different order with the same generation
     assert send(later, configuration(9), 6).answer.status == 412
 
 
@@ -175,7 +175,7 @@
     monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 3)
     state = EMPTY_STATE
     for generation in range(1, 6):
-        state = taken(state, configuration(generation), generation - 1)
+        state = accept(state, configuration(generation), generation - 1)
     assert [generation for generation, _ in state.history] == [3, 4, 5]
 
 
@@ -196,7 +196,7 @@
     )
 
 
-# -- refusals ----------------------------------------------------------------------------------------------
+# -- rejected orders ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -340,7 +340,7 @@
         {"routes": [route("r-3", "/c/"), altered], "upstreams": [service("s3")]},
         {"routes": ["r-2", "r-unknown"], "upstreams": ["s2"]},
     )
-    later = taken(state, change, 7, "PATCH")
+    later = accept(state, change, 7, "PATCH")
     document = orjson.loads(later.document)
     assert document["generation"] == 9 and later.generation == 9
     assert document["routes"] == [altered, route("r-3", "/c/")]
@@ -349,7 +349,7 @@
 
 
 def test_a_patch_that_is_empty_only_moves_the_version(state: ControlState) -> None:
-    later = taken(state, {"generation": 8}, 7, "PATCH")
+    later = accept(state, {"generation": 8}, 7, "PATCH")
     assert orjson.loads(later.document) == configuration(8)
 
 
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -1,4 +1,4 @@
-"""The history of orders: which may be forgotten, and when no further order is taken."""
+"""Tests of the order history: which orders are pruned, and when a further order is rejected."""
 
 from __future__ import annotations
 
@@ -15,13 +15,17 @@
 from tests.support.controller_cluster import document
 
 
-def send(state: ControlState, generation: int, if_match: int, forgettable: int | None = None) -> OrderOutcome:
+def send(
+    state: ControlState, generation: int, if_match: int, expired_generation: int | None = None
+) -> OrderOutcome:
     read = read_order("PUT", if_match, orjson.dumps(document(generation)))
-    return apply_order(state, read.ok, forgettable)
+    return apply_order(state, read.ok, expired_generation)
 
 
-def take(state: ControlState, generation: int, if_match: int, forgettable: int | None = None) -> ControlState:
-    outcome = send(state, generation, if_match, forgettable)
+def accept(
+    state: ControlState, generation: int, if_match: int, expired_generation: int | None = None
+) -> ControlState:
+    outcome = send(state, generation, if_match, expired_generation)
     assert outcome.answer.status == 200 and outcome.state is not None
     return outcome.state
 
@@ -40,10 +44,10 @@
     monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 5)
     state = EMPTY_STATE
     for generation in range(1, 30):
-        state = take(state, generation, generation - 1, forgettable=0)
+        state = accept(state, generation, generation - 1, expired_generation=0)
     for generation in range(1, 30):
         assert send(state, generation, generation - 1).answer.status == 200
-    state = take(state, 30, 29, forgettable=20)
+    state = accept(state, 30, 29, expired_generation=20)
     assert [generation for generation, _ in state.history] == list(range(21, 31))
 
 
@@ -54,11 +58,11 @@
     monkeypatch.setattr(orders, "HISTORY_HARD_LIMIT", 6)
     state = EMPTY_STATE
     for generation in range(1, 7):
-        state = take(state, generation, generation - 1, forgettable=0)
-    outcome = send(state, 7, 6, forgettable=0)
+        state = accept(state, generation, generation - 1, expired_generation=0)
+    outcome = send(state, 7, 6, expired_generation=0)
     assert outcome.answer.status == 503 and outcome.state is None
-    assert send(state, 1, 0, forgettable=0).answer.status == 200
-    assert send(state, 7, 6, forgettable=3).answer.status == 200
+    assert send(state, 1, 0, expired_generation=0).answer.status == 200
+    assert send(state, 7, 6, expired_generation=3).answer.status == 200
 
 
 def test_the_age_of_an_order_counts_from_when_it_was_known_as_committed() -> None:
@@ -78,18 +82,18 @@
 def test_nothing_is_forgotten_within_its_time_in_random_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 10)
     for seed in range(100):
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
         state, ages, now = EMPTY_STATE, CommittedAges(), 0.0
-        taken_at: dict[int, float] = {}
+        accepted_at: dict[int, float] = {}
         for generation in range(1, 200):
-            now += chance.choice((0.01, 0.5, 20.0))
-            if chance.random() < 0.05:
-                ages = CommittedAges()  # another head, or a restart
+            now += random_source.choice((0.01, 0.5, 20.0))
+            if random_source.random() < 0.05:
+                ages = CommittedAges()  # a new head or a restart loses the recorded times
             ages.note(state.generation, now)
-            state = take(state, generation, generation - 1, ages.newest_expired(now))
-            taken_at[generation] = now
+            state = accept(state, generation, generation - 1, ages.newest_expired(now))
+            accepted_at[generation] = now
             kept = {each for each, _ in state.history}
-            assert all(each in kept for each, at in taken_at.items() if now - at < RETRY_WINDOW_S)
+            assert all(each in kept for each, at in accepted_at.items() if now - at < RETRY_WINDOW_S)
             assert len(kept) >= min(generation, 10)
 
 
@@ -102,7 +106,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(orders, "MAX_DOCUMENT_BYTES", 1_000)
-    state = take(EMPTY_STATE, 1, 0)
+    state = accept(EMPTY_STATE, 1, 0)
     route = document(1)["routes"][0] | {"name": "r2", "pathPrefix": "/b/", "comment": "x" * 800}
     body = orjson.dumps({"generation": 2, "upsert": {"routes": [route]}})
     outcome = apply_order(state, read_order("PATCH", 1, body).ok)
--- a/tests/configuration/test_section_reader.py
+++ b/tests/configuration/test_section_reader.py
@@ -1,4 +1,4 @@
-"""What every process reads of a checked configuration is what the checks by mashumaro make of it."""
+"""`read_document` and mashumaro's decoder return the same configuration for a valid document."""
 
 from __future__ import annotations
 
@@ -42,32 +42,37 @@
 ROUTE = {"name": "r", "hostname": "h", "pathPrefix": "/", "upstream": "s"}
 
 
-def drawn(chance: random.Random, keys: dict[str, list[Any]], **fixed: Any) -> dict[str, Any]:
-    chosen = {name: chance.choice(values) for name, values in keys.items() if chance.random() < 0.6}
+def random_fields(random_source: random.Random, keys: dict[str, list[Any]], **fixed: Any) -> dict[str, Any]:
+    chosen = {
+        name: random_source.choice(values) for name, values in keys.items() if random_source.random() < 0.6
+    }
     return {**fixed, **chosen}
 
 
-def drawn_document(seed: int) -> dict[str, Any]:
-    chance = random.Random(seed)
+def random_document(seed: int) -> dict[str, Any]:
+    random_source = random.Random(seed)
     document: dict[str, Any] = {"generation": seed + 1}
-    if chance.random() < 0.9:
+    if random_source.random() < 0.9:
         document["routes"] = [
-            drawn(chance, ROUTE_KEYS, name=f"r{number}", hostname="h", pathPrefix="/", upstream="s")
-            for number in range(chance.randrange(4))
+            random_fields(
+                random_source, ROUTE_KEYS, name=f"r{number}", hostname="h", pathPrefix="/", upstream="s"
+            )
+            for number in range(random_source.randrange(4))
         ]
-    if chance.random() < 0.9:
+    if random_source.random() < 0.9:
         document["upstreams"] = [
-            drawn(chance, SERVICE_KEYS, name=f"s{number}") for number in range(chance.randrange(4))
+            random_fields(random_source, SERVICE_KEYS, name=f"s{number}")
+            for number in range(random_source.randrange(4))
         ]
-    if chance.random() < 0.7:
-        document["limits"] = drawn(chance, LIMIT_KEYS)
+    if random_source.random() < 0.7:
+        document["limits"] = random_fields(random_source, LIMIT_KEYS)
     return document
 
 
 def test_both_readings_are_the_same() -> None:
     decoder = BasicDecoder(Configuration)
     for seed in range(300):
-        document = drawn_document(seed)
+        document = random_document(seed)
         assert read_document(orjson.dumps(document)) == decoder.decode(document)
 
 
