--- a/hollowusher/__init__.py
+++ b/hollowusher/__init__.py
@@ -1,1 +1,1 @@
-"""hollowusher: an ingest and dispatch service, and the scheduler in service."""
+"""hollowusher: a message ingest and dispatch service, and the scheduler that is in production today."""
--- a/hollowusher/__main__.py
+++ b/hollowusher/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one scheduler: `python -m hollowusher`; with words, the command line."""
+"""Entry point: `python -m hollowusher` runs the scheduler; with arguments it runs a role or a command."""
 
 from __future__ import annotations
 
@@ -6,19 +6,25 @@
 import sys
 
 ROLES = ("edge", "store")
-CONSOLE_COMMANDS = ("local", "system")  # the whole service's commands
+CONSOLE_COMMANDS = (
+    "local",
+    "system",
+)  # commands of the edge and store service; all others are the scheduler's
 
 
 def main(words: list[str] | None = None) -> int:
-    """The exit code.  With words it is the command line, which is not even imported without."""
+    """Run the scheduler, a role or a command, and return the exit code.
+
+    The command line is imported only if there are arguments.
+    """
     given = sys.argv[1:] if words is None else words
     if not given:
-        # A SIGHUP that comes while the rest is imported, or as the program ends, must wait and not end it.
+        # SIGHUP is blocked because its default action would end the process during the imports or the exit.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-        from hollowusher.scheduler.app import run  # the scheduler in service
+        from hollowusher.scheduler.app import run
 
         return run()
-    if given[0] in ROLES:  # the roles of deploy/system.toml, whose libraries `run` does not need
+    if given[0] in ROLES:  # the roles in deploy/system.toml; the scheduler does not need their libraries
         from hollowusher.roles.run_role import run_role
 
         return run_role(given[0])
@@ -30,7 +36,7 @@
             from hollowusher.scheduler.cli import cli
     except ModuleNotFoundError as missing:
         print(
-            f"hollowusher: {missing.name} is not installed: the command line needs what {needs} lists",
+            f"hollowusher: {missing.name} is not installed: the command line needs the packages in {needs}",
             file=sys.stderr,
         )
         return 2
--- a/hollowusher/log_events.py
+++ b/hollowusher/log_events.py
@@ -1,13 +1,13 @@
-"""The events that the processes of the service log, one class for each.
+"""Defines the events that edge and store processes log, one class for each event.
 
-An event's name is its class name in snake case, its fields are the annotated attributes of the class.  The
-doc string says what has happened; the part after `Action:` says what the on-call engineer does.
-`docs/log-events.md` has the same as a table, and `tests/roles/test_log_events.py` holds the two together.
+The name of an event is its class name in snake case; its fields are the annotated attributes of the class.
+The docstring describes the event; the part after `Action:` is the instruction for the on-call engineer.
+`docs/log-events.md` contains the same text as a table, and `tests/roles/test_log_events.py` compares the two.
 
-Every line also has the fields `node` and `role` of the process that writes it, so no event has those.
-Another process is always `peer`, an error or the cause of a rejection always `reason`.
+Every log line also contains the fields `node` and `role` of the process that writes it, so no event defines
+them.  The field `peer` is always another process, and `reason` is an error or the cause of a rejection.
 
-Packages below `hollowusher.roles` do not write lines themselves: they are given a `LogFunction`.
+Packages that `hollowusher.roles` imports do not write log lines themselves; they receive a `LogFunction`.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 @dataclass_transform(frozen_default=True, kw_only_default=True)
 class LogEvent:
-    """An event with its fields, which are given by keyword; those that are None are left out of the line.
+    """Base class of events.  Fields are keyword arguments; a field that is None is omitted from the log line.
 
-    The classes are not attrs classes because generating 20 of those takes about 9 ms of each start.
+    The events are not attrs classes because generating 20 attrs classes adds about 9 ms to each start.
     """
 
     name: ClassVar[str]
     written_by: ClassVar[str]
 
     def __init_subclass__(cls, *, written_by: str) -> None:
-        """Name the event after its class."""
+        """Derive the event name from the class name."""
         cls.name = _WORD_START.sub("_", cls.__name__).lower()
         cls.written_by = written_by
 
@@ -44,7 +44,7 @@
         self.__dict__.update(fields)
 
     def fields(self) -> dict[str, object]:
-        """Return the fields to log by name."""
+        """Return the names and values of the fields that are not None."""
         return {name: value for name, value in vars(self).items() if value is not None}
 
 
@@ -52,11 +52,11 @@
 
 
 def no_log(event: LogEvent) -> None:
-    """Drop an event, where no log is wanted."""
+    """Discard an event; a `LogFunction` for callers without a log."""
 
 
 class MemberCondition(StrEnum):
-    """The condition of a process as the controllers have recorded it."""
+    """The state of a process in the membership that the controllers maintain."""
 
     ALIVE = "alive"
     DEPARTING = "departing"
@@ -64,17 +64,17 @@
 
 
 class RedundantGroup(StrEnum):
-    """The processes whose fault tolerance is judged together."""
+    """A group of processes for which the number of tolerated failures is computed."""
 
     CONTROLLERS = "controllers"
     STORES = "stores"
 
 
-# ---- start and end of a process
+# ---- start and shutdown of a process
 
 
 class StoreStarted(LogEvent, written_by=STORE):
-    """A store has read its log and serves; `incarnation` is the number of this run of the process.
+    """A store has read its log and serves requests; `incarnation` identifies this run of the process.
 
     Action: none.
     """
@@ -84,7 +84,7 @@
 
 
 class EdgeStarted(LogEvent, written_by=EDGE):
-    """An edge process accepts messages of clients; `controller` says whether it is a controller too.
+    """An edge process accepts messages from clients; `controller` is true if it is also a controller.
 
     Action: none.
     """
@@ -94,14 +94,14 @@
 
 
 class ShutdownStarted(LogEvent, written_by=EDGE_OR_STORE):
-    """SIGTERM or SIGINT came, or a task failed: the process hands its work over and ends.
+    """The process received SIGTERM or SIGINT, or a task failed; it hands over its work and exits.
 
     Action: none.
     """
 
 
 class ShutdownTimedOut(LogEvent, written_by=STORE):
-    """A store could not hand over everything within `grace_s`; its records stay on its disk.
+    """A store could not hand over all partitions within `grace_s`; its records remain on its disk.
 
     Action: none; if it repeats, compare `graceS` with the load of the store's disk and network.
     """
@@ -110,7 +110,7 @@
 
 
 class ShutdownCompleted(LogEvent, written_by=EDGE_OR_STORE):
-    """All tasks and connections of the process are closed.
+    """The process has ended its tasks and closed its connections.
 
     Action: none.
     """
@@ -120,25 +120,25 @@
 
 
 class SettingsReloaded(LogEvent, written_by=EDGE_OR_STORE):
-    """The settings file has changed and its new values are in use.
+    """The settings file has changed, and the process uses the new values.
 
     Action: none.
     """
 
 
 class SettingsRejected(LogEvent, written_by=EDGE_OR_STORE):
-    """The settings file cannot be used, the former values stay; `reason` names the key.
+    """The settings file is missing or invalid; the previous values stay in use and `reason` names the key.
 
-    Action: correct the key, then send SIGHUP.
+    Action: correct the file, then send SIGHUP.
     """
 
     reason: str
 
 
 class StatusListenFailed(LogEvent, written_by=STORE):
-    """A store could not listen on `address` for `GET /status`; it serves everything else.
+    """A store could not listen on `address` for `GET /status`; its other endpoints work.
 
-    Action: free the last of its `internalPorts` and restart it when it suits.
+    Action: free the last port of the store's `internalPorts`, then restart the store; this is not urgent.
     """
 
     address: str
@@ -146,22 +146,22 @@
 
 
 class MetricsListenFailed(LogEvent, written_by=EDGE_OR_STORE):
-    """A process could not listen on `address` for `GET /metrics`; it serves everything else.
+    """A process could not listen on `address` for `GET /metrics`; its other endpoints work.
 
-    Action: free the port and restart the process when it suits.
+    Action: free the port, then restart the process; this is not urgent.
     """
 
     address: str
     reason: str
 
 
-# ---- changes of the cluster
+# ---- cluster changes
 
 
 class ViewDecided(LogEvent, written_by=HEAD):
-    """The voters have decided a new view: its `epoch`, and its `chain` from head to tail.
+    """The voters have decided a new view with this `epoch`; `chain` lists its controllers from head to tail.
 
-    Action: none; if the epoch keeps growing, look at the controllers' links and disks.
+    Action: none; if the epoch keeps growing, check the controllers' network links and disks.
     """
 
     epoch: int
@@ -178,9 +178,9 @@
 
 
 class MemberChanged(LogEvent, written_by=HEAD):
-    """The process `peer` became `alive`, `departing` or `dead`.
+    """The controllers have recorded that the process `peer` is `alive`, `departing` or `dead`.
 
-    Action: none; if one dies again and again, look at its machine and its log.
+    Action: none; if a process dies repeatedly, check its machine and its log.
     """
 
     peer: str
@@ -190,7 +190,7 @@
 
 
 class PlacementCommitted(LogEvent, written_by=HEAD):
-    """A new placement is committed: partitions with a new primary, and how many partitions have learners.
+    """A new placement is committed; `moved_primaries` maps each partition with a new primary to that primary.
 
     Action: none.
     """
@@ -201,7 +201,7 @@
 
 
 class PrimariesAssigned(LogEvent, written_by=STORE):
-    """A store is the primary of exactly these `partitions` from now on.
+    """The set of partitions whose primary is this store has changed; it is now `partitions`.
 
     Action: none.
     """
@@ -211,10 +211,10 @@
 
 
 class TakeoverCompleted(LogEvent, written_by=STORE):
-    """A store serves `partition` in a new epoch; messages of its queue by stage, if there are any.
+    """A store began to serve `partition` as primary with unfinished messages, counted here by stage.
 
-    Action: none; if `longest_wait_s` is beyond the longest delay or `without_put` is not 0, messages are held
-    up: look at `GET /status` of the partition's stores.
+    Action: none; if `longest_wait_s` exceeds the longest delay of a message or `without_put` is not 0,
+    messages are stuck: check `GET /status` of the partition's stores.
     """
 
     partition: int
@@ -231,7 +231,7 @@
 
 
 class FaultToleranceChange(LogEvent, written_by=HEAD):
-    """The fields of the three events below; some are set for controllers, the others for stores."""
+    """Base class of the three events below; some fields are only set for controllers, others for stores."""
 
     group: RedundantGroup
     losses_borne: int
@@ -243,31 +243,31 @@
 
 
 class FaultToleranceExhausted(FaultToleranceChange, written_by=HEAD):
-    """The next loss in `group` (`controllers` or `stores`) would end service.
+    """The next failure in `group` (`controllers` or `stores`) would make the service unavailable.
 
-    Action: at once: bring back or replace what the fields name. Stores with `partitions_with_learners`
-    above 0 are catching up: look again after `catchUpS`.
+    Action: immediately restart or replace the processes that the fields name. If `partitions_with_learners`
+    is above 0, new replicas are catching up: check again after `catchUpS`.
     """
 
 
 class FaultToleranceExceeded(FaultToleranceChange, written_by=HEAD):
-    """More of `group` is lost than is tolerated: there is no majority, or a partition is lost.
+    """More processes of `group` have failed than is tolerated: there is no majority, or a partition is lost.
 
-    Action: at once: see "The five kinds of trouble" in system.md.
+    Action: act immediately; see "The five kinds of trouble" in system.md.
     """
 
 
 class FaultToleranceRestored(FaultToleranceChange, written_by=HEAD):
-    """A further loss in `group` is tolerated again.
+    """The service tolerates a further failure in `group` again.
 
     Action: none.
     """
 
 
 class PartitionLost(LogEvent, written_by=HEAD):
-    """A partition has fewer living replicas than it needs to serve.
+    """A partition has too few live replicas to serve requests.
 
-    Action: bring the stores of `missing_replicas` back with their disks.
+    Action: restart the stores of `missing_replicas` with their disks.
     """
 
     partition: int
@@ -276,7 +276,7 @@
 
 
 class PartitionRestored(LogEvent, written_by=HEAD):
-    """A lost partition has enough living replicas again.
+    """A lost partition has enough live replicas again.
 
     Action: none.
     """
@@ -285,22 +285,22 @@
 
 
 class PartitionRecovered(LogEvent, written_by=HEAD):
-    """An operator's order was carried out: the partition serves without `abandoned_replicas`.
+    """On an operator's order, the controllers removed `abandoned_replicas` from a lost partition.
 
-    Action: none; what only those replicas held is lost.
+    Action: none; messages that only those replicas stored are lost.
     """
 
     partition: int
     abandoned_replicas: list[str]
 
 
-# ---- messages between processes, and defects
+# ---- rejected messages and program errors
 
 
 class MessageRejected(LogEvent, written_by=EDGE_OR_STORE):
-    """A message of `peer` was meant for the process `intended_for`, not for this one; once for each pair.
+    """`peer` sent this process a message intended for the process `intended_for`; logged once for each pair.
 
-    Action: none, unless it goes on: then look for an address that two processes use in turn.
+    Action: none; if the event keeps occurring, look for an address that two processes use alternately.
     """
 
     peer: str
@@ -309,18 +309,18 @@
 
 
 class RequestFailed(LogEvent, written_by=EDGE):
-    """A client's request met an error of this program; `reason` says where.
+    """An unexpected exception occurred while a client's request was handled; `reason` contains the location.
 
-    Action: report it: it is a defect.
+    Action: report the defect.
     """
 
     reason: str
 
 
 class HandlerFailed(LogEvent, written_by=EDGE_OR_STORE):
-    """Another process's `message` met an error of this program; `reason` says where.
+    """An exception occurred while another process's `message` was handled; `reason` contains the location.
 
-    Action: report it: it is a defect.
+    Action: report the defect.
     """
 
     message: str
@@ -328,9 +328,9 @@
 
 
 class TaskFailed(LogEvent, written_by=EDGE_OR_STORE):
-    """A task of the process failed; the process ends, and the platform starts it again.
+    """A background task failed; the process exits and the platform restarts it.
 
-    Action: report it: it is a defect.
+    Action: report the defect.
     """
 
     reason: str
