--- a/hollowusher/__main__.py
+++ b/hollowusher/__main__.py
@@ -6,10 +6,8 @@
 import sys
 
 ROLES = ("edge", "store")
-CONSOLE_COMMANDS = (
-    "local",
-    "system",
-)  # commands of the edge and store service; all others are the scheduler's
+# Commands for the service of edge and store processes; every other command belongs to the scheduler.
+CONSOLE_COMMANDS = ("local", "system")
 
 
 def main(words: list[str] | None = None) -> int:
--- a/hollowusher/roles/__init__.py
+++ b/hollowusher/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The roles a process can have; each puts parts together, starts and stops them."""
+"""The roles of a process (edge and store): each module creates, starts and stops the role's components."""
--- a/hollowusher/roles/cluster_change_log.py
+++ b/hollowusher/roles/cluster_change_log.py
@@ -1,7 +1,7 @@
-"""Log lines about changes of the cluster, so that an incident can be read from the logs.
+"""Logs cluster changes, so that an incident can be reconstructed from the logs.
 
-One process tells what concerns all: the head of the control chain.  Each store tells which partitions it has
-become or ceased to be the primary of, and each process when it learns a newer configuration or view.
+Only the head of the control chain logs changes of members, the placement, the configuration and the view.
+Each store logs the partitions whose primary it is when that set changes.
 """
 
 from __future__ import annotations
@@ -29,7 +29,11 @@
 
 
 class ClusterChangeLog:
-    """Follows one process's knowledge of the cluster.  `is_head` tells whether it is the chain's head now."""
+    """Listens to the cluster state of one process and logs its changes.
+
+    `store_id` is empty in an edge process.  `is_head` returns whether the process is the head of the control
+    chain.
+    """
 
     def __init__(self, state: ClusterState, store_id: str, is_head: Callable[[], bool]) -> None:
         self._state = state
--- a/hollowusher/roles/control_plane.py
+++ b/hollowusher/roles/control_plane.py
@@ -1,4 +1,4 @@
-"""The part of an edge process that makes it a controller; only those with a disk load it."""
+"""The controller components of an edge process; only edge processes with a disk import this module."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 STATE_SLOT = "control-state"
 RECORD_SLOTS = ("control-record-a", "control-record-b")
 HANDLED_MESSAGES = (ReadControlStatus, *HeadRoles.MESSAGES, *Controller.MESSAGES)
-FAULT_TOLERANCE_CHECK_S = 0.5  # between two checks of how many further losses are tolerated
+FAULT_TOLERANCE_CHECK_S = 0.5  # interval between computations of the number of tolerated failures
 
 
 class ControlPlane:
-    """The controller of a process, the feed that it distributes by, and the duties of a chain's head."""
+    """The controller of a process, its update feed, and the components that run on the chain's head."""
 
     def __init__(self, process: Process, me: Member, data_dir: Path) -> None:
         settings = process.settings
@@ -66,26 +66,26 @@
         ClusterChangeLog(process.state, "", lambda: self.controller.is_head)
 
     async def start(self) -> None:
-        """Take part in views and chain, and be ready for the head's duties."""
+        """Start the controller and the tasks of the chain's head."""
         await self.controller.start()
         self._process.spawn(self.head_roles.run())
         self._process.spawn(self._watch_fault_tolerance())
 
     async def stop(self) -> None:
-        """Leave the chain in order."""
+        """Leave the control chain and close the connection to the platform's API."""
         await self.controller.stop()
         await self.reader.close()
 
     def learn(self, view: View) -> None:
-        """A decided view became known."""
+        """Pass a decided view to the controller, which adopts it if it is newer."""
         self._process.spawn(self.controller.learn(view))
 
     def handles(self, message: Any) -> bool:
-        """Whether a message is for this part."""
+        """Return whether the control plane handles this type of message."""
         return isinstance(message, HANDLED_MESSAGES)
 
     async def handle(self, message: Any) -> Any:
-        """Answer such a message."""
+        """Handle a message and return the response."""
         if isinstance(message, ReadControlStatus):
             return self.status()
         if isinstance(message, HeadRoles.MESSAGES):
@@ -93,7 +93,7 @@
         return await self.controller.handle(message)
 
     def status(self) -> ControlStatus:
-        """How control and placement stand, as this controller knows it."""
+        """Return the state of the controllers and of the placement as this controller knows it."""
         snapshot = self.controller.snapshot(self.head_roles.living_controllers())
         status = build_control_status(snapshot, self.head_roles.partition_statuses(), self._tolerance)
         return evolve(status, worker_list_age_s=self.head_roles.worker_list_age_s())
--- a/hollowusher/roles/control_status_query.py
+++ b/hollowusher/roles/control_status_query.py
@@ -1,4 +1,4 @@
-"""Asking the controllers how control stands, for the operator's address of any edge process."""
+"""Requests the control status from the controllers, for the admin address of any edge process."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
 
 
 class ControlStatusQuery:
-    """Asks the chain's head, which knows most; where it gives no answer, all other controllers at once.
-    `handle_locally` answers messages in this process, which has the name `name`."""
+    """Requests the control status from the chain's head, which has the most recent information.
+
+    If the head does not respond or does not lead, all other controllers are queried concurrently.  A request
+    to this process, which has the name `name`, is passed to `handle_locally`."""
 
     def __init__(
         self, name: str, state: ClusterState, transport: Transport, handle_locally: LocalHandler
@@ -29,17 +31,17 @@
         self._handle_locally = handle_locally
 
     async def __call__(self) -> ControlStatus | None:
-        """The status of the controller that knows most, None where none answers."""
+        """Return the most recent status among the responses, or None if no controller responds."""
         controllers = self._controllers()
         head = self._head()
-        first = await self._ask(head, controllers.pop(head, ""), HEAD_TIMEOUT_S)
-        if first is not None and first.leads:
-            return first
-        asked = [
+        head_status = await self._ask(head, controllers.pop(head, ""), HEAD_TIMEOUT_S)
+        if head_status is not None and head_status.leads:
+            return head_status
+        requests = [
             self._ask(name, address, OTHER_CONTROLLERS_TIMEOUT_S) for name, address in controllers.items()
         ]
-        answers = [first, *await asyncio.gather(*asked)]
-        statuses = [status for status in answers if status is not None]
+        responses = [head_status, *await asyncio.gather(*requests)]
+        statuses = [status for status in responses if status is not None]
         return max(statuses, key=_freshness, default=None)
 
     def _head(self) -> str:
@@ -47,7 +49,10 @@
         return view.head if view is not None else ""
 
     def _controllers(self) -> dict[str, str]:
-        """The addresses of all controllers known here, by name; the view's go before a member's word."""
+        """Return the addresses of the known controllers by name.
+
+        The view takes precedence over the membership where both contain a controller.
+        """
         members = self._state.members.values()
         addresses = {member.name: member.address for member in members if member.alive and member.controller}
         view = self._state.view
@@ -69,5 +74,5 @@
 
 
 def _freshness(status: ControlStatus) -> tuple[bool, int, int]:
-    """By what the best of several answers is chosen."""
+    """Return the sort key that ranks responses: leading first, then by epoch, then by voters heard."""
     return status.leads, status.epoch, sum(voter.heard for voter in status.voters)
--- a/hollowusher/roles/edge.py
+++ b/hollowusher/roles/edge.py
@@ -1,8 +1,8 @@
 """The role `edge`: one process on each edge machine.
 
-It takes messages from clients, dispatches them to workers, and serves the operator.  With a disk it is a
-controller too.  What a process does not need before it serves clients is loaded later: after a loss of power
-of everything, each tenth of a second of a start is a tenth of a second without service.
+An edge process accepts messages from clients, dispatches them to workers and serves the operator's admin
+address.  An edge process with a disk can also be a controller.  Modules that are not needed to serve clients
+are imported after the start: after a power failure of all machines, the start time adds to the outage.
 """
 
 from __future__ import annotations
@@ -36,16 +36,18 @@
     from hollowusher.roles.control_plane import ControlPlane
 
 CONTROL_PLANE = "control_plane"
-# A configuration that a majority confirmed within this share of configApplyMs is the one to be applied.
-CONFIRMED_WITHIN = 0.95
-UNREADY_BEFORE_STOP_S = 2.3  # after SIGTERM the platform still sends connections until it has asked twice
-STOP_MARGIN_S = 0.8  # kept of the grace for the end of the process itself
-# The operator's address is served after the clients' addresses, but at most this much later.
+# The configuration counts as current if the last contact with a majority of the controllers is not older than
+# this fraction of configApplyMs.
+MAX_CONFIRMATION_AGE_SHARE = 0.95
+# After SIGTERM, the platform opens new connections until two of its readiness checks have failed.
+UNREADY_BEFORE_STOP_S = 2.3
+STOP_MARGIN_S = 0.8  # part of graceS reserved for the exit of the process itself
+# The admin server starts after the frontend, but waits for the frontend at most this long.
 OPERATOR_START_TIMEOUT_S = 1.0
 
 
 class EdgeProcess:
-    """The parts of one edge process."""
+    """Creates, starts and stops the components of one edge process."""
 
     def __init__(self, process: Process, me: Member) -> None:
         loop = asyncio.get_running_loop()
@@ -70,7 +72,7 @@
             lambda: process.settings.seed_addresses(),
         )
         self.store_client = StoreClient(transport, state, loop.time)
-        homes = ZonePartitioner(state, settings.zone)
+        zone_partitioner = ZonePartitioner(state, settings.zone)
         self.dispatcher = Dispatcher(
             me,
             transport,
@@ -79,16 +81,18 @@
             settings,
             HttpWorkerClient(),
             process.random_source,
-            rank_partitions=homes,
+            rank_partitions=zone_partitioner,
         )
         apply_s = settings.bounds.config_apply_ms / 1000
         self.intake = IntakeService(
             state,
             self.store_client,
             self.dispatcher.pull_dispatcher,
-            homes,
+            zone_partitioner,
             loop.time,
-            is_current=lambda: self.client.seconds_since_majority(loop.time()) <= CONFIRMED_WITHIN * apply_s,
+            is_current=lambda: (
+                self.client.seconds_since_majority(loop.time()) <= MAX_CONFIRMATION_AGE_SHARE * apply_s
+            ),
         )
         self.frontend = EdgeFrontend(
             self.intake, settings.bind.frontend, settings.bind.readiness, self.ready, self._log_failed_request
@@ -97,12 +101,12 @@
         self._operator_server: web.AppRunner | None = None
 
     def ready(self) -> bool:
-        """Whether this process can serve clients."""
+        """Return whether this process can serve clients."""
         state = self.process.state
         return self.serving.is_set() and state.configuration is not None and state.placement is not None
 
     async def run(self) -> None:
-        """Serve until the process is told to stop, then end in order."""
+        """Serve until the process receives a stop signal or a task fails, then shut down."""
         process = self.process
         await process.transport.start(self.handle)
         process.listen_for_signals()
@@ -112,7 +116,7 @@
             await self.seed.start()
         process.state.add_listener(self._learn_view)
         process.spawn(self.client.run())
-        process.spawn(process.serve_metrics(self._figures))
+        process.spawn(process.serve_metrics(self._read_metrics))
         await self.frontend.readiness.start()
         start_tasks = [process.spawn(self._start_serving()), process.spawn(self._start_operator_server())]
         await process.stopping.wait()
@@ -128,7 +132,7 @@
         log(ShutdownCompleted())
 
     async def handle(self, message: Any) -> Any:
-        """Answer a message from another process."""
+        """Dispatch a message from another process to its component and return the response."""
         if isinstance(message, JobsWaiting):
             self.dispatcher.handle(message)
             return None
@@ -146,7 +150,7 @@
         log(EdgeStarted(incarnation=self.me.incarnation, controller=self.me.controller))
 
     async def _stop(self) -> None:
-        """Be unready until no new connection comes, hand duties over, end what is under way."""
+        """Fail the readiness checks until no new connections arrive, hand over, and finish open requests."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         grace = self.process.settings.bounds.grace_s - STOP_MARGIN_S
@@ -177,14 +181,14 @@
             process.state,
             self.store_client,
             self.ready,
-            self._figures,
+            self._read_metrics,
             clock,
             control,
         )
         self._operator_server = await start_operator_server(process.settings.bind.admin, forward, status)
 
-    def _figures(self) -> dict[str, dict[str, int]]:
-        """What the parts of this process have counted since it started."""
+    def _read_metrics(self) -> dict[str, dict[str, int]]:
+        """Return the counters of this process since its start, by component."""
         transport = self.process.transport
         return {
             "intake": attrs.asdict(self.intake.metrics),
@@ -199,7 +203,7 @@
         }
 
     def _learn_view(self, key: str) -> None:
-        """A newer view was heard of: one that seeks it, or is asked for it, learns it too."""
+        """Pass a newer view from the cluster state to the controller or the seed service."""
         view = self.process.state.view
         if key != VIEW or view is None:
             return
@@ -213,7 +217,7 @@
 
 
 async def serve_edge(settings: BootSettings, path: str) -> int:
-    """Run an edge process until it is stopped; the exit code."""
+    """Run an edge process until it stops, and return the exit code."""
     process = Process(settings, path, "edge")
     controller = bool(
         process.data_dir is not None and settings.counts_for_quorum and CONTROL_PLANE in settings.serves
--- a/hollowusher/roles/fault_tolerance_log.py
+++ b/hollowusher/roles/fault_tolerance_log.py
@@ -1,7 +1,7 @@
-"""Logs each change between tolerating a further loss, tolerating none, and having lost too many.
+"""Logs each change of fault tolerance: a further failure is tolerated, none is, or too many have occurred.
 
-The head of the control chain alone writes these lines: it knows most, and every incident then stands once in
-the logs.
+Only the head of the control chain writes these lines.  It has the most recent information, and each incident
+is logged only once.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class FaultToleranceLog:
-    """Follows the losses that the controllers and the stores still tolerate, as their head reports them."""
+    """Tracks how many failures the controllers and the stores still tolerate, and logs changes."""
 
     def __init__(self, log: LogFunction) -> None:
         self._log = log
-        self._logged: dict[RedundantGroup, type[FaultToleranceChange]] = {}  # the class logged last
+        self._logged: dict[RedundantGroup, type[FaultToleranceChange]] = {}  # the last event of each group
 
     def update(self, status: ControlStatus) -> None:
-        """Log what a newer status changes; one that does not come from the leading head is not logged."""
+        """Log the changes in a newer status; ignore it unless this controller is the leading head."""
         if not status.leads:
             self._logged.clear()
             return
@@ -50,7 +50,7 @@
             )
 
     def _log_change(self, event: FaultToleranceChange) -> None:
-        # A system that tolerates a loss from the start needs no line.
+        # No line is logged if the first status already tolerates a failure.
         before = self._logged.get(event.group, FaultToleranceRestored)
         self._logged[event.group] = type(event)
         if type(event) is not before:
--- a/hollowusher/roles/logs.py
+++ b/hollowusher/roles/logs.py
@@ -1,6 +1,6 @@
-"""Structured log lines by eliot: one JSON object a line on standard error.
+"""Writes structured log lines with eliot: one JSON object per line on standard error.
 
-Lines cost processor time, so only changes of state and failures are logged, not each message.
+Log lines cost CPU time, so processes log only state changes and failures, not each message.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 def set_process_fields(node: str, role: str) -> None:
-    """Name the process in each of its lines."""
+    """Set the `node` and `role` fields that each log line of this process contains."""
     _process.update(node=node, role=role)
 
 
 def log(event: LogEvent) -> None:
-    """Write one line about an event.
+    """Write the log line of an event.
 
-    The library is loaded for the first line: a start should not wait 60 ms for it.
+    eliot is imported when the first line is written, because the import takes 60 ms of the start.
     """
     import eliot
 
@@ -34,7 +34,7 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """Return an error and the place where it arose in one line."""
+    """Return the type, the text and the source location of an error in one line."""
     if isinstance(error, BaseExceptionGroup):
         return "; ".join(describe_error(inner) for inner in error.exceptions)
     trace = error.__traceback__
--- a/hollowusher/roles/operator_server.py
+++ b/hollowusher/roles/operator_server.py
@@ -1,6 +1,6 @@
-"""The operator's HTTP address of an edge process: configuration, emptying of stores, status.
+"""The HTTP server on the admin address of an edge process: configuration, retiring of stores, status.
 
-It is loaded after the process has begun to serve clients, for a start should not wait for it.
+The module is imported after the process serves clients, so that it does not delay the start.
 """
 
 from __future__ import annotations
@@ -25,7 +25,10 @@
 
 
 class OperatorForwarder:
-    """Brings an operator's order to the chain's head, a question to its tail.  `handle` answers here."""
+    """Forwards an operator's order to the head of the control chain, and a read to the tail.
+
+    If this process is the target, the message is passed to `handle`.
+    """
 
     def __init__(
         self, name: str, state: ClusterState, transport: Transport, handle: Callable[[Any], Awaitable[Any]]
@@ -36,7 +39,7 @@
         self._handle = handle
 
     async def __call__(self, message: Any) -> OperatorResponse:
-        """The answer of whoever decides on the message."""
+        """Forward the message and return the response; raise `PeerError` if the target does not respond."""
         view = self._state.view
         if view is None:
             return UNAVAILABLE
@@ -59,7 +62,7 @@
 
 
 async def start_operator_server(address: str, forward: OperatorForwarder, status: StatusApi) -> web.AppRunner:
-    """Listen at the operator's address; to be cleaned up at the end."""
+    """Start the HTTP server on the admin address; the caller must call `cleanup` on the result."""
     application = web.Application(client_max_size=MAX_BODY_BYTES + 1)
     OperatorApi(forward).add_routes(application)
     status.add_routes(application)
--- a/hollowusher/roles/process.py
+++ b/hollowusher/roles/process.py
@@ -1,4 +1,4 @@
-"""What every role's process has: identity, transport, knowledge of the cluster, signals, an orderly end."""
+"""The base of each role's process: identity, transport, cluster state, signals, metrics and shutdown."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from hollowusher.transport.tcp import TcpTransport
 
 if TYPE_CHECKING:
-    from hollowusher.roles.metrics import Figures
+    from hollowusher.roles.metrics import MetricGroups
 
 INCARNATION_SLOT = "life"
 STORE = "store"
-METRICS_DELAY_S = 2.0  # the figures are served so long after the start
+METRICS_DELAY_S = 2.0  # time from the start of the process until it serves its metrics
 
 
 def wall_ms() -> int:
-    """The time of day in milliseconds."""
+    """Return the wall-clock time in milliseconds since the Unix epoch."""
     return time.time_ns() // 1_000_000
 
 
 class Process:
-    """One process of a role; the role adds its parts and runs until `stopping` is set."""
+    """One process; its role adds components and runs them until `stopping` is set."""
 
     def __init__(self, settings: BootSettings, path: str, role: str) -> None:
         set_process_fields(settings.node_name, role)
@@ -51,7 +51,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def claim_membership(self, controller: bool) -> Member:
-        """This process as the others will know it."""
+        """Claim a new incarnation, durably if there is a disk, and return this process's member record."""
         settings = self.settings
         disk_id = ""
         if self.data_dir is not None:
@@ -75,24 +75,24 @@
         )
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run a part beside the others; its failure is logged and ends the process."""
+        """Run a coroutine as a background task; if it fails, the error is logged and the process ends."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
         return task
 
     def listen_for_signals(self) -> None:
-        """SIGTERM sets `stopping`, SIGHUP reads the settings file again."""
+        """Install the signal handlers: SIGTERM and SIGINT set `stopping`, SIGHUP reloads the settings."""
         install_signal_handlers(self.stopping.set, self.settings_watcher.reload)
         self.spawn(self.settings_watcher.run())
 
-    async def serve_metrics(self, read_figures: Callable[[], Figures]) -> None:
-        """Serve this process's figures a while after its start; it goes on without them all the same."""
+    async def serve_metrics(self, read_metrics: Callable[[], MetricGroups]) -> None:
+        """Serve the metrics after a delay; if the address is in use, log that and continue without them."""
         await asyncio.sleep(METRICS_DELAY_S)
         from hollowusher.roles.metrics import format_metrics, metrics_address, metrics_server
 
         address = metrics_address(self.settings.ip)
-        server = metrics_server(address, lambda: format_metrics(read_figures()))
+        server = metrics_server(address, lambda: format_metrics(read_metrics()))
         try:
             await server.start()
         except OSError as error:
@@ -104,7 +104,7 @@
             await server.stop()
 
     async def close(self) -> None:
-        """End what still runs."""
+        """Cancel the background tasks and close the transport."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -119,7 +119,7 @@
             self.fail(error)
 
     def fail(self, error: BaseException) -> None:
-        """Log the failure of a task and end the process: nobody does any more what the task did."""
+        """Log the failure of a task and stop the process, which cannot work without that task."""
         if not self.stopping.is_set():
             log(TaskFailed(reason=describe_error(error)))
             self.stopping.set()
--- a/hollowusher/roles/run_role.py
+++ b/hollowusher/roles/run_role.py
@@ -1,7 +1,7 @@
-"""The command words of the roles: `python -m hollowusher edge` and `python -m hollowusher store`.
+"""Runs a role: `python -m hollowusher edge` and `python -m hollowusher store`.
 
-The settings file's path stands in `HOLLOWUSHER_CONFIG`.  A file that cannot be used ends the start with one
-line that names the key.
+The environment variable `HOLLOWUSHER_CONFIG` holds the path of the settings file.  If the file is invalid,
+the process prints one line that names the key and exits with code 2.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 import sys
 
 SETTINGS_VARIABLE = "HOLLOWUSHER_CONFIG"
-GC_YOUNG_OBJECTS = 10_000  # allocations between two collections; each takes time from a turn
+GC_THRESHOLD = 10_000  # allocations between collections; a collection delays the event loop
 DEFAULT_SETTINGS_PATH = "/etc/hollowusher/boot.toml"
 
 
 def run_role(role: str) -> int:
-    """Run one process of a role until it is stopped; the exit code."""
-    gc.disable()  # until `_tune_garbage_collector` has taken what the imports load out of collections
+    """Run one process of a role until it stops, and return the exit code."""
+    gc.disable()  # `_tune_garbage_collector` enables it after the imports
     from hollowusher.configuration.boot import SettingsError, read_settings
 
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
@@ -26,8 +26,8 @@
     except SettingsError as error:
         print(f"hollowusher {role}: {error}", file=sys.stderr)
         return 2
-    # The processes speak plain HTTP on addresses of their own network.  aiohttp loads all certificates of the
-    # system when it is imported: an empty file spares each start a quarter of its time.
+    # The processes use plain HTTP in their own network and need no certificates.  aiohttp loads all system
+    # certificates when it is imported; an empty file saves a quarter of the start time.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
     import uvloop
@@ -44,7 +44,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Collect from now on, but seldom, and nothing of what the imports have made."""
+    """Enable rare collections, and exclude all objects that the imports have created."""
     gc.freeze()
-    gc.set_threshold(GC_YOUNG_OBJECTS, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
     gc.enable()
--- a/hollowusher/roles/signals.py
+++ b/hollowusher/roles/signals.py
@@ -1,7 +1,8 @@
-"""Signals and changes of the settings file, for any role.
+"""Signal handlers and reloading of the settings file, for all roles.
 
-SIGTERM asks for an orderly end.  SIGHUP says that the settings file has changed; as it may also change
-without a signal, its time of change is looked at now and then.  A file that cannot be used changes nothing.
+SIGTERM and SIGINT start an orderly shutdown.  SIGHUP reloads the settings file.  The file may also change
+without a signal, so its modification time and size are checked periodically.  If the file is invalid, the
+previous settings stay in use.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class SettingsWatcher:
-    """Follows the settings file; `on_change` is called with each new content that is in order."""
+    """Watches the settings file and calls `on_change` with the new settings when they change."""
 
     def __init__(self, path: str, settings: BootSettings, on_change: Callable[[BootSettings], None]) -> None:
         self.settings = settings
@@ -29,7 +30,7 @@
         self._file_version = self._read_file_version()
 
     def reload(self) -> None:
-        """Read the file again; a fault is logged and changes nothing."""
+        """Read the file again; if it is invalid, log that and keep the previous settings."""
         self._file_version = self._read_file_version()
         try:
             settings = read_settings(self._path)
@@ -43,7 +44,7 @@
             self._on_change(settings)
 
     async def run(self) -> None:
-        """Look at the file's time of change now and then."""
+        """Check the modification time and size of the file every `CHECK_INTERVAL_S` seconds."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             if self._read_file_version() != self._file_version:
@@ -58,7 +59,7 @@
 
 
 def install_signal_handlers(stop: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Call `stop` at SIGTERM or SIGINT and `reload` at SIGHUP."""
+    """Call `stop` on SIGTERM or SIGINT, and `reload` on SIGHUP."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop)
     loop.add_signal_handler(signal.SIGINT, stop)
--- a/hollowusher/roles/status_server.py
+++ b/hollowusher/roles/status_server.py
@@ -1,7 +1,7 @@
-"""A small HTTP server that answers one path: `GET /status` of stores, `GET /metrics` of every process.
+"""A minimal HTTP server for one path: `GET /status` of a store or `GET /metrics` of any process.
 
-It takes a few callers at a time and answers one request a connection: it is for people and tools that look
-now and then, and costs the process neither a library nor memory.
+It serves one request per connection and up to `MAX_CONNECTIONS` connections at a time, which is enough for
+operators and monitoring tools.  It needs no HTTP library, which would add memory to every process.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class StatusServer:
-    """The server of one path; `body` makes the answer to each request."""
+    """Serves GET requests for one path; `body` returns the response body of each request."""
 
     def __init__(
         self, address: str, body: ReadStatus, path: str = STATUS_PATH, content_type: str = JSON
@@ -43,12 +43,12 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; `OSError` where the address is taken."""
+        """Start to listen; raise `OSError` if the address is in use."""
         host, port = split_address(self._address)
         self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_REQUEST_BYTES)
 
     async def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
@@ -76,11 +76,11 @@
         if len(words) != 3:
             return 400, b'{"error":"no request line"}'
         method, target, _ = words
-        only_path = f'{{"error":"GET {self._path} is all there is"}}'.encode()
+        unsupported_request = f'{{"error":"GET {self._path} is all there is"}}'.encode()
         if target.split(b"?", 1)[0] != self._path.encode():
-            return 404, only_path
+            return 404, unsupported_request
         if method != b"GET":
-            return 405, only_path
+            return 405, unsupported_request
         return 200, self._read_status()
 
     def _response_head(self, status: int, length: int) -> bytes:
--- a/hollowusher/roles/store.py
+++ b/hollowusher/roles/store.py
@@ -1,4 +1,4 @@
-"""The role `store`: one process on each storage machine, which keeps messages."""
+"""The role `store`: one process on each storage machine, which stores messages durably."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 RING_FOLDER = "ring"
 VIEW_SLOT = "view"
-STATUS_DELAY_S = 2.0  # the status is served so long after the start
-STOP_MARGIN_S = 1.0  # kept of the grace for the end of the process itself
+STATUS_DELAY_S = 2.0  # time from the start of the process until it serves its status
+STOP_MARGIN_S = 1.0  # part of graceS reserved for the exit of the process itself
 
 
-def _transport_figures(process: Process) -> dict[str, int]:
+def _transport_metrics(process: Process) -> dict[str, int]:
     transport = process.transport
     return {
         "connections_accepted": len(transport.accepted),
@@ -45,8 +45,8 @@
     }
 
 
-def _figures(process: Process, service: StoreService, ring_log: RingLog) -> dict[str, dict[str, float]]:
-    """What the parts of this process count."""
+def _read_metrics(process: Process, service: StoreService, ring_log: RingLog) -> dict[str, dict[str, float]]:
+    """Return the metrics of this process by component."""
     replicas = service.replicas()
     return {
         "queue": attrs.asdict(service.queue_summary()),
@@ -56,12 +56,12 @@
             "messages": sum(len(replica.table.entries) for replica in replicas),
         },
         "disk": {"free_bytes": ring_log.free_bytes(), "syncs": ring_log.syncs},
-        "transport": dict(_transport_figures(process)),
+        "transport": dict(_transport_metrics(process)),
     }
 
 
 def _log_takeover(replica: PartitionReplica) -> None:
-    """Log what a partition's queue holds at the start of an epoch here, if it holds anything."""
+    """Log the queue of a partition that this store has taken over as primary, unless the queue is empty."""
     if replica.primary is None:
         return
     queue = replica.primary.queue_summary(asyncio.get_running_loop().time())
@@ -70,7 +70,7 @@
 
 
 async def _serve_status(process: Process, me: Member, service: StoreService, ring_log: RingLog) -> None:
-    """Serve the store's status a while after its start; without it, the store goes on all the same."""
+    """Serve the store's status after a delay; if the address is in use, log that and continue without it."""
     started = asyncio.get_running_loop().time()
     await asyncio.sleep(STATUS_DELAY_S)
     if not me.admin:
@@ -78,24 +78,24 @@
     from hollowusher.roles.store_status import StoreStatusReporter, start_status_server
 
     status = StoreStatusReporter(
-        me, service, ring_log, process.state, lambda: _transport_figures(process), started
+        me, service, ring_log, process.state, lambda: _transport_metrics(process), started
     )
     try:
-        site = await start_status_server(me.admin, status)
+        status_server = await start_status_server(me.admin, status)
     except OSError as error:
         log(StatusListenFailed(address=me.admin, reason=describe_error(error)))
         return
     try:
         await asyncio.Event().wait()
     finally:
-        await site.stop()
+        await status_server.stop()
 
 
 async def serve_store(settings: BootSettings, path: str) -> int:
-    """Run a store until it is stopped; the exit code."""
+    """Run a store until it stops, and return the exit code."""
     process = Process(settings, path, "store")
     if process.data_dir is None:
-        log(SettingsRejected(reason="dataDir: a store needs a folder for its data"))
+        log(SettingsRejected(reason="dataDir is missing: a store needs a data directory"))
         return 2
     me = await process.claim_membership(controller=False)
     track_peer_identities(process.transport.peers, me, process.state)
@@ -127,7 +127,7 @@
     process.spawn(client.run())
     process.spawn(client.publish_view())
     process.spawn(view_cache.run())
-    process.spawn(process.serve_metrics(lambda: _figures(process, service, ring_log)))
+    process.spawn(process.serve_metrics(lambda: _read_metrics(process, service, ring_log)))
     log(StoreStarted(incarnation=me.incarnation, disk_id=me.disk_id))
     status_task = process.spawn(_serve_status(process, me, service, ring_log))
     await process.stopping.wait()
--- a/hollowusher/roles/store_status.py
+++ b/hollowusher/roles/store_status.py
@@ -1,6 +1,6 @@
-"""A store's address for operators: `GET /status` on the last internal port of its machine.
+"""Serves `GET /status` of a store to operators, on the last internal port of its machine.
 
-It is loaded and served only some time after the store has begun, for a start should not wait for it.
+The store imports this module some time after its start, so that it does not delay the start.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class StoreStatusReporter:
-    """Makes the report of one store."""
+    """Creates the status report of one store."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._started_monotonic_s = started_monotonic_s
 
     def report(self) -> StoreReport:
-        """How the store stands now."""
+        """Return the current status of the store."""
         me, configuration = self._me, self._state.configuration
         now = asyncio.get_running_loop().time()
         return StoreReport(
@@ -55,7 +55,7 @@
         )
 
     def body(self) -> bytes:
-        """The report as JSON."""
+        """Return the report as JSON."""
         return orjson.dumps(self.report())
 
     def _disk(self, now: float) -> DiskReport:
@@ -73,7 +73,7 @@
 
 
 async def start_status_server(address: str, status: StoreStatusReporter) -> StatusServer:
-    """Listen at the store's address; to be stopped at the end.  `OSError` where it is taken."""
-    site = StatusServer(address, status.body)
-    await site.start()
-    return site
+    """Start the status server; the caller must stop it.  Raise `OSError` if the address is in use."""
+    server = StatusServer(address, status.body)
+    await server.start()
+    return server
--- a/tests/roles/__init__.py
+++ b/tests/roles/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of roles."""
+"""Tests of the edge and store roles."""
--- a/tests/roles/test_cluster_change_log.py
+++ b/tests/roles/test_cluster_change_log.py
@@ -1,4 +1,4 @@
-"""What the logs tell of changes of the cluster."""
+"""Tests of the log lines about cluster changes: which process logs which change."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def lines(monkeypatch: pytest.MonkeyPatch) -> list[dict[str, Any]]:
-    """The lines logged, as dictionaries."""
+    """The logged events as dictionaries."""
     logged: list[dict[str, Any]] = []
 
     def log(event: LogEvent) -> None:
@@ -38,7 +38,7 @@
     return DistributedItem("placement", [version], "", 0, value)
 
 
-def test_the_head_tells_of_members_views_and_placements(lines: list[dict[str, Any]]) -> None:
+def test_the_head_logs_changes_of_members_and_views(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
     ClusterChangeLog(state, "", lambda: True)
     view = View(4, [Voter("a", "1", "a:1")], ["a"])
@@ -58,7 +58,7 @@
     assert [line["chain"] for line in lines if line["event"] == "view_decided"] == [["a"]]
 
 
-def test_each_change_is_reported_as_it_comes(lines: list[dict[str, Any]]) -> None:
+def test_each_change_is_logged_as_it_is_applied(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
     ClusterChangeLog(state, "", lambda: True)
     for item in (member(0), member(1), placement(1, "a/1"), placement(2, "b/1")):
@@ -67,14 +67,14 @@
     assert [line["moved_primaries"] for line in lines[2:]] == [{"3": "a/1"}, {"3": "b/1"}]
 
 
-def test_others_than_the_head_are_silent(lines: list[dict[str, Any]]) -> None:
+def test_only_the_head_logs_changes_of_the_cluster(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
     ClusterChangeLog(state, "", lambda: False)
     state.apply([member(0), placement(1, "a/1")], {})
     assert lines == []
 
 
-def test_a_store_tells_what_it_leads(lines: list[dict[str, Any]]) -> None:
+def test_a_store_logs_the_partitions_whose_primary_it_is(lines: list[dict[str, Any]]) -> None:
     state = ClusterState()
     ClusterChangeLog(state, "b/1", lambda: False)
     for item in (placement(1, "a/1"), placement(2, "b/1"), placement(3, "b/1"), placement(4, "a/1")):
--- a/tests/roles/test_control_status_query.py
+++ b/tests/roles/test_control_status_query.py
@@ -1,4 +1,4 @@
-"""Any edge process tells how control stands: asked of the head, else of whoever knows most."""
+"""An edge process reads the control status from the head, or else from the best-informed controller."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Controllers(Transport):
-    """The controllers' answers by name; those that are not here are silent."""
+    """A transport with the responses of some controllers; the other controllers do not respond."""
 
     address = "edge-9:7780"
 
@@ -40,43 +40,43 @@
         return self.answers[address]
 
     def send(self, address: str, message: Any) -> None:
-        raise AssertionError("a question is called")
+        raise AssertionError("the query must use call, not send")
 
     async def start(self, handler: Handler) -> None:
-        """Nobody calls here."""
+        """Do nothing: no controller calls this process."""
 
     async def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: there are no connections."""
 
 
-def ask(controllers: Controllers, me: str = "edge-9") -> ControlStatus | None:
+def query(controllers: Controllers, me: str = "edge-9") -> ControlStatus | None:
     state = ClusterState()
     view = first_view([Voter(name, f"disk-{name}", f"{name}:7780") for name in NAMES])
     state.apply([DistributedItem(VIEW, [1], "test", 1, view)], {})
 
-    async def here(message: Any) -> Any:
+    async def handle_locally(message: Any) -> Any:
         return await controllers.call(f"{me}:7780", message, 1.0)
 
-    return asyncio.run(ControlStatusQuery(me, state, controllers, here)())
+    return asyncio.run(ControlStatusQuery(me, state, controllers, handle_locally)())
 
 
-def test_the_head_alone_is_asked_where_it_leads() -> None:
+def test_only_the_head_is_queried_if_it_leads() -> None:
     head = status_of("a", leads=True)
     controllers = Controllers(head, status_of("b"), status_of("c"))
-    assert ask(controllers) == head
+    assert query(controllers) == head
     assert controllers.asked == ["a:7780"]
 
 
-def test_without_the_head_the_newest_epoch_counts() -> None:
+def test_without_the_head_the_status_of_the_newest_epoch_is_returned() -> None:
     newer = status_of("c", epoch=4)
-    assert ask(Controllers(status_of("b"), newer)) == newer
+    assert query(Controllers(status_of("b"), newer)) == newer
 
 
-def test_a_head_that_hears_no_majority_still_tells_what_it_knows() -> None:
+def test_the_status_of_a_head_without_a_majority_is_used_if_no_other_responds() -> None:
     alone = status_of("a")
-    assert ask(Controllers(alone)) == alone
-    assert ask(Controllers(alone), me="a") == alone
+    assert query(Controllers(alone)) == alone
+    assert query(Controllers(alone), me="a") == alone
 
 
-def test_nobody_answers() -> None:
-    assert ask(Controllers()) is None
+def test_no_controller_responds() -> None:
+    assert query(Controllers()) is None
--- a/tests/roles/test_fault_tolerance_log.py
+++ b/tests/roles/test_fault_tolerance_log.py
@@ -1,4 +1,4 @@
-"""A line is logged when the system comes to tolerate no further loss, too few, or one again."""
+"""Tests of the log lines that are written when the number of tolerated failures crosses zero."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 def status(
     controllers: int, stores: int, partitions: list[PartitionStatus], unreachable: str = ""
 ) -> ControlStatus:
-    """What a leading head reports: losses that are borne, and one voter that it may not hear."""
+    """The status of a leading head with these numbers of tolerated failures and an unreachable voter."""
     voters = [VoterStatus(name, f"disk-{name}", name != unreachable, True, True) for name in "abc"]
     return ControlStatus("a", 3, 9, 2, "a", "c", True, 2, voters, [], controllers, stores, partitions)
 
 
-class Lines:
-    """The log lines written, as (event, group, losses borne)."""
+class RecordedEvents:
+    """Records the logged events; `written` lists them as (event, group, losses_borne)."""
 
     def __init__(self) -> None:
         self.events: list[LogEvent] = []
@@ -33,8 +33,8 @@
         return found
 
 
-def test_a_line_is_logged_when_no_loss_is_tolerated_and_when_one_is_again() -> None:
-    lines = Lines()
+def test_a_line_is_logged_when_no_failure_is_tolerated_and_when_one_is_again() -> None:
+    lines = RecordedEvents()
     log = FaultToleranceLog(lines.events.append)
     log.update(status(1, 1, COMPLETE))
     assert lines.written == []
@@ -68,8 +68,8 @@
     ]
 
 
-def test_a_new_head_logs_what_it_finds_and_other_controllers_log_nothing() -> None:
-    lines = Lines()
+def test_a_new_head_logs_the_current_state_and_other_controllers_log_nothing() -> None:
+    lines = RecordedEvents()
     log = FaultToleranceLog(lines.events.append)
     exhausted = status(0, 1, COMPLETE, unreachable="b")
     log.update(evolve(exhausted, leads=False))
--- a/tests/roles/test_log_events.py
+++ b/tests/roles/test_log_events.py
@@ -22,7 +22,7 @@
 ]
 REGULAR_NAME = re.compile(r"[a-z]+(_[a-z]+)*_([a-z]+ed|lost|timed_out)")
 FIELDS_OF_EVERY_LINE = {"node", "role", "timestamp", "message_type", "task_uuid", "task_level"}
-FORMER_SPELLINGS = {"error", "caller", "name", "of", "machine"}  # these are `reason` and `peer`
+FORMER_SPELLINGS = {"error", "caller", "name", "of", "machine"}  # replaced by `reason` and `peer`
 
 
 def fields_of(event: type[LogEvent]) -> list[str]:
@@ -31,7 +31,7 @@
 
 
 def documented(event: type[LogEvent]) -> tuple[str, str]:
-    """The meaning and the action of an event, from its doc string."""
+    """The meaning and the action of an event, from its docstring."""
     text = inspect.getdoc(event) or ""
     meaning, marker, action = text.partition("\n\nAction: ")
     assert marker, f"{event.__name__} names no action"
@@ -44,12 +44,12 @@
     return f"| `{event.name}` | {event.written_by} | {fields} | {meaning} | {action} |"
 
 
-def rows_of_the_page() -> list[str]:
+def documented_rows() -> list[str]:
     return [line for line in TABLE.read_text().splitlines() if line.startswith("| `")]
 
 
 def test_the_page_has_each_event_and_no_other() -> None:
-    assert rows_of_the_page() == [row_of(event) for event in EVENTS]
+    assert documented_rows() == [row_of(event) for event in EVENTS]
 
 
 @pytest.mark.parametrize("event", EVENTS, ids=lambda event: event.name)
@@ -63,7 +63,7 @@
 
 
 def constructed_names() -> set[str]:
-    """The names that are called or handed on anywhere in the service, but in the module of the events."""
+    """All names that the modules of the service read, except in `log_events.py` and the simulation."""
     found: set[str] = set()
     for source in (ROOT / "hollowusher").rglob("*.py"):
         if source.name == "log_events.py" or "simulation" in source.parts:
--- a/tests/roles/test_metrics.py
+++ b/tests/roles/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a process as text, and the port that the deploy file names."""
+"""Tests of the metrics: the text format, the server, and the port in deploy/system.toml."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hollowusher.roles.metrics import (
     METRICS_PATH,
     METRICS_PORT,
-    Figures,
+    MetricGroups,
     format_metrics,
     metrics_address,
     metrics_server,
@@ -18,9 +18,9 @@
 DEPLOY = Path(__file__).parent.parent.parent / "deploy" / "system.toml"
 
 
-def test_each_figure_is_one_line() -> None:
-    figures: Figures = {"queue": {"ready": 2, "longest_wait_s": 1.5}, "disk": {"free_bytes": 12_345_678}}
-    assert format_metrics(figures) == (
+def test_each_metric_is_one_line() -> None:
+    groups: MetricGroups = {"queue": {"ready": 2, "longest_wait_s": 1.5}, "disk": {"free_bytes": 12_345_678}}
+    assert format_metrics(groups) == (
         b"hollowusher_queue_ready 2\nhollowusher_queue_longest_wait_s 1.5\n"
         b"hollowusher_disk_free_bytes 12345678\n"
     )
@@ -32,7 +32,7 @@
     assert metrics_address("10.0.0.7") == f"10.0.0.7:{METRICS_PORT}"
 
 
-def test_the_figures_are_served_as_text() -> None:
+def test_the_metrics_are_served_as_text() -> None:
     async def run() -> bytes:
         server = metrics_server("127.0.0.1:0", lambda: format_metrics({"queue": {"ready": 2}}))
         await server.start()
--- a/tests/roles/test_operator_server.py
+++ b/tests/roles/test_operator_server.py
@@ -1,4 +1,4 @@
-"""An operator's order that is passed on is sent once, whatever becomes of it."""
+"""A process forwards an operator's order exactly once, even if the call fails."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FailingTransport:
-    """A transport whose every call fails in one way."""
+    """A transport on which every call fails with the same error."""
 
     def __init__(self, failure: PeerError) -> None:
         self.address = "10.0.0.9:7780"
@@ -43,13 +43,13 @@
         raise self.failure
 
     def send(self, address: str, message: Any) -> None:
-        raise AssertionError("nothing is sent without an answer")
+        raise AssertionError("an order must use call, not send")
 
     async def start(self, handler: Handler) -> None:
-        raise AssertionError("not to be started here")
+        raise AssertionError("the forwarder must not start the transport")
 
     async def close(self) -> None:
-        raise AssertionError("not to be closed here")
+        raise AssertionError("the forwarder must not close the transport")
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=["silence", "reset", "nobody there", "another process"])
@@ -61,7 +61,7 @@
     transport = FailingTransport(failure)
 
     async def handle(message: Any) -> Any:
-        raise AssertionError("not decided here")
+        raise AssertionError("this process is not the head and must not handle the order")
 
     forward = OperatorForwarder("edge-1", state, transport, handle)
     with pytest.raises(PeerError):
@@ -70,32 +70,33 @@
 
 
 def test_an_order_whose_head_falls_silent_reaches_no_second_controller() -> None:
-    """The head has taken the order, its answer is lost: the controller that passed it on says 503, once."""
+    """If the head's response is lost, the forwarding controller returns 503 and does not send it again."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         cluster = ControllerCluster()
         await cluster.bootstrap_all()
         head = next(node for node in cluster.nodes.values() if node.running.is_head)
         other = next(node for node in cluster.nodes.values() if not node.running.is_head)
-        taken: dict[str, int] = dict.fromkeys(cluster.nodes, 0)
+        handled: dict[str, int] = dict.fromkeys(cluster.nodes, 0)
         for name, node in cluster.nodes.items():
             assert node.transport is not None
             handler = node.running.handle
 
             async def counting(message: Any, name: str = name, handler: Handler = handler) -> Any:
                 if isinstance(message, ChangeConfiguration):
-                    taken[name] += 1
+                    handled[name] += 1
                     answer = await handler(message)
-                    cluster.isolate(head.name)  # before its answer leaves
+                    cluster.isolate(head.name)  # before the head sends its response
                     return answer
                 return await handler(message)
 
             await node.transport.start(counting)
         assert await other.put(1, 0) == 503
-        assert taken == {name: int(name == head.name) for name in cluster.nodes}
+        assert handled == {name: int(name == head.name) for name in cluster.nodes}
         cluster.join_all()
-        await cluster.put_at_any_node(1, 0)  # unchanged, it is acknowledged: it has been taken, or is now
+        # The retried order is acknowledged, whether or not it was already applied.
+        await cluster.put_at_any_node(1, 0)
         answer = await other.running.handle(ReadConfiguration())
         assert isinstance(answer, OperatorResponse) and answer.status == 200
 
-    run_virtual(scene())
+    run_virtual(scenario())
