--- a/hollowusher/console/__init__.py
+++ b/hollowusher/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side of the whole service: the command line, and the status that it shows."""
+"""The operators' command line for edge and store processes, and the status reports that it displays."""
--- a/hollowusher/console/admin_client.py
+++ b/hollowusher/console/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to the admin addresses of a running system, for the command line."""
+"""HTTP client of the command line for the admin addresses of a running system."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 CALL_TIMEOUT_S = 4.0
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 1.0
-RETRIED_STATUSES = (408, 429)  # besides every 5xx: another process may give a clear answer
+RETRIED_STATUSES = (408, 429)  # retried like 5xx, because another process may be able to respond
 
 
 @attrs.frozen
 class AdminCallError:
-    """No clear answer: the step that was under way, the last peer asked, and the reason."""
+    """A call without a definite response: the step that failed, the last peer called, and the reason."""
 
     step: str
     peer: str
     reason: str
-    sent: bool = True  # False where it is certain that the peer never saw the call
+    sent: bool = True  # False if the peer certainly did not receive the request
 
     def __str__(self) -> str:
         return f"{self.step} at {self.peer}: {self.reason}"
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class AdminResponse:
-    """A clear answer: the process that gave it, its HTTP status and its body."""
+    """A definite response: the address of the process that sent it, its HTTP status and its body."""
 
     peer: str
     status: int
@@ -41,11 +41,11 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether what was asked for was done."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
     def json_value(self) -> Any:
-        """The body's JSON value, None where it is none."""
+        """Return the decoded JSON body, or None if the body is not JSON."""
         try:
             return orjson.loads(self.body)
         except orjson.JSONDecodeError:
@@ -53,7 +53,7 @@
 
     @property
     def reason(self) -> str:
-        """Why it was refused, in the system's words."""
+        """The error text of a rejection: the `error` field of the body, else the body or the status."""
         json_value = self.json_value()
         if isinstance(json_value, dict) and isinstance(json_value.get("error"), str):
             return str(json_value["error"])
@@ -61,7 +61,10 @@
 
 
 class AdminClient:
-    """The admin addresses ("host:port") of a system, asked in turn until one gives a clear answer."""
+    """Sends requests to the admin addresses ("host:port") in turn until one gives a definite response.
+
+    A response is definite unless its status is 5xx or one of `RETRIED_STATUSES`.
+    """
 
     def __init__(self, session: aiohttp.ClientSession, addresses: Sequence[str]) -> None:
         self._session = session
@@ -76,7 +79,11 @@
         headers: Mapping[str, str] | None = None,
         within_s: float = CALL_TIMEOUT_S,
     ) -> Result[AdminResponse, AdminCallError]:
-        """The first clear answer; the same request is sent again, to the next address, until then."""
+        """Return the first definite response, or the last error after `within_s` seconds.
+
+        The same request is retried on all addresses in turn with exponential backoff, so it must be safe to
+        repeat.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + within_s
         step = f"{method} {path}"
@@ -94,8 +101,10 @@
     async def request_once(
         self, method: str, path: str, body: bytes, within_s: float
     ) -> Result[AdminResponse, AdminCallError]:
-        """The answer to an order that must not come twice: the next address is tried only where the one
-        before cannot have seen it."""
+        """Send a request that must be executed at most once, with a timeout of `within_s` seconds per call.
+
+        The next address is tried only if the previous process certainly did not receive the request.
+        """
         for address in self._addresses:
             result = await self._call(f"{method} {path}", address, body, None, within_s)
             if result.is_ok() or result.error.sent:
@@ -105,7 +114,7 @@
     async def get_from(
         self, address: str, path: str, timeout_s: float
     ) -> Result[AdminResponse, AdminCallError]:
-        """One process's answer to one GET."""
+        """Send one GET to one process, without retries."""
         return await self._call(f"GET {path}", address, None, None, timeout_s)
 
     async def _call(
--- a/hollowusher/console/commands.py
+++ b/hollowusher/console/commands.py
@@ -1,4 +1,4 @@
-"""The command line of the whole service: `python -m hollowusher local` and `python -m hollowusher system`."""
+"""The command line for edge and store processes: `python -m hollowusher local` and `... system`."""
 
 from __future__ import annotations
 
--- a/hollowusher/console/control_report.py
+++ b/hollowusher/console/control_report.py
@@ -1,4 +1,4 @@
-"""How control stands, as the command line reads it from `GET /control` and shows it.  No I/O."""
+"""Decodes the control status from `GET /control` and formats it as text.  No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def parse_control_status(answer: AdminResponse) -> Result[ControlStatus, AdminCallError]:
-    """The status in an answer's body; fields that are not known here are left out."""
+    """Decode the control status from a response; unknown fields are ignored."""
     document = answer.json_value()
     if not answer.is_success or not isinstance(document, dict):
         return Error(
@@ -31,7 +31,7 @@
 
 
 def control_summary(status: ControlStatus) -> list[tuple[str, str]]:
-    """The control's part of the overview, as names and texts."""
+    """Return the controllers' part of the overview as (label, text) pairs."""
     heard = sum(voter.heard for voter in status.voters)
     role = "leads" if status.leads else "does not lead: others may know more"
     controllers, stores = _losses_text(status.controller_losses_borne), _store_losses_text(status)
@@ -58,7 +58,7 @@
 
 
 def format_voters(status: ControlStatus) -> str:
-    """The voters: who is heard, who is in the chain, and how far each has caught up."""
+    """Format a table of the voters: reachability, position in the chain and replication lag."""
     newest = max((tuple(voter.state_version) for voter in status.voters), default=())
     rows: list[list[Cell]] = [
         [
@@ -84,7 +84,7 @@
 
 
 def _version(voter: VoterStatus) -> str:
-    """Epoch and sequence of the newest state on its disk."""
+    """Return EPOCH/SEQUENCE of the newest state on the voter's disk."""
     return "/".join(str(number) for number in voter.state_version) or NONE
 
 
@@ -98,7 +98,7 @@
 
 
 def format_partitions(status: ControlStatus) -> str:
-    """The partitions that lack replicas or are being copied, empty where there are none."""
+    """Format a table of the partitions with missing replicas or learners; empty if there are none."""
     rows: list[list[Cell]] = [
         [
             entry.partition,
@@ -115,10 +115,10 @@
 
 
 def control_problems(status: ControlStatus) -> list[str]:
-    """What is not as it should be, one line each."""
-    found = []
+    """Return the problems of the controllers and partitions, one line each."""
+    problems = []
     if not status.leads:
-        found.append(f"no head answers: {status.answered_by} alone tells how control stands")
+        problems.append(f"no head answers: {status.answered_by} alone tells how control stands")
     wanted = len(status.voters) - status.majority
     if status.controller_losses_borne < wanted:
         unheard = [voter.name for voter in status.voters if not voter.heard]
@@ -126,16 +126,16 @@
         reasons = [f"not heard: {', '.join(unheard)}"] if unheard else []
         reasons += [f"without the whole state: {', '.join(behind)}"] if behind else []
         losses_borne = _losses_text(status.controller_losses_borne)
-        found.append(
-            "; ".join([f"margin of the controllers: {losses_borne}, whole it is {wanted}", *reasons])
+        problems.append(
+            "; ".join([f"fault tolerance of the controllers: {losses_borne}, normally {wanted}", *reasons])
         )
     for entry in status.partitions:
         if entry.lost:
-            found.append(
+            problems.append(
                 f"partition {entry.partition} is lost: {entry.living} of {entry.replicas} replicas live; "
-                "it returns with them, or by `system recover-partition`"
+                "restart the stores of the other replicas, or use `system recover-partition`"
             )
-    return found
+    return problems
 
 
 def _store_name(store_id: str) -> str:
--- a/hollowusher/console/local/__init__.py
+++ b/hollowusher/console/local/__init__.py
@@ -1,1 +1,1 @@
-"""A small whole system on loopback: real processes of both roles, with stand-ins for all that is outside."""
+"""Runs a small system on loopback: real edge and store processes, with stubs of all external services."""
--- a/hollowusher/console/local/command.py
+++ b/hollowusher/console/local/command.py
@@ -1,4 +1,4 @@
-"""`python -m hollowusher local`: start a small whole system, send messages through it, show their ends."""
+"""`python -m hollowusher local`: start a small system, send messages through it and show their outcomes."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     plan_messages,
 )
 
-START_WITHIN_S = 40.0
-END_WITHIN_S = 60.0
-POLL_S = 0.1
+START_TIMEOUT_S = 40.0
+OUTCOME_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
 PUSH_WORKERS = 3
 PULL_WORKERS = 4
 CAPACITY = 4
@@ -49,7 +49,7 @@
 
 
 class LocalError(Exception):
-    """The local system could not be brought to serve, or did not do what it should; the text says why."""
+    """The local system did not start, or a message did not have the expected outcome; the text says why."""
 
 
 @click.command("local")
@@ -59,11 +59,11 @@
 @click.option("--each", "show_each", is_flag=True, help="Show a line for each message.")
 @click.option("--keep", is_flag=True, help="Leave the system running until Ctrl-C.")
 def local(edges: int, stores: int, messages: int, show_each: bool, keep: bool) -> None:
-    """Start a small whole system on loopback, send messages through it and show their ends.
+    """Start a small but complete system on loopback, send messages through it and show their outcomes.
 
-    Real processes of both roles, with stand-ins for the platform's list, the workers and a call-back
-    receiver inside this command.  All files lie in a folder that is removed at the end (kept after a
-    failure)."""
+    The system consists of real processes of both roles.  This command itself contains stubs for the
+    platform's worker list, the workers and a callback receiver.  All files are in a temporary folder, which
+    is removed at the end unless a failure occurs."""
     folder = Path(tempfile.mkdtemp(prefix="hollowusher-local-"))
     try:
         asyncio.run(_run(folder, edges, stores, messages, show_each, keep))
@@ -94,7 +94,7 @@
 async def _run_session(
     folder: Path, edges: int, stores: int, messages: int, show_each: bool, keep_until: asyncio.Event | None
 ) -> None:
-    """One whole run; with `keep_until` the system then serves until that is set."""
+    """Run the system and the messages once; with `keep_until`, keep the system running until it is set."""
     random_source = random.Random()
     progress = ProgressLines()
     layout = make_layout(edges, stores, random_source)
@@ -109,39 +109,39 @@
         processes.start()
         progress.show(f"{edges} edge and {stores} store processes started, files in {folder}")
         await _configure(layout, session, processes, stubs)
-        progress.show(f"configuration taken: {len(TRAFFIC_CLASSES)} routes")
+        progress.show(f"configuration accepted: {len(TRAFFIC_CLASSES)} routes")
         await _wait_ready(layout, session, processes)
         progress.show("every edge process is ready")
         sent = plan_messages(messages, stubs.receiver.address)
         traffic = TrafficClient(session, stubs.frontends, random_source)
         await _while_processes_run(processes, traffic.send(sent))
         progress.show(f"{messages} messages sent")
-        await _while_processes_run(processes, traffic.follow(sent, stubs.receiver, END_WITHIN_S))
-        progress.show("ends asked for")
+        await _while_processes_run(processes, traffic.follow(sent, stubs.receiver, OUTCOME_TIMEOUT_S))
+        progress.show("outcomes of the messages read")
         if show_each:
             click.echo(format_messages(sent, stubs.history) + "\n")
         click.echo(format_summary(sent))
-        found = find_failures(sent, stubs.history, stubs.receiver)
+        failures = find_failures(sent, stubs.history, stubs.receiver)
         if keep_until is not None:
             _print_next_steps(layout)
             await keep_until.wait()
-    if found:
-        raise LocalError("\n".join(found))
+    if failures:
+        raise LocalError("\n".join(failures))
 
 
 class ProgressLines:
-    """Lines on standard error with the seconds since the start."""
+    """Prints progress lines with the seconds since the start to standard error."""
 
     def __init__(self) -> None:
         self._started = time.monotonic()
 
     def show(self, text: str) -> None:
-        """One line."""
+        """Print one line."""
         click.echo(f"{time.monotonic() - self._started:6.1f} s  {text}", err=True)
 
 
 class StubServices:
-    """Everything outside the system."""
+    """The stubs of all external services: platform, callback receiver and workers."""
 
     def __init__(
         self, layout: LocalLayout, session: aiohttp.ClientSession, random_source: random.Random
@@ -165,7 +165,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start all but the pull workers' calls."""
+        """Start the servers, list the push workers on the platform, and start the pull workers."""
         for server in (self.platform, self.receiver, self.fixed, *self._push):
             await server.start()
         self.platform.workers = [
@@ -175,7 +175,7 @@
         self._tasks = [asyncio.get_running_loop().create_task(worker.run()) for worker in self._pull]
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop the pull workers and the servers."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -186,24 +186,24 @@
 async def _configure(
     layout: LocalLayout, session: aiohttp.ClientSession, processes: LocalProcesses, stubs: StubServices
 ) -> None:
-    """Put the configuration, again until the system takes it."""
+    """Send the configuration, with retries until the system accepts it."""
     client = AdminClient(session, [machine.address("admin") for machine in layout.of_role(EDGE)])
     body = orjson.dumps(make_configuration(stubs.fixed.address))
     result = await _while_processes_run(
         processes,
-        client.request("PUT", "/config", body=body, headers={"If-Match": "0"}, within_s=START_WITHIN_S),
+        client.request("PUT", "/config", body=body, headers={"If-Match": "0"}, within_s=START_TIMEOUT_S),
     )
     if result.is_error():
         failure: AdminCallError = result.error
-        raise LocalError(f"the configuration was not taken: {failure}")
+        raise LocalError(f"no process accepted the configuration: {failure}")
     if not result.ok.is_success:
-        raise LocalError(f"the configuration was refused: {result.ok.reason}")
+        raise LocalError(f"the configuration was rejected: {result.ok.reason}")
 
 
 async def _wait_ready(layout: LocalLayout, session: aiohttp.ClientSession, processes: LocalProcesses) -> None:
-    """Wait until every edge process says that it can serve."""
+    """Wait until the readiness check of every edge process succeeds."""
     client = AdminClient(session, [])
-    deadline = asyncio.get_running_loop().time() + START_WITHIN_S
+    deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
     for machine in layout.of_role(EDGE):
         while True:
             processes.check()
@@ -211,17 +211,17 @@
             if answer.is_ok() and answer.ok.is_success:
                 break
             if asyncio.get_running_loop().time() > deadline:
-                raise LocalError(f"{machine.name} is not ready within {START_WITHIN_S:g} s")
-            await asyncio.sleep(POLL_S)
+                raise LocalError(f"{machine.name} is not ready within {START_TIMEOUT_S:g} s")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def _while_processes_run(processes: LocalProcesses, work: Awaitable[Value]) -> Value:
-    """Do some work; a process that ends meanwhile breaks it off."""
+    """Run an awaitable; raise `ProcessEnded` and cancel it if a process of the system ends meanwhile."""
     task = asyncio.ensure_future(work)
     try:
         while not task.done():
             processes.check()
-            await asyncio.wait({task}, timeout=POLL_S)
+            await asyncio.wait({task}, timeout=POLL_INTERVAL_S)
     finally:
         task.cancel()
     return task.result()
@@ -235,7 +235,7 @@
 def _print_next_steps(layout: LocalLayout) -> None:
     admin = layout.of_role(EDGE)[0].address("admin")
     click.echo(
-        f"\nThe system runs on; Ctrl-C ends it.  In another terminal:\n"
+        f"\nThe system keeps running until Ctrl-C.  In another terminal:\n"
         f"    export HOLLOWUSHER_AT={admin}\n"
         f"    python -m hollowusher system status"
     )
--- a/hollowusher/console/local/layout.py
+++ b/hollowusher/console/local/layout.py
@@ -1,4 +1,4 @@
-"""Where the processes of a local system listen, and the settings file of each."""
+"""Chooses the addresses of a local system's processes and writes their settings files."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 EDGE = "edge"
 STORE = "store"
 ENDPOINTS = ("frontend", "readiness", "admin", "internal", "status")
-LOWEST_PORT, HIGHEST_PORT = 20_000, 30_000  # below the range that the kernel gives to outgoing connections
+LOWEST_PORT, HIGHEST_PORT = 20_000, 30_000  # below the kernel's range of ephemeral ports
 MAX_ATTEMPTS = 50
 GRACE_S = 4
 TOLERATED = 1
 MAX_SEEDS = 3
 DISK_MB = {EDGE: 16, STORE: 64}
-STAND_IN_HOST = 250  # the last number of the address that all stand-ins share
+STUB_HOST = 250  # last octet of the IP address that all stubs share
 
 
 class LayoutError(Exception):
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class LocalMachine:
-    """One process of the system, as if alone on its machine."""
+    """A simulated machine, which runs one process and has its own loopback address."""
 
     name: str
     role: str
@@ -38,24 +38,30 @@
     ports: dict[str, int]
 
     def address(self, endpoint: str) -> str:
-        """Where one side of it listens ("ip:port")."""
+        """Return the listen address ("ip:port") of an endpoint, one of `ENDPOINTS`."""
         return f"{self.ip}:{self.ports[endpoint]}"
 
 
 @attrs.frozen
 class LocalLayout:
-    """All machines of a local system."""
+    """The machines of a local system, and the IP address of the stubs."""
 
     machines: list[LocalMachine]
     stand_in_ip: str
 
     def of_role(self, role: str) -> list[LocalMachine]:
-        """The machines of one role."""
+        """Return the machines of one role."""
         return [machine for machine in self.machines if machine.role == role]
 
 
 def make_layout(edges: int, stores: int, random_source: random.Random) -> LocalLayout:
-    """A layout on loopback addresses of its own whose ports are free; zones are dealt in turn."""
+    """Choose random loopback addresses whose ports are free; zones are assigned round-robin.
+
+    Raises
+    ------
+    LayoutError
+        If `MAX_ATTEMPTS` random layouts all contain a port that is in use.
+    """
     for _ in range(MAX_ATTEMPTS):
         layout = _random_layout(edges, stores, random_source)
         if _has_free_ports(layout):
@@ -73,7 +79,7 @@
         LocalMachine(f"{role}-{number}", role, f"zone-{'abc'[(number - 1) % 3]}", f"{net}.{index}", ports)
         for index, (role, number) in enumerate(names, start=1)
     ]
-    return LocalLayout(machines, f"{net}.{STAND_IN_HOST}")
+    return LocalLayout(machines, f"{net}.{STUB_HOST}")
 
 
 def _has_free_ports(layout: LocalLayout) -> bool:
@@ -89,7 +95,7 @@
 
 
 def write_settings(layout: LocalLayout, folder: Path, platform_list: str) -> dict[str, Path]:
-    """Write each machine's settings file and make its data folder; the files by the machine's name."""
+    """Write each machine's settings file and create its data folder; return the files by machine name."""
     seeds = [machine.address("admin") for machine in layout.of_role(EDGE)[:MAX_SEEDS]]
     files = {}
     for machine in layout.machines:
@@ -101,7 +107,7 @@
 
 
 def settings_text(machine: LocalMachine, data: Path, seeds: Iterable[str], platform_list: str) -> str:
-    """One machine's settings file."""
+    """Return the text of one machine's settings file."""
     serves = ["edge", "control_plane"] if machine.role == EDGE else ["storage"]
     machine_class = "edge" if machine.role == EDGE else "storage"
     endpoints = ("frontend", "readiness", "admin") if machine.role == EDGE else ()
@@ -145,7 +151,7 @@
 
 
 def _text(value: object) -> str:
-    """A basic string of TOML, whose escapes are JSON's."""
+    """Return a TOML basic string; its escape sequences are the same as in JSON."""
     return json.dumps(str(value), ensure_ascii=False)
 
 
--- a/hollowusher/console/local/processes.py
+++ b/hollowusher/console/local/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a local system: started, watched and ended by their own handles."""
+"""Starts, monitors and stops the processes of a local system."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from hollowusher.console.local.layout import GRACE_S, LocalLayout
 
 SETTINGS_VARIABLE = "HOLLOWUSHER_CONFIG"
-END_MARGIN_S = 3.0  # given beyond the grace before a process is killed
+END_MARGIN_S = 3.0  # time after the grace period before a process is killed
 LOG_LINES_SHOWN = 5
 ROOT = Path(hollowusher.__file__).resolve().parent.parent
 
 
 class ProcessEnded(Exception):
-    """A process has ended by itself; the text holds its last log lines."""
+    """A process exited unexpectedly; the text contains its last log lines."""
 
 
 class LocalProcesses:
-    """The processes of one layout; each one's log is `NAME/log` in the folder."""
+    """The processes of one layout; the log of the process NAME is the file `NAME/log` in `folder`."""
 
     def __init__(self, layout: LocalLayout, folder: Path, settings: Mapping[str, Path]) -> None:
         self._layout = layout
@@ -33,7 +33,7 @@
         self.running: dict[str, subprocess.Popen[bytes]] = {}
 
     def start(self) -> None:
-        """Start all of them."""
+        """Start all processes."""
         for machine in self._layout.machines:
             environment = dict(os.environ, PYTHONPATH=str(ROOT))
             environment[SETTINGS_VARIABLE] = str(self._settings[machine.name])
@@ -48,19 +48,19 @@
                 )
 
     def check(self) -> None:
-        """Raise `ProcessEnded` if one has ended."""
+        """Raise `ProcessEnded` if a process has exited."""
         for name, process in self.running.items():
             code = process.poll()
             if code is not None:
                 raise ProcessEnded(f"{name} has ended with code {code}:\n{self._last_lines(name)}")
 
     def stop(self) -> list[str]:
-        """End all of them in order; the names of those that had to be killed or ended with a failure."""
+        """Terminate all processes; return the names of those that were killed or exited with an error."""
         for process in self.running.values():
             with suppress(ProcessLookupError):
                 process.terminate()
         deadline = time.monotonic() + GRACE_S + END_MARGIN_S
-        failed = [name for name, process in self.running.items() if not _ended(process, deadline)]
+        failed = [name for name, process in self.running.items() if not _wait_or_kill(process, deadline)]
         self.running.clear()
         return failed
 
@@ -71,8 +71,8 @@
         return "\n".join(self._log(name).read_text(errors="replace").splitlines()[-LOG_LINES_SHOWN:])
 
 
-def _ended(process: subprocess.Popen[bytes], deadline: float) -> bool:
-    """Wait for a process until the deadline, then kill it; whether it ended by itself and well."""
+def _wait_or_kill(process: subprocess.Popen[bytes], deadline: float) -> bool:
+    """Wait for a process until the deadline, then kill it; return whether it exited with code 0 in time."""
     try:
         return process.wait(max(0.0, deadline - time.monotonic())) == 0
     except subprocess.TimeoutExpired:
--- a/hollowusher/console/local/stub_services.py
+++ b/hollowusher/console/local/stub_services.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what is outside the system: the platform's list, workers of each kind, a call-back receiver.
+"""Stubs of the external services: the platform's worker list, workers of each kind, a callback receiver.
 
-All of them listen on one loopback address, at ports that the kernel gives, and run in the command's own
-event loop.
+The servers listen on one loopback address, on ports that the kernel assigns.  All stubs run in the event loop
+of the command.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import orjson
 from aiohttp import web
 
-FAILING_BODY = b"poison"  # a body that workers refuse for good
-FAILING_ONCE_BODY = b"flaky"  # a body whose first delivery fails
+FAILING_BODY = b"poison"  # workers reject messages with this body permanently (422)
+FAILING_ONCE_BODY = b"flaky"  # the first delivery of a message with this body fails (500)
 PULL_WAIT_MS = 1000
 PAUSE_AFTER_FAILURE_S = 0.2
 WORK_S = 0.02
@@ -25,14 +25,14 @@
 
 
 class StubWorkerHistory:
-    """What the workers did: the signature of each message's success, and how often it was delivered."""
+    """Records the signature of each message's successful delivery and the number of its deliveries."""
 
     def __init__(self) -> None:
         self.signatures: dict[str, str] = {}
         self.deliveries: dict[str, int] = {}
 
     def run(self, worker: str, message_id: str, body: bytes) -> tuple[int, str]:
-        """The status and signature of one delivery."""
+        """Record one delivery and return the worker's HTTP status and signature."""
         count = self.deliveries[message_id] = self.deliveries.get(message_id, 0) + 1
         if body.startswith(FAILING_BODY):
             return 422, ""
@@ -44,14 +44,14 @@
 
 
 class StubServer:
-    """A server on one address; `address` holds its port once it has started."""
+    """Base class of the HTTP stubs; `address` is the IP address, and "ip:port" after the start."""
 
     def __init__(self, ip: str) -> None:
         self.address = ip
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        """Listen at a free port."""
+        """Listen on a free port."""
         self._runner = web.ServerRunner(web.Server(self.answer, access_log=None))
         await self._runner.setup()
         await web.TCPSite(self._runner, self.address, 0).start()
@@ -59,18 +59,18 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close all connections."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a request."""
+        """Handle a request and return the response."""
         raise NotImplementedError
 
 
 @attrs.frozen
 class StubInstance:
-    """An entry of the platform's list."""
+    """An entry of the platform's worker list."""
 
     id: str
     service: str
@@ -80,7 +80,7 @@
 
 
 class StubPlatform(StubServer):
-    """`GET /instances`."""
+    """The platform's API, which lists `workers` at `GET /instances`."""
 
     def __init__(self, ip: str) -> None:
         super().__init__(ip)
@@ -107,7 +107,7 @@
 
 
 class StubPushWorker(StubServer):
-    """A worker that is sent its jobs: a listed one, or a fixed endpoint."""
+    """A worker to which the system sends jobs: one in the platform's list, or a fixed endpoint."""
 
     def __init__(self, ip: str, name: str, history: StubWorkerHistory) -> None:
         super().__init__(ip)
@@ -131,7 +131,7 @@
 
 
 class StubCallbackReceiver(StubServer):
-    """Takes call-backs; `received` holds the state and signature reported for each message."""
+    """Receives callbacks; `received` holds the reported state and signature of each message."""
 
     def __init__(self, ip: str) -> None:
         super().__init__(ip)
@@ -144,7 +144,7 @@
 
 
 class StubPullWorker:
-    """A worker that asks for its jobs, one at a time, at any of the system's entries."""
+    """A worker that pulls one job at a time from a random frontend of the system."""
 
     def __init__(
         self,
@@ -163,14 +163,14 @@
         self._random_source = random_source
 
     async def run(self) -> None:
-        """Ask, work and report until cancelled."""
+        """Pull jobs, execute them and report the results until cancelled."""
         while True:
             try:
-                await self._turn()
+                await self._pull_once()
             except (aiohttp.ClientError, TimeoutError, OSError):
                 await asyncio.sleep(PAUSE_AFTER_FAILURE_S)
 
-    async def _turn(self) -> None:
+    async def _pull_once(self) -> None:
         headers = {"X-Instance-Id": self.name, "X-Wait-Ms": str(PULL_WAIT_MS)}
         async with self._session.post(self._url(f"/pull/{self._service}"), headers=headers) as response:
             body = await response.read()
@@ -182,10 +182,12 @@
             lease = response.headers["X-Lease-Id"]
         await asyncio.sleep(WORK_S)
         status, signature = self._history.run(self.name, message_id, body)
-        await self._end(message_id, {"X-Lease-Id": lease, "X-Job-Result": str(status), SIGNATURE: signature})
+        await self._report_result(
+            message_id, {"X-Lease-Id": lease, "X-Job-Result": str(status), SIGNATURE: signature}
+        )
 
-    async def _end(self, message_id: str, headers: dict[str, str]) -> None:
-        """Report the end until it is taken, or the lease is gone."""
+    async def _report_result(self, message_id: str, headers: dict[str, str]) -> None:
+        """Report the result, with retries until it is accepted (200) or the lease has been lost (409)."""
         while True:
             with suppress(aiohttp.ClientError, TimeoutError, OSError):
                 url = self._url(f"/job-end/{message_id}")
--- a/hollowusher/console/local/traffic.py
+++ b/hollowusher/console/local/traffic.py
@@ -1,4 +1,4 @@
-"""Messages through a local system: sending them, reading their states, and formatting them as tables."""
+"""Sends messages to a local system, reads their states, checks their outcomes and formats them as tables."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 MAX_ATTEMPTS = 8
 CLIENT_DEADLINE_MS = 2000
 CALL_TIMEOUT_S = 3.0
-ASK_EVERY_S = 0.1
-FAILING_EVERY = 10  # of the messages to listed workers, one in so many can never be done
-FAILING_ONCE_EVERY = 7  # of those to pull workers, one in so many fails at its first delivery
+POLL_INTERVAL_S = 0.1
+FAILING_EVERY = 10  # every 10th message to listed workers fails permanently
+FAILING_ONCE_EVERY = 7  # the first delivery of every 7th message to pull workers fails
 COMPLETED = "completed"
 DEAD_LETTER = "dead_letter"
 
 
 @attrs.frozen
 class TrafficClass:
-    """One kind of message: its route and service, and how its worker gets it."""
+    """One kind of message: its service, the path of its route, and the kind of worker that executes it."""
 
     service: str
     path: str
@@ -56,33 +56,33 @@
 
 @attrs.define
 class LocalMessage:
-    """One message and what has become of it."""
+    """One message with the response to it, its last known state and its callback."""
 
     number: int
     traffic_class: TrafficClass
     body: bytes
     callback_url: str
     id: str = ""
-    response_status: int = 0  # the status of the last answer to it, 0 for none
+    response_status: int = 0  # HTTP status of the last response, 0 if there was none
     response_ms: float = 0.0
     reference: str = ""
     state: str = ""
     signature: str = ""
-    callback_received: bool = False  # its call-back has come
+    callback_received: bool = False
 
     @property
     def expected(self) -> str:
-        """How it is to end."""
+        """The expected final state."""
         return DEAD_LETTER if self.body.startswith(FAILING_BODY) else COMPLETED
 
     @property
     def ended(self) -> bool:
-        """Whether its state is an end."""
+        """Whether the message is in a final state."""
         return self.state in (COMPLETED, DEAD_LETTER)
 
 
 def make_configuration(fixed_endpoint: str) -> dict[str, Any]:
-    """The configuration that the local system is given."""
+    """Return the configuration of the local system; `fixed_endpoint` is "host:port"."""
     routes = [
         {
             "name": f"r-{traffic_class.service}",
@@ -125,7 +125,7 @@
 
 
 def plan_messages(messages: int, receiver: str) -> list[LocalMessage]:
-    """The messages of a run, kinds in turn."""
+    """Return the messages of a run, with the traffic classes in rotation; `receiver` is "host:port"."""
     sent = []
     for number in range(messages):
         traffic_class = TRAFFIC_CLASSES[number % len(TRAFFIC_CLASSES)]
@@ -141,7 +141,7 @@
 
 
 class TrafficClient:
-    """Sends messages to the entries ("host:port") of a system and follows each to its end."""
+    """Sends messages to random frontends ("host:port") of a system and polls their states."""
 
     def __init__(
         self, session: aiohttp.ClientSession, frontends: Sequence[str], random_source: random.Random
@@ -151,16 +151,19 @@
         self._random_source = random_source
 
     async def send(self, messages: Sequence[LocalMessage]) -> None:
-        """Send all, some at a time; those about one thing in their order."""
-        waiting = [messages[first::SENDERS] for first in range(SENDERS)]
+        """Send all messages with `SENDERS` concurrent senders, each of which sends its share in order."""
+        batches = [messages[first::SENDERS] for first in range(SENDERS)]
         async with asyncio.TaskGroup() as tasks:
-            for batch in waiting:
+            for batch in batches:
                 tasks.create_task(self._send_each(batch))
 
     async def follow(
         self, messages: Sequence[LocalMessage], receiver: StubCallbackReceiver, within_s: float
     ) -> None:
-        """Ask for each accepted message's state until it has ended and its call-back has come."""
+        """Poll each accepted message until it is in a final state and its callback has arrived.
+
+        The polling stops after `within_s` seconds.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(within_s), asyncio.TaskGroup() as tasks:
                 for message in messages:
@@ -172,7 +175,10 @@
             await self._send_one(message)
 
     async def _send_one(self, message: LocalMessage) -> None:
-        """Send one; after a refusal, which promises that it never runs, again as a new try."""
+        """Send one message; after a 429 or 503, retry it under a new id, up to `MAX_ATTEMPTS` times.
+
+        A new id is safe because these statuses guarantee that the rejected message is never executed.
+        """
         loop = asyncio.get_running_loop()
         for attempt in range(1, MAX_ATTEMPTS + 1):
             message.id = f"local-{message.number}-{attempt}"
@@ -204,7 +210,7 @@
             message.callback_received = message.id in receiver.received
             if message.ended and (message.callback_received or not message.callback_url):
                 return
-            await asyncio.sleep(ASK_EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _read_state(self, message: LocalMessage) -> None:
         with suppress(aiohttp.ClientError, TimeoutError, OSError):
@@ -236,23 +242,23 @@
 def find_failures(
     messages: Sequence[LocalMessage], history: StubWorkerHistory, receiver: StubCallbackReceiver
 ) -> list[str]:
-    """What is not as it has to be, one line each."""
-    found = []
+    """Return the messages whose outcome differs from the expected one, one line each."""
+    failures = []
     for message in messages:
         label = f"message {message.number} ({message.traffic_class.service})"
         if message.response_status != 202:
-            found.append(f"{label}: not accepted, last answer {message.response_status or 'none'}")
+            failures.append(f"{label}: not accepted, last answer {message.response_status or 'none'}")
         elif message.state != message.expected:
-            found.append(f"{label}: {message.state or 'unknown'} where {message.expected} was to come")
+            failures.append(f"{label}: {message.state or 'unknown'} where {message.expected} was to come")
         elif message.state == COMPLETED and message.signature != history.signatures.get(message.id):
-            found.append(f"{label}: its signature is not that of its run")
+            failures.append(f"{label}: its signature is not that of its run")
         elif message.callback_url and receiver.received.get(message.id) != (message.state, message.signature):
-            found.append(f"{label}: its call-back has not come, or says something else")
-    return found
+            failures.append(f"{label}: its call-back has not come, or says something else")
+    return failures
 
 
 def format_summary(messages: Sequence[LocalMessage]) -> str:
-    """A table with a line for each kind."""
+    """Format a table with one row per traffic class."""
     headers = [
         "service",
         "sent to",
@@ -266,18 +272,18 @@
     ]
     rows: list[list[Cell]] = []
     for traffic_class in TRAFFIC_CLASSES:
-        own = [message for message in messages if message.traffic_class is traffic_class]
-        accepted = [message for message in own if message.response_status == 202]
+        of_class = [message for message in messages if message.traffic_class is traffic_class]
+        accepted = [message for message in of_class if message.response_status == 202]
         rows.append(
             [
                 traffic_class.service,
                 traffic_class.worker,
-                len(own),
+                len(of_class),
                 len(accepted),
-                _count(own, COMPLETED),
-                _count(own, DEAD_LETTER),
+                _count(of_class, COMPLETED),
+                _count(of_class, DEAD_LETTER),
                 sum(not message.ended for message in accepted),
-                sum(message.callback_received for message in own),
+                sum(message.callback_received for message in of_class),
                 statistics.median(message.response_ms for message in accepted) if accepted else 0.0,
             ]
         )
@@ -285,7 +291,7 @@
 
 
 def format_messages(messages: Sequence[LocalMessage], history: StubWorkerHistory) -> str:
-    """A table with a line for each message."""
+    """Format a table with one row per message."""
     headers = ["message", "service", "reference", "state", "deliveries", "signature"]
     return format_table(
         headers,
--- a/hollowusher/console/status_api.py
+++ b/hollowusher/console/status_api.py
@@ -1,8 +1,8 @@
 """`GET /status`, `GET /control` and `GET /messages/REFERENCE` on an edge process's admin address.
 
-Answers come from what the process knows; a message's state is asked of its partition's primary, and how
-control stands of the chain's head.  The report's module is loaded at the first question, so that a start
-need not.
+`/status` is answered from the local cluster state.  The state of a message is requested from the primary of
+its partition, and the control status from the controllers.  The report module is imported on the first
+request, so that it does not delay the start.
 """
 
 from __future__ import annotations
@@ -28,14 +28,17 @@
 
 
 class MessageStates(Protocol):
-    """What is needed of the stores' client."""
+    """The part of the store client that `StatusApi` uses."""
 
     async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
-        """Read the state of a message."""
+        """Read the state of a message before `deadline`, in seconds of the event loop's clock."""
 
 
 class StatusApi:
-    """The handlers of one process.  `me` gives its present registration, `clock` the event loop's time."""
+    """The HTTP handlers of one edge process.
+
+    `me` returns the process's current member record, `clock` the time of the event loop in seconds.
+    """
 
     def __init__(
         self,
@@ -53,15 +56,15 @@
         self._ready = ready
         self._figures = figures
         self._clock = clock
-        self._ask_control = control
+        self._query_control = control
         self._started = self._workers_changed = clock()
         state.add_listener(self._on_change)
 
     def add_routes(self, application: web.Application) -> None:
-        """Serve the paths from an application."""
+        """Add the handlers to an application."""
         application.router.add_get(STATUS_PATH, self._status)
         application.router.add_get(MESSAGE_PATH, self._message)
-        if self._ask_control is not None:
+        if self._query_control is not None:
             application.router.add_get(CONTROL_PATH, self._control)
 
     def _on_change(self, key: str) -> None:
@@ -87,8 +90,8 @@
         return _json(200, report)
 
     async def _control(self, request: web.Request) -> web.Response:
-        assert self._ask_control is not None
-        status = await self._ask_control()
+        assert self._query_control is not None
+        status = await self._query_control()
         if status is None:
             return _json(503, {"error": "no controller answers"})
         return _json(200, as_document(status))
@@ -111,7 +114,7 @@
         )
 
     def _partition_fields(self, reference: str) -> dict[str, object]:
-        """The partition that keeps a message, as far as it is known here."""
+        """Return the partition, epoch and primary of a message; empty if the partition is not known."""
         number = reference.partition("-")[0]
         entry = (
             self._state.partition_placement(int(number)) if number.isascii() and number.isdigit() else None
--- a/hollowusher/console/status_report.py
+++ b/hollowusher/console/status_report.py
@@ -1,8 +1,7 @@
-"""What one edge process tells of the system and of itself, as data.
+"""The data model of the status that one edge process reports about the system and itself.
 
-Plain dataclasses: the process writes them with orjson as they are, the command line reads them with
-mashumaro.
-The JSON's keys are the fields' names.  Lists are bounded; where one was cut, the totals beside it are whole.
+The process serializes these dataclasses with orjson, and the command line decodes them with mashumaro.  The
+JSON keys are the field names.  Lists are truncated to a maximum length; the totals always count all entries.
 """
 
 from __future__ import annotations
@@ -20,15 +19,15 @@
 MAX_PARTITIONS = 256
 
 PRESENT = "present"
-DEAD = "dead"  # its process is not there
-OTHER_DISK = "other disk"  # the machine is there with another disk than the one that held the copy
-UNKNOWN = "unknown"  # no such machine is known
+DEAD = "dead"  # the store process is not alive
+OTHER_DISK = "other disk"  # the store has a different disk than the one that holds the replica
+UNKNOWN = "unknown"  # no such store is a member
 READY = "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessReport:
-    """The process that answers.  `generation` is the configuration it serves, 0 for none."""
+    """The reporting process.  `generation` is that of its configuration, 0 if it has none."""
 
     name: str
     zone: str
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewReport:
-    """The agreed view of the controllers, the chain from head to tail."""
+    """The decided view: its epoch, its voters and the control chain from head to tail."""
 
     epoch: int
     chain: list[str]
@@ -50,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaReport:
-    """One copy of a partition, by the name of its machine."""
+    """One replica of a partition: the name of its store, and whether the replica is available."""
 
     store: str
     state: str  # PRESENT | DEAD | OTHER_DISK | UNKNOWN
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionReport:
-    """One partition: its epoch, its primary's machine and its copies."""
+    """One partition: its epoch, the name of its primary store, its replicas (`copies`) and its learners."""
 
     partition: int
     epoch: int
@@ -68,14 +67,15 @@
 
     @property
     def missing_replicas(self) -> int:
-        """How many of its copies are not there."""
+        """The number of replicas that are not available."""
         return sum(copy.state != PRESENT for copy in self.copies)
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementReport:
-    """The placement; `copies_lacking` and `without_primary` count over all partitions.  `partitions` holds
-    those that lack most first when not all of them fit."""
+    """The placement; `copies_lacking` and `without_primary` count over all partitions.
+
+    If there are more than `MAX_PARTITIONS`, `partitions` holds those with the most missing replicas."""
 
     version: int
     total: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """One process of the system."""
+    """One member of the cluster."""
 
     name: str
     role: str
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersReport:
-    """The processes; `total` and `alive` count all of them."""
+    """The members; `total` and `alive` count all members, even if `entries` is truncated."""
 
     total: int
     alive: int
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceWorkers:
-    """How many workers of a service are listed, and how many slots those that are ready have."""
+    """The numbers of ready and draining workers of a service, and the slots of the ready workers."""
 
     service: str
     ready: int
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkersReport:
-    """The platform's list as this process knows it.  `age_s` is the time since it last changed here."""
+    """The platform's worker list in this process; `age_s` is the time since the list last changed here."""
 
     total: int
     age_s: float
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """The whole answer.  `figures` holds counters since the process started, by part."""
+    """The complete status.  `figures` holds the counters since the process started, by component."""
 
     process: ProcessReport
     view: ViewReport | None = None
@@ -146,7 +146,10 @@
     workers_age_s: float,
     figures: Mapping[str, Mapping[str, int]],
 ) -> StatusReport:
-    """The report of a process that knows `state`."""
+    """Create the status report of a process from its cluster state.
+
+    `workers_age_s` is the time in seconds since the worker list last changed in this process.
+    """
     return StatusReport(
         process,
         _view(state),
--- a/hollowusher/console/status_tables.py
+++ b/hollowusher/console/status_tables.py
@@ -35,15 +35,15 @@
 
 
 def find_problems(system_status: SystemStatus) -> list[str]:
-    """What is not as it should be, one line each; empty for a system that is whole."""
+    """Return the problems of the system, one line each; empty if there are none."""
     report = system_status.report
-    found = []
+    problems = []
     if report.view is None:
-        found.append("no view is known: the controllers have not agreed yet, or cannot be reached")
+        problems.append("no view is known: the controllers have not agreed yet, or cannot be reached")
     if report.process.generation == 0:
-        found.append("no configuration is in force")
-    found += _placement_problems(report.placement)
-    found += [f"{member.name} is not there" for member in report.members.entries if not member.alive]
+        problems.append("no configuration is in force")
+    problems += _placement_problems(report.placement)
+    problems += [f"{member.name} is not there" for member in report.members.entries if not member.alive]
     newest = max(
         (
             process.generation
@@ -54,31 +54,31 @@
     )
     for name, process in system_status.processes.items():
         if isinstance(process, AdminCallError):
-            found.append(f"{name} gives no status: {process}")
+            problems.append(f"{name} gives no status: {process}")
         elif not process.ready:
-            found.append(f"{name} is not ready")
+            problems.append(f"{name} is not ready")
         elif process.generation < newest:
-            found.append(f"{name} serves generation {process.generation}, others {newest}")
+            problems.append(f"{name} serves generation {process.generation}, others {newest}")
     if isinstance(system_status.control, AdminCallError):
-        found.append(f"how control stands is not known: {system_status.control}")
+        problems.append(f"the control status is not known: {system_status.control}")
     elif system_status.control is not None:
-        found += control_problems(system_status.control)
-    return found + store_problems(system_status.stores)
+        problems += control_problems(system_status.control)
+    return problems + store_problems(system_status.stores)
 
 
 def _placement_problems(placement: PlacementReport | None) -> list[str]:
     if placement is None:
         return ["no placement is known"]
-    found = []
+    problems = []
     if placement.copies_lacking:
-        found.append(f"copies of partitions that are not there: {placement.copies_lacking}")
+        problems.append(f"copies of partitions that are not there: {placement.copies_lacking}")
     if placement.without_primary:
-        found.append(f"partitions without a primary: {placement.without_primary}")
-    return found
+        problems.append(f"partitions without a primary: {placement.without_primary}")
+    return problems
 
 
 def format_system_status(system_status: SystemStatus) -> str:
-    """The whole status."""
+    """Format the complete status as text."""
     report = system_status.report
     parts = [_format_overview(system_status), _format_processes(system_status)]
     if isinstance(system_status.control, ControlStatus):
@@ -94,8 +94,10 @@
     if report.workers is not None and report.workers.services:
         parts.append(_format_workers(report))
     parts.append(_format_figures(report))
-    found = find_problems(system_status)
-    parts.append("\n".join(["Lacking:", *(f"  {line}" for line in found)]) if found else "Nothing lacks.")
+    problems = find_problems(system_status)
+    parts.append(
+        "\n".join(["Lacking:", *(f"  {line}" for line in problems)]) if problems else "Nothing lacks."
+    )
     return "\n\n".join(part for part in parts if part)
 
 
@@ -160,7 +162,7 @@
 
 
 def _reported_cells(process: ProcessReport | AdminCallError | None) -> list[Cell]:
-    """Ready, generation and time up, as the process says itself."""
+    """Return the cells for readiness, generation and uptime, which the process itself reports."""
     if process is None:
         return [NONE, NONE, NONE]
     if isinstance(process, AdminCallError):
@@ -211,7 +213,7 @@
 
 
 def _format_figures(report: StatusReport) -> str:
-    """The counters of the process asked that are not 0."""
+    """Format a table of the nonzero counters of the process that gave the report."""
     rows: list[list[Cell]] = [
         [part, name, value]
         for part, counters in report.figures.items()
@@ -222,7 +224,7 @@
 
 
 def format_members(report: StatusReport) -> str:
-    """The processes of the system."""
+    """Format a table of the members."""
     rows: list[list[Cell]] = [
         [
             member.name,
@@ -258,7 +260,7 @@
 
 
 def format_configuration(document: Mapping[str, Any]) -> str:
-    """A configuration's routes and services."""
+    """Format the routes and services of a configuration as tables."""
     routes: list[list[Cell]] = [
         [
             route["name"],
@@ -301,7 +303,7 @@
 
 
 def format_message(document: Mapping[str, Any]) -> str:
-    """The state of one message."""
+    """Format the state of one message as lines of field and value."""
     width = max(map(len, document))
     return "\n".join(
         f"{name.ljust(width)}  {value if value != '' else NONE}" for name, value in document.items()
@@ -309,7 +311,7 @@
 
 
 def system_status_document(system_status: SystemStatus) -> dict[str, Any]:
-    """A survey as JSON's values."""
+    """Return the status as a document that can be written as JSON."""
     processes = {name: _json_value(process) for name, process in system_status.processes.items()}
     return {
         "report": system_status.report,
@@ -322,7 +324,7 @@
 
 
 def _json_value(answer: object) -> object:
-    """A report as it is, a failure as a map."""
+    """Return a report unchanged, and an error as a dictionary."""
     return attrs.asdict(answer) if isinstance(answer, AdminCallError) else answer
 
 
--- a/hollowusher/console/store_report.py
+++ b/hollowusher/console/store_report.py
@@ -1,6 +1,6 @@
-"""What one store tells of itself, its disk and its partitions, as data.
+"""The data model of the status that a store reports about itself, its disk and its partitions.
 
-Plain dataclasses: the store writes them with orjson as they are, the command line reads them with mashumaro.
+The store serializes these dataclasses with orjson, and the command line decodes them with mashumaro.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 TAKING_OVER = "taking over"
 REPLICA = "replica"
 LEARNER = "learner"
-FORMER = "former"  # moved away: its records are dropped soon
+FORMER = "former"  # the partition has moved to other stores; its records here will be dropped
 
 
 @dataclass(frozen=True, slots=True)
 class DiskReport:
-    """The log on a store's disk; the counts are since the process started."""
+    """The log on a store's disk; the counters start at the start of the process."""
 
     disk_id: str
-    free_bytes: int  # for further live records
+    free_bytes: int  # space left for live records
     syncs: int
     failed_batches: int
     moved_records: int
     damaged_records: int
-    stalled: bool  # the sync under way has lasted too long
-    error: str = ""  # why no record is taken any more
+    stalled: bool  # the current sync takes too long
+    error: str = ""  # the error after which the store accepts no more records; empty if there is none
 
 
 @dataclass(frozen=True, slots=True)
 class HostedPartition:
-    """One partition at one store; `behind` are the peers that the primary still brings up to date."""
+    """One partition on one store; `behind` lists the peers that have not caught up with this primary."""
 
     partition: int
     epoch: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReport:
-    """The whole answer of a store.  `generation` is the configuration it works by, 0 for none."""
+    """The complete status of a store.  `generation` is that of its configuration, 0 if it has none."""
 
     name: str
     zone: str
@@ -58,9 +58,9 @@
 
 
 def hosted_partitions(replicas: Iterable[PartitionReplica], store_id: str) -> list[HostedPartition]:
-    """How the partitions of a store stand, at most `MAX_PARTITIONS` of them."""
-    hosted = [_hosted(replica, store_id) for replica in replicas]
-    return hosted[:MAX_PARTITIONS]
+    """Return the states of a store's partitions, at most `MAX_PARTITIONS` of them."""
+    hosted_list = [_hosted(replica, store_id) for replica in replicas]
+    return hosted_list[:MAX_PARTITIONS]
 
 
 def _hosted(replica: PartitionReplica, store_id: str) -> HostedPartition:
--- a/hollowusher/console/store_tables.py
+++ b/hollowusher/console/store_tables.py
@@ -1,4 +1,4 @@
-"""What the stores say of themselves, as text.  No I/O."""
+"""Formats the status reports of the stores as text.  No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def format_stores(stores: StoreReports) -> str:
-    """One line a store."""
+    """Format a table with one row per store."""
     headers = ["store", "up s", "generation", "leads", "keeps", "messages", "free MiB", "syncs", "disk"]
     return format_table(headers, [_row(name, report) for name, report in stores.items()])
 
@@ -46,15 +46,15 @@
 
 
 def store_problems(stores: StoreReports) -> list[str]:
-    """What is not as it should be, one line each."""
-    found = []
+    """Return the problems of the stores, one line each."""
+    problems = []
     for name, report in stores.items():
         if isinstance(report, AdminCallError):
-            found.append(f"{name} gives no status: {report}")
+            problems.append(f"{name} gives no status: {report}")
             continue
         if report.disk.error or report.disk.stalled:
-            found.append(f"the disk of {name}: {_disk(report)}")
+            problems.append(f"the disk of {name}: {_disk(report)}")
         behind = sorted({peer for partition in report.partitions for peer in partition.behind})
         if behind:
-            found.append(f"{name} brings up to date: {', '.join(behind)}")
-    return found
+            problems.append(f"{name} brings up to date: {', '.join(behind)}")
+    return problems
--- a/hollowusher/console/system_commands.py
+++ b/hollowusher/console/system_commands.py
@@ -1,7 +1,7 @@
 """`python -m hollowusher system ...`: operate a running system over any edge process's admin address.
 
-Exit codes: 0 done, 1 refused (or a configuration file at fault), 2 wrong usage, 3 no clear answer, 4 `status
---check` found something lacking.
+Exit codes: 0 success, 1 rejected (or the configuration file is invalid), 2 wrong usage, 3 no definite
+response, 4 `status --check` found problems.
 """
 
 from __future__ import annotations
@@ -68,10 +68,10 @@
 @system.command()
 @_addresses_option
 @_json_option
-@click.option("--all", "ask_all", is_flag=True, help="Ask every edge process, however many there are.")
-@click.option("--check", is_flag=True, help=f"Exit with {EXIT_PROBLEMS} if something lacks.")
+@click.option("--all", "ask_all", is_flag=True, help="Query all edge processes and stores.")
+@click.option("--check", is_flag=True, help=f"Exit with {EXIT_PROBLEMS} if there are problems.")
 def status(addresses: list[str], as_json: bool, ask_all: bool, check: bool) -> None:
-    """Show the view, the chain, the placement, the processes and what they serve."""
+    """Show the view, the chain, the placement, the processes and the problems."""
     system_status = _collect_status(addresses, ask_all)
     _print(system_status_document(system_status) if as_json else format_system_status(system_status))
     if check and find_problems(system_status):
@@ -97,7 +97,7 @@
 @_json_option
 def get_config(addresses: list[str], as_json: bool) -> None:
     """Show the configuration in force; with --json the document itself."""
-    answer = _ask(addresses, lambda client: client.request("GET", "/config"))
+    answer = _request(addresses, lambda client: client.request("GET", "/config"))
     if not answer.is_success:
         _fail_rejected(answer)
     if as_json:
@@ -110,10 +110,10 @@
 @_file_argument
 @_addresses_option
 @_json_option
-@click.option("--if-match", type=click.IntRange(0), help="The version it builds on [the one in force].")
+@click.option("--if-match", type=click.IntRange(0), help="The generation to change [the current one].")
 @click.option("--patch", is_flag=True, help="FILE holds `upsert` and `delete` only.")
 def put_config(file: Path, addresses: list[str], as_json: bool, if_match: int | None, patch: bool) -> None:
-    """Put the configuration in FILE in force."""
+    """Replace or patch the configuration with FILE."""
     body = file.read_bytes()
 
     async def put(client: AdminClient) -> Result[AdminResponse, AdminCallError]:
@@ -128,7 +128,7 @@
             within_s=CHANGE_TIMEOUT_S,
         )
 
-    answer = _ask(addresses, put)
+    answer = _request(addresses, put)
     if not answer.is_success:
         _fail_rejected(answer)
     _print(answer.json_value() if as_json else f"generation {answer.json_value()['generation']} is in force")
@@ -138,7 +138,7 @@
 @_file_argument
 @_json_option
 def check_config(file: Path, as_json: bool) -> None:
-    """Check the whole configuration in FILE, without a system."""
+    """Validate the complete configuration in FILE; needs no running system."""
     try:
         document = orjson.loads(file.read_bytes())
     except orjson.JSONDecodeError as error:
@@ -148,19 +148,19 @@
     checked = check_document(document)
     if checked.is_error():
         _fail(EXIT_REJECTED, f"{file.name}: {checked.error}")
-    found = checked.ok
-    counts = {"generation": found.generation, "routes": len(found.routes), "services": len(found.upstreams)}
+    valid = checked.ok
+    counts = {"generation": valid.generation, "routes": len(valid.routes), "services": len(valid.upstreams)}
     _print(
         counts
         if as_json
-        else f"{file.name}: in order: generation {found.generation}, {len(found.routes)} routes, "
-        f"{len(found.upstreams)} services"
+        else f"{file.name}: in order: generation {valid.generation}, {len(valid.routes)} routes, "
+        f"{len(valid.upstreams)} services"
     )
 
 
 @system.group()
 def message() -> None:
-    """Look at single messages."""
+    """Show single messages."""
 
 
 @message.command("show")
@@ -168,8 +168,10 @@
 @_addresses_option
 @_json_option
 def show_message(reference: str, addresses: list[str], as_json: bool) -> None:
-    """Show the state of the message REFERENCE (the X-Message-Ref of its 202)."""
-    answer = _ask(addresses, lambda client: client.request("GET", f"/messages/{quote(reference, safe='')}"))
+    """Show the state of the message REFERENCE (the X-Message-Ref header of its 202 response)."""
+    answer = _request(
+        addresses, lambda client: client.request("GET", f"/messages/{quote(reference, safe='')}")
+    )
     if not answer.is_success:
         _fail_rejected(answer)
     _print(answer.json_value() if as_json else format_message(answer.json_value()))
@@ -184,11 +186,11 @@
     type=click.FloatRange(0),
     default=DEFAULT_DURATION_S,
     show_default=True,
-    help="Seconds that it may take.",
+    help="Time limit in seconds.",
 )
 @click.option("--wait", is_flag=True, help="Wait until the machine is empty.")
 def retire(node: str, addresses: list[str], as_json: bool, duration: float, wait: bool) -> None:
-    """Empty the store machine NODE, so that it can be removed with its disk."""
+    """Move all replicas off the store machine NODE, so that it can be removed with its disk."""
     path = f"/retire/{quote(node, safe='')}"
     body = orjson.dumps({"durationS": duration})
 
@@ -199,7 +201,7 @@
             result = await client.request("GET", path, within_s=CHANGE_TIMEOUT_S)
         return result
 
-    answer = _ask(addresses, order)
+    answer = _request(addresses, order)
     if not answer.is_success:
         _fail_rejected(answer)
     _print(answer.json_value() if as_json else f"{node}: {_progress(answer)}")
@@ -213,17 +215,17 @@
     multiple=True,
     required=True,
     metavar="STORE_ID",
-    help="A replica that is given up for good; every one that does not live has to be named.",
+    help="A replica to abandon permanently; every replica that is not alive must be named.",
 )
-@click.option("--yes", "confirmed", is_flag=True, help="Do not ask whether this is meant.")
+@click.option("--yes", "confirmed", is_flag=True, help="Do not ask for confirmation.")
 @_addresses_option
 @_json_option
 def recover_partition(
     partition: int, lost_replicas: tuple[str, ...], confirmed: bool, addresses: list[str], as_json: bool
 ) -> None:
-    """Go on with what is left of a PARTITION that has lost its majority.
+    """Recover a PARTITION that has lost its majority from its remaining replicas.
 
-    What only the replicas given up held is lost with them.  `status` shows which partitions are lost."""
+    Messages that only the abandoned replicas stored are lost.  `status` shows which partitions are lost."""
     if not confirmed:
         replicas = ", ".join(lost_replicas)
         question = f"Messages that only {replicas} held will be lost.  Recover partition {partition}?"
@@ -239,10 +241,10 @@
 
 
 def _outcome_text(error: AdminCallError) -> str:
-    """What is known of an order that got no clear answer."""
+    """Describe the possible outcome of an order without a definite response."""
     if not error.sent:
         return "nothing was changed"
-    return "it may have been done: look at `system status` before it is ordered again"
+    return "it may have been done: check `system status` before you repeat the order"
 
 
 def _progress(answer: AdminResponse) -> str:
@@ -251,7 +253,7 @@
 
 
 async def _version_in_force(client: AdminClient) -> Result[int, AdminCallError]:
-    """The generation in force, 0 where there is none yet."""
+    """Read the current generation from the system, 0 if there is no configuration yet."""
     result = await client.request("GET", "/config")
     if result.is_error():
         return Error(result.error)
@@ -266,8 +268,10 @@
     return result.ok
 
 
-def _ask(addresses: list[str], use_client: UseClient[Result[AdminResponse, AdminCallError]]) -> AdminResponse:
-    """The clear answer that some work ends with; without any, the end of the command."""
+def _request(
+    addresses: list[str], use_client: UseClient[Result[AdminResponse, AdminCallError]]
+) -> AdminResponse:
+    """Return the definite response of `use_client`; without one, exit with `EXIT_NO_ANSWER`."""
     result = _run(addresses, use_client)
     if result.is_error():
         _fail(EXIT_NO_ANSWER, str(result.error))
@@ -283,7 +287,7 @@
 
 
 def _print(value: Any) -> None:
-    """Print text as it is, anything else as JSON."""
+    """Print a text unchanged, and any other value as JSON."""
     click.echo(value if isinstance(value, str) else orjson.dumps(value, option=orjson.OPT_INDENT_2))
 
 
--- a/hollowusher/console/system_status.py
+++ b/hollowusher/console/system_status.py
@@ -1,4 +1,4 @@
-"""The state of a whole system: one process's report, how control stands, and what each other process says."""
+"""Collects the status of a system: one edge process's report, the control status, and the other reports."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 EDGE = "edge"
 STORE = "store"
 NOT_FOUND = 404
-MAX_ASKED = 64
+MAX_QUERIED = 64
 MAX_CONCURRENT_CALLS = 32
-ASK_TIMEOUT_S = 1.5
-CONTROL_TIMEOUT_S = 2.5  # the process asked asks the controllers in turn
+QUERY_TIMEOUT_S = 1.5
+CONTROL_TIMEOUT_S = 2.5  # the queried process queries the head and then the other controllers
 
 
 @attrs.frozen
 class SystemStatus:
-    """The reports of a system's processes, each replaced by an error where its process did not answer.
+    """The reports of a system's processes, with an error in place of each report that could not be read.
 
-    `report` is that of the process asked first, `unasked_count` counts the living edge processes not
-    asked, and `control` is None where the process asked is of a version without `GET /control`.
+    `report` comes from the first process that responded.  `unasked_count` is the number of live edge
+    processes that were not queried.  `control` is None if the version of the first process has no
+    `GET /control`.
     """
 
     report: StatusReport
@@ -42,58 +43,62 @@
 
 
 async def collect_system_status(client: AdminClient, ask_all: bool) -> Result[SystemStatus, AdminCallError]:
-    """Ask one process for its report, and the other living edge processes for theirs."""
+    """Query one edge process for the system's status, then the other live edge processes and the stores.
+
+    At most `MAX_QUERIED` of each are queried, unless `ask_all` is set.  The result is an error only if no
+    edge process returns a valid report.
+    """
     first = await client.request("GET", STATUS_PATH)
     if first.is_error():
         return Error(first.error)
-    read = parse_status_report(first.ok)
-    if read.is_error():
-        return Error(read.error)
-    report = read.ok
+    decoded = parse_status_report(first.ok)
+    if decoded.is_error():
+        return Error(decoded.error)
+    report = decoded.ok
     control, stores = await asyncio.gather(
-        _ask_control(client, first.ok.peer), _ask_stores(client, report, ask_all)
+        _query_control(client, first.ok.peer), _query_stores(client, report, ask_all)
     )
     others = [member for member in report.members.entries if _is_other_live_edge(member, report)]
-    asked = others if ask_all else others[:MAX_ASKED]
+    queried = others if ask_all else others[:MAX_QUERIED]
     limit = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
-    answers = await asyncio.gather(*(_ask_edge(client, member, limit) for member in asked))
+    answers = await asyncio.gather(*(_query_edge(client, member, limit) for member in queried))
     processes: dict[str, ProcessReport | AdminCallError] = {report.process.name: report.process}
-    processes |= {member.name: answer for member, answer in zip(asked, answers, strict=True)}
-    return Ok(SystemStatus(report, processes, len(others) - len(asked), control, stores))
+    processes |= {member.name: answer for member, answer in zip(queried, answers, strict=True)}
+    return Ok(SystemStatus(report, processes, len(others) - len(queried), control, stores))
 
 
-async def _ask_control(client: AdminClient, address: str) -> ControlStatus | AdminCallError | None:
+async def _query_control(client: AdminClient, address: str) -> ControlStatus | AdminCallError | None:
     result = await client.get_from(address, CONTROL_PATH, CONTROL_TIMEOUT_S)
     if result.is_ok() and result.ok.status == NOT_FOUND:
         return None
-    read = result.bind(parse_control_status)
-    status: ControlStatus | AdminCallError = read.ok if read.is_ok() else read.error
+    decoded = result.bind(parse_control_status)
+    status: ControlStatus | AdminCallError = decoded.ok if decoded.is_ok() else decoded.error
     return status
 
 
-async def _ask_stores(
+async def _query_stores(
     client: AdminClient, report: StatusReport, ask_all: bool
 ) -> dict[str, StoreReport | AdminCallError]:
-    """What the living stores with an address of their own say of themselves."""
+    """Query the live stores that have an admin address for their reports."""
     stores = [each for each in report.members.entries if each.alive and each.role == STORE and each.admin]
-    asked = stores if ask_all else stores[:MAX_ASKED]
+    queried = stores if ask_all else stores[:MAX_QUERIED]
     limit = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
-    answers = await asyncio.gather(*(_ask_store(client, member, limit) for member in asked))
-    return {member.name: answer for member, answer in zip(asked, answers, strict=True)}
+    answers = await asyncio.gather(*(_query_store(client, member, limit) for member in queried))
+    return {member.name: answer for member, answer in zip(queried, answers, strict=True)}
 
 
-async def _ask_store(
+async def _query_store(
     client: AdminClient, member: MemberReport, limit: asyncio.Semaphore
 ) -> StoreReport | AdminCallError:
     async with limit:
-        result = await client.get_from(member.admin, STATUS_PATH, ASK_TIMEOUT_S)
-    read = result.bind(parse_store_report)
-    report: StoreReport | AdminCallError = read.ok if read.is_ok() else read.error
+        result = await client.get_from(member.admin, STATUS_PATH, QUERY_TIMEOUT_S)
+    decoded = result.bind(parse_store_report)
+    report: StoreReport | AdminCallError = decoded.ok if decoded.is_ok() else decoded.error
     return report
 
 
 def parse_store_report(answer: AdminResponse) -> Result[StoreReport, AdminCallError]:
-    """The report in a store's answer."""
+    """Decode a store's report from a response."""
     document = answer.json_value()
     if not answer.is_success or not isinstance(document, dict):
         return Error(
@@ -106,7 +111,7 @@
 
 
 def parse_status_report(answer: AdminResponse) -> Result[StatusReport, AdminCallError]:
-    """The report in an answer's body."""
+    """Decode an edge process's report from a response."""
     document = answer.json_value()
     if not answer.is_success or not isinstance(document, dict):
         return Error(AdminCallError("read the status", answer.peer, f"status {answer.status}, no report"))
@@ -120,19 +125,19 @@
     return member.alive and member.role == EDGE and bool(member.admin) and member.name != report.process.name
 
 
-async def _ask_edge(
+async def _query_edge(
     client: AdminClient, member: MemberReport, limit: asyncio.Semaphore
 ) -> ProcessReport | AdminCallError:
     async with limit:
-        answer = await client.get_from(member.admin, STATUS_PATH, ASK_TIMEOUT_S)
+        answer = await client.get_from(member.admin, STATUS_PATH, QUERY_TIMEOUT_S)
     if answer.is_error():
         failure: AdminCallError = answer.error
         return failure
-    read = parse_status_report(answer.ok)
-    if read.is_error():
-        wrong: AdminCallError = read.error
-        return wrong
-    report: StatusReport = read.ok
+    decoded = parse_status_report(answer.ok)
+    if decoded.is_error():
+        decode_error: AdminCallError = decoded.error
+        return decode_error
+    report: StatusReport = decoded.ok
     return report.process
 
 
--- a/hollowusher/console/text_table.py
+++ b/hollowusher/console/text_table.py
@@ -1,4 +1,4 @@
-"""Plain tables for terminals: columns as wide as their widest cell, numbers to the right."""
+"""Formats plain-text tables for terminals: columns fit the widest cell, numeric columns align right."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def format_table(headers: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
-    """The lines of a table; a column of numbers alone stands to the right."""
+    """Format a table; a column that contains only numbers is aligned to the right."""
     cells = [list(row) for row in rows]
     texts = [[_text(cell) for cell in row] for row in cells]
     widths = [max([len(head), *(len(row[column]) for row in texts)]) for column, head in enumerate(headers)]
--- a/hollowusher/roles/operator_server.py
+++ b/hollowusher/roles/operator_server.py
@@ -53,7 +53,7 @@
             timeout = READ_TIMEOUT_S if is_read else FORWARD_TIMEOUT_S
             answer = await self._transport.call(target.address, message, timeout)
         if not isinstance(answer, OperatorResponse):
-            raise PeerError(type(message).__name__, target.address, "no answer for an operator")
+            raise PeerError(type(message).__name__, target.address, "the response is not an OperatorResponse")
         return answer
 
 
--- a/tests/console/__init__.py
+++ b/tests/console/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the console."""
+"""Tests of the operators' command line."""
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' command line: what it shows, its exit codes, and the status that an edge process tells."""
+"""Tests of the operators' command line: output and exit codes, and the status API of an edge process."""
 
 from __future__ import annotations
 
@@ -112,24 +112,26 @@
 
 
 def report(state: ClusterState, own: ProcessReport | None = None) -> StatusReport:
-    """A status report as the command line gets it: written and read again."""
+    """Create a status report, and encode and decode it as between an edge process and the command line."""
     figures = {"intake": {"accepted": 12, "no_route": 0}, "transport": {"failed_handlers": 1}}
     made = make_status_report(own or process(), state, 4.2, figures)
     read = parse_status_report(AdminResponse("127.0.0.1:8064", 200, orjson.dumps(made)))
     assert read.is_ok(), read
-    told: StatusReport = read.ok
-    assert told == made
-    return told
+    status_report: StatusReport = read.ok
+    assert status_report == made
+    return status_report
 
 
-def survey(told: StatusReport, **others: ProcessReport | AdminCallError) -> SystemStatus:
-    processes: dict[str, ProcessReport | AdminCallError] = {told.process.name: told.process}
-    return SystemStatus(told, processes | {name.replace("_", "-"): each for name, each in others.items()})
+def make_system_status(status_report: StatusReport, **others: ProcessReport | AdminCallError) -> SystemStatus:
+    processes: dict[str, ProcessReport | AdminCallError] = {status_report.process.name: status_report.process}
+    return SystemStatus(
+        status_report, processes | {name.replace("_", "-"): each for name, each in others.items()}
+    )
 
 
 def test_the_status_of_a_complete_system(snapshot: SnapshotAssertion) -> None:
-    told = report(complete_state(members(), placement()))
-    complete = survey(told, edge_2=process("edge-2"), edge_3=process("edge-3"))
+    status_report = report(complete_state(members(), placement()))
+    complete = make_system_status(status_report, edge_2=process("edge-2"), edge_3=process("edge-3"))
     assert find_problems(complete) == []
     assert format_system_status(complete) == snapshot
 
@@ -140,27 +142,27 @@
     placed.partitions[1].learners.append(store_id("store-3", "new"))
     placed.partitions[2].replicas[2] = store_id("store-9")
     silent = AdminCallError("GET /status", "127.0.0.2:8064", "no answer in time")
-    told = report(complete_state(listed, placed), process(generation=6))
-    wounded = survey(told, edge_2=silent, edge_3=process("edge-3", ready=False))
-    text = format_system_status(wounded)
+    status_report = report(complete_state(listed, placed), process(generation=6))
+    degraded = make_system_status(status_report, edge_2=silent, edge_3=process("edge-3", ready=False))
+    text = format_system_status(degraded)
     assert text == snapshot
-    for line in find_problems(wounded):
+    for line in find_problems(degraded):
         assert line in text
 
 
 def test_the_status_of_a_process_that_knows_nothing(snapshot: SnapshotAssertion) -> None:
-    told = report(ClusterState(), process(ready=False, generation=0))
-    assert format_system_status(survey(told)) == snapshot
+    status_report = report(ClusterState(), process(ready=False, generation=0))
+    assert format_system_status(make_system_status(status_report)) == snapshot
 
 
-def test_copies_are_reported_apart() -> None:
+def test_the_state_of_each_replica_is_reported() -> None:
     listed = members(**{"store-2": {"status": 1}, "store-3": {"disk_id": "new"}})
     placed = Placement(1, [PartitionPlacement(0, 1, store_id("store-2"), [store_id(n) for n in STORES])])
     placed.partitions[0].replicas.append(store_id("store-4"))
-    told = report(complete_state(listed, placed)).placement
-    assert told is not None
-    assert [copy.state for copy in told.partitions[0].copies] == [PRESENT, DEAD, OTHER_DISK, UNKNOWN]
-    assert (told.copies_lacking, told.without_primary) == (3, 1)
+    status_report = report(complete_state(listed, placed)).placement
+    assert status_report is not None
+    assert [copy.state for copy in status_report.partitions[0].copies] == [PRESENT, DEAD, OTHER_DISK, UNKNOWN]
+    assert (status_report.copies_lacking, status_report.without_primary) == (3, 1)
 
 
 def test_a_report_of_a_large_system_is_bounded_and_its_totals_are_complete() -> None:
@@ -168,13 +170,13 @@
     placed = placement(2 * MAX_PARTITIONS)
     last = placed.partitions[-1]
     last.replicas.append(store_id("store-9"))
-    told = report(complete_state([*many, *members()], placed))
-    assert told.placement is not None
-    assert len(told.members.entries) == MAX_MEMBERS
-    assert told.members.total == 2 * MAX_MEMBERS + len(STORES)
-    assert told.placement.total == 2 * MAX_PARTITIONS
-    assert len(told.placement.partitions) == MAX_PARTITIONS
-    assert told.placement.partitions[0].partition == last.partition  # what lacks is shown first
+    status_report = report(complete_state([*many, *members()], placed))
+    assert status_report.placement is not None
+    assert len(status_report.members.entries) == MAX_MEMBERS
+    assert status_report.members.total == 2 * MAX_MEMBERS + len(STORES)
+    assert status_report.placement.total == 2 * MAX_PARTITIONS
+    assert len(status_report.placement.partitions) == MAX_PARTITIONS
+    assert status_report.placement.partitions[0].partition == last.partition  # missing replicas come first
 
 
 def test_an_answer_that_is_no_report_is_an_error_with_step_and_peer() -> None:
@@ -210,7 +212,7 @@
     assert format_table(["name"], []) == "NAME"
 
 
-# ---- the messages of a local system
+# ---- messages of a local system
 
 
 def ended_messages() -> tuple[list[traffic.LocalMessage], StubWorkerHistory, StubCallbackReceiver]:
@@ -253,11 +255,11 @@
     assert traffic.find_failures(messages, history, receiver) == snapshot
 
 
-# ---- the commands
+# ---- commands
 
 
 class Admin:
-    """An edge process's admin address: the real status handlers, and canned answers to orders."""
+    """An admin server of an edge process: the real status handlers, and canned responses to orders."""
 
     def __init__(self) -> None:
         self.state = complete_state([member("edge-1", 1), *members()[3:]], placement())
@@ -269,7 +271,7 @@
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
 
     async def status(self, reference: str, want_body: bool, deadline: float) -> MessageStatusResponse:
-        """The states of two messages."""
+        """Return the state of a message."""
         known_states = {
             "3-1-17": MessageStatusResponse("completed", "w.1"),
             "2-1-1": MessageStatusResponse("unavailable"),
@@ -278,7 +280,7 @@
         return known_states.get(reference, MessageStatusResponse("unknown"))
 
     def last_order(self) -> tuple[str, str, str | None, bytes]:
-        """The method, path, If-Match and body of the last order."""
+        """Return the method, path, If-Match and body of the last order."""
         return self.orders[-1]
 
     async def _order(self, request: web.Request) -> web.Response:
@@ -301,14 +303,14 @@
         return runner
 
     def start(self) -> None:
-        """Serve in a thread of its own, as the commands run event loops of theirs."""
+        """Serve in a separate thread, because the commands run their own event loops."""
         self._thread.start()
         self._runner = asyncio.run_coroutine_threadsafe(self._serve(), self._loop).result(10)
         host, port = self._runner.addresses[0][:2]
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Serve no more."""
+        """Stop the server and its thread."""
         asyncio.run_coroutine_threadsafe(self._runner.cleanup(), self._loop).result(10)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(10)
@@ -341,13 +343,13 @@
     assert shown.exit_code == 0, shown.output
     assert "0 listed, last change 3 s ago" in shown.output
     assert "edge-1, up 33 s" in shown.output
-    told = orjson.loads(run("status", "--json").output)
-    assert told["report"]["process"]["generation"] == 7
-    assert told["report"]["figures"] == {"intake": {"accepted": 3}}
-    assert told["lacks"] == []
+    output_json = orjson.loads(run("status", "--json").output)
+    assert output_json["report"]["process"]["generation"] == 7
+    assert output_json["report"]["figures"] == {"intake": {"accepted": 3}}
+    assert output_json["lacks"] == []
 
 
-def test_status_can_fail_where_something_lacks(admin: Admin, run: Callable[..., Result]) -> None:
+def test_status_check_fails_if_there_are_problems(admin: Admin, run: Callable[..., Result]) -> None:
     dead = member("store-2", 5, status=1)
     admin.state.apply([DistributedItem("member/store-2", [2], "test", 2, dead)], {})
     assert run("status").exit_code == 0
@@ -357,14 +359,14 @@
 
 
 def test_members_as_json(run: Callable[..., Result]) -> None:
-    told = orjson.loads(run("members", "--json").output)
-    assert told["total"] == told["alive"] == 4
-    assert [entry["name"] for entry in told["entries"]] == ["edge-1", *STORES]
+    output_json = orjson.loads(run("members", "--json").output)
+    assert output_json["total"] == output_json["alive"] == 4
+    assert [entry["name"] for entry in output_json["entries"]] == ["edge-1", *STORES]
 
 
-def test_a_message_is_shown_with_its_place(run: Callable[..., Result]) -> None:
-    told = orjson.loads(run("message", "show", "3-1-17", "--json").output)
-    assert told == {
+def test_a_message_is_shown_with_its_partition(run: Callable[..., Result]) -> None:
+    output_json = orjson.loads(run("message", "show", "3-1-17", "--json").output)
+    assert output_json == {
         "reference": "3-1-17",
         "state": "completed",
         "signature": "w.1",
@@ -378,7 +380,7 @@
     assert "9/../9: no such message" in absent.output
 
 
-def test_no_clear_answer_is_tried_again_and_then_exit_code_3(
+def test_a_call_without_a_definite_response_is_retried_and_then_exits_with_3(
     admin: Admin, run: Callable[..., Result], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("hollowusher.console.admin_client.FIRST_BACKOFF_S", 0.001)
@@ -400,13 +402,13 @@
     assert shown.exit_code == 0
 
 
-def test_config_get_gives_the_document_as_it_is(admin: Admin, run: Callable[..., Result]) -> None:
+def test_config_get_prints_the_document_unchanged(admin: Admin, run: Callable[..., Result]) -> None:
     admin.answers["GET", "/config"] = [(200, DOCUMENT)]
     assert run("config", "get", "--json").output.strip().encode() == DOCUMENT
     assert run("config", "get").output.startswith("generation 7\n")
 
 
-def test_config_put_builds_on_the_version_in_force(
+def test_config_put_changes_the_current_generation(
     admin: Admin, run: Callable[..., Result], tmp_path: Path
 ) -> None:
     file = tmp_path / "new.json"
@@ -443,11 +445,11 @@
 
 
 def test_wrong_usage(snapshot: SnapshotAssertion) -> None:
-    said = {}
+    results_by_words = {}
     for words in ("status", "status --at here", "status --at 127.0.0.1:99999", "config put nowhere.json"):
         result = CliRunner().invoke(cli, ["system", *words.split()], env={"HOLLOWUSHER_AT": ""})
-        said[words] = (result.exit_code, result.output.splitlines()[-1])
-    assert said == snapshot
+        results_by_words[words] = (result.exit_code, result.output.splitlines()[-1])
+    assert results_by_words == snapshot
 
 
 def test_the_commands_load_neither_the_old_command_line_nor_its_tools() -> None:
@@ -466,9 +468,11 @@
         "try:\n    main(['system', '--help'])\n"
         f"finally:\n    print('loaded', [name for name in {heavy!r} if name in sys.modules])"
     )
-    told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert "retire" in told.stdout
-    assert told.stdout.splitlines()[-1] == "loaded []"
+    finished = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert "retire" in finished.stdout
+    assert finished.stdout.splitlines()[-1] == "loaded []"
 
 
 def changed(section: str, number: int, **changes: Any) -> dict[str, Any]:
--- a/tests/console/test_local_system.py
+++ b/tests/console/test_local_system.py
@@ -1,4 +1,4 @@
-"""A small whole system of real processes on loopback, as the first command of README starts it."""
+"""Tests of `python -m hollowusher local`, which runs a small system of real processes on loopback."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from hollowusher.console.local.processes import LocalProcesses, ProcessEnded
 
 ROOT = Path(__file__).parent.parent.parent
-LONGEST_S = 110.0  # on a busy machine; some 10 s on a free one
+TIMEOUT_S = 110.0  # the command takes about 10 s on an idle machine
 MESSAGES = 12
 
 
 @pytest.fixture(scope="module")
 def result() -> subprocess.CompletedProcess[str]:
-    """The command, run once."""
+    """Run the command once for all tests of this module."""
     words = [sys.executable, "-m", "hollowusher", "local", "--messages", str(MESSAGES), "--each"]
-    return subprocess.run(words, cwd=ROOT, capture_output=True, text=True, timeout=LONGEST_S, check=False)
+    return subprocess.run(words, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
 
 
-def test_messages_go_through_real_processes_and_end(result: subprocess.CompletedProcess[str]) -> None:
+def test_real_processes_complete_all_messages(result: subprocess.CompletedProcess[str]) -> None:
     assert result.returncode == 0, result.stdout + result.stderr
     rows = [line.split() for line in result.stdout.splitlines()]
     ends = [row for row in rows if row and row[0].startswith("local-")]
@@ -43,7 +43,7 @@
     assert not folder.exists()
 
 
-def test_processes_that_are_all_stopped_at_once_end_in_order(
+def test_processes_that_are_all_stopped_at_once_exit_without_errors(
     result: subprocess.CompletedProcess[str],
 ) -> None:
     assert "all processes have ended" in result.stderr
@@ -65,15 +65,15 @@
     assert {machine.zone for machine in layout.of_role(STORE)} == {"zone-a", "zone-b", "zone-c"}
 
 
-def test_addresses_in_use_are_left_alone() -> None:
-    drawn = make_layout(3, 3, random.Random(5))
-    taken = drawn.machines[4].address("internal")
+def test_a_layout_contains_no_address_in_use() -> None:
+    first_layout = make_layout(3, 3, random.Random(5))
+    taken = first_layout.machines[4].address("internal")
     host, _, port = taken.rpartition(":")
     with socket.socket() as other:
         other.bind((host, int(port)))
         other.listen()
-        again = make_layout(3, 3, random.Random(5))
-    assert taken not in {machine.address("internal") for machine in again.machines}
+        second_layout = make_layout(3, 3, random.Random(5))
+    assert taken not in {machine.address("internal") for machine in second_layout.machines}
 
 
 def test_a_path_with_quotes_stays_one_value() -> None:
@@ -91,7 +91,7 @@
     processes = LocalProcesses(layout, tmp_path, files)
     processes.start()
     for process in processes.running.values():
-        process.wait(LONGEST_S)
+        process.wait(TIMEOUT_S)
     with pytest.raises(ProcessEnded, match=r"(?s)edge-1 has ended with code 2:.*machineClass is missing"):
         processes.check()
     assert len(processes.stop()) == 6
--- a/tests/console/test_operator_commands.py
+++ b/tests/console/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""The commands about control under losses: what `system status` adds, and `system recover-partition`."""
+"""Tests of the commands for failures: the control status in `system status`, and `recover-partition`."""
 
 from __future__ import annotations
 
@@ -59,20 +59,20 @@
     assert parse_store_report(AdminResponse("store-1:7795", 200, b"{}")).is_error()
 
 
-def test_voters_are_shown_with_duty_and_distance() -> None:
+def test_voters_are_shown_with_their_role_and_lag() -> None:
     lines = [line.split() for line in format_voters(STATUS).splitlines()]
     assert lines[1:] == [
         ["edge-1", "d1", "yes", "head", "yes", "4/12", "0"],
         ["edge-2", "d2", "yes", "tail", "no", "4/9", "3"],
         ["edge-3", "d3", "no", "voter", "no", "3/7", "epoch", "3", "of", "4"],
     ]
-    told = dict(control_summary(STATUS))
-    assert told["voters"] == "3, 2 heard, 2 are a majority"
-    assert told["bears"] == "controllers: no further loss; stores: too many are lost already"
-    assert told["spares"] == "edge-4"
+    summary = dict(control_summary(STATUS))
+    assert summary["voters"] == "3, 2 heard, 2 are a majority"
+    assert summary["bears"] == "controllers: no further loss; stores: too many are lost already"
+    assert summary["spares"] == "edge-4"
 
 
-def test_what_lacks_is_named() -> None:
+def test_each_problem_is_named() -> None:
     assert control_problems(COMPLETE) == []
     first, second = control_problems(STATUS)
     assert "not heard: edge-3" in first and "without the whole state: edge-2" in first
@@ -96,23 +96,23 @@
     ]
 
 
-def test_the_full_status_holds_control_and_stores() -> None:
+def test_the_full_status_contains_the_control_status_and_the_stores() -> None:
     report = StatusReport(ProcessReport("edge-1", "z", 1, True, True, 7, 1.0))
-    survey = SystemStatus(report, {"edge-1": report.process}, 0, STATUS, {"store-1": STORE})
-    text = format_system_status(survey)
+    full_status = SystemStatus(report, {"edge-1": report.process}, 0, STATUS, {"store-1": STORE})
+    text = format_system_status(full_status)
     for part in ("2 are a majority", "epoch 3 of 4", "LOST", "catching up".upper(), "in order"):
         assert part in text, text
-    assert any("partition 2 is lost" in line for line in find_problems(survey))
-    document = orjson.loads(orjson.dumps(system_status_document(survey)))
+    assert any("partition 2 is lost" in line for line in find_problems(full_status))
+    document = orjson.loads(orjson.dumps(system_status_document(full_status)))
     assert document["control"]["controller_losses_borne"] == 0
     assert document["stores"]["store-1"]["disk"]["syncs"] == 120
 
 
-# ---- the order
+# ---- system recover-partition
 
 
 class Edge:
-    """An edge process's admin address that answers orders to recover partition 2."""
+    """The admin server of an edge process, which responds to orders to recover partition 2."""
 
     def __init__(self, admin: Admin) -> None:
         self.address = admin.address
@@ -120,12 +120,12 @@
         self.answers(200, b'{"state":"recovered"}')
 
     def answers(self, status: int, body: bytes) -> None:
-        """Answer like this from now on."""
+        """Set the response to all further orders."""
         self._admin.answers["POST", PATH] = [(status, body)]
 
     @property
     def orders(self) -> list[object]:
-        """The bodies of the orders that came."""
+        """The bodies of the received orders."""
         return [orjson.loads(body) for method, path, _, body in self._admin.orders if path == PATH]
 
 
@@ -146,13 +146,15 @@
     return invoke
 
 
-def test_an_order_names_what_is_given_up(edge: Edge, recover: Callable[..., Result]) -> None:
+def test_an_order_names_the_abandoned_replicas(edge: Edge, recover: Callable[..., Result]) -> None:
     done = recover("--accept-loss", "store-1/d1", "--accept-loss", "store-2/d2", "--yes")
     assert (done.exit_code, done.output) == (0, "partition 2: goes on with what is left\n")
     assert edge.orders == [{"acceptLossOf": ["store-1/d1", "store-2/d2"]}]
 
 
-def test_it_asks_first_and_changes_nothing_without_a_yes(edge: Edge, recover: Callable[..., Result]) -> None:
+def test_the_command_asks_for_confirmation_and_changes_nothing_without_it(
+    edge: Edge, recover: Callable[..., Result]
+) -> None:
     refused = recover("--accept-loss", "store-1/d1", typed="n\n")
     assert refused.exit_code == 1 and "will be lost" in refused.output
     assert edge.orders == []
@@ -160,18 +162,20 @@
     assert len(edge.orders) == 1
 
 
-def test_nothing_given_up_is_wrong_usage(edge: Edge, recover: Callable[..., Result]) -> None:
+def test_an_order_without_abandoned_replicas_is_wrong_usage(
+    edge: Edge, recover: Callable[..., Result]
+) -> None:
     assert recover("--yes").exit_code == 2
     assert edge.orders == []
 
 
-def test_a_refusal_is_reported(edge: Edge, recover: Callable[..., Result]) -> None:
+def test_a_rejection_is_reported(edge: Edge, recover: Callable[..., Result]) -> None:
     edge.answers(409, b'{"error":"store-1/d1 lives"}')
     refused = recover("--accept-loss", "store-1/d1", "--yes")
     assert refused.exit_code == 1 and "store-1/d1 lives" in refused.output
 
 
-def test_an_order_without_a_clear_answer_is_not_sent_again(
+def test_an_order_without_a_definite_response_is_not_retried(
     edge: Edge, recover: Callable[..., Result]
 ) -> None:
     edge.answers(503, b"")
@@ -180,7 +184,9 @@
     assert len(edge.orders) == 1
 
 
-def test_an_address_where_nothing_listens_has_not_seen_it(edge: Edge, recover: Callable[..., Result]) -> None:
+def test_an_order_is_sent_to_the_next_address_if_a_connection_is_refused(
+    edge: Edge, recover: Callable[..., Result]
+) -> None:
     done = recover("--accept-loss", "store-1/d1", "--yes", at=f"127.0.0.1:1,{edge.address}")
     assert done.exit_code == 0
     nobody = recover("--accept-loss", "store-1/d1", "--yes", at="127.0.0.1:1")
