--- a/hollowusher/__main__.py
+++ b/hollowusher/__main__.py
@@ -34,7 +34,7 @@
             from hollowusher.scheduler.cli import cli
     except ModuleNotFoundError as missing:
         print(
-            f"hollowusher: {missing.name} is not installed: the command line needs the packages in {needs}",
+            f"hollowusher: {missing.name} is not installed: commands need the packages that {needs} lists",
             file=sys.stderr,
         )
         return 2
--- a/hollowusher/configuration/order_history.py
+++ b/hollowusher/configuration/order_history.py
@@ -1,10 +1,12 @@
-"""Decides which accepted orders may leave the history, which detects retries.  No I/O, no clock.
+"""Decides which accepted orders may be pruned from the order history.  No I/O, no clock.
 
-A client that gets no definite answer retries its order.  It sent the order for the first time before the
-commit, so it stops retrying at the latest `RETRY_WINDOW_S` after the commit; the order stays in the history
-until then.  The controllers share no clock that could give the time of the commit.  Each controller measures
-with its monotonic clock from the moment at which it first saw the order as committed, which is never before
-the commit.  The measurement restarts after a restart or with a new head, which only keeps orders longer.
+The history exists to recognize retries of an accepted order.  A client that gets no definite response retries
+its order.  It sent the order for the first time before the commit, so it stops retrying at the latest
+`RETRY_WINDOW_S` after the commit; until then, the order must stay in the history.
+
+The controllers share no clock that could give the time of the commit.  Each controller measures with its
+monotonic clock from the moment at which it first saw the order as committed, which is never before the
+commit.  The measurement starts again after a restart or with a new head, which only keeps orders longer.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 from typing import Any
 
 HISTORY_HARD_LIMIT = 16_384  # orders; an order that would exceed this limit is rejected
-RETRY_WINDOW_S = 60.0  # clients stop retrying an order earlier than this after its commit
+RETRY_WINDOW_S = 60.0  # clients retry an order for less than this time after its commit
 
 Entry = list[Any]  # [generation, digest of the order]
 
--- a/hollowusher/configuration/orders.py
+++ b/hollowusher/configuration/orders.py
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Order:
-    """An order that could be parsed."""
+    """A parsed order."""
 
     method: str
     if_match: int | None  # the generation that the order changes; None if the operator gave none
--- a/hollowusher/console/status_tables.py
+++ b/hollowusher/console/status_tables.py
@@ -87,7 +87,9 @@
     if system_status.stores:
         parts.append(format_stores(system_status.stores))
     if system_status.unasked_count:
-        parts.append(f"{system_status.unasked_count} more edge processes were not asked (--all asks them).")
+        parts.append(
+            f"{system_status.unasked_count} more edge processes were not queried (--all queries them)."
+        )
     lacking = [entry for entry in _partitions(report) if entry.missing_replicas or entry.learners]
     if lacking:
         parts.append(_format_partitions(lacking))
--- a/hollowusher/console/system_status.py
+++ b/hollowusher/console/system_status.py
@@ -45,8 +45,8 @@
 async def collect_system_status(client: AdminClient, ask_all: bool) -> Result[SystemStatus, AdminCallError]:
     """Query one edge process for the system's status, then the other live edge processes and the stores.
 
-    At most `MAX_QUERIED` of each are queried, unless `ask_all` is set.  The result is an error only if no
-    edge process returns a valid report.
+    At most `MAX_QUERIED` of each are queried, unless `ask_all` is set.  The result is an error if no edge
+    process gives a definite response to the first query, or if that response contains no valid report.
     """
     first = await client.request("GET", STATUS_PATH)
     if first.is_error():
--- a/hollowusher/roles/run_role.py
+++ b/hollowusher/roles/run_role.py
@@ -17,7 +17,7 @@
 
 def run_role(role: str) -> int:
     """Run one process of a role until it stops, and return the exit code."""
-    gc.disable()  # `_tune_garbage_collector` enables it after the imports
+    gc.disable()  # `_tune_garbage_collector` enables it again once it has excluded the imported objects
     from hollowusher.configuration.boot import SettingsError, read_settings
 
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
--- a/tests/configuration/test_boot_settings.py
+++ b/tests/configuration/test_boot_settings.py
@@ -101,7 +101,7 @@
     assert settings.seed_addresses() == ["10.1.0.40:7780", "10.2.0.39:7780"]
 
 
-def test_what_is_not_given_has_its_default() -> None:
+def test_missing_keys_have_default_values() -> None:
     settings = parsed('nodeName = "s"\nmachineClass = "storage"\nip = "10.0.0.1"\n')
     assert not settings.bootstrap
     assert not settings.counts_for_quorum
@@ -110,7 +110,7 @@
     assert settings.bounds == BootSettings("s", "storage").bounds
 
 
-def test_keys_that_are_not_known_are_disregarded() -> None:
+def test_unknown_keys_are_ignored() -> None:
     later = COMPLETE + "\n[newTable]\nnewKey = 1\n"
     assert parsed("newKey = [1, 2]\n" + later) == parsed(COMPLETE)
 
@@ -148,14 +148,14 @@
     assert fault(with_value(key, value)).startswith(f"boot.toml: {wanted}")
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_file_is_an_error(tmp_path: Path) -> None:
     path = tmp_path / "none.toml"
     with pytest.raises(SettingsError, match=r"none\.toml: cannot be read: No such file"):
         read_settings(str(path))
 
 
 @pytest.mark.parametrize("role", ["edge", "store"])
-def test_a_start_with_a_bad_file_ends_with_one_line(role: str, tmp_path: Path) -> None:
+def test_a_start_with_an_invalid_file_prints_one_line_and_exits(role: str, tmp_path: Path) -> None:
     path = tmp_path / "boot.toml"
     path.write_text(with_value("internalPorts", "[9, 8]"))
     result = subprocess.run(
@@ -198,7 +198,7 @@
     assert [settings.bounds.grace_s for settings in watched.changes] == [9]
 
 
-def test_a_bad_file_at_a_reload_changes_nothing(watched: Watched) -> None:
+def test_reloading_an_invalid_file_keeps_the_settings(watched: Watched) -> None:
     for text in (without("ip"), "nodeName =", ""):
         watched.path.write_text(text)
         watched.watcher.reload()
@@ -209,7 +209,7 @@
     assert watched.watcher.rejected_count == 4
 
 
-def test_a_change_without_a_signal_is_found(watched: Watched, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_change_without_a_signal_is_detected(watched: Watched, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("hollowusher.roles.signals.CHECK_INTERVAL_S", 0.0)
 
     async def follow() -> None:
--- a/tests/configuration/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -109,7 +109,7 @@
 # -- accepted orders ---------------------------------------------------------------------------------------
 
 
-def test_the_first_configuration_is_kept_as_it_was_sent() -> None:
+def test_the_first_configuration_is_stored_unchanged() -> None:
     sent = configuration() | {"comment": {"by": "someone"}}
     sent["routes"][0]["futureKey"] = [1, 2]
     sent["limits"]["futureLimit"] = 5
@@ -120,7 +120,7 @@
     assert read.routes[0].timeout_ms == 2500 and read.upstreams[1].fixed == "172.20.0.3:8066"
 
 
-def test_without_if_match_only_the_first_is_taken(state: ControlState) -> None:
+def test_only_the_first_configuration_is_accepted_without_if_match(state: ControlState) -> None:
     assert send(EMPTY_STATE, configuration(), None).answer.status == 200
     assert send(state, configuration(9), None).answer.status == 412
 
@@ -132,12 +132,12 @@
     assert orjson.loads(later.document) == sent and later.generation == 9
 
 
-def test_a_version_that_is_not_current_is_refused(state: ControlState) -> None:
+def test_an_order_for_another_than_the_current_generation_is_rejected(state: ControlState) -> None:
     for if_match in (0, 5, 8):
         assert send(state, configuration(9), if_match).answer.status == 412
 
 
-def test_two_orders_on_one_version_one_wins(state: ControlState) -> None:
+def test_only_one_of_two_orders_for_the_same_generation_is_accepted(state: ControlState) -> None:
     later = accept(state, configuration(9), 7)
     outcome = send(later, configuration(11), 7)
     assert outcome.answer.status == 412 and outcome.state is None
@@ -146,7 +146,7 @@
 # -- retried orders ----------------------------------------------------------------------------------------
 
 
-def test_an_order_sent_again_is_acknowledged_and_changes_nothing(state: ControlState) -> None:
+def test_a_retried_order_is_acknowledged_and_changes_nothing(state: ControlState) -> None:
     again = send(state, configuration(), 0)
     assert again.answer.status == 200 and again.state is None
 
@@ -156,7 +156,7 @@
     assert send(state, spaced, 0).answer.status == 200
 
 
-def test_an_order_is_acknowledged_whatever_came_after(state: ControlState) -> None:
+def test_a_retried_order_is_acknowledged_after_later_orders(state: ControlState) -> None:
     later = accept(accept(state, configuration(9), 7), patch(12, {"upstreams": [service("s3")]}), 9, "PATCH")
     for content, if_match, method in (
         (configuration(), 0, "PUT"),
@@ -179,7 +179,7 @@
     assert [generation for generation, _ in state.history] == [3, 4, 5]
 
 
-def test_the_digest_tells_orders_apart() -> None:
+def test_different_orders_have_different_digests() -> None:
     base = order_digest("PUT", 5, {"generation": 7})
     assert base == order_digest("PUT", 5, {"generation": 7})
     assert (
@@ -213,18 +213,18 @@
         b'{"generation": NaN}',
     ],
 )
-def test_a_body_that_is_no_complete_object_is_refused(state: ControlState, body: bytes) -> None:
+def test_a_body_that_is_not_a_json_object_is_rejected(state: ControlState, body: bytes) -> None:
     for method in ("PUT", "PATCH"):
         outcome = send(state, body, 7, method)
         assert outcome.answer.status == 400 and error_of(outcome).startswith("body: ")
 
 
-def test_a_body_beyond_the_bound_is_refused(state: ControlState) -> None:
+def test_a_body_above_the_size_limit_is_rejected(state: ControlState) -> None:
     outcome = send(state, b'"' + b"x" * (8 * 1024 * 1024) + b'"', 7)
     assert outcome.answer.status == 413
 
 
-def test_a_body_nested_too_deep_is_refused(state: ControlState) -> None:
+def test_a_too_deeply_nested_body_is_rejected(state: ControlState) -> None:
     nested = configuration(9) | {"extra": None}
     body = orjson.dumps(nested).replace(b"null}", b"[" * 400 + b"]" * 400 + b"}")
     outcome = send(state, body, 7)
@@ -232,7 +232,7 @@
 
 
 def _set(*path: Any) -> Callable[[Document], None]:
-    """Sets the value at the end of a path of keys."""
+    """Return a function that sets the value at a path of keys in a document."""
     *keys, last, value = path
 
     def change(content: Document) -> None:
@@ -309,7 +309,7 @@
 @pytest.mark.parametrize(
     ("change", "named"), [case[1:] for case in INVALID], ids=[case[0] for case in INVALID]
 )
-def test_an_invalid_configuration_is_refused_and_its_item_named(
+def test_an_invalid_configuration_is_rejected_and_its_item_named(
     state: ControlState, change: Callable[[Document], None], named: str
 ) -> None:
     content = copy.deepcopy(configuration(9))
@@ -320,7 +320,7 @@
     assert named in error_of(outcome)
 
 
-def test_an_order_both_invalid_and_stale_is_refused(state: ControlState) -> None:
+def test_an_order_both_invalid_and_stale_is_rejected(state: ControlState) -> None:
     assert send(state, configuration(3), 5).answer.status in (400, 412)
 
 
@@ -333,7 +333,7 @@
 # -- PATCH -------------------------------------------------------------------------------------------------
 
 
-def test_a_patch_replaces_in_place_adds_behind_and_removes(state: ControlState) -> None:
+def test_a_patch_replaces_in_place_appends_and_deletes(state: ControlState) -> None:
     altered = route("r-1", timeoutMs=1, note="kept")
     change = patch(
         9,
@@ -348,12 +348,12 @@
     assert document["limits"] == configuration()["limits"]
 
 
-def test_a_patch_that_is_empty_only_moves_the_version(state: ControlState) -> None:
+def test_an_empty_patch_only_changes_the_generation(state: ControlState) -> None:
     later = accept(state, {"generation": 8}, 7, "PATCH")
     assert orjson.loads(later.document) == configuration(8)
 
 
-def test_a_patch_is_checked_as_the_document_it_makes(state: ControlState) -> None:
+def test_the_result_of_a_patch_is_validated(state: ControlState) -> None:
     changes: tuple[Document, ...] = (
         patch(9, delete={"upstreams": ["s1"]}),
         patch(9, {"routes": [route("r-3", "/a/")]}),
@@ -374,13 +374,13 @@
         assert outcome.answer.status == 400 and outcome.state is None, change
 
 
-def test_a_patch_without_a_configuration_is_refused() -> None:
+def test_a_patch_without_a_configuration_is_rejected() -> None:
     assert send(EMPTY_STATE, patch(9, {"upstreams": [service("s3")]}), 0, "PATCH").answer.status == 400
 
 
-def test_a_stale_patch_is_refused(state: ControlState) -> None:
+def test_a_stale_patch_is_rejected(state: ControlState) -> None:
     assert send(state, patch(9), 5, "PATCH").answer.status == 412
 
 
-def test_an_unknown_method_is_refused(state: ControlState) -> None:
+def test_an_unknown_method_is_rejected(state: ControlState) -> None:
     assert send(state, configuration(9), 7, "POST").answer.status == 405
--- a/tests/configuration/test_order_history.py
+++ b/tests/configuration/test_order_history.py
@@ -30,7 +30,7 @@
     return outcome.state
 
 
-def test_an_order_that_may_come_again_stays_whatever_the_count() -> None:
+def test_orders_within_the_retry_window_are_never_pruned() -> None:
     history = [[generation, b"digest"] for generation in range(1, 11)]
     assert pruned(history, 4, 0) == history
     assert pruned(history, 4, 3) == history[3:]
@@ -38,7 +38,7 @@
     assert pruned(history, 10, 10) == history
 
 
-def test_an_order_sent_again_is_acknowledged_after_more_orders_than_are_kept(
+def test_a_retried_order_is_acknowledged_after_more_orders_than_the_soft_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 5)
@@ -51,7 +51,7 @@
     assert [generation for generation, _ in state.history] == list(range(21, 31))
 
 
-def test_no_order_is_taken_once_the_history_is_full_of_orders_that_may_come_again(
+def test_an_order_is_rejected_if_the_history_is_full_of_orders_within_the_retry_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 3)
@@ -65,7 +65,7 @@
     assert send(state, 7, 6, expired_generation=3).answer.status == 200
 
 
-def test_the_age_of_an_order_counts_from_when_it_was_known_as_committed() -> None:
+def test_the_retry_window_starts_when_the_order_is_first_seen_as_committed() -> None:
     ages = CommittedAges()
     ages.note(0, 0.0)
     ages.note(5, 10.0)
@@ -79,7 +79,7 @@
     assert ages.newest_expired(900.0) == 7
 
 
-def test_nothing_is_forgotten_within_its_time_in_random_runs(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_runs_never_prune_an_order_within_its_retry_window(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 10)
     for seed in range(100):
         random_source = random.Random(seed)
@@ -97,12 +97,12 @@
             assert len(kept) >= min(generation, 10)
 
 
-def test_the_bounds_of_the_history() -> None:
+def test_the_limits_of_the_history() -> None:
     assert HISTORY_SOFT_LIMIT == 4_096
     assert order_history.HISTORY_HARD_LIMIT == 16_384 and RETRY_WINDOW_S == 60.0
 
 
-def test_patches_do_not_make_a_configuration_longer_than_a_body_may_be(
+def test_patches_cannot_grow_a_configuration_beyond_the_size_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(orders, "MAX_DOCUMENT_BYTES", 1_000)
--- a/tests/configuration/test_section_reader.py
+++ b/tests/configuration/test_section_reader.py
@@ -69,7 +69,7 @@
     return document
 
 
-def test_both_readings_are_the_same() -> None:
+def test_both_decoders_return_the_same_configuration() -> None:
     decoder = BasicDecoder(Configuration)
     for seed in range(300):
         document = random_document(seed)
@@ -96,7 +96,7 @@
         read_section(Route, values, {})
 
 
-def test_fault_of_a_nested_section_names_the_way_to_it() -> None:
+def test_a_fault_in_a_nested_section_names_the_full_key() -> None:
     sections = {"list[Route]": Route, "RequestLimits": RequestLimits}
     document = {"generation": 1, "limits": {"maxBodyBytes": "many"}}
     with pytest.raises(SectionError, match=r"limits\.maxBodyBytes: 'many' is not int"):
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -179,7 +179,7 @@
     assert status_report.placement.partitions[0].partition == last.partition  # missing replicas come first
 
 
-def test_an_answer_that_is_no_report_is_an_error_with_step_and_peer() -> None:
+def test_a_response_without_a_report_is_an_error_with_step_and_peer() -> None:
     for body in (b"", b"[]", b'{"process":{"name":3}}'):
         read = parse_status_report(AdminResponse("127.0.0.1:8064", 200, body))
         assert read.is_error()
@@ -206,7 +206,7 @@
     assert format_message(document) == snapshot
 
 
-def test_tables_put_numbers_to_the_right() -> None:
+def test_numeric_columns_are_aligned_to_the_right() -> None:
     lines = format_table(["name", "count"], [["a", 5], ["long name", 1234]]).splitlines()
     assert lines == ["NAME       COUNT", "a              5", "long name   1234"]
     assert format_table(["name"], []) == "NAME"
@@ -452,7 +452,7 @@
     assert results_by_words == snapshot
 
 
-def test_the_commands_load_neither_the_old_command_line_nor_its_tools() -> None:
+def test_the_commands_import_neither_the_scheduler_nor_its_libraries() -> None:
     heavy = (
         "hollowusher.scheduler.cli",
         "hollowusher.scheduler.app",
--- a/tests/console/test_local_system.py
+++ b/tests/console/test_local_system.py
@@ -50,7 +50,7 @@
     assert "in disorder" not in result.stderr
 
 
-def test_each_process_gets_settings_of_its_own_that_can_be_read(tmp_path: Path) -> None:
+def test_each_process_has_its_own_valid_settings(tmp_path: Path) -> None:
     layout = make_layout(3, 4, random.Random(1))
     files = write_settings(layout, tmp_path, "127.0.0.250:9000")
     read = {name: parse_settings(file.read_text(), str(file)) for name, file in files.items()}
@@ -76,7 +76,7 @@
     assert taken not in {machine.address("internal") for machine in second_layout.machines}
 
 
-def test_a_path_with_quotes_stays_one_value() -> None:
+def test_a_path_with_quotes_is_escaped() -> None:
     layout = make_layout(3, 3, random.Random(2))
     folder = Path('/tmp/a "quoted" folder\\')
     text = settings_text(layout.machines[0], folder, [], "127.0.0.250:9000")
--- a/tests/console/test_operator_commands.py
+++ b/tests/console/test_operator_commands.py
@@ -51,7 +51,7 @@
 STORE = StoreReport("store-1", "zone-a", 17, 7, 33.0, DISK, [HostedPartition(0, 2, "primary", 5, [])], {})
 
 
-def test_a_status_is_read_back_as_it_was_written() -> None:
+def test_a_status_survives_encoding_and_decoding() -> None:
     body = orjson.dumps(as_document(STATUS) | {"of_a_newer_process": 1})
     assert parse_control_status(AdminResponse("edge-1:8064", 200, body)).ok == STATUS
     assert parse_control_status(AdminResponse("edge-1:8064", 200, b'{"voters": 1}')).is_error()
--- a/tests/roles/test_log_events.py
+++ b/tests/roles/test_log_events.py
@@ -48,7 +48,7 @@
     return [line for line in TABLE.read_text().splitlines() if line.startswith("| `")]
 
 
-def test_the_page_has_each_event_and_no_other() -> None:
+def test_the_page_lists_exactly_the_events() -> None:
     assert documented_rows() == [row_of(event) for event in EVENTS]
 
 
@@ -77,7 +77,7 @@
     assert {event.__name__ for event in EVENTS} <= constructed_names()
 
 
-def test_a_field_that_is_none_is_left_out() -> None:
+def test_a_field_that_is_none_is_omitted() -> None:
     event = log_events.FaultToleranceRestored(
         group=log_events.RedundantGroup.STORES, losses_borne=1, lost_partitions=[]
     )
--- a/tests/roles/test_operator_server.py
+++ b/tests/roles/test_operator_server.py
@@ -69,7 +69,7 @@
     assert transport.calls == [(HEAD, order)]
 
 
-def test_an_order_whose_head_falls_silent_reaches_no_second_controller() -> None:
+def test_an_order_is_not_sent_to_a_second_controller_if_the_head_stops_responding() -> None:
     """If the head's response is lost, the forwarding controller returns 503 and does not send it again."""
 
     async def scenario() -> None:
