--- a/hollowusher/messages/replication/anti_entropy.py
+++ b/hollowusher/messages/replication/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: comparison of one partition with one peer until both have the same records.
+"""Anti-entropy: comparison of one partition with one peer until both replicas have the same records.
 
-Both sides exchange digests of buckets, then the versions of the buckets that differ, then records (Demers et
-al., "Epidemic algorithms for replicated database maintenance", PODC 1987).
+Both sides exchange the digests of buckets, then the versions of the messages in the buckets that differ, then
+the missing records (Demers et al., "Epidemic algorithms for replicated database maintenance", PODC 1987).
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 ANSWER_TIMEOUT_S = 1.5
 BUCKETS_PER_REQUEST = 8
 CHUNK_BYTES = 256 * 1024
-PACED_BYTES_PER_S = 3 * 1024 * 1024  # of one partition with one peer
+PACED_BYTES_PER_S = 3 * 1024 * 1024  # rate limit for a paced comparison of one partition with one peer
 
 
 class AntiEntropySession:
-    """One comparison: fetches records that the peer has newer and sends records that it lacks."""
+    """One comparison, which fetches newer records from the peer and sends it the records that it lacks."""
 
     def __init__(
         self, store: StoreDependencies, table: PartitionTable, epoch: int, address: str, *, paced: bool
     ) -> None:
-        self.changed_keys: list[MessageKey] = []  # messages of which the peer had a newer record
+        self.changed_keys: list[MessageKey] = []  # messages for which the peer had a newer record
         self._table = table
         self._epoch = epoch
         self._store_id = store.store_id
@@ -52,7 +52,7 @@
         Raises
         ------
         PeerError
-            If the peer does not answer, or not as expected.
+            If the peer does not answer in time, or with a message of another type.
         FencedError
             If the peer follows a newer epoch.
         """
@@ -71,27 +71,27 @@
             answer = await self._request_difference(
                 ReplicaSummary(partition, self._epoch, self._store_id, [], versions, fence=True)
             )
-            learned = self._merge(answer.records)
-            if learned:
+            has_changes = self._merge(answer.records)
+            if has_changes:
                 await self._log.sync()
             more, incomplete = answer.extra
             await self._push(self._table.requested_records(answer.wanted, incomplete))
             if self._paced:
                 await self._pause(sum(map(len, answer.records)))
-            if not more or not learned:
+            if not more or not has_changes:
                 return
 
-    def _merge(self, found: Iterable[bytes]) -> bool:
-        learned = False
-        for record in found:
+    def _merge(self, packed_records: Iterable[bytes]) -> bool:
+        has_changes = False
+        for record in packed_records:
             key = self._table.apply(record, self._wall_ms())
             if key is not None:
                 self.changed_keys.append(key)
-                learned = True
-        return learned
+                has_changes = True
+        return has_changes
 
-    async def _push(self, found: Iterator[bytes]) -> None:
-        for chunk in _chunks(with_ages(self._table, found, self._wall_ms)):
+    async def _push(self, packed_records: Iterator[bytes]) -> None:
+        for chunk in _chunks(with_ages(self._table, packed_records, self._wall_ms)):
             batch = RecordBatch(self._table.partition, self._epoch, chunk)
             answer = await self._transport.call(
                 self._address, ReplicateRequest(self._store_id, [batch], durable=True), ANSWER_TIMEOUT_S
@@ -120,18 +120,18 @@
 
 
 def compare_with_summary(table: PartitionTable, summary: ReplicaSummary) -> ReplicaDifference:
-    """Return a replica's answer to a comparison."""
+    """Return the response of a replica to a summary: differing buckets, or missing and wanted records."""
     if summary.buckets:
         return ReplicaDifference("ok", table.minimum_epoch, table.differing_buckets(summary.buckets))
-    found, more = table.records_newer_than(summary.versions)
+    packed_records, more = table.records_newer_than(summary.versions)
     wanted, incomplete = table.references_older_than(summary.versions)
-    return ReplicaDifference("ok", table.minimum_epoch, [], found, wanted, [more, incomplete])
+    return ReplicaDifference("ok", table.minimum_epoch, [], packed_records, wanted, [more, incomplete])
 
 
-def _chunks(found: Iterator[bytes]) -> Iterator[list[bytes]]:
+def _chunks(packed_records: Iterator[bytes]) -> Iterator[list[bytes]]:
     chunk: list[bytes] = []
     size = 0
-    for record in found:
+    for record in packed_records:
         chunk.append(record)
         size += len(record)
         if size >= CHUNK_BYTES:
--- a/tests/coordination/chain/test_catch_up_random.py
+++ b/tests/coordination/chain/test_catch_up_random.py
@@ -30,7 +30,7 @@
         super().__init__(cluster, chance)
         self.max_catch_up_s = 0.0
 
-    async def calm(self) -> None:
+    async def wait_between_faults(self) -> None:
         """Wait until every member has saved the state of the head, then one second longer."""
         took = await self.cluster.until(self._all_caught_up, CAUGHT_UP_S)
         self.max_catch_up_s = max(self.max_catch_up_s, took)
--- a/tests/coordination/controller/test_orders_of_deposed_head.py
+++ b/tests/coordination/controller/test_orders_of_deposed_head.py
@@ -1,4 +1,8 @@
-"""An order at a head that is deposed while its write is on the way and rejoins the chain before that ends."""
+"""Tests of an order at a head that is deposed while it replicates the order's state.
+
+The old head rejoins the chain before its write times out.  It must not acknowledge the order when it receives
+the state of the new head, which may contain a different order.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +15,17 @@
 from tests.support.controller_cluster import ControllerCluster, ControllerNode, document, run_virtual
 
 VERSION = 1
-CUT_S = (1.2, 1.6, 2.0, 2.4)  # the others decide a view after some 1.1 s, the write ends after 3.2 s
-FAR_ABOVE_S = 8.0
+CUT_S = (1.2, 1.6, 2.0, 2.4)  # a new view is decided after about 1.1 s; the write times out after 3.2 s
+WAIT_TIMEOUT_S = 8.0
 
 
 def put(generation: int, who: str) -> ChangeConfiguration:
-    """An order on version 1 that only this operator sends."""
+    """Return an order that is based on version 1 and unique to the operator `who`."""
     return ChangeConfiguration("PUT", VERSION, orjson.dumps({**document(generation), "comment": who}))
 
 
 async def head_of(cluster: ControllerCluster) -> ControllerNode:
-    await cluster.until(lambda: any(node.running.is_head for node in cluster.nodes.values()), FAR_ABOVE_S)
+    await cluster.until(lambda: any(node.running.is_head for node in cluster.nodes.values()), WAIT_TIMEOUT_S)
     return next(node for node in cluster.nodes.values() if node.running.is_head)
 
 
@@ -36,16 +40,18 @@
 
     cluster.isolate(head.name)
     one = head.ask(put(2, "one"))
-    await cluster.until(lambda: all(node.running.view != head.running.view for node in others), FAR_ABOVE_S)
+    await cluster.until(
+        lambda: all(node.running.view != head.running.view for node in others), WAIT_TIMEOUT_S
+    )
     successor = next(node for node in others if node.running.view and node.running.view.head == node.name)
-    await cluster.until(lambda: successor.running.is_head, FAR_ABOVE_S)
+    await cluster.until(lambda: successor.running.is_head, WAIT_TIMEOUT_S)
     other = await successor.ask(put(2, "other"))
     assert other.status == 200
     await asyncio.sleep(cut_s - 1.2)
     cluster.join_all()
 
     answer = await one
-    assert answer.status in (412, 503), "both orders on version 1 were acknowledged"
+    assert answer.status in (412, 503), "both orders based on version 1 were acknowledged"
     assert (await successor.ask(put(2, "one"))).status == 412
     assert (await head.ask(put(2, "other"))).status == 200
 
@@ -56,18 +62,20 @@
 
 
 async def replace_a_voter(cluster: ControllerCluster) -> None:
-    """An empty machine takes the place of one that is not the head."""
+    """Replace a machine that is not the head by an empty one."""
     head = await head_of(cluster)
     gone = next(node for node in cluster.nodes.values() if node is not head)
     cluster.add("n")
     await cluster["n"].start()
     await gone.stop()
     cluster.remove(gone.name)
-    await cluster.until(lambda: "n" in voter_names(head), FAR_ABOVE_S)
+    await cluster.until(lambda: "n" in voter_names(head), WAIT_TIMEOUT_S)
     await asyncio.sleep(1.0)
 
 
 @pytest.mark.parametrize("cut_s", CUT_S)
 @pytest.mark.parametrize("replaced", [False, True])
-def test_a_deposed_head_acknowledges_no_order_for_the_state_of_another(cut_s: float, replaced: bool) -> None:
+def test_a_deposed_head_does_not_acknowledge_its_order_for_another_state(
+    cut_s: float, replaced: bool
+) -> None:
     run_virtual(order_at_a_deposed_head(cut_s, replaced=replaced))
