--- a/tests/transport/test_fenced_transport.py
+++ b/tests/transport/test_fenced_transport.py
@@ -1,4 +1,4 @@
-"""A process that has been fenced on a matter sends nothing more on it under an older epoch."""
+"""A process that has been fenced on a matter sends no more requests on it under an older epoch."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 NO_REJECTIONS = [
     (WRITE, ChainWritten(True, 5)),
     (WRITE, ChainWritten(False, 5, unreachable="c")),
-    (WRITE, ChainWritten(False, 4)),  # the receiver is behind
-    (WRITE, ChainWritten(False, 0)),  # of another cluster
+    (WRITE, ChainWritten(False, 4)),  # the receiver has an older epoch
+    (WRITE, ChainWritten(False, 0)),  # the receiver belongs to another cluster
     (ConfirmEpoch(5), EpochConfirmed(True, 5)),
     (REPLICATE, ReplicateResponse({})),
     (REPLICATE, ReplicateResponse({1: 4, 2: 9})),
@@ -51,7 +51,7 @@
 
 
 class Peer:
-    """A transport whose peer gives these answers, one after the other."""
+    """A transport that returns the given responses in order."""
 
     address = "10.0.0.1:1"
 
@@ -65,18 +65,18 @@
 
 
 @pytest.mark.parametrize(("message", "answer", "tokens"), REJECTIONS)
-def test_an_answer_that_names_a_higher_epoch_is_seen(message: Any, answer: Any, tokens: Any) -> None:
+def test_a_response_with_a_higher_epoch_is_recognized(message: Any, answer: Any, tokens: Any) -> None:
     assert rejecting_tokens(message, answer) == tokens
 
 
 @pytest.mark.parametrize(("message", "answer"), NO_REJECTIONS)
-def test_no_other_answer_fences(message: Any, answer: Any) -> None:
+def test_other_responses_do_not_fence(message: Any, answer: Any) -> None:
     assert rejecting_tokens(message, answer) == []
 
 
 @pytest.mark.parametrize(("message", "answer", "tokens"), REJECTIONS)
-def test_nothing_is_sent_after_a_rejection(message: Any, answer: Any, tokens: Any) -> None:
-    async def play() -> None:
+def test_no_request_is_sent_after_a_rejection(message: Any, answer: Any, tokens: Any) -> None:
+    async def run_scenario() -> None:
         fenced: list[tuple[FencingToken, str]] = []
         peer = Peer(answer)
         transport = FencedTransport(peer, lambda token, address: fenced.append((token, address)))  # type: ignore[arg-type]
@@ -89,11 +89,11 @@
             assert not caught.value.sent
         assert len(peer.sent) == 1
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_the_epoch_that_fenced_may_be_used_and_other_matters_go_on() -> None:
-    async def play() -> None:
+def test_requests_with_the_fencing_epoch_or_on_other_matters_are_sent() -> None:
+    async def run_scenario() -> None:
         done = ChainWritten(True, 6)
         peer = Peer(ChainWritten(False, 6), done, ReplicateResponse({}))
         transport = FencedTransport(peer, lambda token, address: None)  # type: ignore[arg-type]
@@ -102,22 +102,22 @@
         await transport.call("10.0.0.2:1", REPLICATE, 1.0)
         assert len(peer.sent) == 3
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_an_older_rejection_that_comes_late_lowers_nothing() -> None:
+def test_a_late_rejection_with_an_older_epoch_does_not_lower_the_fence() -> None:
     transport = FencedTransport(Peer(), lambda token, address: None)  # type: ignore[arg-type]
     assert transport.fences.record(FencingToken(CONTROL_CHAIN, 9))
     assert not transport.fences.record(FencingToken(CONTROL_CHAIN, 7))
     assert transport.fences.fence_of(FencingToken(CONTROL_CHAIN, 8)) == FencingToken(CONTROL_CHAIN, 9)
 
 
-def test_the_judge_finds_a_caller_that_goes_on() -> None:
+def test_the_judge_reports_a_caller_that_continues_after_its_rejection() -> None:
     judge = FencingJudge()
     judge.on_request("store-1#1", REPLICATE, 1.0)
     judge.on_answer("store-1#1", REPLICATE, ReplicateResponse({1: 6}), 1.1)
     judge.on_request("store-1#1", REPLICATE, 1.1 + STEP_DOWN_S)
-    judge.on_request("store-1#2", REPLICATE, 9.0)  # a later life has not been told
+    judge.on_request("store-1#2", REPLICATE, 9.0)  # a later incarnation has not seen the rejection
     assert judge.found == []
     judge.on_request("store-1#1", REPLICATE, 1.2 + STEP_DOWN_S)
     (found,) = judge.found
