--- a/hollowusher/coordination/controller/operator_api.py
+++ b/hollowusher/coordination/controller/operator_api.py
@@ -13,7 +13,7 @@
 import orjson
 from aiohttp import web
 
-from hollowusher.configuration.refusal import MOST_BODY_BYTES, Refusal
+from hollowusher.configuration.refusal import MAX_BODY_BYTES, Refusal
 from hollowusher.protocol.operator_orders import (
     ChangeConfiguration,
     OperatorResponse,
@@ -44,7 +44,7 @@
     def add_routes(self, application: web.Application) -> None:
         """Register the operator's routes with an application.
 
-        The `client_max_size` of the application has to be at least `MOST_BODY_BYTES`.
+        The `client_max_size` of the application has to be at least `MAX_BODY_BYTES`.
         """
         application.router.add_put("/config", self._change_configuration)
         application.router.add_patch("/config", self._change_configuration)
@@ -122,8 +122,8 @@
 
 
 async def _read_body(request: web.Request) -> bytes | Refusal:
-    too_long = Refusal(413, "body", f"is longer than {MOST_BODY_BYTES} bytes")
-    if (request.content_length or 0) > MOST_BODY_BYTES:
+    too_long = Refusal(413, "body", f"is longer than {MAX_BODY_BYTES} bytes")
+    if (request.content_length or 0) > MAX_BODY_BYTES:
         return too_long
     try:
         return await request.read()
