--- a/hollowusher/scheduler/net/__init__.py
+++ b/hollowusher/scheduler/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, ring buffers, connection pools, timers and the task that owns the desk."""
+"""Sockets, ring buffers, connection pools, timers and the task that runs the job dispatcher."""
--- a/hollowusher/scheduler/net/accept.py
+++ b/hollowusher/scheduler/net/accept.py
@@ -1,4 +1,4 @@
-"""Accepts connections of other programs of ours and of people: a task each, some at a time."""
+"""Accepts connections from other schedulers and from operators, with one task for each connection."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from hollowusher.scheduler.net.link import Link, listen
 from hollowusher.scheduler.net.ring import MOST_BYTES
 
-AGAIN_S = 0.2  # where no descriptor is left: those who wait are served when there is one
+ACCEPT_RETRY_S = 0.2  # delay before the next accept after a failure, such as a lack of file descriptors
 
 
 class ConnectionAcceptor:
-    """`serve` is called with each connection, and closes it."""
+    """Runs `serve` in a task for each accepted connection; `serve` closes the connection."""
 
     def __init__(
         self,
@@ -22,19 +22,22 @@
         ring: int = MOST_BYTES,
         free_connection: bool = False,
     ) -> None:
-        """At most so many at a time; more are closed at once, or the oldest is, to `free_connection`."""
+        """Serve at most `most` connections at a time, each with ring buffers of `ring` bytes.
+
+        At that limit, the acceptor closes a new connection at once.  With `free_connection`, it cancels the
+        task of the oldest connection instead and accepts the new one."""
         self._address, self._serve, self._most, self._ring = address, serve, most, ring
         self._free_connection = free_connection
-        self._tasks: dict[asyncio.Task[None], None] = {}  # the oldest first
+        self._tasks: dict[asyncio.Task[None], None] = {}  # in order of acceptance, oldest first
         self._accepting: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Listen; OSError where the address is taken."""
+        """Listen on the address; raises OSError if it is in use."""
         self._listener = listen(self._address)
         self._accepting = asyncio.create_task(self._accept())
 
     async def stop(self) -> None:
-        """End, whoever is served."""
+        """Stop listening and cancel the tasks of all open connections."""
         if self._accepting is not None:
             self._accepting.cancel()
             self._listener.close()
@@ -47,7 +50,7 @@
             try:
                 sock, _ = await asyncio.get_running_loop().sock_accept(self._listener)
             except OSError:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
             if len(self._tasks) >= self._most:
                 if not self._free_connection:
--- a/hollowusher/scheduler/net/link.py
+++ b/hollowusher/scheduler/net/link.py
@@ -11,13 +11,17 @@
 
 from hollowusher.scheduler.net.ring import MOST_BYTES, RingBuffer
 
-BACKLOG = 512  # connections that the kernel accepts ahead of us
-LINGER_PACE_S = 0.001  # between two receives of bytes that nobody wants
-_DROPPED = memoryview(bytearray(256 * 1024))  # where all connections receive what is thrown away
+BACKLOG = 512  # connections that the kernel queues until the process accepts them
+LINGER_PACE_S = 0.001  # delay after each receive of discarded bytes
+_DISCARD_BUFFER = memoryview(
+    bytearray(256 * 1024)
+)  # receive buffer for discarded bytes, shared by all connections
 
 
 class Link:
-    """Bytes in and out.  One task may receive while another sends; sends are kept in order by a lock."""
+    """Receives and sends bytes on one socket.
+
+    One task may receive while another sends.  A lock serializes concurrent sends."""
 
     def __init__(self, sock: socket.socket, ring: int = MOST_BYTES) -> None:
         self._sock = sock
@@ -27,33 +31,37 @@
         self._sending = asyncio.Lock()
         self.closed = False
         self.used_at = self._loop.time()
-        with contextlib.suppress(OSError):  # small writes must not wait here for an acknowledgement
+        with contextlib.suppress(
+            OSError
+        ):  # Nagle's algorithm would delay small writes until an acknowledgement
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     async def fill(self) -> int:
-        """Receive once into the inbound ring; 0 when the other side has ended."""
+        """Receive once into the inbound ring; returns the byte count, 0 once the peer has closed its side."""
         count = await self._loop.sock_recv_into(self._sock, self.inbound.writable())
         self.inbound.filled(count)
         return count
 
     async def skip(self) -> int:
-        """Receive once and drop it; 0 when the other side has ended.  Slowly: whoever sends what nobody wants
-        is owed no share of the processor."""
-        count = await self._loop.sock_recv_into(self._sock, _DROPPED)
+        """Receive once and discard the bytes; returns their count, 0 once the peer has closed its side.
+
+        A pause of LINGER_PACE_S follows each receive, so that a peer that keeps sending unwanted bytes uses
+        little processor time."""
+        count = await self._loop.sock_recv_into(self._sock, _DISCARD_BUFFER)
         await asyncio.sleep(LINGER_PACE_S)
         return count
 
     async def pass_on(self, feed: Callable[[memoryview], None]) -> None:
-        """Receive once and hand what has come to a parser; ConnectionError when the other side has ended."""
+        """Receive once and pass the bytes to `feed`; raises ConnectionError if the peer has closed."""
         if await self.fill() == 0:
-            raise ConnectionResetError("the other side ended the connection")
+            raise ConnectionResetError("the peer closed the connection")
         while self.inbound.size:
             piece = self.inbound.pending()
             feed(piece)
             self.inbound.taken(len(piece))
 
     async def send(self, *parts: bytes) -> None:
-        """Write all of it.  An OSError means that the last byte has not been written."""
+        """Send all parts in order.  An OSError means that the last byte was not written."""
         async with self._sending:
             ring = self._outbound
             for index, part in enumerate(parts):
@@ -70,7 +78,7 @@
                         break
 
     def fresh(self) -> bool:
-        """Whether an idle connection is still open and silent, as it has to be before it is used again."""
+        """Whether an idle connection can be reused: it is open and the peer has sent no unexpected bytes."""
         if self.closed or self.inbound.size:
             return False
         try:
@@ -79,11 +87,10 @@
             return True
         except OSError:
             return False
-        return False  # ended, or spoke out of turn
+        return False  # the peer has closed the connection or sent unexpected bytes
 
     def ended(self) -> bool:
-        """Whether the other side has ended or broken the connection, also behind bytes that nobody has
-        received yet."""
+        """Whether the peer has closed or reset the connection, even if unread bytes precede the close."""
         if self.closed:
             return True
         try:
@@ -93,28 +100,29 @@
             return False
         except OSError:
             return True
-        look = select.poll()
-        look.register(self._sock, select.POLLRDHUP)  # a break shows unasked
-        return bool(look.poll(0))
+        poller = select.poll()
+        poller.register(self._sock, select.POLLRDHUP)  # poll always reports POLLERR and POLLHUP as well
+        return bool(poller.poll(0))
 
     def half_close(self) -> None:
-        """End our sending.  What is received from now on is dropped: it can have no answer any more."""
+        """Shut down the sending side.  The caller discards later input, because no reply can be sent."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     async def linger(self, most_s: float) -> None:
-        """The lingering close: end our sending and receive for a moment what still comes, until the other
-        side ends as well.  To close on unread bytes resets the connection, which destroys an answer that the
-        other side has not read yet.  Nothing else may be receiving."""
+        """Shut down the sending side, then discard input until the peer closes, for at most `most_s` seconds.
+
+        Closing a socket that has unread bytes resets the connection, and the reset can destroy a response
+        that the peer has not read yet.  No other task may receive on this link at the same time."""
         self.half_close()
         self.inbound.clear()
-        with contextlib.suppress(OSError):  # a TimeoutError is one
+        with contextlib.suppress(OSError):  # TimeoutError is an OSError
             async with asyncio.timeout(most_s):
                 while await self.skip():
                     pass
 
     def close(self) -> None:
-        """Close; again does nothing."""
+        """Close the socket and release the buffers; a second call has no effect."""
         if not self.closed:
             self.closed = True
             with contextlib.suppress(OSError):
@@ -123,13 +131,13 @@
             self._outbound.release()
 
 
-def out_of_descriptors(wrong: OSError) -> bool:
-    """Whether a connection failed for want of something here: it tells nothing of the other side."""
-    return wrong.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+def out_of_descriptors(error: OSError) -> bool:
+    """Whether a connection failed for lack of local resources, which is no evidence against the peer."""
+    return error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 async def connect(address: tuple[str, int], timeout_s: float, ring: int = MOST_BYTES) -> Link:
-    """Open a connection; OSError, of which TimeoutError is one, where it does not come up in time."""
+    """Open a connection within `timeout_s` seconds; raises OSError on failure, TimeoutError included."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -142,8 +150,9 @@
 
 
 def bind(address: tuple[str, int], shared: bool = False) -> socket.socket:
-    """A socket on this address and no other, on which `listen` is still to be called.  Another process of
-    this scheduler may listen there as well where it is `shared`."""
+    """Return a non-blocking socket bound to exactly this address; the caller still has to call `listen`.
+
+    With `shared`, another process of this scheduler can bind the same address (SO_REUSEPORT)."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if shared:
@@ -154,7 +163,7 @@
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
-    """A listening socket on this address and no other."""
+    """Return a listening socket bound to exactly this address."""
     sock = bind(address)
     sock.listen(BACKLOG)
     return sock
--- a/hollowusher/scheduler/net/pool.py
+++ b/hollowusher/scheduler/net/pool.py
@@ -7,15 +7,15 @@
 from hollowusher.scheduler.net.link import Link, connect, out_of_descriptors
 from hollowusher.scheduler.net.ring import MOST_BYTES
 
-IDLE_SHARE = 0.7  # of the node's idle time: a request written once the node has closed ends as a reset
+IDLE_SHARE = 0.7  # of the node's idle timeout; a request sent after the node has closed would end in a reset
 
 
 class PoolFull(OSError):
-    """All the connections that this scheduler may hold to nodes are in use, or all its descriptors are."""
+    """The connection limit is reached, or the process lacks a resource such as a file descriptor."""
 
 
 class Pool:
-    """Connections to all nodes, by node; the newest idle one is used first so that others can age out."""
+    """Keeps idle connections by node; the most recently used one is reused first, so that others expire."""
 
     def __init__(
         self, connect_timeout_s: float, idle_close_s: float, most: int, ring: int = MOST_BYTES
@@ -28,69 +28,72 @@
 
     @property
     def held(self) -> int:
-        """Connections open, coming up and idle."""
+        """The number of connections in use, idle or being opened."""
         return self._held
 
     async def take(self, node: int, address: tuple[str, int]) -> Link:
-        """An idle connection that is still good, or a new one; OSError where none comes up."""
+        """Return a reusable idle connection or a new one; raises OSError if no connection can be opened."""
         idle = self._idle.get(node, [])
         while idle:
             link = idle.pop()
-            if self._young(link) and link.fresh():
+            if self._is_within_idle_time(link) and link.fresh():
                 return link
             self.drop(link)
         return await self.open(address)
 
     async def open(self, address: tuple[str, int]) -> Link:
-        """A new connection, which counts until it is dropped, whoever uses it; OSError where none comes
-        up."""
+        """Open a new connection, which counts towards the limit until `drop`.
+
+        Raises PoolFull for lack of local resources and another OSError if the connection fails."""
         if self._held >= self._most:
             self.sweep(everything=True)
         if self._held >= self._most:
-            raise PoolFull("no connection to spare")
+            raise PoolFull("the connection limit of the pool is reached")
         self._held += 1
         try:
             return await connect(address, self._connect_timeout_s, self._ring)
-        except OSError as wrong:
+        except OSError as error:
             self._held -= 1
-            if out_of_descriptors(wrong):
-                raise PoolFull(str(wrong)) from None
+            if out_of_descriptors(error):
+                raise PoolFull(str(error)) from None
             raise
         except BaseException:
             self._held -= 1
             raise
 
     def give_back(self, node: int, link: Link) -> None:
-        """The connection may be used again."""
+        """Return a connection to the pool for reuse."""
         link.used_at = asyncio.get_running_loop().time()
         self._idle.setdefault(node, []).append(link)
 
     def drop(self, link: Link) -> None:
-        """The connection is of no more use."""
+        """Close a connection and remove it from the count."""
         if not link.closed:
             link.close()
             self._held -= 1
 
     @property
     def idle_s(self) -> float:
-        """How long a connection may stand idle: well less than the node gives it."""
+        """Seconds that a connection may stay idle: IDLE_SHARE of the node's own idle timeout."""
         return self._idle_s
 
     def limit(self, most: int) -> None:
-        """Hold no more than so many from now on; those in use beyond it end in their own time."""
+        """Set the connection limit to `most`.
+
+        If the pool holds more, it closes all idle connections; those in use stay open."""
         self._most = most
         if self._held > most:
             self.sweep(everything=True)
 
     def forget(self, node: int) -> None:
-        """Close what is idle towards a node: it is gone, or came back as a new process."""
+        """Close the idle connections to a node that has left or restarted as a new process."""
         for link in self._idle.pop(node, []):
             self.drop(link)
 
     def sweep(self, everything: bool = False) -> None:
-        """Close what has been idle for too long, well before the node would."""
+        """Close idle connections that have expired or broken, and with `everything` all idle ones."""
         for node, links in list(self._idle.items()):
-            keep = [] if everything else [k for k in links if self._young(k) and k.fresh()]
+            keep = [] if everything else [k for k in links if self._is_within_idle_time(k) and k.fresh()]
             for link in links:
                 if link not in keep:
                     self.drop(link)
@@ -99,5 +102,5 @@
             else:
                 del self._idle[node]
 
-    def _young(self, link: Link) -> bool:
+    def _is_within_idle_time(self, link: Link) -> bool:
         return asyncio.get_running_loop().time() - link.used_at < self._idle_s
