--- a/hollowusher/scheduler/net/membership/__init__.py
+++ b/hollowusher/scheduler/net/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between schedulers: UDP under the membership protocol."""
+"""UDP transport, settings and log lines of the membership protocol between schedulers."""
--- a/hollowusher/scheduler/net/membership/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -1,8 +1,9 @@
-"""One member behind a UDP socket: datagrams in, datagrams out, one timer.
+"""Runs one SWIM member on a UDP socket with one timer.
 
-All judgement is the member's (rules/membership).  Names are resolved here: by the configured addresses, else
-by the one a member names itself, else by where it was heard from.  So an address that is only ours to use (on
-the platform each scheduler has its own for every other) is never passed on.
+The protocol logic is in rules/membership.  This module resolves a member's name to an address: it uses the
+configured address, else the address in the member's own update, else the source address of the member's last
+datagram.  Configured addresses are never gossiped, because on the platform each scheduler has its own address
+for every other scheduler.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 from hollowusher.scheduler.rules.membership.pace import MembershipTiming
 
 Address = tuple[str, int]
-MOST_HEARD = 1024  # names whose address is remembered from their datagrams
+MAX_SOURCE_ADDRESSES = 1024  # names for which a source address is stored
 
 
 class PeerNode(Plain, asyncio.DatagramProtocol):
-    """Started, stopped and asked for a report like every part with a life of its own.
+    """A component that exchanges membership messages with the other schedulers.
 
-    `most_per_s` bounds what is sent: beyond it a message is dropped and counted, which the protocol bears as
-    a loss.  `reported` is called with each change of the view.
+    It sends at most `most_per_s` messages per second; it drops and counts further ones, which the protocol
+    tolerates like lost datagrams.  It calls `reported` with each change of the membership view.
     """
 
     name = "members"
@@ -52,32 +53,33 @@
         self._listen, self._peers, self._reported = listen, dict(peers), reported
         self.budget = Budget(most_per_s, time.monotonic_ns())
         self.codec = DatagramCodec(cluster)
-        chance = random.Random(seed)
-        # A process that starts without a disk: the wall clock's seconds are above what it had, mostly.
+        rng = random.Random(seed)
+        # The incarnation is not stored, so it starts from the wall clock in seconds, which usually exceeds
+        # the incarnation of the previous process.
         self.member = SwimMember(
             name,
-            chance.randrange(MAX_PROCESS_ID),
+            rng.randrange(MAX_PROCESS_ID),
             int(time.time()),
             self._peers,
             pace or MembershipTiming(),
-            chance,
+            rng,
             time.monotonic_ns(),
             address,
         )
         self.counts: Counter[str] = Counter()
-        self.other: Callable[[bytes], None] | None = None  # who takes what is not membership's
-        self._heard: dict[str, Address] = {}
+        self.other: Callable[[bytes], None] | None = None  # receives datagrams of other protocols
+        self._source_addresses: dict[str, Address] = {}
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Bind, and begin to call at the others."""
+        """Bind the socket and start the protocol."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self._listen)
         self._step(None)
 
     async def stop(self) -> None:
-        """Say that we leave, and close."""
+        """Announce the departure to the other members and close the socket."""
         self.member.leave(time.monotonic_ns())
         self._send()
         if self._timer is not None:
@@ -87,7 +89,7 @@
             self._transport = None
 
     def report(self) -> dict[str, object]:
-        """What people on call ask for."""
+        """Return the membership view and counters for operators."""
         member, now = self.member, time.monotonic_ns()
         rows = {
             name: {
@@ -113,13 +115,13 @@
         }
 
     def follow(self, config: PeersConfig) -> None:
-        """Other names or addresses are configured from now on; our own place stays what it was."""
+        """Apply changed names and addresses of the peers; the own name and listening address stay."""
         self._peers = dict(config.peers)
         self.member.set_contacts(time.monotonic_ns(), self._peers)
         self._step(None)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """One datagram; what cannot be read is counted and costs nothing else."""
+        """Process a datagram; one that cannot be decoded is only counted."""
         self.counts["heard"] += 1
         if self.other is not None and not data.startswith(MAGIC):
             self.other(data)
@@ -128,19 +130,19 @@
         if message is None:
             return
         name = message.sender.name
-        if name in self._heard or len(self._heard) < MOST_HEARD:
-            self._heard[name] = addr
+        if name in self._source_addresses or len(self._source_addresses) < MAX_SOURCE_ADDRESSES:
+            self._source_addresses[name] = addr
         self._step(message)
 
     def send_other(self, name: str, data: bytes) -> None:
-        """Send another part's datagram to a member, if it is known where that is."""
-        address = self._where(name)
+        """Send a datagram of another protocol to a member; does nothing if its address is unknown."""
+        address = self._resolve(name)
         if address is not None and self._transport is not None:
             self.counts["sent-other"] += 1
             self._transport.sendto(data, address)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there: a member that is not there is found by its silence."""
+        """Count a refused datagram; the protocol detects an absent member by its missing acknowledgements."""
         self.counts["refused"] += 1
 
     def _step(self, message: Message | None) -> None:
@@ -161,7 +163,7 @@
         sends, self.member.sends = self.member.sends, []
         now = time.monotonic_ns()
         for name, message in sends:
-            address = self._where(name)
+            address = self._resolve(name)
             if address is None or self._transport is None:
                 self.counts["nowhere"] += 1
             elif not self.budget.try_acquire(now):
@@ -172,13 +174,13 @@
                 self.counts["sent-bytes"] += len(data)
                 self._transport.sendto(data, address)
 
-    def _where(self, name: str) -> Address | None:
+    def _resolve(self, name: str) -> Address | None:
         if name in self._peers:
             return self._peers[name]
         record = self.member.records.get(name)
         host, _, port = record.update.address.rpartition(":") if record is not None else ("", "", "")
-        with contextlib.suppress(OSError, ValueError):  # what a member says of itself may be anything
+        with contextlib.suppress(OSError, ValueError):  # the address in a member's update is unvalidated
             socket.inet_pton(socket.AF_INET, host)
             if 0 < int(port) < 65_536:
                 return host, int(port)
-        return self._heard.get(name)
+        return self._source_addresses.get(name)
--- a/hollowusher/scheduler/net/membership/settings.py
+++ b/hollowusher/scheduler/net/membership/settings.py
@@ -1,4 +1,4 @@
-"""The sections of the settings file about the other schedulers."""
+"""The [peers] and [peer] sections of the settings file."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersConfig:
-    """With whom this scheduler keeps a view of who is there."""
+    """Configuration of the membership protocol between schedulers."""
 
     enabled: bool = False
-    listen: Address | None = None  # None: it is off
-    name: str = ""  # our own among the peers
+    listen: Address | None = None  # None: the protocol is disabled
+    name: str = ""  # the name of this scheduler among the peers
     cluster: str = "hollowusher"
     most_messages: int = 200
     peers: dict[str, Address] = field(default_factory=dict)
@@ -27,52 +27,61 @@
     "peers",
     "Membership among the schedulers (docs/membership.md). Off on the platform.",
     (
-        Directive("enabled", switch(), _BASE.enabled, "whether this scheduler keeps a view of the others"),
+        Directive(
+            "enabled", switch(), _BASE.enabled, "whether this scheduler takes part in the membership protocol"
+        ),
         Directive(
             "platform",
             switch(),
             False,
-            "whether it does so by the platform's `peer_listen` and `peers`, where messages are allowed",
+            "whether it uses the platform's `peer_listen` and `peers`, if the platform allows messages",
         ),
-        Directive("listen", address(), None, "where it hears the others, by UDP"),
+        Directive("listen", address(), None, "UDP address that receives messages of the other schedulers"),
         Directive(
-            "cluster", word(64), _BASE.cluster, "the name that all of them share; what others send is skipped"
+            "cluster",
+            word(64),
+            _BASE.cluster,
+            "cluster name shared by all members; messages of other clusters are ignored",
         ),
         Directive(
             "most-messages",
             count(10, 100_000),
             _BASE.most_messages,
-            "datagrams a second that it may send; what is beyond is dropped and counted",
+            "most datagrams sent per second; further ones are dropped and counted",
         ),
     ),
 )
 PEER = Section(
     "peer",
-    "One of the schedulers, our own among them; the title is its name.",
-    (Directive("address", address(), None, "where it is heard by UDP", needed=True),),
+    "One scheduler, including this one; the title is its name.",
+    (Directive("address", address(), None, "its UDP address", needed=True),),
     titled=True,
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Allowed:
-    """What the platform gives for messages between schedulers: nothing, unless its settings allow them."""
+    """The platform's settings for messages between schedulers; the default allows no messages."""
 
     messages: bool = False
     me: int = 0
     listen: Address | None = None
-    addresses: tuple[Address, ...] = ()  # by the schedulers' numbers, our own among them
+    addresses: tuple[Address, ...] = ()  # indexed by scheduler number, including this scheduler
 
 
 def read_peers(sheet: Sheet, name: str = "scheduler", platform: Allowed | None = None) -> PeersConfig:
-    """The sections' values; SettingsError where it is enabled without a place or without others."""
+    """Read the sections for the scheduler called `name`, with the platform's settings if `platform` is on.
+
+    Raises ConfigError if the membership protocol is enabled without a listening address or without peers."""
     own = sheet.one(PEERS)
     if own["platform"]:
         platform = platform or Allowed()
         if own["enabled"]:
-            raise own.fault("platform", "does not go with `enabled`: one of the two says who the others are")
+            raise own.fault(
+                "platform", "does not go with `enabled`: set only one of the two, as each defines the peers"
+            )
         if not platform.messages or platform.listen is None or len(platform.addresses) < 2:
-            return _BASE  # there is nobody to talk to, or it is not allowed
+            return _BASE  # the platform allows no messages or lists no other scheduler
         if not 0 <= platform.me < len(platform.addresses):
             raise ConfigError(f"peers: has no address for our own number, {platform.me}")
         peers = {f"n{number}": where for number, where in enumerate(platform.addresses)}
@@ -81,9 +90,9 @@
         )
     peers = {block.title: block["address"] for block in sheet.all(PEER)}
     if own["enabled"] and own["listen"] is None:
-        raise own.fault("enabled", "has no place to hear the others: give `listen` as well")
+        raise own.fault("enabled", "has no place to hear the others: set `listen` as well")
     if own["enabled"] and not peers:
-        raise own.fault("enabled", "names nobody: give a [peer NAME] for each scheduler")
+        raise own.fault("enabled", "names nobody: add a [peer NAME] section for each scheduler")
     if not own["enabled"]:
         return _BASE
     if name not in peers:
--- a/hollowusher/scheduler/net/membership/words.py
+++ b/hollowusher/scheduler/net/membership/words.py
@@ -1,17 +1,17 @@
-"""Log lines of the view's changes."""
+"""Log lines for changes of the membership view."""
 
 from __future__ import annotations
 
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.rules.membership.events import Change, MembershipEvent
 
-_GRAVE = {Change.DIED, Change.TWIN, Change.DEAF, Change.MINORITY, Change.PAUSED}
+_WARNINGS = {Change.DIED, Change.TWIN, Change.DEAF, Change.MINORITY, Change.PAUSED}
 
 
 def tell(log: LogWriter, reported: MembershipEvent) -> None:
-    """One line for one change: `member-died` and so on; docs/membership.md lists them."""
-    say = log.warning if reported.change in _GRAVE else log.notice
-    say(
+    """Write one log line for a membership event, such as `member-died`; docs/membership.md lists them."""
+    write = log.warning if reported.change in _WARNINGS else log.notice
+    write(
         f"member-{reported.change.value}",
         reported.why or reported.change.value,
         member=reported.name,
--- a/tests/scheduler/test_listener_end.py
+++ b/tests/scheduler/test_listener_end.py
@@ -1,4 +1,6 @@
-"""A scheduler that stops beside another serves each connection that the kernel had accepted for it."""
+"""A scheduler that stops after a replacement still serves each connection in its kernel accept queue.
+
+Without this, a connection that arrives a few event loop iterations before the stop would be reset."""
 
 from __future__ import annotations
 
@@ -17,14 +19,14 @@
 from hollowusher.scheduler.net.link import listen
 from tests.support.standins import CLASSES, free_port, post
 
-MOST_TURNS = 6  # of the loop, between a connection and the stop
+MOST_TURNS = 6  # event loop iterations between the connection and the stop
 PATIENCE_S = 5.0
 
 LoopFactory = Callable[[], asyncio.AbstractEventLoop]
 
 
 class Front:
-    """The front of HTTP clients as it serves; the test is the desk."""
+    """The HTTP client front end; the test takes the place of the dispatcher."""
 
     def __init__(self) -> None:
         self.reported: asyncio.Queue[DispatchEvent] = asyncio.Queue()
@@ -32,7 +34,7 @@
         classes = {job_class.name: job_class for job_class in CLASSES}
         log = LogWriter("test", per_s=0, burst=0)
         self.clients = PlatformClients(self.listener, classes, 8, JobIds(), self.reported.put_nowait, log)
-        self.clients.replaced.set()  # another process serves
+        self.clients.replaced.set()  # a replacement process is serving
         self.accepting = asyncio.create_task(self.clients.accept())
         self.draining: asyncio.Task[None] | None = None
 
@@ -40,7 +42,7 @@
         self.draining = asyncio.create_task(self.clients.drain(self.accepting))
 
     async def taken(self) -> bool:
-        """Whether a job reaches the desk."""
+        """Whether the front end reports a job within PATIENCE_S."""
         try:
             async with asyncio.timeout(PATIENCE_S):
                 return isinstance(await self.reported.get(), JobTaken)
@@ -57,7 +59,7 @@
 
 
 def after_turns(turns: int, act: Callable[[], None]) -> None:
-    """Act after so many turns of the loop."""
+    """Call `act` after `turns` iterations of the event loop."""
     if turns == 0:
         act()
     else:
@@ -65,10 +67,11 @@
 
 
 async def is_served(turns: int) -> bool:
-    """Whether a request is served whose connection comes so many turns before the stop."""
+    """Whether a request is served if its connection arrives `turns` event loop iterations before the stop."""
     front = Front()
     await asyncio.sleep(0.01)
-    client = socket.create_connection(front.listener.getsockname(), PATIENCE_S)  # accepted by the kernel now
+    # The connection is in the kernel's accept queue once this call returns.
+    client = socket.create_connection(front.listener.getsockname(), PATIENCE_S)
     try:
         client.sendall(post("a"))
         after_turns(turns, front.stop)
--- a/tests/scheduler/test_membership_sockets.py
+++ b/tests/scheduler/test_membership_sockets.py
@@ -1,4 +1,4 @@
-"""Members behind UDP sockets on loopback."""
+"""Membership nodes on UDP sockets on loopback: failure, departure, restart, bad datagrams, rate limit."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         self.assertFalse(any(n.report()["minority"] for n in self.nodes.values()))
         dead = self.nodes.pop("n4")
         assert dead._transport is not None
-        dead._transport.abort()  # as a process ends: without a word
+        dead._transport.abort()  # like a crashed process, which sends no departure message
         dead._transport = None
         await self.until(lambda: self.knowing(Change.DIED, "n4") == set(self.nodes))
         self.nodes["n4"] = self.node("n4", 77)
--- a/tests/scheduler/test_reports.py
+++ b/tests/scheduler/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of a running scheduler, asked for on loopback; and who the others are, by file or by platform."""
+"""Component reports over loopback, and the peers as read from the settings file or the platform."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
         self.assertEqual(await ask(address, "told"), {"number": 7})
         self.assertIn("no part", str((await ask(address, "nobody"))["fault"]))
         silent = [await asyncio.open_connection(*address) for _ in range(MOST_ASKERS)]
-        with self.assertRaises((OSError, ValueError)):  # one too many is closed at once
+        with self.assertRaises((OSError, ValueError)):  # a connection above the limit is closed at once
             await ask(address, "told")
-        for reader, writer in silent:  # those that never ask are closed in time
+        for reader, writer in silent:  # connections without a request are closed after a timeout
             self.assertEqual(await asyncio.wait_for(reader.read(), 5), b"")
             writer.close()
         _, writer = await asyncio.open_connection(*address)
