--- a/hollowusher/scheduler/net/log_replication/__init__.py
+++ b/hollowusher/scheduler/net/log_replication/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of what a scheduler holds: storage, streams between schedulers, the gate before the desk."""
+"""Replication of a scheduler's job log: storage, streams between schedulers, admission of jobs."""
--- a/hollowusher/scheduler/net/log_replication/admission.py
+++ b/hollowusher/scheduler/net/log_replication/admission.py
@@ -1,4 +1,7 @@
-"""Stands before desk and floor: jobs of copied classes pass only once their records are kept."""
+"""Holds back events and commands of jobs in replicated classes until their log records are replicated.
+
+The admission layer sits between the dispatcher and the front ends and workers, in both directions.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
 
 
 class ReplicationAdmission:
-    """`post` goes before the desk's queue, `carry_out` before the floor."""
+    """Filters events on their way to the dispatcher (`post`) and commands on their way out (`carry_out`)."""
 
     def __init__(
         self,
@@ -42,22 +45,22 @@
         seed: int,
     ) -> None:
         self.classes, self._registry, self._post, self._carry_out = classes, registry, post, carry_out
-        self._wait_ns = wait_ns  # advice that goes with a refusal
+        self._wait_ns = wait_ns  # retry delay that a rejected client receives
         self.node: CopiesNode | None = None
-        # Each intent has a number of its own, of this process alone: a job may come to it more than once.
+        # Numbers for intents, unique across processes, because the same job can arrive here more than once.
         self._number = (time.time_ns() ^ seed) % (1 << 40) << 20
-        self._waiting: dict[JobAttempt, int] = {}  # intents that are not kept yet, and their numbers
-        self._withdrawn: dict[JobAttempt, int] = {}  # those of them that the desk does not want any more
-        self._out: dict[JobAttempt, tuple[str, int]] = {}  # attempts that are out: the job's id, the number
+        self._waiting: dict[JobAttempt, int] = {}  # numbers of the intents that are not replicated yet
+        self._withdrawn: dict[JobAttempt, int] = {}  # numbers of those that the dispatcher has cancelled
+        self._out: dict[JobAttempt, tuple[str, int]] = {}  # job id and intent number of each running attempt
 
     def copied(self, job: ClientJob) -> bool:
-        """Whether a job's class is copied."""
+        """Whether the class of a job is replicated."""
         return job.job_class in self.classes
 
-    # --- to the desk --------------------------------------------------------------------------------------
+    # --- events to the dispatcher -------------------------------------------------------------------------
 
     def post(self, event: DispatchEvent) -> None:
-        """What a front or an attempt tells."""
+        """Process an event from a front end or an attempt."""
         assert self.node is not None
         match event:
             case JobTaken(job) if self.copied(job):
@@ -76,19 +79,19 @@
                 )
                 self.node.take(taken, job, job.retry)
             case ClientLeft(job) if self.copied(job):
-                self.node.gone(job.job_id, job)  # it may come back: the job goes on
+                self.node.gone(job.job_id, job)  # the job continues, because the client may reconnect
             case AttemptEnded(attempt) if attempt in self._out:
                 job_id, number = self._out.pop(attempt)
-                if event.outcome is not Outcome.OK:  # a good end is told by its answer
+                if event.outcome is not Outcome.OK:  # the answer record covers a successful end
                     self.node.ended(job_id, number, event.outcome.never_ran)
                 self._post(event)
             case _:
                 self._post(event)
 
-    # --- from the desk ------------------------------------------------------------------------------------
+    # --- commands from the dispatcher ---------------------------------------------------------------------
 
     def carry_out(self, command: DispatchCommand) -> None:
-        """What the desk orders."""
+        """Process a command of the dispatcher."""
         assert self.node is not None
         match command:
             case Dispatch(attempt, job) if self.copied(job):
@@ -98,8 +101,8 @@
                 self._waiting[attempt] = self._number
                 self.node.intent(job.job_id, self._number, name, cell, command)
             case CancelAttempt(attempt) if attempt in self._waiting:
-                # Nothing of it is out, and nothing will be: the desk must hear so, else it waits for good and
-                # takes the node for one that is silent.
+                # The attempt has not been sent and will not be.  Without this event, the dispatcher would
+                # wait for its end indefinitely and treat the node as unresponsive.
                 self._withdrawn[attempt] = self._waiting.pop(attempt)
                 self._post(AttemptEnded(attempt, Outcome.NOT_SENT))
             case ReplyToClient(job, answer) if self.copied(job):
@@ -111,10 +114,10 @@
             case _:
                 self._carry_out(command)
 
-    # --- what may go on -----------------------------------------------------------------------------------
+    # --- instructions of the replication ------------------------------------------------------------------
 
     def act(self, act: ReplicationInstruction) -> None:
-        """One thing that the custody lets go on."""
+        """Execute an instruction that the replication has released."""
         assert self.node is not None
         match act.do, act.handle:
             case ReplicationAction.START, ClientJob() as job:
@@ -141,7 +144,7 @@
 
 
 def _adopted(taken: JobTakenRecord) -> ClientJob:
-    """A job of another's log: nobody waits for it here, its answer is for the book."""
+    """Build a job taken over from another log; without a client here, its answer is only recorded."""
     left_ns = taken.until_ms * 1_000_000 - time.time_ns()
     return ClientJob(
         taken.job,
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -1,7 +1,8 @@
-"""One scheduler's copies behind sockets and a folder: messages in, storage, then messages and acts out.
+"""Runs the log replication of one scheduler on sockets and storage.
 
-All judgement is in rules/copies.  What this keeps is the order: what a step wants stored is stored before
-anything that the same step says, or lets go on, leaves; while one write is under way the next ones gather.
+The protocol logic is in rules/log_replication.  This module guarantees the order: it makes the writes of a
+step durable before it sends the messages or executes the instructions of that step.  While a write is in
+progress, further steps collect in the next batch.
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 from hollowusher.scheduler.rules.log_replication.replica import Store
 
 TICK_S = 0.1
-REOPEN_S = 1.0  # after a failed write; nothing is promised meanwhile
+REOPEN_S = 1.0  # delay before the storage is reopened after a failed write; no job is accepted meanwhile
 
 
 @dataclass(slots=True)
 class Batch:
-    """What some steps want: stored first, then sent and done."""
+    """The output of some steps: writes first, then messages and instructions."""
 
     stores: list[tuple[str, Store]] = field(default_factory=list)
     sends: list[tuple[str, Message]] = field(default_factory=list)
@@ -43,7 +44,7 @@
 
 
 class CopiesNode(Plain):
-    """The part that runs.  `act` is called with each thing that may go on."""
+    """A component that replicates job logs; calls `act` with each released instruction."""
 
     name = "copies"
 
@@ -64,7 +65,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._outgoing: dict[str, OutgoingStream] = {}
         self._incoming: Incoming | None = None
-        self._promised = False
+        self._could_write = False
         self._tick_at = time.monotonic_ns()
         self._missing: set[str] = set()
         self.replication = self._begin()
@@ -73,7 +74,7 @@
         return Folder(self._config.folder) if self._config.folder is not None else Nowhere()
 
     def _begin(self) -> JobReplication:
-        """A keeper of what the storage gives back."""
+        """Create the replication state from the logs in the storage."""
         kept, faults = self._storage.load()
         for fault in faults:
             self._log.error("copies-storage", fault)
@@ -93,19 +94,19 @@
         return JobReplication(replicas, tuple(sorted(config.others)), self._classes, config.seek_once)
 
     async def start(self) -> None:
-        """Listen, connect, and ask what the others know."""
+        """Listen for the other schedulers, connect to them and start the recovery."""
         for name, address in self._config.others.items():
             if name != self._config.name:
                 self._outgoing[name] = OutgoingStream(name, self._config.name, address)
         assert self._config.listen is not None
         self._incoming = Incoming(
-            self._config.listen, self._heard, lambda why: self._log.warning("copies-bad", why)
+            self._config.listen, self._receive, lambda why: self._log.warning("copies-bad", why)
         )
         self._incoming.start()
         self._tick()
 
     async def stop(self) -> None:
-        """End; what is under way is not waited for, the others have it."""
+        """Stop; waits at most one second for a write in progress, as other replicas have the records."""
         if self._timer is not None:
             self._timer.cancel()
         if self._flushing is not None:
@@ -117,7 +118,7 @@
         self._storage.close()
 
     def report(self) -> Mapping[str, object]:
-        """What people on call ask for."""
+        """Return the state of each log and stream for operators."""
         now, replicas = time.monotonic_ns(), self.replication.replicas
         rows = {}
         for owner, log in replicas.logs.items():
@@ -140,39 +141,39 @@
             "queued": {n: out.connected for n, out in self._outgoing.items()},
         }
 
-    # --- in -----------------------------------------------------------------------------------------------
+    # --- input --------------------------------------------------------------------------------------------
 
     def take(self, taken: JobTakenRecord, handle: Hashable, again: bool) -> None:
-        """A client asks for a job of a copied class."""
+        """Process a client's request for a job in a replicated class; `again` marks a repeated request."""
         self.replication.take(time.monotonic_ns(), _ms(), taken, handle, again)
-        self._pump()
+        self._collect_output()
 
     def intent(self, job: str, number: int, node: str, cell: str, handle: Hashable) -> None:
-        """The desk orders an attempt."""
+        """Replicate the intent to start an attempt of a job on a node."""
         self.replication.intent(time.monotonic_ns(), _ms(), job, number, node, cell, handle)
-        self._pump()
+        self._collect_output()
 
     def ended(self, job: str, number: int, never: bool) -> None:
-        """An attempt is over."""
+        """Record the end of an attempt; `never` means that it did not run."""
         self.replication.ended(time.monotonic_ns(), _ms(), job, number, never)
-        self._pump()
+        self._collect_output()
 
     def answer(self, answer: AnswerRecord, handle: Hashable, until_ms: int) -> None:
-        """The desk has its answer."""
+        """Replicate the answer to a job."""
         self.replication.answer(time.monotonic_ns(), _ms(), answer, handle, until_ms)
-        self._pump()
+        self._collect_output()
 
     def gone(self, job: str, handle: Hashable) -> None:
-        """This client waits no more."""
+        """Record that a client of the job has disconnected."""
         self.replication.client_disconnected(job, handle)
 
     def view(self, missing: set[str]) -> None:
-        """Whom the members' view holds dead."""
+        """Set the members that the membership view considers dead."""
         self._missing = missing
         self.replication.replicas.set_missing_members(time.monotonic_ns(), missing)
         self._arm()
 
-    def _heard(self, sender: str, message: Message) -> None:
+    def _receive(self, sender: str, message: Message) -> None:
         if sender not in self._config.others:
             return
         now = time.monotonic_ns()
@@ -181,7 +182,7 @@
         else:
             self.replication.replicas.step(now, _ms(), message, sender)
             self.replication.tick(now, _ms())
-        self._pump()
+        self._collect_output()
 
     def _tick(self) -> None:
         now = time.monotonic_ns()
@@ -189,17 +190,21 @@
         self.replication.replicas.step(now, _ms())
         self.replication.tick(now, _ms())
         can_write = self.replication.replicas.can_write(now)
-        if can_write != self._promised:
-            self._promised = can_write
+        if can_write != self._could_write:
+            self._could_write = can_write
             if can_write:
-                self._log.notice("copies-promise", "jobs are taken: our log is ours")
+                self._log.notice(
+                    "copies-promise", "jobs are accepted: this scheduler holds the lease of its log"
+                )
             else:
-                self._log.warning("copies-no-promise", "no majority of our group answers: jobs are refused")
-        self._pump()
+                self._log.warning(
+                    "copies-no-promise", "jobs are rejected: no majority of the group of this log responds"
+                )
+        self._collect_output()
 
-    # --- out ----------------------------------------------------------------------------------------------
+    # --- output -------------------------------------------------------------------------------------------
 
-    def _pump(self) -> None:
+    def _collect_output(self) -> None:
         replicas, batch = self.replication.replicas, self._batch
         batch.stores += replicas.stores
         batch.sends += replicas.sends
@@ -215,7 +220,7 @@
         self._arm()
 
     def _flush(self) -> None:
-        """Store what there is, and let go what waited for it."""
+        """Store the current batch, then release its messages and instructions."""
         batch, self._batch = self._batch, Batch()
         if not batch.stores or isinstance(self._storage, Nowhere):
             self._release(batch)
@@ -223,7 +228,7 @@
         self._flushing = asyncio.create_task(self._store(batch))
 
     async def _store(self, batch: Batch) -> None:
-        """One write a log, beside the loop: a slow disk slows promises and nothing else."""
+        """Write the batch in an executor, one write per log; a slow disk delays only replicated jobs."""
         loop, logs = asyncio.get_running_loop(), self.replication.replicas.logs
         by_owner: dict[str, list[Store]] = {}
         for owner, store in batch.stores:
@@ -231,21 +236,23 @@
         try:
             for owner, stores in by_owner.items():
                 await loop.run_in_executor(None, self._storage.write, owner, stores, logs[owner].replica.kept)
-        except OSError as wrong:
-            self._log.error("copies-storage", f"{wrong}: nothing is promised until it can be written again")
-            # What could not be stored was never said: all that waited for it is told so, and all begins anew.
+        except OSError as exc:
+            self._log.error(
+                "copies-storage", f"{exc}: no job is accepted until the storage can be written again"
+            )
+            # No message of the batch was sent.  Abandon its instructions and restart from the stored state.
             left, self._batch = self._batch, Batch()
             for act in self.replication.abandon(_ms(), batch.acts + left.acts):
                 self._act(act)
             await asyncio.sleep(REOPEN_S)
             self._storage.close()
             self._storage = self._opened()
-            for act in self.replication.abandon(_ms(), self._batch.acts):  # who has come meanwhile
+            for act in self.replication.abandon(_ms(), self._batch.acts):  # requests that arrived meanwhile
                 self._act(act)
             self._batch = Batch()
             self.replication = self._begin()
             self._flushing = None
-            self._pump()
+            self._collect_output()
             return
         self._flushing = None
         self._release(batch)
@@ -266,7 +273,7 @@
     def _arm(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        # The tick has its own time: messages that come more often than it is due must not put it off.
+        # The tick has a fixed due time, so that frequent messages do not postpone it.
         due = min(self.replication.replicas.due(), self._tick_at)
         wait_s = max(0.001, (due - time.monotonic_ns()) / 1e9)
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
--- a/hollowusher/scheduler/net/log_replication/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -1,8 +1,9 @@
-"""Where a member keeps its logs: in memory, or in a folder.
+"""Storage of replicated logs: in memory only, or in a folder.
 
-One file a log: a head, then records of a length, a checksum and a body.  A record that the file's end cuts
-off was never synced, so nobody was told of it: it goes.  Any other fault means that what was vouched for may
-be gone: the file is set aside, and the member starts as one that must first learn.
+Each log is one file: a header, then records with a length, a checksum and a body.  A record that is cut off
+by the end of the file was never synced and never acknowledged, so the storage truncates it.  Any other damage
+means that acknowledged records may be lost: the storage renames the file, and the replica starts as a
+learner.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 MAGIC = b"hollowusher copies 1\n"
 _HEAD = struct.Struct(">IQ")
-MOST_RECORD = 256 * 1024 * 1024
-REWRITE_BYTES = 8 * 1024 * 1024  # of records that an image has made void: then the file is written anew
+MAX_RECORD_BYTES = 256 * 1024 * 1024
+REWRITE_BYTES = 8 * 1024 * 1024  # size of the records replaced by snapshots above which the file is rewritten
 
 
-class Meta(Struct, array_like=True, tag="m"):
-    """Term, vote and starts."""
+class MetaRecord(Struct, array_like=True, tag="m"):
+    """A record of the term, the vote and the recovery counters."""
 
     term: int
     voted: str
@@ -35,21 +36,21 @@
     heard: dict[str, tuple[int, int]]
 
 
-class Rows(Struct, array_like=True, tag="e"):
-    """Entries from a number on, in the place of what stands there: the same ones twice do no harm."""
+class EntriesRecord(Struct, array_like=True, tag="e"):
+    """A record of entries from number `first` on, which replace existing ones; replaying it is harmless."""
 
     first: int
     entries: tuple[LogEntry, ...]
 
 
-class Cut(Struct, array_like=True, tag="c"):
-    """Entries from this number on are void."""
+class TruncateRecord(Struct, array_like=True, tag="c"):
+    """A record that removes all entries from `number` on."""
 
     number: int
 
 
-class Picture(Struct, array_like=True, tag="i"):
-    """The state up to a number takes the place of the entries so far."""
+class SnapshotRecord(Struct, array_like=True, tag="i"):
+    """A record of a snapshot that replaces the entries up to number `upto`."""
 
     upto: int
     before: int
@@ -57,55 +58,56 @@
     image: bytes
 
 
-Piece = Meta | Rows | Cut | Picture
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Piece)
+Record = MetaRecord | EntriesRecord | TruncateRecord | SnapshotRecord
+_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Record)
 
 
 class Storage(Protocol):
-    """Keeps logs over restarts."""
+    """Stores logs across restarts."""
 
     def load(self) -> tuple[dict[str, PersistentState], list[str]]:
-        """What is held, by owner, and what was wrong with it."""
+        """Return the stored logs by owner, and a description of each fault found."""
 
     def write(self, owner: str, stores: Iterable[Store], kept: PersistentState) -> None:
-        """Make them durable; OSError where that is not certain."""
+        """Make the writes durable; raises OSError if that is not certain."""
 
     def close(self) -> None:
-        """End."""
+        """Close the storage."""
 
 
 class Nowhere:
-    """Memory only: a process that starts holds nothing."""
+    """Storage that keeps nothing: after a restart all logs are empty."""
 
     def load(self) -> tuple[dict[str, PersistentState], list[str]]:
+        """Return no logs."""
         return {}, []
 
     def write(self, owner: str, stores: Iterable[Store], kept: PersistentState) -> None:
-        """What the replica holds is all there is."""
+        """Do nothing: the replica itself holds the log."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no file is open."""
 
 
 class MemberFiles:
-    """What the storage asks of an operating system; a faulty one is passed in by tests."""
+    """The file operations of the storage; tests replace them to inject faults."""
 
     def append(self, path: Path) -> int:
-        """Open for appending."""
+        """Open a file for appending and return its descriptor."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def write(self, descriptor: int, data: bytes) -> None:
-        """All of it."""
+        """Write all of the data."""
         view = memoryview(data)
         while view:
             view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Until it is on the disk."""
+        """Wait until the written data are on the disk."""
         os.fdatasync(descriptor)
 
     def replace(self, source: Path, target: Path) -> None:
-        """Rename over, and until the folder knows it."""
+        """Rename `source` to `target` and sync the folder."""
         os.replace(source, target)
         folder = os.open(target.parent, os.O_RDONLY)
         try:
@@ -114,21 +116,21 @@
             os.close(folder)
 
     def close(self, descriptor: int) -> None:
-        """Close."""
+        """Close a descriptor."""
         os.close(descriptor)
 
 
 class Folder:
-    """Logs in a folder.  After an OSError nothing more is written by this one: it is opened anew."""
+    """Stores logs in a folder.  After an OSError this object rejects writes and must be replaced."""
 
     def __init__(self, path: Path, files: MemberFiles | None = None) -> None:
         self._path, self._files = path, files or MemberFiles()
         self._open: dict[str, int] = {}
-        self._void: dict[str, int] = {}
+        self._replaced_bytes: dict[str, int] = {}
         self.broken = False
 
     def load(self) -> tuple[dict[str, PersistentState], list[str]]:
-        """All logs; what is damaged is set aside and told."""
+        """Read all logs; renames damaged files, truncates incomplete records and reports both."""
         self._path.mkdir(parents=True, exist_ok=True)
         found: dict[str, PersistentState] = {}
         reported: list[str] = []
@@ -136,12 +138,14 @@
             data = path.read_bytes()
             try:
                 kept, good = parse(data)
-            except ValueError as wrong:
-                reported.append(f"{path.name}: {wrong}; it is set aside, and this member learns anew")
+            except ValueError as error:
+                reported.append(f"{path.name}: {error}; the file is set aside, and this member learns anew")
                 self._files.replace(path, path.with_suffix(".damaged"))
                 continue
             if good < len(data):
-                reported.append(f"{path.name}: {len(data) - good} bytes at its end were never whole: cut off")
+                reported.append(
+                    f"{path.name}: truncated an incomplete record of {len(data) - good} bytes at the end"
+                )
                 with path.open("r+b") as file:
                     file.truncate(good)
                     os.fsync(file.fileno())
@@ -150,9 +154,9 @@
         return found, reported
 
     def write(self, owner: str, stores: Iterable[Store], kept: PersistentState) -> None:
-        """One write and one sync for all of them."""
+        """Append all writes with one write and one sync, or rewrite the file."""
         if self.broken:
-            raise OSError("the folder has failed before")
+            raise OSError("an earlier write to this folder failed")
         try:
             self._write(owner, list(stores), kept)
         except OSError:
@@ -160,20 +164,20 @@
             raise
 
     def _write(self, owner: str, stores: list[Store], kept: PersistentState) -> None:
-        void = self._void.get(owner, 0)
+        replaced_bytes = self._replaced_bytes.get(owner, 0)
         data = bytearray()
         for store in stores:
             if store.image is not None:
-                void += len(store.image) + REWRITE_BYTES // 8
-                data += record(Picture(store.upto, kept.before, kept.image_group, store.image))
+                replaced_bytes += len(store.image) + REWRITE_BYTES // 8
+                data += record(SnapshotRecord(store.upto, kept.before, kept.image_group, store.image))
             if store.cut:
-                data += record(Cut(store.cut))
+                data += record(TruncateRecord(store.cut))
             if store.entries:
-                data += record(Rows(store.first, store.entries))
+                data += record(EntriesRecord(store.first, store.entries))
             if store.meta:
-                data += record(meta_of(kept))
-        self._void[owner] = void
-        if void > REWRITE_BYTES:
+                data += record(meta_record(kept))
+        self._replaced_bytes[owner] = replaced_bytes
+        if replaced_bytes > REWRITE_BYTES:
             self._rewrite(owner, kept)
             return
         if owner not in self._open:
@@ -193,9 +197,9 @@
             self._files.write(
                 descriptor,
                 MAGIC
-                + record(Picture(kept.first - 1, kept.before, kept.image_group, kept.image))
-                + record(Rows(kept.first, tuple(kept.entries)))
-                + record(meta_of(kept)),
+                + record(SnapshotRecord(kept.first - 1, kept.before, kept.image_group, kept.image))
+                + record(EntriesRecord(kept.first, tuple(kept.entries)))
+                + record(meta_record(kept)),
             )
             self._files.sync(descriptor)
         finally:
@@ -203,72 +207,78 @@
         self._files.replace(new, self._path / f"{owner}.log")
         if (old := self._open.pop(owner, None)) is not None:
             self._files.close(old)
-        self._void[owner] = 0
+        self._replaced_bytes[owner] = 0
 
     def close(self) -> None:
-        """Close all files."""
+        """Close all open files."""
         for descriptor in self._open.values():
             self._files.close(descriptor)
         self._open.clear()
 
 
-def meta_of(kept: PersistentState) -> Meta:
-    """The part that is no log."""
-    return Meta(kept.term, kept.voted, kept.starts, dict(kept.heard))
+def meta_record(kept: PersistentState) -> MetaRecord:
+    """Return the record of the state other than entries and snapshot."""
+    return MetaRecord(kept.term, kept.voted, kept.starts, dict(kept.heard))
 
 
-def record(piece: Piece) -> bytes:
-    """A record's bytes."""
-    body = _encoder.encode(piece)
+def record(item: Record) -> bytes:
+    """Encode a record with its length and checksum."""
+    body = _encoder.encode(item)
     return _HEAD.pack(len(body), xxhash.xxh64_intdigest(body)) + body
 
 
 def parse(data: bytes) -> tuple[PersistentState, int]:
-    """A log from its file, and how many of its bytes are whole; ValueError where one of them was changed."""
+    """Decode a log file; returns its state and the size in bytes of the complete records.
+
+    Raises ValueError if the header or a record is damaged."""
     kept = PersistentState()
     if len(data) < len(MAGIC):
         if not MAGIC.startswith(data):
-            raise ValueError("its head is another's")
+            raise ValueError("the header is not that of a log file")
         return kept, 0
     if not data.startswith(MAGIC):
-        raise ValueError("its head is another's, or another version's")
+        raise ValueError("the header is not that of a log file of this version")
     at = len(MAGIC)
     while at < len(data):
         if at + _HEAD.size > len(data):
             break
         size, checksum = _HEAD.unpack_from(data, at)
         end = at + _HEAD.size + size
-        if size > MOST_RECORD:
-            raise ValueError(f"a record of {size} bytes at {at}")
+        if size > MAX_RECORD_BYTES:
+            raise ValueError(f"the record at {at} has a length of {size} bytes, above the maximum")
         if end > len(data):
             break
         body = data[at + _HEAD.size : end]
         if xxhash.xxh64_intdigest(body) != checksum:
-            raise ValueError(f"the checksum at {at} does not fit")
+            raise ValueError(f"the record at {at} has an invalid checksum")
         try:
-            _take(kept, _decoder.decode(body))
-        except msgspec.DecodeError as wrong:
-            raise ValueError(f"the record at {at} cannot be read: {wrong}") from None
+            _replay(kept, _decoder.decode(body))
+        except msgspec.DecodeError as error:
+            raise ValueError(f"the record at {at} cannot be decoded: {error}") from None
         at = end
     return kept, at
 
 
-def _take(kept: PersistentState, piece: Piece) -> None:
-    match piece:
-        case Meta():
-            kept.term, kept.voted, kept.starts = piece.term, piece.voted, piece.starts
-            kept.heard = dict(piece.heard)
-        case Rows():
-            if not kept.first <= piece.first <= kept.last + 1:
-                raise ValueError(f"entries from {piece.first} on, after {kept.first} to {kept.last}")
-            del kept.entries[piece.first - kept.first :]
-            kept.entries += piece.entries
-        case Cut():
-            if not kept.first <= piece.number <= kept.last + 1:
-                raise ValueError(f"a cut at {piece.number} of {kept.first} to {kept.last}")
-            del kept.entries[piece.number - kept.first :]
-        case Picture():
-            keep = kept.entries[piece.upto - kept.first + 1 :] if piece.upto >= kept.first else kept.entries
-            kept.entries = list(keep) if piece.upto < kept.last else []
-            kept.first, kept.before = piece.upto + 1, piece.before
-            kept.image, kept.image_group = piece.image, piece.group
+def _replay(kept: PersistentState, item: Record) -> None:
+    match item:
+        case MetaRecord():
+            kept.term, kept.voted, kept.starts = item.term, item.voted, item.starts
+            kept.heard = dict(item.heard)
+        case EntriesRecord():
+            if not kept.first <= item.first <= kept.last + 1:
+                raise ValueError(
+                    f"entries from {item.first} on do not follow the entries {kept.first} to {kept.last}"
+                )
+            del kept.entries[item.first - kept.first :]
+            kept.entries += item.entries
+        case TruncateRecord():
+            if not kept.first <= item.number <= kept.last + 1:
+                raise ValueError(
+                    f"a truncation at {item.number} is outside the entries {kept.first} to {kept.last}"
+                )
+            del kept.entries[item.number - kept.first :]
+        case SnapshotRecord():
+            keep = kept.entries[item.upto - kept.first + 1 :] if item.upto >= kept.first else kept.entries
+            kept.entries = list(keep) if item.upto < kept.last else []
+            kept.first, kept.before = item.upto + 1, item.before
+            kept.image, kept.image_group = item.image, item.group
--- a/hollowusher/scheduler/net/reports/__init__.py
+++ b/hollowusher/scheduler/net/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What the parts of a running scheduler tell of themselves, asked for on loopback."""
+"""Reports of the components of a running scheduler, served on loopback."""
--- a/hollowusher/scheduler/net/reports/settings.py
+++ b/hollowusher/scheduler/net/reports/settings.py
@@ -1,4 +1,4 @@
-"""The section of the settings file about reports."""
+"""The [reports] section of the settings file."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
     "Reports of a running scheduler (docs/membership.md). Off on the platform.",
     (
         Directive(
-            "listen", address(), None, "where they are asked for, by `members` and others; loopback only"
+            "listen",
+            address(),
+            None,
+            "loopback address that serves the reports, for `members` and other commands",
         ),
     ),
 )
 
 
 def read_reports(sheet: Sheet) -> tuple[str, int] | None:
-    """The address, if any; SettingsError where it is not on loopback."""
+    """Return the address, or None if unset; raises ConfigError if it is not on loopback."""
     own = sheet.one(REPORTS)
     where: tuple[str, int] | None = own["listen"]
     if where is not None and not where[0].startswith("127."):
--- a/hollowusher/scheduler/net/shared_state/__init__.py
+++ b/hollowusher/scheduler/net/shared_state/__init__.py
@@ -1,1 +1,1 @@
-"""What schedulers share, behind the members' datagrams."""
+"""Counts and node judgements that schedulers share over the membership socket."""
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -1,4 +1,4 @@
-"""The part that shares: taps what the desk is told, and sends letters by the members' socket."""
+"""Collects shared state from dispatcher events and exchanges it over the membership socket."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from hollowusher.scheduler.rules.shared_state.wire import Message, SharedStateCodec
 
 PERMIT_NS = 80_000_000
-MOST_LETTERS = 2  # to one member at a time
+MAX_DATAGRAMS_PER_MEMBER = 2  # datagrams to one member in one step
 
 
 class SharedNode(Plain):
-    """Counts and judgements of this scheduler and of all others."""
+    """A component that shares traffic counts and node judgements with the other schedulers."""
 
     name = "shared"
 
@@ -49,23 +49,23 @@
             now,
         )
         self._budget = Budget(float(config.most_messages), now)
-        self._over = 0
+        self._over_budget = 0
         self._bad: dict[str, bool] = {}
         self._timer: asyncio.TimerHandle | None = None
-        peers.other = self._heard
+        peers.other = self._receive
 
     async def start(self) -> None:
-        """Begin to tell."""
+        """Start the periodic exchange."""
         self._tick()
 
     async def stop(self) -> None:
-        """End."""
+        """Stop the exchange and the receipt of datagrams."""
         self._peers.other = None
         if self._timer is not None:
             self._timer.cancel()
 
     def tap(self, event: DispatchEvent) -> None:
-        """What the desk is told: counted, and weighed."""
+        """Count an accepted job, or record the end of an attempt as evidence about its node."""
         now = time.monotonic_ns()
         match event:
             case JobTaken(job) if self._config.counts:
@@ -76,40 +76,40 @@
                 node = self._registry.node(attempt.node)
                 if node is not None and (good := node_evidence(event.outcome)) is not None:
                     self.sharer.judgements.record_end(now, node.name, good)
-                    self._changed(now, node.name)
+                    self._log_judgement_change(now, node.name)
 
     def report(self) -> Mapping[str, object]:
-        """What people on call ask for."""
+        """Return the counts and judgements for operators."""
         now = time.monotonic_ns()
         return {
             "name": self.sharer.name,
             "counts": self.sharer.counts.totals(now),
             "own": self.sharer.counts.own(now),
             "rows": self.sharer.judgements.report(now),
-            "over-budget": self._over,
+            "over-budget": self._over_budget,
             "bad": dict(self._codec.bad),
         }
 
-    def _heard(self, data: bytes) -> None:
-        letter = self._codec.decode(data)
-        if letter is None or letter.sender not in self._peers.member.contacts:
+    def _receive(self, data: bytes) -> None:
+        datagram = self._codec.decode(data)
+        if datagram is None or datagram.sender not in self._peers.member.contacts:
             return
         now = time.monotonic_ns()
-        for message in letter.messages:
-            self.sharer.receive(now, message, letter.sender)
+        for message in datagram.messages:
+            self.sharer.receive(now, message, datagram.sender)
             if hasattr(message, "node"):
-                self._changed(now, message.node)
+                self._log_judgement_change(now, message.node)
         self._send(now)
 
-    def _changed(self, now: int, node: str) -> None:
-        """Log a node that counts as bad from now on, or no more."""
+    def _log_judgement_change(self, now: int, node: str) -> None:
+        """Log a node whose judgement has changed between good and bad."""
         bad = self.sharer.judgements.bad(now, node)
         if bad != self._bad.get(node, False):
             self._bad[node] = bad
-            say = self._log.warning if bad else self._log.notice
-            say(
+            write = self._log.warning if bad else self._log.notice
+            write(
                 "shared-bad" if bad else "shared-good",
-                "by all that is known of it",
+                "according to the evidence of all schedulers",
                 node=node,
                 weight=f"{self.sharer.judgements.weight(now, node):.2f}",
             )
@@ -118,7 +118,7 @@
         now = time.monotonic_ns()
         self.sharer.step(now, self._peers.member.present())
         for node in [n for n, bad in self._bad.items() if bad]:
-            self._changed(now, node)
+            self._log_judgement_change(now, node)
         self._send(now)
         wait_s = max(0.01, (self.sharer.due() - time.monotonic_ns()) / 1e9)
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
@@ -129,8 +129,10 @@
         for name, message in sends:
             by_name.setdefault(name, []).append(message)
         for name, messages in by_name.items():
-            for letter in self._codec.encode_datagrams(self.sharer.name, messages, MOST_LETTERS):
+            for datagram in self._codec.encode_datagrams(
+                self.sharer.name, messages, MAX_DATAGRAMS_PER_MEMBER
+            ):
                 if not self._budget.try_acquire(now):
-                    self._over += 1
+                    self._over_budget += 1
                 else:
-                    self._peers.send_other(name, letter)
+                    self._peers.send_other(name, datagram)
--- a/hollowusher/scheduler/net/shared_state/settings.py
+++ b/hollowusher/scheduler/net/shared_state/settings.py
@@ -1,4 +1,4 @@
-"""The section of the settings file about what is shared."""
+"""The [shared] section of the settings file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedConfig:
-    """What this scheduler tells the others, and heeds of them."""
+    """Which state this scheduler shares with the others, and with which limits."""
 
     counts: bool = False
     judgements: bool = False
@@ -29,21 +29,22 @@
     "What schedulers share over [peers] (docs/shared.md). Off on the platform.",
     (
         Directive(
-            "counts", switch(), _BASE.counts, "whether traffic by class and tenant is counted over all"
+            "counts",
+            switch(),
+            _BASE.counts,
+            "whether traffic is counted by class and tenant over all schedulers",
         ),
         Directive(
-            "judgements", switch(), _BASE.judgements, "whether each tells what it has seen of the nodes"
-        ),
-        Directive("window", span(0.5, 60.0), _BASE.window_s, "over which counts run"),
-        Directive(
-            "most-messages", count(4, 10_000), _BASE.most_messages, "datagrams a second that it may send"
+            "judgements", switch(), _BASE.judgements, "whether schedulers share evidence about the nodes"
         ),
+        Directive("window", span(0.5, 60.0), _BASE.window_s, "time window of the counts"),
+        Directive("most-messages", count(4, 10_000), _BASE.most_messages, "most datagrams sent per second"),
     ),
 )
 
 
 def read_shared(sheet: Sheet, peers: bool) -> SharedConfig:
-    """The section's values; SettingsError where there is nobody to share with."""
+    """Read the section; raises ConfigError if it is enabled without [peers]."""
     own = sheet.one(SHARED)
     config = SharedConfig(own["counts"], own["judgements"], own["window"], own["most-messages"])
     if config.enabled and not peers:
