--- a/hollowusher/scheduler/net/http2/__init__.py
+++ b/hollowusher/scheduler/net/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 connections to route nodes: many jobs on few sockets.  docs/http2-design.md says why it is so."""
+"""HTTP/2 connections to route nodes: many jobs on few sockets.  docs/http2-design.md explains the design."""
--- a/hollowusher/scheduler/net/http2/exchange.py
+++ b/hollowusher/scheduler/net/http2/exchange.py
@@ -1,4 +1,4 @@
-"""One request on a connection, from its wait for a stream to the end of its answer."""
+"""One request on a connection, from its wait for a stream to the end of its response."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 T = TypeVar("T")
 T_co = TypeVar("T_co", covariant=True)
-MOST_INTERIM = 8  # interim answers (1xx) to one request; more serve nobody
+MOST_INTERIM = 8  # interim responses (1xx) accepted for one request; none of them affects the result
 Headers = Iterable[tuple[bytes, bytes]]
 
 
 class ResponseParser(Protocol[T_co]):
-    """Reads an answer piece by piece; each method gives the result once it is known."""
+    """Parses a response incrementally; each method returns the result as soon as it is known."""
 
     @property
     def held(self) -> int:
-        """Bytes that are kept of what has come."""
+        """Bytes of the response that the parser buffers."""
 
     def head(self, headers: Headers) -> T_co | None:
-        """The final answer's head."""
+        """Process the headers of the final response."""
 
     def piece(self, data: bytes) -> T_co | None:
-        """Some of the body, cut anywhere; ConnectionError where it cannot be an answer to this request."""
+        """Process a chunk of the body; raises ConnectionError if it is no valid response to this request."""
 
     def end(self, trailers: Headers) -> T_co | None:
-        """The stream has ended; None where the answer is not whole."""
+        """Process the end of the stream; returns None if the response is incomplete."""
 
 
 class StreamExchange(Generic[T]):
-    """What a connection needs of a request, and where it stands on it.
+    """A request, its response parser and its progress on a connection.
 
-    `finish` is told once how it ended: the answer's result, or the outcome of a stream that ended before, or
-    the reason for which the request never went out.  What comes after that is dropped.
+    The first call of `finish` sets the result: the result of the response, the outcome of a stream that ended
+    early, or the reason why the request was not sent.  Later calls have no effect.
     """
 
     __slots__ = (
@@ -70,20 +70,21 @@
     ) -> None:
         self.headers, self.body, self.answer = headers, body, answer
         self.until_ns, self.may_begin, self.urgent = until_ns, may_begin, urgent
-        self.tell: Callable[[], None] = lambda: None  # called once it is settled
+        self.tell: Callable[[], None] = lambda: None  # called once, when the result is set
         self.ended = False
         self.result: T | Outcome | RejectReason | None = None
         self.connection = self.stream = 0  # 0: none yet
-        self.sent = 0  # bytes of the body that are on their way
-        self.end_at: int | None = None  # where in the connection's bytes END_STREAM ends
+        self.sent = 0  # bytes of the body passed to the connection
+        # Output offset of the connection after the frame with END_STREAM; None: frame not produced yet.
+        self.end_at: int | None = None
         self.begun_ns = 0
-        self.answered = False  # whether anything of an answer has come
+        self.answered = False  # whether any part of a response has arrived
         self.interim = 0
-        self.unread = 0  # bytes taken of which the node has not been told yet
-        self.ended_ns = 0  # when it was found settled, with the stream still open
+        self.unread = 0  # received bytes not yet returned to the stream's flow-control window
+        self.ended_ns = 0  # when the result was found set while the stream was still open
 
     def finish(self, how: T | Outcome | RejectReason) -> None:
-        """The first ending counts."""
+        """Set the result and call `tell`; only the first call has an effect."""
         if not self.ended:
             self.ended, self.result = True, how
             self.tell()
--- a/hollowusher/scheduler/net/http2/guarded.py
+++ b/hollowusher/scheduler/net/http2/guarded.py
@@ -1,8 +1,9 @@
-"""`h2`'s connection, with the two things that a client of failing nodes needs beside it.
+"""An `h2` connection that continues after a GOAWAY and limits control frames.
 
-h2 closes its state machine at the first GOAWAY and forgets what it had to send, though the streams up to the
-last id go on (RFC 9113, section 6.8); and it counts no frames.  Both are mended where every frame passes.
-The methods overridden are h2's own, so its version is pinned and tests hold the behaviour."""
+At the first GOAWAY, h2 closes its state machine and drops its pending output, although the streams up to the
+last stream id continue (RFC 9113, section 6.8).  It also does not limit the number of frames.  This module
+overrides the private methods that process each frame, so the version of h2 is pinned and tests check the
+behaviour."""
 
 from __future__ import annotations
 
@@ -29,12 +30,12 @@
     WindowUpdateFrame,
 )
 
-STREAM_WINDOW = 128 * 1024  # bytes of one answer that may be under way: two results of the largest size
+STREAM_WINDOW = 128 * 1024  # bytes of one response in flight: two results of the maximum size
 CONNECTION_WINDOW = 1024 * 1024
 HEADER_BYTES = 16 * 1024
-SMALL_DATA = 16  # bytes; smaller DATA frames cost more than they bring
+SMALL_DATA = 16  # bytes; a smaller DATA frame without END_STREAM counts as a control frame
 _CONTROL = (SettingsFrame, PingFrame, RstStreamFrame, PriorityFrame, WindowUpdateFrame, ExtensionFrame)
-# Our own headers are right as they are, and of the node's only four are read, each by its exact name.
+# The scheduler's own headers are valid already, and it reads only four of the node's, each by its exact name.
 _CONFIG = H2Configuration(
     client_side=True,
     validate_outbound_headers=False,
@@ -45,27 +46,27 @@
 
 
 class Flood(ProtocolError):
-    """The node sends more frames without work than it may."""
+    """The node has sent more control frames than its budget allows."""
 
     error_code = ErrorCodes.ENHANCE_YOUR_CALM
 
 
 class NotHttp2(ProtocolError):
-    """What came first is no SETTINGS frame: the other side does not speak HTTP/2 (RFC 9113, section 3.4)."""
+    """The first frame is not SETTINGS, so the peer does not speak HTTP/2 (RFC 9113, section 3.4)."""
 
 
 class PlainEncoder(Encoder):
-    """Header blocks without Huffman codes: some thirty bytes more a request, and less time than they cost."""
+    """Encodes header blocks without Huffman codes: about 30 bytes more per request, but less CPU time."""
 
     def encode(self, headers: Any, huffman: bool = False) -> bytes:
-        """See `Encoder`."""
+        """Encode as `Encoder` does, without Huffman codes."""
         return super().encode(headers, huffman=False)
 
 
 class GuardedConnection(H2Connection):
-    """A client's connection that outlives a GOAWAY and bounds frames without work.
+    """A client connection that continues after a GOAWAY and limits control frames.
 
-    `spend` is asked for each such frame, and says whether one more is allowed.
+    It calls `spend` for each control frame; the result False means that the budget is exhausted.
     """
 
     def __init__(self, spend: Callable[[], bool]) -> None:
@@ -86,18 +87,18 @@
 
     @property
     def greeted(self) -> bool:
-        """Whether the node has shown that it speaks HTTP/2."""
+        """Whether the first frame of the node was SETTINGS, which shows that it speaks HTTP/2."""
         return self._greeted
 
     def greet(self) -> None:
-        """Begin the connection: preface, SETTINGS, and a window for all answers together."""
+        """Queue the connection preface, SETTINGS and a WINDOW_UPDATE for the connection window."""
         self.initiate_connection()
         self.increment_flow_control_window(CONNECTION_WINDOW - 65_535)
 
     def _receive_frame(self, frame: Frame) -> list[Event]:
         if not self._greeted:
             if not isinstance(frame, SettingsFrame) or "ACK" in frame.flags:
-                raise NotHttp2("the first frame is no SETTINGS")
+                raise NotHttp2("the first frame is not SETTINGS")
             self._greeted = True
         control = isinstance(frame, _CONTROL) and "ACK" not in frame.flags
         if isinstance(frame, DataFrame) and "END_STREAM" not in frame.flags:
@@ -105,11 +106,11 @@
         elif isinstance(frame, HeadersFrame):
             control = "END_STREAM" not in frame.flags
         if control and not self._spend():
-            raise Flood(f"too many frames without work, the last of them {type(frame).__name__}")
+            raise Flood(f"too many control frames, the last one {type(frame).__name__}")
         stream = self.streams.get(frame.stream_id)
         if stream is None or not stream.open or not isinstance(frame, DataFrame | HeadersFrame):
             return super()._receive_frame(frame)
-        # The ordinary case goes past h2's method, which writes out each frame for a log that nobody keeps.
+        # The common case bypasses h2's method, which formats each frame for a debug log that is not used.
         frames, events = self._frame_dispatch_table[frame.__class__](frame)
         self._prepare_for_sending(frames)
         return events  # type: ignore[no-any-return]
--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -1,8 +1,8 @@
-"""One HTTP/2 connection to a node, without its socket: bytes in, bytes out, and what is open between them.
+"""The state of one HTTP/2 connection to a node, without its socket.
 
-What goes out is made at the moment at which it can be written, never before: so nothing waits in a buffer
-of ours past the moment at which its node drains, and what is held for a node that does not read is one
-piece of a ring.  Who makes it (`make`) says if its write failed (`broke`).
+The session produces output only when the socket can write it.  Thus no request waits in a send buffer after
+its node has started to drain, and the scheduler buffers at most one chunk for a node that does not read.  The
+caller takes each chunk from `make` and calls `broke` if the write failed.
 """
 
 from __future__ import annotations
@@ -34,40 +34,42 @@
 from hollowusher.scheduler.rules.stream_ends import Cause, outcome
 from hollowusher.scheduler.rules.streams import RejectReason
 
-PIECE = 16 * 1024  # what is made for one write; a frame may go over it
-ACKNOWLEDGE = 32 * 1024  # bytes taken before the node is told that its windows are open again
-TAIL_S = 1.0  # how long the end of an answer may take once its last line has come
+CHUNK_BYTES = 16 * 1024  # bytes produced for one write; the last frame may exceed it
+WINDOW_UPDATE_BYTES = 32 * 1024  # received bytes after which a WINDOW_UPDATE is sent
+STREAM_END_TIMEOUT_S = 1.0  # time limit for the end of the stream once the result is known
 _ANSWERING = (ResponseReceived, TrailersReceived, InformationalResponseReceived, StreamEnded)
 
 
 class SessionOwner(Protocol):
-    """Who is told of a connection.  Nothing here is called once the connection is over."""
+    """Receives the events of a connection.  The session calls no method after the connection is over."""
 
     def opened(self, session: Http2Session, announced: int) -> None:
-        """The node has shown that it speaks HTTP/2, and allows so many streams."""
+        """The node has sent its first SETTINGS and allows `announced` concurrent streams."""
 
     def limited(self, session: Http2Session, announced: int) -> None:
-        """It allows so many from now on."""
+        """The node now allows `announced` concurrent streams."""
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
-        """It owes a sign of life, or has given one."""
+        """A PING to the node is unanswered (`silent`), or a frame has arrived again."""
 
     def retired(self, session: Http2Session, code: int | None, above: int) -> None:
-        """Nothing new may go on it: GOAWAY with this code, so many streams above its last; None: no ids
-        left."""
+        """The connection accepts no new streams.
+
+        Either the node has sent a GOAWAY with error `code`, and `above` open streams are above its last
+        stream id, or no stream ids are left (`code` is None)."""
 
     def ended(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
-        """A stream is over."""
+        """The stream of an exchange has ended."""
 
     def unbegun(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
-        """A request that was given comes back without a byte written."""
+        """The session returns an assigned request of which no byte was written."""
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
-        """The connection is over; `spoken`: nothing has shown that the other side speaks anything else."""
+        """The connection is over; `spoken` is False if the peer evidently does not speak HTTP/2."""
 
 
 class Http2Session:
-    """The connection.  `wake` is called when there is something to make."""
+    """An HTTP/2 client connection; calls `wake` when `make` has output to produce."""
 
     def __init__(
         self,
@@ -80,48 +82,48 @@
         now = clock()
         self.number, self._config, self._owner, self._clock, self._wake = number, config, owner, clock, wake
         self._budget = FrameBudget(now, config.control_frames)
-        self._pulse = LivenessCheck(now, round(config.ping_after_s * 1e9), round(config.ping_wait_s * 1e9))
+        self._liveness = LivenessCheck(now, round(config.ping_after_s * 1e9), round(config.ping_wait_s * 1e9))
         self._h2 = GuardedConnection(lambda: self._budget.spend(clock()))
         self._streams: dict[int, StreamExchange[Any]] = {}
         self._starting: deque[StreamExchange[Any]] = deque()
-        self._bodies: dict[int, StreamExchange[Any]] = {}  # of which not all has gone out
+        self._bodies: dict[int, StreamExchange[Any]] = {}  # exchanges whose body is not fully sent
         self._out = bytearray()
-        self._taken = 0  # bytes handed to the socket
-        self._reach = 0  # no byte from here on can have left us
+        self._bytes_made = 0  # total bytes returned by `make`
+        self._possibly_sent = 0  # output offset up to which bytes may have been sent
         self._held = 0
-        self._unread = 0  # bytes taken from streams that are over, of which the node has not been told
-        self._last = 2**31 - 1  # the last stream that the node still serves
+        self._unacknowledged = 0  # received bytes of ended streams, not yet returned to the connection window
+        self._last = 2**31 - 1  # the last stream id that the node still processes
         self._unbegun: list[StreamExchange[Any]] = []
-        self._introduced = False  # whether the first SETTINGS have been told of
+        self._settings_received = False  # whether the owner knows of the first SETTINGS
         self.over = False
 
     def greet(self) -> None:
-        """Greet the node."""
+        """Queue the connection preface and SETTINGS."""
         self._h2.greet()
         self._drain()
 
     @property
     def greeted(self) -> bool:
-        """Whether the node has shown that it speaks HTTP/2."""
+        """Whether the node has sent its SETTINGS, which shows that it speaks HTTP/2."""
         return self._h2.greeted
 
     @property
     def open_streams(self) -> int:
-        """Streams open on it."""
+        """The number of open streams."""
         return len(self._streams)
 
     # --- requests
 
     def give(self, exchange: StreamExchange[Any]) -> None:
-        """The request's turn: it goes out as soon as the socket takes it."""
+        """Assign a request to this connection; it is sent as soon as the socket can write."""
         exchange.connection = self.number
         self._starting.append(exchange)
         self._wake()
 
     def withdraw(self, exchange: StreamExchange[Any], cause: Cause) -> Outcome:
-        """Give a request up: RST_STREAM where it was begun (RFC 9113, section 5.4.2).  How it ended by
-        that."""
-        # What is made is written before the RST_STREAM: the node may have it whole for a moment.
+        """Cancel a request and return its outcome; sends RST_STREAM if its stream is open (RFC 9113, section
+        5.4.2)."""
+        # Output already produced precedes the RST_STREAM, so the node may receive the whole request.
         how = outcome(cause, exchange.end_at is not None, exchange.answered)
         if exchange.stream == 0:
             with contextlib.suppress(ValueError):
@@ -132,7 +134,7 @@
         return how
 
     def _begin(self, exchange: StreamExchange[Any]) -> None:
-        if not exchange.may_begin():  # asked just before the first byte
+        if not exchange.may_begin():  # checked just before the first byte
             exchange.finish(RejectReason.LEAVING)
             self._owner.ended(self, exchange)
             return
@@ -143,7 +145,7 @@
             self._owner.retired(self, None, 0)
             self._unbegun.append(exchange)
             return
-        except TooManyStreamsError:  # the limit was lowered after the request had been given to us
+        except TooManyStreamsError:  # the limit was lowered after the request was assigned
             self._owner.limited(self, min(self._announced(), len(self._streams)))
             self._unbegun.append(exchange)
             return
@@ -153,7 +155,7 @@
             raise
         exchange.stream, exchange.begun_ns = stream, self._clock()
         if not self._streams:
-            self._pulse.expect_answer(exchange.begun_ns)
+            self._liveness.expect_answer(exchange.begun_ns)
         self._streams[stream] = exchange
         self._budget.stream_opened()
         if exchange.body:
@@ -161,12 +163,12 @@
             self._push(exchange)
         self._drain()
         if not exchange.body:
-            exchange.end_at = self._taken + len(self._out)
+            exchange.end_at = self._bytes_made + len(self._out)
 
     def _push(self, exchange: StreamExchange[Any]) -> None:
-        """As much of a body as the windows, and one piece, allow."""
+        """Queue as much of a body as the flow-control windows and the chunk size allow."""
         stream, body, h2 = exchange.stream, exchange.body, self._h2
-        while len(self._out) < PIECE:
+        while len(self._out) < CHUNK_BYTES:
             rest = len(body) - exchange.sent
             size = min(rest, h2.local_flow_control_window(stream), h2.max_outbound_frame_size)
             if size <= 0:
@@ -175,7 +177,7 @@
             exchange.sent += size
             self._drain()
             if size == rest:
-                exchange.end_at = self._taken + len(self._out)
+                exchange.end_at = self._bytes_made + len(self._out)
                 del self._bodies[stream]
                 return
 
@@ -187,26 +189,26 @@
             self._wake()
 
     def make(self) -> bytes:
-        """The next piece: answers to the node's frames, bodies under way, then new requests."""
+        """Return the next chunk: responses to the node's frames, then open bodies, then new requests."""
         for exchange in list(self._bodies.values()) if self._bodies else ():
             self._push(exchange)
-        while self._starting and len(self._out) < PIECE:
+        while self._starting and len(self._out) < CHUNK_BYTES:
             self._begin(self._starting.popleft())
         data = bytes(self._out)
         self._out.clear()
-        self._taken += len(data)
-        # Until a write ends well, any of it may have left us, its last byte too where it is cut short.
-        self._reach = self._taken
+        self._bytes_made += len(data)
+        # Until `broke` reports a failed write, any of these bytes may have been sent, including the last one.
+        self._possibly_sent = self._bytes_made
         while self._unbegun:
             self._owner.unbegun(self, self._unbegun.pop(0))
         return data
 
     def broke(self) -> None:
-        """The write of what was made last failed: at least its last byte has not left us."""
-        self._reach = self._taken - 1
+        """Record that the write of the last chunk failed: at least its last byte was not sent."""
+        self._possibly_sent = self._bytes_made - 1
 
     def parting(self) -> bytes:
-        """What ends the connection in good order: GOAWAY (RFC 9113, section 6.8)."""
+        """Return the final output with a GOAWAY (RFC 9113, section 6.8)."""
         with contextlib.suppress(H2Error):
             self._h2.close_connection()
         self._drain()
@@ -217,17 +219,17 @@
     # --- reading
 
     def receive(self, data: memoryview) -> None:
-        """Take bytes; ProtocolError where the connection cannot go on (`parting` says so to the node)."""
+        """Process received bytes; raises ProtocolError if the connection must end with `parting`."""
         for event in self._h2.receive_data(data):
-            self._reported(event)
-        if self._pulse.frame_received(self._clock()):
+            self._process_event(event)
+        if self._liveness.frame_received(self._clock()):
             self._owner.quiet(self, False)
         self._drain()
 
     def _announced(self) -> int:
         return min(self._h2.remote_settings.max_concurrent_streams, 2**31)
 
-    def _reported(self, event: Event) -> None:
+    def _process_event(self, event: Event) -> None:
         if isinstance(event, DataReceived):
             self._data(event)
         elif isinstance(
@@ -238,16 +240,16 @@
         elif isinstance(event, StreamReset):
             if (exchange := self._streams.get(event.stream_id or 0)) is not None:
                 refused = event.remote_reset and event.error_code == ErrorCodes.REFUSED_STREAM
-                self._off(exchange, Cause.REFUSED if refused else Cause.RESET)
+                self._remove(exchange, Cause.REFUSED if refused else Cause.RESET)
         elif isinstance(event, RemoteSettingsChanged):
-            tell = self._owner.limited if self._introduced else self._owner.opened
-            self._introduced = True
-            tell(self, self._announced())
-            self._wake()  # a larger initial window lets bodies go on
+            notify = self._owner.limited if self._settings_received else self._owner.opened
+            self._settings_received = True
+            notify(self, self._announced())
+            self._wake()  # a larger initial window may allow more body data
         elif isinstance(event, ConnectionTerminated):
             self._going_away(event)
         elif self._bodies:
-            self._wake()  # a window opened, perhaps
+            self._wake()  # the event may be a WINDOW_UPDATE
 
     def _data(self, event: DataReceived) -> None:
         stream, data = event.stream_id or 0, event.data or b""
@@ -256,7 +258,7 @@
             before, broken = exchange.answer.held, False
             exchange.answered = True
             try:
-                self._known(exchange, exchange.answer.piece(data))
+                self._set_result(exchange, exchange.answer.piece(data))
             except ConnectionError:
                 broken = True
             self._held += exchange.answer.held - before
@@ -268,21 +270,23 @@
         self._consumed(stream, exchange, event.flow_controlled_length or 0)
 
     def _consumed(self, stream: int, exchange: StreamExchange[Any] | None, size: int) -> None:
-        """Give the node its windows back, in large pieces: most answers are smaller than one."""
+        """Return received bytes to the flow-control windows once WINDOW_UPDATE_BYTES bytes have accumulated.
+
+        Most responses are smaller than that, so they need no WINDOW_UPDATE of their own."""
         if exchange is not None and exchange.stream in self._streams:
             exchange.unread += size
-            if exchange.unread >= ACKNOWLEDGE:
+            if exchange.unread >= WINDOW_UPDATE_BYTES:
                 self._h2.acknowledge_received_data(exchange.unread, stream)
                 exchange.unread = 0
             return
         self._left_unread(stream, size)
 
     def _left_unread(self, stream: int, size: int) -> None:
-        """Bytes of a stream that is over: of its windows only the connection's is left to be given back."""
-        self._unread += size
-        if self._unread >= ACKNOWLEDGE:
-            self._h2.acknowledge_received_data(self._unread, stream)
-            self._unread = 0
+        """Return received bytes of an ended stream, which count only for the connection window."""
+        self._unacknowledged += size
+        if self._unacknowledged >= WINDOW_UPDATE_BYTES:
+            self._h2.acknowledge_received_data(self._unacknowledged, stream)
+            self._unacknowledged = 0
 
     def _answer(self, exchange: StreamExchange[Any], event: Event) -> None:
         exchange.answered = True
@@ -291,47 +295,47 @@
             if exchange.interim > MOST_INTERIM:
                 self._reset(exchange, ErrorCodes.ENHANCE_YOUR_CALM, Cause.RESET)
         elif isinstance(event, ResponseReceived):
-            self._known(exchange, exchange.answer.head(event.headers or ()))
+            self._set_result(exchange, exchange.answer.head(event.headers or ()))
         elif isinstance(event, TrailersReceived):
             if not exchange.ended_ns:
-                self._known(exchange, exchange.answer.end(event.headers or ()))
+                self._set_result(exchange, exchange.answer.end(event.headers or ()))
         else:
             if not exchange.ended_ns:
-                self._known(exchange, exchange.answer.end(()))
-            if exchange.end_at is None:  # it answered before it had the whole request: spare it the rest
+                self._set_result(exchange, exchange.answer.end(()))
+            if exchange.end_at is None:  # a response before the end of the request: do not send the rest
                 self._reset(exchange, ErrorCodes.NO_ERROR, Cause.RESET)
             else:
-                self._off(exchange, Cause.RESET)
+                self._remove(exchange, Cause.RESET)
 
-    def _known(self, exchange: StreamExchange[Any], result: object | None) -> None:
+    def _set_result(self, exchange: StreamExchange[Any], result: object | None) -> None:
         if result is not None and not exchange.ended_ns:
             exchange.ended_ns = self._clock()
             exchange.finish(result)
 
     def _going_away(self, event: ConnectionTerminated) -> None:
-        """What is above the last id never ran; all else goes on.  A later GOAWAY can only lower the id."""
+        """End the streams above the last id, which never ran; later GOAWAYs can only lower that id."""
         self._last = min(self._last, event.last_stream_id or 0)
         above = [e for stream, e in self._streams.items() if stream > self._last]
         code = int(event.error_code or 0)
         self._owner.retired(self, code, len(above))
         for exchange in above:
-            self._off(exchange, Cause.ABOVE_LAST)
+            self._remove(exchange, Cause.ABOVE_LAST)
         while self._starting:
             self._owner.unbegun(self, self._starting.popleft())
 
     # --- endings
 
     def _may_have_run(self, exchange: StreamExchange[Any]) -> bool:
-        return exchange.end_at is not None and exchange.end_at <= self._reach
+        return exchange.end_at is not None and exchange.end_at <= self._possibly_sent
 
     def _reset(self, exchange: StreamExchange[Any], code: ErrorCodes, cause: Cause) -> None:
-        with contextlib.suppress(H2Error):  # the stream has just ended by itself
+        with contextlib.suppress(H2Error):  # the stream has already ended
             self._h2.reset_stream(exchange.stream, code)
         self._drain()
-        self._off(exchange, cause)
+        self._remove(exchange, cause)
 
-    def _off(self, exchange: StreamExchange[Any], cause: Cause) -> None:
-        """A stream is over; the cause counts where nothing has been told before."""
+    def _remove(self, exchange: StreamExchange[Any], cause: Cause) -> None:
+        """Remove a stream; `cause` sets the outcome unless the result is set already."""
         if self._streams.pop(exchange.stream, None) is None:
             return
         self._bodies.pop(exchange.stream, None)
@@ -342,7 +346,7 @@
         self._owner.ended(self, exchange)
 
     def end(self, why: str, spoken: bool = True) -> None:
-        """The connection is over: all that is open on it ends now.  `spoken`: see `SessionOwner`."""
+        """End the connection with all its streams; see `SessionOwner.lost` for `spoken`."""
         if self.over:
             return
         self.over = True
@@ -351,19 +355,19 @@
         self._unbegun.clear()
         self._owner.lost(self, why, spoken)
         for exchange in list(self._streams.values()):
-            self._off(exchange, Cause.LOST)
+            self._remove(exchange, Cause.LOST)
         for exchange in starting:
             self._owner.unbegun(self, exchange)
 
     def heartbeat(self, now: int) -> None:
-        """Time has passed: ask for a sign of life, take back what is held up, let go of what does not end."""
-        match self._pulse.check(now, bool(self._streams)):
+        """Send a PING if due, and cancel requests with a blocked body and streams that do not end in time."""
+        match self._liveness.check(now, bool(self._streams)):
             case LivenessStep.SEND_PING:
                 self._h2.ping(b"hollowus")
                 self._drain()
                 self._owner.quiet(self, True)
             case LivenessStep.BROKEN:
-                self.end("no sign of life")
+                self.end("no frame after the PING")
                 return
         held_up = round(self._config.body_wait_s * 1e9)
         for exchange in [e for e in self._bodies.values() if now - e.begun_ns >= held_up]:
@@ -371,5 +375,5 @@
         for exchange in list(self._streams.values()):
             if exchange.ended and not exchange.ended_ns:
                 exchange.ended_ns = now
-            if exchange.ended_ns and now - exchange.ended_ns >= TAIL_S * 1e9:
+            if exchange.ended_ns and now - exchange.ended_ns >= STREAM_END_TIMEOUT_S * 1e9:
                 self._reset(exchange, ErrorCodes.CANCEL, Cause.RESET)
--- a/hollowusher/scheduler/net/http2/settings.py
+++ b/hollowusher/scheduler/net/http2/settings.py
@@ -1,4 +1,4 @@
-"""The HTTP/2 section of the settings file."""
+"""The [http2] section of the settings file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Http2Config:
-    """Which route nodes are reached by HTTP/2, and the limits of those connections.  Spans are seconds."""
+    """Which route nodes use HTTP/2, and the limits of their connections.  Time spans are in seconds."""
 
     enabled: bool = False
     nodes: tuple[str, ...] = ()
@@ -32,7 +32,7 @@
     report_s: float = 60.0
 
     def speaks(self, name: str, kind: str) -> bool:
-        """Whether the node with this name and machine kind is listed as one that offers HTTP/2."""
+        """Whether the settings list the node with this name and machine kind as an HTTP/2 node."""
         if not self.enabled:
             return False
         return kind in self.kinds or any(fnmatchcase(name, pattern) for pattern in self.nodes)
@@ -41,11 +41,13 @@
 _BASE = Http2Config()
 HTTP2 = Section(
     "http2",
-    "HTTP/2 towards route nodes (docs/http2.md). Off on the platform.",
+    "HTTP/2 connections to route nodes (docs/http2.md). Off on the platform.",
     (
-        Directive("enabled", switch(), _BASE.enabled, "whether any node is reached by HTTP/2"),
-        Directive("nodes", words(), _BASE.nodes, "names of nodes that offer it; `*` and `?` as in a shell"),
-        Directive("kinds", words(), _BASE.kinds, "machine kinds that offer it"),
+        Directive("enabled", switch(), _BASE.enabled, "whether HTTP/2 is used for the listed nodes"),
+        Directive(
+            "nodes", words(), _BASE.nodes, "names of nodes that offer HTTP/2; `*` and `?` as in a shell"
+        ),
+        Directive("kinds", words(), _BASE.kinds, "machine kinds that offer HTTP/2"),
         Directive("connections", count(1, 16), _BASE.connections, "most connections to one node"),
         Directive(
             "streams",
@@ -57,19 +59,19 @@
             "waiting",
             count(1, 100_000),
             _BASE.waiting,
-            "most jobs that wait for a stream at one node; further ones go back unsent at once",
+            "most jobs that wait for a stream at one node; further ones are returned unsent at once",
         ),
         Directive(
             "stream-wait",
             span(0.01, 60),
             _BASE.stream_wait_s,
-            "the longest wait for a stream; then the job goes back unsent",
+            "longest wait for a stream; then the job is returned unsent",
         ),
         Directive(
             "body-wait",
             span(0.05, 60),
             _BASE.body_wait_s,
-            "the longest that the node may hold up a request's body; then it is taken back as never run",
+            "longest time that flow control may block a request's body; then it is cancelled as never run",
         ),
         Directive(
             "settings-wait",
@@ -81,54 +83,59 @@
             "ping-after",
             span(0.1, 60),
             _BASE.ping_after_s,
-            "silence, with streams open, after which the node is asked for a sign of life",
+            "time without a received frame, with streams open, after which a PING is sent",
         ),
         Directive(
             "ping-wait",
             span(0.1, 60),
             _BASE.ping_wait_s,
-            "how long it may take to give one; then the connection counts as broken",
+            "time limit for any frame after the PING; then the connection counts as broken",
         ),
         Directive(
             "used-most",
             count(10, 1_000_000_000),
             _BASE.max_lifetime_streams,
-            "streams after which a connection makes room for a new one",
+            "number of streams after which a connection is replaced by a new one",
         ),
         Directive(
             "held-bytes",
             size(128 << 10, 64 << 20),
             _BASE.held_bytes,
-            "most bytes of unfinished lines that one connection may make us hold",
+            "most bytes of incomplete response lines that are buffered for one connection",
         ),
         Directive(
             "control-frames",
             count(50, 100_000),
             _BASE.control_frames,
-            "frames without work that a node may send in a burst; more close its connection",
+            "control frames that a node may send in a burst; more close the connection",
         ),
         Directive(
             "fall-back",
             switch(),
             _BASE.fall_back,
-            "whether a listed node that does not speak HTTP/2 is tried by HTTP/1.1",
+            "whether HTTP/1.1 is used for a listed node that does not speak HTTP/2",
         ),
         Directive(
             "fall-back-for",
             span(1, 3600),
             _BASE.fall_back_for_s,
-            "for how long, before HTTP/2 is tried again",
+            "time until HTTP/2 is tried again at such a node",
+        ),
+        Directive(
+            "report",
+            span(1, 3600),
+            _BASE.report_s,
+            "interval between log lines with the figures of each node",
         ),
-        Directive("report", span(1, 3600), _BASE.report_s, "how often the figures of each node are logged"),
     ),
 )
 
 
 def read_http2(sheet: Sheet) -> Http2Config:
-    """The section's values; SettingsError where it is enabled for no node."""
+    """Read the section; raises ConfigError if it is enabled without `nodes` and `kinds`."""
     own = sheet.one(HTTP2)
     if own["enabled"] and not own["nodes"] and not own["kinds"]:
-        raise own.fault("enabled", "names no node: give `nodes` or `kinds` as well")
+        raise own.fault("enabled", "names no node: set `nodes` or `kinds` as well")
     return Http2Config(
         own["enabled"],
         own["nodes"],
--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -1,4 +1,4 @@
-"""The connections to one node, and to all: carries out what the stream book decides."""
+"""HTTP/2 connections to the nodes; executes the instructions of each node's stream table."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 )
 
 T = TypeVar("T")
-HEARTBEAT_S = 0.1  # between two looks at what is open or waits
-REST_S = 5.0  # and at connections that stand idle
+HEARTBEAT_S = 0.1  # interval of the checks while streams are open or requests wait
+IDLE_CHECK_S = 5.0  # interval of the checks while all connections are idle
 
 
 @dataclass(slots=True)
 class StreamCounts:
-    """What happened on a node's connections since the last report."""
+    """Counters of events on a node's connections since the last report."""
 
     goaways: int = 0
     refused: int = 0
@@ -44,7 +44,7 @@
 
 
 class NodeStreams:
-    """One node's connections."""
+    """The HTTP/2 connections to one node."""
 
     def __init__(
         self, name: str, address: tuple[str, int], config: Http2Config, pool: Pool, log: LogWriter
@@ -66,17 +66,18 @@
         self._opening: set[asyncio.Task[None]] = set()
         self._parting: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._due_ns = 0  # when the timer looks
-        self.unspoken_until_ns = 0  # until when the node counts as one that does not speak HTTP/2
+        self._due_ns = 0  # when the timer fires
+        self.unspoken_until_ns = 0  # until then, the node counts as not speaking HTTP/2
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is held, open or waiting here."""
+        """Whether no connection exists, is opening or closing, and no request waits."""
         return not self._wires and not self._opening and not self._parting and self.stream_table.waiting == 0
 
     async def run(self, exchange: StreamExchange[T]) -> T | Outcome | RejectReason:
-        """Have a request answered: its result, or how its stream ended, or why it never went out.  Whoever
-        cancels this calls `withdraw` next."""
+        """Run a request and return its result, the outcome of its stream or the reason why it was not sent.
+
+        A caller that cancels this coroutine must call `withdraw` next."""
         over: asyncio.Future[T | Outcome | RejectReason] = asyncio.get_running_loop().create_future()
 
         def tell() -> None:
@@ -84,7 +85,7 @@
                 over.set_result(exchange.result)  # type: ignore[arg-type]
 
         exchange.tell = tell
-        self._do(
+        self._execute(
             self.stream_table.request_stream(
                 time.monotonic_ns(), exchange, exchange.until_ns, exchange.urgent
             )
@@ -93,11 +94,12 @@
         return await over
 
     def withdraw(self, exchange: StreamExchange[T], cause: Cause) -> T | Outcome | RejectReason:
-        """Give a request up, wherever it stands; how it ended."""
+        """Cancel a request in any state and return how it ended."""
         if exchange.ended:
-            return exchange.result  # type: ignore[return-value]  # it ended in the same moment
+            return exchange.result  # type: ignore[return-value]  # it has ended already
         if self.stream_table.cancel_wait(time.monotonic_ns(), exchange):
-            # Behind streams that are in use the node is not to blame; without a connection it may be.
+            # With open streams, the request only waited for a free one; without any, the node may have
+            # failed.
             how = outcome(cause, False, False) if self.stream_table.open_streams == 0 else Outcome.NOT_SENT
         elif (wire := self._wires.get(exchange.connection)) is not None:
             how = wire.session.withdraw(exchange, cause)
@@ -107,24 +109,24 @@
         return how
 
     def leaving(self) -> None:
-        """The node drains, is gone, or is another process from now on."""
-        self._do(self.stream_table.node_leaving(time.monotonic_ns()))
+        """End the use of the connections: the node drains, has left or has restarted as a new process."""
+        self._execute(self.stream_table.node_leaving(time.monotonic_ns()))
 
     async def close(self) -> None:
-        """End all connections, with a GOAWAY on each."""
+        """Close all connections, each with a GOAWAY."""
         if self._timer is not None:
             self._timer.cancel()
         for task in self._opening:
             task.cancel()
-        self._do(self.stream_table.node_leaving(time.monotonic_ns()))
+        self._execute(self.stream_table.node_leaving(time.monotonic_ns()))
         wires, self._wires = list(self._wires.values()), {}
         await asyncio.gather(
             *(wire.part() for wire in wires), *self._opening, *self._parting, return_exceptions=True
         )
 
-    # --- what the book orders
+    # --- instructions of the stream table
 
-    def _do(self, acts: Iterable[StreamInstruction]) -> None:
+    def _execute(self, acts: Iterable[StreamInstruction]) -> None:
         for act in acts:
             match act:
                 case AssignStream(exchange, number):
@@ -139,16 +141,18 @@
                         self._spawn(wire.part(), self._parting)
 
     async def _open(self, number: int) -> None:
-        """Bring up a connection; its node shows in time that it speaks HTTP/2, or it is given up."""
+        """Open a connection; closes it if the node sends no SETTINGS within `settings_wait_s`."""
         try:
             link = await self._pool.open(self.address)
         except PoolFull:
-            self._log.warning("no-socket", "no connection to a node to spare", held=self._pool.held)
-            self._do(self.stream_table.failed(time.monotonic_ns(), number, RejectReason.NO_SOCKET))
+            self._log.warning(
+                "no-socket", "the pool can open no more connections to nodes", held=self._pool.held
+            )
+            self._execute(self.stream_table.failed(time.monotonic_ns(), number, RejectReason.NO_SOCKET))
             return
-        except OSError as wrong:
-            self._log.info("node-unreachable", str(wrong), node=self.name)
-            self._do(self.stream_table.failed(time.monotonic_ns(), number))
+        except OSError as exc:
+            self._log.info("node-unreachable", str(exc), node=self.name)
+            self._execute(self.stream_table.failed(time.monotonic_ns(), number))
             return
         if not self.stream_table.holds(number):  # the node left meanwhile
             self._pool.drop(link)
@@ -158,59 +162,59 @@
         self._arm()
         await asyncio.sleep(self._config.settings_wait_s)
         if not wire.session.greeted and self._wires.get(number) is wire:
-            wire.end("it does not answer the greeting")
+            wire.end("the node did not send SETTINGS in time")
 
-    # --- what a connection tells
+    # --- events of a connection (see `SessionOwner`)
 
     def opened(self, session: Http2Session, announced: int) -> None:
-        """See `Owner`."""
+        """Process the first SETTINGS of a connection."""
         self.unspoken_until_ns = 0
-        self._do(self.stream_table.opened(time.monotonic_ns(), session.number, announced))
+        self._execute(self.stream_table.opened(time.monotonic_ns(), session.number, announced))
 
     def limited(self, session: Http2Session, announced: int) -> None:
-        """See `Owner`."""
-        self._do(self.stream_table.set_stream_limit(time.monotonic_ns(), session.number, announced))
+        """Apply a changed stream limit."""
+        self._execute(self.stream_table.set_stream_limit(time.monotonic_ns(), session.number, announced))
 
     def quiet(self, session: Http2Session, silent: bool) -> None:
-        """See `Owner`."""
-        self._do(self.stream_table.set_unresponsive(time.monotonic_ns(), session.number, silent))
+        """Record whether a connection is unresponsive."""
+        self._execute(self.stream_table.set_unresponsive(time.monotonic_ns(), session.number, silent))
 
     def retired(self, session: Http2Session, code: int | None, above: int) -> None:
-        """See `Owner`."""
+        """Log a GOAWAY and stop the assignment of streams to the connection."""
         if code is not None:
             self.counts.goaways += 1
             self._log.info(
                 "h2-goaway",
-                "the node takes nothing more on a connection",
+                "the node accepts no new streams on a connection",
                 node=self.name,
                 code=code,
                 above=above,
             )
-        self._do(self.stream_table.retired(time.monotonic_ns(), session.number))
+        self._execute(self.stream_table.retired(time.monotonic_ns(), session.number))
 
     def ended(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
-        """See `Owner`."""
+        """Count a refused stream and free the stream's place."""
         if exchange.result is Outcome.FULL:
             self.counts.refused += 1
-        self._do(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
+        self._execute(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
 
     def unbegun(self, session: Http2Session, exchange: StreamExchange[Any]) -> None:
-        """See `Owner`."""
+        """Return a request that was not started to the queue, unless it has ended."""
         exchange.connection = 0
         if exchange.ended:
-            self._do(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
+            self._execute(self.stream_table.ended(time.monotonic_ns(), session.number, exchange))
         else:
             now = time.monotonic_ns()
-            self._do(self.stream_table.requeue(now, session.number, exchange, exchange.until_ns))
+            self._execute(self.stream_table.requeue(now, session.number, exchange, exchange.until_ns))
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
-        """See `Owner`."""
+        """Log the loss of a connection and update the stream table."""
         self._wires.pop(session.number, None)
         now = time.monotonic_ns()
         if not spoken:
             self.counts.unspoken += 1
             tried = "is tried by HTTP/1.1"
-            what = tried if self._config.fall_back else "gets nothing: [http2] fall-back is off"
+            what = tried if self._config.fall_back else "gets no jobs: [http2] fall-back is off"
             self._log.warning(
                 "h2-not-spoken",
                 f"the node is listed as HTTP/2, does not speak it and {what}",
@@ -222,21 +226,23 @@
         if not session.greeted:
             if spoken:
                 self._log.info("node-unreachable", why, node=self.name)
-            self._do(self.stream_table.failed(now, session.number))
+            self._execute(self.stream_table.failed(now, session.number))
             return
         self._log.warning(
             "h2-lost", "a connection broke", node=self.name, why=why, streams=session.open_streams
         )
-        self._do(self.stream_table.lost(now, session.number))
+        self._execute(self.stream_table.lost(now, session.number))
 
     # --- time
 
     def _arm(self) -> None:
-        """Look again soon, while anything is open or waits, and when a wait ends; now and then, while
-        connections are held."""
+        """Set the timer for the next check.
+
+        The check is due after HEARTBEAT_S while streams are open or requests wait, else after IDLE_CHECK_S,
+        and no later than the earliest end of a wait."""
         now = time.monotonic_ns()
         busy = self.stream_table.waiting or self.stream_table.open_streams or self._opening
-        due = now + round((HEARTBEAT_S if busy else REST_S) * 1e9)
+        due = now + round((HEARTBEAT_S if busy else IDLE_CHECK_S) * 1e9)
         if (soonest := self.stream_table.earliest_expiry_ns) is not None:
             due = min(due, max(now, soonest))
         if self._timer is None or due < self._due_ns:
@@ -250,7 +256,7 @@
         now = time.monotonic_ns()
         for wire in list(self._wires.values()):
             wire.heartbeat(now)
-        self._do(self.stream_table.tick(now))
+        self._execute(self.stream_table.tick(now))
         if not self.idle:
             self._arm()
 
@@ -275,11 +281,11 @@
     ) -> None:
         self._config, self._pool, self._log, self._clock = config, pool, log, clock
         self._nodes: dict[int, NodeStreams] = {}
-        self.repeats: dict[str, int] = {}  # attempts after the first, by class
-        self._telling: asyncio.Task[None] | None = None
+        self.repeats: dict[str, int] = {}  # number of attempts after the first, by job class
+        self._figures_task: asyncio.Task[None] | None = None
 
     def to(self, number: int, name: str, address: tuple[str, int]) -> NodeStreams:
-        """The connections to a node."""
+        """Return the connections to a node; a changed address starts new ones."""
         streams = self._nodes.get(number)
         if streams is None or streams.address != address:
             if streams is not None:
@@ -288,34 +294,34 @@
         return streams
 
     def leaving(self, number: int) -> None:
-        """A node drains, is gone, or is another process from now on."""
+        """End the use of the connections to a node that drains, has left or has restarted."""
         if (streams := self._nodes.get(number)) is not None:
             streams.leaving()
 
     def falls_back(self, number: int) -> bool:
-        """Whether a node is to be reached by HTTP/1.1 for now: it was found not to speak HTTP/2."""
+        """Whether to use HTTP/1.1 for a node for now, because it did not speak HTTP/2."""
         streams = self._nodes.get(number)
         return streams is not None and self._clock() < streams.unspoken_until_ns
 
     async def start(self) -> None:
-        """Log the figures now and then; connections are opened when there are jobs for them."""
-        self._telling = asyncio.create_task(self._tell_on())
+        """Start the periodic log of figures; connections open on demand."""
+        self._figures_task = asyncio.create_task(self._log_figures_periodically())
 
-    async def _tell_on(self) -> None:
-        """Log the figures of each node that was used, and forget nodes that have nothing, until cancelled."""
+    async def _log_figures_periodically(self) -> None:
+        """Log the figures every `report_s` seconds until cancelled."""
         while True:
             await asyncio.sleep(self._config.report_s)
             self.tell()
 
     async def stop(self) -> None:
-        """Log the last figures and end all connections."""
-        if self._telling is not None:
-            self._telling.cancel()
+        """Log the last figures and close all connections."""
+        if self._figures_task is not None:
+            self._figures_task.cancel()
         self.tell()
         await self.close()
 
     def report(self) -> Mapping[str, object]:
-        """Connections and open streams by node."""
+        """Return the numbers of connections, open streams and waiting requests by node."""
         return {
             s.name: f"{s.stream_table.connections} connections, {s.stream_table.open_streams} streams, "
             f"{s.stream_table.waiting} waiting"
@@ -323,13 +329,13 @@
         }
 
     def tell(self) -> None:
-        """Log the figures now."""
+        """Log the figures of each node in use, reset them and remove nodes without connections."""
         for number, streams in list(self._nodes.items()):
             figures, counts = streams.stream_table.figures, streams.counts
             if figures.given or counts.turned_back or streams.stream_table.waiting:
                 self._log.info(
                     "h2-figures",
-                    "streams to a node since the last of these lines",
+                    "streams to a node since the previous report",
                     node=streams.name,
                     connections=streams.stream_table.connections,
                     open=streams.stream_table.open_streams,
@@ -351,5 +357,5 @@
             self.repeats = {}
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections to all nodes."""
         await asyncio.gather(*(streams.close() for streams in self._nodes.values()))
--- a/hollowusher/scheduler/net/http2/wire.py
+++ b/hollowusher/scheduler/net/http2/wire.py
@@ -13,12 +13,12 @@
 from hollowusher.scheduler.net.http2.settings import Http2Config
 from hollowusher.scheduler.net.link import Link
 
-STUCK_S = 0.14  # a write that takes longer could carry a new job past the 250 ms after its node's drain
-PARTING_S = 0.2  # how long our own GOAWAY may take
+WRITE_TIMEOUT_S = 0.14  # a longer write could send a new job more than 250 ms after the node started to drain
+GOAWAY_TIMEOUT_S = 0.2  # time limit for sending the scheduler's own GOAWAY
 
 
 class Http2Socket:
-    """A session on a link.  `drop` closes the link and counts it out."""
+    """Connects a session with a link.  `drop` closes the link and removes it from the pool's count."""
 
     def __init__(
         self, number: int, link: Link, drop: Callable[[Link], None], config: Http2Config, owner: SessionOwner
@@ -27,10 +27,10 @@
         self._wake = asyncio.Event()
         self.session = Http2Session(number, config, owner, time.monotonic_ns, self._wake.set)
         self._tasks: list[asyncio.Task[None]] = []
-        self._writing_ns = 0  # since when a write is under way
+        self._write_started_ns = 0  # start of the write in progress; 0: none
 
     def start(self) -> None:
-        """Greet the node and serve the connection."""
+        """Queue the connection preface and start the reading and writing tasks."""
         self.session.greet()
         self._tasks = [asyncio.create_task(self._write()), asyncio.create_task(self._read())]
 
@@ -41,14 +41,14 @@
                 await self._wake.wait()
                 self._wake.clear()
                 while data := session.make():
-                    self._writing_ns = time.monotonic_ns()
+                    self._write_started_ns = time.monotonic_ns()
                     await self._link.send(data)
-                    self._writing_ns = 0
-        except OSError as wrong:
+                    self._write_started_ns = 0
+        except OSError as error:
             session.broke()
-            self.end(str(wrong) or type(wrong).__name__)
-        except Exception as wrong:  # a defect here or in the library: its streams must not hang
-            self.end(f"cannot go on: {wrong!r}")
+            self.end(str(error) or type(error).__name__)
+        except Exception as error:  # a defect here or in h2 must not leave the streams open
+            self.end(f"cannot write: {error!r}")
 
     async def _read(self) -> None:
         session = self.session
@@ -58,25 +58,25 @@
                     piece = self._link.inbound.pending()
                     session.receive(piece)
                     self._link.inbound.taken(len(piece))
-            # One that ends without a word has not understood the greeting.
-            self.end("the node ended the connection", spoken=session.greeted)
-        except ProtocolError as wrong:
-            session.end(f"{type(wrong).__name__}: {wrong}", session.greeted)
+            # A node that closes without sending SETTINGS does not speak HTTP/2.
+            self.end("the node closed the connection", spoken=session.greeted)
+        except ProtocolError as error:
+            session.end(f"{type(error).__name__}: {error}", session.greeted)
             self._tasks[0].cancel()
-            await self._say(session.parting())
+            await self._send_final(session.parting())
             self._drop(self._link)
-        except OSError as wrong:
-            self.end(str(wrong) or type(wrong).__name__)
-        except Exception as wrong:  # what hostile bytes do to a library must end the connection, and no more
-            self.end(f"cannot be read: {wrong!r}")
+        except OSError as error:
+            self.end(str(error) or type(error).__name__)
+        except Exception as error:  # hostile input that fails in h2 must end only this connection
+            self.end(f"cannot read: {error!r}")
 
-    async def _say(self, data: bytes) -> None:
+    async def _send_final(self, data: bytes) -> None:
         with contextlib.suppress(OSError):
-            async with asyncio.timeout(PARTING_S):
+            async with asyncio.timeout(GOAWAY_TIMEOUT_S):
                 await self._link.send(data)
 
     def end(self, why: str, spoken: bool = True) -> None:
-        """End the connection at once, with all that is open on it."""
+        """Close the connection at once and end all its streams; see `SessionOwner.lost` for `spoken`."""
         current = asyncio.current_task()
         for task in self._tasks:
             if task is not current:
@@ -85,17 +85,17 @@
         self.session.end(why, spoken)
 
     async def part(self) -> None:
-        """End a connection that has nothing on it: GOAWAY, then close."""
+        """Close a connection that has no open streams, after a GOAWAY."""
         self.session.over = True
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._say(self.session.parting())
+        await self._send_final(self.session.parting())
         self._drop(self._link)
 
     def heartbeat(self, now: int) -> None:
-        """Time has passed."""
-        if self._writing_ns and now - self._writing_ns >= STUCK_S * 1e9:
+        """Close the connection if a write is stuck; otherwise run the periodic checks of the session."""
+        if self._write_started_ns and now - self._write_started_ns >= WRITE_TIMEOUT_S * 1e9:
             self.end("the node does not read")
             return
         self.session.heartbeat(now)
--- a/tests/scheduler/test_http2_process.py
+++ b/tests/scheduler/test_http2_process.py
@@ -1,4 +1,4 @@
-"""HTTP/2 as an operator switches it on: a settings file, a process, a bad edit; and a run of GOAWAYs."""
+"""HTTP/2 enabled by a settings file in a separate process, a rejected reload, and GOAWAYs under load."""
 
 from __future__ import annotations
 
@@ -77,6 +77,6 @@
 
 class GoawayUnderLoad(unittest.TestCase):
     def test_no_unsafe_job_runs_twice_and_each_job_has_one_answer(self) -> None:
-        # As the program runs: in asyncio's debug mode clients, nodes and program, all of which share this
-        # process, need more than a core between them, and every answer is late for want of it.
+        # Without asyncio's debug mode, like the deployed scheduler.  In debug mode, the clients, nodes and
+        # the scheduler, which share this process, need more than one core, and every response is late.
         self.assertEqual(uvloop.run(play(jobs=500, rate=400, nodes=3, seed=11, calm=False)), 0)
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -1,8 +1,8 @@
-"""Any order of limits, GOAWAYs, resets, breaks, drains and deadlines: no job is lost, none is
-said never to have run that did, none waits for ever.
+"""Random sequences of limits, GOAWAYs, resets, broken connections, drains and deadlines.
 
-The stream book and the sessions are the program's own; the other side is h2's server, with books of its own
-of what it ran.  Bytes travel in pieces, cut anywhere.
+The test fails if a job is lost, waits forever, or is reported as never run although the node ran it.  The
+stream table and the sessions are the scheduler's own code.  The node is an h2 server that records which jobs
+it ran.  Bytes arrive in chunks with arbitrary boundaries.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class Reply:
-    """Reads an answer: any piece of a body is the result."""
+    """A response parser that takes any chunk of a body as the result."""
 
     held = 0
 
@@ -57,8 +57,8 @@
         return None
 
 
-class Far:
-    """The node's side of a connection."""
+class NodeEndpoint:
+    """The node's end of a connection."""
 
     def __init__(self, number: int, limit: int, window: int) -> None:
         self.number = number
@@ -71,22 +71,22 @@
             },
         )
         self.conn.initiate_connection()
-        self.to_node, self.to_us = bytearray(), bytearray()
+        self.to_node, self.to_scheduler = bytearray(), bytearray()
         self.names: dict[int, str] = {}
-        self.complete: dict[int, str] = {}  # that may be answered
+        self.complete: dict[int, str] = {}  # completely received requests that may be answered, by stream
         self.last = 2**31 - 1
         self.acknowledged = False
 
 
 class Streams(RuleBasedStateMachine):
-    """One node's book, its connections, and the node."""
+    """The stream table of one node, its connections and the node."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000 * S
         self.stream_table = StreamTable(LIMITS)
         self.sessions: dict[int, Http2Session] = {}
-        self.far: dict[int, Far] = {}
+        self.endpoint: dict[int, NodeEndpoint] = {}
         self.opening: list[int] = []
         self.jobs: dict[str, StreamExchange[str]] = {}
         self.reported: dict[str, int] = {}
@@ -94,7 +94,7 @@
         self.serving, self.refuses = True, False
         self.limit, self.window = 3, 65_535
 
-    # --- what the program's owner of connections does
+    # --- the role of NodeStreams
 
     def do(self, acts: list[StreamInstruction]) -> None:
         for act in acts:
@@ -107,7 +107,7 @@
                     self.opening.append(number)
                 case CloseConnection(number):
                     self.sessions.pop(number, None)
-                    self.far.pop(number, None)
+                    self.endpoint.pop(number, None)
 
     def opened(self, session: Http2Session, announced: int) -> None:
         self.do(self.stream_table.opened(self.now, session.number, announced))
@@ -131,48 +131,49 @@
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         self.sessions.pop(session.number, None)
-        self.far.pop(session.number, None)
+        self.endpoint.pop(session.number, None)
         lost = self.stream_table.lost if session.greeted else self.stream_table.failed
         self.do(lost(self.now, session.number))
 
     # --- bytes
 
     def travel(self, number: int, share: float) -> None:
-        """Some of what is under way arrives on each side, cut anywhere."""
-        session, far = self.sessions.get(number), self.far.get(number)
-        if session is None or far is None:
+        """Deliver the fraction `share` of the bytes in flight to each side."""
+        session, endpoint = self.sessions.get(number), self.endpoint.get(number)
+        if session is None or endpoint is None:
             return
         while data := session.make():
-            far.to_node += data
-        self.arrive(far, max(1, round(len(far.to_node) * share)))
-        far.to_us += far.conn.data_to_send()
-        piece = bytes(far.to_us[: max(1, round(len(far.to_us) * share))])
-        del far.to_us[: len(piece)]
+            endpoint.to_node += data
+        self.arrive(endpoint, max(1, round(len(endpoint.to_node) * share)))
+        endpoint.to_scheduler += endpoint.conn.data_to_send()
+        piece = bytes(endpoint.to_scheduler[: max(1, round(len(endpoint.to_scheduler) * share))])
+        del endpoint.to_scheduler[: len(piece)]
         if piece and not session.over:
             session.receive(memoryview(piece))
 
-    def arrive(self, far: Far, count: int) -> None:
-        piece = bytes(far.to_node[:count])
-        del far.to_node[:count]
-        for event in far.conn.receive_data(piece):  # raises where we break its limit or the protocol
+    def arrive(self, endpoint: NodeEndpoint, count: int) -> None:
+        piece = bytes(endpoint.to_node[:count])
+        del endpoint.to_node[:count]
+        # receive_data raises if the session exceeds a limit or violates the protocol.
+        for event in endpoint.conn.receive_data(piece):
             if isinstance(event, RequestReceived):
                 assert event.stream_id and event.headers
-                if event.stream_id <= far.last:
-                    far.names[event.stream_id] = dict(event.headers)[b"x-call-id"].decode()
+                if event.stream_id <= endpoint.last:
+                    endpoint.names[event.stream_id] = dict(event.headers)[b"x-call-id"].decode()
             elif isinstance(event, DataReceived):
                 assert event.stream_id is not None
-                far.conn.acknowledge_received_data(event.flow_controlled_length or 0, event.stream_id)
+                endpoint.conn.acknowledge_received_data(event.flow_controlled_length or 0, event.stream_id)
             elif isinstance(event, SettingsAcknowledged):
-                far.acknowledged = True
-            elif isinstance(event, StreamEnded) and event.stream_id in far.names:
-                name = far.names[event.stream_id]
+                endpoint.acknowledged = True
+            elif isinstance(event, StreamEnded) and event.stream_id in endpoint.names:
+                name = endpoint.names[event.stream_id]
                 self.ran[name] = self.ran.get(name, 0) + 1
-                far.complete[event.stream_id] = name
+                endpoint.complete[event.stream_id] = name
             elif isinstance(event, StreamReset):
-                far.names.pop(event.stream_id or 0, None)
-                far.complete.pop(event.stream_id or 0, None)
+                endpoint.names.pop(event.stream_id or 0, None)
+                endpoint.complete.pop(event.stream_id or 0, None)
 
-    # --- what can happen
+    # --- rules
 
     @initialize(limit=st.sampled_from([4, 3, 2, 1, 0]), window=st.sampled_from([65_535] * 4 + [10, 0]))
     def begin(self, limit: int, window: int) -> None:
@@ -186,7 +187,7 @@
     def ask(self, sizes: list[int], budget: int, urgent: bool) -> None:
         for size in sizes:
             self.ask_one(size, budget, urgent)
-            while self.opening:  # mostly a connection comes up at once; `refuse_next` says otherwise
+            while self.opening:  # connections open at once unless `refuse_next` is active
                 self.connect(not self.refuses)
         for number in list(self.sessions):
             self.travel(number, 1.0)
@@ -223,7 +224,7 @@
             self.do(self.stream_table.failed(self.now, number))
             return
         session = self.sessions[number] = Http2Session(number, CONFIG, self, lambda: self.now, lambda: None)
-        self.far[number] = Far(number, self.limit, self.window)
+        self.endpoint[number] = NodeEndpoint(number, self.limit, self.window)
         session.greet()
         self.travel(number, 1.0)
 
@@ -235,66 +236,66 @@
 
     @rule(pick=st.integers(0, 20), how=st.sampled_from(["serve", "serve", "refuse", "reset", "open"]))
     def answer(self, pick: int, how: str) -> None:
-        """The node answers a whole request, refuses one of which it ran nothing, or breaks one off."""
+        """The node answers a complete request, refuses one that it did not run, or resets one."""
         for number in list(self.sessions):
             self.travel(number, 0.5 if how == "refuse" else 1.0)
-        for far in self.far.values():
-            known = far.complete if how in ("serve", "open") else far.names
+        for endpoint in self.endpoint.values():
+            known = endpoint.complete if how in ("serve", "open") else endpoint.names
             if not known:
                 continue
             stream = sorted(known)[pick % len(known)]
-            if how == "refuse" and stream in far.complete:
-                continue  # it ran: a node that keeps to the protocol does not say otherwise
+            if how == "refuse" and stream in endpoint.complete:
+                continue  # a conforming node does not refuse a request that it has run
             try:
                 if how in ("serve", "open"):
-                    far.conn.send_headers(stream, [(":status", "200")])
-                    far.conn.send_data(stream, b"served", end_stream=how == "serve")
+                    endpoint.conn.send_headers(stream, [(":status", "200")])
+                    endpoint.conn.send_data(stream, b"served", end_stream=how == "serve")
                 else:
                     code = ErrorCodes.REFUSED_STREAM if how == "refuse" else ErrorCodes.INTERNAL_ERROR
-                    far.conn.reset_stream(stream, code)
-                    del far.names[stream]
+                    endpoint.conn.reset_stream(stream, code)
+                    del endpoint.names[stream]
             except H2Error:
                 pass
-            far.complete.pop(stream, None)
+            endpoint.complete.pop(stream, None)
         for number in list(self.sessions):
             self.travel(number, 1.0)
 
     @rule(graceful=st.booleans(), spare=st.integers(0, 2))
     def goaway(self, graceful: bool, spare: int) -> None:
-        """The node takes nothing more on a connection; what it has begun to read it may still run."""
-        for far in list(self.far.values())[:1]:
-            far.to_us += far.conn.data_to_send()
-            # It may leave out what it has not run, never what it has.
-            ran = [s for s, name in far.names.items() if name in self.ran]
-            unrun = sorted(set(far.names) - set(ran))[:spare]
+        """The node sends a GOAWAY; it may still run requests that it has begun to read."""
+        for endpoint in list(self.endpoint.values())[:1]:
+            endpoint.to_scheduler += endpoint.conn.data_to_send()
+            # The last stream id may exclude requests that the node has not run, but none that it has run.
+            ran = [s for s, name in endpoint.names.items() if name in self.ran]
+            unrun = sorted(set(endpoint.names) - set(ran))[:spare]
             last = 2**31 - 1 if graceful else max([0, *ran, *unrun])
             if last != 2**31 - 1:
-                far.last = min(far.last, last)
-                far.names = {s: n for s, n in far.names.items() if s <= far.last}
-            far.to_us += GoAwayFrame(0, last_stream_id=min(far.last, last)).serialize()
+                endpoint.last = min(endpoint.last, last)
+                endpoint.names = {s: n for s, n in endpoint.names.items() if s <= endpoint.last}
+            endpoint.to_scheduler += GoAwayFrame(0, last_stream_id=min(endpoint.last, last)).serialize()
 
     @rule(limit=st.sampled_from([4, 3, 2, 1, 0]), window=st.sampled_from([65_535] * 4 + [10, 0]))
     def announce(self, limit: int, window: int) -> None:
         self.limit, self.window = limit, window
-        for far in self.far.values():
-            if far.acknowledged:  # h2 would take the ACK of one SETTINGS for that of the next
-                far.acknowledged = False
-                far.conn.update_settings(
+        for endpoint in self.endpoint.values():
+            if endpoint.acknowledged:  # h2 would match the ACK of one SETTINGS to the next one
+                endpoint.acknowledged = False
+                endpoint.conn.update_settings(
                     {SettingCodes.MAX_CONCURRENT_STREAMS: limit, SettingCodes.INITIAL_WINDOW_SIZE: window}
                 )
 
     @precondition(lambda self: any(s.open_streams > 1 for s in self.sessions.values()))
     @rule(pick=st.integers(0, 5), arrives=st.floats(0, 1), written=st.booleans())
     def lose(self, pick: int, arrives: float, written: bool) -> None:
-        """A connection breaks; of what was under way some has arrived."""
+        """A connection breaks after the fraction `arrives` of the bytes in flight has arrived."""
         number = sorted(self.sessions)[pick % len(self.sessions)]
-        session, far = self.sessions[number], self.far[number]
+        session, endpoint = self.sessions[number], self.endpoint[number]
         data = session.make()
         if data and not written:
             session.broke()
             data = data[:-1]
-        far.to_node += data
-        self.arrive(far, round(len(far.to_node) * arrives))
+        endpoint.to_node += data
+        self.arrive(endpoint, round(len(endpoint.to_node) * arrives))
         session.end("broken")
 
     @rule(pick=st.integers(0, 50), cause=st.sampled_from([Cause.WITHDRAWN, Cause.TIMED_OUT]))
@@ -311,13 +312,13 @@
 
     @rule(share=st.sampled_from([0.1, 1.0]))
     def drain(self, share: float) -> None:
-        """The node drains, is heard of for a while, and comes back."""
+        """The node drains, receives some more bytes, and becomes available again."""
         self.serving = False
         self.do(self.stream_table.node_leaving(self.now))
         assert self.stream_table.waiting == 0
         begun = {s.number: s.open_streams for s in self.sessions.values()}
         self.exchange_bytes([share, share])
-        assert all(s.open_streams <= begun[s.number] for s in self.sessions.values()), "begun in a drain"
+        assert all(s.open_streams <= begun[s.number] for s in self.sessions.values()), "opened in a drain"
         self.serving = True
 
     @rule(span=st.sampled_from([10, 10, 10, 100, 100, 100, 400, 1500]))
@@ -328,11 +329,11 @@
         self.do(self.stream_table.tick(self.now))
         while self.opening:
             self.connect(not self.refuses)
-        for exchange in self.jobs.values():  # as the attempt's own time limit does
+        for exchange in self.jobs.values():  # like the time limit of the attempt
             if not exchange.ended and self.now >= exchange.until_ns:
                 self.give_up(exchange, Cause.TIMED_OUT)
 
-    # --- what must hold
+    # --- invariants
 
     @invariant()
     def what_is_said_never_to_have_run_has_not(self) -> None:
@@ -340,7 +341,7 @@
             assert self.reported.get(name, 0) == int(exchange.ended), name
             assert self.ran.get(name, 0) <= 1, f"{name} ran twice"
             if exchange.result in NEVER_RAN:
-                assert name not in self.ran, f"{name} ran, and is said never to have: {exchange.result}"
+                assert name not in self.ran, f"{name} ran, but is reported as never run: {exchange.result}"
             if exchange.result == "served":
                 assert name in self.ran
 
@@ -352,7 +353,7 @@
         assert self.stream_table.waiting <= waiting
 
     def teardown(self) -> None:
-        """However it went: with time alone, every job comes to its end and nothing is left over."""
+        """Without further events, every job ends in time and no stream stays open."""
         for _ in range(12):
             self.time_passes(400)
             self.what_is_said_never_to_have_run_has_not()
--- a/tests/scheduler/test_http2_session.py
+++ b/tests/scheduler/test_http2_session.py
@@ -1,4 +1,7 @@
-"""Moments of a session that a socket seldom meets: each held still."""
+"""Rare states of an HTTP/2 session, reproduced without a socket.
+
+They guard the outcome of a request that is withdrawn, returned by a GOAWAY, or hit by a failed write.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,7 @@
 
     def test_what_was_made_complete_may_run_although_it_is_withdrawn(self) -> None:
         complete, part, unmade = self.given(5), self.given(100_000), None
-        self.session.make()  # the second one's body is larger than its window
+        self.session.make()  # the body of the second request exceeds its flow-control window
         unmade = self.given(5)
         self.assertIs(self.session.withdraw(complete, Cause.WITHDRAWN), Outcome.CANCELLED)
         self.assertIs(self.session.withdraw(part, Cause.WITHDRAWN), Outcome.NOT_SENT)
--- a/tests/scheduler/test_http2_sockets.py
+++ b/tests/scheduler/test_http2_sockets.py
@@ -1,4 +1,4 @@
-"""HTTP/2 towards route nodes: the whole program against scripted nodes on loopback."""
+"""HTTP/2 connections to route nodes: the whole scheduler against scripted nodes on loopback."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Http2Case(SocketCase):
-    """Runs the program with nodes that are listed as HTTP/2."""
+    """Runs the scheduler with nodes that are listed as HTTP/2."""
 
     async def run_h2(self, *nodes: Http2Node, ports: tuple[int, ...] = (), **settings: Any) -> None:
         for node in nodes:
@@ -49,7 +49,7 @@
         await self.run_program()
 
     async def direct(self, node: Http2Node, **settings: Any) -> Direct:
-        """Attempts at one node alone."""
+        """Start a node and return a client that sends attempts to it without a dispatcher."""
         await node.start()
         self.addAsyncCleanup(node.close)
         direct = Direct(node.port, Http2Config(True, ("s-*",), **settings), self.log)
@@ -57,7 +57,7 @@
         return direct
 
     async def until(self, node: Http2Node, what: Any) -> None:
-        """Wait until something holds of a node."""
+        """Wait until `what()` is true; checks it after each change of the node."""
         async with asyncio.timeout(10):
             while not what():
                 node.changed.clear()
@@ -66,13 +66,13 @@
     async def job(
         self, name: str, job_class: str = "eta-quote", budget: str = "3", body: bytes = b"parcel"
     ) -> str:
-        """A job's answer: status and result."""
+        """Send a job and return the status and result of its response."""
         first, _, result = await self.ask(post(name, job_class, budget, body))
         return f"{first.split()[1]} {result.decode()}"
 
 
 class Direct:
-    """Attempts at one node without the desk: each goes where the test says, and its ending is seen."""
+    """Sends attempts to one node without a dispatcher and records how they end."""
 
     def __init__(self, port: int, settings: Http2Config, log: LogWriter) -> None:
         self.reported: list[Any] = []
@@ -97,7 +97,7 @@
         return asyncio.create_task(self.nodes.attempt(order, self.entry))
 
     def endings(self) -> dict[str, str]:
-        """How each job's attempts ended, in order."""
+        """Return the outcomes of each job's attempts in order."""
         seen: dict[str, str] = {}
         for event in self.reported:
             if isinstance(event, AttemptEnded):
@@ -134,7 +134,7 @@
     async def test_the_connections_window_is_given_back_for_small_answers_too(self) -> None:
         node = Http2Node(lambda job: NodePlan(result="x" * 10_000))
         direct = await self.direct(node)
-        for batch in range(10):  # 2 MB on one connection, whose window holds 1 MiB
+        for batch in range(10):  # 2 MB in total on one connection, whose window is 1 MiB
             jobs = [direct.send(f"j{batch}-{n}") for n in range(20)]
             await asyncio.wait_for(asyncio.gather(*jobs), 5)
         self.assertEqual(set(direct.endings().values()), {"OK"})
@@ -157,13 +157,13 @@
         self.assertEqual(node.bodies["j"], body)
 
     async def test_outcomes_are_those_of_http_1(self) -> None:
-        """A node that turns a job away, returns it or refuses its stream never ran it: another may."""
+        """A node that rejects or returns a job or refuses its stream never ran it, so another may run it."""
         for how in ("503", "returned", "refuse"):
             bad, good = Http2Node(lambda job, how=how: NodePlan(how)), Http2Node()  # type: ignore[misc]
             with self.subTest(how):
                 case = await self.started_pair(bad, good)
                 answers = [(await case.job(f"{how}{n}", "settle-shift", "5"))[:3] for n in range(6)]
-                # Three attempts may all meet the bad node: it is refused then, and never failed.
+                # All three attempts may reach the bad node; the job is then rejected with 503, never 502.
                 self.assertTrue({"200"} <= set(answers) <= {"200", "503"}, answers)
                 self.assertEqual(set(good.runs.values()), {1})
                 self.assertEqual(len(good.runs), answers.count("200"))
@@ -184,7 +184,7 @@
         return self
 
     def executor_posts(self, readings: list[object]) -> Any:
-        """Catch the load reports that endings bring."""
+        """Record the load reports that arrive with the ends of attempts."""
         real = Http2Nodes._stream
 
         async def stream(nodes: Http2Nodes, order: Any, node: Any) -> Any:
@@ -203,7 +203,7 @@
         attempts = [direct.send(f"j{n}", "settle-shift") for n in range(6)]
         await self.until(node, lambda: len(node.runs) == 6)
         session = node.sessions[0]
-        # The node says that it never took the last three; it takes their runs out of its own books.
+        # The GOAWAY excludes the last three streams, so the node removes their jobs from its records.
         ids = sorted(session.jobs)
         for stream in ids[3:]:
             gone = session.jobs.pop(stream)
@@ -212,7 +212,7 @@
             del node.runs[gone.name]
         session.goaway(ids[2])
         await asyncio.wait_for(asyncio.gather(*attempts[3:]), 5)
-        again = direct.send("j3", "settle-shift")  # as the module may, since it never ran
+        again = direct.send("j3", "settle-shift")  # the decision module may retry a job that never ran
         await self.until(node, lambda: node.runs["j3"] == 1)
         self.assertEqual((node.accepted, node.goaways), (2, 1))
         go.set()
@@ -236,7 +236,8 @@
         node.sessions[0].goaway()
         go.set()
         self.assertEqual(await asyncio.gather(first, second), ["200 r:first", "200 r:second"])
-        self.assertEqual(node.partings, 1)  # we too say goodbye, once the connection is empty
+        # The scheduler also sends a GOAWAY once the connection has no streams.
+        self.assertEqual(node.partings, 1)
 
     async def test_then_the_connection_dies_before_its_streams_end(self) -> None:
         node = Http2Node(lambda job: NodePlan("silent" if job.name.endswith("0") else "done"))
@@ -305,13 +306,14 @@
                 await asyncio.sleep(0.01)
         tried, free = (full, other) if full.sessions else (other, full)
         free.limit = 10
-        for session in free.sessions:  # a probe may have been there before
+        for session in free.sessions:  # a probe may have opened a connection already
             session.announce(limit=10)
         row = next(r for r in self.list.rows if r["addr"].endswith(f":{tried.port}"))
         begun = asyncio.get_running_loop().time()
         self.list.tell([{**row, "state": "DRAINING"}])
         self.assertEqual(await job, "200 r:j")
-        self.assertLess(asyncio.get_running_loop().time() - begun, 1.0)  # not after the wait of 5 s
+        # The elapsed time is far below the stream wait of 5 s.
+        self.assertLess(asyncio.get_running_loop().time() - begun, 1.0)
         for session in tried.sessions:
             session.announce(limit=10)
         await asyncio.sleep(0.3)
@@ -336,7 +338,7 @@
         await self.run_h2(node, body_wait_s=20.0)
         reader, writer = await self.client()
         writer.write(post("j", "settle-shift", "8"))
-        await self.until(node, lambda: self.has_reached(node, "j"))  # a probe of the node comes first
+        await self.until(node, lambda: self.has_reached(node, "j"))  # a probe reaches the node first
         writer.close()
         await self.until(node, lambda: node.withdrawn == ["j"])
         self.assertEqual(sum(node.runs.values()), 0)
@@ -344,7 +346,7 @@
 
     @staticmethod
     def has_reached(node: Http2Node, name: str) -> bool:
-        """Whether the head of a job's request has come to a node."""
+        """Whether a node has received the headers of a job's request."""
         return any(job.name == name for session in node.sessions for job in session.jobs.values())
 
     async def test_both_copies_of_a_quote_on_one_connection(self) -> None:
@@ -354,7 +356,7 @@
         copies = [direct.send("j", number=n) for n in (0, 1)]
         await self.until(node, lambda: node.runs["j"] == 2)
         self.assertEqual(node.accepted, 1)
-        copies[0].cancel()  # the desk withdraws one: the other goes on
+        copies[0].cancel()  # the dispatcher withdraws one copy; the other one continues
         await self.until(node, lambda: node.withdrawn == ["j"])
         go.set()
         await asyncio.gather(*copies)
@@ -365,7 +367,7 @@
 
 class Hostile(Http2Case):
     async def test_floods_end_the_connection_and_nothing_else(self) -> None:
-        continued = HeadersFrame(1, data=b"\x88")  # HEADERS without an end, and CONTINUATIONs without one
+        continued = HeadersFrame(1, data=b"\x88")  # HEADERS and CONTINUATIONs without END_HEADERS
         floods: dict[str, list[Frame]] = {
             "settings": [SettingsFrame(0)] * 2000,
             "ping": [PingFrame(0, b"12345678")] * 2000,
