--- a/hollowusher/scheduler/config.py
+++ b/hollowusher/scheduler/config.py
@@ -18,7 +18,7 @@
 from hollowusher.scheduler.fronts.stomp.settings import STOMP, STOMP_NODE, StompConfig, read_stomp
 from hollowusher.scheduler.net.http2.settings import HTTP2, Http2Config, read_http2
 from hollowusher.scheduler.net.log_replication.settings import COPIES, COPY, CopiesConfig, read_copies
-from hollowusher.scheduler.net.membership.settings import PEER, PEERS, Allowed, PeersConfig, read_peers
+from hollowusher.scheduler.net.membership.settings import PEER, PEERS, PeersConfig, PlatformPeers, read_peers
 from hollowusher.scheduler.net.reports.settings import REPORTS, read_reports
 from hollowusher.scheduler.net.shared_state.settings import SHARED, SharedConfig, read_shared
 from hollowusher.scheduler.settings.model import ConfigError, parse_address
@@ -170,7 +170,7 @@
     if forward and not forward[0].startswith("127."):
         raise ConfigError(f"HOLLOWUSHER_SYSLOG: must be a loopback address, is {syslog!r}")
     name = environ.get("PROXY_NAME") or _get(table, "name", str, "scheduler")
-    allowed = Allowed(
+    allowed = PlatformPeers(
         pairs.get("caps.peer_messages") == "true",
         settings.me,
         _maybe_address(table, "peer_listen"),
--- a/hollowusher/scheduler/net/membership/settings.py
+++ b/hollowusher/scheduler/net/membership/settings.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class PlatformPeers:
     """The platform's settings for messages between schedulers; the default allows no messages."""
 
     messages: bool = False
@@ -69,13 +69,13 @@
     addresses: tuple[Address, ...] = ()  # indexed by scheduler number, including this scheduler
 
 
-def read_peers(sheet: Sheet, name: str = "scheduler", platform: Allowed | None = None) -> PeersConfig:
+def read_peers(sheet: Sheet, name: str = "scheduler", platform: PlatformPeers | None = None) -> PeersConfig:
     """Read the sections for the scheduler called `name`, with the platform's settings if `platform` is on.
 
     Raises ConfigError if the membership protocol is enabled without a listening address or without peers."""
     own = sheet.one(PEERS)
     if own["platform"]:
-        platform = platform or Allowed()
+        platform = platform or PlatformPeers()
         if own["enabled"]:
             raise own.fault(
                 "platform", "does not go with `enabled`: set only one of the two, as each defines the peers"
--- a/tests/scheduler/test_reports.py
+++ b/tests/scheduler/test_reports.py
@@ -6,7 +6,7 @@
 import unittest
 
 from hollowusher.scheduler.component import Plain
-from hollowusher.scheduler.net.membership.settings import PEER, PEERS, Allowed, read_peers
+from hollowusher.scheduler.net.membership.settings import PEER, PEERS, PlatformPeers, read_peers
 from hollowusher.scheduler.net.reports.listener import MOST_ASKERS, Reports, ask
 from hollowusher.scheduler.net.reports.settings import REPORTS, read_reports
 from hollowusher.scheduler.settings.model import ConfigError
@@ -50,14 +50,18 @@
 class WhoTheOthersAre(unittest.TestCase):
     def test_by_the_platform_only_where_it_allows_messages(self) -> None:
         sheet = read_text("[peers]\nplatform yes\n", "x", (PEERS, PEER))
-        complete = Allowed(True, 1, TWO[1], TWO)
+        complete = PlatformPeers(True, 1, TWO[1], TWO)
         found = read_peers(sheet, "any", complete)
         peers = {"n0": TWO[0], "n1": TWO[1]}
         self.assertEqual((found.listen, found.name, found.peers), (TWO[1], "n1", peers))
-        for none in (Allowed(False, 1, TWO[1], TWO), Allowed(True, 0, None, TWO), Allowed(True, 0, TWO[0])):
+        for none in (
+            PlatformPeers(False, 1, TWO[1], TWO),
+            PlatformPeers(True, 0, None, TWO),
+            PlatformPeers(True, 0, TWO[0]),
+        ):
             self.assertIsNone(read_peers(sheet, "any", none).listen)
         with self.assertRaisesRegex(ConfigError, "our own number"):
-            read_peers(sheet, "any", Allowed(True, 2, TWO[1], TWO))
+            read_peers(sheet, "any", PlatformPeers(True, 2, TWO[1], TWO))
 
     def test_faults(self) -> None:
         for text, why in (
