--- a/hollowusher/scheduler/app.py
+++ b/hollowusher/scheduler/app.py
@@ -139,11 +139,11 @@
     }
     if (peers := config.peers).listen is not None:
         from hollowusher.scheduler.net.membership.node import PeerNode
-        from hollowusher.scheduler.net.membership.words import tell
+        from hollowusher.scheduler.net.membership.words import log_membership_event
         from hollowusher.scheduler.rules.membership.events import MembershipEvent
 
         def changed(what: MembershipEvent) -> None:
-            tell(log, what)
+            log_membership_event(log, what)
             if admission is not None:
                 copies.view(node.member.missing())
 
--- a/hollowusher/scheduler/net/membership/words.py
+++ b/hollowusher/scheduler/net/membership/words.py
@@ -8,7 +8,7 @@
 _WARNINGS = {Change.DIED, Change.TWIN, Change.DEAF, Change.MINORITY, Change.PAUSED}
 
 
-def tell(log: LogWriter, reported: MembershipEvent) -> None:
+def log_membership_event(log: LogWriter, reported: MembershipEvent) -> None:
     """Write one log line for a membership event, such as `member-died`; docs/membership.md lists them."""
     write = log.warning if reported.change in _WARNINGS else log.notice
     write(
