--- a/hollowusher/scheduler/net/log_replication/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -245,7 +245,7 @@
         size, checksum = _HEAD.unpack_from(data, at)
         end = at + _HEAD.size + size
         if size > MAX_RECORD_BYTES:
-            raise ValueError(f"the record at {at} has a length of {size} bytes, above the maximum")
+            raise ValueError(f"a record of {size} bytes at {at} exceeds the maximum size")
         if end > len(data):
             break
         body = data[at + _HEAD.size : end]
--- a/hollowusher/scheduler/net/log_replication/wire.py
+++ b/hollowusher/scheduler/net/log_replication/wire.py
@@ -72,7 +72,7 @@
         while len(self._held) - at >= _HEAD.size:
             size, checksum = _HEAD.unpack_from(self._held, at)
             if size > MAX_FRAME_BYTES:
-                raise ValueError(f"a frame has a length of {size} bytes, above the maximum")
+                raise ValueError(f"a frame of {size} bytes exceeds the maximum size")
             if len(self._held) - at - _HEAD.size < size:
                 break
             body = bytes(self._held[at + _HEAD.size : at + _HEAD.size + size])
