--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -17,7 +17,7 @@
 from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.log_replication.settings import CopiesConfig
-from hollowusher.scheduler.net.log_replication.storage import Folder, Nowhere, Storage
+from hollowusher.scheduler.net.log_replication.storage import FolderStorage, Nowhere, Storage
 from hollowusher.scheduler.net.log_replication.wire import Incoming, Message, OutgoingStream, frame
 from hollowusher.scheduler.rules.log_replication.job_replication import (
     FindJob,
@@ -71,7 +71,7 @@
         self.replication = self._begin()
 
     def _opened(self) -> Storage:
-        return Folder(self._config.folder) if self._config.folder is not None else Nowhere()
+        return FolderStorage(self._config.folder) if self._config.folder is not None else Nowhere()
 
     def _begin(self) -> JobReplication:
         """Create the replication state from the logs in the storage."""
--- a/hollowusher/scheduler/net/log_replication/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -120,7 +120,7 @@
         os.close(descriptor)
 
 
-class Folder:
+class FolderStorage:
     """Stores logs in a folder.  After an OSError this object rejects writes and must be replaced."""
 
     def __init__(self, path: Path, files: MemberFiles | None = None) -> None:
--- a/tests/scheduler/test_log_replication.py
+++ b/tests/scheduler/test_log_replication.py
@@ -41,7 +41,7 @@
 from hollowusher.scheduler.net.log_replication.admission import ReplicationAdmission
 from hollowusher.scheduler.net.log_replication.node import CopiesNode
 from hollowusher.scheduler.net.log_replication.settings import COPIES, COPY, CopiesConfig, read_copies
-from hollowusher.scheduler.net.log_replication.storage import MAGIC, Folder, MemberFiles, parse
+from hollowusher.scheduler.net.log_replication.storage import MAGIC, FolderStorage, MemberFiles, parse
 from hollowusher.scheduler.net.log_replication.wire import Frames, frame
 from hollowusher.scheduler.rules.log_replication.groups import group_of, owners_held_by
 from hollowusher.scheduler.rules.log_replication.job_replication import (
@@ -406,7 +406,7 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name)
 
-    def scenario(self, folder: Folder) -> tuple[PersistentState, PersistentState]:
+    def scenario(self, folder: FolderStorage) -> tuple[PersistentState, PersistentState]:
         """Performs writes as a replica requests them; returns the state in memory and the synced state."""
         kept, synced = PersistentState(), PersistentState()
         steps: list[tuple[Store, ...]] = [(Store(meta=True),)]
@@ -436,13 +436,13 @@
             for at in range(1, 22):
                 for old in self.path.iterdir():
                     old.unlink()
-                folder = Folder(self.path, FaultyFiles(at, fails))
+                folder = FolderStorage(self.path, FaultyFiles(at, fails))
                 kept, synced = self.scenario(folder)
                 if fails and folder.broken:
                     with self.assertRaises(OSError):
                         folder.write("n0", (Store(meta=True),), kept)
                 folder.close()
-                found, reported = Folder(self.path).load()
+                found, reported = FolderStorage(self.path).load()
                 self.assertFalse([t for t in reported if "set aside" in t], (at, reported))
                 got = found.get("n0", PersistentState())
                 self.assertGreaterEqual((got.term, got.last), (synced.term, synced.last), at)
@@ -450,7 +450,7 @@
         self.assertEqual(got, kept)  # the last run ends before its fault is due
 
     def test_any_corrupted_byte_is_detected(self) -> None:
-        self.scenario(Folder(self.path))
+        self.scenario(FolderStorage(self.path))
         complete = (self.path / "n0.log").read_bytes()
         good = parse(complete)[0]
         for at in range(0, len(complete), 3):
@@ -464,18 +464,18 @@
             self.assertNotEqual(kept, good)
         data[len(MAGIC) + 14] ^= 1
         (self.path / "n0.log").write_bytes(bytes(data))
-        found, reported = Folder(self.path).load()
+        found, reported = FolderStorage(self.path).load()
         self.assertEqual((found, len(list(self.path.glob("*.damaged")))), ({}, 1))
         self.assertIn("learns anew", reported[0])
 
     def test_file_that_grew_by_snapshots_is_rewritten(self) -> None:
-        folder, kept = Folder(self.path), PersistentState(starts=1)
+        folder, kept = FolderStorage(self.path), PersistentState(starts=1)
         for number in range(1, 9):
             kept.entries, kept.first, kept.image = [], number + 1, bytes(1 << 21)
             folder.write("n0", (Store(image=kept.image, upto=number), Store(meta=True)), kept)
         folder.close()
         self.assertLess((self.path / "n0.log").stat().st_size, 8 << 21)
-        self.assertEqual(Folder(self.path).load()[0]["n0"], kept)
+        self.assertEqual(FolderStorage(self.path).load()[0]["n0"], kept)
 
 
 class FailingDisk(unittest.IsolatedAsyncioTestCase):
@@ -497,7 +497,7 @@
         )
         instructions: asyncio.Queue[ReplicationInstruction] = asyncio.Queue()
         for fails_at in (3, 5, 7, 9):  # writes and syncs alternate
-            storage = Folder(Path(folder.name), FaultyFiles(fails_at, fails=True))
+            storage = FolderStorage(Path(folder.name), FaultyFiles(fails_at, fails=True))
             node = CopiesNode(
                 config, CLASSES, 1, instructions.put_nowait, LogWriter("n1", per_s=0, burst=0), storage
             )
@@ -521,7 +521,7 @@
                 self.assertIn(ReplicationAction.REFUSE, reported)
             finally:
                 await node.stop()
-            found, faults = Folder(Path(folder.name)).load()
+            found, faults = FolderStorage(Path(folder.name)).load()
             self.assertEqual([f for f in faults if "set aside" in f], [])
             kept = [unpack(e.data) for e in found["n1"].entries if e.data]
             self.assertTrue(any(isinstance(r, JobTakenRecord) and r.job == job for r in kept))
