--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -17,7 +17,7 @@
 from hollowusher.scheduler.component import Plain
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.log_replication.settings import CopiesConfig
-from hollowusher.scheduler.net.log_replication.storage import FolderStorage, Nowhere, Storage
+from hollowusher.scheduler.net.log_replication.storage import FolderStorage, MemoryStorage, Storage
 from hollowusher.scheduler.net.log_replication.wire import Incoming, Message, OutgoingStream, frame
 from hollowusher.scheduler.rules.log_replication.job_replication import (
     FindJob,
@@ -71,7 +71,7 @@
         self.replication = self._begin()
 
     def _opened(self) -> Storage:
-        return FolderStorage(self._config.folder) if self._config.folder is not None else Nowhere()
+        return FolderStorage(self._config.folder) if self._config.folder is not None else MemoryStorage()
 
     def _begin(self) -> JobReplication:
         """Create the replication state from the logs in the storage."""
@@ -222,7 +222,7 @@
     def _flush(self) -> None:
         """Store the current batch, then release its messages and instructions."""
         batch, self._batch = self._batch, Batch()
-        if not batch.stores or isinstance(self._storage, Nowhere):
+        if not batch.stores or isinstance(self._storage, MemoryStorage):
             self._release(batch)
             return
         self._flushing = asyncio.create_task(self._store(batch))
--- a/hollowusher/scheduler/net/log_replication/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -75,7 +75,7 @@
         """Close the storage."""
 
 
-class Nowhere:
+class MemoryStorage:
     """Storage that keeps nothing: after a restart all logs are empty."""
 
     def load(self) -> tuple[dict[str, PersistentState], list[str]]:
