--- a/hollowusher/scheduler/net/http2/guarded.py
+++ b/hollowusher/scheduler/net/http2/guarded.py
@@ -33,7 +33,9 @@
 STREAM_WINDOW = 128 * 1024  # bytes of one response in flight: two results of the maximum size
 CONNECTION_WINDOW = 1024 * 1024
 HEADER_BYTES = 16 * 1024
-SMALL_DATA = 16  # bytes; a smaller DATA frame without END_STREAM counts as a control frame
+# Bytes.  A smaller DATA frame without END_STREAM costs more to process than its content is worth, so it
+# counts as a control frame.
+SMALL_DATA = 16
 _CONTROL = (SettingsFrame, PingFrame, RstStreamFrame, PriorityFrame, WindowUpdateFrame, ExtensionFrame)
 # The scheduler's own headers are valid already, and it reads only four of the node's, each by its exact name.
 _CONFIG = H2Configuration(
@@ -66,7 +68,8 @@
 class GuardedConnection(H2Connection):
     """A client connection that continues after a GOAWAY and limits control frames.
 
-    It calls `spend` for each control frame; the result False means that the budget is exhausted.
+    Here, control frames include small DATA frames and HEADERS frames without END_STREAM.  The connection
+    calls `spend` for each control frame; the result False means that the budget is exhausted.
     """
 
     def __init__(self, spend: Callable[[], bool]) -> None:
--- a/hollowusher/scheduler/net/http2/session.py
+++ b/hollowusher/scheduler/net/http2/session.py
@@ -94,7 +94,7 @@
         self._unacknowledged = 0  # received bytes of ended streams, not yet returned to the connection window
         self._last = 2**31 - 1  # the last stream id that the node still processes
         self._unbegun: list[StreamExchange[Any]] = []
-        self._settings_received = False  # whether the owner knows of the first SETTINGS
+        self._settings_received = False  # whether the first SETTINGS were reported to the owner
         self.over = False
 
     def greet(self) -> None:
--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -311,13 +311,13 @@
         """Log the figures every `report_s` seconds until cancelled."""
         while True:
             await asyncio.sleep(self._config.report_s)
-            self.tell()
+            self.log_figures()
 
     async def stop(self) -> None:
         """Log the last figures and close all connections."""
         if self._figures_task is not None:
             self._figures_task.cancel()
-        self.tell()
+        self.log_figures()
         await self.close()
 
     def report(self) -> Mapping[str, object]:
@@ -328,7 +328,7 @@
             for s in self._nodes.values()
         }
 
-    def tell(self) -> None:
+    def log_figures(self) -> None:
         """Log the figures of each node in use, reset them and remove nodes without connections."""
         for number, streams in list(self._nodes.items()):
             figures, counts = streams.stream_table.figures, streams.counts
--- a/hollowusher/scheduler/net/log_replication/storage.py
+++ b/hollowusher/scheduler/net/log_replication/storage.py
@@ -37,7 +37,7 @@
 
 
 class EntriesRecord(Struct, array_like=True, tag="e"):
-    """A record of entries from number `first` on, which replace existing ones; replaying it is harmless."""
+    """A record of entries from number `first` on, which replace existing ones; replaying it twice is safe."""
 
     first: int
     entries: tuple[LogEntry, ...]
@@ -245,7 +245,7 @@
         size, checksum = _HEAD.unpack_from(data, at)
         end = at + _HEAD.size + size
         if size > MAX_RECORD_BYTES:
-            raise ValueError(f"a record of {size} bytes at {at} exceeds the maximum size")
+            raise ValueError(f"oversized record of {size} bytes at offset {at}")
         if end > len(data):
             break
         body = data[at + _HEAD.size : end]
--- a/tests/scheduler/test_http2_property.py
+++ b/tests/scheduler/test_http2_property.py
@@ -86,7 +86,7 @@
         self.now = 1000 * S
         self.stream_table = StreamTable(LIMITS)
         self.sessions: dict[int, Http2Session] = {}
-        self.endpoint: dict[int, NodeEndpoint] = {}
+        self.endpoints: dict[int, NodeEndpoint] = {}
         self.opening: list[int] = []
         self.jobs: dict[str, StreamExchange[str]] = {}
         self.reported: dict[str, int] = {}
@@ -107,7 +107,7 @@
                     self.opening.append(number)
                 case CloseConnection(number):
                     self.sessions.pop(number, None)
-                    self.endpoint.pop(number, None)
+                    self.endpoints.pop(number, None)
 
     def opened(self, session: Http2Session, announced: int) -> None:
         self.do(self.stream_table.opened(self.now, session.number, announced))
@@ -131,7 +131,7 @@
 
     def lost(self, session: Http2Session, why: str, spoken: bool) -> None:
         self.sessions.pop(session.number, None)
-        self.endpoint.pop(session.number, None)
+        self.endpoints.pop(session.number, None)
         lost = self.stream_table.lost if session.greeted else self.stream_table.failed
         self.do(lost(self.now, session.number))
 
@@ -139,7 +139,7 @@
 
     def travel(self, number: int, share: float) -> None:
         """Deliver the fraction `share` of the bytes in flight to each side."""
-        session, endpoint = self.sessions.get(number), self.endpoint.get(number)
+        session, endpoint = self.sessions.get(number), self.endpoints.get(number)
         if session is None or endpoint is None:
             return
         while data := session.make():
@@ -224,7 +224,7 @@
             self.do(self.stream_table.failed(self.now, number))
             return
         session = self.sessions[number] = Http2Session(number, CONFIG, self, lambda: self.now, lambda: None)
-        self.endpoint[number] = NodeEndpoint(number, self.limit, self.window)
+        self.endpoints[number] = NodeEndpoint(number, self.limit, self.window)
         session.greet()
         self.travel(number, 1.0)
 
@@ -239,7 +239,7 @@
         """The node answers a complete request, refuses one that it did not run, or resets one."""
         for number in list(self.sessions):
             self.travel(number, 0.5 if how == "refuse" else 1.0)
-        for endpoint in self.endpoint.values():
+        for endpoint in self.endpoints.values():
             known = endpoint.complete if how in ("serve", "open") else endpoint.names
             if not known:
                 continue
@@ -263,7 +263,7 @@
     @rule(graceful=st.booleans(), spare=st.integers(0, 2))
     def goaway(self, graceful: bool, spare: int) -> None:
         """The node sends a GOAWAY; it may still run requests that it has begun to read."""
-        for endpoint in list(self.endpoint.values())[:1]:
+        for endpoint in list(self.endpoints.values())[:1]:
             endpoint.to_scheduler += endpoint.conn.data_to_send()
             # The last stream id may exclude requests that the node has not run, but none that it has run.
             ran = [s for s, name in endpoint.names.items() if name in self.ran]
@@ -277,7 +277,7 @@
     @rule(limit=st.sampled_from([4, 3, 2, 1, 0]), window=st.sampled_from([65_535] * 4 + [10, 0]))
     def announce(self, limit: int, window: int) -> None:
         self.limit, self.window = limit, window
-        for endpoint in self.endpoint.values():
+        for endpoint in self.endpoints.values():
             if endpoint.acknowledged:  # h2 would match the ACK of one SETTINGS to the next one
                 endpoint.acknowledged = False
                 endpoint.conn.update_settings(
@@ -289,7 +289,7 @@
     def lose(self, pick: int, arrives: float, written: bool) -> None:
         """A connection breaks after the fraction `arrives` of the bytes in flight has arrived."""
         number = sorted(self.sessions)[pick % len(self.sessions)]
-        session, endpoint = self.sessions[number], self.endpoint[number]
+        session, endpoint = self.sessions[number], self.endpoints[number]
         data = session.make()
         if data and not written:
             session.broke()
