--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -18,8 +18,8 @@
 from hollowusher.transport.tcp import ANSWER, LENGTH, ONE_WAY, REQUEST, TcpTransport, split_address
 from tests.support.standins import free_port
 
-WITHIN_S = 20.0  # only a test that hangs takes this long
-SHORT_S = 0.05
+TEST_TIMEOUT_S = 20.0  # only a hanging test reaches this timeout
+SHORT_TIMEOUT_S = 0.05
 
 
 class Pair:
@@ -33,23 +33,23 @@
             (type(message).__name__, str(error))
         )
 
-    async def call(self, message: Any, timeout: float = WITHIN_S) -> Any:
+    async def call(self, message: Any, timeout: float = TEST_TIMEOUT_S) -> Any:
         return await self.client.call(self.server.address, message, timeout)
 
-    async def raw(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection of somebody who may say anything."""
+    async def open_raw_connection(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Open a raw connection to the server that can send arbitrary bytes."""
         return await asyncio.open_connection(*split_address(self.server.address))
 
 
-def play(handler: Handler, scene: Callable[[Pair], Awaitable[None]]) -> None:
-    """Run a scene with two processes, and end both."""
+def run_scenario(handler: Handler, scenario: Callable[[Pair], Awaitable[None]]) -> None:
+    """Run a scenario with two processes, then close both."""
 
     async def run() -> None:
         pair = Pair()
         await pair.server.start(handler)
         try:
-            async with asyncio.timeout(WITHIN_S):
-                await scene(pair)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await scenario(pair)
         finally:
             await pair.client.close()
             await pair.server.close()
@@ -73,7 +73,7 @@
 
 
 async def ended(reader: asyncio.StreamReader) -> bool:
-    """Whether the peer has ended the connection without a byte."""
+    """Return whether the peer has closed the connection without sending a byte."""
     try:
         return await reader.read() == b""
     except ConnectionResetError:
@@ -81,17 +81,17 @@
 
 
 def test_calls_share_a_connection_and_get_their_own_answers() -> None:
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         answers = await asyncio.gather(*(pair.call(MemberRegistered(number)) for number in range(50)))
         assert answers == [MemberRegistered(number) for number in range(50)]
         assert len(pair.server.accepted) == 1
         assert pair.client.connected(pair.server.address)
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
-def test_an_answer_does_not_wait_for_an_earlier_call() -> None:
-    async def scene(pair: Pair) -> None:
+def test_a_response_does_not_wait_for_an_earlier_call() -> None:
+    async def scenario(pair: Pair) -> None:
         slow = asyncio.ensure_future(pair.call(MemberRegistered(1)))
         assert await pair.call(MemberRegistered(2)) == MemberRegistered(2)
         assert not slow.done()
@@ -104,53 +104,53 @@
         return message
 
     release = asyncio.Event()
-    play(handler, scene)
+    run_scenario(handler, scenario)
 
 
-def test_large_messages_come_complete() -> None:
-    async def scene(pair: Pair) -> None:
+def test_large_messages_arrive_complete() -> None:
+    async def scenario(pair: Pair) -> None:
         body = bytes(3 * 1024 * 1024)
         assert await pair.call([MemberRegistered(1), body]) == [MemberRegistered(1), body]
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
 def test_a_handler_that_fails_is_reported_to_both_sides() -> None:
     async def handler(message: Any) -> Any:
         raise RuntimeError("out of order")
 
-    async def scene(pair: Pair) -> None:
+    async def scenario(pair: Pair) -> None:
         error = await error_of(pair.call(ReadView()))
         assert (error.step, error.peer, error.sent) == ("ReadView", pair.server.address, True)
         assert "RuntimeError: out of order" in error.reason
         assert pair.failures == [("ReadView", "out of order")]
         assert pair.server.failed_handlers == 1
 
-    play(handler, scene)
+    run_scenario(handler, scenario)
 
 
-def test_one_way_messages_come_and_get_no_answer() -> None:
-    async def scene(pair: Pair) -> None:
+def test_one_way_messages_arrive_without_a_response() -> None:
+    async def scenario(pair: Pair) -> None:
         pair.client.send(pair.server.address, MemberRegistered(1))
-        assert await came.get() == MemberRegistered(1)
+        assert await received.get() == MemberRegistered(1)
         pair.client.send(pair.server.address, MemberRegistered(2))
-        assert await came.get() == MemberRegistered(2)
-        pair.client.send("127.0.0.1:1", MemberRegistered(3))  # nobody is there: nothing happens
+        assert await received.get() == MemberRegistered(2)
+        pair.client.send("127.0.0.1:1", MemberRegistered(3))  # no process listens there: no error is raised
 
     async def handler(message: Any) -> Any:
-        came.put_nowait(message)
+        received.put_nowait(message)
 
-    came: asyncio.Queue[Any] = asyncio.Queue()
-    play(handler, scene)
+    received: asyncio.Queue[Any] = asyncio.Queue()
+    run_scenario(handler, scenario)
 
 
-def test_nobody_there_is_known_never_to_have_seen_the_call() -> None:
-    async def scene(pair: Pair) -> None:
-        error = await error_of(pair.client.call(f"127.0.0.1:{free_port()}", ReadView(), WITHIN_S))
+def test_a_refused_connection_marks_the_call_as_not_sent() -> None:
+    async def scenario(pair: Pair) -> None:
+        error = await error_of(pair.client.call(f"127.0.0.1:{free_port()}", ReadView(), TEST_TIMEOUT_S))
         assert not error.sent
         assert error.reason.startswith("no connection")
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
 async def silent_to_read_view(message: Any) -> Any:
@@ -159,41 +159,41 @@
     return message
 
 
-def test_a_silent_peers_connection_is_given_up() -> None:
-    async def scene(pair: Pair) -> None:
-        error = await error_of(pair.call(ReadView(), SHORT_S))
+def test_the_connection_of_a_silent_peer_is_closed() -> None:
+    async def scenario(pair: Pair) -> None:
+        error = await error_of(pair.call(ReadView(), SHORT_TIMEOUT_S))
         assert error.sent
         assert error.reason == "no answer in 0.05 s"
         while pair.client.connected(pair.server.address):
             await asyncio.sleep(0)
         assert await pair.call(Acknowledgement()) == Acknowledgement()
 
-    play(silent_to_read_view, scene)
+    run_scenario(silent_to_read_view, scenario)
 
 
-def test_a_call_right_after_one_that_was_given_up_opens_another_connection() -> None:
-    async def scene(pair: Pair) -> None:
-        await error_of(pair.call(ReadView(), SHORT_S))
+def test_a_call_right_after_a_timeout_opens_another_connection() -> None:
+    async def scenario(pair: Pair) -> None:
+        await error_of(pair.call(ReadView(), SHORT_TIMEOUT_S))
         assert await pair.call(Acknowledgement()) == Acknowledgement()
 
-    play(silent_to_read_view, scene)
+    run_scenario(silent_to_read_view, scenario)
 
 
-def test_a_connection_on_which_other_answers_come_stays() -> None:
-    async def scene(pair: Pair) -> None:
+def test_a_connection_that_receives_other_responses_stays_open() -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.call(Acknowledgement())
         (connection,) = pair.server.accepted
-        late = asyncio.ensure_future(pair.call(ReadView(), 2 * SHORT_S))
+        late = asyncio.ensure_future(pair.call(ReadView(), 2 * SHORT_TIMEOUT_S))
         await asyncio.sleep(0)
         assert await pair.call(Acknowledgement()) == Acknowledgement()
         await error_of(late)
         assert pair.server.accepted == {connection}
 
-    play(silent_to_read_view, scene)
+    run_scenario(silent_to_read_view, scenario)
 
 
-def test_a_peer_that_goes_ends_its_calls_at_once() -> None:
-    async def scene(pair: Pair) -> None:
+def test_a_closed_connection_fails_its_pending_calls_at_once() -> None:
+    async def scenario(pair: Pair) -> None:
         waiting = [asyncio.ensure_future(pair.call(message)) for message in (ReadView(), ReadControlState())]
         await reached.wait()
         await pair.server.close()
@@ -207,13 +207,13 @@
         await asyncio.Event().wait()
 
     reached = asyncio.Event()
-    play(handler, scene)
+    run_scenario(handler, scenario)
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        LENGTH.pack(tcp.MOST_FRAME_BYTES + 1),
+        LENGTH.pack(tcp.MAX_FRAME_BYTES + 1),
         LENGTH.pack(1) + b"\xc1",
         LENGTH.pack(0),
         LENGTH.pack(1) + encode(7),
@@ -222,22 +222,22 @@
     ],
     ids=["too long", "unreadable", "empty", "a number", "too few", "HTTP"],
 )
-def test_a_bad_frame_ends_its_connection_and_touches_nobody_else(data: bytes) -> None:
-    async def scene(pair: Pair) -> None:
+def test_a_malformed_frame_closes_only_its_own_connection(data: bytes) -> None:
+    async def scenario(pair: Pair) -> None:
         assert await pair.call(MemberRegistered(1)) == MemberRegistered(1)
-        reader, writer = await pair.raw()
+        reader, writer = await pair.open_raw_connection()
         writer.write(data)
         assert await ended(reader)
         writer.close()
         assert await pair.call(MemberRegistered(2)) == MemberRegistered(2)
         assert len(pair.server.accepted) == 1
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
-def test_frames_may_come_byte_by_byte_and_several_at_once() -> None:
-    async def scene(pair: Pair) -> None:
-        reader, writer = await pair.raw()
+def test_frames_are_decoded_byte_by_byte_and_several_at_once() -> None:
+    async def scenario(pair: Pair) -> None:
+        reader, writer = await pair.open_raw_connection()
         first, others = frame(1, REQUEST, MemberRegistered(1)), frame(2, REQUEST, MemberRegistered(2)) * 2
         for place in range(len(first)):
             writer.write(first[place : place + 1])
@@ -247,12 +247,12 @@
         assert await reader.readexactly(len(wanted)) == wanted
         writer.close()
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
-def test_an_answer_nobody_asked_for_is_nothing() -> None:
-    async def scene(pair: Pair) -> None:
-        reader, writer = await pair.raw()
+def test_a_response_without_a_pending_call_is_ignored() -> None:
+    async def scenario(pair: Pair) -> None:
+        reader, writer = await pair.open_raw_connection()
         writer.write(
             frame(1, ANSWER, Acknowledgement())
             + frame(2, 77, Acknowledgement())
@@ -262,14 +262,14 @@
         assert await reader.readexactly(len(wanted)) == wanted
         writer.close()
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
 
 
-def test_a_peer_that_does_not_read_is_not_written_to_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene(pair: Pair) -> None:
+def test_a_call_is_rejected_above_the_limit_of_unsent_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(pair: Pair) -> None:
         await pair.call(Acknowledgement())
-        monkeypatch.setattr(tcp, "MOST_UNSENT_BYTES", -1)
+        monkeypatch.setattr(tcp, "MAX_UNSENT_BYTES", -1)
         error = await error_of(pair.call(Acknowledgement()))
-        assert (error.reason, error.sent) == ("too much unsent", False)
+        assert (error.reason, error.sent) == ("too many unsent bytes", False)
 
-    play(echo, scene)
+    run_scenario(echo, scenario)
