--- a/tests/configuration/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -1,4 +1,4 @@
-"""The operator's orders: every refusal, acknowledgement again, and what a PATCH makes of the document."""
+"""Tests of the operator's orders: rejections, retries of an accepted order, and the merge of a PATCH."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hollowusher.configuration.checks import is_host_port
 from hollowusher.configuration.model import read_document
 from hollowusher.configuration.orders import (
-    MOST_HISTORY,
+    HISTORY_SOFT_LIMIT,
     OrderOutcome,
     apply_order,
     order_digest,
@@ -74,7 +74,7 @@
 
 
 def send(state: ControlState, content: Any, if_match: int | None = None, method: str = "PUT") -> OrderOutcome:
-    """Read and apply an order as the head does."""
+    """Parse and apply an order as the head of the chain does."""
     body = content if isinstance(content, bytes) else orjson.dumps(content)
     read = read_order(method, if_match, body)
     if read.is_error():
@@ -82,7 +82,7 @@
     return apply_order(state, read.ok)
 
 
-def taken(
+def accept(
     state: ControlState, content: Any, if_match: int | None = None, method: str = "PUT"
 ) -> ControlState:
     outcome = send(state, content, if_match, method)
@@ -102,25 +102,25 @@
 
 @pytest.fixture
 def state() -> ControlState:
-    """Version 7 is in force."""
-    return taken(EMPTY_STATE, configuration(), 0)
+    """A control state in which generation 7 is in force."""
+    return accept(EMPTY_STATE, configuration(), 0)
 
 
-# -- taking ------------------------------------------------------------------------------------------------
+# -- accepted orders ---------------------------------------------------------------------------------------
 
 
-def test_the_first_configuration_is_kept_as_it_was_sent() -> None:
+def test_the_first_configuration_is_stored_unchanged() -> None:
     sent = configuration() | {"comment": {"by": "someone"}}
     sent["routes"][0]["futureKey"] = [1, 2]
     sent["limits"]["futureLimit"] = 5
-    state = taken(EMPTY_STATE, sent, 0)
+    state = accept(EMPTY_STATE, sent, 0)
     assert state.generation == 7
     assert orjson.loads(state.document) == sent
     read = read_document(state.document)
     assert read.routes[0].timeout_ms == 2500 and read.upstreams[1].fixed == "172.20.0.3:8066"
 
 
-def test_without_if_match_only_the_first_is_taken(state: ControlState) -> None:
+def test_only_the_first_configuration_is_accepted_without_if_match(state: ControlState) -> None:
     assert send(EMPTY_STATE, configuration(), None).answer.status == 200
     assert send(state, configuration(9), None).answer.status == 412
 
@@ -128,25 +128,25 @@
 def test_a_later_version_replaces_everything(state: ControlState) -> None:
     sent = configuration(9)
     sent["routes"] = [route("r-9", "/z/", "s2")]
-    later = taken(state, sent, 7)
+    later = accept(state, sent, 7)
     assert orjson.loads(later.document) == sent and later.generation == 9
 
 
-def test_a_version_that_is_not_current_is_refused(state: ControlState) -> None:
+def test_an_order_for_another_than_the_current_generation_is_rejected(state: ControlState) -> None:
     for if_match in (0, 5, 8):
         assert send(state, configuration(9), if_match).answer.status == 412
 
 
-def test_two_orders_on_one_version_one_wins(state: ControlState) -> None:
-    later = taken(state, configuration(9), 7)
+def test_only_one_of_two_orders_for_the_same_generation_is_accepted(state: ControlState) -> None:
+    later = accept(state, configuration(9), 7)
     outcome = send(later, configuration(11), 7)
     assert outcome.answer.status == 412 and outcome.state is None
 
 
-# -- the same order again ----------------------------------------------------------------------------------
+# -- retried orders ----------------------------------------------------------------------------------------
 
 
-def test_an_order_sent_again_is_acknowledged_and_changes_nothing(state: ControlState) -> None:
+def test_a_retried_order_is_acknowledged_and_changes_nothing(state: ControlState) -> None:
     again = send(state, configuration(), 0)
     assert again.answer.status == 200 and again.state is None
 
@@ -156,8 +156,8 @@
     assert send(state, spaced, 0).answer.status == 200
 
 
-def test_an_order_is_acknowledged_whatever_came_after(state: ControlState) -> None:
-    later = taken(taken(state, configuration(9), 7), patch(12, {"upstreams": [service("s3")]}), 9, "PATCH")
+def test_a_retried_order_is_acknowledged_after_later_orders(state: ControlState) -> None:
+    later = accept(accept(state, configuration(9), 7), patch(12, {"upstreams": [service("s3")]}), 9, "PATCH")
     for content, if_match, method in (
         (configuration(), 0, "PUT"),
         (configuration(9), 7, "PUT"),
@@ -166,20 +166,20 @@
         assert send(later, content, if_match, method).answer.status == 200
     other = configuration(9)
     other["routes"][0]["timeoutMs"] += 1
-    assert send(later, other, 7).answer.status == 412  # another change under the same number
+    assert send(later, other, 7).answer.status == 412  # a different order with the same generation
     assert send(later, configuration(9), 6).answer.status == 412
 
 
 def test_the_history_holds_the_newest_orders(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert MOST_HISTORY == 4_096
-    monkeypatch.setattr(orders, "MOST_HISTORY", 3)
+    assert HISTORY_SOFT_LIMIT == 4_096
+    monkeypatch.setattr(orders, "HISTORY_SOFT_LIMIT", 3)
     state = EMPTY_STATE
     for generation in range(1, 6):
-        state = taken(state, configuration(generation), generation - 1)
+        state = accept(state, configuration(generation), generation - 1)
     assert [generation for generation, _ in state.history] == [3, 4, 5]
 
 
-def test_the_digest_tells_orders_apart() -> None:
+def test_different_orders_have_different_digests() -> None:
     base = order_digest("PUT", 5, {"generation": 7})
     assert base == order_digest("PUT", 5, {"generation": 7})
     assert (
@@ -196,7 +196,7 @@
     )
 
 
-# -- refusals ----------------------------------------------------------------------------------------------
+# -- rejected orders ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -213,18 +213,18 @@
         b'{"generation": NaN}',
     ],
 )
-def test_a_body_that_is_no_complete_object_is_refused(state: ControlState, body: bytes) -> None:
+def test_a_body_that_is_not_a_json_object_is_rejected(state: ControlState, body: bytes) -> None:
     for method in ("PUT", "PATCH"):
         outcome = send(state, body, 7, method)
         assert outcome.answer.status == 400 and error_of(outcome).startswith("body: ")
 
 
-def test_a_body_beyond_the_bound_is_refused(state: ControlState) -> None:
+def test_a_body_above_the_size_limit_is_rejected(state: ControlState) -> None:
     outcome = send(state, b'"' + b"x" * (8 * 1024 * 1024) + b'"', 7)
     assert outcome.answer.status == 413
 
 
-def test_a_body_nested_too_deep_is_refused(state: ControlState) -> None:
+def test_a_too_deeply_nested_body_is_rejected(state: ControlState) -> None:
     nested = configuration(9) | {"extra": None}
     body = orjson.dumps(nested).replace(b"null}", b"[" * 400 + b"]" * 400 + b"}")
     outcome = send(state, body, 7)
@@ -232,7 +232,7 @@
 
 
 def _set(*path: Any) -> Callable[[Document], None]:
-    """Sets the value at the end of a path of keys."""
+    """Return a function that sets the value at a path of keys in a document."""
     *keys, last, value = path
 
     def change(content: Document) -> None:
@@ -309,7 +309,7 @@
 @pytest.mark.parametrize(
     ("change", "named"), [case[1:] for case in INVALID], ids=[case[0] for case in INVALID]
 )
-def test_an_invalid_configuration_is_refused_and_its_item_named(
+def test_an_invalid_configuration_is_rejected_and_its_item_named(
     state: ControlState, change: Callable[[Document], None], named: str
 ) -> None:
     content = copy.deepcopy(configuration(9))
@@ -320,7 +320,7 @@
     assert named in error_of(outcome)
 
 
-def test_an_order_both_invalid_and_stale_is_refused(state: ControlState) -> None:
+def test_an_order_both_invalid_and_stale_is_rejected(state: ControlState) -> None:
     assert send(state, configuration(3), 5).answer.status in (400, 412)
 
 
@@ -333,14 +333,14 @@
 # -- PATCH -------------------------------------------------------------------------------------------------
 
 
-def test_a_patch_replaces_in_place_adds_behind_and_removes(state: ControlState) -> None:
+def test_a_patch_replaces_in_place_appends_and_deletes(state: ControlState) -> None:
     altered = route("r-1", timeoutMs=1, note="kept")
     change = patch(
         9,
         {"routes": [route("r-3", "/c/"), altered], "upstreams": [service("s3")]},
         {"routes": ["r-2", "r-unknown"], "upstreams": ["s2"]},
     )
-    later = taken(state, change, 7, "PATCH")
+    later = accept(state, change, 7, "PATCH")
     document = orjson.loads(later.document)
     assert document["generation"] == 9 and later.generation == 9
     assert document["routes"] == [altered, route("r-3", "/c/")]
@@ -348,12 +348,12 @@
     assert document["limits"] == configuration()["limits"]
 
 
-def test_a_patch_that_is_empty_only_moves_the_version(state: ControlState) -> None:
-    later = taken(state, {"generation": 8}, 7, "PATCH")
+def test_an_empty_patch_only_changes_the_generation(state: ControlState) -> None:
+    later = accept(state, {"generation": 8}, 7, "PATCH")
     assert orjson.loads(later.document) == configuration(8)
 
 
-def test_a_patch_is_checked_as_the_document_it_makes(state: ControlState) -> None:
+def test_the_result_of_a_patch_is_validated(state: ControlState) -> None:
     changes: tuple[Document, ...] = (
         patch(9, delete={"upstreams": ["s1"]}),
         patch(9, {"routes": [route("r-3", "/a/")]}),
@@ -374,13 +374,13 @@
         assert outcome.answer.status == 400 and outcome.state is None, change
 
 
-def test_a_patch_without_a_configuration_is_refused() -> None:
+def test_a_patch_without_a_configuration_is_rejected() -> None:
     assert send(EMPTY_STATE, patch(9, {"upstreams": [service("s3")]}), 0, "PATCH").answer.status == 400
 
 
-def test_a_stale_patch_is_refused(state: ControlState) -> None:
+def test_a_stale_patch_is_rejected(state: ControlState) -> None:
     assert send(state, patch(9), 5, "PATCH").answer.status == 412
 
 
-def test_an_unknown_method_is_refused(state: ControlState) -> None:
+def test_an_unknown_method_is_rejected(state: ControlState) -> None:
     assert send(state, configuration(9), 7, "POST").answer.status == 405
