--- a/hollowusher/scheduler/__init__.py
+++ b/hollowusher/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler in service (`deploy/balancer.toml`): jobs come by HTTP or STOMP and go to workers."""
+"""The scheduler service (`deploy/balancer.toml`): accepts jobs over HTTP or STOMP, sends them to workers."""
--- a/hollowusher/scheduler/app.py
+++ b/hollowusher/scheduler/app.py
@@ -1,4 +1,4 @@
-"""Puts the parts together: configuration, desk, fronts, and the orderly end."""
+"""Assembles the scheduler process from its configuration, runs it, and shuts it down gracefully."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 _READ = partial(load, again=True)
 
 
-def descriptors(reported: int) -> int:
-    """How many may be held: what the platform says, where the system does not allow less."""
+def descriptor_limit(reported: int) -> int:
+    """Return the usable number of file descriptors: the configured number, at most RLIMIT_NOFILE."""
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return reported if allowed == resource.RLIM_INFINITY else min(reported, allowed)
 
@@ -49,18 +49,20 @@
     again: asyncio.Event | None = None,
     read: Callable[[], SchedulerConfig] = _READ,
 ) -> None:
-    """Run one scheduler until it is asked to stop, and end in good order.
+    """Run one scheduler until `stop` is set, then shut it down gracefully.
 
-    The events are set by SIGTERM and SIGHUP, unless the caller brings its own.
+    SIGTERM and SIGINT set `stop`, and SIGHUP sets `again`, which reloads the configuration with `read`.  A
+    caller that passes its own `stop` gets no signal handlers.
     """
     log.attach(asyncio.get_running_loop().call_later)
-    # Unheard faults would be printed by the library on this thread, where a stalled reader stops everything.
+    # By default asyncio prints unhandled exceptions to standard error from the event loop's thread; a stalled
+    # reader of that pipe would block the event loop.
     asyncio.get_running_loop().set_exception_handler(
         lambda _, reported: log.error(
             "loop-fault", str(reported.get("message", "")), fault=repr(reported.get("exception"))
         )
     )
-    sockets = descriptors(config.sockets) - SPARE_SOCKETS
+    sockets = descriptor_limit(config.sockets) - SPARE_SOCKETS
     sockets = max(16, sockets)
     if config.stomp.enabled:
         sockets = max(16, sockets - config.stomp.most_clients - 2 * len(config.stomp.nodes))
@@ -72,7 +74,7 @@
     executor = EffectExecutor(registry, pool, log)
     dispatcher = JobDispatcher(config.settings, config.seed, time.monotonic_ns())
     admission, carry_out = None, executor.carry_out
-    if config.copies.listen is not None:  # what is off is not imported either
+    if config.copies.listen is not None:  # a disabled feature is not imported
         from hollowusher.scheduler.net.log_replication.admission import ReplicationAdmission
         from hollowusher.scheduler.net.log_replication.node import CopiesNode
 
@@ -177,37 +179,40 @@
         stop = asyncio.Event()
         for number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, again)):
             asyncio.get_running_loop().add_signal_handler(number, event.set)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came meanwhile counts now
+        # Delivers a SIGHUP that arrived while it was blocked.
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     reloads = Reloads(config, read, follow, log, figures)
     await operations.arrive()
     await watch.start()
-    operations.list_begun()
+    operations.post_learned_state()
     tasks = [asyncio.create_task(work) for work in (owner.run(), executor.sweep(), reloads.follow(again))]
     for part in parts[1:]:
         await part.start()
-    await operations.list_news()
+    await operations.wait_for_list()
     clients.listen()
     tasks.append(asyncio.create_task(clients.accept()))
     operations.serves()
     log.notice("ready", "taking jobs", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
     await stop.wait()
-    log.notice("stopping", "asked to stop; answering what is taken")
+    log.notice("stopping", "stop requested; answering the accepted jobs")
     operations.leaves()
     await asyncio.gather(clients.drain(tasks[-1]), *(part.drain() for part in parts))
     for part in parts[:0:-1]:
         reported = {key: value for key, value in part.report().items() if key != "rows"}
-        log.notice("part-figures", "as it ended", part=part.name, **reported)
+        log.notice("part-figures", "final report of a component", part=part.name, **reported)
     for task in tasks:
         task.cancel()
     for part in reversed(parts):
         await part.stop()
-    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # the loop's end takes the handler away
-    log.notice("stopped", "all that was taken is answered")
+    # Closing the event loop removes the signal handler; a later SIGHUP must not terminate the process.
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
+    log.notice("stopped", "all accepted jobs are answered")
 
 
 def run() -> int:
-    """Run one scheduler as the environment configures it; the exit code."""
-    # A SIGHUP that comes before the program can act on it, or as it ends, must wait and not end it.
+    """Run one scheduler with the configuration from the environment; returns the exit code."""
+    # A SIGHUP that arrives before its handler is installed, or during shutdown, must stay pending instead of
+    # terminating the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = load()
--- a/hollowusher/scheduler/cli.py
+++ b/hollowusher/scheduler/cli.py
@@ -1,5 +1,4 @@
-"""The command line: `python -m hollowusher WORD ...`.  Without a word the program is the platform's
-scheduler."""
+"""The command line `python -m hollowusher COMMAND ...`; the default command runs the scheduler."""
 
 from __future__ import annotations
 
@@ -31,8 +30,8 @@
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.reader import read_file
 
-SLICES = 40  # steps of the progress bar
-LATE_SHARE_S = 25.0  # after the script's end, for what is still open
+SLICES = 40  # number of steps of the progress bar
+LATE_SHARE_S = 25.0  # simulated time after the end of the script in which open jobs may finish
 FIGURES = ("share", "worst_10_s", "suspicions", "second_runs", "late_sends", "fallen", "unanswered")
 _FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
@@ -41,8 +40,9 @@
 def cli() -> None:
     """The job scheduler, and the tools around it.
 
-    The whole service has words of its own, whose --help tells more: `edge` and `store` run a process of that
-    role, `local` starts a small system with stand-ins, `system` asks and orders a running one."""
+    The complete service has further commands, described by their --help: `edge` and `store` run a process
+    of that role, `local` starts a small system on loopback with stubs for the platform, the workers and the
+    call-back receivers, and `system` inspects and controls a running system."""
 
 
 cli.add_command(faults)
@@ -55,14 +55,14 @@
 
 @cli.command()
 def run() -> None:
-    """Run one scheduler, as without any word."""
+    """Run one scheduler; this is also the default without a command."""
     sys.exit(run_scheduler())
 
 
 @cli.command()
 @click.argument("file", type=_FILE, default=SETTINGS_FILE)
 def check(file: Path) -> None:
-    """Check a settings file, or a rehearsal script (*.rehearsal); a fault is told with file and line."""
+    """Check a settings file or a rehearsal script (*.rehearsal); errors are printed with file and line."""
     try:
         if file.suffix == ".rehearsal":
             script = read(file)
@@ -79,13 +79,15 @@
 
 @cli.command()
 @click.argument("script", type=_FILE)
-@click.option("--seed", type=click.IntRange(0, 2**31 - 1), help="Another seed than the script's.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="The run's folder.")
-@click.option("--members", "many", type=click.IntRange(2, 1000), help="Other than the script's.")
+@click.option("--seed", type=click.IntRange(0, 2**31 - 1), help="Overrides the seed of the script.")
+@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="The output folder of the run.")
+@click.option(
+    "--members", "many", type=click.IntRange(2, 1000), help="Overrides the number of members in the script."
+)
 def rehearse(script: Path, seed: int | None, out: Path | None, many: int | None) -> None:
-    """Play a rehearsal in virtual time; its folder gets script, seed, versions and tables.
+    """Simulate a rehearsal script in virtual time, and write script, seed, versions and tables to a folder.
 
-    A script with `members` plays their membership, and its traffic if it has any."""
+    A script with `members` simulates their membership protocol, and also its traffic if it defines any."""
     try:
         plan = read(script)
     except ConfigError as wrong:
@@ -106,14 +108,14 @@
         with click.progressbar(range(SLICES), label=script.stem, file=sys.stderr) as steps:
             for step in steps:
                 rehearsal.heap.run(rehearsal.start_ns + round(complete * (step + 1) / SLICES * 1e9))
-    except KeyboardInterrupt:  # what there is, is kept
+    except KeyboardInterrupt:  # keeps the results up to the interruption
         stopped = True
     took = time.monotonic() - begun
     report = rehearsal.report()
-    keep(folder, script, plan, seed, rehearsal, report, stopped)
-    tell(report)
-    click.echo(f"{complete:g} s played in {took:.1f} s ({complete / took:.0f} times the clock); {folder}")
-    if broken(report):
+    write_run_folder(folder, script, plan, seed, rehearsal, report, stopped)
+    print_report(report)
+    click.echo(f"{complete:g} s simulated in {took:.1f} s ({complete / took:.0f} times real time); {folder}")
+    if count_violations(report):
         raise SystemExit(1)
 
 
@@ -121,10 +123,13 @@
 @click.argument("script", type=_FILE)
 @click.option("--runs", type=click.IntRange(3, 10_000), default=10, show_default=True)
 @click.option(
-    "--out", type=click.Path(file_okay=False, path_type=Path), required=True, help="The folder of the series."
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    required=True,
+    help="The output folder of the series.",
 )
 def experiment(script: Path, runs: int, out: Path) -> None:
-    """Play a script with many seeds and keep a line of figures for each, to be compared."""
+    """Simulate a script with many seeds, and write one line of figures for each seed for `compare`."""
     from hollowusher.scheduler.lab.compare import write_series
 
     try:
@@ -139,7 +144,7 @@
                 report = stage(plan, seed).run(plan.length_s, LATE_SHARE_S)
                 rows.append((seed, {name: getattr(report, name) for name in FIGURES}))
     except KeyboardInterrupt:
-        pass  # what there is, is kept
+        pass  # keeps the results of the completed runs
     write_series(out, rows)
     shutil.copyfile(script, out / "script.rehearsal")
     click.echo(f"{len(rows)} runs in {out}")
@@ -149,7 +154,7 @@
 @click.argument("first", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @click.argument("second", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def compare(first: Path, second: Path) -> None:
-    """Compare two series of runs, seed by seed, with error bars; what lies within them is a tie."""
+    """Compare two series of runs by seed; a difference whose confidence interval contains 0 is a tie."""
     from hollowusher.scheduler.lab import compare as lab
 
     try:
@@ -165,7 +170,7 @@
 @cli.command()
 @click.argument("run", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def report(run: Path) -> None:
-    """Make a page with tables and charts of a run's folder."""
+    """Write an HTML page with tables and charts of a run into its folder."""
     from hollowusher.scheduler.lab.page import make
 
     try:
@@ -174,13 +179,13 @@
         raise click.ClickException(str(wrong)) from None
 
 
-def broken(report: Report) -> int:
-    """Rules broken, as the fleet saw them."""
+def count_violations(report: Report) -> int:
+    """Return the number of rule violations that the simulated workers observed."""
     return report.second_runs + report.late_sends + report.fallen + report.unanswered
 
 
-def tell(report: Report) -> None:
-    """The run's figures on the client."""
+def print_report(report: Report) -> None:
+    """Print the figures of a run to standard output."""
     click.echo(f"{'class':16}" + "".join(f"{name:>10}" for name in COUNTS))
     for name, counts in sorted(report.by_class.items()):
         click.echo(f"{name:16}" + "".join(f"{counts[c]:10}" for c in COUNTS))
@@ -190,11 +195,11 @@
     )
     click.echo(
         f"rules: second runs {report.second_runs}, sent after a drain {report.late_sends}, "
-        f"cold nodes pushed over {report.fallen}, without one answer in time {report.unanswered}"
+        f"cold nodes overloaded {report.fallen}, jobs without exactly one answer in time {report.unanswered}"
     )
 
 
-def keep(
+def write_run_folder(
     folder: Path,
     source: Path,
     plan: RehearsalScript,
@@ -203,7 +208,9 @@
     report: Report,
     stopped: bool,
 ) -> None:
-    """Write a run's folder: what it was made of, and its tables.  The same run gives the same bytes."""
+    """Write the folder of a run: its inputs (script, seed, versions) and its tables.
+
+    The output is deterministic: the same run gives the same bytes."""
     folder.mkdir(parents=True, exist_ok=True)
     shutil.copyfile(source, folder / "script.rehearsal")
     made_of = {
--- a/hollowusher/scheduler/component.py
+++ b/hollowusher/scheduler/component.py
@@ -1,4 +1,4 @@
-"""The one form of parts that have a life of their own: they are started, stopped and asked for a report."""
+"""Interface of long-lived components: `app.serve` starts, drains and stops them and requests reports."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class Component(Protocol):
-    """A part of the running program; `app.serve` holds a list of them."""
+    """A long-lived component of the running process; `app.serve` keeps a list of them."""
 
-    name: str  # by which people ask for its report
+    name: str  # the name under which operators request its report
 
     async def start(self) -> None:
-        """Begin; OSError where what it needs is taken."""
+        """Start the component; raises OSError if a resource that it needs, such as a port, is in use."""
 
     async def drain(self) -> None:
-        """Take nothing more, and return once all that was taken is answered."""
+        """Stop accepting work, and return once all accepted work is answered."""
 
     async def stop(self) -> None:
-        """End in good order."""
+        """Stop the component and release its resources."""
 
     def report(self) -> Mapping[str, object]:
-        """What people on call ask for."""
+        """Return the current state and counters for on-call engineers."""
 
 
 class Plain:
-    """For parts that have nothing to answer when the program drains."""
+    """Base class of components that have no open work to finish when the process drains."""
 
     async def drain(self) -> None:
-        """Nothing that was taken is open here."""
+        """Return at once: the component holds no accepted work."""
--- a/hollowusher/scheduler/config.py
+++ b/hollowusher/scheduler/config.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and validates the whole configuration, and fills in defaults.
 
-A wrong value stops the program at its start with a ConfigError that names the key; when the file is read
-again, it leaves the program as it is.
+An invalid value raises a ConfigError that names the key.  At startup the error ends the process; during a
+reload the previous configuration stays in effect.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerConfig:
-    """All that a scheduler is told at its start."""
+    """The complete configuration of one scheduler."""
 
     name: str
     listen: tuple[str, int]
@@ -53,18 +53,18 @@
     shared: SharedConfig = field(default_factory=SharedConfig)
     copies: CopiesConfig = field(default_factory=CopiesConfig)
     reports: tuple[str, int] | None = None
-    operators: tuple[str, int] | None = None  # where operators call, if anywhere
-    shared_directory: Path | None = None  # that another process of this scheduler would use as well
-    # The file as it was read: one that is read again must not lack what this one has.
+    operators: tuple[str, int] | None = None  # listen address for operators' HTTP requests; None disables it
+    shared_directory: Path | None = None  # shared by all processes of this scheduler
+    # The parsed file: a reload must not remove keys that it has.
     table: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)
-    # What the platform says of messages between schedulers; read and checked, used with [peers] `platform`.
+    # The platform's settings for messages between schedulers; used only with `platform` in section [peers].
     peer_listen: tuple[str, int] | None = None
     peer_all: tuple[str, int] | None = None
-    peer_addresses: tuple[tuple[str, int], ...] = ()  # by the schedulers' numbers, our own among them
+    peer_addresses: tuple[tuple[str, int], ...] = ()  # indexed by scheduler number, including this scheduler
 
 
 def address(key: str, text: object) -> tuple[str, int]:
-    """host:port."""
+    """Parse `host:port`; raises a ConfigError that names `key` if the text is malformed."""
     try:
         return parse_address(str(text))
     except ValueError:
@@ -80,18 +80,18 @@
     return value
 
 
-def _maybe_address(table: Mapping[str, Any], key: str) -> tuple[str, int] | None:
-    """An address that may be absent."""
+def _optional_address(table: Mapping[str, Any], key: str) -> tuple[str, int] | None:
+    """Parse an optional address; returns None if the key is absent or empty."""
     return address(key, table[key]) if table.get(key) else None
 
 
-def _within(key: str, value: float, least: float, most: float) -> None:
+def _check_range(key: str, value: float, least: float, most: float) -> None:
     if not least <= value <= most:
         raise ConfigError(f"{key}: must lie between {least:g} and {most:g}, is {value:g}")
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested settings as the path=value pairs of the simulator's first message."""
+    """Flatten nested settings into the path=value pairs of the simulator's first message."""
     if isinstance(value, Mapping):
         pairs: dict[str, str] = {}
         for key, item in value.items():
@@ -99,15 +99,15 @@
         return pairs
     if isinstance(value, list):
         if not any(isinstance(item, Mapping) for item in value):
-            return {path: ",".join(_word(item) for item in value)}
+            return {path: ",".join(_encode_value(item) for item in value)}
         pairs = {f"{path}.count": str(len(value))}
         for index, item in enumerate(value):
             pairs.update(flatten(item, f"{path}.{index}"))
         return pairs
-    return {path: _word(value)}
+    return {path: _encode_value(value)}
 
 
-def _word(value: Any) -> str:
+def _encode_value(value: Any) -> str:
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -115,7 +115,7 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def _span_s(pairs: Mapping[str, str], path: str, default_s: float) -> float:
+def _read_span_s(pairs: Mapping[str, str], path: str, default_s: float) -> float:
     text = pairs.get(path, "")
     try:
         value = int(text) / NS_PER_S if text else default_s
@@ -129,10 +129,10 @@
 def load(
     environ: Mapping[str, str] = os.environ, settings_file: Path | None = None, again: bool = False
 ) -> SchedulerConfig:
-    """The configuration from the platform's file, the environment over it, and the settings file.
+    """Read the configuration from the platform's file, the environment and the settings file.
 
-    Read `again`, the file comes first for the node list's address: the environment still has the one from
-    the start.
+    Environment variables override the platform's file.  With `again` (a reload) the file takes precedence for
+    the address of the node list service, because the environment still has the value from startup.
     """
     sheet = read_file(settings_file or Path(environ.get("HOLLOWUSHER_CONF") or SETTINGS_FILE), SECTIONS)
     path = environ.get("PROXY_CONFIG", "")
@@ -145,7 +145,7 @@
     if not isinstance(table, dict):
         raise ConfigError("PROXY_CONFIG: must hold one JSON object")
     raw = _get(table, "settings", dict, {})
-    for fault in faults(raw):  # the first of them
+    for fault in faults(raw):  # reports only the first fault
         raise ConfigError(f"settings.{fault}")
     pairs = flatten(raw)
     try:
@@ -163,8 +163,8 @@
     limits = _get(table, "limits", dict, {})
     sockets = _get(limits, "sockets", int, 1024, "limits.")
     memory_mb = _get(limits, "memory_mb", float, 192.0, "limits.")
-    _within("limits.memory_mb", memory_mb, 16, 10_000_000)
-    _within("limits.sockets", sockets, 64, 1_000_000)
+    _check_range("limits.memory_mb", memory_mb, 16, 10_000_000)
+    _check_range("limits.sockets", sockets, 64, 1_000_000)
     syslog = environ.get("HOLLOWUSHER_SYSLOG", "")
     forward = address("HOLLOWUSHER_SYSLOG", syslog) if syslog else None
     if forward and not forward[0].startswith("127."):
@@ -173,7 +173,7 @@
     allowed = Allowed(
         pairs.get("caps.peer_messages") == "true",
         settings.me,
-        _maybe_address(table, "peer_listen"),
+        _optional_address(table, "peer_listen"),
         tuple(address(f"peers[{i}]", a) for i, a in enumerate(_get(table, "peers", list, []))),
     )
     reported, named = environ.get("PROXY_DISCOVERY"), table.get("discovery", "")
@@ -186,8 +186,8 @@
         sockets=min(sockets, 1024),
         settings=settings,
         meanings=meanings,
-        connect_timeout_s=_span_s(pairs, "caps.connect_timeout_ns", 0.25),
-        idle_close_s=_span_s(pairs, "caps.idle_close_ns", 30.0),
+        connect_timeout_s=_read_span_s(pairs, "caps.connect_timeout_ns", 0.25),
+        idle_close_s=_read_span_s(pairs, "caps.idle_close_ns", 30.0),
         known=_get(table, "known", dict, {}),
         syslog=forward,
         stomp=read_stomp(sheet),
@@ -198,11 +198,11 @@
         copies=read_copies(sheet, name, frozenset(c.name for c in settings.classes)),
         reports=read_reports(sheet),
         table=table,
-        operators=_maybe_address(
+        operators=_optional_address(
             {"admin_addr": environ.get("PROXY_ADMIN_ADDR") or table.get("admin_addr")}, "admin_addr"
         ),
         shared_directory=Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None,
         peer_listen=allowed.listen,
-        peer_all=_maybe_address(table, "peers_all"),
+        peer_all=_optional_address(table, "peers_all"),
         peer_addresses=allowed.addresses,
     )
--- a/hollowusher/scheduler/operations.py
+++ b/hollowusher/scheduler/operations.py
@@ -1,6 +1,6 @@
-"""What daily operations need of one process, put together: replacement, workers out by hand, figures.
+"""Assembles the operational features of one process: live replacement, manual worker detachment, metrics.
 
-What the platform does not ask for is not imported either.
+Features that the configuration does not enable are not imported.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
     from hollowusher.scheduler.replacement.directory import SharedDirectory
     from hollowusher.scheduler.replacement.process import Replacement
 
-SPARE_SOCKETS = 72  # for the log, the list, operators, the listeners and the loop itself
-NODE_SHARE = 0.45  # of the other sockets, for connections to nodes
+SPARE_SOCKETS = 72  # for the log, the worker list, operators, the listeners and the event loop
+NODE_SHARE = 0.45  # share of the remaining sockets that is used for connections to nodes
 LEAST_SOCKETS = 16
-LIST_NEWS_S = 1.0  # how long a process that replaces another waits for the list before it takes clients
+LIST_NEWS_S = 1.0  # how long a replacement process waits for the worker list before it accepts clients
 
 
 class Operations:
-    """One process beside another, and what operators call."""
+    """Connects live replacement and the operators' HTTP interface to the rest of the process."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
             directory = SharedDirectory(config.shared_directory, config.listen)
             try:
                 directory.enter()
-            except OSError as wrong:  # it runs all the same, and cannot be replaced while it does
+            except OSError as wrong:  # the process runs without the directory, but cannot be replaced live
                 log.error("shared-directory", str(wrong))
                 return
             self._directory = directory
@@ -74,8 +74,10 @@
             )
 
     def listener(self) -> socket.socket:
-        """The socket for clients.  It is shared with processes of this scheduler alone: where none lives,
-        the address must be free."""
+        """Return the listening socket for clients.
+
+        Only processes of this scheduler may share the address (SO_REUSEPORT); if no other process of this
+        scheduler runs, the address must be free, and OSError is raised if it is in use."""
         address = self._config.listen
         if self._directory is None:
             return bind(address)
@@ -85,11 +87,14 @@
 
     @property
     def parts(self) -> list[Component]:
-        """What starts and stops with the program."""
+        """The components that start and stop with the process."""
         return [self.replacement] if self.replacement is not None else []
 
     def wire(self, clients: PlatformClients, pool: Pool, sockets: int) -> None:
-        """Two processes have the descriptors of one, and clients hear of the younger one."""
+        """Connect live replacement to the client server and the connection pool.
+
+        While two processes run, each uses half of the sockets of one.
+        `Replacement.replaced` is set while a newer process serves clients."""
         self._clients = clients
         if self.replacement is None:
             return
@@ -104,7 +109,7 @@
         self.replacement.shared = share
 
     def server(self, parts: Iterable[Component]) -> Iterator[Component]:
-        """The part that answers operators, where the configuration has an address for it."""
+        """Yield the operators' HTTP server if the configuration has an address for it."""
         if self._config.operators is None:
             return
         from hollowusher.scheduler.operators.detached import DetachedWorkers
@@ -134,7 +139,7 @@
         )
 
     async def arrive(self) -> None:
-        """Take over what another process of this scheduler hands over, if one runs."""
+        """Load the state that an older process of this scheduler hands over, if one runs."""
         if self.replacement is None:
             return
         from hollowusher.scheduler.replacement.workers import from_records
@@ -150,25 +155,25 @@
             self._detached.refresh()
             self.replacement.looked.append(self._detached.refresh)
 
-    def list_begun(self) -> None:
-        """The list that was held is known: what was learnt of its workers counts."""
+    def post_learned_state(self) -> None:
+        """Send the handed-over learned state to the dispatcher, which already has the worker list."""
         if self._memory is not None:
             self._owner.post(LearnedStateReceived(self._memory))
 
-    async def list_news(self) -> None:
-        """A process that replaces another knows the list before it takes clients, if it comes in time."""
+    async def wait_for_list(self) -> None:
+        """In a replacement process, wait for the worker list, for LIST_NEWS_S seconds at most."""
         if self.replacement is not None and self.replacement.beside_another:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LIST_NEWS_S):
                     await self._watch.heard.wait()
 
     def serves(self) -> None:
-        """Clients are taken from now on."""
+        """Record that this process accepts clients from now on."""
         self._accepting = True
         if self.replacement is not None:
             self.replacement.serves()
 
     def leaves(self) -> None:
-        """A stop has been asked for."""
+        """Record that this process is draining."""
         if self.replacement is not None:
             self.replacement.leaves()
--- a/hollowusher/scheduler/reload.py
+++ b/hollowusher/scheduler/reload.py
@@ -1,4 +1,4 @@
-"""A new configuration while the program runs: what SIGHUP asks for."""
+"""Reloads the configuration of the running process on SIGHUP."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from hollowusher.scheduler.settings.model import ConfigError
 from hollowusher.scheduler.settings.platform import lost_keys
 
-REPORTED_ONCE = ("known", "seed", "table")  # news at a start only: a running scheduler knows better
+REPORTED_ONCE = ("known", "seed", "table")  # used only at startup: a running scheduler has newer state
 
 
 class Reloads:
-    """Reads the configuration again when asked, and has what changed followed.
+    """Reads the configuration again on request and applies the changed values.
 
-    A file that cannot be used changes nothing: the jobs that are open must not pay for a slip of the pen.
+    An invalid file changes nothing, so that a typing error in it cannot affect open jobs.
     """
 
     def __init__(
@@ -29,22 +29,23 @@
         log: LogWriter,
         figures: SchedulerMetrics | None = None,
     ) -> None:
-        """`follow`: what is done about a key that changed; the others need a restart."""
+        """`follow` maps a field of SchedulerConfig to the function that applies its new value; all other
+        fields need a restart, except those in REPORTED_ONCE."""
         self._config, self._read, self._follow, self._log = config, read, follow, log
         self._figures = figures or SchedulerMetrics()
 
     async def follow(self, again: asyncio.Event) -> None:
-        """Read it each time `again` is set, until cancelled; asked twice while it reads, it reads twice."""
+        """Reload each time `again` is set, until cancelled; a request during a reload causes another one."""
         while True:
             await again.wait()
             again.clear()
             try:
                 new = self._read()
-                for key in lost_keys(self._config.table, new.table):  # the first of them
-                    raise ConfigError(f"{key}: is missing, and was there before")
+                for key in lost_keys(self._config.table, new.table):  # reports only the first missing key
+                    raise ConfigError(f"{key}: is missing, but the previous configuration had it")
             except (ConfigError, ValueError, RecursionError) as wrong:
                 self._figures.reloads_failed += 1
-                self._log.error("reload-refused", f"{wrong}; the configuration stays as it was")
+                self._log.error("reload-refused", f"{wrong}; the previous configuration stays in effect")
                 continue
             self._take(new)
             self._figures.reloads_ok += 1
@@ -57,7 +58,7 @@
         if restart:
             self._log.warning("reload-partly", "some new values need a restart", keys=" ".join(restart))
         where = f"{new.discovery[0]}:{new.discovery[1]}"
-        self._log.notice("reloaded", "the configuration was read again", discovery=where)
+        self._log.notice("reloaded", "the configuration was reloaded", discovery=where)
         for name in self._follow.keys() & set(changed):
             self._follow[name](new)
         self._config = new
--- a/hollowusher/scheduler/retune.py
+++ b/hollowusher/scheduler/retune.py
@@ -1,4 +1,4 @@
-"""Settings that change while the program runs: classes that come and go, and the rest of them."""
+"""Applies changed settings, including added and removed job classes, while the scheduler runs."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from hollowusher.scheduler.dispatch.model import DispatchEvent, NewSettings
 from hollowusher.scheduler.log import LogWriter
 
-DROPPED_S = 1.2  # clients go on using a class for so long after it was dropped
+DROPPED_S = 1.2  # how long clients may still use a job class after it was removed
 
 
 class Retuning:
-    """Passes new settings on: to the desk in order with the jobs, and to the fronts."""
+    """Sends new settings to the dispatcher (an event, in order with the jobs) and to the protocol fronts."""
 
     def __init__(
         self,
@@ -23,29 +23,31 @@
         fronts: list[Callable[[Mapping[str, JobClass]], None]],
         log: LogWriter,
     ) -> None:
-        """`fronts` are told of the classes that may be taken."""
+        """`post` queues an event for the dispatcher; each function in `fronts` gets the accepted classes."""
         self._settings, self._post, self._fronts, self._log = settings, post, fronts, log
         self._dropping: asyncio.TimerHandle | None = None
 
     def follow(self, settings: Settings) -> None:
-        """These settings hold from now on; classes that they drop are taken for a moment more."""
+        """Apply these settings; removed job classes are still accepted for DROPPED_S seconds."""
         if self._dropping is not None:
             self._dropping.cancel()
         names = {c.name for c in settings.classes}
         dropped = tuple(c for c in self._settings.classes if c.name not in names)
         self._log.notice(
             "settings-changed",
-            "for jobs that come from now on",
+            "the new settings apply to jobs that arrive from now on",
             classes=" ".join(sorted(names)),
             dropped=" ".join(c.name for c in dropped),
         )
         self._settings = settings
-        self._tell(replace(settings, classes=settings.classes + dropped))
+        self._publish(replace(settings, classes=settings.classes + dropped))
         if dropped:
-            self._dropping = asyncio.get_running_loop().call_later(DROPPED_S, self._tell, settings)
+            self._dropping = asyncio.get_running_loop().call_later(DROPPED_S, self._publish, settings)
 
-    def _tell(self, settings: Settings) -> None:
-        """The desk hears of new classes before the fronts take them, and of the end of others after."""
+    def _publish(self, settings: Settings) -> None:
+        """Post the settings to the dispatcher, then pass their job classes to the fronts.
+
+        The dispatcher receives added classes before the fronts accept jobs of them."""
         classes = {c.name: c for c in settings.classes}
         self._post(NewSettings(settings))
         for front in self._fronts:
--- a/tests/scheduler/test_endings.py
+++ b/tests/scheduler/test_endings.py
@@ -29,7 +29,7 @@
     State,
 )
 from hollowusher.balancing.interface import ClientGone, Ended, Event
-from hollowusher.scheduler.app import descriptors
+from hollowusher.scheduler.app import descriptor_limit
 from hollowusher.scheduler.dispatch.dispatcher import JobDispatcher
 from hollowusher.scheduler.dispatch.model import (
     AttemptEnded,
@@ -574,7 +574,7 @@
     """A low limit of the system's own, with the node list's service away."""
 
     async def test_idle_clients_take_none_that_discovery_nodes_and_accept_need(self) -> None:
-        self.assertEqual(descriptors(10**9) <= 10**9, True)
+        self.assertEqual(descriptor_limit(10**9) <= 10**9, True)
         await self.list.close()
         limits = resource.getrlimit(resource.RLIMIT_NOFILE)
         most = 110
