--- a/hollowusher/scheduler/app.py
+++ b/hollowusher/scheduler/app.py
@@ -194,7 +194,7 @@
     operations.serves()
     log.notice("ready", "taking jobs", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
     await stop.wait()
-    log.notice("stopping", "stop requested; answering the accepted jobs")
+    log.notice("stopping", "the process was asked to stop and answers the accepted jobs")
     operations.leaves()
     await asyncio.gather(clients.drain(tasks[-1]), *(part.drain() for part in parts))
     for part in parts[:0:-1]:
--- a/hollowusher/scheduler/logs/__init__.py
+++ b/hollowusher/scheduler/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Where log lines go: outlets that never hold up the jobs."""
+"""Non-blocking output of log lines."""
--- a/hollowusher/scheduler/logs/outlet.py
+++ b/hollowusher/scheduler/logs/outlet.py
@@ -1,9 +1,10 @@
-"""The way of log lines to a descriptor: a bounded queue, and writes that cannot block.
+"""Writes log lines to a file descriptor through a bounded queue, without blocking.
 
-A reader that stalls (a full pipe, a client that was stopped) blocks whoever writes, and nobody would be
-answered until it goes on.  So the descriptor is asked first, without waiting, and no more is written at a
-time than a pipe takes whole (PIPE_BUF, pipe(7)).  There is no second thread: a thread blocked in a write
-cannot be ended, and hands the interpreter to and fro with the event loop while it is not.
+A stalled reader (a full pipe, a suspended terminal process) blocks the writer, so a blocking write would stop
+the whole scheduler until the reader continues.  Therefore the outlet polls the descriptor with no timeout
+before each write, and writes at most PIPE_BUF bytes at a time, which a writable pipe accepts completely
+(pipe(7)).  A writer thread is no alternative: a thread that is blocked in a write cannot be terminated, and a
+running one competes with the event loop for the interpreter lock.
 """
 
 from __future__ import annotations
@@ -14,18 +15,19 @@
 from collections import deque
 from collections.abc import Callable
 
-MOST_LINES, MOST_BYTES = 1_000, 128 * 1024  # what may wait; later lines are dropped and counted
-RETRY_FIRST_S, RETRY_LAST_S = 0.02, 1.0  # how soon a stalled reader is tried again, doubled each time
-_POLL_MOST_S = 0.05  # the longest single wait of the end for its reader
+MOST_LINES, MOST_BYTES = 1_000, 128 * 1024  # limits of the queue; further lines are dropped and counted
+RETRY_FIRST_S, RETRY_LAST_S = 0.02, 1.0  # delay before a write is retried, doubled each time
+_POLL_MOST_S = 0.05  # the longest single poll while `close` waits for the reader
 
 Later = Callable[[float, Callable[[], None]], object]
 
 
 class Outlet:
-    """Lines in order to one descriptor.  `put` returns at once; what finds no room is counted and said later.
+    """Writes lines in order to one descriptor.  `put` never blocks; lines that exceed the queue are dropped.
 
-    `dropped` makes the line that tells of the count, put in where lines are missing.  What waits for its
-    reader goes out at the next `put`, or by `later` (seconds, what to call) once an event loop runs.
+    `dropped` formats the line that reports the number of dropped lines; the outlet writes it in their place.
+    Queued lines are written at the next `put`, or by a callback that `later` (delay in seconds, callback)
+    schedules on the event loop.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         self._poll.register(descriptor, select.POLLOUT)
 
     def put(self, line: str) -> bool:
-        """Queue one line and write what the reader takes; False where it had to be dropped."""
+        """Queue one line and write what the descriptor accepts; returns False if the line was dropped."""
         data = line.encode("utf-8", "replace") + b"\n"
         self._flush()
         has_capacity = len(self._lines) < self._most_lines and self._bytes + len(data) <= self._most_bytes
@@ -59,7 +61,8 @@
         return True
 
     def close(self, most_s: float) -> bool:
-        """Take no more and give the reader this long (seconds) for what waits; whether all went out."""
+        """Reject further lines and write the queued ones for up to `most_s` seconds; returns whether all were
+        written."""
         self._closing, until = True, time.monotonic() + most_s
         while self._lines or self._lost:
             if not self._lines:
@@ -70,19 +73,19 @@
         return True
 
     def _flush(self) -> None:
-        """Write until the reader takes no more; then try again later."""
+        """Write until the queue is empty; schedule a retry if the descriptor accepts no more."""
         while self._lines:
             if not self._write(0.0):
                 if self.later is not None and not self._waiting:
                     self._waiting = True
-                    self.later(self._retry_s, self._again)
+                    self.later(self._retry_s, self._retry)
                     self._retry_s = min(RETRY_LAST_S, 2 * self._retry_s)
                 return
             self._retry_s = RETRY_FIRST_S
-            if not self._lines and self._lost:  # the reader is back, and nothing else is to be said
+            if not self._lines and self._lost:  # the reader continues, and no line is queued
                 self._queue(self._report_loss())
 
-    def _again(self) -> None:
+    def _retry(self) -> None:
         self._waiting = False
         self._flush()
 
@@ -95,20 +98,22 @@
         return self._dropped(lost).encode("utf-8", "replace") + b"\n" if lost else b""
 
     def _write(self, wait_s: float) -> bool:
-        """Write one piece if the descriptor takes it within this time; whether anything left the queue."""
+        """Write up to PIPE_BUF bytes if the descriptor is writable within `wait_s` seconds.
+
+        Returns whether the queue became shorter."""
         reported = self._poll.poll(wait_s * 1000)
         if not reported:
             return False
-        if not reported[0][1] & select.POLLOUT:  # closed or broken: its lines are lost, the program goes on
+        if not reported[0][1] & select.POLLOUT:  # closed or broken pipe: drops the queued lines
             self._lines.clear()
             self._bytes = 0
             return True
         head = self._lines[0]
         try:
             written = os.write(self._descriptor, head[: select.PIPE_BUF])
-        except BlockingIOError:  # whoever shares the pipe was quicker, and has made it non-blocking
+        except BlockingIOError:  # another process filled the pipe and made it non-blocking
             return False
-        except OSError:  # a closed log must not end the program
+        except OSError:  # a closed log must not terminate the scheduler
             written = len(head)
         self._bytes -= written
         if written < len(head):
--- a/hollowusher/scheduler/operators/__init__.py
+++ b/hollowusher/scheduler/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running scheduler, and tell it."""
+"""The operators' HTTP interface to a running scheduler, and its command-line client."""
--- a/hollowusher/scheduler/operators/commands.py
+++ b/hollowusher/scheduler/operators/commands.py
@@ -1,4 +1,4 @@
-"""`hollowusher ready`, `vars`, `detach`, `attach`: the operators' calls from the command line."""
+"""The commands `hollowusher ready`, `vars`, `detach` and `attach`, which call the operators' interface."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     envvar="PROXY_ADMIN_ADDR",
     required=True,
     metavar="HOST:PORT",
-    help="The operators' address of the process; else as PROXY_ADMIN_ADDR has it.",
+    help="The operators' address of the process; default: the value of PROXY_ADMIN_ADDR.",
 )
 _WORKER = click.argument("worker")
 
 
-def _ask(where: str, method: str, target: str) -> str:
-    """The body of a yes; a no, and no answer at all, end the command with 1."""
+def _request(where: str, method: str, target: str) -> str:
+    """Send one request and return the body; an error status or a missing response ends the command with 1."""
     try:
         status, body = asyncio.run(call(parse_address(where), method, target))
     except ValueError:
@@ -31,35 +31,35 @@
         raise click.ClickException(f"no answer from {where}: {wrong or type(wrong).__name__}") from None
     text = body.decode("utf-8", "replace").rstrip("\n")
     if status // 100 != 2:
-        raise click.ClickException(f"no ({status}): {text}")
+        raise click.ClickException(f"the scheduler rejected the request with status {status}: {text}")
     return text
 
 
 @click.command()
 @_AT
 def ready(where: str) -> None:
-    """Whether the process takes clients; ends with 1 where it does not."""
-    click.echo(_ask(where, "GET", READY))
+    """Check whether the process accepts clients; the exit code is 1 if it does not."""
+    click.echo(_request(where, "GET", READY))
 
 
 @click.command(name="vars")
 @_AT
 def figures(where: str) -> None:
-    """The figures of the process."""
-    click.echo(_ask(where, "GET", FIGURES))
+    """Print the metrics of the process."""
+    click.echo(_request(where, "GET", FIGURES))
 
 
 @click.command()
 @_WORKER
 @_AT
 def detach(worker: str, where: str) -> None:
-    """Send nothing more to a worker, until it is attached again."""
-    click.echo(_ask(where, "PUT", f"{DETACH}?{urlencode({'name': worker})}"))
+    """Send no new jobs to a worker until it is attached again."""
+    click.echo(_request(where, "PUT", f"{DETACH}?{urlencode({'name': worker})}"))
 
 
 @click.command()
 @_WORKER
 @_AT
 def attach(worker: str, where: str) -> None:
-    """Let a worker serve again."""
-    click.echo(_ask(where, "PUT", f"{ATTACH}?{urlencode({'name': worker})}"))
+    """Send jobs to a detached worker again."""
+    click.echo(_request(where, "PUT", f"{ATTACH}?{urlencode({'name': worker})}"))
--- a/hollowusher/scheduler/operators/detached.py
+++ b/hollowusher/scheduler/operators/detached.py
@@ -1,4 +1,4 @@
-"""Workers that operators have taken out by hand: nothing new goes to them until they are called back."""
+"""Workers that operators have detached: the scheduler sends them no new jobs until they are attached."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DetachedWorkers:
-    """Kept in the shared directory where there is one, so that they outlive this process."""
+    """The set of detached workers.  It is stored in the shared directory, if any, to survive a restart."""
 
     def __init__(
         self,
@@ -21,54 +21,61 @@
         leaving: Callable[[int], None],
         log: LogWriter,
     ) -> None:
-        """`leaving` is called with each worker to which nothing new may go from now on."""
+        """`leaving` is called with the number of each worker that becomes detached."""
         self._registry, self._directory = registry, directory
         self._post, self._leaving, self._log = post, leaving, log
 
     @property
     def names(self) -> frozenset[str]:
-        """The ids of the workers that are out."""
+        """The ids of the detached workers."""
         return self._registry.detached
 
     def detach(self, name: str) -> bool:
-        """Nothing new goes to this worker; False where nobody has this id.  OSError where that cannot be
-        noted."""
-        if not self._known(name):
+        """Send no new jobs to this worker; returns False if no worker has this id.
+
+        Raises OSError if the shared directory cannot store the change."""
+        if not self._is_known(name):
             return False
         if self._directory is not None:
             self._directory.ban(name)
-        self._take(self.names | {name})
+        self._update(self.names | {name})
         return True
 
     def attach(self, name: str) -> bool:
-        """This worker may serve again, however often it was detached; False where nobody has this id."""
-        if not self._known(name):
+        """Allow new jobs for this worker, even if it was detached several times.
+
+        Returns False if no worker has this id; raises OSError if the change cannot be stored."""
+        if not self._is_known(name):
             return False
         if self._directory is not None:
             self._directory.lift(name)
-        self._take(self.names - {name})
+        self._update(self.names - {name})
         return True
 
     def refresh(self) -> None:
-        """Take what another process of this scheduler has been told."""
+        """Apply the changes that operators requested from another process of this scheduler."""
         if self._directory is not None:
             try:
-                self._take(self._directory.banned())
+                self._update(self._directory.banned())
             except OSError as wrong:
                 self._log.error("shared-directory", str(wrong))
 
-    def _known(self, name: str) -> bool:
+    def _is_known(self, name: str) -> bool:
         return name in self.names or self._registry.by_name(name) is not None
 
-    def _take(self, names: frozenset[str]) -> None:
+    def _update(self, names: frozenset[str]) -> None:
         out, back = names - self.names, self.names - names
         if not out and not back:
             return
         self._registry.detached = names
         for name in sorted(out):
-            self._log.notice("worker-detached", "out by hand: nothing new goes there", worker=name)
+            self._log.notice(
+                "worker-detached", "detached by an operator: no new jobs are sent to this worker", worker=name
+            )
             if (worker := self._registry.by_name(name)) is not None:
                 self._leaving(worker.entry.worker)
         for name in sorted(back):
-            self._log.notice("worker-attached", "it may serve again", worker=name)
+            self._log.notice(
+                "worker-attached", "attached by an operator: jobs are sent to this worker again", worker=name
+            )
         self._post(self._registry.cached_list())
--- a/hollowusher/scheduler/operators/figures.py
+++ b/hollowusher/scheduler/operators/figures.py
@@ -1,4 +1,4 @@
-"""The figures as operators read them: lines of `name:value|kind`, c for a count and g for a gauge."""
+"""Formats metrics for operators in lines `name:value|kind`; the kind is c (counter) or g (gauge)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def lines(figures: SchedulerMetrics, known: Callable[[], int], excluded: Callable[[], int]) -> Iterator[str]:
-    """All figures as they are now; `known` and `excluded` count workers."""
+    """Yield the current value of each metric; `known` and `excluded` return numbers of workers."""
     for name, counts in figures.classes.items():
         for kind in ("served", "refused", "failed", "attempts"):
             yield f"{PREFIX}.requests.{name}.{kind}:{getattr(counts, kind)}|c"
--- a/hollowusher/scheduler/operators/server.py
+++ b/hollowusher/scheduler/operators/server.py
@@ -1,4 +1,4 @@
-"""The operators' address: HTTP/1.1, one call a connection, on its own few connections."""
+"""The operators' HTTP/1.1 server: one request for each connection, with its own connection limit."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from hollowusher.scheduler.net.reports.listener import report_of
 from hollowusher.scheduler.operators.detached import DetachedWorkers
 
-MOST_CALLERS = 24  # at a time; one more ends the call that has been longest in coming
-CALL_S = 6.0  # for a call to come whole
-SEND_S = 2.0  # for its answer to be read
+MOST_CALLERS = 24  # concurrent connections; a further one closes the oldest connection
+CALL_S = 6.0  # time limit for receiving the complete request
+SEND_S = 2.0  # time limit for sending the response
 READY, FIGURES, REPORT = "/_ready", "/_vars", "/_report"
 DETACH, ATTACH = "/_workers/detach", "/_workers/attach"
 _RING = 4096
 
 
 class OperatorsServer(Plain):
-    """A part that answers operators.  What it costs is bounded in connections, bytes and time."""
+    """Serves operators' requests, with limits on connections, request size and time."""
 
     name = "operators"
 
@@ -36,19 +36,19 @@
     ) -> None:
         self._figures, self._detached = figures, detached
         self._parts = parts
-        self.ready: Callable[[], bool] = lambda: False  # whether this process takes clients
+        self.ready: Callable[[], bool] = lambda: False  # whether this process accepts clients
         self._acceptor = ConnectionAcceptor(address, self._serve, MOST_CALLERS, _RING, free_connection=True)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening; raises OSError if the address is in use."""
         self._acceptor.start()
 
     async def stop(self) -> None:
-        """End, whoever is asking."""
+        """Stop listening and close all connections, including those with open requests."""
         await self._acceptor.stop()
 
     def report(self) -> dict[str, object]:
-        """Whether this process takes clients, and which workers are out by hand."""
+        """Return whether this process accepts clients, and the ids of the detached workers."""
         return {"ready": self.ready(), "detached": sorted(self._detached.names)}
 
     async def _serve(self, link: Link) -> None:
@@ -58,12 +58,12 @@
                 await link.send(answer_head(status, len(body), True, "Content-Type: text/plain\r\n"), body)
                 await link.linger(SEND_S)
         except (OSError, TimeoutError):
-            pass  # whoever called is gone, or never called
+            pass  # the client disconnected, or sent no complete request in time
         finally:
             link.close()
 
     async def _call(self, link: Link) -> tuple[int, bytes]:
-        """The answer to the one call that comes on a connection."""
+        """Receive the request of a connection and return the status and body of the response."""
         reader = RequestReader()
         try:
             async with asyncio.timeout(CALL_S):
@@ -93,16 +93,18 @@
         return 404, b"no such call\n"
 
     def _worker(self, change: Callable[[str], bool], name: str) -> tuple[int, bytes]:
-        """A call about one worker."""
+        """Apply a detach or attach request for one worker, and return the status and body of the response."""
         try:
             known = change(name)
-        except OSError as wrong:  # it could not be noted where it would outlive this process
+        except OSError as wrong:  # the shared directory could not store the change
             return 503, f"{wrong}\n".encode()
         return (200, b"done\n") if known else (404, b"no worker has this id\n")
 
 
 async def call(address: tuple[str, int], method: str, target: str, most_s: float = 2.0) -> tuple[int, bytes]:
-    """One call to a running scheduler: the status and the body; OSError where no answer comes."""
+    """Send one request to a running scheduler and return the status and the body.
+
+    Raises OSError if no response arrives, and TimeoutError after `most_s` seconds."""
     async with asyncio.timeout(most_s):
         reader, writer = await asyncio.open_connection(*address)
         try:
@@ -112,5 +114,5 @@
             writer.close()
     words = head.split(b" ", 2)
     if len(words) < 2 or not words[1].isdigit():
-        raise ConnectionError("no HTTP answer")
+        raise ConnectionError("the response is not valid HTTP")
     return int(words[1]), body
--- a/hollowusher/scheduler/reload.py
+++ b/hollowusher/scheduler/reload.py
@@ -10,7 +10,7 @@
 from hollowusher.scheduler.dispatch.metrics import SchedulerMetrics
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.settings.model import ConfigError
-from hollowusher.scheduler.settings.platform import lost_keys
+from hollowusher.scheduler.settings.platform import missing_keys
 
 REPORTED_ONCE = ("known", "seed", "table")  # used only at startup: a running scheduler has newer state
 
@@ -41,16 +41,16 @@
             again.clear()
             try:
                 new = self._read()
-                for key in lost_keys(self._config.table, new.table):  # reports only the first missing key
+                for key in missing_keys(self._config.table, new.table):  # reports only the first missing key
                     raise ConfigError(f"{key}: is missing, but the previous configuration had it")
             except (ConfigError, ValueError, RecursionError) as wrong:
                 self._figures.reloads_failed += 1
                 self._log.error("reload-refused", f"{wrong}; the previous configuration stays in effect")
                 continue
-            self._take(new)
+            self._apply_changes(new)
             self._figures.reloads_ok += 1
 
-    def _take(self, new: SchedulerConfig) -> None:
+    def _apply_changes(self, new: SchedulerConfig) -> None:
         changed = [
             f.name for f in fields(new) if f.compare and getattr(new, f.name) != getattr(self._config, f.name)
         ]
@@ -58,7 +58,7 @@
         if restart:
             self._log.warning("reload-partly", "some new values need a restart", keys=" ".join(restart))
         where = f"{new.discovery[0]}:{new.discovery[1]}"
-        self._log.notice("reloaded", "the configuration was reloaded", discovery=where)
+        self._log.notice("reloaded", "the configuration was read again", discovery=where)
         for name in self._follow.keys() & set(changed):
             self._follow[name](new)
         self._config = new
--- a/hollowusher/scheduler/settings/__init__.py
+++ b/hollowusher/scheduler/settings/__init__.py
@@ -1,4 +1,5 @@
-"""The settings file: line-based, in the manner of classic daemons.  docs/settings.md is its page.
+"""The line-based settings file, documented in docs/settings.md.
 
-A subsystem declares its sections as data beside its code; the reader, the checks and the page are made of it.
+Each subsystem declares its sections as data next to its code; the reader, the validation and the tables in
+the documentation are derived from these declarations.
 """
--- a/hollowusher/scheduler/settings/model.py
+++ b/hollowusher/scheduler/settings/model.py
@@ -1,7 +1,7 @@
-"""What a subsystem declares of its settings: sections, directives, and the kinds of value they take.
+"""The types with which a subsystem declares its settings: sections, directives and value kinds.
 
-A kind turns the words that follow a directive into a value, and says in one phrase what it wants, so that a
-fault can name what was read and what would be right.
+A value kind parses the words that follow a directive, and has a phrase that describes valid input, so that an
+error message can quote the invalid words and describe valid ones.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class ConfigError(Exception):
-    """A value that cannot be used; the text names the key, and file and line where there are any."""
+    """An invalid configuration value; the message names the key, and the file and line if they are known."""
 
 
 class SettingsFileError(ConfigError):
-    """A fault of the settings file: where it stands, and what is wanted there."""
+    """An error in the settings file, with file, line and the reason."""
 
     def __init__(self, file: str, line: int, why: str) -> None:
         super().__init__(f"{file}:{line}: {why}")
@@ -32,16 +32,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueKind:
-    """How a value is written.  `read` raises ValueError where the words are none of this kind."""
+    """Parses and formats one kind of value.
+
+    `wants` describes valid input for error messages; `read` raises ValueError if the words are invalid."""
 
     wants: str
     read: Callable[[Sequence[str]], Any]
     show: Callable[[Any], str] = str
-    gathers: bool = False  # whether further lines of the directive add to the value
+    gathers: bool = False  # whether the directive may be repeated, each line adding to the value
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """host:port, the host in brackets where it holds colons; ValueError where it is none."""
+    """Parse `host:port`, with brackets around a host that contains colons; raises ValueError if malformed."""
     host, sep, port = text.rpartition(":")
     if not sep or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(text)
@@ -49,7 +51,7 @@
 
 
 def show_span(seconds: float) -> str:
-    """A span in the largest unit that shows it whole."""
+    """Format a duration in the largest unit that gives a whole number."""
     for unit in ("h", "m", "s"):
         if seconds >= _SPANS[unit] and math.isclose(seconds % _SPANS[unit], 0.0):
             return f"{seconds / _SPANS[unit]:.12g}{unit}"
@@ -57,16 +59,16 @@
 
 
 def show_size(size: float) -> str:
-    """A size in the largest unit that shows it whole."""
+    """Format a size in bytes in the largest unit that gives a whole number."""
     for unit in ("MiB", "KiB"):
         if size >= _SIZES[unit] and size % _SIZES[unit] == 0:
             return f"{int(size) // _SIZES[unit]}{unit}"
     return f"{size:.0f}B"
 
 
-def _one(words: Sequence[str]) -> str:
+def _single_word(words: Sequence[str]) -> str:
     if len(words) != 1:
-        raise ValueError("one word is wanted")
+        raise ValueError("exactly one word is expected")
     return words[0]
 
 
@@ -74,7 +76,7 @@
     wants: str, parse: Callable[[str], float], show: Callable[[float], str], least: float, most: float
 ) -> ValueKind:
     def read(words: Sequence[str]) -> float:
-        value = parse(_one(words))
+        value = parse(_single_word(words))
         if not least <= value <= most:
             raise ValueError("out of range")
         return value
@@ -92,7 +94,7 @@
     return parse
 
 
-def _complete(text: str) -> int:
+def _integer(text: str) -> int:
     if not re.fullmatch(r"-?[0-9]{1,18}", text):
         raise ValueError(text)
     return int(text)
@@ -106,10 +108,10 @@
 
 
 def switch() -> ValueKind:
-    """yes or no, also on or off."""
+    """A boolean, written yes or no, or on or off."""
 
     def read(words: Sequence[str]) -> bool:
-        if (word := _one(words)) not in _SWITCH:
+        if (word := _single_word(words)) not in _SWITCH:
             raise ValueError(word)
         return _SWITCH[word]
 
@@ -117,40 +119,40 @@
 
 
 def count(least: int, most: int) -> ValueKind:
-    """A whole number."""
-    return _ranged("a whole number", _complete, lambda value: f"{value:.0f}", least, most)
+    """An integer from `least` to `most`."""
+    return _ranged("a whole number", _integer, lambda value: f"{value:.0f}", least, most)
 
 
 def number(least: float, most: float) -> ValueKind:
-    """A number, with decimals or without."""
+    """A decimal number from `least` to `most`."""
     return _ranged("a number", _number, lambda value: f"{value:.12g}", least, most)
 
 
 def span(least_s: float, most_s: float) -> ValueKind:
-    """A span of time, kept in seconds: 250ms, 10s, 2m, 1h."""
+    """A duration with a unit, such as 250ms, 10s, 2m or 1h; the value is in seconds."""
     return _ranged("a span such as 250ms, 10s or 2m", _with_unit(_SPANS), show_span, least_s, most_s)
 
 
 def size(least: int, most: int) -> ValueKind:
-    """An amount of memory, kept in bytes: 512B, 64KiB, 16MiB."""
+    """A memory size with a unit, such as 512B, 64KiB or 16MiB; the value is in bytes."""
     kind = _ranged("a size such as 64KiB or 16MiB", _with_unit(_SIZES), show_size, least, most)
     return ValueKind(kind.wants, lambda words: int(kind.read(words)), show_size)
 
 
 def address() -> ValueKind:
-    """host:port."""
+    """A network address `host:port`; the value is a (host, port) tuple."""
     return ValueKind(
         "host:port",
-        lambda words: parse_address(_one(words)),
+        lambda words: parse_address(_single_word(words)),
         lambda value: f"{value[0]}:{value[1]}" if value else "",
     )
 
 
 def word(most: int = 128) -> ValueKind:
-    """One word of visible characters."""
+    """One word of at most `most` printable characters."""
 
     def read(words: Sequence[str]) -> str:
-        text = _one(words)
+        text = _single_word(words)
         if not text or len(text) > most or not text.isprintable():
             raise ValueError(text)
         return text
@@ -159,7 +161,7 @@
 
 
 def words(most: int = 64) -> ValueKind:
-    """Some words; further lines of the directive add to them."""
+    """One to `most` words in each line; the directive may be repeated, and each line adds its words."""
 
     def read(given: Sequence[str]) -> tuple[str, ...]:
         if not 1 <= len(given) <= most:
@@ -171,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Directive:
-    """One directive: its name, what it takes, what holds without it, and one line of help."""
+    """One directive: its name, value kind and default, one line of help, and whether it is required."""
 
     name: str
     kind: ValueKind
@@ -182,7 +184,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A section of the file.  A `titled` one comes as [name TITLE], any number of times; others once."""
+    """A section of the file.
+
+    A `titled` section is written [name TITLE] and may be repeated with other titles; a section without a
+    title may appear only once."""
 
     name: str
     help: str
@@ -191,5 +196,5 @@
     by_name: dict[str, Directive] = field(default_factory=dict, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Index the directives."""
+        """Index the directives by name."""
         self.by_name.update({d.name: d for d in self.directives})
--- a/hollowusher/scheduler/settings/page.py
+++ b/hollowusher/scheduler/settings/page.py
@@ -1,4 +1,4 @@
-"""The operators' tables of directives, made of the same data that the reader uses."""
+"""Generates the documentation tables of directives from the declarations that the reader uses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def tables(sections: Iterable[Section]) -> str:
-    """One Markdown table a section."""
+    """Return one Markdown table for each section."""
     return "\n".join(_table(section) for section in sections)
 
 
--- a/hollowusher/scheduler/settings/platform.py
+++ b/hollowusher/scheduler/settings/platform.py
@@ -1,7 +1,7 @@
-"""What the platform's settings have to hold: named checks of single keys, and of keys against each other.
+"""Validates the platform's settings: checks of single keys, and of keys against each other.
 
-A key that is not named here may be there or not.  Each fault is one line that names the key as the file has
-it.  An aim beyond the deadline is no fault: such a class is never late.
+Keys without a check here are optional.  Each error is one line that names the key as the file spells it.  A
+goal time beyond the deadline is valid: jobs of such a class are never late.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """One key: whether it must be there, and what it may be."""
+    """The check of one key: whether it is required, and its valid values."""
 
     path: str
     needed: bool = True
-    words: tuple[str, ...] = ()  # one of these
-    least: float | None = None  # a number from here on
-    above: float | None = None  # a number above this
+    words: tuple[str, ...] = ()  # the valid values of a text; empty: no restriction
+    least: float | None = None  # inclusive lower bound of a number
+    above: float | None = None  # exclusive lower bound of a number
     most: float | None = None
     complete: bool = False
 
     def fault(self, table: Mapping[str, Any]) -> str | None:
-        """What is wrong with the key, if anything is."""
+        """Return why the key is invalid, or None if it is valid."""
         value: Any = table
         for part in self.path.split("."):
             value = value.get(part, _MISSING) if isinstance(value, Mapping) else _MISSING
@@ -39,15 +39,15 @@
                 return f"must be one of {', '.join(self.words)}, is {value!r}"
         elif self.least is not None or self.above is not None:
             if isinstance(value, bool) or not isinstance(value, int if self.complete else int | float):
-                return f"must be a {'complete ' if self.complete else ''}number, is {value!r}"
-            if not self._holds(value):
+                return f"must be a {'whole ' if self.complete else ''}number, is {value!r}"
+            if not self._in_range(value):
                 lowest = f"{self.least:g} or more" if self.least is not None else f"above {self.above:g}"
                 return f"must be {lowest}{f' and at most {self.most:g}' if self.most else ''}, is {value!r}"
         elif not isinstance(value, str) or not value:
-            return f"must be a text, is {value!r}"
+            return f"must be a non-empty string, is {value!r}"
         return None
 
-    def _holds(self, value: float) -> bool:
+    def _in_range(self, value: float) -> bool:
         return (
             (self.least is None or value >= self.least)
             and (self.above is None or value > self.above)
@@ -93,7 +93,7 @@
 
 
 def faults(table: Mapping[str, Any]) -> Iterator[str]:
-    """All that is wrong, a line each: the key and why."""
+    """Yield one line for each invalid key: the key and the reason."""
     for check in (*COMMON, *(ASKED if table.get("discovery") == "ask" else ())):
         if (why := check.fault(table)) is not None:
             yield f"{check.path}: {why}"
@@ -106,7 +106,7 @@
         grades = []
     names = set[str]()
     for index, grade in enumerate(grades):
-        yield from _rows("grades", index, grade, GRADE)
+        yield from _check_row("grades", index, grade, GRADE)
         if isinstance(grade, Mapping):
             yield from _class_faults(f"grades.{index}", index, grade, names)
     customers = table.get("customers") or []
@@ -114,24 +114,25 @@
         yield "customers: must be a list"
         customers = []
     for index, customer in enumerate(customers):
-        yield from _rows("customers", index, customer, CUSTOMER)
+        yield from _check_row("customers", index, customer, CUSTOMER)
 
 
-def lost_keys(before: Mapping[str, Any], now: Mapping[str, Any], path: str = "") -> Iterator[str]:
-    """The keys that a file had before and lacks now: it was not written whole.  Of a list's rows, each has to
-    have the keys that all rows had before."""
+def missing_keys(before: Mapping[str, Any], now: Mapping[str, Any], path: str = "") -> Iterator[str]:
+    """Yield the keys of `before` that `now` lacks, which indicates an incompletely written file.
+
+    In a list, each row must have the keys that all previous rows had in common."""
     for key, value in before.items():
         at = f"{path}{key}"
         if key not in now:
             yield at
         elif isinstance(value, Mapping):
             found = now[key]
-            yield from lost_keys(value, found, f"{at}.") if isinstance(found, Mapping) else (at,)
+            yield from missing_keys(value, found, f"{at}.") if isinstance(found, Mapping) else (at,)
         elif isinstance(value, list) and isinstance(now[key], list):
-            yield from _lost_in_rows(value, now[key], at)
+            yield from _missing_in_rows(value, now[key], at)
 
 
-def _lost_in_rows(before: list[Any], now: list[Any], path: str) -> Iterator[str]:
+def _missing_in_rows(before: list[Any], now: list[Any], path: str) -> Iterator[str]:
     rows = [set(row) for row in before if isinstance(row, Mapping)]
     common = set.intersection(*rows) if rows else set[str]()
     for index, row in enumerate(now):
@@ -140,15 +141,15 @@
 
 
 def _class_faults(at: str, index: int, grade: Mapping[str, Any], names: set[str]) -> Iterator[str]:
-    """What a class's keys are to each other and to other classes."""
+    """Check the keys of a job class against each other and against other classes."""
     if grade.get("effect") == "dedup":
-        yield from _rows("grades", index, grade, KEYED)
+        yield from _check_row("grades", index, grade, KEYED)
     if (name := str(grade.get("name"))) in names:
         yield f"{at}.name: another class has this name, {name!r}"
     names.add(name)
 
 
-def _rows(list_name: str, index: int, row: object, checks: tuple[Check, ...]) -> Iterator[str]:
+def _check_row(list_name: str, index: int, row: object, checks: tuple[Check, ...]) -> Iterator[str]:
     if not isinstance(row, Mapping):
         yield f"{list_name}.{index}: must be an object"
         return
--- a/hollowusher/scheduler/settings/reader.py
+++ b/hollowusher/scheduler/settings/reader.py
@@ -1,8 +1,8 @@
 """Reads a settings file against the declared sections.
 
-One directive a line, then words; `#` begins a comment, quotes hold words together as in a shell; sections
-begin with [name] or [name TITLE].  The first fault ends the reading: it names file and line, what was read,
-and what is wanted there.
+Each line has one directive and its words.  `#` starts a comment, quotes group words as in a shell, and a
+section starts with [name] or [name TITLE].  Reading stops at the first error, which names the file, the line,
+the invalid words and the valid input.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 from hollowusher.scheduler.settings.model import ConfigError, Section, SettingsFileError
 
-MOST_FILE = 1024 * 1024  # bytes; a larger one is some other file
+MOST_FILE = 1024 * 1024  # bytes; a larger file is probably not a settings file
 
 
 @dataclass(slots=True)
 class Block:
-    """One section as it stands in the file; directives that do not stand there have their defaults."""
+    """One section of the file with its values; an absent directive has its default."""
 
     section: Section
     title: str
@@ -30,37 +30,39 @@
     lines: dict[str, int] = field(default_factory=dict)
 
     def __getitem__(self, name: str) -> Any:
-        """The value of a directive."""
+        """Return the value of a directive, or its default if the file does not set it."""
         return self.values.get(name, self.section.by_name[name].default)
 
     def fault(self, name: str, why: str) -> SettingsFileError:
-        """A fault of a directive that only shows beside others; raise it."""
+        """Return the error to raise for a directive that conflicts with other directives."""
         return SettingsFileError(self.file, self.lines.get(name, self.line), f"{self.label} {name}: {why}")
 
     @property
     def label(self) -> str:
-        """The section's head."""
+        """The header of the section as the file spells it."""
         return f"[{self.section.name} {self.title}]" if self.title else f"[{self.section.name}]"
 
 
 @dataclass(slots=True)
 class Sheet:
-    """A whole file."""
+    """The parsed settings file."""
 
     file: str
     blocks: list[Block] = field(default_factory=list)
 
     def one(self, section: Section) -> Block:
-        """The section, or its defaults where it does not stand in the file."""
+        """Return the section, or a block of its defaults if the file does not contain it."""
         return next((b for b in self.blocks if b.section is section), Block(section, "", self.file, 0))
 
     def all(self, section: Section) -> list[Block]:
-        """All of a titled section, in the file's order."""
+        """Return all blocks of a titled section in file order."""
         return [b for b in self.blocks if b.section is section]
 
 
 def read_file(path: Path, sections: Iterable[Section]) -> Sheet:
-    """The file's settings; an absent file is an empty one.  SettingsError, ConfigError."""
+    """Parse a settings file; a missing file counts as empty.
+
+    Raises SettingsFileError at the first invalid line, and ConfigError if the file cannot be read."""
     try:
         if path.stat().st_size > MOST_FILE:
             raise ConfigError(f"{path.name}: is larger than {MOST_FILE} bytes; is it a settings file?")
@@ -73,7 +75,7 @@
 
 
 def read_text(text: str, file: str, sections: Iterable[Section]) -> Sheet:
-    """The settings in a text; SettingsError at the first fault."""
+    """Parse settings from a text; raises SettingsFileError at the first invalid line."""
     known = {section.name: section for section in sections}
     sheet = Sheet(file)
     block: Block | None = None
@@ -85,24 +87,24 @@
         if not given:
             continue
         if given[0].startswith("["):
-            _ended(block)
-            block = _head(" ".join(given), sheet, line, known)
+            _check_required(block)
+            block = _parse_header(" ".join(given), sheet, line, known)
             sheet.blocks.append(block)
         elif block is None:
             raise SettingsFileError(file, line, f"{given[0]}: stands before the first [section]")
         else:
-            _directive(block, line, given[0], given[1:])
-    _ended(block)
+            _parse_directive(block, line, given[0], given[1:])
+    _check_required(block)
     return sheet
 
 
-def _head(text: str, sheet: Sheet, line: int, known: Mapping[str, Section]) -> Block:
+def _parse_header(text: str, sheet: Sheet, line: int, known: Mapping[str, Section]) -> Block:
     if not text.endswith("]"):
         raise SettingsFileError(sheet.file, line, f"{text}: a section is written [name] or [name TITLE]")
     name, _, title = text[1:-1].strip().partition(" ")
     section, title = known.get(name), title.strip()
     if section is None:
-        raise SettingsFileError(sheet.file, line, f"[{name}]: is no section{_meant(name, known)}")
+        raise SettingsFileError(sheet.file, line, f"[{name}]: is no section{_suggest(name, known)}")
     if section.titled and (not title or " " in title):
         raise SettingsFileError(
             sheet.file, line, f"[{name}]: needs a title of one word, as in [{name} TITLE]"
@@ -115,11 +117,11 @@
     return Block(section, title, sheet.file, line)
 
 
-def _directive(block: Block, line: int, name: str, given: list[str]) -> None:
+def _parse_directive(block: Block, line: int, name: str, given: list[str]) -> None:
     directive = block.section.by_name.get(name)
     where = f"{block.label} {name}"
     if directive is None:
-        meant = _meant(name, block.section.by_name)
+        meant = _suggest(name, block.section.by_name)
         raise SettingsFileError(block.file, line, f"{where}: is no directive of this section{meant}")
     if name in block.values and not directive.kind.gathers:
         raise SettingsFileError(block.file, line, f"{where}: stands on line {block.lines[name]} already")
@@ -132,14 +134,14 @@
     block.lines[name] = line
 
 
-def _ended(block: Block | None) -> None:
+def _check_required(block: Block | None) -> None:
     for directive in block.section.directives if block else ():
         if block is not None and directive.needed and directive.name not in block.values:
             raise SettingsFileError(block.file, block.line, f"{block.label}: {directive.name} is missing")
 
 
-def _meant(name: str, known: Iterable[str]) -> str:
-    import difflib  # only a fault needs it, and most starts have none
+def _suggest(name: str, known: Iterable[str]) -> str:
+    import difflib  # imported here because only error messages need it
 
     close = difflib.get_close_matches(name, list(known), 1)
     return f"; is {close[0]!r} meant?" if close else f"; there are {', '.join(sorted(known))}"
--- a/tests/scheduler/test_retune.py
+++ b/tests/scheduler/test_retune.py
@@ -12,7 +12,7 @@
 from hollowusher.balancing import Effect, Fail, JobClass, Outcome, Refuse, SettingsChanged
 from hollowusher.scheduler.emulator.outside import platform_settings
 from hollowusher.scheduler.operators.server import call
-from hollowusher.scheduler.settings.platform import lost_keys
+from hollowusher.scheduler.settings.platform import missing_keys
 from tests.scheduler.test_replacement import Beside
 from tests.support.balancer import LIMITS, MS, SAFE, SITE, Node, S, sends, site, workers
 from tests.support.standins import post, read_http
@@ -64,7 +64,7 @@
             ({**before, "b": {"c": 5}}, ["b.c"]),
             ({**before, "rows": [{"x": 1}, {"y": 1}]}, ["rows.1.x"]),
         ):
-            self.assertEqual(list(lost_keys(before, now)), lost)
+            self.assertEqual(list(missing_keys(before, now)), lost)
 
 
 class InService(Beside):
