--- a/hollowusher/scheduler/app.py
+++ b/hollowusher/scheduler/app.py
@@ -182,7 +182,7 @@
         # Delivers a SIGHUP that arrived while it was blocked.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     reloads = Reloads(config, read, follow, log, figures)
-    await operations.arrive()
+    await operations.receive_handover()
     await watch.start()
     operations.post_learned_state()
     tasks = [asyncio.create_task(work) for work in (owner.run(), executor.sweep(), reloads.follow(again))]
@@ -191,11 +191,11 @@
     await operations.wait_for_list()
     clients.listen()
     tasks.append(asyncio.create_task(clients.accept()))
-    operations.serves()
+    operations.mark_serving()
     log.notice("ready", "taking jobs", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}")
     await stop.wait()
     log.notice("stopping", "the process was asked to stop and answers the accepted jobs")
-    operations.leaves()
+    operations.mark_draining()
     await asyncio.gather(clients.drain(tasks[-1]), *(part.drain() for part in parts))
     for part in parts[:0:-1]:
         reported = {key: value for key, value in part.report().items() if key != "rows"}
--- a/hollowusher/scheduler/lab/__init__.py
+++ b/hollowusher/scheduler/lab/__init__.py
@@ -1,1 +1,1 @@
-"""What runs are kept as and compared by: tables, error bars, pages with charts."""
+"""Stores, compares and reports simulation runs: tables, confidence intervals, HTML pages with charts."""
--- a/hollowusher/scheduler/lab/compare.py
+++ b/hollowusher/scheduler/lab/compare.py
@@ -1,8 +1,8 @@
-"""Two series of runs side by side: which is better, or whether that cannot be told.
+"""Compares two series of simulation runs statistically.
 
-Runs are paired by their seed: both sides had the same jobs asked of them at the same times, so that what
-the draws do to both falls out of the difference.  The bar is Student's t interval of the mean difference; a
-difference whose bar holds nought is a tie, however large it looks."""
+Runs are paired by seed: both runs of a pair receive the same jobs at the same times, so the random variation
+that they share cancels out in the difference.  The confidence interval is Student's t interval of the mean
+difference; a difference whose interval contains 0 is a tie, whatever its size."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure of both series: their means, the mean difference (second less first) and its bar."""
+    """One figure of both series: the means, the mean difference (second minus first), and the bounds `low`
+    and `high` of its confidence interval."""
 
     figure: str
     first: float
@@ -42,14 +43,14 @@
 
     @property
     def says(self) -> str:
-        """better or worse (the second than the first), or tie."""
+        """Whether the second series is `better` or `worse` than the first, or `tie`."""
         if self.low <= 0.0 <= self.high:
             return "tie"
         return "better" if (self.difference > 0) == BETTER_HIGH[self.figure] else "worse"
 
 
 def write_series(folder: Path, rows: Sequence[tuple[int, Mapping[str, float]]]) -> None:
-    """Keep the figures of runs, a line a seed."""
+    """Write the figures of a series of runs, one line for each seed."""
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / SERIES).open("w", newline="") as file:
         table = csv.writer(file, lineterminator="\n")
@@ -59,7 +60,7 @@
 
 
 def read_series(folder: Path) -> dict[int, dict[str, float]]:
-    """The figures of a series by seed; ConfigError where there is none to be read."""
+    """Read the figures of a series by seed; raises ConfigError if the file is missing or invalid."""
     try:
         with (folder / SERIES).open(newline="") as file:
             return {
@@ -68,7 +69,7 @@
             }
     except (OSError, KeyError, ValueError, TypeError) as wrong:
         raise ConfigError(
-            f"{folder / SERIES}: is no series of runs ({wrong!r}); make one with `hollowusher experiment`"
+            f"{folder / SERIES}: is not a series of runs ({wrong!r}); make one with `hollowusher experiment`"
         ) from None
 
 
@@ -77,7 +78,7 @@
     second: Mapping[int, Mapping[str, float]],
     confidence: float = 0.95,
 ) -> list[Difference]:
-    """What can be told of two series; ConfigError where fewer than three seeds are common to both."""
+    """Compare each figure of two series; raises ConfigError if they share fewer than three seeds."""
     seeds = sorted(set(first) & set(second))
     if len(seeds) < 3:
         raise ConfigError(f"the series have {len(seeds)} seeds in common; at least 3 are needed")
--- a/hollowusher/scheduler/lab/faults_page.py
+++ b/hollowusher/scheduler/lab/faults_page.py
@@ -1,4 +1,4 @@
-"""The page of a play of faults: findings, figures, and a time line of processes, views and faults."""
+"""Writes the HTML page of a fault-injection run: findings, figures, and a time line of the faults."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def make(
     folder: Path, script: RehearsalScript, entries: Sequence[HistoryEntry], findings: Sequence[CheckResult]
 ) -> Path:
-    """Write `faults.html` into a play's folder; its path."""
+    """Write `faults.html` into the folder of a run, and return its path."""
     title = script.text.split("\n", 1)[0].lstrip("# ") or folder.name
     rows = [["", "what", "seen"], *(["holds" if f.holds else "BROKEN", f.what, f.seen] for f in findings)]
     reported = [
@@ -46,9 +46,9 @@
                 table(rows),
                 "<h2>Figures</h2>",
                 table(csv_rows(folder / "figures.csv")),
-                "<h2>Time line</h2><p>Rows: schedulers. Bars: what hindered them. "
-                "Red bars: by how many others each was held dead. "
-                "Crosses: a death told; strokes: a suspicion; arrows: an accusation answered.</p>",
+                "<h2>Time line</h2><p>Rows: schedulers. Bars: injected faults. "
+                "Red bars: how many other schedulers considered the scheduler dead. "
+                "Crosses: declared dead; strokes: suspected; arrows: a refuted suspicion.</p>",
                 _time_line(script, entries),
                 "<h2>History</h2>",
                 table(reported[:2000]),
@@ -90,13 +90,13 @@
     axes.set_yticks(list(row.values()), list(row))
     axes.set_xlim(0, script.length_s)
     axes.set_ylim(-0.7, len(names) + 0.6)
-    axes.set_xlabel("s of the play")
+    axes.set_xlabel("time in the run, s")
     axes.legend(loc="lower right", fontsize=7)
     return svg(figure)
 
 
 def _held_dead(names: Sequence[str], entries: Sequence[HistoryEntry]) -> dict[str, list[tuple[float, int]]]:
-    """By whom it is held: from when on, by how many others each was held dead."""
+    """Return for each scheduler the steps (time in s, number of other schedulers that consider it dead)."""
     holders: dict[str, set[str]] = {name: set() for name in names}
     found: dict[str, list[tuple[float, int]]] = {name: [(0.0, 0)] for name in names}
     for e in entries:
--- a/hollowusher/scheduler/lab/page.py
+++ b/hollowusher/scheduler/lab/page.py
@@ -1,4 +1,4 @@
-"""A run's page: its tables and charts in one HTML file, made of what the run's folder holds."""
+"""Writes the HTML page of a run, with tables and charts of the files in the folder of the run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import matplotlib
 from hdrh.histogram import HdrHistogram
 
-matplotlib.use("svg")  # no display, and no window that a person must close
+matplotlib.use("svg")  # renders without a display or a window
 from matplotlib.figure import Figure
 
 from hollowusher.scheduler.settings.model import ConfigError
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One job as the run's table has it."""
+    """One job of a run, as a row of `jobs.csv`."""
 
     job_class: str
     asked_s: float
@@ -38,7 +38,7 @@
 
 
 def read_rows(folder: Path) -> list[Row]:
-    """The jobs of a run; ConfigError where the folder holds none."""
+    """Read the jobs of a run; raises ConfigError if the table is missing or invalid."""
     try:
         with (folder / "jobs.csv").open(newline="") as file:
             return [
@@ -46,11 +46,11 @@
                 for r in csv.DictReader(file)
             ]
     except (OSError, KeyError, ValueError) as wrong:
-        raise ConfigError(f"{folder / 'jobs.csv'}: is no run's table: {wrong!r}") from None
+        raise ConfigError(f"{folder / 'jobs.csv'}: is not the table of a run: {wrong!r}") from None
 
 
 def histograms(rows: Iterable[Row]) -> dict[str, HdrHistogram]:
-    """Latencies of served jobs by class, in microseconds, to three digits."""
+    """Return latency histograms (microseconds, three significant digits) of served jobs by class."""
     found: dict[str, HdrHistogram] = {}
     for row in rows:
         if row.verdict == "served":
@@ -60,7 +60,7 @@
 
 
 def make(folder: Path) -> Path:
-    """Write `report.html` into a run's folder; its path."""
+    """Write `report.html` into the folder of a run, and return its path."""
     rows = read_rows(folder)
     made_of = json.loads((folder / "made-of.json").read_text())
     script = (folder / "script.rehearsal").read_text()
@@ -70,7 +70,7 @@
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(title)}</title>",
         f"<style>{STYLE}</style><h1>{html.escape(title)}</h1>",
         f"<p>Seed {made_of['seed']}, {len(rows)} jobs."
-        + (" <b>Stopped before its end.</b>" if made_of.get("stopped") else "")
+        + (" <b>The run was interrupted.</b>" if made_of.get("stopped") else "")
         + "</p>",
         "<h2>Figures</h2>",
         table(csv_rows(folder / "figures.csv")),
@@ -104,13 +104,13 @@
 
 
 def csv_rows(path: Path) -> list[list[str]]:
-    """A table that was kept."""
+    """Read the rows of a CSV file."""
     with path.open(newline="") as file:
         return list(csv.reader(file))
 
 
 def table(rows: Sequence[Sequence[str]]) -> str:
-    """The same for a page; the first row is the head."""
+    """Format rows as an HTML table; the first row is the header."""
     lines = ["<table>"]
     for number, row in enumerate(rows):
         cell = "th" if number == 0 else "td"
@@ -119,9 +119,9 @@
 
 
 def svg(figure: Figure) -> str:
-    """A figure for a page."""
+    """Render a figure as an SVG element for a page."""
     text = io.StringIO()
-    # Neither the day nor random names: the same run gives the same page.
+    # Without the date and with a fixed hash salt, the same run gives the same page.
     with matplotlib.rc_context({"svg.hashsalt": "hollowusher"}):
         figure.savefig(text, format="svg", metadata={"Date": None})
     return text.getvalue().partition("<svg")[1] + text.getvalue().partition("<svg")[2]
@@ -134,7 +134,7 @@
     for name, histogram in sorted(latencies.items()):
         axes.plot([histogram.get_value_at_percentile(s) / 1000 for s in shares], shares, label=name)
     axes.set_xscale("log")
-    axes.set_xlabel("ms, from asking to answer")
+    axes.set_xlabel("ms, from request to response")
     axes.set_ylabel("% of served jobs")
     axes.grid(alpha=0.3)
     if latencies:
@@ -143,7 +143,7 @@
 
 
 def _time_chart(rows: Sequence[Row]) -> str:
-    """Jobs asked for and not served by time, and the median latency."""
+    """Chart requested and unserved jobs, and the median and 95% latency, over time."""
     figure = Figure(figsize=(9, 4.6), layout="constrained")
     upper, lower = figure.subplots(2, sharex=True)
     windows: dict[int, list[Row]] = {}
@@ -151,10 +151,10 @@
         windows.setdefault(int(row.asked_s // WINDOW_S), []).append(row)
     at = [number * WINDOW_S for number in sorted(windows)]
     mine = [windows[number] for number in sorted(windows)]
-    upper.step(at, [len(w) / WINDOW_S for w in mine], where="post", label="asked for")
+    upper.step(at, [len(w) / WINDOW_S for w in mine], where="post", label="requested")
     lost = [sum(r.verdict not in ("served", "gone") for r in w) / WINDOW_S for w in mine]
-    upper.step(at, lost, where="post", label="refused or failed")
-    upper.set_ylabel("jobs a second")
+    upper.step(at, lost, where="post", label="rejected or failed")
+    upper.set_ylabel("jobs per second")
     upper.legend()
     for share, label in ((0.5, "median"), (0.95, "95%")):
         values = [sorted(r.took_s for r in w if r.verdict == "served") for w in mine]
@@ -162,7 +162,7 @@
             at, [v[int(share * (len(v) - 1))] * 1000 if v else 0 for v in values], where="post", label=label
         )
     lower.set_ylabel("latency, ms")
-    lower.set_xlabel("s of the run")
+    lower.set_xlabel("time in the run, s")
     lower.legend()
     for axes in (upper, lower):
         axes.grid(alpha=0.3)
--- a/hollowusher/scheduler/operations.py
+++ b/hollowusher/scheduler/operations.py
@@ -138,13 +138,13 @@
             for worker in self._registry.in_list()
         )
 
-    async def arrive(self) -> None:
+    async def receive_handover(self) -> None:
         """Load the state that an older process of this scheduler hands over, if one runs."""
         if self.replacement is None:
             return
         from hollowusher.scheduler.replacement.workers import from_records
 
-        handover = await self.replacement.arrive()
+        handover = await self.replacement.receive_handover()
         if handover is not None:
             try:
                 self._watch.hand(handover.list_version, from_records(handover.workers, self._registry))
@@ -153,7 +153,7 @@
                 self._log.warning("handover-unreadable", str(wrong))
         if self._detached is not None:
             self._detached.refresh()
-            self.replacement.looked.append(self._detached.refresh)
+            self.replacement.after_poll.append(self._detached.refresh)
 
     def post_learned_state(self) -> None:
         """Send the handed-over learned state to the dispatcher, which already has the worker list."""
@@ -167,13 +167,13 @@
                 async with asyncio.timeout(LIST_NEWS_S):
                     await self._watch.heard.wait()
 
-    def serves(self) -> None:
+    def mark_serving(self) -> None:
         """Record that this process accepts clients from now on."""
         self._accepting = True
         if self.replacement is not None:
-            self.replacement.serves()
+            self.replacement.mark_serving()
 
-    def leaves(self) -> None:
+    def mark_draining(self) -> None:
         """Record that this process is draining."""
         if self.replacement is not None:
-            self.replacement.leaves()
+            self.replacement.mark_draining()
--- a/hollowusher/scheduler/replacement/directory.py
+++ b/hollowusher/scheduler/replacement/directory.py
@@ -1,4 +1,4 @@
-"""The directory that all processes of one scheduler share, and who of them lives."""
+"""The directory that all processes of one scheduler share, and the locks that show which are alive."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Other:
+class OtherProcess:
     """Another living process of this scheduler."""
 
     token: str
@@ -33,12 +33,14 @@
 
 
 def make_token() -> str:
-    """A name for this process that sorts by its start."""
+    """Return a unique name for this process; names sort by the start time of their processes."""
     return f"{time.monotonic_ns():020d}-{os.getpid()}"
 
 
 class SharedDirectory:
-    """One scheduler's directory below `$TMPDIR`, as one of its processes sees it."""
+    """The shared directory of one scheduler below `$TMPDIR`, as used by one process.
+
+    A process is alive while it holds the lock on its lock file."""
 
     def __init__(self, root: Path, listen: tuple[str, int], token: str = "") -> None:
         self.listen = f"{listen[0]}:{listen[1]}"
@@ -48,29 +50,30 @@
         self._lock: int | None = None
 
     def enter(self) -> None:
-        """Show that this process lives; OSError where the directory cannot be used."""
+        """Create the directory and the locked lock file of this process; raises OSError if that fails."""
         self._claims.mkdir(parents=True, exist_ok=True)
         self._bans.mkdir(exist_ok=True)
         lock = self._file(self.token, LOCK)
-        unlocked = lock.with_name(f".{lock.name}")  # it gets its name with the lock held: none sees it free
+        # The file is locked before it gets its final name, so that no other process finds it unlocked.
+        unlocked = lock.with_name(f".{lock.name}")
         self._lock = os.open(unlocked, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        self.tell(Phase.STARTING)
+        self.publish_phase(Phase.STARTING)
         unlocked.rename(lock)
 
     def leave(self) -> None:
-        """This process ends."""
+        """Remove the files of this process and release its lock."""
         if self._lock is not None:
             self._remove(self.token)
             os.close(self._lock)
             self._lock = None
 
-    def tell(self, phase: Phase) -> None:
-        """What this process does from now on."""
+    def publish_phase(self, phase: Phase) -> None:
+        """Write the phase of this process for the other processes; raises OSError if that fails."""
         write_record(self._file(self.token, PROCESS), ProcessRecord(self.listen, phase))
 
-    def others(self) -> list[Other]:
-        """The other processes that live, the oldest first.  What the dead left is removed."""
+    def others(self) -> list[OtherProcess]:
+        """Return the other living processes, oldest first, and remove the files of dead processes."""
         found = []
         with os.scandir(self.path) as entries:
             names = [entry.name for entry in entries]
@@ -79,7 +82,7 @@
             if token == name or name.startswith(".") or token == self.token:
                 continue
             if self._is_alive(token):
-                found.append(Other(token, self._phase(token)))
+                found.append(OtherProcess(token, self._phase(token)))
             else:
                 self._remove(token)
         return found
@@ -90,7 +93,7 @@
         except FileNotFoundError:
             return False
         except OSError:
-            return True  # for want of a descriptor here: nothing shows that it is gone
+            return True  # for example no free descriptor; counts as alive
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -107,51 +110,53 @@
         return record.phase if record.listen == self.listen else Phase.UNKNOWN
 
     def hand_over(self, token: str, handover: Handover) -> None:
-        """Leave for the process with this token what it needs."""
+        """Write the handover for the process with this token; raises OSError if that fails."""
         write_record(self._file(token, HANDOVER), handover)
 
     def handover(self) -> Handover | None:
-        """What an older process has left for this one; RecordError where that cannot be used."""
+        """Return the handover that an older process wrote for this process, or None if there is none.
+
+        Raises RecordError if the handover is invalid."""
         path = self._file(self.token, HANDOVER)
         if not path.exists():
             return None
         record = read_record(path, Handover)
         if record.listen != self.listen:
-            raise RecordError(f"{path.name}: of another scheduler")
+            raise RecordError(f"{path.name}: the record belongs to another scheduler")
         return record
 
     def claim(self, job_id: str) -> bool:
-        """Take a job id for this process; False where a process has taken it before."""
+        """Claim a job id for this process; returns False if a process has already claimed the id."""
         flags = os.O_CREAT | os.O_EXCL | os.O_WRONLY | os.O_CLOEXEC
         try:
             os.close(os.open(self._claim_file(job_id), flags, 0o600))
         except FileExistsError:
             return False
         except OSError:
-            return True  # no room for the file: a job must not be lost for it
+            return True  # the file cannot be created, for example on a full disk; accept the job
         return True
 
     def unclaimed(self, job_id: str) -> bool:
-        """Whether no process has taken a job id while two lived."""
+        """Return whether no process claimed this job id while two processes were alive."""
         return not self._claim_file(job_id).exists()
 
     def clear_claims(self) -> None:
-        """What was taken while two processes lived lies long enough ago."""
+        """Remove all claims; called once they have been kept long enough after the other process ended."""
         for path in self._claims.iterdir():
             with contextlib.suppress(OSError):
                 path.unlink()
 
     def banned(self) -> frozenset[str]:
-        """The workers that are out by hand."""
+        """Return the ids of the workers that operators detached."""
         with os.scandir(self._bans) as entries:
             return frozenset(unquote(e.name.removeprefix("w-")) for e in entries if e.name.startswith("w-"))
 
     def ban(self, worker: str) -> None:
-        """Note that a worker is out by hand; OSError where that fails."""
+        """Store that an operator detached this worker; raises OSError if that fails."""
         self._ban_file(worker).touch(mode=0o600)
 
     def lift(self, worker: str) -> None:
-        """Note that a worker may serve again; OSError where that fails."""
+        """Store that this worker is attached again; raises OSError if that fails."""
         self._ban_file(worker).unlink(missing_ok=True)
 
     def _claim_file(self, job_id: str) -> Path:
--- a/hollowusher/scheduler/replacement/records.py
+++ b/hollowusher/scheduler/replacement/records.py
@@ -1,4 +1,4 @@
-"""Records that processes of one scheduler leave for each other: versioned, checksummed, replaced whole."""
+"""Files that processes of one scheduler exchange: versioned, checksummed and replaced atomically."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 class RecordError(ValueError):
-    """A record that cannot be used: missing, torn, of another version or of another scheduler."""
+    """A record is missing, torn, of another version, or of another scheduler."""
 
 
 class Phase(StrEnum):
-    """What a process does."""
+    """The phase in the life of a process."""
 
     STARTING = "starting"
     SERVING = "serving"
     DRAINING = "draining"
-    UNKNOWN = "unknown"  # it lives, and its record cannot be read
+    UNKNOWN = "unknown"  # the process is alive, but its record is unreadable
 
 
 class ProcessRecord(msgspec.Struct, frozen=True):
-    """What a process tells of itself."""
+    """The state that a process publishes: its listen address and phase."""
 
     listen: str
     phase: Phase
 
 
 class WorkerRecord(msgspec.Struct, frozen=True):
-    """A worker of the list that is handed over.  `started_ns` is on the machine's monotonic clock."""
+    """A worker of the handed-over list; `started_ns` is a time of the machine's monotonic clock."""
 
     name: str
     host: str
@@ -57,7 +57,7 @@
 
 
 class Handover(msgspec.Struct, frozen=True):
-    """What an older process hands to a younger one."""
+    """The state that an older process hands over to a newer one."""
 
     listen: str
     job_ids: list[str]
@@ -67,7 +67,7 @@
 
 
 def write_record(path: Path, record: msgspec.Struct) -> None:
-    """Put a record in place, whole; OSError where that fails."""
+    """Write a record atomically; raises OSError if that fails."""
     body = _encoder.encode(record)
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     temporary.write_bytes(_HEAD.pack(_MAGIC, VERSION, xxhash.xxh64_intdigest(body)) + body)
@@ -75,20 +75,20 @@
 
 
 def read_record(path: Path, kind: type[R]) -> R:
-    """The record there; RecordError where there is none that can be used."""
+    """Read a record; raises RecordError if it is missing or invalid."""
     try:
         with path.open("rb") as file:
             data = file.read(MOST_BYTES + 1)
     except OSError as wrong:
         raise RecordError(f"{path.name}: {wrong.strerror}") from None
     if len(data) < _HEAD.size or len(data) > MOST_BYTES:
-        raise RecordError(f"{path.name}: not a record of this program")
+        raise RecordError(f"{path.name}: is not a record of this program")
     magic, version, checksum = _HEAD.unpack_from(data)
     body = data[_HEAD.size :]
     if magic != _MAGIC or version != VERSION:
-        raise RecordError(f"{path.name}: a record of another program or version")
+        raise RecordError(f"{path.name}: is a record of another program or version")
     if xxhash.xxh64_intdigest(body) != checksum:
-        raise RecordError(f"{path.name}: the checksum is wrong")
+        raise RecordError(f"{path.name}: the checksum does not match")
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except msgspec.DecodeError as wrong:
--- a/hollowusher/scheduler/replacement/workers.py
+++ b/hollowusher/scheduler/replacement/workers.py
@@ -1,4 +1,4 @@
-"""The worker list as it is handed over from one process to another."""
+"""Converts the worker list to and from the records of a handover."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def to_records(registry: WorkerRegistry) -> list[WorkerRecord]:
-    """All workers that the roster holds from a list, as the list has them."""
+    """Return a record of each listed worker that is not gone."""
     return [_record(worker) for worker in registry.listed() if worker.entry.state is not State.GONE]
 
 
@@ -31,7 +31,7 @@
 
 
 def from_records(records: Iterable[WorkerRecord], registry: WorkerRegistry) -> list[RouteNode]:
-    """The workers of a handover; ValueError where one cannot be."""
+    """Return the workers of a handover; raises ValueError if a record is invalid."""
     return [
         RouteNode(
             r.name,
--- a/tests/scheduler/test_lab.py
+++ b/tests/scheduler/test_lab.py
@@ -1,4 +1,4 @@
-"""Runs compared: the same is a tie, what is worse is ranked worse; and a page that a person can read."""
+"""Equal series of runs compare as a tie, worse ones as worse; the report page contains the tables."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
                 self.assertIn(text, page)
             result = CliRunner().invoke(cli, ["report", folder])
             self.assertEqual(result.exit_code, 1)
-            self.assertIn("is no run's table", result.output)
+            self.assertIn("is not the table of a run", result.output)
 
     def test_series_are_kept_and_compared_from_the_command_line(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -79,4 +79,4 @@
             reported = CliRunner().invoke(cli, ["compare", str(out), str(out)])
             self.assertEqual(reported.output.count("tie"), len(BETTER_HIGH))
             refused = CliRunner().invoke(cli, ["compare", str(out), folder])
-            self.assertIn("is no series of runs", refused.output)
+            self.assertIn("is not a series of runs", refused.output)
--- a/tests/scheduler/test_replacement.py
+++ b/tests/scheduler/test_replacement.py
@@ -63,7 +63,7 @@
         one, two = (SharedDirectory(self.path, HERE, token) for token in ("1", "2"))
         one.enter()
         two.enter()
-        one.tell(Phase.SERVING)
+        one.publish_phase(Phase.SERVING)
         self.assertEqual([(o.token, o.phase) for o in two.others()], [("1", Phase.SERVING)])
         for text in (b"", b"torn"):
             (one.path / "1.process").write_bytes(text)
