--- a/hollowusher/scheduler/component.py
+++ b/hollowusher/scheduler/component.py
@@ -24,7 +24,7 @@
         """Return the current state and counters for on-call engineers."""
 
 
-class Plain:
+class NoDrain:
     """Base class of components that have no open work to finish when the process drains."""
 
     async def drain(self) -> None:
--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from hollowusher.balancing.interface import Limits, ListCalls, ListKind, Rules
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.dispatch.model import DispatchEvent, NodeListReceived
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
@@ -32,7 +32,7 @@
 CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
 
 
-class NodeListWatch(Plain):
+class NodeListWatch(NoDrain):
     """Keeps the roster and the desk told.  The desk decides when to ask again."""
 
     name = "list"
--- a/hollowusher/scheduler/net/http2/streams.py
+++ b/hollowusher/scheduler/net/http2/streams.py
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 from hollowusher.balancing.interface import Outcome
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.http2.exchange import StreamExchange
 from hollowusher.scheduler.net.http2.session import Http2Session
@@ -265,7 +265,7 @@
             self._log.error("task-fault", "a task of this program failed", fault=repr(fault))
 
 
-class Http2Carrier(Plain):
+class Http2Carrier(NoDrain):
     """The connections to all nodes that speak HTTP/2."""
 
     name = "http2"
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from hollowusher.balancing.interface import JobClass
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.log_replication.settings import CopiesConfig
 from hollowusher.scheduler.net.log_replication.storage import Folder, Nowhere, Storage
@@ -42,7 +42,7 @@
     acts: list[ReplicationInstruction] = field(default_factory=list)
 
 
-class CopiesNode(Plain):
+class CopiesNode(NoDrain):
     """The part that runs.  `act` is called with each thing that may go on."""
 
     name = "copies"
--- a/hollowusher/scheduler/net/membership/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -15,7 +15,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.net.membership.settings import PeersConfig
 from hollowusher.scheduler.rules.membership.budget import Budget
 from hollowusher.scheduler.rules.membership.codec import MAGIC, DatagramCodec
@@ -28,7 +28,7 @@
 MOST_HEARD = 1024  # names whose address is remembered from their datagrams
 
 
-class PeerNode(Plain, asyncio.DatagramProtocol):
+class PeerNode(NoDrain, asyncio.DatagramProtocol):
     """Started, stopped and asked for a report like every part with a life of its own.
 
     `most_per_s` bounds what is sent: beyond it a message is dropped and counted, which the protocol bears as
--- a/hollowusher/scheduler/net/reports/listener.py
+++ b/hollowusher/scheduler/net/reports/listener.py
@@ -6,7 +6,7 @@
 import json
 from collections.abc import Iterable, Mapping
 
-from hollowusher.scheduler.component import Component, Plain
+from hollowusher.scheduler.component import Component, NoDrain
 from hollowusher.scheduler.net.accept import ConnectionAcceptor
 from hollowusher.scheduler.net.link import Link, connect
 
@@ -16,7 +16,7 @@
 _RING = 4096
 
 
-class Reports(Plain):
+class Reports(NoDrain):
     """A part that asks the others.  It serves a few people, and costs the jobs nothing."""
 
     name = "reports"
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Mapping
 
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.dispatch.model import AttemptEnded, DispatchEvent, JobTaken
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.log import LogWriter
@@ -22,7 +22,7 @@
 MOST_LETTERS = 2  # to one member at a time
 
 
-class SharedNode(Plain):
+class SharedNode(NoDrain):
     """Counts and judgements of this scheduler and of all others."""
 
     name = "shared"
--- a/hollowusher/scheduler/operators/server.py
+++ b/hollowusher/scheduler/operators/server.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from urllib.parse import parse_qs, urlsplit
 
-from hollowusher.scheduler.component import Component, Plain
+from hollowusher.scheduler.component import Component, NoDrain
 from hollowusher.scheduler.fronts.platform.http import BadInput, HttpRequest, RequestReader, answer_head
 from hollowusher.scheduler.net.accept import ConnectionAcceptor
 from hollowusher.scheduler.net.link import Link
@@ -22,7 +22,7 @@
 _RING = 4096
 
 
-class OperatorsServer(Plain):
+class OperatorsServer(NoDrain):
     """Serves operators' requests, with limits on connections, request size and time."""
 
     name = "operators"
--- a/hollowusher/scheduler/replacement/process.py
+++ b/hollowusher/scheduler/replacement/process.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from hollowusher.balancing.learned_state import LearnedState
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.dispatch.model import ColdBudgetInUse, DispatchEvent
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.fronts.common import JobIds
@@ -21,7 +21,7 @@
 CLAIMS_KEPT_S = 60.0  # how long job ids claimed by two concurrent processes are still rejected as duplicates
 
 
-class Replacement(Plain):
+class Replacement(NoDrain):
     """Polls the other processes of this scheduler and reacts to changes of their phases.
 
     An older process hands its state over to a newer one.  While several processes run, they claim job ids in
--- a/tests/scheduler/test_reports.py
+++ b/tests/scheduler/test_reports.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.net.membership.settings import PEER, PEERS, Allowed, read_peers
 from hollowusher.scheduler.net.reports.listener import MOST_ASKERS, Reports, ask
 from hollowusher.scheduler.net.reports.settings import REPORTS, read_reports
@@ -16,7 +16,7 @@
 TWO = (("127.0.0.1", 7), ("127.0.0.1", 8))
 
 
-class ReportCases(Plain):
+class ReportCases(NoDrain):
     name = "told"
 
     async def start(self) -> None: ...
