--- a/tests/scheduler/test_log_outlet.py
+++ b/tests/scheduler/test_log_outlet.py
@@ -1,4 +1,4 @@
-"""A reader of the log that stalls costs lines, and nothing else."""
+"""A stalled reader of the log causes dropped log lines, but does not delay jobs or the end of the process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def stalled_pipe() -> tuple[int, int]:
-    """A pipe of 4 KiB that is full: the next write to it blocks until somebody reads."""
+    """Return a full pipe of 4 KiB: the next write to it blocks until its reader reads."""
     reads, writes = os.pipe()
     fcntl.fcntl(writes, fcntl.F_SETPIPE_SZ, 4096)
     os.set_blocking(writes, False)
@@ -30,7 +30,7 @@
 
 
 def reported(reads: int) -> bytes:
-    """All that comes until the last writer has closed."""
+    """Read until the last writer has closed the pipe."""
     data = b""
     while piece := os.read(reads, 65536):
         data += piece
@@ -53,7 +53,7 @@
         self.addAsyncCleanup(self.end, process)
         self.node.mode = "done"
         await self.within(self.list.asked.get())
-        for n in range(40):  # each is worth a line, and the pipe has no room for one
+        for n in range(40):  # each job causes a log line, and the pipe is full
             _, writer = await self.client()
             writer.write(b"nonsense %d\r\n\r\n" % n)
         self.assertEqual((await self.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0], "HTTP/1.1 200 OK")
@@ -70,7 +70,7 @@
         self.addCleanup(os.close, reads)
         outlet = Outlet(writes, lambda n: f"lost {n}", most_lines=3)
         self.assertEqual([outlet.put(f"line {n}") for n in range(6)], [True] * 3 + [False] * 3)
-        self.assertFalse(outlet.close(0.01))  # nobody reads: the end does not wait for it
+        self.assertFalse(outlet.close(0.01))  # without a reader, `close` returns after its time limit
         os.set_blocking(reads, False)
         seen = b""
         while b"line 2\nlost 3\n" not in seen:
@@ -86,12 +86,12 @@
         reads, writes = stalled_pipe()
         outlet = Outlet(writes, str, most_bytes=100)
         self.assertEqual([outlet.put("x" * 40) for _ in range(3)], [True, True, False])
-        os.close(reads)  # a reader that is gone ends the wait: its lines are lost, the program is not
+        os.close(reads)  # without a reader the outlet drops the lines and stops waiting
         self.assertTrue(outlet.close(5.0))
         os.close(writes)
 
     def test_what_waits_goes_out_by_the_loop_with_longer_waits_and_no_thread(self) -> None:
-        others = set(threading.enumerate())  # of tests before this one in the same process
+        others = set(threading.enumerate())  # threads of earlier tests in this process
         reads, writes = stalled_pipe()
         waits: list[float] = []
         calls: list[Callable[[], None]] = []
@@ -101,7 +101,7 @@
             calls.append(call)
 
         outlet = Outlet(writes, str, later=later)
-        outlet.put("x" * 9_000)  # more than a pipe takes whole: it goes in pieces
+        outlet.put("x" * 9_000)  # longer than PIPE_BUF: the outlet writes it in pieces
         for _ in range(8):
             calls.pop()()
         self.assertEqual(waits[:3] + waits[-2:], [0.02, 0.04, 0.08, 1.0, 1.0])
--- a/tests/scheduler/test_operators.py
+++ b/tests/scheduler/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' address: each call, bad callers, true figures, workers out by hand."""
+"""The operators' HTTP interface: each request, misbehaving clients, correct metrics, detached workers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         return {name.removeprefix("proxy."): int(value) for name, value in pairs}
 
     async def until_known(self, address: tuple[str, int], workers: int = 1) -> None:
-        """A process says that it is ready before it has read the list: wait until it has."""
+        """Wait until the process knows the workers; it may be ready before it reads the worker list."""
         async with asyncio.timeout(10.0):
             while (await self.figures(address))["workers_known"] < workers:
                 await asyncio.sleep(0.01)
@@ -65,7 +65,8 @@
         _, address = await self.beside()
         self.node.go.set()
         held = []
-        for number in range(3 * MOST_CALLERS):  # some say nothing, some a part, some a byte now and then
+        # Clients that send nothing, a partial request, or single bytes.
+        for number in range(3 * MOST_CALLERS):
             reader, writer = await asyncio.open_connection(*address)
             writer.write((b"", b"GET /_va", b"GET /_vars HTTP/1.1\r\nX-Long: ")[number % 3])
             held.append((reader, writer))
@@ -121,7 +122,7 @@
 class Figures(Operators):
     async def test_they_agree_with_what_clients_and_workers_saw(self) -> None:
         nodes = await self.more_nodes(2)
-        self.node.mode = "returned"  # it turns all away: each is sent again elsewhere
+        self.node.mode = "returned"  # the node rejects all jobs; the scheduler resends them to others
         process, address = await self.beside()
         statuses = [(await self.ask(post(f"j{n}", "settle-shift", "8")))[0].split()[1] for n in range(40)]
         reported = await self.figures(address)
@@ -138,7 +139,7 @@
         for number, (_, writer) in enumerate(clients):
             writer.write(post(f"open{number}", "settle-shift", "8"))
         await asyncio.sleep(0.3)
-        process.send_signal(signal.SIGHUP)  # a figure that is fetched at the moment of a reload
+        process.send_signal(signal.SIGHUP)  # the metrics are read during a reload
         self.assertEqual((await self.figures(address))["in_flight"], 3)
         await asyncio.sleep(0.2)
         self.assertEqual((await self.figures(address))["reloads_ok"], 1)
@@ -152,7 +153,7 @@
 
 class ByHand(Operators):
     async def sent(self, count: int, name: str) -> int:
-        """How many of so many jobs the first worker gets."""
+        """Send `count` jobs and return how many of them the first worker receives."""
         before = len(self.node.runs)
         for number in range(count):
             await self.answered(f"{name}{number}")
@@ -163,10 +164,10 @@
         self.node.go.set()
         old, address = await self.beside()
         self.assertGreater(await self.sent(20, "a"), 0)
-        for _ in range(2):  # the answer of the first was lost, so it comes again
+        for _ in range(2):  # an operator repeats the request after a lost response
             self.assertEqual((await call(address, "PUT", "/_workers/detach?name=s-1"))[0], 200)
         self.assertEqual(await self.sent(20, "b"), 0)
-        self.list.tell(self.list.rows, full=True)  # a list that says that it serves
+        self.list.tell(self.list.rows, full=True)  # a list that reports the worker as serving
         old.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.2)
         self.assertEqual(await self.sent(20, "c"), 0)
@@ -185,8 +186,9 @@
         _, old_address = await self.beside()
         _, new_address = await self.beside()
         self.assertEqual((await call(new_address, "PUT", "/_workers/detach?name=s-1"))[0], 200)
-        await asyncio.sleep(0.2)  # less than the grace
-        self.assertEqual(await self.sent(30, "a"), 0)  # by either process, as the kernel has it
+        await asyncio.sleep(0.2)  # shorter than the drain grace period
+        # The kernel assigns each connection to one of the processes.
+        self.assertEqual(await self.sent(30, "a"), 0)
         self.assertEqual((await self.figures(old_address))["workers_excluded"], 1)
         self.assertEqual((await call(old_address, "PUT", "/_workers/attach?name=s-1"))[0], 200)
         await asyncio.sleep(0.2)
--- a/tests/scheduler/test_reload.py
+++ b/tests/scheduler/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP and SIGTERM: no job or connection is lost by a new configuration or by an orderly end."""
+"""SIGHUP and SIGTERM: a reload and a graceful shutdown lose no job and no connection."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Process(SocketCase):
-    """The program as the platform starts it."""
+    """Runs the scheduler process as the platform starts it."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -49,7 +49,7 @@
         self.port = free_port()
 
     def write(self, **changes: Any) -> None:
-        """Replace the configuration file, as the platform does."""
+        """Replace the configuration file atomically, as the platform does."""
         config = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -75,7 +75,7 @@
         new.replace(self.path)
 
     async def start(self, **changes: Any) -> asyncio.subprocess.Process:
-        """Start it, and wait until it takes jobs."""
+        """Start the process, and wait until it accepts jobs."""
         self.write(**changes)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -99,7 +99,7 @@
         await process.wait()
 
     async def logged(self, text: str) -> str:
-        """The next log line that has this text."""
+        """Return the next log line that contains this text."""
         assert self.process.stderr is not None
         while text not in (line := (await self.within(self.process.stderr.readline())).decode()):
             self.assertTrue(line, f"the program ended without a line with {text!r}")
@@ -108,7 +108,7 @@
 
 class Build(unittest.TestCase):
     def test_build_leaves_the_code_compiled_for_a_quick_return(self) -> None:
-        """After a restart others wait for `ready`, and the platform's file system keeps no cache."""
+        """After a restart clients wait for `ready`, and the platform keeps no bytecode cache."""
         root = Path(__file__).parent.parent.parent
         deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
         step = deploy["build"].rpartition("&&")[2].split()[1:]
@@ -132,17 +132,17 @@
         other.add("s-2", spare.port)
         self.write(discovery=f"127.0.0.1:{other.port}")
         process.send_signal(signal.SIGHUP)
-        # The new service's versions may count otherwise: the whole list is asked for.
+        # The new service may number its versions differently, so the scheduler requests the full list.
         self.assertIn("from=0", await self.within(other.asked.get()))
         await self.logged("read again")
-        process.send_signal(signal.SIGHUP)  # a second one during the first loses nothing either
+        process.send_signal(signal.SIGHUP)  # a second SIGHUP during the first reload loses nothing either
         await self.list.close()
         second, second_writer = await self.client()
-        second_writer.write(post("k", "settle-shift", "8"))  # only the new list names a node for it
+        second_writer.write(post("k", "settle-shift", "8"))  # only the new list has a node for this job
         self.assertEqual((await self.within(read_http(second)))[2], b"r:k")
         process.send_signal(signal.SIGTERM)
         await self.logged("asked to stop")
-        process.send_signal(signal.SIGHUP)  # nor does one while it stops end it before its time
+        process.send_signal(signal.SIGHUP)  # a SIGHUP during shutdown does not terminate the process
         self.node.go.set()
         self.assertEqual((await self.within(read_http(reader)))[2], b"r:j")
         self.assertEqual(await self.within(process.wait()), 0)
@@ -187,23 +187,23 @@
             while not any(isinstance(e, NodeListReceived) and e.kind is kind for e in reported):
                 await asyncio.sleep(0.005)
 
-        await self.within(until(ListKind.FAILED))  # the old one still tells
+        await self.within(until(ListKind.FAILED))  # the old service still sends the list
         reported.clear()
         self.list.tell([], full=True)
-        await self.within(until(ListKind.CACHED))  # heeded, but no watch on the new address
+        await self.within(until(ListKind.CACHED))  # applied, but the new address is not watched yet
         self.assertNotIn(ListKind.FULL, [e.kind for e in reported if isinstance(e, NodeListReceived)])
         slow.status = 200
         watch.ask()
         await self.within(slow.asked.get())
         await self.within(until(ListKind.FULL))
         reported.clear()
-        await self.list.close()  # it was closed by us already: its end is no news
+        await self.list.close()  # the watch already closed this connection and reports nothing
         slow.tell([], full=True)
         await self.within(until(ListKind.FULL))
         self.assertNotIn(NodeListReceived(ListKind.FAILED), reported)
 
 
-NESTED = "[" * 100_000  # what reading it raises is no ValueError
+NESTED = "[" * 100_000  # the JSON parser raises RecursionError for it, not ValueError
 
 
 class Watching(SocketCase):
@@ -223,14 +223,15 @@
         self.list.beats = False
         with mock.patch("hollowusher.scheduler.fronts.platform.discovery.SILENT_S", 0.3):
             watch.ask()
-            watch.ask()  # one is under way: cut off, it would stand at the end of the line again
+            # The watch keeps its pending request; a new request would go to the end of the queue again.
+            watch.ask()
             await hears(ListKind.FULL)
             self.assertEqual(self.list.asked.qsize(), 1)
             for writer in self.list.writers:
-                self.list._line(writer, '{"version": 0, "servers": []}')  # out of order: no news
-                self.list._line(writer, "")  # nothing has changed until now
+                self.list._line(writer, '{"version": 0, "servers": []}')  # an outdated version is ignored
+                self.list._line(writer, "")  # a heartbeat line: nothing has changed
             await hears(ListKind.CHANGES, ListKind.SILENT)
-        # What cannot be read may have told of a drain.
+        # An unreadable line may have reported a drain, so the watch reports that its list may be outdated.
         for lines in ((NESTED,), ("{", ""), ('{"servers": [], "version": [1]}',), ('{"servers": [1', "]")):
             watch.ask()
             await hears(ListKind.FULL)
@@ -244,13 +245,13 @@
         self.list.status = 200
         watch.ask()
         await hears(ListKind.FULL)
-        await self.list.close()  # it is reset: up to then it has told all
+        await self.list.close()  # the connection is reset after a complete list
         await hears(ListKind.FAILED)
         watch.ask()
-        await hears(ListKind.FAILED)  # refused
+        await hears(ListKind.FAILED)  # the connection is refused
         with mock.patch("socket.socket", side_effect=OSError(errno.EMFILE, "Too many open files")):
             watch.ask()
-            await hears(ListKind.SILENT)  # which tells nothing of the service
+            await hears(ListKind.SILENT)  # a local fault gives no information about the service
 
 
 SLOW_IMPORT = """
@@ -299,11 +300,12 @@
         process.send_signal(signal.SIGTERM)
         await self.logged("asked to stop")
         asked = asyncio.get_running_loop().time()
-        writer.write(post("b", "settle-shift", "8"))  # another scheduler may not be there to take it
+        writer.write(post("b", "settle-shift", "8"))  # no other scheduler may be available for this job
         first, headers, result = await self.within(read_http(reader))
         self.assertEqual((first, headers.get("connection"), result), ("HTTP/1.1 200 OK", None, b"r:b"))
         self.node.go.clear()
-        writer.write(post("c", "settle-shift", "8"))  # this one outlasts what the platform allows
+        # This job takes longer than the platform allows for a shutdown.
+        writer.write(post("c", "settle-shift", "8"))
         self.assertIn("502", (await self.within(read_http(reader)))[0])
         self.assertLess(asyncio.get_running_loop().time() - asked, 3.65)
         self.assertEqual(await self.within(process.wait()), 0)
@@ -328,6 +330,6 @@
         await self.within(lists.asked.get())
         node.finish(held)
         self.assertEqual(await session.answer(), ("pay-1", "served", b"r:pay-1"))
-        session.job("pay-1", resend="true")  # the ledger is the same one
+        session.job("pay-1", resend="true")  # the deduplication ledger is kept
         self.assertEqual(await session.answer(), ("pay-1", "served", b"r:pay-1"))
         self.assertEqual((node.runs, len(node.sessions)), (["pay-1"], 1))
--- a/tests/scheduler/test_replacement.py
+++ b/tests/scheduler/test_replacement.py
@@ -1,4 +1,4 @@
-"""One process of a scheduler takes over from another beside it: on real processes, and its records alone."""
+"""Live replacement of a scheduler process, tested on its records and on real processes."""
 
 from __future__ import annotations
 
@@ -68,11 +68,12 @@
         for text in (b"", b"torn"):
             (one.path / "1.process").write_bytes(text)
             self.assertEqual([(o.token, o.phase) for o in two.others()], [("1", Phase.UNKNOWN)])
-        write_record(one.path / "1.process", ProcessRecord("127.0.0.1:8", Phase.SERVING))  # a foreign one
+        # A record of another scheduler.
+        write_record(one.path / "1.process", ProcessRecord("127.0.0.1:8", Phase.SERVING))
         self.assertIs(two.others()[0].phase, Phase.UNKNOWN)
         one.leave()
         self.assertEqual(two.others(), [])
-        (one.path / "0.lock").touch()  # of a process that was killed
+        (one.path / "0.lock").touch()  # the unlocked lock file of a killed process
         (one.path / "0.process").touch()
         self.assertEqual(two.others(), [])
         self.assertFalse((one.path / "0.process").exists())
@@ -153,7 +154,7 @@
         crew.play(2 * S)
         suspect = node.balancer.workers[2]
         self.assertTrue(suspect.suspect)
-        for slack in (0, 5 * MS):  # the same start, told by another clock
+        for slack in (0, 5 * MS):  # the same start time, measured with another clock
             node.listing(ListKind.CHANGES, *workers(2, started_ns=slack))
             self.assertTrue(suspect.suspect)
         node.listing(ListKind.CHANGES, *workers(2, started_ns=node.now - S))
@@ -161,7 +162,7 @@
 
 
 class Beside(Process):
-    """Two processes of one scheduler."""
+    """Runs two processes of one scheduler."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -171,7 +172,7 @@
         self.write()
 
     async def beside(self, wait: bool = True) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-        """Start one more process; it, and its operators' address."""
+        """Start one more process, and return the process and its operators' address."""
         address = ("127.0.0.1", free_port())
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -220,7 +221,8 @@
         old.send_signal(signal.SIGTERM)
         self.node.go.set()
         self.assertEqual((await self.within(read_http(reader)))[2], b"r:open")
-        idle_writer.write(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")  # this scheduler is still there
+        # The scheduler as a whole is still ready.
+        idle_writer.write(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
         self.assertIn("200", (await self.within(read_http(idle)))[0])
         for number in range(20):
             await self.answered(f"new{number}")
@@ -234,13 +236,14 @@
         self.node.go.set()
         await self.answered("before")
         reader, writer = await self.client()
-        writer.write(post("warm", "settle-shift", "8"))  # a connection of the old one
+        writer.write(post("warm", "settle-shift", "8"))  # a connection to the old process
         await self.within(read_http(reader))
         await self.beside()
         writer.write(post("beside", "settle-shift", "8"))
         self.assertIn("200", (await self.within(read_http(reader)))[0])
         old.send_signal(signal.SIGTERM)
-        await asyncio.sleep(0.3)  # it has closed its listener: who connects now meets the new one
+        # The old process has closed its listener; new connections reach the new process.
+        await asyncio.sleep(0.3)
         for job in ("before", "beside"):
             await self.answered(job, "409")
         self.assertEqual(self.node.runs.count("before") + self.node.runs.count("beside"), 2)
@@ -249,7 +252,7 @@
 
     async def test_a_strangers_address_is_not_shared_and_a_bad_directory_stops_nobody(self) -> None:
         await self.beside()
-        self.shared = self.shared / "other"  # another scheduler's: the address is taken
+        self.shared = self.shared / "other"  # the directory of another scheduler: the address is in use
         self.shared.mkdir()
         stranger, _ = await self.beside(wait=False)
         self.assertNotEqual(await self.within(stranger.wait()), 0)
@@ -263,7 +266,7 @@
         old, old_address = await self.beside()
         self.node.go.set()
         new, _ = await self.beside(wait=False)
-        await asyncio.sleep(0.15)  # half-way through its start
+        await asyncio.sleep(0.15)  # in the middle of its startup
         new.kill()
         await self.within(new.wait())
         for number in range(5):
@@ -283,7 +286,7 @@
         _, address = await self.beside(wait=False)
         await asyncio.sleep(0.1)
         old.send_signal(signal.SIGTERM)
-        for number in range(30):  # one of the two takes each, all the time
+        for number in range(30):  # at any time one of the two processes accepts the job
             await self.answered(f"j{number}")
             await asyncio.sleep(0.05)
         self.assertEqual(await self.within(old.wait()), 0)
@@ -297,5 +300,5 @@
         self.list.status = 503
         new, _ = await self.beside()
         self.assertIsNone(new.returncode)
-        for number in range(6):  # either may take it; `known` in the file names no worker
+        for number in range(6):  # either process may accept it; `known` in the file is empty
             await self.answered(f"b{number}")
--- a/tests/scheduler/test_retune.py
+++ b/tests/scheduler/test_retune.py
@@ -1,4 +1,4 @@
-"""Settings that change at SIGHUP: open jobs keep the old rules, and a broken file changes nothing."""
+"""Settings that change on SIGHUP: open jobs keep the old rules, and an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         fewer = replace(LIMITS, max_attempts=1)
         node.step(SettingsChanged(site(classes=(unsafe,), limits=fewer)))
         (again,) = sends(node.ended(first, Outcome.RESET) + node.run(50 * MS))
-        self.assertEqual(again.request, "old")  # it is safe, and has three attempts
+        self.assertEqual(again.request, "old")  # the class is safe to retry and allows three attempts
         node.serve(again, attempt=1)
         (new,) = sends(node.arrive("new", "safe") + node.run(50 * MS))
         actions = node.ended(new, Outcome.RESET) + node.run(50 * MS)
@@ -43,7 +43,7 @@
 
     def test_a_dropped_class_with_requests_open_is_served_to_its_end(self) -> None:
         node = Node(SITE, workers(1), free={1: 1.0})
-        for number in range(30):  # a crowd, so that the queue is sorted by what the classes earn
+        for number in range(30):  # enough jobs that the queue is sorted by the value of the classes
             node.arrive(f"r{number}", "safe")
         node.step(SettingsChanged(site(classes=(JobClass("new", 200 * MS, 5 * S, effect=Effect.SAFE),))))
         node.arrive("n", "new")
@@ -88,7 +88,7 @@
         await self.until(address, "reloads_ok", 1)
         self.node.go.set()
         self.assertEqual((await self.within(read_http(reader)))[2], b"r:open")
-        await self.answered("crossing")  # clients go on using a class for a moment
+        await self.answered("crossing")  # clients may use a removed class for a short time
         self.assertIn("200", (await self.ask(post("a", "audit", "8")))[0])
         await asyncio.sleep(1.3)
         await self.answered("late", "400")
--- a/tests/scheduler/test_settings_file.py
+++ b/tests/scheduler/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, and each fault by file and line."""
+"""The settings file: parsed values, and errors with file and line."""
 
 from __future__ import annotations
 
