--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -1,6 +1,7 @@
-"""The node list: a watch on its changes, opened when the desk asks, given up when it falls silent.
+"""Client of the discovery service: keeps a watch (a long-lived HTTP request) on the changes of the node list.
 
-A second watch is open for a moment only while the service moves to another address."""
+A watch without data for too long is closed.  A second watch is open only while a new watch replaces the
+current one."""
 
 from __future__ import annotations
 
@@ -26,14 +27,21 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-SILENT_S = 3.5  # an empty line comes every 2 s: after this the watch is broken, whatever the socket says
-FIRST_LINE_S = 2.5  # the head alone tells nothing: from it on, an empty line is due within 2 s as well
-MOST_LINE = 4 * 1024 * 1024
-CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
+# The service sends at least an empty line every 2 s.  After this time without a line the watch counts as
+# broken, even if its socket is still open.
+SILENCE_TIMEOUT_S = 3.5
+# Timeout for the first line after the response headers.  The headers alone do not confirm the list, and the
+# first line is also due within 2 s.
+FIRST_LINE_TIMEOUT_S = 2.5
+MAX_LINE = 4 * 1024 * 1024  # maximum size of a line and of one JSON object of the list
+DEFAULT_CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
 
 
 class NodeListWatch(NoDrain):
-    """Keeps the roster and the desk told.  The desk decides when to ask again."""
+    """Watches the node list and passes changes to the worker registry and the dispatcher.
+
+    After a watch ends, the dispatcher decides when to open the next one, unless the list comes from a local
+    agent; see `again`."""
 
     name = "list"
 
@@ -47,44 +55,51 @@
         front: Callable[[str, str], str] = default_front,
         again: NodeListBackoff | None = None,
         known: Mapping[str, Any] | None = None,
-        calls: ListCalls = CALLS,
+        calls: ListCalls = DEFAULT_CALLS,
         chance: Callable[[], float] = random.random,
     ) -> None:
-        """With `again` the list is pushed: the address is an agent of our own machine, which this watch asks
-        by itself; without, the desk says when the one service of all schedulers is asked."""
+        """Create a watch on the list at `address`.
+
+        With `again`, the address belongs to an agent on the same machine that pushes the list, and the watch
+        reconnects on its own after this backoff.  Without `again`, the address belongs to the discovery
+        service that all schedulers share, and the dispatcher decides when to connect."""
         self._address, self._registry, self._post, self._log = address, registry, post, log
         self._changed, self._front = changed, front
-        self._again, self._known = again, known or {}
-        self._call_s, self._spread_s, self._chance = calls.timeout_ns / 1e9, calls.spread_ns / 1e9, chance
+        self._backoff, self._cached_list = again, known or {}
+        self._call_timeout_s, self._spread_s, self._random = (
+            calls.timeout_ns / 1e9,
+            calls.spread_ns / 1e9,
+            chance,
+        )
         self._timer: asyncio.TimerHandle | None = None
         self._version = 0
-        self._opening: asyncio.Task[None] | None = None
-        self._standing: asyncio.Task[None] | None = None
-        self._delivered: tuple[int, list[RouteNode]] | None = None
-        self.heard = asyncio.Event()  # whether the service has told something
+        self._pending: asyncio.Task[None] | None = None
+        self._established: asyncio.Task[None] | None = None
+        self._handed_over: tuple[int, list[RouteNode]] | None = None
+        self.heard = asyncio.Event()  # set after the first data from the service
 
     async def start(self) -> None:
-        """Begin with the list as it was last held; it may be old."""
-        if self._delivered is not None:
-            self._version, nodes = self._delivered
+        """Load the last known list, which may be outdated; with a local agent, also open the watch."""
+        if self._handed_over is not None:
+            self._version, nodes = self._handed_over
             self._post(self._registry.apply_list(ListKind.CACHED, nodes))
         else:
-            self._begin_with_known()
-        if self._again is not None:
+            self._load_cached()
+        if self._backoff is not None:
             self.ask()
 
     def hand(self, version: int, nodes: list[RouteNode]) -> None:
-        """Begin with a list that another process of this scheduler held a moment ago."""
-        self._delivered = (version, nodes)
+        """Set the list for `start`, as handed over by another process of this scheduler."""
+        self._handed_over = (version, nodes)
 
     @property
     def version(self) -> int:
-        """Of the list held."""
+        """Version of the current list."""
         return self._version
 
-    def _begin_with_known(self) -> None:
+    def _load_cached(self) -> None:
         try:
-            read = self._read(dict(self._known) or {"servers": []})
+            read = self._read(dict(self._cached_list) or {"servers": []})
         except ValueError as wrong:
             self._log.warning("list-unreadable", str(wrong))
             read = ParsedNodeList(0, True)
@@ -98,67 +113,72 @@
         return read
 
     def ask(self) -> None:
-        """Watch from the version held.  A watch that stands goes on until the new one has told something; a
-        call that is under way goes on too, since to cut it off would put it at the end of the line again."""
-        if self._opening is None:
-            self._opening = asyncio.create_task(self._watch(self._address, self._version))
+        """Open a watch from the current version.
+
+        An established watch stays open until the new one has delivered a line.  A pending call is not
+        repeated, because the service would queue the new call behind all others."""
+        if self._pending is None:
+            self._pending = asyncio.create_task(self._watch(self._address, self._version))
 
     def move(self, address: tuple[str, int]) -> None:
-        """The service has another address from now on.  Its versions may count otherwise, so the whole list
-        is asked for; until it comes, what the old address tells still counts."""
+        """Change the address of the service.
+
+        The new address may number versions differently, so the full list is requested.  Until it arrives,
+        updates from the old address are still applied."""
         if address != self._address:
             self._address, self._version = address, 0
-            if self._opening is not None:
-                self._opening.cancel()
-                self._opening = None
+            if self._pending is not None:
+                self._pending.cancel()
+                self._pending = None
             if self._timer is not None:
                 self._timer.cancel()
-            # All schedulers hear of it at once, and the new service takes one call after another; an agent of
-            # our own machine has nobody else to serve.
-            wait_s = self._spread_s * self._chance() if self._again is None else 0.0
+            # All schedulers receive the new address at once, and the new service handles one call at a time,
+            # so the calls are spread.  A local agent serves this scheduler only and needs no spread.
+            wait_s = self._spread_s * self._random() if self._backoff is None else 0.0
             self._timer = asyncio.get_running_loop().call_later(wait_s, self.ask)
 
     async def stop(self) -> None:
-        """End all watching."""
-        for task in (self._opening, self._standing, self._timer):
+        """Cancel the watches and the pending call."""
+        for task in (self._pending, self._established, self._timer):
             if task is not None:
                 task.cancel()
 
     def report(self) -> Mapping[str, object]:
-        """The list held, and whether a watch on it stands."""
+        """Return the version of the current list, whether a watch is established, and the service address."""
         return {
             "version": self._version,
-            "watched": self._standing is not None,
+            "watched": self._established is not None,
             "service": f"{self._address[0]}:{self._address[1]}",
         }
 
     async def _watch(self, address: tuple[str, int], version: int) -> None:
         link: Link | None = None
-        # A call that is refused, reset or answered with an error met no service that could tell; one that is
-        # given up, or whose answer cannot be read, shows nothing.
+        # FAILED: the connection was refused or reset, or the response was an error, so no working service was
+        # reached.  SILENT: the call timed out, its response was malformed, or this process had no free
+        # descriptor; none of these shows whether the service works.
         why, kind = "the watch ended", ListKind.SILENT
-        lines = NodeListAssembler(MOST_LINE)
+        lines = NodeListAssembler(MAX_LINE)
         try:
-            reader = AnswerReader(MOST_LINE)
+            reader = AnswerReader(MAX_LINE)
             path = f"/api/targets?watch=1&from={version}"
             host = f"{address[0]}:{address[1]}"
-            async with asyncio.timeout(self._call_s):
+            async with asyncio.timeout(self._call_timeout_s):
                 try:
-                    link = await connect(address, min(CONNECT_TIMEOUT_S, self._call_s))
+                    link = await connect(address, min(CONNECT_TIMEOUT_S, self._call_timeout_s))
                     await link.send(f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
                     while not reader.head_done:
                         await link.pass_on(reader.feed)
                 except OSError as wrong:
-                    if not (reader.spoilt or out_of_descriptors(wrong)):
+                    if not (reader.out_of_sync or out_of_descriptors(wrong)):
                         kind = ListKind.FAILED
                     raise
             if reader.status == 200:
-                patience_s = FIRST_LINE_S
+                patience_s = FIRST_LINE_TIMEOUT_S
                 while True:
                     while reader.lines:
-                        self._line(lines, reader.lines.popleft(), address)
-                        self._stands()
-                        patience_s = SILENT_S
+                        self._handle_line(lines, reader.lines.popleft(), address)
+                        self._mark_established()
+                        patience_s = SILENCE_TIMEOUT_S
                     if reader.complete:
                         kind = ListKind.FAILED
                         break
@@ -166,67 +186,70 @@
                         try:
                             await link.pass_on(reader.feed)
                         except ConnectionResetError:
-                            kind = ListKind.FAILED  # up to its end it has told all
+                            kind = ListKind.FAILED  # the watch was current until the connection was reset
                             raise
             else:
                 why, kind = f"status {reader.status}", ListKind.FAILED
         except TimeoutError:
             why = "silence"
-        except Exception as wrong:  # whatever the service sends: a call that never ended would be the last
+        except Exception as wrong:  # _watch_ended must run whatever the service sends
             why = str(wrong) or type(wrong).__name__
         finally:
             if link is not None:
                 link.close()
-        self._ended(address, why, kind)
+        self._watch_ended(address, why, kind)
 
-    def _stands(self) -> None:
-        """The watch under way has told something: the one before it is no longer needed."""
+    def _mark_established(self) -> None:
+        """Mark the current watch as established after its first line, and cancel the previous one."""
         task = asyncio.current_task()
-        if task is self._opening:
-            self._opening = None
-            if self._standing is not None:
-                self._standing.cancel()
-            self._standing = task
-        if self._again is not None:
-            self._again.reset()
-
-    def _ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
-        """A watch broke, or a call failed: the desk asks again."""
-        if asyncio.current_task() is self._opening:
-            self._opening = None
+        if task is self._pending:
+            self._pending = None
+            if self._established is not None:
+                self._established.cancel()
+            self._established = task
+        if self._backoff is not None:
+            self._backoff.reset()
+
+    def _watch_ended(self, address: tuple[str, int], why: str, kind: ListKind) -> None:
+        """Report a broken watch or a failed call to the dispatcher, which decides when to retry.
+
+        A watch on a local agent schedules its retry itself, after its backoff."""
+        if asyncio.current_task() is self._pending:
+            self._pending = None
         else:
-            self._standing = None
+            self._established = None
         where = f"{address[0]}:{address[1]}"
         self._log.warning("list-broken", "the watch on the node list broke", why=why, service=where)
-        if self._again is not None:
-            self._timer = asyncio.get_running_loop().call_later(self._again.wait_s(), self.ask)
+        if self._backoff is not None:
+            self._timer = asyncio.get_running_loop().call_later(self._backoff.wait_s(), self.ask)
         self._post(NodeListReceived(kind))
 
-    def _line(self, lines: NodeListAssembler, line: bytes, address: tuple[str, int]) -> None:
+    def _handle_line(self, lines: NodeListAssembler, line: bytes, address: tuple[str, int]) -> None:
         reported = lines.feed(line)
         if not line.strip():
-            if address == self._address:  # nothing has changed: what is held is good until now
+            if address == self._address:  # an empty line confirms that the current list is up to date
                 self.heard.set()
                 self._post(NodeListReceived(ListKind.CHANGES))
             return
         for each in reported:
             if each is None:
-                self._log.warning("list-odd", "a list that stops short; the one after it counts")
+                self._log.warning("list-odd", "a truncated list was discarded; the next one is used")
             else:
-                self._list(each, address)
+                self._apply(each, address)
 
-    def _list(self, reported: object, address: tuple[str, int]) -> None:
+    def _apply(self, reported: object, address: tuple[str, int]) -> None:
         read = self._read(reported)
         if address == self._address:
             if read.outdated(self._version):
-                self._log.warning("list-odd", "an older version than is held", version=read.version)
+                self._log.warning("list-odd", "the received version is outdated", version=read.version)
                 return
             self._version = read.version
             self.heard.set()
         if read.full and not read.nodes:
-            self._log.warning("list-odd", "the whole list names no node")
+            self._log.warning("list-odd", "the full list contains no node")
         for node in [*read.nodes, *(self._registry.missing(read.nodes) if read.full else ())]:
             self._changed(node)
         news = self._registry.apply_list(ListKind.FULL if read.full else ListKind.CHANGES, read.nodes)
-        # What the old address still tells is heeded, but is no watch on the new one: that is asked for on.
+        # Updates from the old address are applied, but they do not count as a watch on the new address, so
+        # the dispatcher keeps requesting one.
         self._post(news if address == self._address else self._registry.cached_list())
--- a/hollowusher/scheduler/fronts/stomp/clients.py
+++ b/hollowusher/scheduler/fronts/stomp/clients.py
@@ -1,7 +1,7 @@
-"""Clients that speak STOMP: they SEND jobs and get answers on their subscription.
+"""STOMP server for clients, which SEND jobs and receive the answers on their subscription.
 
-A RECEIPT means that the job is taken.  Each taken frame gets one final answer, and the ledger sees to it
-that a frame sent again never runs a job again.
+A RECEIPT confirms that the scheduler has accepted the job.  Each accepted frame gets exactly one final
+answer.  The ledger ensures that a resent frame does not run its job a second time.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     Verdict,
 )
 from hollowusher.scheduler.fronts.common import (
-    FIRST_S,
-    REQUEST_S,
-    TRAVEL_NS,
+    FIRST_REQUEST_TIMEOUT_S,
+    NETWORK_DELAY_NS,
+    REQUEST_TIMEOUT_S,
     JobIds,
     printable,
     read_budget_ns,
@@ -41,21 +41,21 @@
 from hollowusher.scheduler.net.link import Link
 
 JOBS, ANSWERS = "/queue/jobs", "/queue/answers"
-FLUSH_S = 2.0  # how long the last frames to a client may take
-MOST_OPEN = 64  # jobs in flight a session: beyond it, its frames wait unread
-MOST_UNSENT = 64  # answers that wait for a subscription
-MOST_SUBSCRIPTIONS = 16
-MOST_SUBJECT = 1024
-LOOK_S = 0.05  # between two looks at whether a client whose frames wait is still there
-LINGER_S = 1.0  # how long a client may take to read the ERROR that ends its session
-YOUNG_S = 0.25  # one that has not introduced itself for longer makes room for others
-FULL_WAIT_NS = 1_000_000_000  # advice that goes with a refusal for want of room in the ledger
-DRAIN_ACCEPT_S = 0.55
+FLUSH_TIMEOUT_S = 2.0  # timeout for writing the last frames of a session
+MAX_OPEN_JOBS = 64  # jobs in flight per session; at this number, the client's next frames are not read
+MAX_UNSENT = 64  # maximum number of answers that wait for a subscription, and of unacknowledged answers
+MAX_SUBSCRIPTIONS = 16  # per session
+MAX_TEXT_LENGTH = 1024  # maximum length of a job id, subject, login or repeat-key, in characters
+DISCONNECT_CHECK_INTERVAL_S = 0.05  # used while the session does not read the client's frames
+LINGER_S = 1.0  # longest lingering close: a client may read the ERROR that ends its session meanwhile
+NEW_CONNECTION_GRACE_S = 0.25  # a connection without a valid CONNECT frame after this time may be evicted
+LEDGER_FULL_WAIT_NS = 1_000_000_000  # retry-after of a job that is rejected because the ledger is full
+DRAIN_ACCEPT_S = 0.55  # time in a shutdown during which new connections and frames are still accepted
 
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """One taken frame that is owed an answer."""
+    """One accepted frame that waits for an answer."""
 
     session: StompClientSession
     job_id: str
@@ -63,27 +63,29 @@
 
 
 def _printable(frame: Frame, name: str, value: str) -> str:
-    """Texts that go on in other wires' heads: printable ASCII, so that none can break out of its line."""
-    if not printable(value, MOST_SUBJECT):
+    """Check and return a text that is copied into headers of other protocols.
+
+    Raises FrameError if the text is not printable ASCII, as it could end the header line."""
+    if not printable(value, MAX_TEXT_LENGTH):
         raise FrameError(f"{name} must be printable ASCII without spaces", frame.headers.get("receipt", ""))
     return value
 
 
 class StompClientSession:
-    """One connection of a client."""
+    """One client connection: accepts jobs and sends their answers."""
 
     def __init__(self, front: StompClients, wire: StompLink) -> None:
         self._front, self._wire = front, wire
         self.identity = ""
         self.open_jobs = 0
-        self._held = self._connected = False
+        self._paused = self._connected = False
         self._accepted_ns = time.monotonic_ns()
         self.waiting: dict[Waiter, JobTableEntry] = {}
         self._has_capacity = asyncio.Event()
         self._has_capacity.set()
-        self._subscriptions: dict[str, str] = {}  # id: ack mode
+        self._subscriptions: dict[str, str] = {}  # subscription id: ack mode
         self._unsent: deque[tuple[Waiter, JobAnswerBody]] = deque()
-        self._to_ack: dict[str, str] = {}  # ack id: subscription
+        self._to_ack: dict[str, str] = {}  # ack id: subscription id
         self.task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -91,26 +93,26 @@
         writer, lost = asyncio.create_task(self._wire.write()), False
         writer.add_done_callback(self._writer_broke)
         try:
-            async with asyncio.timeout(FIRST_S):
+            async with asyncio.timeout(FIRST_REQUEST_TIMEOUT_S):
                 await self._connect()
             going = True
             while going:
                 await self._wait_for_capacity()
                 frame = await self._wire.receive()
-                if self._held:  # not taken: no receipt goes out for it
+                if self._paused:  # waits until stop(); the frame is not accepted and gets no receipt
                     await self._wait_for_capacity()
-                going = self._take(frame)
+                going = self._handle_frame(frame)
         except FrameError as bad:
-            self._complain(bad)
+            self._send_error(bad)
         except OSError:
-            lost = True  # the client is gone, or fell silent
+            lost = True  # the client disconnected, or its heart-beats timed out
         except asyncio.CancelledError:
-            pass  # its writer broke, or this program stops
+            pass  # the writer failed, the session was evicted, or the scheduler is stopping
         finally:
-            self._front.gone(self)
+            self._front.session_ended(self)
             self._wire.finish()
             writer.remove_done_callback(self._writer_broke)
-            await asyncio.wait({writer}, timeout=FLUSH_S)
+            await asyncio.wait({writer}, timeout=FLUSH_TIMEOUT_S)
             writer.cancel()
             with contextlib.suppress(asyncio.CancelledError, OSError):
                 await writer
@@ -119,43 +121,51 @@
             self._wire.close()
 
     async def _wait_for_capacity(self) -> None:
-        """While frames wait unread, the end of their client stands behind them: it is looked for.  OSError
-        where it has come."""
-        while self._held or not self._has_capacity.is_set():
-            if self._wire.left():
-                raise ConnectionResetError("the client has left")
+        """Wait until the session may read its next frame.
+
+        The connection is checked for a disconnect meanwhile, because reading would detect it only behind the
+        unread frames.  Raises OSError if the client has disconnected."""
+        while self._paused or not self._has_capacity.is_set():
+            if self._wire.peer_closed():
+                raise ConnectionResetError("the client has disconnected")
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S):
-                    await (asyncio.Event() if self._held else self._has_capacity).wait()
+                async with asyncio.timeout(DISCONNECT_CHECK_INTERVAL_S):
+                    await (asyncio.Event() if self._paused else self._has_capacity).wait()
 
     def _writer_broke(self, _: asyncio.Task[None]) -> None:
         if self.task is not None:
             self.task.cancel()
 
     def evict(self) -> bool:
-        """Make room for another, where the client has had time to introduce itself and has not."""
-        if self._connected or self.task is None or time.monotonic_ns() - self._accepted_ns < YOUNG_S * 1e9:
+        """Close the session if it had no valid CONNECT frame in time; return whether it was closed."""
+        if (
+            self._connected
+            or self.task is None
+            or time.monotonic_ns() - self._accepted_ns < NEW_CONNECTION_GRACE_S * 1e9
+        ):
             return False
         self.task.cancel()
         return True
 
-    def hold(self) -> None:
-        """Take no more frames; what is taken is answered still."""
-        self._held = True
+    def pause(self) -> None:
+        """Stop accepting frames; accepted frames are still answered."""
+        self._paused = True
 
     def stop(self) -> None:
-        """Say that this program stops and end the session."""
-        self._wire.put(Frame("ERROR", {"message": "this scheduler stops; connect again"}))
+        """Send an ERROR that announces the shutdown, and end the session."""
+        self._wire.put(Frame("ERROR", {"message": "the scheduler is shutting down; connect again"}))
         if self.task is not None:
             self.task.cancel()
 
     def answer(self, waiter: Waiter, answer: JobAnswerBody) -> None:
-        """Give one frame its answer."""
+        """Send the answer to a frame, or keep it until the client subscribes."""
         self.waiting.pop(waiter, None)
         if not self._subscriptions:
             self._unsent.append((waiter, answer))
-            if len(self._unsent) > MOST_UNSENT:
-                self._complain(FrameError(f"answers wait, but nothing is subscribed to {ANSWERS}"))
+            if len(self._unsent) > MAX_UNSENT:
+                self._send_error(
+                    FrameError(f"too many answers are waiting without a subscription to {ANSWERS}")
+                )
                 if self.task is not None:
                     self.task.cancel()
             return
@@ -175,19 +185,19 @@
         if ack != "auto":
             headers["ack"] = number
             self._to_ack[number] = subscription
-            while len(self._to_ack) > MOST_UNSENT:  # acks are a courtesy: the ledger keeps the answer anyway
+            while len(self._to_ack) > MAX_UNSENT:  # acks have no effect: the ledger keeps the answer anyway
                 del self._to_ack[next(iter(self._to_ack))]
         self._wire.put(Frame("MESSAGE", headers, answer.result))
 
-    def counted(self, change: int) -> None:
-        """Jobs in flight: when there are too many, the client's next frames wait unread."""
+    def change_open_jobs(self, change: int) -> None:
+        """Change the number of jobs in flight; at MAX_OPEN_JOBS, the session stops reading frames."""
         self.open_jobs += change
-        if self.open_jobs < MOST_OPEN:
+        if self.open_jobs < MAX_OPEN_JOBS:
             self._has_capacity.set()
         else:
             self._has_capacity.clear()
 
-    def _complain(self, bad: FrameError) -> None:
+    def _send_error(self, bad: FrameError) -> None:
         self._front.log.info("bad-frame", bad.why, client=self.identity)
         headers = {"message": bad.why, "content-type": "text/plain"}
         if bad.receipt:
@@ -197,9 +207,11 @@
     async def _connect(self) -> None:
         frame = await self._wire.receive()
         if frame.command not in ("CONNECT", "STOMP"):
-            raise FrameError("CONNECT must come first")
+            raise FrameError("the first frame must be CONNECT or STOMP")
         if "1.2" not in frame.headers.get("accept-version", "1.0").split(","):
-            self._wire.put(Frame("ERROR", {"version": "1.2", "message": "only version 1.2 is spoken here"}))
+            self._wire.put(
+                Frame("ERROR", {"version": "1.2", "message": "only STOMP version 1.2 is supported"})
+            )
             raise ConnectionAbortedError
         frame.need("host")
         self.identity = _printable(frame, "login", frame.need("login"))
@@ -215,24 +227,26 @@
                 },
             )
         )
-        self._wire.agree(ours, theirs)
+        self._wire.negotiate_heartbeats(ours, theirs)
         self._connected = True
 
-    def _take(self, frame: Frame) -> bool:
-        """Act on one frame; whether the session goes on."""
+    def _handle_frame(self, frame: Frame) -> bool:
+        """Handle one frame; return whether the session continues."""
         receipt, headers = frame.headers.get("receipt", ""), frame.headers
         match frame.command:
             case "SEND":
                 self._send(frame)
-                return True  # its receipt has to come before the answer
+                return True  # _send writes the receipt itself, because the receipt must precede the answer
             case "SUBSCRIBE":
                 if frame.need("destination") != ANSWERS:
-                    raise FrameError(f"there are only answers to subscribe to, at {ANSWERS}", receipt)
+                    raise FrameError(f"the only destination for subscriptions is {ANSWERS}", receipt)
                 name, ack = frame.need("id"), headers.get("ack", "auto")
                 if ack not in ("auto", "client", "client-individual"):
                     raise FrameError("ack must be auto, client or client-individual", receipt)
-                if name in self._subscriptions or len(self._subscriptions) >= MOST_SUBSCRIPTIONS:
-                    raise FrameError("this subscription stands already, or there are too many", receipt)
+                if name in self._subscriptions or len(self._subscriptions) >= MAX_SUBSCRIPTIONS:
+                    raise FrameError(
+                        "the subscription id is in use, or there are too many subscriptions", receipt
+                    )
                 self._subscriptions[name] = ack
             case "UNSUBSCRIBE":
                 if self._subscriptions.pop(frame.need("id"), None) is None:
@@ -240,13 +254,13 @@
             case "ACK" | "NACK":
                 subscription = self._to_ack.pop(frame.need("id"), None)
                 if subscription is None:
-                    raise FrameError("nothing waits for this acknowledgement", receipt)
+                    raise FrameError("no message has this ack id", receipt)
             case "DISCONNECT":
                 if receipt:
                     self._wire.put(Frame("RECEIPT", {"receipt-id": receipt}))
                 return False
             case "CONNECT" | "STOMP":
-                raise FrameError("the session is connected already", receipt)
+                raise FrameError("the session is already connected", receipt)
             case _:
                 raise FrameError("transactions are not supported", receipt)
         if receipt:
@@ -258,19 +272,19 @@
     def _send(self, frame: Frame) -> None:
         receipt = frame.headers.get("receipt", "")
         if frame.need("destination") != JOBS:
-            raise FrameError(f"jobs go to {JOBS}", receipt)
+            raise FrameError(f"jobs must be sent to {JOBS}", receipt)
         if "transaction" in frame.headers:
             raise FrameError("transactions are not supported", receipt)
         job_id = _printable(frame, "job-id", frame.need("job-id"))
         name = frame.need("job-class")
         if name not in self._front.classes:
-            raise FrameError("job-class is unknown", receipt)
+            raise FrameError("unknown job-class", receipt)
         subject = _printable(frame, "subject", frame.headers.get("subject", f"/jobs/{job_id}"))
         if not subject.startswith("/"):
             raise FrameError("subject must begin with /", receipt)
         repeat_key = _printable(frame, "repeat-key", frame.headers.get("repeat-key", ""))
         if not repeat_key and self._front.classes[name].effect is Effect.KEYED:
-            raise FrameError("this job-class needs a repeat-key", receipt)
+            raise FrameError("this job-class requires a repeat-key", receipt)
         now = time.monotonic_ns()
         job = ClientJob(
             job_id,
@@ -278,13 +292,13 @@
             subject,
             frame.body,
             now,
-            self._budget_ns(frame) - TRAVEL_NS,
+            self._budget_ns(frame) - NETWORK_DELAY_NS,
             lambda answer: None,
             repeat_key,
         )
         waiter = Waiter(self, job_id, receipt)
-        taken = (lambda: self._wire.put(Frame("RECEIPT", {"receipt-id": receipt}))) if receipt else None
-        self._front.take(waiter, job, frame.headers.get("resend") == "true", taken)
+        on_accepted = (lambda: self._wire.put(Frame("RECEIPT", {"receipt-id": receipt}))) if receipt else None
+        self._front.submit(waiter, job, frame.headers.get("resend") == "true", on_accepted)
 
     def _budget_ns(self, frame: Frame) -> int:
         budget_ns = read_budget_ns(frame.need("budget"))
@@ -294,7 +308,7 @@
 
 
 class StompClients:
-    """Accepts clients and keeps the ledger that all their sessions share."""
+    """Accepts client connections and holds the job ledger that all sessions share."""
 
     def __init__(
         self,
@@ -307,7 +321,7 @@
         log: LogWriter,
     ) -> None:
         self._listener, self.classes, self.config = listener, classes, config
-        self._full_wait_ns = min(FULL_WAIT_NS, max_wait_ns)
+        self._full_wait_ns = min(LEDGER_FULL_WAIT_NS, max_wait_ns)
         self._ids, self._post, self.log = ids, post, log
         self.job_table = JobTable(
             config.ledger_jobs,
@@ -315,75 +329,83 @@
             round(config.unsafe_window_s * 1e9),
             round(config.keep_s * 1e9),
         )
-        self._sessions: dict[StompClientSession, None] = {}  # the oldest first
+        self._sessions: dict[StompClientSession, None] = {}  # ordered from the oldest to the newest
         self._numbers = itertools.count(1)
         self._open: set[JobTableEntry] = set()
         self._none_open = asyncio.Event()
         self._none_open.set()
 
     def next_number(self) -> int:
-        """A number for a message or a session."""
+        """Return a unique number for a message or a session."""
         return next(self._numbers)
 
     async def accept(self) -> None:
-        """Accept until cancelled."""
+        """Accept connections until the task is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             try:
                 sock, _ = await loop.sock_accept(self._listener)
-            except OSError as wrong:  # out of descriptors
+            except OSError as wrong:  # out of file descriptors
                 self.log.error("accept-failed", str(wrong))
                 self._free_connection()
                 await asyncio.sleep(0.05)
                 continue
             sock.setblocking(False)
             if len(self._sessions) >= self.config.most_clients and not self._free_connection():
-                self.log.warning("clients-full", "no connection to spare for a client")
+                self.log.warning("clients-full", "the connection limit is reached; a client was rejected")
                 sock.close()
                 continue
-            session = StompClientSession(self, StompLink(Link(sock), FROM_CLIENT, REQUEST_S))
+            session = StompClientSession(self, StompLink(Link(sock), FROM_CLIENT, REQUEST_TIMEOUT_S))
             self._sessions[session] = None
             session.task = asyncio.create_task(session.run())
-            session.task.add_done_callback(partial(self._over, session))
+            session.task.add_done_callback(partial(self._remove, session))
 
     def _free_connection(self) -> bool:
-        """Those that connect and say nothing must not shut out the clients that have jobs."""
+        """Evict the oldest session without a CONNECT frame; return False if there is none.
+
+        Silent connections must not keep out clients that have jobs."""
         silent = next((s for s in self._sessions if s.evict()), None)
         if silent is not None:
-            self._over(silent)
+            self._remove(silent)
         return silent is not None
 
-    def _over(self, session: StompClientSession, _: asyncio.Task[None] | None = None) -> None:
+    def _remove(self, session: StompClientSession, _: asyncio.Task[None] | None = None) -> None:
         self._sessions.pop(session, None)
 
-    def take(self, waiter: Waiter, job: ClientJob, resend: bool, taken: Callable[[], None] | None) -> None:
-        """Look a sent job up in the ledger and see that its frame gets one answer."""
+    def submit(
+        self, waiter: Waiter, job: ClientJob, resend: bool, on_accepted: Callable[[], None] | None
+    ) -> None:
+        """Look up a sent job in the ledger and either run it, join the running job, or answer the frame.
+
+        `on_accepted`, if set, sends the receipt and is called before any answer.  Raises FrameError if the
+        job id conflicts with another job."""
         effect = self.classes[job.job_class].effect
         mark = fingerprint(job.job_class, job.subject, job.repeat_key, job.body)
         key = (waiter.session.identity, job.job_id)
-        finding, entry = self.job_table.find(key, mark, effect, len(job.body), resend, job.taken_ns)
-        if finding is ResendState.CONFLICT:
+        state, entry = self.job_table.find(key, mark, effect, len(job.body), resend, job.taken_ns)
+        if state is ResendState.CONFLICT:
             raise FrameError("this job-id belongs to another job", waiter.receipt)
-        if finding is ResendState.NEW and not self._ids.claim(job.job_id, again=True):
+        if state is ResendState.NEW and not self._ids.claim(job.job_id, again=True):
             self.job_table.forget(key)
-            raise FrameError("another client has this job-id open", waiter.receipt)
-        if taken is not None:
-            taken()
+            raise FrameError("another client has an open job with this job-id", waiter.receipt)
+        if on_accepted is not None:
+            on_accepted()
         if entry is None:
-            self.log.warning("ledger-full", "a job was refused", jobs=len(self.job_table))
+            self.log.warning(
+                "ledger-full", "the ledger is full; a job was rejected", jobs=len(self.job_table)
+            )
             waiter.session.answer(waiter, JobAnswerBody(Verdict.REFUSED, wait_ns=self._full_wait_ns))
             return
-        if finding is ResendState.KEPT and entry.answer is not None:
+        if state is ResendState.KEPT and entry.answer is not None:
             waiter.session.answer(waiter, entry.answer)
             return
         entry.waiters.append(waiter)
         waiter.session.waiting[waiter] = entry
-        waiter.session.counted(1)
-        if finding is ResendState.JOINED:
+        waiter.session.change_open_jobs(1)
+        if state is ResendState.JOINED:
             return
-        if (
-            finding is ResendState.UNKNOWN
-        ):  # after a restart nobody knows whether it ran: it must not run again
+        # After a restart the ledger cannot show whether the job ran, so the job must not run again.
+        if state is ResendState.UNKNOWN:
             self.log.notice("resend-unknown", "a resent job is not in the ledger", job=job.job_id)
             self._answered(entry, JobAnswerBody(Verdict.FAILED))
             return
@@ -394,9 +416,11 @@
         self._none_open.clear()
         self._post(JobTaken(job))
 
-    def gone(self, session: StompClientSession) -> None:
-        """A session ended.  Nothing new begins for it.  A job that must not run twice and is out runs on, and
-        its answer waits for the resend."""
+    def session_ended(self, session: StompClientSession) -> None:
+        """Handle the end of a session.
+
+        No new attempts start for its jobs.  A job that must not run twice and is already at a node runs to
+        its end, and the ledger keeps the answer for a resend."""
         for waiter, entry in session.waiting.items():
             entry.waiters.remove(waiter)
             if entry.waiters or entry.job is None:
@@ -412,7 +436,7 @@
         self.job_table.answered(entry, answer, time.monotonic_ns())
         waiters, entry.waiters = entry.waiters, []
         for waiter in waiters:
-            waiter.session.counted(-1)
+            waiter.session.change_open_jobs(-1)
             waiter.session.answer(waiter, answer)
         self._closed(entry)
 
@@ -424,12 +448,12 @@
             self._none_open.set()
 
     async def drain(self, accepting: asyncio.Task[None]) -> None:
-        """Take what still comes for a moment; then no more frames are read, and what is taken is answered."""
+        """Accept frames for a short time more, then answer the accepted jobs and end all sessions."""
         await asyncio.sleep(DRAIN_ACCEPT_S)
         accepting.cancel()
         self._listener.close()
         for session in self._sessions:
-            session.hold()
+            session.pause()
         await self._none_open.wait()
         tasks = [s.task for s in self._sessions if s.task is not None]
         for session in list(self._sessions):
--- a/tests/coordination/distribution/test_cluster_client.py
+++ b/tests/coordination/distribution/test_cluster_client.py
@@ -1,6 +1,6 @@
-"""A whole cluster of clients, feeds and head's duties in virtual time, over a simulated network.
+"""Tests of a cluster of clients, feeds and head roles in virtual time, over a simulated network.
 
-The control chain is a stand-in: one committed state that all controllers share, with a head that tests set.
+A fake replaces the control chain: all controllers share one committed state, and the tests choose the head.
 """
 
 from __future__ import annotations
@@ -39,16 +39,16 @@
 
 
 class Chain:
-    """The control chain of the whole system, as one value."""
+    """A fake of the control chain that consists of one shared view and state."""
 
     def __init__(self) -> None:
         self.view: View | None = None
         self.state = ControlState(0, 0, b"", [])
         self.head = ""
-        self.confirms = True  # whether reads are answered
+        self.confirms = True  # whether the chain answers reads
         self.nodes: list[Node] = []
         self.lists: list[PlatformWorkerList | None] = []
-        self.readings: list[float] = []
+        self.read_times: list[float] = []
 
     def decide(self, view: View) -> None:
         self.view, self.head = view, view.head
@@ -89,15 +89,15 @@
         return True
 
     async def read(self) -> PlatformWorkerList | None:
-        """The platform's list, as a stand-in of its reader."""
-        self.chain.readings.append(asyncio.get_running_loop().time())
+        """Return the platform's list, as a fake of the worker list reader."""
+        self.chain.read_times.append(asyncio.get_running_loop().time())
         if not self.chain.lists:
             raise WorkerListReadError("read the list", "platform", "nothing to read")
         return self.chain.lists[0] if len(self.chain.lists) == 1 else self.chain.lists.pop(0)
 
 
 class Node:
-    """One process: its client, and a controller's parts where it is one."""
+    """One process: its client and, if it is a controller, its feed and head roles."""
 
     def __init__(
         self,
@@ -173,7 +173,7 @@
             return await self.head_roles.handle(message)
         if isinstance(message, ClusterClient.MESSAGES):
             return await self.client.handle(message)
-        raise TypeError(f"{type(message).__name__} is for nobody here")
+        raise TypeError(f"{type(message).__name__} has no handler")
 
     def sees(self, name: str) -> tuple[int, int] | None:
         found = self.state.members.get(name)
@@ -181,7 +181,7 @@
 
 
 class Cluster:
-    """Three zones: in each a controller, an edge process without a disk, and stores."""
+    """Three zones, each with a controller, an edge process without a disk, and stores."""
 
     def __init__(self, loop: VirtualTimeLoop, stores: int = 3) -> None:
         self.loop = loop
@@ -245,15 +245,15 @@
         return all(what(node.state) for node in self.living())
 
     async def until(self, condition: Callable[[], bool], within: float) -> float:
-        """Seconds until a condition holds; fails after `within`."""
+        """Wait until a condition holds; return the seconds waited, and fail after `within` seconds."""
         started = self.loop.time()
         while not condition():
-            assert self.loop.time() - started < within, "not in time"
+            assert self.loop.time() - started < within, "the condition did not hold in time"
             await asyncio.sleep(0.01)
         return self.loop.time() - started
 
-    async def calm(self) -> None:
-        """Begin: the view is decided, everyone knows everyone and the placement."""
+    async def bootstrap(self) -> None:
+        """Decide the first view, and wait until every process has all members and the placement."""
         await asyncio.sleep(0.5)
         self.chain.decide(self.view(1))
         names = list(self.nodes)
@@ -262,7 +262,7 @@
 
 
 def play(work: Callable[[Cluster], Coroutine[Any, Any, None]], **options: Any) -> None:
-    """Run a test in virtual time; nothing may have failed unseen."""
+    """Run a test in virtual time; fail if any task or message handler has raised an exception."""
     loop = VirtualTimeLoop()
     try:
 
@@ -283,9 +283,9 @@
 # ---- start
 
 
-def test_everyone_learns_of_everyone_and_of_the_first_placement() -> None:
+def test_every_process_receives_all_members_and_the_first_placement() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         placement = cluster.chain.state.placement
         assert placement is not None
         assert len(placement.partitions) == PARTITION_COUNT
@@ -297,7 +297,7 @@
     play(work)
 
 
-def test_before_any_answer_there_has_been_no_contact() -> None:
+def test_there_is_no_contact_before_the_first_response() -> None:
     async def work(cluster: Cluster) -> None:
         await asyncio.sleep(0.3)
         now = cluster.loop.time()
@@ -309,7 +309,7 @@
 
 def test_seeds_without_a_disk_help_to_find_the_view() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.seeds = ("10.0.0.2",)
         late = cluster.add("late", "edge", "10.1.0.9", "z1", 1, False, "")
         await cluster.until(lambda: cluster.all_see("late", (1, 0)), 2.0)
@@ -320,7 +320,7 @@
 
 def test_confirmed_start_waits_for_the_committed_state_and_applies_it() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.confirms = False
         cluster.chain.commit(evolve(cluster.chain.state, generation=7, document=DOCUMENT % 7))
         for zone in range(3):
@@ -333,7 +333,7 @@
         assert node.state.configuration is None
         cluster.network.heal_all()
         await asyncio.sleep(1.0)
-        assert not task.done()  # the chain cannot confirm yet
+        assert not task.done()  # the chain does not answer reads yet
         cluster.chain.confirms = True
         await asyncio.wait_for(task, 2.0)
         assert node.state.configuration is not None
@@ -343,9 +343,9 @@
     play(work)
 
 
-def test_confirmed_start_of_a_controller_feeds_others() -> None:
+def test_confirmed_start_of_a_controller_publishes_the_state() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.state = evolve(cluster.chain.state, generation=9, document=DOCUMENT % 9)
         core = cluster.nodes["core1"]
         await asyncio.wait_for(core.process.run(core.client.wait_for_committed_state()), 2.0)
@@ -359,7 +359,7 @@
     play(work)
 
 
-def test_a_clock_that_went_back_is_made_up_for_at_the_start() -> None:
+def test_a_restart_with_a_clock_set_back_takes_a_higher_incarnation() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.nodes["edge0"].me = evolve(cluster.nodes["edge0"].me, incarnation=50)
         await asyncio.sleep(0.5)
@@ -375,9 +375,9 @@
 # ---- distribution
 
 
-def test_a_configuration_reaches_everyone_soon() -> None:
+def test_a_configuration_reaches_every_process_within_100_ms() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.commit(evolve(cluster.chain.state, generation=3, document=DOCUMENT % 3))
         took = await cluster.until(
             lambda: cluster.all_have(
@@ -392,7 +392,7 @@
 
 def test_readers_choose_a_controller_in_their_zone() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(2.0)
         pulls: set[tuple[str, str]] = set()
 
@@ -408,9 +408,9 @@
     play(work)
 
 
-def test_after_a_controller_falls_silent_its_readers_go_on_with_another() -> None:
+def test_readers_of_a_failed_controller_switch_to_another() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         cluster.power_off("core1")
         await asyncio.sleep(2.5)
@@ -427,10 +427,10 @@
 
 
 def test_readers_leave_a_controller_that_has_lost_the_others() -> None:
-    """The controller of zone 1 is cut off from the other two, but not from the processes of its zone."""
+    """The controller of zone 1 loses the other two controllers, but not the processes of its zone."""
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         for other in (0, 2):
             cluster.network.block("10.1.0.1", f"10.{other}.0.1")
@@ -459,9 +459,9 @@
     play(work)
 
 
-def test_processes_find_controllers_again_after_all_have_been_replaced_meanwhile() -> None:
+def test_processes_reconnect_after_all_controllers_restarted() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for zone in range(3):
             cluster.kill(f"core{zone}")
         await asyncio.sleep(3.0)
@@ -481,12 +481,15 @@
     play(work)
 
 
-def test_a_controller_that_is_no_voter_is_known_and_does_not_pull_in_a_hurry() -> None:
-    """Its own items and the voters' have equal versions, and the voters do not pull from it; the origin of
-    theirs has no other live items, so that it is pruned here."""
+def test_a_controller_without_a_vote_is_registered_and_does_not_pull_in_a_tight_loop() -> None:
+    """A controller that is not a voter holds items of the same versions as the voters' items.
+
+    The voters do not pull from it.  The origin of the voters' items has no other items, so this controller
+    prunes it from its version vector.  Its pulls must still wait instead of returning the same items at once.
+    """
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.chain.state = evolve(cluster.chain.state, generation=2, document=DOCUMENT % 2)
         for zone in range(3):
             feed = cluster.nodes[f"core{zone}"].feed
@@ -514,11 +517,11 @@
     play(work)
 
 
-def test_a_death_that_only_readers_know_of_is_given_back_to_the_controllers() -> None:
-    """The controller that published it ends before the others have pulled it."""
+def test_read_repair_restores_a_death_that_only_readers_hold() -> None:
+    """The controller that published the death is lost before the other controllers have pulled it."""
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         for other in (1, 2):
             cluster.network.block("10.0.0.1", f"10.{other}.0.1")
@@ -528,8 +531,8 @@
         await head_roles.handle(MemberDeparting("store2", 1))
         await cluster.until(lambda: cluster.nodes["edge0"].sees("store2") == (1, 1), 0.5)
         assert cluster.nodes["core1"].sees("store2") == (1, 0)
-        cluster.chain.head = ""  # nobody judges
-        await asyncio.sleep(4.0)  # connections over the cut have ended, nothing is on its way
+        cluster.chain.head = ""  # without a head, nobody declares members dead
+        await asyncio.sleep(4.0)  # connections over the cut have timed out
         cluster.power_off("core0")
         cluster.restart("core0")
         cluster.network.heal_all()
@@ -541,9 +544,9 @@
     play(work)
 
 
-def test_the_only_controller_that_returns_is_found_soon() -> None:
+def test_the_only_restarted_controller_is_found_soon() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for zone in range(3):
             cluster.power_off(f"core{zone}")
         await asyncio.sleep(20.0)
@@ -555,9 +558,9 @@
     play(work)
 
 
-def test_when_most_controllers_are_down_the_last_one_is_still_listened_to() -> None:
+def test_readers_use_the_last_controller_while_most_are_down() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         await asyncio.sleep(1.5)
         for name in ("core0", "core1"):
             cluster.power_off(name)
@@ -577,14 +580,14 @@
 # ---- members
 
 
-def test_a_process_that_stops_is_known_to_be_gone_at_once() -> None:
+def test_a_departure_is_distributed_at_once() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for name in ("edge0", "store1", "core2"):
             node = cluster.nodes[name]
             await asyncio.wait_for(node.process.run(node.client.leave()), 1.0)
             await cluster.until(lambda name=name: cluster.all_see(name, (1, 1)), 0.3)  # type: ignore[misc]
-        await asyncio.sleep(3.0)  # they still run, and do not come back
+        await asyncio.sleep(3.0)  # they still run but stay departed
         assert [cluster.nodes[name].client.me.status for name in ("edge0", "store1", "core2")] == [0, 0, 1]
         assert all(cluster.all_see(name, (1, 1)) for name in ("edge0", "store1", "core2"))
 
@@ -593,7 +596,7 @@
 
 def test_a_killed_process_is_dead_soon_and_alive_after_its_restart() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.kill("store0")
         took = await cluster.until(lambda: cluster.all_see("store0", (1, 1)), 3.0)
         assert 0.8 < took < 2.0
@@ -605,7 +608,7 @@
 
 def test_a_quick_restart_ends_the_old_incarnation_without_any_death() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.restart("store0")
         took = await cluster.until(lambda: cluster.all_see("store0", (2, 0)), 1.0)
         assert took < 0.5
@@ -613,9 +616,9 @@
     play(work)
 
 
-def test_a_frozen_process_is_dead_and_says_otherwise_once_it_is_thawed() -> None:
+def test_a_frozen_process_is_declared_dead_and_refutes_it_after_the_freeze() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         node = cluster.nodes["edge2"]
         cluster.loop.freeze(node.process)
         others = [other for other in cluster.living() if other is not node]
@@ -629,9 +632,9 @@
     play(work)
 
 
-def test_a_full_zone_lost_is_judged_dead() -> None:
+def test_all_members_of_a_lost_zone_are_declared_dead() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         for name in ("core1", "edge1", "store1"):
             cluster.power_off(name)
         await cluster.until(
@@ -644,12 +647,14 @@
     play(work)
 
 
-def test_a_member_that_one_monitor_does_not_hear_stays_alive() -> None:
+def test_a_member_suspected_by_one_monitor_stays_alive() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         edges = [name for name in cluster.nodes if not name.startswith("store")]
-        deaf = next(name for name in choose_monitors("store1", edges) if not name.startswith("core0"))
-        cluster.network.block(cluster.nodes["store1"].host, cluster.nodes[deaf].host, both=False)
+        isolated_monitor = next(
+            name for name in choose_monitors("store1", edges) if not name.startswith("core0")
+        )
+        cluster.network.block(cluster.nodes["store1"].host, cluster.nodes[isolated_monitor].host, both=False)
         probes: list[str] = []
 
         def watch(source: str, target: str, message: Any) -> None:
@@ -665,15 +670,15 @@
     play(work)
 
 
-def test_after_any_course_of_faults_everyone_agrees_again() -> None:
+def test_all_processes_converge_after_random_faults() -> None:
     for seed in range(3):
-        play(partial(play_random_faults, seed))
+        play(partial(run_random_faults, seed))
 
 
-async def play_random_faults(seed: int, cluster: Cluster) -> None:
-    """Inject faults for half a minute, then none: all processes converge, and no value ever went back."""
+async def run_random_faults(seed: int, cluster: Cluster) -> None:
+    """Inject faults for half a minute; no version may decrease, and all processes converge afterwards."""
     random_source = random.Random(seed)
-    await cluster.calm()
+    await cluster.bootstrap()
     seen: dict[tuple[SimulatedProcess, str], list[int]] = {}
     for step in range(60):
         inject_random_fault(cluster, random_source, step)
@@ -718,7 +723,7 @@
 
 
 def end_or_restart(cluster: Cluster, name: str, event: str) -> None:
-    """Kill a process or cut its power as long as more than five are living; else restart it."""
+    """Kill a process or cut its power if more than five processes are alive; otherwise restart it."""
     if event == "restart" or len(cluster.living()) <= 5:
         cluster.restart(name)
     elif event == "kill":
@@ -737,7 +742,7 @@
 def assert_no_value_went_back(
     cluster: Cluster, seen: dict[tuple[SimulatedProcess, str], list[int]], where: tuple[int, int]
 ) -> None:
-    """Compare the versions that the living processes have with what they had before."""
+    """Assert that no version that a live process holds has decreased since the last call."""
     for node in cluster.living():
         for key, version in node.state.versions.items():
             assert version >= seen.get((node.process, key), []), (where, node.name, key)
@@ -756,9 +761,9 @@
         assert (member is not None and member.alive) == other.process.alive, (seed, node.name, name)
 
 
-def test_calm_hours_bring_no_death_and_few_messages() -> None:
+def test_without_faults_there_are_no_deaths_and_few_messages() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         heartbeats: list[str] = []
 
         def watch(source: str, target: str, message: Any) -> None:
@@ -786,9 +791,9 @@
     return {entry.primary for entry in placement.partitions}
 
 
-def test_a_dead_stores_partitions_get_other_primaries_and_drift_back_later() -> None:
+def test_a_dead_stores_partitions_get_other_primaries_and_move_back_later() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.kill("store0")
         took = await cluster.until(lambda: "store0/disk0" not in primaries(cluster), 3.0)
         assert took < 2.0
@@ -816,7 +821,7 @@
 
 def test_a_stopping_store_hands_over_at_once() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         node = cluster.nodes["store2"]
         await node.process.run(node.client.leave())
         await cluster.until(lambda: "store2/disk2" not in primaries(cluster), 0.4)
@@ -825,7 +830,7 @@
 
 
 async def report_learners(cluster: Cluster) -> None:
-    """What primaries would do: say that each learner has caught up."""
+    """Report each learner as caught up, as the primaries would."""
     placement = cluster.chain.state.placement
     head_roles = cluster.nodes[cluster.chain.head].head_roles
     assert placement is not None
@@ -837,7 +842,7 @@
 
 def test_a_lost_disk_is_refilled_by_learning() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.restart("store1", disk_id="new")
         await asyncio.sleep(1.0)
         for _ in range(4):
@@ -854,10 +859,10 @@
 
 
 def test_an_old_report_about_a_learner_does_not_count() -> None:
-    """It came when too many replicas were missing; when they return, the primary no longer vouches for it."""
+    """A report that arrived while too many replicas were dead must not count after they have returned."""
 
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         cluster.restart("store1", disk_id="new")
         await asyncio.sleep(1.0)
         for name in ("store0", "store2"):
@@ -891,26 +896,26 @@
 
 def test_retirement_from_order_to_completion() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         assert (await retire(cluster, "store9"))[0] == 404
         assert (await retire(cluster, "edge0"))[0] == 404
         assert (await retire(cluster, "store0", None))[0] == 404
         for _ in range(2):  # idempotent
             assert await retire(cluster, "store0") == (200, b'{"state":"running"}')
-        assert (await retire(cluster, "store1"))[0] == 409  # three stores remain, all needed
-        unnamed_since = math.inf
+        assert (await retire(cluster, "store1"))[0] == 409  # the three remaining stores are required
+        unplaced_since = math.inf
         for _ in range(200):
             await asyncio.sleep(0.1)
             if not is_store_placed(cluster.chain.state.placement or Placement(0, []), "store0"):
-                unnamed_since = min(unnamed_since, cluster.loop.time())
+                unplaced_since = min(unplaced_since, cluster.loop.time())
             if (await retire(cluster, "store0", None)) == (200, b'{"state":"completed"}'):
                 break
             placement = cluster.chain.state.placement
             assert placement is not None
             await report_learners(cluster)
         else:
-            raise AssertionError("the machine is never emptied")
-        assert 0.9 <= cluster.loop.time() - unnamed_since <= 2.5
+            raise AssertionError("the retirement did not complete")
+        assert 0.9 <= cluster.loop.time() - unplaced_since <= 2.5
         placement = cluster.chain.state.placement
         assert placement is not None
         assert all(
@@ -922,9 +927,9 @@
     play(work, stores=4)
 
 
-def test_only_the_head_takes_orders() -> None:
+def test_only_the_head_accepts_orders() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         head_roles = cluster.nodes["core1"].head_roles
         assert head_roles is not None
         answer = await head_roles.handle(RetireStore("store0", 1.0))
@@ -934,15 +939,15 @@
     play(work, stores=4)
 
 
-def test_three_stores_with_one_tolerated_loss_cannot_spare_any() -> None:
+def test_none_of_three_stores_can_retire_if_one_loss_is_tolerated() -> None:
     async def work(cluster: Cluster) -> None:
-        await cluster.calm()
+        await cluster.bootstrap()
         assert (await retire(cluster, "store0"))[0] == 409
 
     play(work)
 
 
-# ---- the platform's list
+# ---- the platform's worker list
 
 
 def worker(identifier: str, state: str = "ready", warm_in_ms: int = 0) -> PlatformWorker:
@@ -954,16 +959,16 @@
     return None if found is None else found.workers
 
 
-def test_the_list_is_read_once_a_second_and_sent_only_when_it_says_something_new() -> None:
+def test_the_list_is_read_once_a_second_and_published_only_when_it_changed() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a", warm_in_ms=9000)])]
-        await cluster.calm()
+        await cluster.bootstrap()
         await cluster.until(lambda: listed(cluster) == [worker("a", warm_in_ms=9000)], 3.0)
-        cluster.chain.readings.clear()
+        cluster.chain.read_times.clear()
         version = cluster.nodes["edge2"].state.versions["workers"]
         cluster.chain.lists = [PlatformWorkerList([worker("a", warm_in_ms=5000)])]
         await asyncio.sleep(10.0)
-        assert 9 <= len(cluster.chain.readings) <= 11
+        assert 9 <= len(cluster.chain.read_times) <= 11
         assert cluster.nodes["edge2"].state.versions["workers"] == version
         cluster.chain.lists = [PlatformWorkerList([worker("a", "draining")])]
         await cluster.until(
@@ -972,32 +977,32 @@
             ),
             1.2,
         )
-        cluster.chain.lists = []  # the platform is down: the last list stays
+        cluster.chain.lists = []  # the platform is down, so the last list stays valid
         await asyncio.sleep(5.0)
         assert listed(cluster) == [worker("a", "draining")]
 
     play(work)
 
 
-def test_a_new_head_reads_soon_and_its_list_counts() -> None:
+def test_a_new_head_reads_soon_and_its_list_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
-        await cluster.calm()
+        await cluster.bootstrap()
         await cluster.until(lambda: listed(cluster) == [worker("a")], 3.0)
         cluster.kill("core0")
         cluster.chain.lists = [PlatformWorkerList([worker("b")])]
-        cluster.chain.readings.clear()
+        cluster.chain.read_times.clear()
         cluster.chain.decide(cluster.view(2, ("core1", "core2")))
         await cluster.until(lambda: listed(cluster) == [worker("b")], 0.6)
-        assert len(cluster.chain.readings) == 1
+        assert len(cluster.chain.read_times) == 1
 
     play(work)
 
 
-def test_a_head_that_restarts_in_its_epoch_is_believed_again() -> None:
+def test_a_list_of_a_head_restarted_in_its_epoch_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
-        await cluster.calm()
+        await cluster.bootstrap()
         for identifier in ("b", "c"):
             cluster.chain.lists = [PlatformWorkerList([worker(identifier)])]
             await cluster.until(lambda wanted=identifier: listed(cluster) == [worker(wanted)], 2.0)  # type: ignore[misc]
@@ -1008,10 +1013,10 @@
     play(work)
 
 
-def test_a_list_read_after_all_controllers_have_restarted_is_believed() -> None:
+def test_a_list_read_after_all_controllers_restarted_replaces_the_old_one() -> None:
     async def work(cluster: Cluster) -> None:
         cluster.chain.lists = [PlatformWorkerList([worker("a")])]
-        await cluster.calm()
+        await cluster.bootstrap()
         for identifier in ("b", "c"):
             cluster.chain.lists = [PlatformWorkerList([worker(identifier)])]
             await cluster.until(lambda wanted=identifier: listed(cluster) == [worker(wanted)], 2.0)  # type: ignore[misc]
--- a/tests/coordination/distribution/test_contact.py
+++ b/tests/coordination/distribution/test_contact.py
@@ -1,4 +1,4 @@
-"""Contact with a majority of the controllers: how old what a process knows may be, and what it says then."""
+"""Tests of the contact with a majority of the controllers, which bounds the age of a process's values."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.intake.test_intake import play as play_intake
 
 CORES = ("10.0.0.1", "10.1.0.1", "10.2.0.1")
-SLACK_S = 0.05  # for the way of an answer
-CALM_AGE_S = 2.3  # two long polls of a second each, one after the other
+SLACK_S = 0.05  # tolerance for the transmission of a response
+CALM_AGE_S = 2.3  # two consecutive long polls of a second each, plus tolerance
 
 
 def publish(cluster: Cluster, generation: int, *cores: str) -> None:
-    """A configuration is committed; these controllers hear of it."""
+    """Commit a configuration and publish it in the feeds of the controllers `cores` only."""
     cluster.chain.state = evolve(cluster.chain.state, generation=generation, document=DOCUMENT % generation)
     for name in cores:
         head_roles = cluster.nodes[name].head_roles
@@ -49,29 +49,32 @@
 
 
 class TestAge:
-    def test_an_answer_tells_how_long_ago_its_controller_had_word_from_most(self) -> None:
+    def test_a_response_contains_the_age_of_the_last_majority_contact(self) -> None:
         async def ask(age_s: float) -> UpdatesResponse:
             poll = LongPollResponder(UpdateFeed("a/1"), lambda: True, lambda: age_s)
             answer = await poll.respond(PullUpdates("reader", {}, 0))
-            told = decode(encode(answer))
-            assert isinstance(told, UpdatesResponse)
-            return told
+            decoded = decode(encode(answer))
+            assert isinstance(decoded, UpdatesResponse)
+            return decoded
 
         assert asyncio.run(ask(1.25)).age_ms == 1250
         assert asyncio.run(ask(float("inf"))).age_ms == 1_000_000_000
 
     @pytest.mark.parametrize(
-        ("cut", "last_word_s"),
+        ("cut", "last_response_s"),
         [(cut_all, 0.0), (cut_one_way_in, 0.0), (cut_one_way_out, PULL_WAIT_MS / 1000)],
     )
-    def test_a_reader_is_no_younger_than_its_cut_off_controller(
-        self, cut: Callable[[Cluster], None], last_word_s: float
+    def test_a_readers_age_is_at_least_that_of_its_isolated_controller(
+        self, cut: Callable[[Cluster], None], last_response_s: float
     ) -> None:
-        """Reader and controller of zone 1 are cut off together; the controller says that it is connected for
-        2.5 s more.  With the way out cut, the others still answer the long polls that have reached them."""
+        """The reader and the controller of zone 1 are isolated together.
+
+        The controller reports itself connected for another 2.5 s.  If only its outgoing links are cut, the
+        other controllers still answer the long polls that have reached them.
+        """
 
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             await asyncio.sleep(1.5)
             cut(cluster)
             for other in (CORES[0], CORES[2]):
@@ -79,16 +82,16 @@
             cut_at = cluster.loop.time()
             client = cluster.nodes["edge1"].client
             while (now := cluster.loop.time()) < cut_at + 20.0:
-                assert client.seconds_since_majority(now) >= now - cut_at - last_word_s - SLACK_S
+                assert client.seconds_since_majority(now) >= now - cut_at - last_response_s - SLACK_S
                 await asyncio.sleep(0.05)
             cluster.network.heal_all()
             await cluster.until(lambda: client.seconds_since_majority(cluster.loop.time()) < 1.0, 6.0)
 
         play(work)
 
-    def test_in_calm_times_everyone_is_current(self) -> None:
+    def test_without_faults_every_process_is_current(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             await asyncio.sleep(1.5)
             until = cluster.loop.time() + 20.0
             while (now := cluster.loop.time()) < until:
@@ -100,17 +103,17 @@
 
     @pytest.mark.parametrize("frozen_s", [0.5, 1.0, 1.5, 3.0, 20.0])
     @pytest.mark.parametrize("name", ["edge1", "core1"])
-    def test_an_answer_that_lay_unread_over_a_freeze_counts_from_its_question(
+    def test_a_response_unread_during_a_freeze_counts_from_its_request(
         self, name: str, frozen_s: float
     ) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             await asyncio.sleep(2.0)
             node = cluster.nodes[name]
             cluster.loop.freeze(node.process)
             frozen_at = cluster.loop.time()
             await asyncio.sleep(0.01)
-            publish(cluster, 5, "core0", "core2")  # answers the long polls; the answers lie unread
+            publish(cluster, 5, "core0", "core2")  # ends the long polls; the responses stay unread
             await asyncio.sleep(0.1)
             for other in CORES:
                 if other != node.host:
@@ -125,9 +128,9 @@
 
         play(work)
 
-    def test_a_confirmed_start_is_current_from_its_question_on(self) -> None:
+    def test_a_confirmed_start_is_current_as_of_its_request(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             publish(cluster, 5, "core0", "core1", "core2")
             node = cluster.add("edge9", "edge", "10.1.0.9", "z1", 1, False, "")
             await asyncio.sleep(0.001)
@@ -140,9 +143,9 @@
 
 
 class TestStart:
-    def test_a_process_that_reaches_a_cut_off_controller_only_does_not_begin(self) -> None:
+    def test_a_process_that_reaches_only_an_isolated_controller_does_not_start(self) -> None:
         async def work(cluster: Cluster) -> None:
-            await cluster.calm()
+            await cluster.bootstrap()
             cut_all(cluster)
             publish(cluster, 5, "core0", "core2")
             node = cluster.add("edge9", "edge", "10.1.0.9", "z1", 1, False, "")
@@ -155,7 +158,7 @@
                     asked.append(target)
 
             cluster.network.observer = watch
-            cluster.chain.confirms = False  # as the controller that lacks a majority answers
+            cluster.chain.confirms = False  # like a controller without a majority
             await asyncio.sleep(0.001)
             starting = node.process.run(node.client.wait_for_committed_state())
             await asyncio.sleep(20.0)
@@ -171,7 +174,7 @@
 
 
 class TestIntake:
-    """404 only if it is certain that there is no such route or service."""
+    """The intake returns 404 only if it is certain that there is no such route or service."""
 
     def intake(self, world: IntakeHarness, current: bool) -> IntakeService:
         return IntakeService(
@@ -185,7 +188,7 @@
 
     @pytest.mark.parametrize(("current", "status"), [(True, 404), (False, 503)])
     @pytest.mark.parametrize("path", ["/none/", "/pull/nobody"])
-    def test_what_is_not_known_is_not_denied_without_contact(
+    def test_unknown_paths_get_503_instead_of_404_without_contact(
         self, path: str, current: bool, status: int
     ) -> None:
         async def work(world: IntakeHarness) -> None:
@@ -195,7 +198,7 @@
 
         play_intake(work)
 
-    def test_a_body_that_is_still_to_come_does_not_change_that(self) -> None:
+    def test_unknown_paths_get_503_before_the_body_arrives(self) -> None:
         async def work(world: IntakeHarness) -> None:
             early = self.intake(world, False).reject_head(request("/none/"), 100_000)
             assert early is not None
@@ -203,8 +206,8 @@
 
         play_intake(work)
 
-    def test_messages_on_known_routes_are_taken_without_contact(self) -> None:
-        """The store that keeps one has a quorum, and its own configuration decides what becomes of it."""
+    def test_messages_on_known_routes_are_accepted_without_contact(self) -> None:
+        """Accepting a message is safe, because its store has a quorum and applies its own configuration."""
 
         async def work(world: IntakeHarness) -> None:
             assert (await self.intake(world, False).handle(request("/a/"))).status == 202
@@ -212,6 +215,6 @@
         play_intake(work)
 
 
-def test_the_bounds_fit_each_other() -> None:
+def test_age_bounds_are_consistent() -> None:
     assert CALM_AGE_S < 0.95 * 3.0
     assert MAX_CONNECTED_AGE_S < 0.95 * 3.0
--- a/tests/scheduler/test_reload.py
+++ b/tests/scheduler/test_reload.py
@@ -221,7 +221,7 @@
                 self.assertIs(event.kind, kind)
 
         self.list.beats = False
-        with mock.patch("hollowusher.scheduler.fronts.platform.discovery.SILENT_S", 0.3):
+        with mock.patch("hollowusher.scheduler.fronts.platform.discovery.SILENCE_TIMEOUT_S", 0.3):
             watch.ask()
             # The watch keeps its pending request; a new request would go to the end of the queue again.
             watch.ask()
