--- a/hollowusher/scheduler/cli.py
+++ b/hollowusher/scheduler/cli.py
@@ -164,7 +164,7 @@
     click.echo(f"{'figure':16}{'first':>10}{'second':>10}{'apart':>10}{'95% bar':>22}  the second is")
     for f in findings:
         bar = f"{f.low:+.4f} to {f.high:+.4f}"
-        click.echo(f"{f.figure:16}{f.first:10.4f}{f.second:10.4f}{f.difference:+10.4f}{bar:>22}  {f.says}")
+        click.echo(f"{f.figure:16}{f.first:10.4f}{f.second:10.4f}{f.difference:+10.4f}{bar:>22}  {f.verdict}")
 
 
 @cli.command()
--- a/hollowusher/scheduler/lab/compare.py
+++ b/hollowusher/scheduler/lab/compare.py
@@ -42,7 +42,7 @@
     high: float
 
     @property
-    def says(self) -> str:
+    def verdict(self) -> str:
         """Whether the second series is `better` or `worse` than the first, or `tie`."""
         if self.low <= 0.0 <= self.high:
             return "tie"
--- a/hollowusher/scheduler/operations.py
+++ b/hollowusher/scheduler/operations.py
@@ -162,7 +162,7 @@
 
     async def wait_for_list(self) -> None:
         """In a replacement process, wait for the worker list, for LIST_NEWS_S seconds at most."""
-        if self.replacement is not None and self.replacement.beside_another:
+        if self.replacement is not None and self.replacement.has_others:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LIST_NEWS_S):
                     await self._watch.heard.wait()
--- a/hollowusher/scheduler/replacement/__init__.py
+++ b/hollowusher/scheduler/replacement/__init__.py
@@ -1,1 +1,1 @@
-"""How one process of a scheduler takes over from another that runs beside it."""
+"""Live replacement: a new process of a scheduler takes over from a running process of the same scheduler."""
--- a/hollowusher/scheduler/replacement/process.py
+++ b/hollowusher/scheduler/replacement/process.py
@@ -51,7 +51,7 @@
         self._others: list[OtherProcess] = []
         self._handed_over = set[str]()
         self._phase = Phase.STARTING
-        self._beside = False  # whether another process was alive at the last poll
+        self._sharing = False  # whether another process was alive at the last poll
         self._claims: asyncio.TimerHandle | None = None
         self._polling: asyncio.Task[None] | None = None
 
@@ -109,7 +109,7 @@
         return {"process": self._directory.token, "phase": self._phase.value, "others": others}
 
     @property
-    def beside_another(self) -> bool:
+    def has_others(self) -> bool:
         """Whether another process of this scheduler is alive."""
         return bool(self._others)
 
@@ -144,8 +144,8 @@
             self.replaced.clear()
         if self._others and not self._spends_cold_budget():
             self._post(ColdBudgetInUse())
-        if bool(self._others) is not self._beside:
-            self._beside = bool(self._others)
+        if bool(self._others) is not self._sharing:
+            self._sharing = bool(self._others)
             self._update_sharing()
         for act in self.after_poll:
             act()
@@ -183,11 +183,11 @@
 
     def _update_sharing(self) -> None:
         """Switch between sharing and sole use when the first other process appears or the last one ends."""
-        self.shared(self._beside)
+        self.shared(self._sharing)
         if self._claims is not None:
             self._claims.cancel()
             self._claims = None
-        if self._beside:
+        if self._sharing:
             self._ids.elsewhere = self._directory.claim
             return
         self._log.notice("alone", "no other process of this scheduler is running any more")
--- a/tests/scheduler/test_lab.py
+++ b/tests/scheduler/test_lab.py
@@ -30,12 +30,12 @@
 class Compare(unittest.TestCase):
     def test_the_same_is_a_tie_and_a_known_bad_set_point_is_worse(self) -> None:
         first = series(range(4))
-        self.assertEqual({f.says for f in compare(first, series(range(4)))}, {"tie"})
+        self.assertEqual({f.verdict for f in compare(first, series(range(4)))}, {"tie"})
         with mock.patch.object(balance, "SET_POINT", 0.4):
             bad = series(range(4))
-        said = {f.figure: f.says for f in compare(first, bad)}
+        said = {f.figure: f.verdict for f in compare(first, bad)}
         self.assertEqual(said["share"], "worse")
-        back = {f.figure: f.says for f in compare(bad, first)}
+        back = {f.figure: f.verdict for f in compare(bad, first)}
         self.assertEqual(back["share"], "better")
 
     def test_a_difference_within_its_bar_is_a_tie(self) -> None:
@@ -43,9 +43,9 @@
             return {n: {**dict.fromkeys(BETTER_HIGH, 0.0), "share": s} for n, s in enumerate(shares)}
 
         first = runs([0.9, 0.9, 0.9, 0.9])
-        self.assertEqual(compare(first, runs([0.95, 0.85, 0.96, 0.86]))[0].says, "tie")
+        self.assertEqual(compare(first, runs([0.95, 0.85, 0.96, 0.86]))[0].verdict, "tie")
         finding = compare(first, runs([0.80, 0.81, 0.79, 0.80]))[0]
-        self.assertEqual(finding.says, "worse")
+        self.assertEqual(finding.verdict, "worse")
         # Student's t with 3 degrees of freedom: 3.182 times 0.00816/2.
         self.assertAlmostEqual(finding.high - finding.difference, 3.182 * 0.008165 / 2, places=4)
         with self.assertRaisesRegex(ConfigError, "2 seeds in common"):
