--- a/hollowusher/scheduler/fronts/platform/discovery.py
+++ b/hollowusher/scheduler/fronts/platform/discovery.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hollowusher.balancing.interface import Limits, ListCalls, ListKind, Rules
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.dispatch.model import DispatchEvent, NodeListReceived
 from hollowusher.scheduler.dispatch.worker_registry import RouteNode, WorkerRegistry
 from hollowusher.scheduler.fronts.platform.http import AnswerReader
@@ -37,7 +37,7 @@
 DEFAULT_CALLS = Rules().list_calls(1, Limits().connect_timeout_ns)
 
 
-class NodeListWatch(Plain):
+class NodeListWatch(NoDrain):
     """Watches the node list and passes changes to the worker registry and the dispatcher.
 
     After a watch ends, the dispatcher decides when to open the next one, unless the list comes from a local
--- a/hollowusher/scheduler/net/log_replication/node.py
+++ b/hollowusher/scheduler/net/log_replication/node.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from hollowusher.balancing.interface import JobClass
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.log import LogWriter
 from hollowusher.scheduler.net.log_replication.settings import CopiesConfig
 from hollowusher.scheduler.net.log_replication.storage import FolderStorage, MemoryStorage, Storage
@@ -43,7 +43,7 @@
     acts: list[ReplicationInstruction] = field(default_factory=list)
 
 
-class CopiesNode(Plain):
+class CopiesNode(NoDrain):
     """A component that replicates job logs; calls `act` with each released instruction."""
 
     name = "copies"
--- a/hollowusher/scheduler/net/membership/node.py
+++ b/hollowusher/scheduler/net/membership/node.py
@@ -16,7 +16,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.net.membership.settings import PeersConfig
 from hollowusher.scheduler.rules.membership.budget import Budget
 from hollowusher.scheduler.rules.membership.codec import MAGIC, DatagramCodec
@@ -29,7 +29,7 @@
 MAX_SOURCE_ADDRESSES = 1024  # names for which a source address is stored
 
 
-class PeerNode(Plain, asyncio.DatagramProtocol):
+class PeerNode(NoDrain, asyncio.DatagramProtocol):
     """A component that exchanges membership messages with the other schedulers.
 
     It sends at most `most_per_s` messages per second; it drops and counts further ones, which the protocol
--- a/hollowusher/scheduler/net/reports/listener.py
+++ b/hollowusher/scheduler/net/reports/listener.py
@@ -9,7 +9,7 @@
 import json
 from collections.abc import Iterable, Mapping
 
-from hollowusher.scheduler.component import Component, Plain
+from hollowusher.scheduler.component import Component, NoDrain
 from hollowusher.scheduler.net.accept import ConnectionAcceptor
 from hollowusher.scheduler.net.link import Link, connect
 
@@ -19,7 +19,7 @@
 _RING = 4096
 
 
-class Reports(Plain):
+class Reports(NoDrain):
     """A component that serves the reports of all components to a few operators."""
 
     name = "reports"
--- a/hollowusher/scheduler/net/shared_state/node.py
+++ b/hollowusher/scheduler/net/shared_state/node.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Mapping
 
-from hollowusher.scheduler.component import Plain
+from hollowusher.scheduler.component import NoDrain
 from hollowusher.scheduler.dispatch.model import AttemptEnded, DispatchEvent, JobTaken
 from hollowusher.scheduler.dispatch.worker_registry import WorkerRegistry
 from hollowusher.scheduler.log import LogWriter
@@ -22,7 +22,7 @@
 MAX_DATAGRAMS_PER_MEMBER = 2  # datagrams to one member in one step
 
 
-class SharedNode(Plain):
+class SharedNode(NoDrain):
     """A component that shares traffic counts and node judgements with the other schedulers."""
 
     name = "shared"
